--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -33,7 +33,7 @@
 from valverouter.emulator.rollouts import Broken, Rollout
 from valverouter.rollout.council import SECOND
 from valverouter.rollout.limits import Limits
-from valverouter.rollout.orders import Kind, Phase, Place
+from valverouter.rollout.operations import Kind, Phase, Place
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
 from valverouter.terms.ini import IniFile
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.rollouts import VERSIONS, Broken, Rollout
-from valverouter.rollout.conducting import Conductor, Rules
+from valverouter.rollout.orchestrator import Conductor, Rules
 from valverouter.rollout.council import Members
-from valverouter.rollout.evidence import Rule
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory, Report
+from valverouter.rollout.sequential_test import Rule
+from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory, Report
 from valverouter.rollout.limits import Limits, Sort, Unit
-from valverouter.rollout.orders import (
+from valverouter.rollout.operations import (
     BUSY,
     Book,
     Command,
@@ -34,7 +34,7 @@
     watches,
 )
 from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt
-from valverouter.rollout.serving import Watch
+from valverouter.rollout.readiness import Watch
 from valverouter.rollout.written import KeptSnapshot
 
 SECOND = 10**9
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -29,13 +29,13 @@
 from valverouter.fleet.tool import CouncilAsker
 from valverouter.fleet.words import Asks, Here, Word
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.keeperstore import KeeperStore, opened
+from valverouter.ledger.supervisor_store import KeeperStore, opened
 from valverouter.ledger.store import LedgerBusyError
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory, Turn
+from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory, Turn
 from valverouter.rollout.limits import Sort, Unit
-from valverouter.rollout.orders import Kind, Place, Placed, Runs, Want
+from valverouter.rollout.operations import Kind, Place, Placed, Runs, Want
 from valverouter.rollout.permits import Enrol
-from valverouter.rollout.shown import Shown
+from valverouter.rollout.status import Shown
 from valverouter.signalling import tap
 from valverouter.signalling.serverlist import Leave, Permits, Returns
 from valverouter.signalling.tap import Limited, Ordered, Row, Turned
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -19,7 +19,7 @@
 from valverouter.audit.orders import Orders, judge_orders
 from valverouter.audit.rules import audit
 from valverouter.days.ordering import SEATS, OrderRig, run_orders
-from valverouter.rollout.shown import Shown
+from valverouter.rollout.status import Shown
 from valverouter.servermodel.paths import PathFault
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -34,11 +34,11 @@
     Vote,
     Voted,
 )
-from valverouter.rollout.evidence import Evidence, Rule, Tally, Verdict
+from valverouter.rollout.sequential_test import Evidence, Rule, Tally, Verdict
 from valverouter.rollout.limits import Limits, Sort, Unit, impossible, refusal, waves
 from valverouter.rollout.model import PLANTS, Model
 from valverouter.rollout.model import Broken as ModelBroken
-from valverouter.rollout.orders import Book
+from valverouter.rollout.operations import Book
 from valverouter.rollout.permits import Ask, Away, Back, Command, Enrol, Fence, Halt, Permit, Register
 
 SECOND = 10**9
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -22,9 +22,9 @@
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.tool import CouncilAsker
-from valverouter.rollout.orders import Command, Kind, Place, Placed, Retire, Stop
+from valverouter.rollout.operations import Command, Kind, Place, Placed, Retire, Stop
 from valverouter.rollout.permits import Halt
-from valverouter.rollout.shown import Order, Shown, Unit
+from valverouter.rollout.status import Order, Shown, Unit
 from valverouter.terms.rollout import load_tool
 
 # Exit codes of an order: done; in part or halted; refused; nobody of the council reached, or not known.
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -19,7 +19,7 @@
 from valverouter.fleet.keeper import KeeperTask
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.file import LedgerError, sound
-from valverouter.ledger.keeperstore import opened
+from valverouter.ledger.supervisor_store import opened
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
 log = structlog.get_logger()
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -25,7 +25,7 @@
 from valverouter.days.viewing import SECRET
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
-from valverouter.rollout.shown import Order, Shown
+from valverouter.rollout.status import Order, Shown
 from valverouter.servermodel.paths import PathFault, Paths
 from valverouter.signalling.tap import Fault, Limited, Ordered, Row, Runs, Turned
 from valverouter.standins.paths import PathStandIn
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -21,7 +21,7 @@
 from valverouter.fleet.asking import Count, Counted
 from valverouter.fleet.datagrams import LABEL
 from valverouter.fleet.sealing import Opener, Seal
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.supervisor import Counts
 from valverouter.terms.between import key_of
 
 
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -1,6 +1,6 @@
 """Orders to a fleet in simulated time, under faults drawn by a seed: seats, keepers, programs, tools.
 
-Seats and keepers are the program's own (`rollout/seat.py`, `rollout/keeping.py`), with disks that outlive
+Seats and keepers are the program's own (`rollout/control_plane_node.py`, `rollout/supervisor.py`), with disks that outlive
 them; what is modelled is the rest: programs that come up, serve, fail by their version, and are killed; words
 that are lost, late, repeated or cut. What is judged is what the programs really did, from a log of its own:
 
@@ -21,12 +21,12 @@
 
 import msgspec
 
-from valverouter.rollout.conducting import Conductor, Looked, Rules
+from valverouter.rollout.orchestrator import Conductor, Looked, Rules
 from valverouter.rollout.council import SECOND, Durable, Entry, Members, SaveEntries
-from valverouter.rollout.evidence import Evidence, Rule
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
+from valverouter.rollout.sequential_test import Evidence, Rule
+from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory
 from valverouter.rollout.limits import Limits, Sort
-from valverouter.rollout.orders import (
+from valverouter.rollout.operations import (
     Book,
     Command,
     Kind,
@@ -40,7 +40,7 @@
     released,
 )
 from valverouter.rollout.permits import Back
-from valverouter.rollout.seat import Seat, Word
+from valverouter.rollout.control_plane_node import Seat, Word
 from valverouter.servermodel.paths import PathFault, Paths
 
 TICK = SECOND // 10
--- a/valverouter/fleet/asking.py
+++ b/valverouter/fleet/asking.py
@@ -14,7 +14,7 @@
 from valverouter.membership.core import Membership
 from valverouter.membership.messages import Said
 from valverouter.membership.records import LIVING, State
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.supervisor import Counts
 
 # Rows in one answer: each a name, a region, an address and numbers, all bounded by the terms.
 ROWS_ROOM = 1_000
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -1,4 +1,4 @@
-"""A seat of the council as a process: what `rollout/seat.py` decides, carried.
+"""A seat of the council as a process: what `rollout/control_plane_node.py` decides, carried.
 
 What a seat promises is on its disk before any word of it leaves. A seat that is no member yet, or has lost
 its disk, tells the others who it is, and the one who leads lets it in.
@@ -18,14 +18,14 @@
 from valverouter.fleet.post import Post
 from valverouter.fleet.words import Asks, Here, Reported, Tells, Votes, Worded
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.rollout.conducting import Rules
+from valverouter.rollout.orchestrator import Rules
 from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
-from valverouter.rollout.evidence import Rule
+from valverouter.rollout.sequential_test import Rule
 from valverouter.rollout.limits import Limits, Sort
-from valverouter.rollout.orders import Book, Command, Place, Retire, Stop
+from valverouter.rollout.operations import Book, Command, Place, Retire, Stop
 from valverouter.rollout.permits import Halt
-from valverouter.rollout.seat import Seat, Word
-from valverouter.rollout.shown import shown
+from valverouter.rollout.control_plane_node import Seat, Word
+from valverouter.rollout.status import shown
 from valverouter.rollout.written import heard as from_sent
 from valverouter.rollout.written import sent
 from valverouter.terms.rollout import SeatTerms
--- a/valverouter/fleet/keeper.py
+++ b/valverouter/fleet/keeper.py
@@ -1,4 +1,4 @@
-"""A keeper as a process: what `rollout/keeping.py` decides about one instance, carried out.
+"""A keeper as a process: what `rollout/supervisor.py` decides about one instance, carried out.
 
 It starts the instance's program by version, asks it for its counts, tells the council's seats, and does what
 the one who leads has been agreed to want. It needs no privileges, and knows of its program only the command.
@@ -24,10 +24,10 @@
 from valverouter.fleet.post import Post
 from valverouter.fleet.sealing import Opener, Seal
 from valverouter.fleet.words import Reported, Worded
-from valverouter.ledger.keeperstore import KeeperStore
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
+from valverouter.ledger.supervisor_store import KeeperStore
+from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory
 from valverouter.rollout.limits import Sort
-from valverouter.rollout.orders import Want
+from valverouter.rollout.operations import Want
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
 from valverouter.signalling.serverlist import Leave, Left, ListSession, Returns
--- a/valverouter/fleet/tool.py
+++ b/valverouter/fleet/tool.py
@@ -14,7 +14,7 @@
 from valverouter.fleet.post import Post
 from valverouter.fleet.sealing import Opener, Seal
 from valverouter.fleet.words import Asks, Tells
-from valverouter.rollout.orders import Command
+from valverouter.rollout.operations import Command
 from valverouter.terms.rollout import ToolTerms
 
 TRIES = 3
--- a/valverouter/fleet/words.py
+++ b/valverouter/fleet/words.py
@@ -5,8 +5,8 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.rollout.keeping import Report
-from valverouter.rollout.orders import Command, Want
+from valverouter.rollout.supervisor import Report
+from valverouter.rollout.operations import Command, Want
 from valverouter.rollout.written import Sent
 
 
--- a/valverouter/ledger/keeperstore.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from valverouter.ledger.file import LedgerError, body_of, cover, owned, sound, summed
-from valverouter.rollout.keeping import Memory
+from valverouter.rollout.supervisor import Memory
 
 FORMAT = b"keeper 1"
 MOST = 4 * 1024 * 1024
--- a/valverouter/rollout/seat.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from valverouter.rollout.conducting import Conductor, Rules
+from valverouter.rollout.orchestrator import Conductor, Rules
 from valverouter.rollout.council import PATIENCE, Councillor, Durable, Members, Message, Part, Save
-from valverouter.rollout.keeping import Report
-from valverouter.rollout.orders import Book, Command, Place, Placed, Want
+from valverouter.rollout.supervisor import Report
+from valverouter.rollout.operations import Book, Command, Place, Placed, Want
 from valverouter.rollout.permits import Answer
 
 # Between two steps of the conductor.
--- a/valverouter/rollout/conducting.py
+++ b/valverouter/rollout/orchestrator.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from valverouter.rollout.evidence import Evidence, Tally, Verdict
-from valverouter.rollout.evidence import Rule as EvidenceRule
-from valverouter.rollout.keeping import Counts, Report
+from valverouter.rollout.sequential_test import Evidence, Tally, Verdict
+from valverouter.rollout.sequential_test import Rule as EvidenceRule
+from valverouter.rollout.supervisor import Counts, Report
 from valverouter.rollout.limits import Limits, Sort, Unit
-from valverouter.rollout.orders import (
+from valverouter.rollout.operations import (
     Book,
     Command,
     Kind,
@@ -30,7 +30,7 @@
     released,
 )
 from valverouter.rollout.permits import Ask, Away, Back, Enrol
-from valverouter.rollout.serving import Watch
+from valverouter.rollout.readiness import Watch
 
 SECOND = 10**9
 MEASURES = ("declined", "lost", "late")
--- a/valverouter/rollout/serving.py
+++ b/valverouter/rollout/readiness.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from valverouter.rollout.keeping import Report
-from valverouter.rollout.orders import Want
+from valverouter.rollout.supervisor import Report
+from valverouter.rollout.operations import Want
 
 # Of the mean that those of its region took since it came back. Callers are not spread evenly.
 SHARE = 0.1
--- a/valverouter/rollout/shown.py
+++ b/valverouter/rollout/status.py
@@ -5,8 +5,8 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.orders import Book, Phase
-from valverouter.rollout.seat import Seat
+from valverouter.rollout.operations import Book, Phase
+from valverouter.rollout.control_plane_node import Seat
 
 
 class Unit(Struct, frozen=True):
--- a/valverouter/rollout/keeping.py
+++ b/valverouter/rollout/supervisor.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from valverouter.rollout.limits import Sort
-from valverouter.rollout.orders import Want
+from valverouter.rollout.operations import Want
 
 SECOND = 10**9
 # A start that has not brought the program up by then has failed; after so many the turn is told as failed.
--- a/valverouter/rollout/written.py
+++ b/valverouter/rollout/written.py
@@ -18,7 +18,7 @@
     Vote,
     Voted,
 )
-from valverouter.rollout.orders import Book, Command
+from valverouter.rollout.operations import Book, Command
 
 
 class KeptEntry(Struct, frozen=True, array_like=True):
