--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -137,7 +137,7 @@
     while course.now < 1_200 * SECOND:
         course.run(course.now + SECOND)
         leader = course.leader
-        order = leader.book.orders.get("r") if leader is not None else None
+        order = leader.operation_log.orders.get("r") if leader is not None else None
         if order is not None and order.phase is Phase.ENDED:
             took = course.now / SECOND - 10
             return order.result == "halted", course.harmed / max(1, course.served), took
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,13 +11,13 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.rollouts import VERSIONS, Broken, Rollout
-from valverouter.rollout.orchestrator import Conductor, Rules
+from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.council import Members
-from valverouter.rollout.sequential_test import Rule
-from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory, Report
+from valverouter.rollout.sequential_test import SequentialTestConfig
+from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory, Report
 from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.operations import (
-    BUSY,
+    ACTIVE_PHASES,
     Book,
     Command,
     Kind,
@@ -31,10 +31,10 @@
     Stop,
     Want,
     Went,
-    watches,
+    evaluation_waves,
 )
 from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt
-from valverouter.rollout.readiness import Watch
+from valverouter.rollout.readiness import ReadinessTracker
 from valverouter.rollout.written import KeptSnapshot
 
 SECOND = 10**9
@@ -93,9 +93,9 @@
 
 
 def test_watches_come_once_three_times_as_many_are_released() -> None:
-    assert watches([["a"]] * 14) == [0, 3, 12]
-    assert watches([["a"], ["b", "c", "d"], ["e"] * 9, ["f"] * 9]) == [0, 1, 2]
-    assert watches([["a"]]) == [], "there is nobody left to hold back"
+    assert evaluation_waves([["a"]] * 14) == [0, 3, 12]
+    assert evaluation_waves([["a"], ["b", "c", "d"], ["e"] * 9, ["f"] * 9]) == [0, 1, 2]
+    assert evaluation_waves([["a"]]) == [], "there is nobody left to hold back"
 
 
 @pytest.mark.parametrize(
@@ -306,7 +306,9 @@
         for name, want in book.wants.items():
             assert want.turn >= turns[name], "what is wanted goes back to a former turn"
             turns[name] = want.turn
-        busy = [one for one in book.orders.values() if one.phase in BUSY and one.kind is not Kind.UNDRAIN]
+        busy = [
+            one for one in book.orders.values() if one.phase in ACTIVE_PHASES and one.kind is not Kind.UNDRAIN
+        ]
         assert len(busy) <= 1, "two orders take out at once"
         waiting = any(one.phase is Phase.QUEUED for one in book.orders.values())
         assert busy or not waiting, "one waits and none goes"
@@ -324,21 +326,21 @@
 # A keeper
 
 
-def keeper(memory: Memory | None = None) -> Keeping:
-    return Keeping(Facts("e0", versions=("v1", "v2")), memory or Memory("v1"))
+def keeper(memory: Memory | None = None) -> Supervisor:
+    return Supervisor(Facts("e0", versions=("v1", "v2")), memory or Memory("v1"))
 
 
-def does(one: Keeping, now: int = 0) -> list[Do]:
+def does(one: Supervisor, now: int = 0) -> list[SupervisorAction]:
     """All that it wants done now, done."""
     done = []
-    while (do := one.act(now)) is not None:
+    while (do := one.next_action(now)) is not None:
         done.append(do)
-        if do is Do.SAVE:
-            one.saved()
-        elif do is Do.STOP:
-            one.asked_to_stop()
+        if do is SupervisorAction.SAVE:
+            one.on_saved()
+        elif do is SupervisorAction.STOP:
+            one.on_stop_requested()
         else:
-            one.started(now, one.memory.version)
+            one.on_started(now, one.state.version)
     return done
 
 
@@ -348,58 +350,67 @@
 
 def test_a_turn_is_on_disk_before_it_begins_and_begins_once() -> None:
     one = keeper()
-    assert does(one) == [Do.START, Do.SAVE]
+    assert does(one) == [SupervisorAction.START, SupervisorAction.SAVE]
     want = Want("v2", True, 7, 0, "r")
-    assert one.wanted(0, want, True)
-    assert not one.wanted(0, want, True), "told again"
-    assert does(one) == [Do.SAVE, Do.STOP]
+    assert one.on_desired_state(0, want, True)
+    assert not one.on_desired_state(0, want, True), "told again"
+    assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
     assert (one.report().turn, one.report().outcome, one.report().runs) == ((7, 0), "", False)
-    one.ended(SECOND)
-    assert does(one, SECOND) == [Do.START, Do.SAVE] and one.running == "v2"
-    one.told(serving())
+    one.on_exited(SECOND)
+    assert (
+        does(one, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE] and one.running_version == "v2"
+    )
+    one.on_counters(serving())
     assert one.report().outcome == "", "done is told once it is on disk"
-    assert does(one, SECOND) == [Do.SAVE]
+    assert does(one, SECOND) == [SupervisorAction.SAVE]
     assert one.report().outcome == "done"
-    assert not one.wanted(0, Want("v1", True, 6, 1), True), "a lower turn is void"
+    assert not one.on_desired_state(0, Want("v1", True, 6, 1), True), "a lower turn is void"
 
 
 def test_a_keeper_started_again_in_a_turn_goes_on_with_it() -> None:
     one = keeper()
     does(one)
-    one.wanted(0, Want("v2", True, 7, 0, "r"), True)
-    one.saved()
-    again = keeper(msgspec.msgpack.decode(msgspec.msgpack.encode(one.memory), type=Memory))
-    again.resumes(runs=True)
-    assert does(again) == [Do.STOP], "whether it was stopped already nobody knows"
-    again.ended(SECOND)
-    assert does(again, SECOND) == [Do.START, Do.SAVE] and again.running == "v2"
+    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    one.on_saved()
+    again = keeper(msgspec.msgpack.decode(msgspec.msgpack.encode(one.state), type=Memory))
+    again.resume(is_running=True)
+    assert does(again) == [SupervisorAction.STOP], "whether it was stopped already nobody knows"
+    again.on_exited(SECOND)
+    assert (
+        does(again, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE]
+        and again.running_version == "v2"
+    )
 
 
 def test_a_keeper_that_lost_its_disk_does_not_repeat_a_turn_whose_permit_is_over() -> None:
     one = keeper()
     does(one)
-    assert not one.wanted(0, Want("v2", True, 7, 0, "r"), is_open=False)
-    assert does(one) == [Do.SAVE] and one.runs, "it goes on running: it has no leave to go out"
+    assert not one.on_desired_state(0, Want("v2", True, 7, 0, "r"), is_open=False)
+    assert does(one) == [SupervisorAction.SAVE] and one.is_running, (
+        "it goes on running: it has no leave to go out"
+    )
     assert one.report().turn == (7, 0)
 
 
 def test_a_program_that_does_not_come_up_is_told_as_failed_and_tried_on() -> None:
     one = keeper()
     does(one)
-    one.wanted(0, Want("v2", True, 7, 0, "r"), True)
+    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
     does(one)
-    one.ended(0)
+    one.on_exited(0)
     now = 0
     for _ in range(3):
-        now = max(now, one.due)
-        assert Do.START in does(one, now)
-        one.ended(now + SECOND // 10)
+        now = max(now, one.next_start_at)
+        assert SupervisorAction.START in does(one, now)
+        one.on_exited(now + SECOND // 10)
     assert one.report().outcome == ""
     does(one, now)
     assert one.report().outcome == "failed" and "v2 ended 3 times" in one.report().why
-    assert does(one, one.due) == [Do.START, Do.SAVE], "its wait over, once more"
-    one.told(serving())
-    does(one, one.due)
+    assert does(one, one.next_start_at) == [SupervisorAction.START, SupervisorAction.SAVE], (
+        "its wait over, once more"
+    )
+    one.on_counters(serving())
+    does(one, one.next_start_at)
     assert one.report().outcome == "done"
 
 
@@ -408,42 +419,42 @@
     now, waits = 0, []
     for _ in range(12):
         does(one, now)
-        one.ended(now)
-        waits.append(one.due - now)
-        now = one.due
+        one.on_exited(now)
+        waits.append(one.next_start_at - now)
+        now = one.next_start_at
     assert waits[:3] == [SECOND // 4, SECOND // 2, SECOND] and waits[-1] == 15 * SECOND
 
 
 def test_the_machine_s_wish_is_obeyed_in_any_turn_and_told() -> None:
     one = keeper()
     does(one)
-    one.wanted(0, Want("v2", True, 7, 0, "r"), True)
-    one.leave()
-    assert does(one) == [Do.SAVE, Do.STOP]
-    one.ended(0)
+    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    one.shut_down()
+    assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
+    one.on_exited(0)
     assert does(one, 20 * SECOND) == [] and one.report().leaving
-    assert not one.wanted(0, Want("v1", True, 8, 0), True)
+    assert not one.on_desired_state(0, Want("v1", True, 8, 0), True)
 
 
 def test_a_drained_one_is_down_and_comes_up_by_the_second_step() -> None:
     one = keeper()
     does(one)
-    one.wanted(0, Want("v1", False, 7, 0, "d"), True)
-    assert does(one) == [Do.SAVE, Do.STOP]
-    one.ended(0)
-    assert does(one) == [Do.SAVE]
+    one.on_desired_state(0, Want("v1", False, 7, 0, "d"), True)
+    assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
+    one.on_exited(0)
+    assert does(one) == [SupervisorAction.SAVE]
     assert (one.report().outcome, one.report().runs) == ("done", False)
-    again = keeper(one.memory)
+    again = keeper(one.state)
     assert does(again) == [], "a keeper's restart brings nobody in"
-    again.wanted(0, Want("v1", True, 7, 1, "u"), True)
-    assert does(again) == [Do.SAVE, Do.START, Do.SAVE]
+    again.on_desired_state(0, Want("v1", True, 7, 1, "u"), True)
+    assert does(again) == [SupervisorAction.SAVE, SupervisorAction.START, SupervisorAction.SAVE]
 
 
 def test_an_unknown_version_is_told_as_failed_and_takes_nobody_out() -> None:
     one = keeper()
     does(one)
-    one.wanted(0, Want("v9", True, 7, 0, "r"), True)
-    assert does(one) == [Do.SAVE] and one.runs
+    one.on_desired_state(0, Want("v9", True, 7, 0, "r"), True)
+    assert does(one) == [SupervisorAction.SAVE] and one.is_running
     assert one.report().outcome == "failed" and "v9" in one.report().why
 
 
@@ -456,61 +467,63 @@
 
 
 def test_in_is_told_by_serving_and_a_share_and_never_by_time() -> None:
-    watch, want = Watch(0), Want("v1")
+    watch, want = ReadinessTracker(0), Want("v1")
 
     def is_in(now: int) -> bool:
-        return watch.is_in("e0", want, now, lambda name: False)
+        return watch.is_ready("e0", want, now, lambda name: False)
 
-    watch.heard(SECOND, report("e1", 100), SECOND)
-    watch.heard(SECOND, report("e0", 0, life=5), SECOND)
+    watch.record_report(SECOND, report("e1", 100), SECOND)
+    watch.record_report(SECOND, report("e0", 0, life=5), SECOND)
     assert is_in(SECOND), "nobody beside it has taken any since"
-    watch.heard(2 * SECOND, report("e1", 200), 2 * SECOND)
-    watch.heard(2 * SECOND, report("e0", 0, life=5), 2 * SECOND)
+    watch.record_report(2 * SECOND, report("e1", 200), 2 * SECOND)
+    watch.record_report(2 * SECOND, report("e0", 0, life=5), 2 * SECOND)
     assert not is_in(2 * SECOND), "those beside it take dialogs and it takes none"
-    watch.heard(3 * SECOND, report("e0", 12, life=5), 3 * SECOND)
+    watch.record_report(3 * SECOND, report("e0", 12, life=5), 3 * SECOND)
     assert is_in(3 * SECOND)
-    watch.heard(3 * SECOND, report("e0", 0, life=6), 3 * SECOND)
-    watch.heard(4 * SECOND, report("e1", 300), 4 * SECOND)
+    watch.record_report(3 * SECOND, report("e0", 0, life=6), 3 * SECOND)
+    watch.record_report(4 * SECOND, report("e1", 300), 4 * SECOND)
     assert not is_in(4 * SECOND), "another process begins anew"
-    watch.heard(60 * SECOND, report("e0", 90, life=6), 5 * SECOND)
+    watch.record_report(60 * SECOND, report("e0", 90, life=6), 5 * SECOND)
     assert not is_in(60 * SECOND), "a report that was long under way is no news"
 
 
 def test_in_needs_the_turn_that_is_wanted_done() -> None:
-    watch = Watch(0)
+    watch = ReadinessTracker(0)
     want = Want("v1", True, 7, 0)
     for told, expected in ((("", (7, 0)), False), (("done", (6, 0)), False), (("done", (7, 0)), True)):
         outcome, (number, step) = told
-        watch.heard(0, report("e0", number=number, step=step, outcome=outcome), 0)
-        assert watch.is_in("e0", want, 0, lambda name: False) is expected
+        watch.record_report(0, report("e0", number=number, step=step, outcome=outcome), 0)
+        assert watch.is_ready("e0", want, 0, lambda name: False) is expected
 
 
 # The conductor
 
 
-def conducted(record: Record, **rules: Any) -> Conductor:
-    return Conductor(Rules({Sort.EDGE: LIMITS}, **rules), random.Random(1).random, 0)
+def conducted(record: Record, **rules: Any) -> Orchestrator:
+    return Orchestrator(OrchestratorConfig({Sort.EDGE: LIMITS}, **rules), random.Random(1).random, 0)
 
 
-def all_report(one: Conductor, record: Record, now: int, **counts: Any) -> None:
+def all_report(one: Orchestrator, record: Record, now: int, **counts: Any) -> None:
     for name, unit in record.book.register.units.items():
         want = record.book.wants[name]
         told = Counts(life=1, serving=True, ready=True, trust=counts.get("trust", "settled"))
         facts = Facts(name, unit.sort, unit.region, unit.capacity, 0.0, ("v1", "v2"))
         done = "done" if want.number else ""
-        one.heard(now, Report(facts, want.version, True, want.number, want.step, done, counts=told), now)
+        one.record_report(
+            now, Report(facts, want.version, True, want.number, want.step, done, counts=told), now
+        )
 
 
 def test_whoever_is_silent_is_away_and_a_new_leader_gives_all_the_time_to_be_heard() -> None:
     record = Record()
     one = conducted(record)
-    assert one.step(3 * SECOND, record.book) == []
+    assert one.next_commands(3 * SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
-    one.watch.forget(["e3"])
-    assert one.step(5 * SECOND, record.book) == [Away("e3")]
+    one.readiness.forget(["e3"])
+    assert one.next_commands(5 * SECOND, record.book) == [Away("e3")]
     record.says(Away("e3"))
     all_report(one, record, 5 * SECOND)
-    assert one.step(5 * SECOND, record.book) == [Back("e3", 0)]
+    assert one.next_commands(5 * SECOND, record.book) == [Back("e3", 0)]
 
 
 def test_an_unsettled_view_takes_nothing_out_and_halts_in_the_end() -> None:
@@ -518,13 +531,13 @@
     one = conducted(record, unsettled=5 * SECOND)
     record.place("a", Kind.RESTART, "e0", "e1")
     all_report(one, record, SECOND, trust="unsettled")
-    assert one.step(SECOND, record.book) == []
+    assert one.next_commands(SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
-    assert [type(command) for command in one.step(4 * SECOND, record.book)] == [Ask]
+    assert [type(command) for command in one.next_commands(4 * SECOND, record.book)] == [Ask]
     all_report(one, record, 5 * SECOND, trust="unsettled")
-    one.step(5 * SECOND, record.book)
+    one.next_commands(5 * SECOND, record.book)
     all_report(one, record, 11 * SECOND, trust="unsettled")
-    assert any(isinstance(command, Stop) for command in one.step(11 * SECOND, record.book))
+    assert any(isinstance(command, Stop) for command in one.next_commands(11 * SECOND, record.book))
 
 
 def test_most_of_the_fleet_cut_off_halts_at_once() -> None:
@@ -532,18 +545,18 @@
     one = conducted(record)
     record.place("a", Kind.RESTART, "e0", "e1")
     all_report(one, record, SECOND, trust="cut off")
-    (stop,) = one.step(SECOND, record.book)
+    (stop,) = one.next_commands(SECOND, record.book)
     assert isinstance(stop, Stop) and "cut off" in stop.why
 
 
 def test_too_few_dialogs_are_no_leave_to_go_on() -> None:
     record = Record()
-    one = conducted(record, evidence=Rule(least=10))
+    one = conducted(record, evidence=SequentialTestConfig(min_pairs=10))
     waves = record.place("r", Kind.RELEASE, *record.book.register.units, version="v2").waves
     record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
     for at in range(1, 300):
         all_report(one, record, at * SECOND)
-        assert one.step(at * SECOND, record.book) == []
+        assert one.next_commands(at * SECOND, record.book) == []
 
 
 def test_a_release_that_holds_far_more_memory_is_halted() -> None:
@@ -553,11 +566,11 @@
     record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
     for more, halts in ((0, False), (40, False), (200, True)):
         all_report(one, record, SECOND)
-        for name, seen in one.watch.seen.items():
+        for name, seen in one.readiness.observations.items():
             held = (100 + (more if name == waves[0][0] else 0)) * 2**20
             counts = msgspec.structs.replace(seen.report.counts, memory=held)
             seen.report = msgspec.structs.replace(seen.report, counts=counts)
-        stops = [command for command in one.step(SECOND, record.book) if isinstance(command, Stop)]
+        stops = [command for command in one.next_commands(SECOND, record.book) if isinstance(command, Stop)]
         assert bool(stops) is halts, more
         assert not stops or stops[0].why == "released ones hold 300 MiB in the median, the others 100"
 
@@ -580,7 +593,7 @@
     course.run(330 * SECOND)
     course.judge()
     assert course.leader is not None
-    order = course.leader.book.orders["r"]
+    order = course.leader.operation_log.orders["r"]
     if version == "v2":
         assert order.result == "done" and {one.version for one in course.fleet.values()} == {version}
     else:
@@ -603,7 +616,7 @@
         course.course(90)
         course.run(course.now + 240 * SECOND)
         assert course.leader is not None
-        assert {order.phase for order in course.leader.book.orders.values()} == {Phase.ENDED}, seed
+        assert {order.phase for order in course.leader.operation_log.orders.values()} == {Phase.ENDED}, seed
 
 
 def test_an_undrain_waits_for_nobody() -> None:
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -29,9 +29,9 @@
 from valverouter.fleet.tool import CouncilAsker
 from valverouter.fleet.words import Asks, Here, Word
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.supervisor_store import KeeperStore, opened
+from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
 from valverouter.ledger.store import LedgerBusyError
-from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory, Turn
+from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory, Turn
 from valverouter.rollout.limits import Sort, Unit
 from valverouter.rollout.operations import Kind, Place, Placed, Runs, Want
 from valverouter.rollout.permits import Enrol
@@ -233,7 +233,7 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
         with trio.fail_after(5):
-            while not task.seat.councillor.confirmed:
+            while not task.seat.raft.confirmed:
                 await trio.sleep(0.05)
         names = [f"edge-{at}" for at in range(900)]
         units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
@@ -258,18 +258,18 @@
 def test_a_keeper_s_memory_is_kept_whole_and_a_damaged_one_is_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "store"
     memory = Memory("v2", False, process="12 34", running="v2", turns=[Turn(7, 0, "r", "done")])
-    store, found, aside = opened(path)
+    store, found, aside = open_supervisor_store(path)
     assert (found, aside) == (None, "")
     store.save(memory)
     with pytest.raises(LedgerBusyError):
-        KeeperStore(path)
+        SupervisorStore(path)
     store.close()
-    store, found, aside = opened(path)
+    store, found, aside = open_supervisor_store(path)
     assert found == memory and not aside
     store.close()
     data = (path / "data.mdb").read_bytes()
     (path / "data.mdb").write_bytes(data.replace(b"12 34", b"12 35"))
-    store, found, aside = opened(path)
+    store, found, aside = open_supervisor_store(path)
     assert found is None and "damaged" in aside
     store.close()
 
@@ -305,56 +305,58 @@
     assert permits.why_not(Leave("s0", 8)) == ""
 
 
-def server() -> Keeping:
-    one = Keeping(Facts("s0", Sort.SERVER, versions=("v1", "v2")), Memory("v1"))
-    assert one.act(0) is Do.START
-    one.started(0, "v1")
-    one.saved()
-    one.wanted(0, Want("v2", True, 7, 0, "r"), True)
-    assert one.act(0) is Do.SAVE
-    one.saved()
+def server() -> Supervisor:
+    one = Supervisor(Facts("s0", Sort.SERVER, versions=("v1", "v2")), Memory("v1"))
+    assert one.next_action(0) is SupervisorAction.START
+    one.on_started(0, "v1")
+    one.on_saved()
+    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    assert one.next_action(0) is SupervisorAction.SAVE
+    one.on_saved()
     return one
 
 
 def test_a_server_s_program_goes_once_the_list_has_let_it() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE and one.act(0) is None, "asked once, and waited for"
-    one.told(Counts(1, True, True))
+    assert one.next_action(0) is SupervisorAction.LEAVE_LIST and one.next_action(0) is None, (
+        "asked once, and waited for"
+    )
+    one.on_counters(Counts(1, True, True))
     assert one.report().outcome == "", "it serves until it goes, and that is not the turn done"
-    one.left_list(True)
-    assert one.act(0) is Do.STOP
-    one.asked_to_stop()
-    one.ended(0)
-    assert one.act(0) is Do.START
-    one.started(0, "v2")
-    one.saved()
-    one.told(Counts(2, True, True))
-    one.saved()
+    one.on_list_answer(True)
+    assert one.next_action(0) is SupervisorAction.STOP
+    one.on_stop_requested()
+    one.on_exited(0)
+    assert one.next_action(0) is SupervisorAction.START
+    one.on_started(0, "v2")
+    one.on_saved()
+    one.on_counters(Counts(2, True, True))
+    one.on_saved()
     assert one.report().outcome == "done"
-    assert one.act(0) is Do.RETURN and one.act(0) is None
+    assert one.next_action(0) is SupervisorAction.REJOIN_LIST and one.next_action(0) is None
 
 
 def test_a_server_that_the_list_does_not_let_go_serves_on_and_its_turn_has_failed() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE
-    one.left_list(False, "permit 7 is over")
-    assert one.act(0) is Do.SAVE
-    one.saved()
-    one.told(Counts(1, True, True))
-    assert one.act(0) is None and one.runs
+    assert one.next_action(0) is SupervisorAction.LEAVE_LIST
+    one.on_list_answer(False, "permit 7 is over")
+    assert one.next_action(0) is SupervisorAction.SAVE
+    one.on_saved()
+    one.on_counters(Counts(1, True, True))
+    assert one.next_action(0) is None and one.is_running
     assert (one.report().outcome, one.report().why) == ("failed", "the list refuses: permit 7 is over")
-    one.wanted(0, Want("v1", True, 7, 1, "r"), True)
-    one.saved()
-    one.told(Counts(1, True, True))
-    one.saved()
+    one.on_desired_state(0, Want("v1", True, 7, 1, "r"), True)
+    one.on_saved()
+    one.on_counters(Counts(1, True, True))
+    one.on_saved()
     assert one.report().outcome == "done", "brought back, it had never gone"
 
 
 def test_a_machine_s_wish_waits_for_no_list() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE
-    one.leave()
-    assert one.act(0) is Do.STOP
+    assert one.next_action(0) is SupervisorAction.LEAVE_LIST
+    one.shut_down()
+    assert one.next_action(0) is SupervisorAction.STOP
 
 
 # The check of a day's orders
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -34,7 +34,7 @@
     Vote,
     Voted,
 )
-from valverouter.rollout.sequential_test import Evidence, Rule, Tally, Verdict
+from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig, OutcomeCount, Verdict
 from valverouter.rollout.limits import Limits, Sort, Unit, impossible, refusal, waves
 from valverouter.rollout.model import PLANTS, Model
 from valverouter.rollout.model import Broken as ModelBroken
@@ -436,49 +436,52 @@
 
 
 def released(
-    rule: Rule, bad: float, normal: float, seed: int, spans: int = 400, night: bool = False
-) -> Evidence:
+    rule: SequentialTestConfig, bad: float, normal: float, seed: int, spans: int = 400, night: bool = False
+) -> CanaryEvidence:
     chance = random.Random(seed)
-    evidence = Evidence(("declined", "late"), rule, chance.random)
+    evidence = CanaryEvidence(("declined", "late"), rule, chance.random)
     for _ in range(spans):
         size = 1 if night else 20
         for measure in evidence.measures:
             worse = bad if measure == "declined" else normal
-            ours = Tally(sum(chance.random() < worse for _ in range(size)), size)
-            theirs = Tally(sum(chance.random() < normal for _ in range(3 * size)), 3 * size)
-            evidence.span({"north": ours}, {"north": theirs, "south": theirs}, measure)
-        if evidence.verdict is not Verdict.WAIT:
+            ours = OutcomeCount(sum(chance.random() < worse for _ in range(size)), size)
+            theirs = OutcomeCount(sum(chance.random() < normal for _ in range(3 * size)), 3 * size)
+            evidence.add_interval({"north": ours}, {"north": theirs, "south": theirs}, measure)
+        if evidence.verdict is not Verdict.UNDECIDED:
             break
     return evidence
 
 
 def test_harm_halts_and_no_harm_goes_on_with_the_chances_stated() -> None:
-    rule = Rule(false_halt=0.01, missed=0.05, odds=2.0)
+    rule = SequentialTestConfig(false_halt_probability=0.01, missed_harm_probability=0.05, odds_ratio=2.0)
     harmless = [released(rule, 0.05, 0.05, seed).verdict for seed in range(200)]
-    assert harmless.count(Verdict.HALT) <= 6 and harmless.count(Verdict.GO) > 150
+    assert harmless.count(Verdict.HALT) <= 6 and harmless.count(Verdict.PASS) > 150
     harmful = [released(rule, 0.15, 0.05, seed) for seed in range(60)]
     assert sum(one.verdict is Verdict.HALT for one in harmful) >= 55
     halted = next(one for one in harmful if one.verdict is Verdict.HALT)
-    assert halted.why.startswith("declined: ")
+    assert halted.halt_reason.startswith("declined: ")
 
 
 def test_too_little_is_no_leave_to_go_on() -> None:
-    assert released(Rule(), 0.05, 0.05, 1, spans=100, night=True).verdict is Verdict.WAIT
-    nobody = Evidence(("declined",), Rule(), random.random)
-    nobody.span({"north": Tally(0, 50)}, {"south": Tally(0, 50)}, "declined")
-    assert nobody.verdict is Verdict.WAIT and not nobody.comparisons["declined"].pairs, "no region in common"
+    assert released(SequentialTestConfig(), 0.05, 0.05, 1, spans=100, night=True).verdict is Verdict.UNDECIDED
+    nobody = CanaryEvidence(("declined",), SequentialTestConfig(), random.random)
+    nobody.add_interval({"north": OutcomeCount(0, 50)}, {"south": OutcomeCount(0, 50)}, "declined")
+    assert nobody.verdict is Verdict.UNDECIDED and not nobody.tests["declined"].pairs, "no region in common"
 
 
 def test_a_slow_server_strikes_both_and_halts_nothing() -> None:
-    verdicts = [released(Rule(false_halt=0.01), 0.4, 0.4, seed).verdict for seed in range(40)]
+    verdicts = [
+        released(SequentialTestConfig(false_halt_probability=0.01), 0.4, 0.4, seed).verdict
+        for seed in range(40)
+    ]
     assert verdicts.count(Verdict.HALT) <= 2
 
 
 def test_a_halt_is_not_taken_back_by_a_better_hour() -> None:
-    evidence = released(Rule(), 0.5, 0.05, 3)
+    evidence = released(SequentialTestConfig(), 0.5, 0.05, 3)
     assert evidence.verdict is Verdict.HALT
     for _ in range(200):
-        evidence.span({"n": Tally(0, 20)}, {"n": Tally(10, 20)}, "declined")
+        evidence.add_interval({"n": OutcomeCount(0, 20)}, {"n": OutcomeCount(10, 20)}, "declined")
     assert evidence.verdict is Verdict.HALT
 
 
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -19,7 +19,7 @@
 from valverouter.fleet.keeper import KeeperTask
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.file import LedgerError, sound
-from valverouter.ledger.supervisor_store import opened
+from valverouter.ledger.supervisor_store import open_supervisor_store
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
 log = structlog.get_logger()
@@ -73,7 +73,7 @@
     terms = load_keeper(file)
     logs.set_up(terms.log)
     try:
-        store, memory, aside = opened(terms.store)
+        store, memory, aside = open_supervisor_store(terms.store)
         if aside:
             log.error("memory-set-aside", why=aside)
         try:
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -21,10 +21,10 @@
 
 import msgspec
 
-from valverouter.rollout.orchestrator import Conductor, Looked, Rules
+from valverouter.rollout.orchestrator import Orchestrator, CanaryWindow, OrchestratorConfig
 from valverouter.rollout.council import SECOND, Durable, Entry, Members, SaveEntries
-from valverouter.rollout.sequential_test import Evidence, Rule
-from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory
+from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
+from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory
 from valverouter.rollout.limits import Limits, Sort
 from valverouter.rollout.operations import (
     Book,
@@ -37,10 +37,10 @@
     Placed,
     Step,
     Stop,
-    released,
+    split_by_version,
 )
 from valverouter.rollout.permits import Back
-from valverouter.rollout.control_plane_node import Seat, Word
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
 from valverouter.servermodel.paths import PathFault, Paths
 
 TICK = SECOND // 10
@@ -60,7 +60,7 @@
 
     name: str
     durable: Durable
-    seat: Seat | None = None
+    seat: ControlPlaneNode | None = None
     stopped_until: int = 0
     life: int = 0
 
@@ -71,7 +71,7 @@
 
     facts: Facts
     disk: bytes
-    keeping: Keeping | None = None
+    keeping: Supervisor | None = None
     life: int = 0
     stopped_until: int = 0
     # The program: 0, none; when it came up; until when a stop takes.
@@ -91,22 +91,28 @@
     lost_disk: bool = False
 
 
-class Threshold(Conductor):
+class Threshold(Orchestrator):
     """A baseline: after ten seconds, on if the released ones decline at most 1.5 times what the others do,
     and halted if not."""
 
     def _look(self, now: int, book: Book, order: Order) -> list[Command]:
-        released_ones, others = released(book, order)
+        released_ones, others = split_by_version(book, order)
         if order.phase is not Phase.WATCHING:
             return []
-        looked = self._looked
-        if looked is None or (looked.order, looked.stage) != (order.id, order.stage):
-            counts = {name: seen.report.counts for name, seen in self.watch.seen.items()}
-            self._looked = Looked(
-                order.id, order.stage, now, Evidence(("declined",), Rule(), self._draw), counts, {}, now
+        looked = self._canary
+        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.stage):
+            counts = {name: seen.report.counts for name, seen in self.readiness.observations.items()}
+            self._canary = CanaryWindow(
+                order.id,
+                order.stage,
+                now,
+                CanaryEvidence(("declined",), SequentialTestConfig(), self._draw),
+                counts,
+                {},
+                now,
             )
             return []
-        if now - looked.began < 10 * SECOND:
+        if now - looked.started_at < 10 * SECOND:
             return []
         ours, theirs = self._share(looked, released_ones), self._share(looked, others)
         return (
@@ -115,32 +121,38 @@
             else [Next(order.id, order.wave)]
         )
 
-    def _share(self, looked: Looked, names: list[str]) -> float:
+    def _share(self, looked: CanaryWindow, names: list[str]) -> float:
         bad = whole = 0
         for name in names:
-            before, seen = looked.counts.get(name), self.watch.seen.get(name)
+            before, seen = looked.last_counters.get(name), self.readiness.observations.get(name)
             if before is not None and seen is not None and before.life == seen.report.counts.life:
                 bad += seen.report.counts.declined - before.declined
                 whole += seen.report.counts.taken - before.taken
         return bad / whole if whole else 0.0
 
 
-class Timer(Conductor):
+class Timer(Orchestrator):
     """A baseline: ten seconds after a wave the next goes."""
 
     def _look(self, now: int, book: Book, order: Order) -> list[Command]:
         if order.phase is not Phase.WATCHING:
             return []
-        looked = self._looked
-        if looked is None or (looked.order, looked.stage) != (order.id, order.stage):
-            self._looked = Looked(
-                order.id, order.stage, now, Evidence(("declined",), Rule(), self._draw), {}, {}, now
+        looked = self._canary
+        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.stage):
+            self._canary = CanaryWindow(
+                order.id,
+                order.stage,
+                now,
+                CanaryEvidence(("declined",), SequentialTestConfig(), self._draw),
+                {},
+                {},
+                now,
             )
             return []
-        return [Next(order.id, order.wave)] if now - looked.began >= 10 * SECOND else []
+        return [Next(order.id, order.wave)] if now - looked.started_at >= 10 * SECOND else []
 
 
-BASELINES: dict[str, type[Conductor]] = {"threshold": Threshold, "timer": Timer}
+BASELINES: dict[str, type[Orchestrator]] = {"threshold": Threshold, "timer": Timer}
 
 
 class Rollout:
@@ -154,7 +166,7 @@
         instances: int = 12,
         limits: Limits | None = None,
         loss: float = 0.02,
-        rules: Rules | None = None,
+        rules: OrchestratorConfig | None = None,
         plant: str = "",
         watching: str = "program",
     ) -> None:
@@ -163,8 +175,10 @@
         self.chance = random.Random(f"rollout/{seed}")
         self.plant = plant
         self.limits = limits or Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
-        self.rules = rules or Rules(
-            {Sort.EDGE: self.limits}, evidence=Rule(0.001, 0.05, 3.0, 150), unsettled=10 * SECOND
+        self.rules = rules or OrchestratorConfig(
+            {Sort.EDGE: self.limits},
+            sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
+            max_unsettled=10 * SECOND,
         )
         self.found: Counter[str] = Counter()
         self.answers: dict[str, Placed] = {}
@@ -209,9 +223,9 @@
         one = self.seats[name]
         if one.seat is None:
             one.life += 1
-            one.seat = Seat(name, one.durable, self.rules, self.chance.random, self.now)
+            one.seat = ControlPlaneNode(name, one.durable, self.rules, self.chance.random, self.now)
             if self._watching != "program":
-                one.seat.make = BASELINES[self._watching]
+                one.seat.orchestrator_class = BASELINES[self._watching]
             self.at(self.now + TICK, self._tick_seat, one, one.life)
 
     def crash_seat(self, name: str) -> None:
@@ -223,15 +237,15 @@
             return
         self.at(self.now + TICK, self._tick_seat, one, life)
         if self.now >= one.stopped_until:
-            if self.plant == "lapse" and one.seat.conductor is not None:
+            if self.plant == "lapse" and one.seat.orchestrator is not None:
                 self._lapses(one.seat)
             one.seat.tick(self.now)
             self._after(one)
 
-    def _lapses(self, seat: Seat) -> None:
+    def _lapses(self, seat: ControlPlaneNode) -> None:
         """Planted: out becomes in by time."""
-        assert seat.conductor is not None
-        for name, held in list(seat.book.register.out.items()):
+        assert seat.orchestrator is not None
+        for name, held in list(seat.operation_log.register.out.items()):
             if held is not None and self.chance.random() < 0.02:
                 seat.propose(self.now, Back(name, held.number))
 
@@ -239,7 +253,7 @@
         if self.now < one.stopped_until:
             self.at(one.stopped_until, self._hears, one, message)
         elif one.seat is not None:
-            one.seat.heard(self.now, message)
+            one.seat.on_message(self.now, message)
             self._after(one)
 
     def _after(self, one: Machine) -> None:
@@ -257,10 +271,10 @@
                 self._send(one.name, to, self._hears, self.seats[to], message)
 
     @property
-    def leader(self) -> Seat | None:
+    def leader(self) -> ControlPlaneNode | None:
         """Whoever leads by the highest term."""
-        ones = [m.seat for m in self.seats.values() if m.seat is not None and m.seat.leads]
-        return max(ones, key=lambda seat: seat.councillor.durable.term, default=None)
+        ones = [m.seat for m in self.seats.values() if m.seat is not None and m.seat.is_leader]
+        return max(ones, key=lambda seat: seat.raft.durable.term, default=None)
 
     # Keepers
 
@@ -271,9 +285,9 @@
         one.life += 1
         one.stamps.clear()
         memory = msgspec.msgpack.decode(one.disk, type=Memory)
-        one.keeping = Keeping(one.facts, memory)
+        one.keeping = Supervisor(one.facts, memory)
         # Its program may have outlived it: then it is taken over.
-        one.keeping.resumes(bool(one.process))
+        one.keeping.resume(bool(one.process))
         if self.plant == "again":
             memory.turns.clear()
         self.at(self.now, self._tick_keeper, one, one.life)
@@ -302,13 +316,13 @@
         one.process = 0
         one.ends_at = 0
         if one.keeping is not None and self.now >= one.stopped_until:
-            one.keeping.ended(self.now)
+            one.keeping.on_exited(self.now)
         elif one.keeping is not None:
             self.at(one.stopped_until, self._over_late, one, one.life)
 
     def _over_late(self, one: Instance, life: int) -> None:
-        if one.keeping is not None and one.life == life and not one.process and one.keeping.runs:
-            one.keeping.ended(self.now)
+        if one.keeping is not None and one.life == life and not one.process and one.keeping.is_running:
+            one.keeping.on_exited(self.now)
 
     def _tick_keeper(self, one: Instance, life: int) -> None:
         if one.keeping is None or one.life != life:
@@ -337,23 +351,25 @@
         keeping = one.keeping
         assert keeping is not None
         if one.process and self.now >= one.up_at:
-            keeping.told(Counts(one.process, not one.ends_at, True, one.taken, one.declined, 0, 0, "settled"))
-        while (do := keeping.act(self.now)) is not None:
-            if do is Do.SAVE:
-                one.disk = msgspec.msgpack.encode(keeping.memory)
-                keeping.saved()
+            keeping.on_counters(
+                Counts(one.process, not one.ends_at, True, one.taken, one.declined, 0, 0, "settled")
+            )
+        while (do := keeping.next_action(self.now)) is not None:
+            if do is SupervisorAction.SAVE:
+                one.disk = msgspec.msgpack.encode(keeping.state)
+                keeping.on_saved()
                 self._saved(one, keeping)
-            elif do is Do.STOP:
-                keeping.asked_to_stop()
+            elif do is SupervisorAction.STOP:
+                keeping.on_stop_requested()
                 one.ends_at = self.now + int(self.chance.uniform(0.1, 1.5) * SECOND)
             else:
                 self._starts(one, keeping)
 
-    def _saved(self, one: Instance, keeping: Keeping) -> None:
+    def _saved(self, one: Instance, keeping: Supervisor) -> None:
         """What the disk holds is what has happened: a turn that was begun, one that was ended."""
-        if not keeping.memory.turns:
+        if not keeping.state.turns:
             return
-        last = keeping.memory.turns[-1]
+        last = keeping.state.turns[-1]
         turn = last.number, last.step
         if last.why == "of a former memory":
             return
@@ -366,12 +382,12 @@
         elif last.outcome == "done":
             if turn not in one.done:
                 one.done.append(turn)
-            if keeping.memory.up:
+            if keeping.state.up:
                 one.turn = None
 
-    def _starts(self, one: Instance, keeping: Keeping) -> None:
+    def _starts(self, one: Instance, keeping: Supervisor) -> None:
         self._processes += 1
-        one.process, one.version = self._processes, keeping.memory.version
+        one.process, one.version = self._processes, keeping.state.version
         one.taken = one.declined = 0
         one.up_at = self.now + int(self.chance.uniform(0.2, 1.0) * SECOND)
         one.looked_at = one.up_at
@@ -380,7 +396,7 @@
             one.up_at, one.ends_at = self.now + 10**6 * SECOND, self.now + SECOND // 5
         elif one.version == "dies-late":
             one.ends_at = self.now + DIES_AFTER
-        keeping.started(self.now, one.version)
+        keeping.on_started(self.now, one.version)
 
     def _reports(self, one: Instance, life: int) -> None:
         if one.keeping is None or one.life != life:
@@ -405,20 +421,20 @@
         if machine.seat is None or self.now < machine.stopped_until:
             return
 
-        def answer(word: Word) -> None:
+        def answer(word: DesiredStateReply) -> None:
             self._send(machine.name, one.facts.name, self._worded, one, life, machine.name, word)
 
-        machine.seat.report(self.now, report, since, answer)
+        machine.seat.on_report(self.now, report, since, answer)
         self._after(machine)
 
-    def _worded(self, one: Instance, life: int, seat: str, word: Word) -> None:
+    def _worded(self, one: Instance, life: int, seat: str, word: DesiredStateReply) -> None:
         if one.keeping is None or one.life != life:
             return
         if self.now < one.stopped_until:
             self.at(one.stopped_until, self._worded, one, life, seat, word)
             return
         one.stamps[seat] = max(one.stamps.get(seat, 0), word.stamp)
-        one.keeping.wanted(self.now, word.want, word.is_open or self.plant == "again")
+        one.keeping.on_desired_state(self.now, word.desired, word.is_open or self.plant == "again")
         self._acts(one)
 
     def _watch(self) -> None:
@@ -489,7 +505,7 @@
         if kind is Kind.DRAIN:
             names = names[: self.limits.in_region]
         if kind is Kind.UNDRAIN:
-            names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.memory.up]
+            names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up]
         if kind is Kind.RELEASE and chance.random() < 0.7:
             names = sorted(self.fleet)
         if not names:
@@ -550,7 +566,7 @@
         self.at(self.now + 8 * SECOND, self._undrain)
 
     def _undrain(self) -> None:
-        names = tuple(name for name, one in self.fleet.items() if one.keeping and not one.keeping.memory.up)
+        names = tuple(name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up)
         if names:
             self.order(Place(f"undrain/{self.now}", Kind.UNDRAIN, names))
 
@@ -562,9 +578,9 @@
         if leader is None:
             raise Broken("nobody leads at the end")
         ends: Counter[str] = Counter()
-        for order in leader.book.orders.values():
+        for order in leader.operation_log.orders.values():
             ends[f"{order.kind.value}: {order.result or order.phase.value}"] += 1
-            self._judge(order, list(leader.book.orders.values()))
+            self._judge(order, list(leader.operation_log.orders.values()))
         return dict(ends)
 
     def _judge(self, order: Order, orders: list[Order]) -> None:
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -18,14 +18,14 @@
 from valverouter.fleet.post import Post
 from valverouter.fleet.words import Asks, Here, Reported, Tells, Votes, Worded
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.rollout.orchestrator import Rules
+from valverouter.rollout.orchestrator import OrchestratorConfig
 from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
-from valverouter.rollout.sequential_test import Rule
+from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.rollout.limits import Limits, Sort
 from valverouter.rollout.operations import Book, Command, Place, Retire, Stop
 from valverouter.rollout.permits import Halt
-from valverouter.rollout.control_plane_node import Seat, Word
-from valverouter.rollout.status import shown
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
+from valverouter.rollout.status import fleet_status
 from valverouter.rollout.written import heard as from_sent
 from valverouter.rollout.written import sent
 from valverouter.terms.rollout import SeatTerms
@@ -42,7 +42,7 @@
 log = structlog.get_logger()
 
 
-def rules_of(terms: SeatTerms) -> Rules:
+def rules_of(terms: SeatTerms) -> OrchestratorConfig:
     """The seat's terms in the words of the decisions."""
     limits = {
         Sort.EDGE if sort == "edge proxies" else Sort.SERVER: Limits(
@@ -51,14 +51,14 @@
         for sort, one in terms.limits.items()
     }
     told = terms.evidence
-    return Rules(
+    return OrchestratorConfig(
         limits,
-        silent=terms.silent,
-        not_reached=terms.not_reached,
-        unsettled=terms.unsettled,
-        watch_least=told.watch,
-        ends=told.ends,
-        evidence=Rule(told.false_halt, told.missed, told.odds, told.least),
+        away_after=terms.silent,
+        unreachable_after=terms.not_reached,
+        max_unsettled=terms.unsettled,
+        min_evaluation=told.watch,
+        max_unexpected_exits=told.ends,
+        sequential_test=SequentialTestConfig(told.false_halt, told.missed, told.odds, told.least),
     )
 
 
@@ -91,7 +91,7 @@
         if found:
             _found(terms.name, durable, store)
         self._log = log.bind(seat=terms.name)
-        self.seat = Seat(terms.name, durable, rules_of(terms), self._draw, self._now())
+        self.seat = ControlPlaneNode(terms.name, durable, rules_of(terms), self._draw, self._now())
         # Words that wait for what stands behind them to be on disk.
         self._words: list[tuple[str, Any]] = []
 
@@ -130,7 +130,7 @@
 
     @property
     def _disk(self) -> int:
-        return self.seat.councillor.durable.disk
+        return self.seat.raft.durable.disk
 
     def _leave(self, post: Post) -> None:
         """On disk first, then words."""
@@ -151,19 +151,22 @@
         match word:
             case Votes(to, message):
                 if to == self._terms.name:
-                    self.seat.heard(now, from_sent(message))
+                    self.seat.on_message(now, from_sent(message))
             case Here(name, disk):
                 if name in self._terms.council:
                     self._disks[name] = disk
             case Reported(report, to, stamp):
                 since = stamp if to == self._life else -(10**18)
-                self.seat.report(now, report, since, lambda said: self._word(source, said))
+                self.seat.on_report(now, report, since, lambda said: self._word(source, said))
             case Asks():
                 self._asked(source, word)
 
-    def _word(self, address: str, said: Word) -> None:
+    def _word(self, address: str, said: DesiredStateReply) -> None:
         self._words.append(
-            (address, Worded(self._terms.name, said.name, self._life, said.stamp, said.want, said.is_open))
+            (
+                address,
+                Worded(self._terms.name, said.instance, self._life, said.stamp, said.desired, said.is_open),
+            )
         )
 
     # The council's own membership
@@ -179,8 +182,8 @@
 
     def _mend(self) -> None:
         """Lets in who is named in the terms, under the disk that it tells of; a former disk goes first."""
-        one = self.seat.councillor
-        if not self.seat.leads or not self._disks:
+        one = self.seat.raft
+        if not self.seat.is_leader or not self._disks:
             return
         present = dict(one.members.disks)
         for name, disk in self._disks.items():
@@ -198,7 +201,7 @@
 
     def _asked(self, source: str, asks: Asks) -> None:
         """A leader answers with what holds; anybody else says who leads, as far as it knows."""
-        if not self.seat.leads:
+        if not self.seat.is_leader:
             self._words.append((source, Tells(asks.nonce, self._terms.name, False, self.seat.leader)))
             return
         now, command = self._now(), asks.command
@@ -217,10 +220,10 @@
         index = self._proposed.get(asks.nonce)
         if index is None:
             if self.seat.propose(now, command):
-                self._proposed[asks.nonce] = self.seat.councillor.last
+                self._proposed[asks.nonce] = self.seat.raft.last
                 if len(self._proposed) > PROPOSED_MOST:
                     del self._proposed[next(iter(self._proposed))]
-        elif self.seat.applied >= index:
+        elif self.seat.applied_index >= index:
             answer: Any = {"done": True}
             if isinstance(command, Place):
                 answer = self.seat.answers.get(command.id)
@@ -231,7 +234,9 @@
         """The same words to the same question, however often it is asked: a fleet's worth of them goes in
         many pieces, and those that were lost could not be filled from other words."""
         if asks.nonce not in self._shown:
-            self._shown[asks.nonce] = msgspec.msgpack.encode(shown(book, self.seat, self._now(), asks.about))
+            self._shown[asks.nonce] = msgspec.msgpack.encode(
+                fleet_status(book, self.seat, self._now(), asks.about)
+            )
             if len(self._shown) > SHOWN_MOST:
                 del self._shown[next(iter(self._shown))]
         self._tells(source, asks, msgspec.Raw(self._shown[asks.nonce]))
@@ -243,12 +248,12 @@
     # The log
 
     def _tell(self) -> None:
-        if self.seat.leads != self._was_leader:
-            self._was_leader = self.seat.leads
+        if self.seat.is_leader != self._was_leader:
+            self._was_leader = self.seat.is_leader
             self._proposed.clear()
-            term = self.seat.councillor.durable.term
+            term = self.seat.raft.durable.term
             self._log.info("council-leads" if self._was_leader else "council-follows", term=term)
-        orders = self.seat.book.orders
+        orders = self.seat.operation_log.orders
         for gone in [id_ for id_ in self._told if id_ not in orders]:
             del self._told[gone]
         for order in orders.values():
--- a/valverouter/fleet/keeper.py
+++ b/valverouter/fleet/keeper.py
@@ -24,8 +24,8 @@
 from valverouter.fleet.post import Post
 from valverouter.fleet.sealing import Opener, Seal
 from valverouter.fleet.words import Reported, Worded
-from valverouter.ledger.supervisor_store import KeeperStore
-from valverouter.rollout.supervisor import Counts, Do, Facts, Keeping, Memory
+from valverouter.ledger.supervisor_store import SupervisorStore
+from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory
 from valverouter.rollout.limits import Sort
 from valverouter.rollout.operations import Want
 from valverouter.signalling.framing import ProtocolError
@@ -108,7 +108,7 @@
     """One keeper. `memory`: what its store held; None: nothing."""
 
     def __init__(
-        self, terms: KeeperTerms, surroundings: Surroundings, store: KeeperStore, memory: Memory | None
+        self, terms: KeeperTerms, surroundings: Surroundings, store: SupervisorStore, memory: Memory | None
     ) -> None:
         facts = Facts(
             terms.name,
@@ -118,7 +118,7 @@
             terms.processor,
             tuple(sorted(terms.commands)),
         )
-        self.keeping = Keeping(facts, memory or Memory(terms.version))
+        self.keeping = Supervisor(facts, memory or Memory(terms.version))
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
@@ -165,7 +165,7 @@
                         self._ask(asking, seal, opener)
                     self._act()
                     self._report(post)
-                    if self.keeping.leaving and not self.keeping.runs:
+                    if self.keeping.is_leaving and not self.keeping.is_running:
                         self._report_at = float("-inf")
                         self._report(post)
                         self._nursery.cancel_scope.cancel()
@@ -177,7 +177,7 @@
 
     def leave(self) -> None:
         """The machine asks it to go: its program is asked to end, and the council hears of it."""
-        self.keeping.leave()
+        self.keeping.shut_down()
 
     async def _hears_first(self, post: Post) -> None:
         """One that has no memory asks what is wanted before it starts anything: what it starts by its own
@@ -203,8 +203,8 @@
                     answer = opener.open(came[0])
                     if isinstance(answer, Counted) and answer.counts.process:
                         process = Running.of(answer.counts.process)
-                        self.keeping.memory.process = process.mark if process is not None else ""
-                        self.keeping.memory.running = answer.counts.label
+                        self.keeping.state.process = process.mark if process is not None else ""
+                        self.keeping.state.running = answer.counts.label
                         if process is not None:
                             process.close()
                         return
@@ -227,7 +227,7 @@
         self._stamps[name] = word.life, word.stamp
         self._heard_council = True
         want: Want = word.want
-        if self.keeping.wanted(self._now(), want, word.is_open):
+        if self.keeping.on_desired_state(self._now(), want, word.is_open):
             self._log.info(
                 "turn", number=want.number, step=want.step, order=want.order, version=want.version, up=want.up
             )
@@ -250,42 +250,42 @@
             if isinstance(answer, Counted) and answer.nonce == self._nonce:
                 self._answered_at = trio.current_time()
                 memory = self._process.memory if self._process is not None else 0
-                self.keeping.told(msgspec.structs.replace(answer.counts, memory=memory))
+                self.keeping.on_counters(msgspec.structs.replace(answer.counts, memory=memory))
         now = trio.current_time()
-        if now - self._answered_at > ANSWER_S and self.keeping.counts.life:
-            self.keeping.counts = Counts()
-        if now - self._ask_at >= ASK_S and self.keeping.runs:
+        if now - self._answered_at > ANSWER_S and self.keeping.counters.life:
+            self.keeping.counters = Counts()
+        if now - self._ask_at >= ASK_S and self.keeping.is_running:
             self._ask_at = now
             self._nonce += 1
             socket.send(seal.seal(Count("", self._life, 0, self._nonce)), self._terms.asks)
 
     def _takes_over(self) -> None:
         """What its former self started and left running."""
-        memory = self.keeping.memory
+        memory = self.keeping.state
         process = Running.again(memory.process)
         if process is not None:
             self._process = process
-            self.keeping.resumes(True)
+            self.keeping.resume(True)
             self._log.info("taken-over", version=memory.running, process=process.pid)
             assert self._nursery is not None
             self._nursery.start_soon(self._waits, process)
 
     def _act(self) -> None:
         keeping = self.keeping
-        while (do := keeping.act(self._now())) is not None:
-            if do is Do.SAVE:
+        while (do := keeping.next_action(self._now())) is not None:
+            if do is SupervisorAction.SAVE:
                 # Not in a thread: a turn that is not on disk must not begin, and nothing else waits here.
-                self._store.save(keeping.memory)
-                keeping.saved()
-            elif do is Do.STOP:
+                self._store.save(keeping.state)
+                keeping.on_saved()
+            elif do is SupervisorAction.STOP:
                 self._stop()
-            elif do in (Do.LEAVE, Do.RETURN):
-                number = keeping.memory.turns[-1].number if keeping.memory.turns else 0
+            elif do in (SupervisorAction.LEAVE_LIST, SupervisorAction.REJOIN_LIST):
+                number = keeping.state.turns[-1].number if keeping.state.turns else 0
                 assert self._nursery is not None
-                self._nursery.start_soon(self._asks_list, do is Do.LEAVE, number)
+                self._nursery.start_soon(self._asks_list, do is SupervisorAction.LEAVE_LIST, number)
             else:
                 self._start()
-        last = keeping.memory.turns[-1] if keeping.memory.turns else None
+        last = keeping.state.turns[-1] if keeping.state.turns else None
         said = f"{last.number}/{last.step} {last.outcome}" if last else ""
         if last is not None and last.outcome and said != self._told:
             self._told = said
@@ -294,7 +294,7 @@
             )
 
     def _start(self) -> None:
-        version = self.keeping.memory.version
+        version = self.keeping.state.version
         command = self._terms.commands.get(version, ())
         try:
             if not command:
@@ -317,10 +317,10 @@
             process = Running(child.pid)
         except OSError as error:
             self._log.error("could-not-start", version=version, why=str(error))
-            self.keeping.could_not_start(self._now())
+            self.keeping.on_start_failed(self._now())
             return
         self._process = process
-        self.keeping.started(self._now(), version, process.mark)
+        self.keeping.on_started(self._now(), version, process.mark)
         self._log.info("started", version=version, process=process.pid)
         assert self._nursery is not None
         self._nursery.start_soon(self._waits, process)
@@ -333,7 +333,7 @@
         process.close()
         if self._process is process:
             self._process = None
-            self.keeping.ended(self._now())
+            self.keeping.on_exited(self._now())
 
     async def _asks_list(self, leaves: bool, number: int) -> None:
         """Until the list service has answered: one that is away lets no server go."""
@@ -345,7 +345,7 @@
         if leaves:
             if left.given:
                 await trio.sleep(self._terms.drain_within / 1e9)
-            self.keeping.left_list(left.given, left.why)
+            self.keeping.on_list_answer(left.given, left.why)
 
     async def _ask_list(self, asks: Leave | Returns) -> Left | None:
         session = ListSession(Hello((OLDEST, NEWEST), "keeper", self._terms.name))
@@ -362,7 +362,7 @@
         return None
 
     def _stop(self) -> None:
-        self.keeping.asked_to_stop()
+        self.keeping.on_stop_requested()
         process = self._process
         if process is None:
             return
--- a/valverouter/ledger/supervisor_store.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -15,17 +15,17 @@
 from valverouter.rollout.supervisor import Memory
 
 FORMAT = b"keeper 1"
-MOST = 4 * 1024 * 1024
+MAP_SIZE = 4 * 1024 * 1024
 
 
-class KeeperStore:
+class SupervisorStore:
     """An open store, one process at a time."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self._lock = owned(path)
         try:
-            self._env = lmdb.open(str(path), map_size=MOST, sync=True, metasync=True)
+            self._env = lmdb.open(str(path), map_size=MAP_SIZE, sync=True, metasync=True)
             cover(path, self._env)
         except lmdb.Error as error:
             self._lock.close()
@@ -59,7 +59,7 @@
             raise LedgerError(f"{self.path}: {error}") from error
 
 
-def opened(path: Path) -> tuple[KeeperStore, Memory | None, str]:
+def open_supervisor_store(path: Path) -> tuple[SupervisorStore, Memory | None, str]:
     """A store that can be used, what it held, and why a former one was set aside: empty, if none was."""
-    store, memory, why, _ = sound(path, lambda: KeeperStore(path), KeeperStore.load)
+    store, memory, why, _ = sound(path, lambda: SupervisorStore(path), SupervisorStore.load)
     return store, memory, why
--- a/valverouter/rollout/control_plane_node.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -12,118 +12,120 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from valverouter.rollout.orchestrator import Conductor, Rules
+from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.council import PATIENCE, Councillor, Durable, Members, Message, Part, Save
 from valverouter.rollout.supervisor import Report
 from valverouter.rollout.operations import Book, Command, Place, Placed, Want
 from valverouter.rollout.permits import Answer
 
 # Between two steps of the conductor.
-STEP = PATIENCE // 10
+ORCHESTRATION_INTERVAL = PATIENCE // 10
 # Askers that wait for a confirmation; more are dropped, and ask again.
-WAITING_MOST = 4_096
+MAX_PENDING_READS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class DesiredStateReply:
     """To a keeper, in answer to its report: what is wanted of its instance. `is_open`: the permit of that
     turn is still held; of one that is over nothing is begun any more."""
 
-    name: str
-    want: Want
+    instance: str
+    desired: Want
     is_open: bool
     # Given back by the keeper's next report: our clock when this left.
     stamp: int
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class PendingRead:
     """A question that waits for its confirmation, from round `after` on. `answer` gives what to say."""
 
-    after: int
+    confirmed_round: int
     answer: Callable[[], None]
 
 
-class Seat:
+class ControlPlaneNode:
     """One seat. `decided` tells whoever watches what was agreed on."""
 
     def __init__(
-        self, name: str, durable: Durable, rules: Rules, draw: Callable[[], float], now: int
+        self, name: str, durable: Durable, rules: OrchestratorConfig, draw: Callable[[], float], now: int
     ) -> None:
         self.name = name
-        self.book = Book()
-        self.applied = durable.snapshot.index if durable.snapshot else 0
-        self.rules = rules
-        self.conductor: Conductor | None = None
+        self.operation_log = Book()
+        self.applied_index = durable.snapshot.index if durable.snapshot else 0
+        self.config = rules
+        self.orchestrator: Orchestrator | None = None
         # What conducts; experiments put a baseline in its place.
-        self.make: type[Conductor] = Conductor
+        self.orchestrator_class: type[Orchestrator] = Orchestrator
         # What was agreed on of late, for tools that asked for it: by the command's id.
         self.answers: dict[str, Answer | Placed] = {}
         self._draw = draw
         self._now = now
         self._stepped_at = now
-        self._asked: deque[Asked] = deque()
-        self.councillor = Councillor(name, durable, draw, now, lambda: self.book.copy(), self._install)
+        self._pending_reads: deque[PendingRead] = deque()
+        self.raft = Councillor(name, durable, draw, now, lambda: self.operation_log.copy(), self._install)
 
     def _install(self, state: Book) -> None:
-        self.book = state.copy()
+        self.operation_log = state.copy()
 
     # Carried
 
     @property
     def saves(self) -> list[Save]:
-        return self.councillor.saves
+        return self.raft.saves
 
     @property
     def out(self) -> list[tuple[str, Message]]:
-        return self.councillor.out
+        return self.raft.out
 
     @property
-    def leads(self) -> bool:
-        return self.councillor.part is Part.LEADER
+    def is_leader(self) -> bool:
+        return self.raft.part is Part.LEADER
 
     @property
     def leader(self) -> str:
         """Who leads, as far as this seat knows; empty: nobody."""
-        return self.councillor.leader
+        return self.raft.leader
 
     # Fed
 
-    def heard(self, now: int, message: Message) -> None:
+    def on_message(self, now: int, message: Message) -> None:
         self._now = now
-        self.councillor.heard(now, message)
+        self.raft.heard(now, message)
         self._after()
 
     def tick(self, now: int) -> None:
         self._now = now
-        self.councillor.tick(now)
+        self.raft.tick(now)
         self._after()
-        if self.leads and now - self._stepped_at >= STEP:
+        if self.is_leader and now - self._stepped_at >= ORCHESTRATION_INTERVAL:
             self._stepped_at = now
             self._step(now)
 
     def _step(self, now: int) -> None:
         """One batch at a time: what the conductor sees must hold all that it proposed before."""
-        one = self.councillor
-        if self.conductor is None or not one.confirmed or one.last != one.agreed:
+        one = self.raft
+        if self.orchestrator is None or not one.confirmed or one.last != one.agreed:
             return
-        for command in self.conductor.step(now, self.book):
+        for command in self.orchestrator.next_commands(now, self.operation_log):
             one.propose(now, command)
         self._after()
 
-    def report(self, now: int, report: Report, since: int, answer: Callable[[Word], None]) -> bool:
+    def on_report(
+        self, now: int, report: Report, made_after: int, answer: Callable[[DesiredStateReply], None]
+    ) -> bool:
         """A keeper's. Whether this seat leads and will answer."""
         self._now = now
-        if not self.leads or self.conductor is None:
+        if not self.is_leader or self.orchestrator is None:
             return False
-        self.conductor.heard(now, report, since)
+        self.orchestrator.record_report(now, report, made_after)
 
         def say() -> None:
             name = report.facts.name
-            want, held = self.book.wants.get(name), self.book.register.out.get(name)
+            want, held = self.operation_log.wants.get(name), self.operation_log.register.out.get(name)
             if want is not None:
                 is_open = held is not None and held.number == want.number
-                answer(Word(name, want, is_open, self._now))
+                answer(DesiredStateReply(name, want, is_open, self._now))
 
         return self._ask(say)
 
@@ -132,44 +134,44 @@
         self._now = now
         if isinstance(command, Place):
             self.answers.pop(command.id, None)
-        done = self.leads and self.councillor.propose(now, command)
+        done = self.is_leader and self.raft.propose(now, command)
         self._after()
         return done
 
     def read(self, now: int, answer: Callable[[Book], None]) -> bool:
         """Whether this seat leads and will answer with the book as it holds after now."""
         self._now = now
-        return self.leads and self._ask(lambda: answer(self.book))
+        return self.is_leader and self._ask(lambda: answer(self.operation_log))
 
     def _ask(self, answer: Callable[[], None]) -> bool:
-        if len(self._asked) >= WAITING_MOST:
+        if len(self._pending_reads) >= MAX_PENDING_READS:
             return False
-        self._asked.append(Asked(self.councillor.round + 1, answer))
+        self._pending_reads.append(PendingRead(self.raft.round + 1, answer))
         self._after()
         return True
 
     def _after(self) -> None:
-        one = self.councillor
+        one = self.raft
         decided, one.decided = one.decided, []
         for index, what in decided:
-            self.applied = index
+            self.applied_index = index
             if what is not None and not isinstance(what, Members):
                 self._apply(index, what)
         if decided:
             one.compact()
-        if not self.leads:
-            self.conductor = None
-            self._asked.clear()
+        if not self.is_leader:
+            self.orchestrator = None
+            self._pending_reads.clear()
             return
-        if self.conductor is None:
-            self.conductor = self.make(self.rules, self._draw, self._now)
+        if self.orchestrator is None:
+            self.orchestrator = self.orchestrator_class(self.config, self._draw, self._now)
         confirmed = one.confirmed
-        while self._asked and self._asked[0].after <= confirmed:
-            self._asked.popleft().answer()
+        while self._pending_reads and self._pending_reads[0].confirmed_round <= confirmed:
+            self._pending_reads.popleft().answer()
 
     def _apply(self, index: int, what: Command) -> None:
-        answer = self.book.apply(index, what)
+        answer = self.operation_log.apply(index, what)
         if answer is not None:
             self.answers[answer.id] = answer
-            if len(self.answers) > WAITING_MOST:
+            if len(self.answers) > MAX_PENDING_READS:
                 del self.answers[next(iter(self.answers))]
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -23,9 +23,9 @@
 from valverouter.rollout.permits import Command as PermitCommand
 
 # Ended orders that are kept for `history`; the oldest leave.
-ENDED_KEPT = 64
+MAX_ENDED_OPERATIONS = 64
 # So many orders wait or go at once.
-OPEN_MOST = 16
+MAX_OPEN_OPERATIONS = 16
 
 
 class Kind(Enum):
@@ -63,8 +63,8 @@
     LEFT = "left"
 
 
-OPEN = (Step.WAITING, Step.OUT, Step.FAILED)
-BUSY = (Phase.GOING, Phase.WATCHING, Phase.RETURNING)
+UNFINISHED = (Step.WAITING, Step.OUT, Step.FAILED)
+ACTIVE_PHASES = (Phase.GOING, Phase.WATCHING, Phase.RETURNING)
 
 
 class Place(Struct, frozen=True, tag=True):
@@ -268,13 +268,13 @@
     @property
     def going(self) -> Order | None:
         """The one order that takes anybody out."""
-        busy = (order for order in self.orders.values() if order.phase in BUSY)
+        busy = (order for order in self.orders.values() if order.phase in ACTIVE_PHASES)
         return next((order for order in busy if order.kind is not Kind.UNDRAIN), None)
 
     @property
     def undrains(self) -> list[Order]:
         """Those under way: they bring in, wait for nobody, and whoever waits for room may wait for them."""
-        return [o for o in self.orders.values() if o.kind is Kind.UNDRAIN and o.phase in BUSY]
+        return [o for o in self.orders.values() if o.kind is Kind.UNDRAIN and o.phase in ACTIVE_PHASES]
 
     def plan(self, place: Place) -> Placed:
         """The waves of an order as it would be placed now, or why it would be refused whole."""
@@ -308,8 +308,8 @@
                 return f"{name} is not enrolled"
         if len({self.register.units[name].sort for name in place.names}) > 1:
             return "edge proxies and servers go out by orders of their own"
-        if sum(order.phase is not Phase.ENDED for order in self.orders.values()) >= OPEN_MOST:
-            return f"{OPEN_MOST} orders wait or go already"
+        if sum(order.phase is not Phase.ENDED for order in self.orders.values()) >= MAX_OPEN_OPERATIONS:
+            return f"{MAX_OPEN_OPERATIONS} orders wait or go already"
         if self.register.halted:
             return f"halted: {self.register.halted}"
         for order in self.orders.values():
@@ -368,11 +368,11 @@
             place.by,
             [list(w) for w in plan.waves],
             members,
-            watches(plan.waves) if place.kind is Kind.RELEASE else [],
+            evaluation_waves(plan.waves) if place.kind is Kind.RELEASE else [],
         )
         self.orders[place.id] = order
         ended = [one.id for one in self.orders.values() if one.phase is Phase.ENDED]
-        for old in ended[: max(0, len(ended) - ENDED_KEPT)]:
+        for old in ended[: max(0, len(ended) - MAX_ENDED_OPERATIONS)]:
             del self.orders[old]
         if place.kind is Kind.UNDRAIN:
             self._undrain(order)
@@ -474,7 +474,7 @@
     def _forward(self, order: Order) -> None:
         """What follows from a member's change: a wave that is over, an order that has ended."""
         if order.phase is Phase.GOING:
-            if any(order.members[name].step in OPEN for name in order.present):
+            if any(order.members[name].step in UNFINISHED for name in order.present):
                 return
             last = order.wave + 1 >= len(order.waves)
             if last:
@@ -543,20 +543,20 @@
                 self._forward(order)
 
 
-def watches(made: Sequence[Sequence[str]]) -> list[int]:
+def evaluation_waves(waves: Sequence[Sequence[str]]) -> list[int]:
     """The waves after which evidence is awaited: once one is released, then each time about three times as
     many are. The limits may make the waves far smaller, and a watch after each would ask for the same
     evidence over and over."""
     found, count, wanted = [], 0, 1
-    for at, wave in enumerate(made):
+    for at, wave in enumerate(waves):
         count += len(wave)
-        if count >= wanted and at + 1 < len(made):
+        if count >= wanted and at + 1 < len(waves):
             found.append(at)
             wanted = 3 * count + 1
     return found
 
 
-def released(book: Book, order: Order) -> tuple[list[str], list[str]]:
+def split_by_version(book: Book, order: Order) -> tuple[list[str], list[str]]:
     """Who runs the order's version, being in, and who of its sort does not yet."""
     sort = book.register.units[next(iter(order.members))].sort
     ones: list[str] = []
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from valverouter.rollout.sequential_test import Evidence, Tally, Verdict
-from valverouter.rollout.sequential_test import Rule as EvidenceRule
+from valverouter.rollout.sequential_test import CanaryEvidence, OutcomeCount, Verdict
+from valverouter.rollout.sequential_test import SequentialTestConfig as EvidenceRule
 from valverouter.rollout.supervisor import Counts, Report
 from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.operations import (
@@ -27,17 +27,17 @@
     Stop,
     Want,
     Went,
-    released,
+    split_by_version,
 )
 from valverouter.rollout.permits import Ask, Away, Back, Enrol
-from valverouter.rollout.readiness import Watch
+from valverouter.rollout.readiness import ReadinessTracker
 
 SECOND = 10**9
 MEASURES = ("declined", "lost", "late")
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class OrchestratorConfig:
     """Spans in ns. `silent`: without a report for so long an instance is away. `not_reached`: an order goes
     on without one that was silent so long before it went out. `ask_again`: after a refusal. `unsettled`: so
     long may a view be unsettled, in a wave, until the order is halted. `span`: of evidence. `ends`: ends of
@@ -46,77 +46,77 @@
     a release; those released are the younger ones, which hold less, not more."""
 
     limits: Mapping[Sort, Limits]
-    silent: int = 4 * SECOND
-    not_reached: int = 15 * SECOND
-    ask_again: int = SECOND
-    unsettled: int = 30 * SECOND
-    span: int = SECOND
-    watch_least: int = 5 * SECOND
-    ends: int = 2
-    memory: float = 1.5
-    memory_least: int = 64 * 1024 * 1024
-    evidence: EvidenceRule = field(default_factory=EvidenceRule)
+    away_after: int = 4 * SECOND
+    unreachable_after: int = 15 * SECOND
+    permit_retry_interval: int = SECOND
+    max_unsettled: int = 30 * SECOND
+    sample_interval: int = SECOND
+    min_evaluation: int = 5 * SECOND
+    max_unexpected_exits: int = 2
+    max_memory_ratio: float = 1.5
+    min_memory_excess: int = 64 * 1024 * 1024
+    sequential_test: EvidenceRule = field(default_factory=EvidenceRule)
 
 
 @dataclass(slots=True)
-class Looked:
+class CanaryWindow:
     """The evidence of a stage: from one watch to the end of the next, while waves go too."""
 
-    order: str
+    operation_id: str
     stage: int
-    began: int
-    evidence: Evidence
-    counts: dict[str, Counts]
-    ends: dict[str, int]
-    at: int
+    started_at: int
+    evidence: CanaryEvidence
+    last_counters: dict[str, Counts]
+    initial_exits: dict[str, int]
+    sampled_at: int
 
 
-class Conductor:
+class Orchestrator:
     """One leader's time in office."""
 
-    def __init__(self, rules: Rules, draw: Callable[[], float], now: int) -> None:
-        self.rules = rules
-        self.watch = Watch(now)
+    def __init__(self, rules: OrchestratorConfig, draw: Callable[[], float], now: int) -> None:
+        self.config = rules
+        self.readiness = ReadinessTracker(now)
         self._draw = draw
-        self._asked: dict[str, int] = {}
+        self._permit_requested_at: dict[str, int] = {}
         self._unsettled_since: int | None = None
-        self._looked: Looked | None = None
+        self._canary: CanaryWindow | None = None
 
-    def heard(self, now: int, report: Report, since: int) -> None:
+    def record_report(self, now: int, report: Report, made_after: int) -> None:
         """`since`: a moment after which it was made for certain."""
-        self.watch.heard(now, report, since)
+        self.readiness.record_report(now, report, made_after)
 
-    def step(self, now: int, book: Book) -> list[Command]:
+    def next_commands(self, now: int, log: Book) -> list[Command]:
         """Commands to be agreed on; the next step is taken when they are."""
-        commands = self._enrols(book)
+        commands = self._enrols(log)
         if commands:
             return commands
-        commands = [*self._presence(now, book)]
-        for undrain in book.undrains:
+        commands = [*self._presence(now, log)]
+        for undrain in log.undrains:
             for name in undrain.members:
-                commands += self._outcome(book, undrain, name)
-        order = book.going
+                commands += self._outcome(log, undrain, name)
+        order = log.going
         if order is not None:
-            stop = self._must_stop(now, book, order)
-            commands += [stop] if stop else self._conduct(now, book, order)
+            stop = self._must_stop(now, log, order)
+            commands += [stop] if stop else self._conduct(now, log, order)
         return commands
 
     @property
-    def pairs(self) -> tuple[int, int]:
+    def evidence_progress(self) -> tuple[int, int]:
         """Of the evidence under way: pairs looked at, and wanted at least."""
-        if self._looked is None:
+        if self._canary is None:
             return 0, 0
-        seen = min(one.pairs for one in self._looked.evidence.comparisons.values())
-        return seen, self.rules.evidence.least
+        seen = min(one.pairs for one in self._canary.evidence.tests.values())
+        return seen, self.config.sequential_test.min_pairs
 
     # Who there is
 
     def _enrols(self, book: Book) -> list[Command]:
         commands: list[Command] = []
-        limits = tuple((sort, one) for sort, one in self.rules.limits.items())
+        limits = tuple((sort, one) for sort, one in self.config.limits.items())
         if any(book.register.limits.get(sort) != one for sort, one in limits):
             commands.append(Enrol((), limits))
-        for name, seen in self.watch.seen.items():
+        for name, seen in self.readiness.observations.items():
             facts, held = seen.report.facts, book.register.units.get(name)
             unit = Unit(name, facts.sort, facts.region, facts.capacity, facts.processor)
             if unit != held:
@@ -131,14 +131,14 @@
         commands: list[Command] = []
         out = book.register.out
         for name in book.register.units:
-            seen, want = self.watch.seen.get(name), book.wants.get(name)
+            seen, want = self.readiness.observations.get(name), book.wants.get(name)
             if name in out:
                 held = out[name]
-                if want is not None and self.watch.is_in(name, want, now, out.__contains__):
+                if want is not None and self.readiness.is_ready(name, want, now, out.__contains__):
                     commands.append(Back(name, held.number if held else 0))
                 continue
-            away = self.watch.silent_for(name, now) > self.rules.silent
-            if seen is not None and self.watch.is_fresh(name, now):
+            away = self.readiness.time_since_report(name, now) > self.config.away_after
+            if seen is not None and self.readiness.has_fresh_report(name, now):
                 away = away or not seen.report.runs or seen.report.leaving
             if away:
                 commands.append(Away(name))
@@ -162,8 +162,10 @@
         those that keep no view say nothing."""
         said = [
             seen.report.counts.trust
-            for name, seen in self.watch.seen.items()
-            if name not in book.register.out and self.watch.is_fresh(name, now) and seen.report.counts.trust
+            for name, seen in self.readiness.observations.items()
+            if name not in book.register.out
+            and self.readiness.has_fresh_report(name, now)
+            and seen.report.counts.trust
         ]
         if not said or all(trust == "settled" for trust in said):
             self._unsettled_since = None
@@ -172,43 +174,47 @@
             return "more than half of the fleet is cut off"
         if self._unsettled_since is None:
             self._unsettled_since = now
-        if now - self._unsettled_since > self.rules.unsettled:
-            return f"the fleet's view has not settled for {self.rules.unsettled // SECOND} s"
+        if now - self._unsettled_since > self.config.max_unsettled:
+            return f"the fleet's view has not settled for {self.config.max_unsettled // SECOND} s"
         return ""
 
     def _ends(self, book: Book, order: Order) -> str:
         """Programs of the release that end by themselves, against those of the others at the same time."""
         ours = [name for name, one in order.members.items() if one.step in (Step.OUT, Step.DONE)]
         counted = self._counted(book, order, ours)
-        if counted >= min(self.rules.ends, max(1, len(ours))):
-            others = released(book, order)[1]
+        if counted >= min(self.config.max_unexpected_exits, max(1, len(ours))):
+            others = split_by_version(book, order)[1]
             theirs = self._counted(book, order, others, since=True)
             if counted * max(1, len(others)) > 2 * theirs * len(ours):
                 return f"{counted} programs of {len(ours)} released ended by themselves"
         return ""
 
     def _memory(self, book: Book, order: Order) -> str:
-        ours, theirs = (self._held(names) for names in released(book, order))
+        ours, theirs = (self._held(names) for names in split_by_version(book, order))
         if not ours or not theirs:
             return ""
         one, other = statistics.median(ours), statistics.median(theirs)
-        if one > self.rules.memory * other and one - other > self.rules.memory_least:
+        if one > self.config.max_memory_ratio * other and one - other > self.config.min_memory_excess:
             return f"released ones hold {one / 2**20:.0f} MiB in the median, the others {other / 2**20:.0f}"
         return ""
 
     def _held(self, names: list[str]) -> list[int]:
-        seen = (self.watch.seen.get(name) for name in names)
+        seen = (self.readiness.observations.get(name) for name in names)
         return [one.report.counts.memory for one in seen if one is not None and one.report.counts.memory]
 
     def _counted(self, book: Book, order: Order, names: list[str], since: bool = False) -> int:
         total = 0
         for name in names:
-            seen = self.watch.seen.get(name)
+            seen = self.readiness.observations.get(name)
             if seen is None:
                 continue
             member = order.members.get(name)
             if since:
-                before = self._looked.ends.get(name, seen.report.ends) if self._looked else seen.report.ends
+                before = (
+                    self._canary.initial_exits.get(name, seen.report.ends)
+                    if self._canary
+                    else seen.report.ends
+                )
                 total += max(0, seen.report.ends - before)
             elif member is not None and seen.report.turn == (member.number, 0):
                 total += seen.report.ends
@@ -219,10 +225,12 @@
     def _conduct(self, now: int, book: Book, order: Order) -> list[Command]:
         match order.phase:
             case Phase.GOING:
-                stop: list[Command] = [one for one in self._look(now, book, order) if isinstance(one, Stop)]
+                stop: list[Command] = [
+                    one for one in self._evaluate_canary(now, book, order) if isinstance(one, Stop)
+                ]
                 return stop or self._wave(now, book, order)
             case Phase.WATCHING:
-                return self._look(now, book, order)
+                return self._evaluate_canary(now, book, order)
             case Phase.RETURNING:
                 return self._returns(now, book, order)
             case _:
@@ -234,10 +242,10 @@
         for name in order.present:
             member = order.members[name]
             if member.step is Step.WAITING:
-                if self.watch.silent_for(name, now) > self.rules.not_reached:
-                    silent = self.watch.silent_for(name, now) // SECOND
+                if self.readiness.time_since_report(name, now) > self.config.unreachable_after:
+                    silent = self.readiness.time_since_report(name, now) // SECOND
                     commands.append(Went(order.id, name, 0, Step.NOT_REACHED, f"silent for {silent} s"))
-                elif settled and self.watch.is_fresh(name, now):
+                elif settled and self.readiness.has_fresh_report(name, now):
                     commands += self._ask(now, order, name)
             else:
                 commands += self._outcome(book, order, name)
@@ -245,15 +253,19 @@
 
     def _ask(self, now: int, order: Order, name: str) -> list[Command]:
         member = order.members[name]
-        if member.tries and now - self._asked.get(name, 0) < self.rules.ask_again:
+        if member.tries and now - self._permit_requested_at.get(name, 0) < self.config.permit_retry_interval:
             return []
-        self._asked[name] = now
+        self._permit_requested_at[name] = now
         back = "/back" if order.phase is Phase.RETURNING else ""
         return [Ask(f"{order.id}/{name}{back}/{member.tries}", name, order.id)]
 
     def _outcome(self, book: Book, order: Order, name: str) -> list[Command]:
         """What its keeper tells of the turn, by its number: it is asked and never guessed."""
-        member, seen, want = order.members[name], self.watch.seen.get(name), book.wants.get(name, Want(""))
+        member, seen, want = (
+            order.members[name],
+            self.readiness.observations.get(name),
+            book.wants.get(name, Want("")),
+        )
         if member.step is not Step.OUT or seen is None or seen.report.turn != want.turn:
             return []
         report = seen.report
@@ -275,76 +287,80 @@
         waiting.sort(key=lambda name: (name not in book.register.out, name))
         size = max(1, len(order.members) // 4)
         for name in waiting[: max(0, size - len(out))]:
-            if self.watch.is_fresh(name, now):
+            if self.readiness.has_fresh_report(name, now):
                 commands += self._ask(now, order, name)
         return commands
 
     # Evidence
 
-    def _look(self, now: int, book: Book, order: Order) -> list[Command]:
+    def _evaluate_canary(self, now: int, book: Book, order: Order) -> list[Command]:
         if order.kind is not Kind.RELEASE or not any(one.step is Step.DONE for one in order.members.values()):
             return []
-        ones, others = released(book, order)
+        ones, others = split_by_version(book, order)
         # The keeper's own count of unasked ends is compared from the beginning of the wave's watch.
-        looked = self._looked
-        if looked is None or (looked.order, looked.stage) != (order.id, order.stage):
-            looked = self._looked = Looked(
+        looked = self._canary
+        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.stage):
+            looked = self._canary = CanaryWindow(
                 order.id,
                 order.stage,
                 now,
-                Evidence(MEASURES, self.rules.evidence, self._draw),
+                CanaryEvidence(MEASURES, self.config.sequential_test, self._draw),
                 {},
-                {name: seen.report.ends for name, seen in self.watch.seen.items()},
-                now - self.rules.span,
+                {name: seen.report.ends for name, seen in self.readiness.observations.items()},
+                now - self.config.sample_interval,
             )
-        if now - looked.at < self.rules.span:
+        if now - looked.sampled_at < self.config.sample_interval:
             return []
-        looked.at = now
+        looked.sampled_at = now
         ours, theirs = self._spans(looked, now, ones), self._spans(looked, now, others)
         regions = {book.register.units[name].region for name in ours}
         apart = regions.isdisjoint(book.register.units[name].region for name in theirs)
         for measure in MEASURES:
-            looked.evidence.span(
+            looked.evidence.add_interval(
                 self._tallies(book, ours, measure, apart),
                 self._tallies(book, theirs, measure, apart),
                 measure,
             )
         if looked.evidence.verdict is Verdict.HALT:
-            return [Stop(order.id, looked.evidence.why)]
+            return [Stop(order.id, looked.evidence.halt_reason)]
         if order.phase is Phase.GOING:
             # Seen when its last wave is back, not before: evidence of few must not let all of them go.
-            looked.began = now
+            looked.started_at = now
             return []
         settled = self._unsettled_since is None
-        if looked.evidence.verdict is Verdict.GO and settled and now - looked.began >= self.rules.watch_least:
+        if (
+            looked.evidence.verdict is Verdict.PASS
+            and settled
+            and now - looked.started_at >= self.config.min_evaluation
+        ):
             return [Next(order.id, order.wave)]
         return []
 
-    def _spans(self, looked: Looked, now: int, names: list[str]) -> dict[str, tuple[Counts, Counts]]:
+    def _spans(self, looked: CanaryWindow, now: int, names: list[str]) -> dict[str, tuple[Counts, Counts]]:
         """Of each that was heard, its counts before and now; a new process has nothing before."""
         spans = {}
         for name in names:
-            seen = self.watch.seen.get(name)
-            if seen is None or not self.watch.is_fresh(name, now) or not seen.report.counts.life:
+            seen = self.readiness.observations.get(name)
+            if seen is None or not self.readiness.has_fresh_report(name, now) or not seen.report.counts.life:
                 continue
             counts = seen.report.counts
-            before = looked.counts.get(name)
-            looked.counts[name] = counts
+            before = looked.last_counters.get(name)
+            looked.last_counters[name] = counts
             if before is not None and before.life == counts.life:
                 spans[name] = before, counts
         return spans
 
     def _tallies(
         self, book: Book, spans: dict[str, tuple[Counts, Counts]], measure: str, apart: bool
-    ) -> dict[str, Tally]:
+    ) -> dict[str, OutcomeCount]:
         """By region. `apart`: nobody of a released one's region is left to compare with, and those of the
         others must do."""
-        told: dict[str, Tally] = {}
+        told: dict[str, OutcomeCount] = {}
         for name, (before, after) in spans.items():
             region = "" if apart else book.register.units[name].region
             bad = getattr(after, measure) - getattr(before, measure)
             # Answers of this span may be to dialogs of the one before.
             whole = max(bad, after.taken - before.taken)
-            held = told.get(region, Tally(0, 0))
-            told[region] = Tally(held.bad + bad, held.whole + whole)
+            held = told.get(region, OutcomeCount(0, 0))
+            told[region] = OutcomeCount(held.failures + bad, held.total + whole)
         return told
--- a/valverouter/rollout/readiness.py
+++ b/valverouter/rollout/readiness.py
@@ -14,13 +14,13 @@
 from valverouter.rollout.operations import Want
 
 # Of the mean that those of its region took since it came back. Callers are not spread evenly.
-SHARE = 0.1
+MIN_TRAFFIC_FRACTION = 0.1
 # What was heard for so long ago says nothing of now, ns.
-FRESH = 3 * 10**9
+MAX_REPORT_AGE = 3 * 10**9
 
 
 @dataclass(slots=True)
-class Seen:
+class Observation:
     """A report, when it came here, and what its instance had taken when this process was first seen up.
 
     `since`: a moment here after which it was made for certain, since it answers a word sent then; a report
@@ -28,72 +28,76 @@
     """
 
     report: Report
-    at: int
-    since: int
-    life: int = 0
-    taken: int = 0
-    base: dict[str, tuple[int, int]] | None = None
+    received_at: int
+    made_after: int
+    incarnation: int = 0
+    initial_accepted: int = 0
+    peer_baseline: dict[str, tuple[int, int]] | None = None
 
 
-class Watch:
+class ReadinessTracker:
     """The last report of each instance, by name."""
 
     def __init__(self, began: int) -> None:
-        self.began = began
-        self.seen: dict[str, Seen] = {}
+        self.started_at = began
+        self.observations: dict[str, Observation] = {}
 
-    def heard(self, now: int, report: Report, since: int) -> None:
+    def record_report(self, now: int, report: Report, made_after: int) -> None:
         name, counts = report.facts.name, report.counts
-        before = self.seen.get(name)
-        seen = self.seen[name] = Seen(report, now, since)
+        before = self.observations.get(name)
+        seen = self.observations[name] = Observation(report, now, made_after)
         if not counts.life:
             return
-        seen.life = counts.life
-        if before is not None and before.life == counts.life and before.base is not None:
-            seen.taken, seen.base = before.taken, before.base
+        seen.incarnation = counts.life
+        if before is not None and before.incarnation == counts.life and before.peer_baseline is not None:
+            seen.initial_accepted, seen.peer_baseline = before.initial_accepted, before.peer_baseline
         else:
-            seen.taken = counts.taken
-            seen.base = {
-                other: (one.life, one.report.counts.taken)
-                for other, one in self.seen.items()
+            seen.initial_accepted = counts.taken
+            seen.peer_baseline = {
+                other: (one.incarnation, one.report.counts.taken)
+                for other, one in self.observations.items()
                 if other != name and _beside(one.report, report)
             }
 
-    def is_fresh(self, name: str, now: int) -> bool:
-        seen = self.seen.get(name)
-        return seen is not None and now - seen.since <= FRESH
+    def has_fresh_report(self, name: str, now: int) -> bool:
+        seen = self.observations.get(name)
+        return seen is not None and now - seen.made_after <= MAX_REPORT_AGE
 
-    def silent_for(self, name: str, now: int) -> int:
+    def time_since_report(self, name: str, now: int) -> int:
         """Since its last report, or since this watch began."""
-        seen = self.seen.get(name)
-        return now - max(self.began, seen.at if seen else 0)
+        seen = self.observations.get(name)
+        return now - max(self.started_at, seen.received_at if seen else 0)
 
-    def is_in(self, name: str, want: Want, now: int, is_out: Callable[[str], bool]) -> bool:
+    def is_ready(self, name: str, desired: Want, now: int, is_out: Callable[[str], bool]) -> bool:
         """Whether what it told lately shows it in. `is_out`: of others; they are no measure of a share."""
-        seen = self.seen.get(name)
-        if seen is None or now - seen.since > FRESH:
+        seen = self.observations.get(name)
+        if seen is None or now - seen.made_after > MAX_REPORT_AGE:
             return False
         report, counts = seen.report, seen.report.counts
         serves = report.runs and counts.serving and counts.ready and not report.leaving
         # A turn that failed and serves all the same is no turn done: what is wanted did not come up.
-        done = report.turn == want.turn and (report.outcome == "done" or want.turn == (0, 0))
-        if not serves or not done or report.version != want.version or not want.up:
+        done = report.turn == desired.turn and (report.outcome == "done" or desired.turn == (0, 0))
+        if not serves or not done or report.version != desired.version or not desired.up:
             return False
         return report.facts.capacity == 0 or self._takes_share(seen, is_out)
 
-    def _takes_share(self, seen: Seen, is_out: Callable[[str], bool]) -> bool:
+    def _takes_share(self, seen: Observation, is_out: Callable[[str], bool]) -> bool:
         others = [
             one.report.counts.taken - taken
-            for name, (life, taken) in (seen.base or {}).items()
-            if (one := self.seen.get(name)) is not None and one.life == life and not is_out(name)
+            for name, (life, taken) in (seen.peer_baseline or {}).items()
+            if (one := self.observations.get(name)) is not None
+            and one.incarnation == life
+            and not is_out(name)
         ]
         if not others:
             return True
-        return seen.report.counts.taken - seen.taken >= SHARE * sum(others) / len(others)
+        return seen.report.counts.taken - seen.initial_accepted >= MIN_TRAFFIC_FRACTION * sum(others) / len(
+            others
+        )
 
     def forget(self, names: Iterable[str]) -> None:
         for name in names:
-            self.seen.pop(name, None)
+            self.observations.pop(name, None)
 
 
 def _beside(one: Report, other: Report) -> bool:
--- a/valverouter/rollout/sequential_test.py
+++ b/valverouter/rollout/sequential_test.py
@@ -21,70 +21,74 @@
 
 
 class Verdict(Enum):
-    GO = "go"
-    WAIT = "wait"
+    PASS = "go"
+    UNDECIDED = "wait"
     HALT = "halt"
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class SequentialTestConfig:
     """`odds`: the harm that must not be missed; `least`: pairs that are looked at before anything goes on, so
     that a release on which nothing at all fails is not let through on its first dialogs."""
 
-    false_halt: float = 0.001
-    missed: float = 0.05
-    odds: float = 2.0
-    least: int = 500
+    false_halt_probability: float = 0.001
+    missed_harm_probability: float = 0.05
+    odds_ratio: float = 2.0
+    min_pairs: int = 500
 
     @property
-    def upper(self) -> float:
-        return math.log((1 - self.missed) / self.false_halt)
+    def upper_bound(self) -> float:
+        return math.log((1 - self.missed_harm_probability) / self.false_halt_probability)
 
     @property
-    def lower(self) -> float:
-        return math.log(self.missed / (1 - self.false_halt))
+    def lower_bound(self) -> float:
+        return math.log(self.missed_harm_probability / (1 - self.false_halt_probability))
 
 
 @dataclass(slots=True)
-class Comparison:
+class SequentialTest:
     """One measure's running test."""
 
-    rule: Rule
-    ratio: float = 0.0
+    config: SequentialTestConfig
+    log_likelihood_ratio: float = 0.0
     pairs: int = 0
-    differing: int = 0
-    verdict: Verdict = Verdict.WAIT
+    discordant_pairs: int = 0
+    verdict: Verdict = Verdict.UNDECIDED
 
-    def pair(self, released_bad: bool, other_bad: bool) -> None:
+    def add_pair(self, canary_failed: bool, baseline_failed: bool) -> None:
         self.pairs += 1
-        if released_bad != other_bad:
-            self.differing += 1
-            harmed = self.rule.odds / (1 + self.rule.odds)
-            self.ratio += math.log(harmed / 0.5) if released_bad else math.log((1 - harmed) / 0.5)
+        if canary_failed != baseline_failed:
+            self.discordant_pairs += 1
+            harmed = self.config.odds_ratio / (1 + self.config.odds_ratio)
+            self.log_likelihood_ratio += (
+                math.log(harmed / 0.5) if canary_failed else math.log((1 - harmed) / 0.5)
+            )
         self._judge()
 
     def _judge(self) -> None:
         if self.verdict is Verdict.HALT:
             return
-        if self.ratio >= self.rule.upper:
+        if self.log_likelihood_ratio >= self.config.upper_bound:
             self.verdict = Verdict.HALT
-        elif self.pairs >= self.rule.least and (self.ratio <= self.rule.lower or not self.differing):
+        elif self.pairs >= self.config.min_pairs and (
+            self.log_likelihood_ratio <= self.config.lower_bound or not self.discordant_pairs
+        ):
             # Where not one pair differs, both fare the same, and mostly well: `least` of them are enough.
-            self.verdict = Verdict.GO
+            self.verdict = Verdict.PASS
         else:
-            self.verdict = Verdict.WAIT
+            self.verdict = Verdict.UNDECIDED
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
+class OutcomeCount:
     """What one group did in one span: `bad` of `whole`."""
 
-    bad: int
-    whole: int
+    failures: int
+    total: int
 
 
 @dataclass(slots=True)
-class Evidence:
+class CanaryEvidence:
     """A wave's evidence: by region and measure, paired span by span.
 
     `chance` shuffles who is paired with whom; what is left over of the larger group is not used, since it has
@@ -92,32 +96,37 @@
     """
 
     measures: tuple[str, ...]
-    rule: Rule
-    chance: Callable[[], float]
-    comparisons: dict[str, Comparison] = field(default_factory=dict)
+    config: SequentialTestConfig
+    draw: Callable[[], float]
+    tests: dict[str, SequentialTest] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        share = Rule(
-            self.rule.false_halt / len(self.measures), self.rule.missed, self.rule.odds, self.rule.least
+        share = SequentialTestConfig(
+            self.config.false_halt_probability / len(self.measures),
+            self.config.missed_harm_probability,
+            self.config.odds_ratio,
+            self.config.min_pairs,
         )
-        self.comparisons = {measure: Comparison(share) for measure in self.measures}
+        self.tests = {measure: SequentialTest(share) for measure in self.measures}
 
-    def span(self, released: Mapping[str, Tally], others: Mapping[str, Tally], measure: str) -> None:
+    def add_interval(
+        self, canary: Mapping[str, OutcomeCount], baseline: Mapping[str, OutcomeCount], measure: str
+    ) -> None:
         """What both groups did in one span, by region."""
-        comparison = self.comparisons[measure]
-        for region in sorted(released.keys() & others.keys()):
-            ours, theirs = released[region], others[region]
-            pairs = min(ours.whole, theirs.whole)
-            mine = self._drawn(ours, pairs)
-            other = self._drawn(theirs, pairs)
+        comparison = self.tests[measure]
+        for region in sorted(canary.keys() & baseline.keys()):
+            ours, theirs = canary[region], baseline[region]
+            pairs = min(ours.total, theirs.total)
+            mine = self._sample(ours, pairs)
+            other = self._sample(theirs, pairs)
             for one, two in zip(mine, other, strict=True):
-                comparison.pair(one, two)
+                comparison.add_pair(one, two)
 
-    def _drawn(self, tally: Tally, count: int) -> list[bool]:
+    def _sample(self, tally: OutcomeCount, count: int) -> list[bool]:
         """`count` of its dialogs, drawn without putting back, in a drawn order."""
-        drawn, bad, left = [], tally.bad, tally.whole
+        drawn, bad, left = [], tally.failures, tally.total
         for _ in range(count):
-            is_bad = self.chance() * left < bad
+            is_bad = self.draw() * left < bad
             drawn.append(is_bad)
             bad -= is_bad
             left -= 1
@@ -125,15 +134,15 @@
 
     @property
     def verdict(self) -> Verdict:
-        verdicts = {comparison.verdict for comparison in self.comparisons.values()}
+        verdicts = {comparison.verdict for comparison in self.tests.values()}
         if Verdict.HALT in verdicts:
             return Verdict.HALT
-        return Verdict.WAIT if Verdict.WAIT in verdicts else Verdict.GO
+        return Verdict.UNDECIDED if Verdict.UNDECIDED in verdicts else Verdict.PASS
 
     @property
-    def why(self) -> str:
+    def halt_reason(self) -> str:
         """The measure that halted, in one line; empty where none did."""
-        for measure, one in self.comparisons.items():
+        for measure, one in self.tests.items():
             if one.verdict is Verdict.HALT:
-                return f"{measure}: {one.differing} of {one.pairs} pairs differ, too many against it"
+                return f"{measure}: {one.discordant_pairs} of {one.pairs} pairs differ, too many against it"
         return ""
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from valverouter.rollout.operations import Book, Phase
-from valverouter.rollout.control_plane_node import Seat
+from valverouter.rollout.control_plane_node import ControlPlaneNode
 
 
 class Unit(Struct, frozen=True):
@@ -64,17 +64,17 @@
     least: int = 0
 
 
-def shown(book: Book, seat: Seat, now: int, about: str = "") -> Shown:
+def fleet_status(log: Book, node: ControlPlaneNode, now: int, about: str = "") -> Shown:
     """`about`: an order that has ended and whose members are wanted too; * is all of them."""
-    pairs, least = seat.conductor.pairs if seat.conductor else (0, 0)
-    going = book.going
+    pairs, least = node.orchestrator.evidence_progress if node.orchestrator else (0, 0)
+    going = log.going
     watching = going is not None and going.phase in (Phase.WATCHING, Phase.GOING)
     return Shown(
-        seat=seat.name,
-        term=seat.councillor.durable.term,
-        members=tuple(name for name, _ in seat.councillor.members.disks),
-        halted=book.register.halted,
-        units=tuple(_unit(book, seat, now, name) for name in sorted(book.register.units)),
+        seat=node.name,
+        term=node.raft.durable.term,
+        members=tuple(name for name, _ in node.raft.members.disks),
+        halted=log.register.halted,
+        units=tuple(_unit(log, node, now, name) for name in sorted(log.register.units)),
         orders=tuple(
             Order(
                 one.id,
@@ -94,16 +94,16 @@
                     if one.phase is not Phase.ENDED or about in ("*", one.id)
                 ),
             )
-            for one in book.orders.values()
+            for one in log.orders.values()
         ),
         pairs=pairs if watching else 0,
         least=least if watching else 0,
     )
 
 
-def _unit(book: Book, seat: Seat, now: int, name: str) -> Unit:
+def _unit(book: Book, seat: ControlPlaneNode, now: int, name: str) -> Unit:
     unit, want = book.register.units[name], book.wants.get(name)
-    seen = seat.conductor.watch.seen.get(name) if seat.conductor else None
+    seen = seat.orchestrator.readiness.observations.get(name) if seat.orchestrator else None
     state, number, order = "in", 0, ""
     if name in book.register.out:
         held = book.register.out[name]
@@ -120,7 +120,7 @@
         state,
         number,
         order,
-        (now - seen.at) // 1_000_000 if seen else -1,
+        (now - seen.received_at) // 1_000_000 if seen else -1,
         seen.report.ends if seen else 0,
         book.versions.get(name, ()),
     )
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -22,14 +22,14 @@
 
 SECOND = 10**9
 # A start that has not brought the program up by then has failed; after so many the turn is told as failed.
-STARTS = 3
+MAX_START_FAILURES = 3
 # Before a program that ended is started again, doubled with each end in a row, and its most.
-AGAIN = SECOND // 4
-AGAIN_MOST = 15 * SECOND
+RESTART_BACKOFF_BASE = SECOND // 4
+RESTART_BACKOFF_CAP = 15 * SECOND
 # A program that ran for so long did come up: its end is an end, and not a failed start.
-CAME_UP = 5 * SECOND
+MIN_HEALTHY_UPTIME = 5 * SECOND
 # Turns that are kept, for those who ask by number what became of one; the oldest leave.
-TURNS_KEPT = 64
+MAX_KEPT_STEPS = 64
 
 
 class Turn(Struct, frozen=True):
@@ -116,29 +116,29 @@
         return self.number, self.step
 
 
-class Do(Enum):
+class SupervisorAction(Enum):
     """START the program of `version`; STOP it, as SIGTERM asks; SAVE the memory, before anything else. LEAVE:
     ask the list for a server's drain under the turn's number, and let it empty; RETURN: tell the list that
     the number is over."""
 
     START = "start"
-    LEAVE = "leave"
-    RETURN = "return"
+    LEAVE_LIST = "leave"
+    REJOIN_LIST = "return"
     STOP = "stop"
     SAVE = "save"
 
 
 @dataclass(slots=True)
-class Keeping:
+class Supervisor:
     """One instance's keeper. `act` gives what to do next, one thing after the other."""
 
-    facts: Facts
-    memory: Memory
-    runs: bool = False
-    running: str = ""
-    ends: int = 0
-    leaving: bool = False
-    counts: Counts = field(default_factory=Counts)
+    info: Facts
+    state: Memory
+    is_running: bool = False
+    running_version: str = ""
+    unexpected_exits: int = 0
+    is_leaving: bool = False
+    counters: Counts = field(default_factory=Counts)
     _stopping: bool = False
     _unsaved: bool = False
     # The turn under way wants the program stopped first.
@@ -153,167 +153,171 @@
     _start_at: int = 0
     _ends_in_a_row: int = 0
 
-    def wanted(self, now: int, want: Want, is_open: bool) -> bool:
+    def on_desired_state(self, now: int, desired: Want, is_open: bool) -> bool:
         """The council's word, in answer to a report of this process. Whether it began a turn.
 
         `is_open`: its permit is still held. Where it is not, this keeper has lost its disk: the turn was
         carried out by its former self, and is taken for done. What runs meanwhile goes on running: to take it
         out, for another version too, needs an open permit.
         """
-        if self.leaving or want.turn <= self.memory.highest:
+        if self.is_leaving or desired.turn <= self.state.highest:
             return False
         if not is_open:
-            self.memory.version, self.memory.up = want.version, want.up
-            self._begin(Turn(want.number, want.step, want.order, "done", "of a former memory"))
+            self.state.version, self.state.up = desired.version, desired.up
+            self._begin(Turn(desired.number, desired.step, desired.order, "done", "of a former memory"))
             return False
-        if want.version not in self.facts.versions:
-            self._begin(Turn(want.number, want.step, want.order, "failed", f"no version {want.version!r}"))
+        if desired.version not in self.info.versions:
+            self._begin(
+                Turn(desired.number, desired.step, desired.order, "failed", f"no version {desired.version!r}")
+            )
             return True
-        self.memory.version, self.memory.up = want.version, want.up
-        self._begin(Turn(want.number, want.step, want.order))
+        self.state.version, self.state.up = desired.version, desired.up
+        self._begin(Turn(desired.number, desired.step, desired.order))
         # Coming up again needs no stop of what runs as it should: a turn that was halted or refused before
         # its program went leaves it running.
-        self._must_stop = self.runs and (want.step == 0 or self.running != want.version)
+        self._must_stop = self.is_running and (desired.step == 0 or self.running_version != desired.version)
         self._leaving_list = self._left_list = self._refused = False
-        self._starts, self._start_at, self._ends_in_a_row, self.ends = 0, now, 0, 0
+        self._starts, self._start_at, self._ends_in_a_row, self.unexpected_exits = 0, now, 0, 0
         return True
 
     def _begin(self, turn: Turn) -> None:
-        self.memory.turns.append(turn)
-        del self.memory.turns[:-TURNS_KEPT]
+        self.state.turns.append(turn)
+        del self.state.turns[:-MAX_KEPT_STEPS]
         self._unsaved = True
 
     def _finish(self, outcome: str, why: str = "") -> None:
-        last = self.memory.turns[-1]
+        last = self.state.turns[-1]
         if last.outcome != outcome:
-            self.memory.turns[-1] = Turn(last.number, last.step, last.order, outcome, why)
+            self.state.turns[-1] = Turn(last.number, last.step, last.order, outcome, why)
             self._unsaved = True
 
     @property
     def _open(self) -> bool:
-        return bool(self.memory.turns) and self.memory.turns[-1].outcome in ("", "failed")
+        return bool(self.state.turns) and self.state.turns[-1].outcome in ("", "failed")
 
-    def resumes(self, runs: bool) -> None:
+    def resume(self, is_running: bool) -> None:
         """After the keeper's own restart: a turn that was begun and not ended goes on from its beginning, its
         program being stopped if it still runs. It is the same turn, and it is told only once as done."""
-        self.runs = runs
-        self.running = self.memory.running
-        self._must_stop = runs and self._open
+        self.is_running = is_running
+        self.running_version = self.state.running
+        self._must_stop = is_running and self._open
 
     # What happened
 
-    def started(self, now: int, version: str, process: str = "") -> None:
-        self.memory.process, self.memory.running = process, version
+    def on_started(self, now: int, version: str, process: str = "") -> None:
+        self.state.process, self.state.running = process, version
         self._unsaved = True
-        self.runs, self.running, self._began_at = True, version, now
+        self.is_running, self.running_version, self._began_at = True, version, now
         self._stopping = False
-        self.counts = Counts()
+        self.counters = Counts()
 
-    def ended(self, now: int) -> None:
+    def on_exited(self, now: int) -> None:
         """The program has ended, asked or not."""
         asked = self._stopping
-        self.runs, self._stopping, self._must_stop = False, False, False
-        self.counts = Counts()
-        if asked or self.leaving:
+        self.is_running, self._stopping, self._must_stop = False, False, False
+        self.counters = Counts()
+        if asked or self.is_leaving:
             self._start_at = now
             return
-        came_up = now - self._began_at >= CAME_UP
+        came_up = now - self._began_at >= MIN_HEALTHY_UPTIME
         if self._open and not came_up:
             self._starts += 1
-            if self._starts >= STARTS:
-                self._finish("failed", f"{self.memory.version} ended {self._starts} times at its start")
+            if self._starts >= MAX_START_FAILURES:
+                self._finish("failed", f"{self.state.version} ended {self._starts} times at its start")
         else:
-            self.ends += 1
+            self.unexpected_exits += 1
         self._ends_in_a_row = 1 if came_up else self._ends_in_a_row + 1
-        self._start_at = now + min(AGAIN_MOST, AGAIN << min(self._ends_in_a_row - 1, 10))
+        self._start_at = now + min(
+            RESTART_BACKOFF_CAP, RESTART_BACKOFF_BASE << min(self._ends_in_a_row - 1, 10)
+        )
 
-    def could_not_start(self, now: int) -> None:
+    def on_start_failed(self, now: int) -> None:
         """There is no such command, or no process to be had."""
         self._began_at = now
-        self.ended(now)
+        self.on_exited(now)
 
-    def left_list(self, given: bool, why: str = "") -> None:
+    def on_list_answer(self, granted: bool, reason: str = "") -> None:
         """What the list said to a server's leave. Refused, the turn has failed: the server stays as it is,
         and serves."""
         self._leaving_list = False
         if not self._open:
             return
-        if given:
+        if granted:
             self._left_list = True
             return
         self._must_stop, self._refused = False, True
-        self.memory.up = True
-        self._finish("failed", f"the list refuses: {why}")
+        self.state.up = True
+        self._finish("failed", f"the list refuses: {reason}")
 
-    def told(self, counts: Counts) -> None:
+    def on_counters(self, counters: Counts) -> None:
         """What the instance answers of itself."""
-        if not self.runs or self._must_stop or self._stopping:
+        if not self.is_running or self._must_stop or self._stopping:
             return
-        self.counts = counts
-        if self._open and self.memory.up and counts.serving and counts.ready and not self._refused:
+        self.counters = counters
+        if self._open and self.state.up and counters.serving and counters.ready and not self._refused:
             self._finish("done")
-            self._returns = self.memory.turns[-1].number if self.facts.sort is Sort.SERVER else 0
+            self._returns = self.state.turns[-1].number if self.info.sort is Sort.SERVER else 0
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """The machine asks this keeper to go: obeyed, whatever the council says."""
-        self.leaving = True
+        self.is_leaving = True
 
     # What to do
 
-    def act(self, now: int) -> Do | None:
+    def next_action(self, now: int) -> SupervisorAction | None:
         if self._unsaved:
-            return Do.SAVE
-        if self.runs:
+            return SupervisorAction.SAVE
+        if self.is_running:
             return self._unwanted()
-        if self.leaving:
+        if self.is_leaving:
             return None
-        if not self.memory.up:
+        if not self.state.up:
             if self._open:
                 self._finish("done")
-                return Do.SAVE
+                return SupervisorAction.SAVE
             return None
-        return Do.START if now >= self._start_at else None
+        return SupervisorAction.START if now >= self._start_at else None
 
-    def _unwanted(self) -> Do | None:
+    def _unwanted(self) -> SupervisorAction | None:
         """Of a program that runs: whether it is to go, and how."""
-        if self._stopping or not (self._must_stop or not self.memory.up or self.leaving):
+        if self._stopping or not (self._must_stop or not self.state.up or self.is_leaving):
             if self._returns:
                 self._returns = 0
-                return Do.RETURN
+                return SupervisorAction.REJOIN_LIST
             return None
-        if self.facts.sort is Sort.SERVER and not self.leaving and not self._left_list:
+        if self.info.sort is Sort.SERVER and not self.is_leaving and not self._left_list:
             if self._leaving_list:
                 return None
             self._leaving_list = True
-            return Do.LEAVE
-        return Do.STOP
+            return SupervisorAction.LEAVE_LIST
+        return SupervisorAction.STOP
 
-    def saved(self) -> None:
+    def on_saved(self) -> None:
         self._unsaved = False
 
-    def asked_to_stop(self) -> None:
+    def on_stop_requested(self) -> None:
         self._stopping = True
 
     @property
-    def due(self) -> int:
+    def next_start_at(self) -> int:
         """When to look again, if nothing happens."""
         return self._start_at
 
     def report(self) -> Report:
         """Of a turn that is not on disk yet nothing is told."""
-        last = self.memory.turns[-1] if self.memory.turns else Turn(0, 0, "")
-        if self._unsaved and self.memory.turns:
+        last = self.state.turns[-1] if self.state.turns else Turn(0, 0, "")
+        if self._unsaved and self.state.turns:
             last = Turn(last.number, last.step, last.order)
         return Report(
-            facts=self.facts,
-            version=self.running if self.runs else self.memory.version,
-            runs=self.runs and not self._must_stop,
+            facts=self.info,
+            version=self.running_version if self.is_running else self.state.version,
+            runs=self.is_running and not self._must_stop,
             number=last.number,
             step=last.step,
             outcome=last.outcome,
             why=last.why,
-            ends=self.ends,
-            leaving=self.leaving,
-            up=self.memory.up,
-            counts=self.counts,
+            ends=self.unexpected_exits,
+            leaving=self.is_leaving,
+            up=self.state.up,
+            counts=self.counters,
         )
