--- /dev/null
+++ b/tests/stored_values.py
@@ -0,0 +1,774 @@
+"""One sample of everything that is written to disk or sent between processes, built with today's classes.
+
+`tests/data/132c5ee/` holds what the program at that commit made of these samples; test_stored_formats.py
+compares what it makes of them now. Later versions read the stores and hear the messages of earlier ones, so
+the files there are never written anew: a class or field that is renamed is renamed here and keeps its name on
+the wire (`tag="..."`, `rename={...}`).
+
+Values are passed by position, since their order is part of the formats. No field has its default and, as far
+as its type allows, no two fields of a sample have the same value.
+
+    python -m tests.stored_values FOLDER    writes all of the files into FOLDER, which must not exist
+"""
+
+from __future__ import annotations
+
+import json
+import sys
+import tempfile
+from collections.abc import Callable, Iterator
+from contextlib import closing
+from dataclasses import dataclass
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import lmdb
+import msgspec
+
+from valverouter.edge import listing
+from valverouter.experiments import runner
+from valverouter.experiments.plan import Run
+from valverouter.fleet import asking, parcels, sealing, words
+from valverouter.ledger import store
+from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.membership import messages, records
+from valverouter.recovery import course, learnt
+from valverouter.regions import accounts
+from valverouter.relayedge import words as relay_words
+from valverouter.relaywire import bus, lines
+from valverouter.rollout import council, keeping, limits, orders, permits, shown, written
+from valverouter.signalling import framing, greeting, serverlist, setup, tap
+from valverouter.terms import calls
+
+KEY = bytes(range(32))
+
+
+class Format(Enum):
+    """How a sample is written."""
+
+    MSGPACK = "msgpack"
+    JSON = "json"
+    FRAME = "frame"
+    DATAGRAM = "datagram"
+
+
+@dataclass(frozen=True)
+class Sample:
+    """`kind`: the type as which a receiver decodes it, a union where several types may come."""
+
+    value: Any
+    format: Format = Format.MSGPACK
+    kind: Any = None
+
+    @property
+    def decoded_as(self) -> Any:
+        return type(self.value) if self.kind is None else self.kind
+
+    def encode(self) -> bytes:
+        match self.format:
+            case Format.MSGPACK:
+                return msgspec.msgpack.encode(self.value)
+            case Format.JSON:
+                return msgspec.json.encode(self.value)
+            case Format.FRAME:
+                return framing.frame(self.value)
+            case Format.DATAGRAM:
+                return sealing.Seal((KEY,)).seal(self.value)
+
+    def decode(self, data: bytes) -> Any:
+        match self.format:
+            case Format.MSGPACK:
+                return msgspec.msgpack.decode(data, type=self.decoded_as)
+            case Format.JSON:
+                return msgspec.json.decode(data, type=self.decoded_as)
+            case Format.FRAME:
+                (body,) = framing.FrameReader().feed(data)
+                return msgspec.msgpack.decode(body, type=self.decoded_as)
+            case Format.DATAGRAM:
+                return sealing.Opener(sealing.Seal((KEY,)), self.decoded_as).open(data)
+
+
+# Membership
+
+
+def member_record(state: records.State = records.State.SUSPECT) -> records.Record:
+    return records.Record(
+        "e7",
+        "north",
+        3,
+        "127.0.0.7:7107",
+        11,
+        1 << 62,
+        13,
+        state,
+        (17, 1 << 61),
+        "v2.1",
+        "terms-digest",
+        records.Phase.DRAINING,
+        True,
+        "e9",
+    )
+
+
+NEWS = (member_record(),)
+HEAD = ("e1", 101, 103)
+
+MEMBERSHIP: dict[str, Any] = {
+    "ping": messages.Ping(*HEAD, 5, 107, NEWS),
+    "ack": messages.Ack(*HEAD, 6, "e2", 109, NEWS),
+    "ask": messages.Ask(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
+    "nack": messages.Nack(*HEAD, 8),
+    "gossip": messages.Gossip(*HEAD, NEWS),
+    "sync": messages.Sync(*HEAD, (127, 131), NEWS),
+    "pages": messages.Pages(*HEAD, (137, 139), NEWS),
+}
+
+# What an instance tells of itself, and of its view
+
+COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+
+
+def view_row(state: records.State = records.State.LEFT) -> asking.Row:
+    return asking.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
+
+
+VIEW = tuple(view_row(state) for state in records.State)
+VIEWS: dict[str, Any] = {
+    "query": asking.Query(*HEAD, 9, 4),
+    "count": asking.Count(*HEAD, 10),
+    "counted": asking.Counted(*HEAD, 12, COUNTS),
+    "shown": asking.Shown(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
+}
+
+PIECE = parcels.Piece("c1", 193, 197, 2, 5, b"of a parcel")
+
+# Orders and permits
+
+UNITS = (
+    limits.Unit("e5", limits.Sort.EDGE, "east", 199, 1.5),
+    limits.Unit("s6", limits.Sort.SERVER, "west", 211, 2.5),
+)
+LIMITS = limits.Limits(4, 2, {"east": 1}, 0.25, 0.75)
+
+PERMIT_COMMANDS: dict[str, Any] = {
+    "ask": permits.Ask("o1/e5", "e5", "o1"),
+    "back": permits.Back("e8", 223),
+    "away": permits.Away("e10"),
+    "enrol": permits.Enrol(UNITS, ((limits.Sort.SERVER, LIMITS), (limits.Sort.EDGE, LIMITS))),
+    "halt": permits.Halt("as asked", True),
+}
+ORDER_COMMANDS: dict[str, Any] = {
+    "place": orders.Place("o2", orders.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
+    "went": orders.Went("o3", "e11", 229, orders.Step.DRAINED, "emptied"),
+    "next": orders.Next("o4", 3),
+    "stop": orders.Stop("o5", "evidence", False, 233),
+    "runs": orders.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
+    "retire": orders.Retire("e13"),
+}
+COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
+MEMBERS = council.Members((("c1", 241), ("c2", 251)))
+WANT = orders.Want("v8", False, 257, 1, "o6")
+PERMIT = permits.Permit(263, "e14", "o7")
+
+
+def member(step: orders.Step = orders.Step.OUT) -> orders.Member:
+    return orders.Member(step, 269, 3, "v9", "slow")
+
+
+def order(kind: orders.Kind, phase: orders.Phase) -> orders.Order:
+    """With a member for each step."""
+    members = {f"m{at}": member(step) for at, step in enumerate(orders.Step)}
+    waves = [["m0"], list(members)[1:]]
+    head = f"o-{kind.value}", kind, "v10", 271, "operator"
+    return orders.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
+
+
+def book() -> orders.Book:
+    """Every kind of order and every phase of one, at least once each."""
+    phases = list(orders.Phase)
+    kinds = [list(orders.Kind)[at % len(orders.Kind)] for at in range(len(phases))]
+    placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
+    register = permits.Register(
+        {unit.name: unit for unit in UNITS},
+        {limits.Sort.EDGE: LIMITS, limits.Sort.SERVER: LIMITS},
+        {"e14": PERMIT, "e10": None},
+        {"o7/e14": permits.Answer("o7/e14", PERMIT, "given"), "o7/e15": permits.Answer("o7/e15", None, "no")},
+        "until noon",
+    )
+    return orders.Book(
+        register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
+    )
+
+
+# The council
+
+
+def entries() -> tuple[council.Entry, ...]:
+    """One of each command, the members, and a leader's first word."""
+    what = [*COMMANDS.values(), MEMBERS, None]
+    return tuple(council.Entry(281 + at, one) for at, one in enumerate(what))
+
+
+def snapshot() -> council.Snapshot:
+    return council.Snapshot(283, 280, MEMBERS, book())
+
+
+def kept_entries() -> tuple[written.KeptEntry, ...]:
+    return tuple(written.kept_entry(entry) for entry in entries())
+
+
+COUNCIL: dict[str, Any] = {
+    "vote": council.Vote(293, "c1", 307, 311, 313, True),
+    "voted": council.Voted(317, "c2", 331, True, True),
+    "appended": council.Appended(337, "c3", 347, True, 349, 353),
+    "append": written.sent(council.Append(359, "c4", 367, 373, entries(), 379, 383)),
+    "install": written.sent(council.Install(389, "c5", snapshot())),
+}
+
+# Keepers, and the words between seats, keepers and tools
+
+FACTS = keeping.Facts("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
+REPORT = keeping.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
+MEMORY = keeping.Memory(
+    "v13",
+    False,
+    "409 boot",
+    "v12",
+    [keeping.Turn(419, 1, "o8", "done", "in time"), keeping.Turn(421, 2, "o9", "failed", "late")],
+)
+
+WORDS: dict[str, Any] = {
+    **{f"votes-{name}": words.Votes("c2", message) for name, message in COUNCIL.items()},
+    "here": words.Here("c3", 431),
+    "reported": words.Reported(REPORT, 433, 439),
+    "worded": words.Worded("c1", "e16", 443, 449, WANT, True),
+    **{
+        f"asks-{name}": words.Asks(457 + at, "do", command, "about")
+        for at, (name, command) in enumerate(COMMANDS.items())
+    },
+    "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
+}
+
+PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
+TOOL_PAGE = shown.Shown(
+    "c1",
+    463,
+    ("c1", "c2"),
+    "halted",
+    (shown.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
+    (
+        shown.Order(
+            "o11",
+            "release",
+            "v15",
+            487,
+            "operator",
+            "going",
+            1,
+            (("e5",), ("e8",)),
+            "partly",
+            "evidence",
+            {"out": 1, "waiting": 2},
+            (shown.Member("e5", "out", 491, "v14", "slow"),),
+        ),
+    ),
+    499,
+    503,
+)
+
+# Dialogs that an edge proxy owes answers to
+
+
+def dialog_record(phase: course.Phase = course.Phase.OUT) -> course.Record:
+    return course.Record(
+        f"d-{phase.value}",
+        "caller-1",
+        "booking",
+        2,
+        509,
+        course.Moment(521, 523, "boot-1"),
+        541,
+        547,
+        phase,
+        3,
+        "s1",
+        557,
+        course.Moment(563, 569, "boot-2"),
+        "declined",
+        571,
+        True,
+    )
+
+
+LEARNT = learnt.Learnt("s2", 577, 587, 1000, 593, 599)
+
+# The set-up protocol and the list's
+
+LOAD = setup.Load(0.75, 6, 7, 8, 9)
+LEG = ("d1", 5)
+SETUP_KINDS = (
+    setup.Setup
+    | setup.Cancel
+    | setup.Release
+    | setup.Resume
+    | setup.Kept
+    | setup.Provisional
+    | setup.Stands
+    | setup.Ended
+    | setup.LineBusy
+    | setup.Full
+    | setup.NoAgent
+    | setup.Fault
+    | setup.Cancelled
+    | setup.Declined
+    | setup.Aborted
+    | setup.Unknown
+    | setup.Reported
+)
+SETUP: dict[str, Any] = {
+    "setup": setup.Setup(
+        *LEG, traffic_type="booking", no_answer=601, first_choice=3, called_number=607, was_cut=True
+    ),
+    "cancel": setup.Cancel(*LEG),
+    "release": setup.Release(*LEG),
+    "resume": setup.Resume(*LEG),
+    "kept": setup.Kept(*LEG),
+    "provisional": setup.Provisional(*LEG),
+    "stands": setup.Stands(*LEG, "s3", LOAD),
+    "ended": setup.Ended(*LEG, "released", LOAD),
+    "line-busy": setup.LineBusy(*LEG, LOAD),
+    "full": setup.Full(*LEG, 613, LOAD),
+    "no-agent": setup.NoAgent(*LEG, LOAD),
+    "fault": setup.Fault(*LEG, "crashed", LOAD),
+    "cancelled": setup.Cancelled(*LEG, LOAD),
+    "declined": setup.Declined(*LEG, 617),
+    "aborted": setup.Aborted(*LEG, "caller-gone"),
+    "unknown": setup.Unknown(*LEG),
+    "reported": setup.Reported(LOAD),
+}
+GREETING: dict[str, Any] = {
+    "hello": greeting.Hello((1, 2), "edge", "e1", 619),
+    "welcome": greeting.Welcome(2, "s4", 631, 641, 643),
+    "error": greeting.Error("malformed", "not a map"),
+    "not-understood": greeting.NotUnderstood("brand-new"),
+}
+LIST_ROWS = [
+    serverlist.Row("s5", 1, "in-service", "127.0.0.5:7005", "east", 647, 653),
+    serverlist.Row("s6", 2, "draining", "127.0.0.6:7006", "west", 659, 661),
+    serverlist.Row("s7", 3, "gone", "127.0.0.7:7007", "north", 673, 677),
+]
+LIST_KINDS = (
+    serverlist.Watch
+    | serverlist.Snapshot
+    | serverlist.Change
+    | serverlist.Leave
+    | serverlist.Returns
+    | serverlist.Left
+)
+LIST: dict[str, Any] = {
+    "watch": serverlist.Watch("epoch-1", 683),
+    "snapshot": serverlist.Snapshot("epoch-2", 691, LIST_ROWS),
+    "change": serverlist.Change("epoch-3", 701, LIST_ROWS),
+    "leave": serverlist.Leave("s8", 709),
+    "returns": serverlist.Returns("s9", 719),
+    "left": serverlist.Left("s10", 727, True, "in time"),
+}
+# What is at its default is not sent: a default that changes would be another value to an earlier version. So
+# here each is written out.
+NO_LOAD = setup.Load(None, None, None, None, None)
+DEFAULTS: dict[str, Any] = {
+    "setup": setup.Setup(
+        "d1", 0, traffic_type="booking", no_answer=601, first_choice=-1, called_number=0, was_cut=False
+    ),
+    "stands": setup.Stands("d1", 0, "", None),
+    "ended": setup.Ended("d1", 0, "over", None),
+    "full": setup.Full("d1", 0, 0, None),
+    "fault": setup.Fault("d1", 0, "", None),
+    "declined": setup.Declined("d1", 0, 0),
+    "aborted": setup.Aborted("d1", 0, "failed"),
+    "reported": setup.Reported(NO_LOAD),
+    "hello": greeting.Hello((1, 2), "edge", "e1", 0),
+    "welcome": greeting.Welcome(2, "s4", 0, 0, 0),
+    "watch": serverlist.Watch("", 0),
+    "change": serverlist.Change("epoch-3", 701, [serverlist.Row("s5", 1, "gone", "", "", 0, None)]),
+    "left": serverlist.Left("s10", 727, True, ""),
+}
+LIST_CACHE = listing.Kept(733, LIST_ROWS[:2])
+
+# The platform's
+
+ASKED = relay_words.Asked(
+    *LEG,
+    traffic_type="booking",
+    no_answer=739,
+    first_choice=4,
+    called_number=743,
+    was_cut=True,
+    key="0123456789abcdef",
+    description="v=0",
+)
+HOST = bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)
+PLATFORM: dict[str, Any] = {
+    "asked": ASKED,
+    "answered": relay_words.Answered(*LEG, "s11", LOAD, description="v=1"),
+    "stood": relay_words.Stood(ASKED, "s12"),
+    "batch": bus.Batch(
+        751,
+        [bus.BusEvent(757, bus.Topology([bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)], True))],
+    ),
+    "line": lines.Line("answer", "id-1", {"class": "booking", "left": 769}, 16, "v=2"),
+    "sent-line": lines._Sent("setup", "id-2", {"class": "booking"}, 17, "v=3"),
+}
+
+# The rows of a record
+
+ROWS: dict[str, Any] = {
+    "passed": tap.Passed(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
+    "told": tap.Told(2, 797, "e1", "s1", "draining"),
+    "lost": tap.Lost(3, 809, "e1", "s1"),
+    "began": tap.Began(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
+    "fault": tap.Fault(5, 829, 839, "stall", "e1"),
+    "placed": tap.Placed(6, 853, "e1", "north"),
+    "opened": tap.Opened(7, 857),
+    "terms": tap.Terms(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
+    "ran": tap.Ran(9, 883, "e1", "life-1", True),
+    "found": tap.Found(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
+    "viewed": tap.Viewed(11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}),
+    "settles": tap.Settles(12, 911, 919, 929),
+    "limited": tap.Limited(13, 937, 2, 1),
+    "turned": tap.Turned(14, 941, "e1", 947, 2, True, "done"),
+    "runs": tap.Runs(15, 953, "e1", "v16"),
+    "ordered": tap.Ordered(16, 967, "o12", "release", "v17", "ended", "done", {"e1": ("done", 971, "v16")}),
+}
+
+# Files in text
+
+
+def account_rows() -> list[dict[str, Any]]:
+    """One line of traffic, in one minute."""
+    books = accounts.Accounts()
+    counts = accounts.Tally(8, 2, 1, 3, 4, 5, 6, 7)
+    line = ("booking", "north", "south")
+    books.whole[line] = counts
+    books.minutes[9] = {line: counts}
+    return books.rows("e1", 977, 983)
+
+
+CALLS = [calls.Call(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991), calls.Call(2_000_000_000, "info")]
+PASSED_DEFAULTS = tap.Passed(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
+LINE_DEFAULTS = lines.Line("ping", "", {}, None, None)
+RUN = Run({"decisions": "first", "callers": "40"}, 3, "[day]\nlength = 1 s\n")
+FIGURES = {"declined": 0.125, "wasted": 0.5}
+
+
+# What they are together
+
+
+def _named(prefix: str, values: dict[str, Any], format_: Format, kind: Any = None) -> dict[str, Sample]:
+    return {f"{prefix}.{name}": Sample(value, format_, kind) for name, value in values.items()}
+
+
+def samples() -> dict[str, Sample]:
+    """By a key that stays, however classes are called."""
+    plain: dict[str, Any] = {
+        **{f"membership.record-{state.value}": member_record(state) for state in records.State},
+        **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
+        "fleet.envelope": sealing.Envelope(3, MEMBERSHIP["ping"]),
+        "fleet.posted": sealing.Posted(4, PIECE),
+        **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
+        "council.snapshot": written.kept_snapshot(snapshot()),
+        "orders.placed": PLACED,
+        "orders.shown": TOOL_PAGE,
+        "permits.answer": permits.Answer("o7/e14", PERMIT, "given"),
+        "keeper.memory": MEMORY,
+        "keeper.report": REPORT,
+        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in course.Phase},
+        "ledger.learnt": LEARNT,
+        "ledger.damaged": store.Damaged("dialogs", "d9", "its checksum does not fit"),
+    }
+    told = {
+        "orders.json-placed": PLACED,
+        "orders.json-shown": TOOL_PAGE,
+        "ledger.json-exported": msgspec.to_builtins(msgspec.structs.asdict(dialog_record())),
+        "list.cache": LIST_CACHE,
+    }
+    return (
+        {key: Sample(value) for key, value in plain.items()}
+        | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
+        | _named("fleet", VIEWS | {"piece": PIECE}, Format.MSGPACK)
+        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, sealing.Envelope)
+        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, sealing.Posted)
+        | _named("words", WORDS, Format.MSGPACK, words.Word)
+        | _named("setup", SETUP, Format.FRAME, SETUP_KINDS)
+        | _named("greeting", GREETING, Format.FRAME, greeting.Greeting)
+        | _named("list", LIST, Format.FRAME, LIST_KINDS)
+        | _named("defaults", DEFAULTS, Format.FRAME)
+        | _named("defaults", {"row": PASSED_DEFAULTS, "line": LINE_DEFAULTS}, Format.JSON)
+        | _named("platform", PLATFORM, Format.JSON)
+        | _named("row", ROWS, Format.JSON, tap.Row)
+        | {key: Sample(value, Format.JSON) for key, value in told.items()}
+    )
+
+
+def enumerations() -> dict[str, type[Enum]]:
+    """Those that are written by value."""
+    return {
+        "membership.state": records.State,
+        "membership.phase": records.Phase,
+        "orders.kind": orders.Kind,
+        "orders.phase": orders.Phase,
+        "orders.step": orders.Step,
+        "limits.sort": limits.Sort,
+        "ledger.phase": course.Phase,
+    }
+
+
+# Which classes there are
+
+MODULES = (
+    messages,
+    records,
+    asking,
+    parcels,
+    sealing,
+    words,
+    limits,
+    permits,
+    orders,
+    council,
+    written,
+    keeping,
+    shown,
+    course,
+    learnt,
+    store,
+    listing,
+    greeting,
+    setup,
+    serverlist,
+    tap,
+    relay_words,
+    bus,
+    lines,
+)
+
+
+def structs() -> Iterator[tuple[str, type[msgspec.Struct]]]:
+    """Every Struct of the modules whose Structs are written or sent, by module and name."""
+    for module in MODULES:
+        for name, kind in vars(module).items():
+            is_struct = isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+            if is_struct and kind.__module__ == module.__name__:
+                yield f"{module.__name__.removeprefix('valverouter.')}.{name}", kind
+
+
+# Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
+NEVER_WRITTEN = (messages.Said, setup.OfLeg, greeting._Kind, council.Append, council.Install)
+
+TAGS: dict[type[msgspec.Struct], str] = {
+    messages.Said: "Said",
+    messages.Ping: "p",
+    messages.Ack: "a",
+    messages.Ask: "k",
+    messages.Nack: "n",
+    messages.Gossip: "g",
+    messages.Sync: "s",
+    messages.Pages: "v",
+    asking.Query: "?",
+    asking.Count: "c",
+    asking.Counted: "C",
+    asking.Shown: "!",
+    parcels.Piece: "Piece",
+    words.Votes: "v",
+    words.Here: "h",
+    words.Reported: "r",
+    words.Worded: "w",
+    words.Asks: "q",
+    words.Tells: "t",
+    permits.Ask: "Ask",
+    permits.Back: "Back",
+    permits.Away: "Away",
+    permits.Enrol: "Enrol",
+    permits.Halt: "Halt",
+    orders.Place: "Place",
+    orders.Went: "Went",
+    orders.Next: "Next",
+    orders.Stop: "Stop",
+    orders.Runs: "Runs",
+    orders.Retire: "Retire",
+    council.Members: "Members",
+    council.Vote: "Vote",
+    council.Voted: "Voted",
+    council.Append: "Append",
+    council.Appended: "Appended",
+    council.Install: "Install",
+    written.SentAppend: "SentAppend",
+    written.SentInstall: "SentInstall",
+    greeting.Hello: "hello",
+    greeting.Welcome: "welcome",
+    greeting.Error: "error",
+    greeting.NotUnderstood: "not-understood",
+    setup.Setup: "setup",
+    setup.Cancel: "cancel",
+    setup.Release: "release",
+    setup.Resume: "resume",
+    setup.Kept: "kept",
+    setup.Provisional: "provisional",
+    setup.Stands: "stands",
+    setup.Ended: "ended",
+    setup.LineBusy: "line-busy",
+    setup.Full: "full",
+    setup.NoAgent: "no-agent",
+    setup.Fault: "fault",
+    setup.Cancelled: "cancelled",
+    setup.Declined: "declined",
+    setup.Aborted: "aborted",
+    setup.Unknown: "unknown",
+    setup.Reported: "reported",
+    serverlist.Watch: "watch",
+    serverlist.Snapshot: "snapshot",
+    serverlist.Change: "change",
+    serverlist.Leave: "leave",
+    serverlist.Returns: "returns",
+    serverlist.Left: "left",
+    tap.Passed: "passed",
+    tap.Told: "told",
+    tap.Lost: "lost",
+    tap.Began: "began",
+    tap.Fault: "fault",
+    tap.Placed: "placed",
+    tap.Opened: "opened",
+    tap.Terms: "terms",
+    tap.Ran: "ran",
+    tap.Found: "found",
+    tap.Viewed: "viewed",
+    tap.Settles: "settles",
+    tap.Limited: "limited",
+    tap.Turned: "turned",
+    tap.Runs: "runs",
+    tap.Ordered: "ordered",
+    relay_words.Asked: "setup",
+    relay_words.Answered: "stands",
+}
+
+
+# Stores, as folders
+
+
+def write_ledger(folder: Path) -> None:
+    with store.Ledger(folder) as ledger:
+        ledger.begin_epoch(547)
+        for phase in course.Phase:
+            ledger.put(dialog_record(phase))
+        ledger.put_learnt(LEARNT)
+        ledger.commit()
+
+
+def write_council(folder: Path) -> None:
+    with closing(CouncilStore(folder, 997)) as durable:
+        first = snapshot().index + 1
+        durable.commit(
+            [
+                council.SaveTerm(1009, "c2"),
+                council.SaveSnapshot(snapshot()),
+                council.SaveEntries(first, entries()),
+            ]
+        )
+
+
+def write_keeper(folder: Path) -> None:
+    with closing(KeeperStore(folder)) as durable:
+        durable.save(MEMORY)
+
+
+STORES: dict[str, Callable[[Path], None]] = {
+    "ledger": write_ledger,
+    "council": write_council,
+    "keeper": write_keeper,
+}
+
+
+def tables(folder: Path) -> dict[str, dict[str, str]]:
+    """What a store holds: table, key in hex, value in hex. The table of a store without named ones is ''."""
+    with closing(lmdb.open(str(folder), max_dbs=8, readonly=True, lock=False)) as env, env.begin() as read:
+        entries = {bytes(key): bytes(value) for key, value in read.cursor()}
+        if b"memory" in entries:
+            return {"": {key.hex(): value.hex() for key, value in entries.items()}}
+        found = {}
+        for name in entries:
+            table = env.open_db(name, txn=read, create=False)
+            found[name.decode()] = {
+                bytes(key).hex(): bytes(value).hex() for key, value in read.cursor(db=table)
+            }
+        return found
+
+
+# Text files
+
+
+def write_accounts(file: Path) -> None:
+    file.write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in account_rows()))
+
+
+def write_record(file: Path) -> None:
+    tap.write(file, ROWS.values())
+
+
+def write_calls(file: Path) -> None:
+    calls.write_calls(file, CALLS)
+
+
+def write_list_cache(file: Path) -> None:
+    file.write_bytes(msgspec.json.encode(LIST_CACHE))
+
+
+TEXTS: dict[str, Callable[[Path], None]] = {
+    "accounts.jsonl": write_accounts,
+    "record.jsonl": write_record,
+    "calls.csv": write_calls,
+    "list-cache.json": write_list_cache,
+}
+
+
+def run_row(file: Path) -> list[Any]:
+    """An experiment's run as kept in SQLite, without its key and version, which name the program's source."""
+    with closing(runner.Store(file)) as kept:
+        kept.keep(RUN, FIGURES)
+        (row,) = kept._db.execute("select variant, seed, levels, day, figures from runs").fetchall()
+        return list(row)
+
+
+# Writing it all
+
+
+def _compacted(folder: Path, to: Path) -> None:
+    to.mkdir(parents=True)
+    with closing(lmdb.open(str(folder), max_dbs=8, readonly=True, lock=False)) as env:
+        env.copy(str(to), compact=True)
+
+
+def _write_json(file: Path, value: Any) -> None:
+    file.write_text(json.dumps(value, indent=1) + "\n")
+
+
+def write_all(folder: Path) -> None:
+    folder.mkdir(parents=True)
+    _write_json(folder / "messages.json", {key: one.encode().hex() for key, one in samples().items()})
+    _write_json(
+        folder / "enumerations.json",
+        {key: [one.value for one in kind] for key, kind in enumerations().items()},
+    )
+    for name, write in TEXTS.items():
+        write(folder / name)
+    with tempfile.TemporaryDirectory() as scratch:
+        for name, write in STORES.items():
+            write(Path(scratch, name))
+            _write_json(folder / f"{name}.json", tables(Path(scratch, name)))
+            _compacted(Path(scratch, name), folder / name)
+        _write_json(folder / "run.json", run_row(Path(scratch, "runs.sqlite")))
+
+
+if __name__ == "__main__":
+    write_all(Path(sys.argv[1]))
