--- a/valverouter/fleet/parcels.py
+++ b/valverouter/fleet/parcels.py
@@ -20,7 +20,7 @@
 HELD_MOST = 64
 
 
-class Piece(Struct, frozen=True, array_like=True, tag=True):
+class Piece(Struct, frozen=True, array_like=True, tag="Piece"):
     """Piece `at` of `of` of the parcel `id`, from one life."""
 
     name: str
--- a/valverouter/membership/messages.py
+++ b/valverouter/membership/messages.py
@@ -11,7 +11,7 @@
 from valverouter.membership.records import Record
 
 
-class Said(Struct, frozen=True, array_like=True, tag=True):
+class Said(Struct, frozen=True, array_like=True, tag="Said"):
     name: str
     life: int
     digest: int
--- a/valverouter/rollout/council.py
+++ b/valverouter/rollout/council.py
@@ -37,7 +37,7 @@
     LEADER = "leader"
 
 
-class Members(Struct, frozen=True, tag=True):
+class Members(Struct, frozen=True, tag="Members"):
     """Who the council is, as an entry of its record: names with their disks."""
 
     disks: tuple[tuple[str, int], ...]
@@ -125,7 +125,7 @@
 # What is said
 
 
-class Vote(Struct, frozen=True, array_like=True, tag=True):
+class Vote(Struct, frozen=True, array_like=True, tag="Vote"):
     """`ahead`: would you, before any term is changed."""
 
     term: int
@@ -136,7 +136,7 @@
     ahead: bool = False
 
 
-class Voted(Struct, frozen=True, array_like=True, tag=True):
+class Voted(Struct, frozen=True, array_like=True, tag="Voted"):
     term: int
     name: str
     disk: int
@@ -144,7 +144,7 @@
     ahead: bool = False
 
 
-class Append(Struct, frozen=True, array_like=True, tag=True):
+class Append(Struct, frozen=True, array_like=True, tag="Append"):
     term: int
     name: str
     before: int
@@ -155,7 +155,7 @@
     turn: int = 0
 
 
-class Appended(Struct, frozen=True, array_like=True, tag=True):
+class Appended(Struct, frozen=True, array_like=True, tag="Appended"):
     """`has`: the last index that is the leader's as well; where not `taken`, from where to try again."""
 
     term: int
@@ -166,7 +166,7 @@
     turn: int = 0
 
 
-class Install(Struct, frozen=True, array_like=True, tag=True):
+class Install(Struct, frozen=True, array_like=True, tag="Install"):
     term: int
     name: str
     snapshot: Snapshot
--- a/valverouter/rollout/orders.py
+++ b/valverouter/rollout/orders.py
@@ -67,7 +67,7 @@
 BUSY = (Phase.GOING, Phase.WATCHING, Phase.RETURNING)
 
 
-class Place(Struct, frozen=True, tag=True):
+class Place(Struct, frozen=True, tag="Place"):
     """An order. `id` is its own: placed again, it is the same order. `at`: wall time in ms, to be shown and
     for nothing else. `dry`: nothing is placed, the plan is told."""
 
@@ -79,7 +79,7 @@
     by: str = ""
 
 
-class Went(Struct, frozen=True, tag=True):
+class Went(Struct, frozen=True, tag="Went"):
     """What became of an instance, as it told; `number`: of its permit, 0 where it has none yet."""
 
     order: str
@@ -89,14 +89,14 @@
     why: str = ""
 
 
-class Next(Struct, frozen=True, tag=True):
+class Next(Struct, frozen=True, tag="Next"):
     """The evidence lets the wave after `wave` go."""
 
     order: str
     wave: int
 
 
-class Stop(Struct, frozen=True, tag=True):
+class Stop(Struct, frozen=True, tag="Stop"):
     """Nothing further goes out by the order (empty: by any), and what is out comes in. `back`: what was
     released returns to its former version as well."""
 
@@ -106,7 +106,7 @@
     at: int = 0
 
 
-class Runs(Struct, frozen=True, tag=True):
+class Runs(Struct, frozen=True, tag="Runs"):
     """An instance tells which version it runs, and which its keeper can start; the highest turn that its
     keeper has begun, and whether it is to be up by that."""
 
@@ -118,7 +118,7 @@
     up: bool = True
 
 
-class Retire(Struct, frozen=True, tag=True):
+class Retire(Struct, frozen=True, tag="Retire"):
     """An instance that is no part of the fleet any more."""
 
     name: str
--- a/valverouter/rollout/permits.py
+++ b/valverouter/rollout/permits.py
@@ -20,7 +20,7 @@
 ANSWERS_KEPT = 1_024
 
 
-class Ask(Struct, frozen=True, tag=True):
+class Ask(Struct, frozen=True, tag="Ask"):
     """`name` asks to go out, for an order. `id` is the ask's own: repeated, it gets its first answer."""
 
     id: str
@@ -28,27 +28,27 @@
     order: str = ""
 
 
-class Back(Struct, frozen=True, tag=True):
+class Back(Struct, frozen=True, tag="Back"):
     """`name` serves again, is warm and takes its share; `number`: the permit it went out by, 0: without."""
 
     name: str
     number: int = 0
 
 
-class Away(Struct, frozen=True, tag=True):
+class Away(Struct, frozen=True, tag="Away"):
     """`name` was found gone, or was stopped by its machine, without leave."""
 
     name: str
 
 
-class Enrol(Struct, frozen=True, tag=True):
+class Enrol(Struct, frozen=True, tag="Enrol"):
     """What there is in the fleet, and its limits; `units` of the same name take the former's place."""
 
     units: tuple[Unit, ...] = ()
     limits: tuple[tuple[Sort, Limits], ...] = ()
 
 
-class Halt(Struct, frozen=True, tag=True):
+class Halt(Struct, frozen=True, tag="Halt"):
     """Nothing further goes out, until `over`."""
 
     why: str
--- a/valverouter/rollout/written.py
+++ b/valverouter/rollout/written.py
@@ -39,7 +39,7 @@
         return Snapshot(self.index, self.term, self.members, self.state)
 
 
-class SentAppend(Struct, frozen=True, array_like=True, tag=True):
+class SentAppend(Struct, frozen=True, array_like=True, tag="SentAppend"):
     term: int
     name: str
     before: int
@@ -49,7 +49,7 @@
     turn: int
 
 
-class SentInstall(Struct, frozen=True, array_like=True, tag=True):
+class SentInstall(Struct, frozen=True, array_like=True, tag="SentInstall"):
     """Without the number of its round: sent again it is the same words, whose missing pieces follow."""
 
     term: int
