--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -32,13 +32,13 @@
 from valverouter.fleet import asking, parcels, sealing, words
 from valverouter.ledger import store
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
 from valverouter.recovery import course, learnt
 from valverouter.regions import accounts
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
-from valverouter.rollout import council, keeping, limits, orders, permits, shown, written
+from valverouter.rollout import council, limits, operations, permits, status, supervisor, written
 from valverouter.signalling import framing, greeting, serverlist, setup, tap
 from valverouter.terms import calls
 
@@ -127,7 +127,7 @@
 
 # What an instance tells of itself, and of its view
 
-COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+COUNTS = supervisor.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
 def view_row(state: records.State = records.State.LEFT) -> asking.Row:
@@ -160,35 +160,35 @@
     "halt": permits.Halt("as asked", True),
 }
 ORDER_COMMANDS: dict[str, Any] = {
-    "place": orders.Place("o2", orders.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
-    "went": orders.Went("o3", "e11", 229, orders.Step.DRAINED, "emptied"),
-    "next": orders.Next("o4", 3),
-    "stop": orders.Stop("o5", "evidence", False, 233),
-    "runs": orders.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
-    "retire": orders.Retire("e13"),
+    "place": operations.Place("o2", operations.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
+    "went": operations.Went("o3", "e11", 229, operations.Step.DRAINED, "emptied"),
+    "next": operations.Next("o4", 3),
+    "stop": operations.Stop("o5", "evidence", False, 233),
+    "runs": operations.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
+    "retire": operations.Retire("e13"),
 }
 COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
 MEMBERS = council.Members((("c1", 241), ("c2", 251)))
-WANT = orders.Want("v8", False, 257, 1, "o6")
+WANT = operations.Want("v8", False, 257, 1, "o6")
 PERMIT = permits.Permit(263, "e14", "o7")
 
 
-def member(step: orders.Step = orders.Step.OUT) -> orders.Member:
-    return orders.Member(step, 269, 3, "v9", "slow")
+def member(step: operations.Step = operations.Step.OUT) -> operations.Member:
+    return operations.Member(step, 269, 3, "v9", "slow")
 
 
-def order(kind: orders.Kind, phase: orders.Phase) -> orders.Order:
+def order(kind: operations.Kind, phase: operations.Phase) -> operations.Order:
     """With a member for each step."""
-    members = {f"m{at}": member(step) for at, step in enumerate(orders.Step)}
+    members = {f"m{at}": member(step) for at, step in enumerate(operations.Step)}
     waves = [["m0"], list(members)[1:]]
     head = f"o-{kind.value}", kind, "v10", 271, "operator"
-    return orders.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
+    return operations.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
 
 
-def book() -> orders.Book:
+def book() -> operations.Book:
     """Every kind of order and every phase of one, at least once each."""
-    phases = list(orders.Phase)
-    kinds = [list(orders.Kind)[at % len(orders.Kind)] for at in range(len(phases))]
+    phases = list(operations.Phase)
+    kinds = [list(operations.Kind)[at % len(operations.Kind)] for at in range(len(phases))]
     placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
     register = permits.Register(
         {unit.name: unit for unit in UNITS},
@@ -197,7 +197,7 @@
         {"o7/e14": permits.Answer("o7/e14", PERMIT, "given"), "o7/e15": permits.Answer("o7/e15", None, "no")},
         "until noon",
     )
-    return orders.Book(
+    return operations.Book(
         register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
     )
 
@@ -229,14 +229,14 @@
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = keeping.Facts("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
-REPORT = keeping.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
-MEMORY = keeping.Memory(
+FACTS = supervisor.Facts("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
+REPORT = supervisor.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
+MEMORY = supervisor.Memory(
     "v13",
     False,
     "409 boot",
     "v12",
-    [keeping.Turn(419, 1, "o8", "done", "in time"), keeping.Turn(421, 2, "o9", "failed", "late")],
+    [supervisor.Turn(419, 1, "o8", "done", "in time"), supervisor.Turn(421, 2, "o9", "failed", "late")],
 )
 
 WORDS: dict[str, Any] = {
@@ -251,15 +251,15 @@
     "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
-PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
-TOOL_PAGE = shown.Shown(
+PLACED = operations.Placed("o10", (("e5",), ("e8", "e11")), "refused")
+TOOL_PAGE = status.Shown(
     "c1",
     463,
     ("c1", "c2"),
     "halted",
-    (shown.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
+    (status.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
     (
-        shown.Order(
+        status.Order(
             "o11",
             "release",
             "v15",
@@ -271,7 +271,7 @@
             "partly",
             "evidence",
             {"out": 1, "waiting": 2},
-            (shown.Member("e5", "out", 491, "v14", "slow"),),
+            (status.Member("e5", "out", 491, "v14", "slow"),),
         ),
     ),
     499,
@@ -517,9 +517,9 @@
     return {
         "membership.state": records.State,
         "membership.phase": records.Phase,
-        "orders.kind": orders.Kind,
-        "orders.phase": orders.Phase,
-        "orders.step": orders.Step,
+        "orders.kind": operations.Kind,
+        "orders.phase": operations.Phase,
+        "orders.step": operations.Step,
         "limits.sort": limits.Sort,
         "ledger.phase": course.Phase,
     }
@@ -536,11 +536,11 @@
     words,
     limits,
     permits,
-    orders,
+    operations,
     council,
     written,
-    keeping,
-    shown,
+    supervisor,
+    status,
     course,
     learnt,
     store,
@@ -592,12 +592,12 @@
     permits.Away: "Away",
     permits.Enrol: "Enrol",
     permits.Halt: "Halt",
-    orders.Place: "Place",
-    orders.Went: "Went",
-    orders.Next: "Next",
-    orders.Stop: "Stop",
-    orders.Runs: "Runs",
-    orders.Retire: "Retire",
+    operations.Place: "Place",
+    operations.Went: "Went",
+    operations.Next: "Next",
+    operations.Stop: "Stop",
+    operations.Runs: "Runs",
+    operations.Retire: "Retire",
     council.Members: "Members",
     council.Vote: "Vote",
     council.Voted: "Voted",
@@ -679,7 +679,7 @@
 
 
 def write_keeper(folder: Path) -> None:
-    with closing(KeeperStore(folder)) as durable:
+    with closing(SupervisorStore(folder)) as durable:
         durable.save(MEMORY)
 
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -16,7 +16,7 @@
 
 from tests import stored_values
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.ledger.store import Ledger
 from valverouter.recovery import course
 from valverouter.rollout.council import Durable
@@ -60,7 +60,7 @@
 
 
 def test_a_keepers_store_of_before_gives_its_memory_back(tmp_path: Path) -> None:
-    with closing(KeeperStore(copied_store("keeper", tmp_path))) as store:
+    with closing(SupervisorStore(copied_store("keeper", tmp_path))) as store:
         assert store.load() == stored_values.MEMORY
 
 
