--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -13,10 +13,10 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass, field, replace
 from enum import Enum
 
-from msgspec import Struct
+from msgspec import Struct, field
+from msgspec.structs import replace
 
 from valverouter.rollout.limits import impossible, refusal, waves
 from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt, Permit, Register
@@ -127,8 +127,7 @@
 Command = PermitCommand | Place | Went | Next | Stop | Runs | Retire
 
 
-@dataclass(frozen=True, slots=True)
-class Want:
+class Want(Struct, frozen=True):
     """What an instance should be. `number`, `step`: the turn that made it so; (0, 0): as it was found."""
 
     version: str
@@ -142,8 +141,7 @@
         return self.number, self.step
 
 
-@dataclass(slots=True)
-class Member:
+class Member(Struct):
     """An instance in an order. `tries`: how often it asked for leave; `former`: its version before."""
 
     step: Step = Step.WAITING
@@ -153,8 +151,7 @@
     why: str = ""
 
 
-@dataclass(slots=True)
-class Order:
+class Order(Struct):
     """One order. `wave` counts from 0, `watched` are those after which evidence is awaited; `result` is told
     once it has ended."""
 
@@ -198,8 +195,7 @@
         )
 
 
-@dataclass(frozen=True, slots=True)
-class Placed:
+class Placed(Struct, frozen=True):
     """To a Place: the order's waves, or why it is refused."""
 
     id: str
@@ -207,8 +203,7 @@
     why: str = ""
 
 
-@dataclass(slots=True)
-class Book:
+class Book(Struct):
     """The state: permits, what is wanted of whom, and the orders in the order in which they were placed."""
 
     register: Register = field(default_factory=Register)
