--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -33,7 +33,7 @@
 from valverouter.emulator.rollouts import Broken, Rollout
 from valverouter.rollout.council import SECOND
 from valverouter.rollout.limits import Limits
-from valverouter.rollout.operations import Kind, Phase, Place
+from valverouter.rollout.operations import OperationKind, OperationPhase, Submit
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
 from valverouter.terms.ini import IniFile
@@ -132,13 +132,13 @@
     seed, instances, version, rule = case
     limits = Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
     course = Rollout(seed, instances, limits, loss=0.0, watching=rule)
-    place = Place("r", Kind.RELEASE, tuple(sorted(course.fleet)), version)
+    place = Submit("r", OperationKind.RELEASE, tuple(sorted(course.fleet)), version)
     course.at(10 * SECOND, course.order, place)
     while course.now < 1_200 * SECOND:
         course.run(course.now + SECOND)
         leader = course.leader
-        order = leader.operation_log.orders.get("r") if leader is not None else None
-        if order is not None and order.phase is Phase.ENDED:
+        order = leader.operation_log.operations.get("r") if leader is not None else None
+        if order is not None and order.phase is OperationPhase.ENDED:
             took = course.now / SECOND - 10
             return order.result == "halted", course.harmed / max(1, course.served), took
     return False, course.harmed / max(1, course.served), 1_190.0
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -127,7 +127,7 @@
 
 # What an instance tells of itself, and of its view
 
-COUNTS = supervisor.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+COUNTS = supervisor.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
 def view_row(state: records.State = records.State.LEFT) -> asking.Row:
@@ -160,35 +160,35 @@
     "halt": permits.Halt("as asked", True),
 }
 ORDER_COMMANDS: dict[str, Any] = {
-    "place": operations.Place("o2", operations.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
-    "went": operations.Went("o3", "e11", 229, operations.Step.DRAINED, "emptied"),
-    "next": operations.Next("o4", 3),
-    "stop": operations.Stop("o5", "evidence", False, 233),
-    "runs": operations.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
+    "place": operations.Submit("o2", operations.OperationKind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
+    "went": operations.StepReported("o3", "e11", 229, operations.StepStatus.DRAINED, "emptied"),
+    "next": operations.Advance("o4", 3),
+    "stop": operations.Cancel("o5", "evidence", False, 233),
+    "runs": operations.InstanceReported("e12", "v6", ("v6", "v7"), 239, 2, False),
     "retire": operations.Retire("e13"),
 }
 COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
 MEMBERS = council.Members((("c1", 241), ("c2", 251)))
-WANT = operations.Want("v8", False, 257, 1, "o6")
+WANT = operations.DesiredState("v8", False, 257, 1, "o6")
 PERMIT = permits.Permit(263, "e14", "o7")
 
 
-def member(step: operations.Step = operations.Step.OUT) -> operations.Member:
-    return operations.Member(step, 269, 3, "v9", "slow")
+def member(step: operations.StepStatus = operations.StepStatus.OUT) -> operations.Participant:
+    return operations.Participant(step, 269, 3, "v9", "slow")
 
 
-def order(kind: operations.Kind, phase: operations.Phase) -> operations.Order:
+def order(kind: operations.OperationKind, phase: operations.OperationPhase) -> operations.Operation:
     """With a member for each step."""
-    members = {f"m{at}": member(step) for at, step in enumerate(operations.Step)}
+    members = {f"m{at}": member(step) for at, step in enumerate(operations.StepStatus)}
     waves = [["m0"], list(members)[1:]]
     head = f"o-{kind.value}", kind, "v10", 271, "operator"
-    return operations.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
+    return operations.Operation(*head, waves, members, [1], phase, 1, True, "halted", "partly")
 
 
-def book() -> operations.Book:
+def book() -> operations.OperationLog:
     """Every kind of order and every phase of one, at least once each."""
-    phases = list(operations.Phase)
-    kinds = [list(operations.Kind)[at % len(operations.Kind)] for at in range(len(phases))]
+    phases = list(operations.OperationPhase)
+    kinds = [list(operations.OperationKind)[at % len(operations.OperationKind)] for at in range(len(phases))]
     placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
     register = permits.Register(
         {unit.name: unit for unit in UNITS},
@@ -197,7 +197,7 @@
         {"o7/e14": permits.Answer("o7/e14", PERMIT, "given"), "o7/e15": permits.Answer("o7/e15", None, "no")},
         "until noon",
     )
-    return operations.Book(
+    return operations.OperationLog(
         register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
     )
 
@@ -229,14 +229,14 @@
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = supervisor.Facts("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
-REPORT = supervisor.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
-MEMORY = supervisor.Memory(
+FACTS = supervisor.InstanceInfo("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
+REPORT = supervisor.SupervisorReport(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
+MEMORY = supervisor.SupervisorState(
     "v13",
     False,
     "409 boot",
     "v12",
-    [supervisor.Turn(419, 1, "o8", "done", "in time"), supervisor.Turn(421, 2, "o9", "failed", "late")],
+    [supervisor.Step(419, 1, "o8", "done", "in time"), supervisor.Step(421, 2, "o9", "failed", "late")],
 )
 
 WORDS: dict[str, Any] = {
@@ -251,15 +251,19 @@
     "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
-PLACED = operations.Placed("o10", (("e5",), ("e8", "e11")), "refused")
-TOOL_PAGE = status.Shown(
+PLACED = operations.SubmitResult("o10", (("e5",), ("e8", "e11")), "refused")
+TOOL_PAGE = status.FleetStatus(
     "c1",
     463,
     ("c1", "c2"),
     "halted",
-    (status.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
     (
-        status.Order(
+        status.InstanceStatus(
+            "e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")
+        ),
+    ),
+    (
+        status.OperationStatus(
             "o11",
             "release",
             "v15",
@@ -271,7 +275,7 @@
             "partly",
             "evidence",
             {"out": 1, "waiting": 2},
-            (status.Member("e5", "out", 491, "v14", "slow"),),
+            (status.ParticipantStatus("e5", "out", 491, "v14", "slow"),),
         ),
     ),
     499,
@@ -517,9 +521,9 @@
     return {
         "membership.state": records.State,
         "membership.phase": records.Phase,
-        "orders.kind": operations.Kind,
-        "orders.phase": operations.Phase,
-        "orders.step": operations.Step,
+        "orders.kind": operations.OperationKind,
+        "orders.phase": operations.OperationPhase,
+        "orders.step": operations.StepStatus,
         "limits.sort": limits.Sort,
         "ledger.phase": course.Phase,
     }
@@ -592,11 +596,11 @@
     permits.Away: "Away",
     permits.Enrol: "Enrol",
     permits.Halt: "Halt",
-    operations.Place: "Place",
-    operations.Went: "Went",
-    operations.Next: "Next",
-    operations.Stop: "Stop",
-    operations.Runs: "Runs",
+    operations.Submit: "Place",
+    operations.StepReported: "Went",
+    operations.Advance: "Next",
+    operations.Cancel: "Stop",
+    operations.InstanceReported: "Runs",
     operations.Retire: "Retire",
     council.Members: "Members",
     council.Vote: "Vote",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,30 +11,37 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.rollouts import VERSIONS, Broken, Rollout
-from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.council import Members
-from valverouter.rollout.sequential_test import SequentialTestConfig
-from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory, Report
 from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.operations import (
     ACTIVE_PHASES,
-    Book,
+    Advance,
+    Cancel,
     Command,
-    Kind,
-    Next,
-    Phase,
-    Place,
-    Placed,
+    DesiredState,
+    InstanceReported,
+    OperationKind,
+    OperationLog,
+    OperationPhase,
     Retire,
-    Runs,
-    Step,
-    Stop,
-    Want,
-    Went,
+    StepReported,
+    StepStatus,
+    Submit,
+    SubmitResult,
     evaluation_waves,
 )
+from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt
 from valverouter.rollout.readiness import ReadinessTracker
+from valverouter.rollout.sequential_test import SequentialTestConfig
+from valverouter.rollout.supervisor import (
+    InstanceCounters,
+    InstanceInfo,
+    Supervisor,
+    SupervisorAction,
+    SupervisorReport,
+    SupervisorState,
+)
 from valverouter.rollout.written import KeptSnapshot
 
 SECOND = 10**9
@@ -45,20 +52,20 @@
     """A book with the number of the next command."""
 
     def __init__(self, count: int = 6, limits: Limits = LIMITS) -> None:
-        self.book = Book()
+        self.book = OperationLog()
         self.number = 0
         units = tuple(Unit(f"e{at}", Sort.EDGE, ("north", "south")[at % 2], 100) for at in range(count))
         self.says(Enrol(units, ((Sort.EDGE, limits),)))
         for unit in units:
-            self.says(Runs(unit.name, "v1", ("v1", "v2")))
+            self.says(InstanceReported(unit.name, "v1", ("v1", "v2")))
 
     def says(self, command: Command) -> Any:
         self.number += 1
         return self.book.apply(self.number, command)
 
-    def place(self, id_: str, kind: Kind, *names: str, version: str = "") -> Placed:
-        placed = self.says(Place(id_, kind, names, version))
-        assert isinstance(placed, Placed)
+    def place(self, id_: str, kind: OperationKind, *names: str, version: str = "") -> SubmitResult:
+        placed = self.says(Submit(id_, kind, names, version))
+        assert isinstance(placed, SubmitResult)
         return placed
 
     def leave(self, order: str, name: str, try_: int = 0) -> int:
@@ -66,8 +73,8 @@
         assert isinstance(answer, Answer) and answer.permit is not None, answer
         return answer.permit.number
 
-    def step(self, order: str, name: str) -> Step:
-        return self.book.orders[order].members[name].step
+    def step(self, order: str, name: str) -> StepStatus:
+        return self.book.operations[order].participants[name].status
 
 
 # The book
@@ -76,20 +83,20 @@
 def test_a_release_goes_wave_by_wave_and_waits_for_its_evidence() -> None:
     record = Record()
     names = [f"e{at}" for at in range(6)]
-    placed = record.place("r", Kind.RELEASE, *names, version="v2")
-    assert [len(wave) for wave in placed.waves] == [1] * 6 and not placed.why
-    order = record.book.orders["r"]
+    placed = record.place("r", OperationKind.RELEASE, *names, version="v2")
+    assert [len(wave) for wave in placed.waves] == [1] * 6 and not placed.rejection
+    order = record.book.operations["r"]
     first = placed.waves[0][0]
     number = record.leave("r", first)
-    assert record.book.wants[first] == Want("v2", True, number, 0, "r")
+    assert record.book.desired[first] == DesiredState("v2", True, number, 0, "r")
     record.says(Back(first, number))
-    assert (order.phase, record.step("r", first)) == (Phase.WATCHING, Step.DONE)
-    record.says(Next("r", 5))
-    assert order.phase is Phase.WATCHING, "of another wave"
-    record.says(Next("r", 0))
-    assert (order.phase, order.wave) == (Phase.GOING, 1)
-    record.says(Next("r", 0))
-    assert order.wave == 1, "told again"
+    assert (order.phase, record.step("r", first)) == (OperationPhase.EVALUATING, StepStatus.DONE)
+    record.says(Advance("r", 5))
+    assert order.phase is OperationPhase.EVALUATING, "of another wave"
+    record.says(Advance("r", 0))
+    assert (order.phase, order.wave_index) == (OperationPhase.RUNNING, 1)
+    record.says(Advance("r", 0))
+    assert order.wave_index == 1, "told again"
 
 
 def test_watches_come_once_three_times_as_many_are_released() -> None:
@@ -101,117 +108,120 @@
 @pytest.mark.parametrize(
     ("kind", "names", "version", "said"),
     [
-        (Kind.RESTART, (), "", "nobody is meant"),
-        (Kind.RESTART, ("e9",), "", "e9 is not enrolled"),
-        (Kind.RELEASE, ("e0",), "v9", "knows no version 'v9'"),
-        (Kind.UNDRAIN, ("e0",), "", "e0 is not drained"),
-        (Kind.DRAIN, ("e0", "e2"), "", "edge proxies out at once: 2 of 2, used by e0, e5"),
-        (Kind.RELEASE, ("e0",), "v1", "e0 is at v1 already"),
-        (Kind.RESTART, ("e5",), "", "e5 is drained: it is brought back by undrain"),
-        (Kind.RESTART, ("e3", "e4"), "", "e3 of it: order going is not done with them"),
+        (OperationKind.RESTART, (), "", "nobody is meant"),
+        (OperationKind.RESTART, ("e9",), "", "e9 is not enrolled"),
+        (OperationKind.RELEASE, ("e0",), "v9", "knows no version 'v9'"),
+        (OperationKind.UNDRAIN, ("e0",), "", "e0 is not drained"),
+        (OperationKind.DRAIN, ("e0", "e2"), "", "edge proxies out at once: 2 of 2, used by e0, e5"),
+        (OperationKind.RELEASE, ("e0",), "v1", "e0 is at v1 already"),
+        (OperationKind.RESTART, ("e5",), "", "e5 is drained: it is brought back by undrain"),
+        (OperationKind.RESTART, ("e3", "e4"), "", "e3 of it: order going is not done with them"),
     ],
 )
 def test_an_order_that_can_not_be_carried_out_is_refused_whole(
-    kind: Kind, names: tuple[str, ...], version: str, said: str
+    kind: OperationKind, names: tuple[str, ...], version: str, said: str
 ) -> None:
     record = Record()
-    record.place("d", Kind.DRAIN, "e5")
-    record.says(Went("d", "e5", record.leave("d", "e5"), Step.DRAINED))
-    record.place("going", Kind.RESTART, "e3")
+    record.place("d", OperationKind.DRAIN, "e5")
+    record.says(StepReported("d", "e5", record.leave("d", "e5"), StepStatus.DRAINED))
+    record.place("going", OperationKind.RESTART, "e3")
     before = record.book.copy()
     placed = record.place("o", kind, *names, version=version)
-    assert said in placed.why
+    assert said in placed.rejection
     assert record.book == before, "and nothing of it is left"
 
 
 def test_overlapping_orders_are_refused_and_others_wait_their_turn() -> None:
     record = Record()
-    record.place("a", Kind.RESTART, "e0")
-    assert "order a is not done" in record.place("b", Kind.RESTART, "e0", "e1").why
-    assert not record.place("c", Kind.RESTART, "e2").why
-    assert record.book.orders["c"].phase is Phase.QUEUED
+    record.place("a", OperationKind.RESTART, "e0")
+    assert "order a is not done" in record.place("b", OperationKind.RESTART, "e0", "e1").rejection
+    assert not record.place("c", OperationKind.RESTART, "e2").rejection
+    assert record.book.operations["c"].phase is OperationPhase.QUEUED
     answer = record.says(Ask("c/e2/0", "e2", "c"))
     assert answer.permit is None, "not its turn"
     number = record.leave("a", "e0")
     record.says(Back("e0", number))
-    assert record.book.orders["a"].result == "done"
-    assert record.book.going is record.book.orders["c"]
+    assert record.book.operations["a"].result == "done"
+    assert record.book.active_operation is record.book.operations["c"]
 
 
 def test_an_order_placed_again_a_day_later_is_the_same_order() -> None:
     record = Record()
-    record.place("a", Kind.RESTART, "e0")
+    record.place("a", OperationKind.RESTART, "e0")
     number = record.leave("a", "e0")
     record.says(Back("e0", number))
-    again = record.place("a", Kind.RESTART, "e0")
-    assert again.waves == (("e0",),) and record.book.orders["a"].result == "done"
-    assert record.book.going is None
+    again = record.place("a", OperationKind.RESTART, "e0")
+    assert again.waves == (("e0",),) and record.book.operations["a"].result == "done"
+    assert record.book.active_operation is None
 
 
 def test_a_stop_brings_in_what_is_out_and_back_what_was_released() -> None:
     record = Record()
     names = [f"e{at}" for at in range(6)]
-    waves = record.place("r", Kind.RELEASE, *names, version="v2").waves
+    waves = record.place("r", OperationKind.RELEASE, *names, version="v2").waves
     first, second = waves[0][0], waves[1][0]
     one = record.leave("r", first)
     record.says(Back(first, one))
-    record.says(Next("r", 0))
+    record.says(Advance("r", 0))
     two = record.leave("r", second)
-    record.says(Stop("r", "harm"))
-    order = record.book.orders["r"]
-    assert order.phase is Phase.RETURNING
-    assert record.book.wants[second] == Want("v1", True, two, 1, "r"), "by its permit's second step"
-    assert record.step("r", first) is Step.TO_RETURN
+    record.says(Cancel("r", "harm"))
+    order = record.book.operations["r"]
+    assert order.phase is OperationPhase.ROLLING_BACK
+    assert record.book.desired[second] == DesiredState("v1", True, two, 1, "r"), "by its permit's second step"
+    assert record.step("r", first) is StepStatus.ROLLBACK_PENDING
     late = record.says(Ask("r/e5/0", "e5", "r"))
     assert late.permit is None, "nothing further goes out"
     twice = record.says(Ask(f"r/{first}/0", first, "r"))
-    assert twice.permit.number == one and record.step("r", first) is Step.TO_RETURN, "told again"
+    assert twice.permit.number == one and record.step("r", first) is StepStatus.ROLLBACK_PENDING, "told again"
     three = record.leave("r", first, 1)
-    assert record.book.wants[first] == Want("v1", True, three, 1, "r")
+    assert record.book.desired[first] == DesiredState("v1", True, three, 1, "r")
     record.says(Back(second, two))
     record.says(Back(first, three))
     assert order.result == "halted"
-    assert {member.step for member in order.members.values()} == {Step.RETURNED, Step.LEFT}
+    assert {member.status for member in order.participants.values()} == {
+        StepStatus.ROLLED_BACK,
+        StepStatus.SKIPPED,
+    }
 
 
 def test_a_released_one_that_ends_over_and_over_goes_back_all_the_same() -> None:
     """Refused as out without leave, it could never have gone back to what it ran before."""
     record = Record()
-    waves = record.place("r", Kind.RELEASE, "e0", "e1", "e2", version="v2").waves
+    waves = record.place("r", OperationKind.RELEASE, "e0", "e1", "e2", version="v2").waves
     first = waves[0][0]
     record.says(Back(first, record.leave("r", first)))
     record.says(Away(first))
-    record.says(Stop("r", "it ends by itself"))
+    record.says(Cancel("r", "it ends by itself"))
     number = record.leave("r", first, 1)
-    assert record.book.wants[first] == Want("v1", True, number, 1, "r")
-    assert record.book.register.out[first] is not None
+    assert record.book.desired[first] == DesiredState("v1", True, number, 1, "r")
+    assert record.book.permits.out[first] is not None
 
 
 def test_a_drained_one_stays_out_whatever_its_program_does() -> None:
     record = Record()
-    record.place("d", Kind.DRAIN, "e0")
+    record.place("d", OperationKind.DRAIN, "e0")
     number = record.leave("d", "e0")
     record.says(Back("e0", number))
-    assert "e0" in record.book.register.out
-    record.says(Went("d", "e0", number, Step.DRAINED))
-    assert record.book.orders["d"].result == "done"
-    record.place("u", Kind.UNDRAIN, "e0")
-    assert record.book.wants["e0"] == Want("v1", True, number, 1, "u")
+    assert "e0" in record.book.permits.out
+    record.says(StepReported("d", "e0", number, StepStatus.DRAINED))
+    assert record.book.operations["d"].result == "done"
+    record.place("u", OperationKind.UNDRAIN, "e0")
+    assert record.book.desired["e0"] == DesiredState("v1", True, number, 1, "u")
     record.says(Back("e0", number))
-    assert record.book.orders["u"].result == "done" and "e0" not in record.book.register.out
+    assert record.book.operations["u"].result == "done" and "e0" not in record.book.permits.out
 
 
 def test_one_not_reached_is_left_out_and_one_retired_holds_nothing_up() -> None:
     record = Record()
-    record.place("a", Kind.RESTART, "e0", "e1")
-    waves = record.book.orders["a"].waves
-    record.says(Went("a", waves[0][0], 0, Step.NOT_REACHED, "silent"))
+    record.place("a", OperationKind.RESTART, "e0", "e1")
+    waves = record.book.operations["a"].waves
+    record.says(StepReported("a", waves[0][0], 0, StepStatus.UNREACHABLE, "silent"))
     number = record.leave("a", waves[1][0])
-    record.says(Went("a", waves[1][0], number, Step.NOT_REACHED))
-    assert record.step("a", waves[1][0]) is Step.OUT, "with leave it may have gone out: unknown"
+    record.says(StepReported("a", waves[1][0], number, StepStatus.UNREACHABLE))
+    assert record.step("a", waves[1][0]) is StepStatus.OUT, "with leave it may have gone out: unknown"
     record.says(Retire(waves[1][0]))
-    assert record.book.orders["a"].result == "in part"
-    assert waves[1][0] not in record.book.register.units
+    assert record.book.operations["a"].result == "in part"
+    assert waves[1][0] not in record.book.permits.units
 
 
 def test_a_council_founded_anew_gives_no_number_again_and_takes_the_drained_over() -> None:
@@ -221,29 +231,29 @@
     record.says(Retire("e1"))
     units = (Unit("e0", Sort.EDGE, "north", 100), Unit("e1", Sort.EDGE, "south", 100))
     record.says(Enrol(units))
-    record.says(Runs("e0", "v2", ("v1", "v2"), 900, 0, True))
-    record.says(Runs("e1", "v1", ("v1", "v2"), 950, 0, False))
-    assert record.book.wants["e0"] == Want("v2", True, 900, 0)
-    record.place("u", Kind.UNDRAIN, "e1")
-    assert record.book.wants["e1"] == Want("v1", True, 950, 1, "u")
+    record.says(InstanceReported("e0", "v2", ("v1", "v2"), 900, 0, True))
+    record.says(InstanceReported("e1", "v1", ("v1", "v2"), 950, 0, False))
+    assert record.book.desired["e0"] == DesiredState("v2", True, 900, 0)
+    record.place("u", OperationKind.UNDRAIN, "e1")
+    assert record.book.desired["e1"] == DesiredState("v1", True, 950, 1, "u")
     record.says(Back("e1", 950))
-    assert record.book.orders["u"].result == "done"
-    record.place("a", Kind.RESTART, "e0")
+    assert record.book.operations["u"].result == "done"
+    record.place("a", OperationKind.RESTART, "e0")
     assert record.leave("a", "e0") > 950
 
 
 def test_a_halt_of_the_fleet_takes_no_orders() -> None:
     record = Record()
     record.says(Halt("by hand"))
-    assert record.place("a", Kind.RESTART, "e0").why == "halted: by hand"
+    assert record.place("a", OperationKind.RESTART, "e0").rejection == "halted: by hand"
     record.says(Halt("", over=True))
-    assert not record.place("a", Kind.RESTART, "e0").why
+    assert not record.place("a", OperationKind.RESTART, "e0").rejection
 
 
 def test_the_book_is_written_and_read_back_as_it_was() -> None:
     record = Record()
-    record.place("r", Kind.RELEASE, "e0", "e1", version="v2")
-    record.leave("r", record.book.orders["r"].waves[0][0])
+    record.place("r", OperationKind.RELEASE, "e0", "e1", version="v2")
+    record.leave("r", record.book.operations["r"].waves[0][0])
     kept = KeptSnapshot(3, 1, Members(()), record.book)
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(kept), type=KeptSnapshot).state == record.book
 
@@ -252,7 +262,7 @@
 names = st.lists(st.sampled_from(NAMES), min_size=1, max_size=6, unique=True).map(tuple)
 orders = st.sampled_from(["a", "b", "c", "d"])
 told = st.one_of(
-    st.builds(Place, orders, st.sampled_from(Kind), names, st.sampled_from(["v1", "v2"])),
+    st.builds(Submit, orders, st.sampled_from(OperationKind), names, st.sampled_from(["v1", "v2"])),
     st.builds(
         lambda order, name, back, at: Ask(f"{order}/{name}{back}/{at}", name, order),
         orders,
@@ -267,11 +277,11 @@
         lambda order, name, step: ("went", order, name, step),
         orders,
         st.sampled_from(NAMES),
-        st.sampled_from([Step.FAILED, Step.DRAINED]),
+        st.sampled_from([StepStatus.FAILED, StepStatus.DRAINED]),
     ),
-    st.builds(Went, orders, st.sampled_from(NAMES), st.integers(0, 60), st.sampled_from(Step)),
-    st.builds(Next, orders, st.integers(0, 5)),
-    st.builds(Stop, st.sampled_from(["", "a", "b", "c"]), st.just("why"), st.booleans()),
+    st.builds(StepReported, orders, st.sampled_from(NAMES), st.integers(0, 60), st.sampled_from(StepStatus)),
+    st.builds(Advance, orders, st.integers(0, 5)),
+    st.builds(Cancel, st.sampled_from(["", "a", "b", "c"]), st.just("why"), st.booleans()),
     st.builds(Away, st.sampled_from(NAMES)),
     st.builds(Halt, st.just("why"), st.booleans()),
     st.builds(Retire, st.sampled_from(NAMES)),
@@ -287,47 +297,58 @@
     for command in commands:
         if isinstance(command, tuple):
             name = command[-1] if command[0] == "back" else command[2]
-            held = book.register.out.get(name)
+            held = book.permits.out.get(name)
             number = held.number if held else 0
             command = (
-                Back(name, number) if command[0] == "back" else Went(command[1], name, number, command[3])
+                Back(name, number)
+                if command[0] == "back"
+                else StepReported(command[1], name, number, command[3])
             )
-        before = set(book.register.out)
+        before = set(book.permits.out)
         record.says(command)
-        permits = [name for name, held in book.register.out.items() if held is not None]
-        units = {name: unit for name, unit in book.register.units.items() if name in permits}
-        grew = len(set(book.register.out) - before)
+        permits = [name for name, held in book.permits.out.items() if held is not None]
+        units = {name: unit for name, unit in book.permits.units.items() if name in permits}
+        grew = len(set(book.permits.out) - before)
         if isinstance(command, Ask) and grew:
-            assert len(book.register.out) <= LIMITS.most, "leave was given past what may be out"
+            assert len(book.permits.out) <= LIMITS.most, "leave was given past what may be out"
             for region in ("north", "south"):
-                away = [n for n in book.register.out if book.register.units[n].region == region]
+                away = [n for n in book.permits.out if book.permits.units[n].region == region]
                 here = [n for n in away if units.get(n) and n == command.name]
                 assert not here or len(away) <= LIMITS.in_region
-        for name, want in book.wants.items():
-            assert want.turn >= turns[name], "what is wanted goes back to a former turn"
-            turns[name] = want.turn
+        for name, want in book.desired.items():
+            assert want.step_id >= turns[name], "what is wanted goes back to a former turn"
+            turns[name] = want.step_id
         busy = [
-            one for one in book.orders.values() if one.phase in ACTIVE_PHASES and one.kind is not Kind.UNDRAIN
+            one
+            for one in book.operations.values()
+            if one.phase in ACTIVE_PHASES and one.kind is not OperationKind.UNDRAIN
         ]
         assert len(busy) <= 1, "two orders take out at once"
-        waiting = any(one.phase is Phase.QUEUED for one in book.orders.values())
+        waiting = any(one.phase is OperationPhase.QUEUED for one in book.operations.values())
         assert busy or not waiting, "one waits and none goes"
-        for order in book.orders.values():
-            for name, member in order.members.items():
-                held = book.register.out.get(name)
-                if order.phase is not Phase.ENDED and member.step in (Step.OUT, Step.FAILED):
-                    assert held is not None and held.number == member.number, (order.id, name, member)
-            if order.phase is Phase.ENDED:
+        for order in book.operations.values():
+            for name, member in order.participants.items():
+                held = book.permits.out.get(name)
+                if order.phase is not OperationPhase.ENDED and member.status in (
+                    StepStatus.OUT,
+                    StepStatus.FAILED,
+                ):
+                    assert held is not None and held.number == member.fencing_token, (order.id, name, member)
+            if order.phase is OperationPhase.ENDED:
                 assert order.result in ("done", "in part", "halted")
-                assert not {m.step for m in order.members.values()} & {Step.OUT, Step.TO_RETURN, Step.WAITING}
-        assert msgspec.msgpack.decode(msgspec.msgpack.encode(book), type=Book) == book
+                assert not {m.status for m in order.participants.values()} & {
+                    StepStatus.OUT,
+                    StepStatus.ROLLBACK_PENDING,
+                    StepStatus.PENDING,
+                }
+        assert msgspec.msgpack.decode(msgspec.msgpack.encode(book), type=OperationLog) == book
 
 
 # A keeper
 
 
-def keeper(memory: Memory | None = None) -> Supervisor:
-    return Supervisor(Facts("e0", versions=("v1", "v2")), memory or Memory("v1"))
+def keeper(memory: SupervisorState | None = None) -> Supervisor:
+    return Supervisor(InstanceInfo("e0", available_versions=("v1", "v2")), memory or SupervisorState("v1"))
 
 
 def does(one: Supervisor, now: int = 0) -> list[SupervisorAction]:
@@ -344,18 +365,18 @@
     return done
 
 
-def serving(life: int = 1) -> Counts:
-    return Counts(life, True, True)
+def serving(life: int = 1) -> InstanceCounters:
+    return InstanceCounters(life, True, True)
 
 
 def test_a_turn_is_on_disk_before_it_begins_and_begins_once() -> None:
     one = keeper()
     assert does(one) == [SupervisorAction.START, SupervisorAction.SAVE]
-    want = Want("v2", True, 7, 0, "r")
+    want = DesiredState("v2", True, 7, 0, "r")
     assert one.on_desired_state(0, want, True)
     assert not one.on_desired_state(0, want, True), "told again"
     assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
-    assert (one.report().turn, one.report().outcome, one.report().runs) == ((7, 0), "", False)
+    assert (one.report().step_id, one.report().outcome, one.report().is_running) == ((7, 0), "", False)
     one.on_exited(SECOND)
     assert (
         does(one, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE] and one.running_version == "v2"
@@ -364,15 +385,15 @@
     assert one.report().outcome == "", "done is told once it is on disk"
     assert does(one, SECOND) == [SupervisorAction.SAVE]
     assert one.report().outcome == "done"
-    assert not one.on_desired_state(0, Want("v1", True, 6, 1), True), "a lower turn is void"
+    assert not one.on_desired_state(0, DesiredState("v1", True, 6, 1), True), "a lower turn is void"
 
 
 def test_a_keeper_started_again_in_a_turn_goes_on_with_it() -> None:
     one = keeper()
     does(one)
-    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), True)
     one.on_saved()
-    again = keeper(msgspec.msgpack.decode(msgspec.msgpack.encode(one.state), type=Memory))
+    again = keeper(msgspec.msgpack.decode(msgspec.msgpack.encode(one.state), type=SupervisorState))
     again.resume(is_running=True)
     assert does(again) == [SupervisorAction.STOP], "whether it was stopped already nobody knows"
     again.on_exited(SECOND)
@@ -385,17 +406,17 @@
 def test_a_keeper_that_lost_its_disk_does_not_repeat_a_turn_whose_permit_is_over() -> None:
     one = keeper()
     does(one)
-    assert not one.on_desired_state(0, Want("v2", True, 7, 0, "r"), is_open=False)
+    assert not one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), is_open=False)
     assert does(one) == [SupervisorAction.SAVE] and one.is_running, (
         "it goes on running: it has no leave to go out"
     )
-    assert one.report().turn == (7, 0)
+    assert one.report().step_id == (7, 0)
 
 
 def test_a_program_that_does_not_come_up_is_told_as_failed_and_tried_on() -> None:
     one = keeper()
     does(one)
-    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), True)
     does(one)
     one.on_exited(0)
     now = 0
@@ -405,7 +426,7 @@
         one.on_exited(now + SECOND // 10)
     assert one.report().outcome == ""
     does(one, now)
-    assert one.report().outcome == "failed" and "v2 ended 3 times" in one.report().why
+    assert one.report().outcome == "failed" and "v2 ended 3 times" in one.report().reason
     assert does(one, one.next_start_at) == [SupervisorAction.START, SupervisorAction.SAVE], (
         "its wait over, once more"
     )
@@ -428,46 +449,46 @@
 def test_the_machine_s_wish_is_obeyed_in_any_turn_and_told() -> None:
     one = keeper()
     does(one)
-    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), True)
     one.shut_down()
     assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
     one.on_exited(0)
-    assert does(one, 20 * SECOND) == [] and one.report().leaving
-    assert not one.on_desired_state(0, Want("v1", True, 8, 0), True)
+    assert does(one, 20 * SECOND) == [] and one.report().is_leaving
+    assert not one.on_desired_state(0, DesiredState("v1", True, 8, 0), True)
 
 
 def test_a_drained_one_is_down_and_comes_up_by_the_second_step() -> None:
     one = keeper()
     does(one)
-    one.on_desired_state(0, Want("v1", False, 7, 0, "d"), True)
+    one.on_desired_state(0, DesiredState("v1", False, 7, 0, "d"), True)
     assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
     one.on_exited(0)
     assert does(one) == [SupervisorAction.SAVE]
-    assert (one.report().outcome, one.report().runs) == ("done", False)
+    assert (one.report().outcome, one.report().is_running) == ("done", False)
     again = keeper(one.state)
     assert does(again) == [], "a keeper's restart brings nobody in"
-    again.on_desired_state(0, Want("v1", True, 7, 1, "u"), True)
+    again.on_desired_state(0, DesiredState("v1", True, 7, 1, "u"), True)
     assert does(again) == [SupervisorAction.SAVE, SupervisorAction.START, SupervisorAction.SAVE]
 
 
 def test_an_unknown_version_is_told_as_failed_and_takes_nobody_out() -> None:
     one = keeper()
     does(one)
-    one.on_desired_state(0, Want("v9", True, 7, 0, "r"), True)
+    one.on_desired_state(0, DesiredState("v9", True, 7, 0, "r"), True)
     assert does(one) == [SupervisorAction.SAVE] and one.is_running
-    assert one.report().outcome == "failed" and "v9" in one.report().why
+    assert one.report().outcome == "failed" and "v9" in one.report().reason
 
 
 # Evidence that somebody is in
 
 
-def report(name: str, taken: int = 0, life: int = 1, **more: Any) -> Report:
-    facts = Facts(name, region="north", capacity=100, versions=("v1",))
-    return Report(facts, "v1", True, counts=Counts(life, True, True, taken), **more)
+def report(name: str, taken: int = 0, life: int = 1, **more: Any) -> SupervisorReport:
+    facts = InstanceInfo(name, region="north", capacity=100, available_versions=("v1",))
+    return SupervisorReport(facts, "v1", True, counters=InstanceCounters(life, True, True, taken), **more)
 
 
 def test_in_is_told_by_serving_and_a_share_and_never_by_time() -> None:
-    watch, want = ReadinessTracker(0), Want("v1")
+    watch, want = ReadinessTracker(0), DesiredState("v1")
 
     def is_in(now: int) -> bool:
         return watch.is_ready("e0", want, now, lambda name: False)
@@ -489,10 +510,10 @@
 
 def test_in_needs_the_turn_that_is_wanted_done() -> None:
     watch = ReadinessTracker(0)
-    want = Want("v1", True, 7, 0)
+    want = DesiredState("v1", True, 7, 0)
     for told, expected in ((("", (7, 0)), False), (("done", (6, 0)), False), (("done", (7, 0)), True)):
         outcome, (number, step) = told
-        watch.record_report(0, report("e0", number=number, step=step, outcome=outcome), 0)
+        watch.record_report(0, report("e0", fencing_token=number, step_index=step, outcome=outcome), 0)
         assert watch.is_ready("e0", want, 0, lambda name: False) is expected
 
 
@@ -504,13 +525,19 @@
 
 
 def all_report(one: Orchestrator, record: Record, now: int, **counts: Any) -> None:
-    for name, unit in record.book.register.units.items():
-        want = record.book.wants[name]
-        told = Counts(life=1, serving=True, ready=True, trust=counts.get("trust", "settled"))
-        facts = Facts(name, unit.sort, unit.region, unit.capacity, 0.0, ("v1", "v2"))
-        done = "done" if want.number else ""
+    for name, unit in record.book.permits.units.items():
+        want = record.book.desired[name]
+        told = InstanceCounters(
+            incarnation=1, serving=True, ready=True, view_health=counts.get("trust", "settled")
+        )
+        facts = InstanceInfo(name, unit.sort, unit.region, unit.capacity, 0.0, ("v1", "v2"))
+        done = "done" if want.fencing_token else ""
         one.record_report(
-            now, Report(facts, want.version, True, want.number, want.step, done, counts=told), now
+            now,
+            SupervisorReport(
+                facts, want.version, True, want.fencing_token, want.step_index, done, counters=told
+            ),
+            now,
         )
 
 
@@ -528,8 +555,8 @@
 
 def test_an_unsettled_view_takes_nothing_out_and_halts_in_the_end() -> None:
     record = Record()
-    one = conducted(record, unsettled=5 * SECOND)
-    record.place("a", Kind.RESTART, "e0", "e1")
+    one = conducted(record, max_unsettled=5 * SECOND)
+    record.place("a", OperationKind.RESTART, "e0", "e1")
     all_report(one, record, SECOND, trust="unsettled")
     assert one.next_commands(SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
@@ -537,22 +564,22 @@
     all_report(one, record, 5 * SECOND, trust="unsettled")
     one.next_commands(5 * SECOND, record.book)
     all_report(one, record, 11 * SECOND, trust="unsettled")
-    assert any(isinstance(command, Stop) for command in one.next_commands(11 * SECOND, record.book))
+    assert any(isinstance(command, Cancel) for command in one.next_commands(11 * SECOND, record.book))
 
 
 def test_most_of_the_fleet_cut_off_halts_at_once() -> None:
     record = Record()
     one = conducted(record)
-    record.place("a", Kind.RESTART, "e0", "e1")
+    record.place("a", OperationKind.RESTART, "e0", "e1")
     all_report(one, record, SECOND, trust="cut off")
     (stop,) = one.next_commands(SECOND, record.book)
-    assert isinstance(stop, Stop) and "cut off" in stop.why
+    assert isinstance(stop, Cancel) and "cut off" in stop.reason
 
 
 def test_too_few_dialogs_are_no_leave_to_go_on() -> None:
     record = Record()
-    one = conducted(record, evidence=SequentialTestConfig(min_pairs=10))
-    waves = record.place("r", Kind.RELEASE, *record.book.register.units, version="v2").waves
+    one = conducted(record, sequential_test=SequentialTestConfig(min_pairs=10))
+    waves = record.place("r", OperationKind.RELEASE, *record.book.permits.units, version="v2").waves
     record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
     for at in range(1, 300):
         all_report(one, record, at * SECOND)
@@ -562,23 +589,24 @@
 def test_a_release_that_holds_far_more_memory_is_halted() -> None:
     record = Record()
     one = conducted(record)
-    waves = record.place("r", Kind.RELEASE, *record.book.register.units, version="v2").waves
+    waves = record.place("r", OperationKind.RELEASE, *record.book.permits.units, version="v2").waves
     record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
     for more, halts in ((0, False), (40, False), (200, True)):
         all_report(one, record, SECOND)
         for name, seen in one.readiness.observations.items():
             held = (100 + (more if name == waves[0][0] else 0)) * 2**20
-            counts = msgspec.structs.replace(seen.report.counts, memory=held)
-            seen.report = msgspec.structs.replace(seen.report, counts=counts)
-        stops = [command for command in one.next_commands(SECOND, record.book) if isinstance(command, Stop)]
+            counts = msgspec.structs.replace(seen.report.counters, memory_bytes=held)
+            seen.report = msgspec.structs.replace(seen.report, counters=counts)
+        stops = [command for command in one.next_commands(SECOND, record.book) if isinstance(command, Cancel)]
         assert bool(stops) is halts, more
-        assert not stops or stops[0].why == "released ones hold 300 MiB in the median, the others 100"
+        assert not stops or stops[0].reason == "released ones hold 300 MiB in the median, the others 100"
 
 
 def test_limits_that_no_order_could_meet_refuse_all() -> None:
     record = Record(limits=Limits(6, 3))
     assert (
-        record.place("a", Kind.RESTART, "e0").why == "by these limits: all 6 edge proxies may be out at once"
+        record.place("a", OperationKind.RESTART, "e0").rejection
+        == "by these limits: all 6 edge proxies may be out at once"
     )
 
 
@@ -588,16 +616,16 @@
 @pytest.mark.parametrize("version", VERSIONS[1:])
 def test_a_release_by_what_it_is(version: str) -> None:
     course = Rollout(1, 12, loss=0.0)
-    place = Place("r", Kind.RELEASE, tuple(sorted(course.fleet)), version)
+    place = Submit("r", OperationKind.RELEASE, tuple(sorted(course.fleet)), version)
     course.at(10 * SECOND, course.order, place)
     course.run(330 * SECOND)
     course.judge()
     assert course.leader is not None
-    order = course.leader.operation_log.orders["r"]
+    order = course.leader.operation_log.operations["r"]
     if version == "v2":
         assert order.result == "done" and {one.version for one in course.fleet.values()} == {version}
     else:
-        assert order.result == "halted" and order.why
+        assert order.result == "halted" and order.halt_reason
         assert {one.version for one in course.fleet.values()} == {"v1"}
 
 
@@ -616,21 +644,23 @@
         course.course(90)
         course.run(course.now + 240 * SECOND)
         assert course.leader is not None
-        assert {order.phase for order in course.leader.operation_log.orders.values()} == {Phase.ENDED}, seed
+        assert {order.phase for order in course.leader.operation_log.operations.values()} == {
+            OperationPhase.ENDED
+        }, seed
 
 
 def test_an_undrain_waits_for_nobody() -> None:
     record = Record()
-    record.place("d", Kind.DRAIN, "e0")
+    record.place("d", OperationKind.DRAIN, "e0")
     number = record.leave("d", "e0")
-    record.says(Went("d", "e0", number, Step.DRAINED))
-    record.place("a", Kind.RESTART, "e2")
+    record.says(StepReported("d", "e0", number, StepStatus.DRAINED))
+    record.place("a", OperationKind.RESTART, "e2")
     refused = record.says(Ask("a/e2/0", "e2", "a"))
     assert refused.permit is None and "of d" in refused.why
-    record.place("u", Kind.UNDRAIN, "e0")
-    assert record.book.wants["e0"].turn == (number, 1)
+    record.place("u", OperationKind.UNDRAIN, "e0")
+    assert record.book.desired["e0"].step_id == (number, 1)
     record.says(Back("e0", number))
-    assert record.book.orders["u"].result == "done"
+    assert record.book.operations["u"].result == "done"
     record.leave("a", "e2", 1)
 
 
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -29,13 +29,20 @@
 from valverouter.fleet.tool import CouncilAsker
 from valverouter.fleet.words import Asks, Here, Word
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
 from valverouter.ledger.store import LedgerBusyError
-from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory, Turn
+from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
 from valverouter.rollout.limits import Sort, Unit
-from valverouter.rollout.operations import Kind, Place, Placed, Runs, Want
+from valverouter.rollout.operations import DesiredState, InstanceReported, OperationKind, Submit, SubmitResult
 from valverouter.rollout.permits import Enrol
-from valverouter.rollout.status import Shown
+from valverouter.rollout.status import FleetStatus
+from valverouter.rollout.supervisor import (
+    InstanceCounters,
+    InstanceInfo,
+    Step,
+    Supervisor,
+    SupervisorAction,
+    SupervisorState,
+)
 from valverouter.signalling import tap
 from valverouter.signalling.serverlist import Leave, Permits, Returns
 from valverouter.signalling.tap import Limited, Ordered, Row, Turned
@@ -239,14 +246,14 @@
         units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
         assert task.seat.propose(round(trio.current_time() * 1e9), Enrol(units))
         for name in names:
-            task.seat.propose(round(trio.current_time() * 1e9), Runs(name, "v1", ("v1", "v2")))
+            task.seat.propose(round(trio.current_time() * 1e9), InstanceReported(name, "v1", ("v1", "v2")))
         socket = Sockets().datagrams("127.0.0.1:0")
         asker = CouncilAsker(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
-        shown = await asker.ask("show", None, Shown, 15)
-        assert shown is not None and [unit.name for unit in shown.units] == sorted(names)
+        shown = await asker.ask("show", None, FleetStatus, 15)
+        assert shown is not None and [unit.name for unit in shown.instances] == sorted(names)
         assert len(msgspec.msgpack.encode(shown)) > BURST * PIECE
-        refused = await asker.ask("plan", Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
-        assert refused is not None and refused.why == "nobody is not enrolled"
+        refused = await asker.ask("plan", Submit("a", OperationKind.RESTART, ("nobody",)), SubmitResult, 5)
+        assert refused is not None and refused.rejection == "nobody is not enrolled"
         nursery.cancel_scope.cancel()
     socket.close()
     store.close()
@@ -257,7 +264,9 @@
 
 def test_a_keeper_s_memory_is_kept_whole_and_a_damaged_one_is_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "store"
-    memory = Memory("v2", False, process="12 34", running="v2", turns=[Turn(7, 0, "r", "done")])
+    memory = SupervisorState(
+        "v2", False, process="12 34", running_version="v2", steps=[Step(7, 0, "r", "done")]
+    )
     store, found, aside = open_supervisor_store(path)
     assert (found, aside) == (None, "")
     store.save(memory)
@@ -306,11 +315,11 @@
 
 
 def server() -> Supervisor:
-    one = Supervisor(Facts("s0", Sort.SERVER, versions=("v1", "v2")), Memory("v1"))
+    one = Supervisor(InstanceInfo("s0", Sort.SERVER, available_versions=("v1", "v2")), SupervisorState("v1"))
     assert one.next_action(0) is SupervisorAction.START
     one.on_started(0, "v1")
     one.on_saved()
-    one.on_desired_state(0, Want("v2", True, 7, 0, "r"), True)
+    one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), True)
     assert one.next_action(0) is SupervisorAction.SAVE
     one.on_saved()
     return one
@@ -321,7 +330,7 @@
     assert one.next_action(0) is SupervisorAction.LEAVE_LIST and one.next_action(0) is None, (
         "asked once, and waited for"
     )
-    one.on_counters(Counts(1, True, True))
+    one.on_counters(InstanceCounters(1, True, True))
     assert one.report().outcome == "", "it serves until it goes, and that is not the turn done"
     one.on_list_answer(True)
     assert one.next_action(0) is SupervisorAction.STOP
@@ -330,7 +339,7 @@
     assert one.next_action(0) is SupervisorAction.START
     one.on_started(0, "v2")
     one.on_saved()
-    one.on_counters(Counts(2, True, True))
+    one.on_counters(InstanceCounters(2, True, True))
     one.on_saved()
     assert one.report().outcome == "done"
     assert one.next_action(0) is SupervisorAction.REJOIN_LIST and one.next_action(0) is None
@@ -342,12 +351,12 @@
     one.on_list_answer(False, "permit 7 is over")
     assert one.next_action(0) is SupervisorAction.SAVE
     one.on_saved()
-    one.on_counters(Counts(1, True, True))
+    one.on_counters(InstanceCounters(1, True, True))
     assert one.next_action(0) is None and one.is_running
-    assert (one.report().outcome, one.report().why) == ("failed", "the list refuses: permit 7 is over")
-    one.on_desired_state(0, Want("v1", True, 7, 1, "r"), True)
+    assert (one.report().outcome, one.report().reason) == ("failed", "the list refuses: permit 7 is over")
+    one.on_desired_state(0, DesiredState("v1", True, 7, 1, "r"), True)
     one.on_saved()
-    one.on_counters(Counts(1, True, True))
+    one.on_counters(InstanceCounters(1, True, True))
     one.on_saved()
     assert one.report().outcome == "done", "brought back, it had never gone"
 
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -19,7 +19,7 @@
 from valverouter.audit.orders import Orders, judge_orders
 from valverouter.audit.rules import audit
 from valverouter.days.ordering import SEATS, OrderRig, run_orders
-from valverouter.rollout.status import Shown
+from valverouter.rollout.status import FleetStatus
 from valverouter.servermodel.paths import PathFault
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
@@ -46,16 +46,16 @@
     return judged
 
 
-def result(shown: Shown, order: str) -> str:
-    return next(one.result for one in shown.orders if one.id == order)
+def result(shown: FleetStatus, order: str) -> str:
+    return next(one.result for one in shown.operations if one.id == order)
 
 
-async def out(rig: OrderRig, order: str) -> Shown:
+async def out(rig: OrderRig, order: str) -> FleetStatus:
     """Once somebody is out by the order."""
     with trio.fail_after(20):
         while True:
             shown = await rig.status()
-            if shown is not None and any(unit.order == order for unit in shown.units):
+            if shown is not None and any(unit.operation_id == order for unit in shown.instances):
                 return shown
             await trio.sleep(0.05)
 
@@ -64,7 +64,7 @@
     with trio.fail_after(20):
         while (shown := await rig.status()) is None:
             await trio.sleep(0.2)
-        return shown.seat
+        return shown.node
 
 
 def test_a_course_of_orders_with_faults_between_real_processes(tmp_path: Path) -> None:
@@ -85,7 +85,7 @@
         code, said = await rig.tool("release", "--all", "--to", "dies-late", "--id", "r")
         assert code == 1 and "halted" in said
         shown = await rig.settled(60)
-        assert {unit.version for unit in shown.units} == {"v1"}
+        assert {unit.running_version for unit in shown.instances} == {"v1"}
 
     judged = played(tmp_path, script, 30)
     assert judged.turns >= 8 and judged.most_out <= 2
@@ -146,7 +146,7 @@
             nursery.start_soon(operator, "b", "e3", "e2")
         shown = await rig.settled(40)
         assert sorted(codes.values()) == [0, 2], codes
-        assert sum(unit.state == "drained" for unit in shown.units) == 2
+        assert sum(unit.state == "drained" for unit in shown.instances) == 2
         assert (await rig.tool("undrain", "--all"))[0] == 0
 
     played(tmp_path, script, 40)
@@ -176,7 +176,7 @@
         assert code == 2 and "least capacity of north" in said
         code, said = await rig.tool("drain", "--region", "north", "--dry-run")
         assert code == 2
-        assert (await rig.status() or pytest.fail()).orders == ()
+        assert (await rig.status() or pytest.fail()).operations == ()
 
     assert played(tmp_path, script, 10, most=4, in_region=2, least=0.5).turns == 0
 
@@ -192,8 +192,8 @@
             nursery.start_soon(rig.tool, "restart", "e4", "--id", "one")
             await trio.sleep(5)
             shown = await rig.status()
-            assert shown is not None and not any(unit.order == "one" for unit in shown.units)
-            assert sum(unit.state == "away" for unit in shown.units) == 3
+            assert shown is not None and not any(unit.operation_id == "one" for unit in shown.instances)
+            assert sum(unit.state == "away" for unit in shown.instances) == 3
             for name in ("k1", "k3", "k5"):
                 rig.start(name)
             await trio.sleep(4)
@@ -211,7 +211,7 @@
         code, said = await rig.tool("release", "--all", "--to", version, "--id", "r", within=90)
         assert code == 1 and "halted" in said
         shown = await rig.settled(60)
-        assert {unit.version for unit in shown.units} == {"v1"}
+        assert {unit.running_version for unit in shown.instances} == {"v1"}
 
     played(tmp_path, script, 50)
 
@@ -239,7 +239,7 @@
             await trio.sleep(1)
             assert (await rig.tool("halt", "r"))[0] == 0
         shown = await rig.settled(60)
-        assert result(shown, "r") == "halted" and {unit.version for unit in shown.units} == {"v1"}
+        assert result(shown, "r") == "halted" and {unit.running_version for unit in shown.instances} == {"v1"}
 
     played(tmp_path, script, 40)
 
@@ -258,7 +258,7 @@
         rig.start(seat)
         rig.start("k0")
         shown = await rig.settled(60)
-        assert {unit.version for unit in shown.units} == {"v1"}
+        assert {unit.running_version for unit in shown.instances} == {"v1"}
 
     played(tmp_path, script, 45)
 
@@ -341,12 +341,12 @@
             rig.processes["k1"].terminate()
             await trio.sleep(0.05)
         with trio.fail_after(10):
-            while (shown := await rig.status()) is None or shown.units[1].state != "away":
+            while (shown := await rig.status()) is None or shown.instances[1].state != "away":
                 await trio.sleep(0.1)
         # The last of the signals may meet one that has done all and is on its way out.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
         assert rig._pid("e1") is None and b'"ended"' in (rig.folder / "k1.log").read_bytes()
         rig.start("k1")
-        assert {unit.state for unit in (await rig.settled(20)).units} == {"in"}
+        assert {unit.state for unit in (await rig.settled(20)).instances} == {"in"}
 
     assert played(tmp_path, script).turns == 0
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -34,12 +34,12 @@
     Vote,
     Voted,
 )
-from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig, OutcomeCount, Verdict
 from valverouter.rollout.limits import Limits, Sort, Unit, impossible, refusal, waves
 from valverouter.rollout.model import PLANTS, Model
 from valverouter.rollout.model import Broken as ModelBroken
-from valverouter.rollout.operations import Book
+from valverouter.rollout.operations import OperationLog
 from valverouter.rollout.permits import Ask, Away, Back, Command, Enrol, Fence, Halt, Permit, Register
+from valverouter.rollout.sequential_test import CanaryEvidence, OutcomeCount, SequentialTestConfig, Verdict
 
 SECOND = 10**9
 
@@ -494,7 +494,7 @@
 
 def test_what_is_committed_is_read_back_as_it_was_applied(tmp_path: Path) -> None:
     store, here = CouncilStore(tmp_path, 7), Durable(7)
-    one = Book(register())
+    one = OperationLog(register())
     members = Members((("c0", 7), ("c1", 8)))
     steps: list[list[Save]] = [
         [SaveTerm(3, "c1"), SaveEntries(1, (Entry(1, members), Entry(1, enrolled()), Entry(2, None)))],
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -16,8 +16,8 @@
 
 from tests import stored_values
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.ledger.store import Ledger
+from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.recovery import course
 from valverouter.rollout.council import Durable
 from valverouter.signalling import tap
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -22,9 +22,9 @@
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.tool import CouncilAsker
-from valverouter.rollout.operations import Command, Kind, Place, Placed, Retire, Stop
+from valverouter.rollout.operations import Cancel, Command, OperationKind, Retire, Submit, SubmitResult
 from valverouter.rollout.permits import Halt
-from valverouter.rollout.status import Order, Shown, Unit
+from valverouter.rollout.status import FleetStatus, InstanceStatus, OperationStatus
 from valverouter.terms.rollout import load_tool
 
 # Exit codes of an order: done; in part or halted; refused; nobody of the council reached, or not known.
@@ -73,11 +73,11 @@
 )
 
 
-def _order(kind: Kind, version: str, told: dict[str, Any]) -> None:
+def _order(kind: OperationKind, version: str, told: dict[str, Any]) -> None:
     """Picks, plans, places and follows."""
     shown = _show(told["file"])
-    picked = _picked(shown.units, kind, version, told)
-    place = Place(
+    picked = _picked(shown.instances, kind, version, told)
+    place = Submit(
         told["id_"] or f"{kind.value}-{secrets.token_hex(4)}",
         kind,
         tuple(picked),
@@ -91,31 +91,33 @@
         return
     if told["no_wait"]:
         return
-    _follow(told["file"], place.id, told["as_json"])
+    _follow(told["file"], place.operation_id, told["as_json"])
 
 
-def _place(file: Path, place: Place, dry_run: bool = False) -> Placed:
+def _place(file: Path, place: Submit, dry_run: bool = False) -> SubmitResult:
     """Placed, or planned alone; ends with REFUSED or UNKNOWN where it was not. Its id is told before it is
     sent, so that it can be taken up whatever becomes of this tool."""
     if not dry_run:
-        console.print(f"order {place.id}", highlight=False)
-    placed = _ask(file, "plan" if dry_run else "do", place, Placed)
+        console.print(f"order {place.operation_id}", highlight=False)
+    placed = _ask(file, "plan" if dry_run else "do", place, SubmitResult)
     if placed is None:
-        _unknown(place.id)
+        _unknown(place.operation_id)
     if placed.why:
         console.print(f"refused: {placed.why}", highlight=False, soft_wrap=True)
         sys.exit(REFUSED)
     return placed  # type: ignore[no-any-return]
 
 
-def _picked(units: Sequence[Unit], kind: Kind, version: str, told: dict[str, Any]) -> list[str]:
+def _picked(
+    units: Sequence[InstanceStatus], kind: OperationKind, version: str, told: dict[str, Any]
+) -> list[str]:
     """Those meant; ValueError for a selector that means nobody it could."""
     sort = "server" if told["servers"] else "edge proxy"
-    same = {unit.name: unit for unit in units if unit.sort == sort}
+    same = {unit.name: unit for unit in units if unit.kind == sort}
     for key, known in (
         ("region", {unit.region for unit in same.values()}),
         ("state", {"in", "out", "away", "drained"}),
-        ("present", {unit.wanted for unit in same.values()}),
+        ("present", {unit.desired_version for unit in same.values()}),
     ):
         for word in told[key]:
             if word not in known:
@@ -134,14 +136,14 @@
             selects
             and (not told["region"] or unit.region in told["region"])
             and (not told["state"] or unit.state in told["state"])
-            and (not told["present"] or unit.wanted in told["present"])
+            and (not told["present"] or unit.desired_version in told["present"])
         )
     ]
-    if kind is Kind.RELEASE:
+    if kind is OperationKind.RELEASE:
         # Those that were released before are at it already.
-        picked = [name for name in picked if same[name].wanted != version or name in told["names"]]
+        picked = [name for name in picked if same[name].desired_version != version or name in told["names"]]
     if not told["names"]:
-        brings_in = kind is Kind.UNDRAIN
+        brings_in = kind is OperationKind.UNDRAIN
         picked = [name for name in picked if (same[name].state == "drained") is brings_in]
     if not picked:
         raise ValueError("that means nobody: give names, --region, --version, --state or --all")
@@ -156,7 +158,7 @@
 
     FILE is the terms of any seat or keeper. Exits with 0 done, 1 in part or halted, 2 refused, 3 unknown.
     """
-    _order(Kind.DRAIN, "", told)
+    _order(OperationKind.DRAIN, "", told)
 
 
 @click.command("undrain")
@@ -164,7 +166,7 @@
 @how
 def undrain(**told: Any) -> None:
     """Bring drained instances in again."""
-    _order(Kind.UNDRAIN, "", told)
+    _order(OperationKind.UNDRAIN, "", told)
 
 
 @click.command("restart")
@@ -172,7 +174,7 @@
 @how
 def restart(**told: Any) -> None:
     """Restart instances, wave by wave."""
-    _order(Kind.RESTART, "", told)
+    _order(OperationKind.RESTART, "", told)
 
 
 @click.command("release")
@@ -181,7 +183,7 @@
 @how
 def release(version: str, **told: Any) -> None:
     """Bring instances to a version, wave by wave, while the evidence lets it."""
-    _order(Kind.RELEASE, version, told)
+    _order(OperationKind.RELEASE, version, told)
 
 
 @click.command("halt")
@@ -196,7 +198,7 @@
 
     What a release brought to its new version goes back, unless it is to stay.
     """
-    commands: list[Command] = [Halt("", over=True)] if over else [Stop(order, why, not stay, _wall())]
+    commands: list[Command] = [Halt("", over=True)] if over else [Cancel(order, why, not stay, _wall())]
     if hold and not over:
         commands.insert(0, Halt(why))
     for command in commands:
@@ -211,23 +213,23 @@
 @click.option("--json", "as_json", is_flag=True)
 def back(file: Path, order: str, no_wait: bool, as_json: bool) -> None:
     """Bring back what the release ORDER brought to its version, whether it goes or has ended."""
-    known = next((one for one in _show(file, order).orders if one.id == order), None)
-    if known is None or known.kind != Kind.RELEASE.value:
+    known = next((one for one in _show(file, order).operations if one.id == order), None)
+    if known is None or known.kind != OperationKind.RELEASE.value:
         raise ValueError(f"there is no release {order!r}")
     if known.phase != "ended":
-        if _ask(file, "do", Stop(order, "back, by hand", True, _wall()), Any) is None:
+        if _ask(file, "do", Cancel(order, "back, by hand", True, _wall()), Any) is None:
             _unknown(order)
         if not no_wait:
             _follow(file, order, as_json)
         return
-    former = {member.former for member in known.members if member.step == "done"}
+    former = {member.previous_version for member in known.participants if member.status == "done"}
     if len(former) != 1:
         raise ValueError(f"{order} brought instances from {len(former)} versions: release them by name")
-    names = tuple(member.name for member in known.members if member.step == "done")
-    place = Place(f"{order}-back", Kind.RELEASE, names, former.pop(), _wall(), "tool")
+    names = tuple(member.name for member in known.participants if member.status == "done")
+    place = Submit(f"{order}-back", OperationKind.RELEASE, names, former.pop(), _wall(), "tool")
     _place(file, place)
     if not no_wait:
-        _follow(file, place.id, as_json)
+        _follow(file, place.operation_id, as_json)
 
 
 @click.command("retire")
@@ -265,7 +267,7 @@
 def history(file: Path, order: str, as_json: bool) -> None:
     """The orders that the record holds, or one of them with what became of each instance."""
     about = order or ("*" if as_json else "")
-    orders = [one for one in _show(file, about).orders if order in ("", one.id)]
+    orders = [one for one in _show(file, about).operations if order in ("", one.id)]
     if order and not orders:
         raise ValueError(f"there is no order {order!r}")
     if as_json:
@@ -273,11 +275,11 @@
         return
     table = _table("order", "kind", "placed", "end", "instances")
     for one in orders:
-        table.add_row(one.id, one.kind, _date(one.at), one.result or one.phase, _counts(one))
+        table.add_row(one.id, one.kind, _date(one.submitted_at_ms), one.result or one.phase, _counts(one))
     console.print(table, highlight=False)
     for one in orders if order else ():
-        if one.why:
-            console.print(f"halted: {one.why}", highlight=False, soft_wrap=True)
+        if one.halt_reason:
+            console.print(f"halted: {one.halt_reason}", highlight=False, soft_wrap=True)
         _members(one)
 
 
@@ -303,8 +305,8 @@
     return trio.run(asked)
 
 
-def _show(file: Path, about: str = "") -> Shown:
-    shown = _ask(file, "show", None, Shown, about)
+def _show(file: Path, about: str = "") -> FleetStatus:
+    shown = _ask(file, "show", None, FleetStatus, about)
     if shown is None:
         console.print("nobody of the council who leads was reached", highlight=False)
         sys.exit(UNKNOWN)
@@ -321,13 +323,13 @@
     said = ""
     while True:
         shown = _show(file, order)
-        one = next((one for one in shown.orders if one.id == order), None)
+        one = next((one for one in shown.operations if one.id == order), None)
         if one is None:
             _unknown(order)
             return
-        line = f"{one.phase}, wave {one.wave + 1} of {len(one.waves)}: {_counts(one)}"
-        if shown.least and one.phase == "watching":
-            line += f"; evidence: {shown.pairs} pairs, {shown.least} at least"
+        line = f"{one.phase}, wave {one.wave_index + 1} of {len(one.waves)}: {_counts(one)}"
+        if shown.min_pairs and one.phase == "watching":
+            line += f"; evidence: {shown.compared_pairs} pairs, {shown.min_pairs} at least"
         if line != said and not as_json:
             said = line
             console.print(line, highlight=False, soft_wrap=True)
@@ -336,8 +338,8 @@
         time.sleep(LOOK_S)
     if as_json:
         click.echo(msgspec.json.encode(one).decode())
-    elif one.why:
-        console.print(f"halted: {one.why}", highlight=False, soft_wrap=True)
+    elif one.halt_reason:
+        console.print(f"halted: {one.halt_reason}", highlight=False, soft_wrap=True)
     if one.result != "done":
         if not as_json:
             _members(one)
@@ -358,21 +360,21 @@
     return f"{datetime.fromtimestamp(ms / 1_000, UTC):%m-%d %H:%M:%S}" if ms else ""
 
 
-def _counts(order: Order) -> str:
-    return ", ".join(f"{count} {step}" for step, count in order.counts.items())
+def _counts(order: OperationStatus) -> str:
+    return ", ".join(f"{count} {step}" for step, count in order.status_counts.items())
 
 
-def _members(order: Order) -> None:
+def _members(order: OperationStatus) -> None:
     table = _table("instance", "step", "permit", "why")
-    for member in order.members:
-        table.add_row(member.name, member.step, str(member.number or ""), member.why)
+    for member in order.participants:
+        table.add_row(member.name, member.status, str(member.fencing_token or ""), member.reason)
     console.print(table, highlight=False)
 
 
-def _waves(shown: Shown, place: Place, placed: Placed) -> None:
+def _waves(shown: FleetStatus, place: Submit, placed: SubmitResult) -> None:
     """What would go out when, and how many of its region stay."""
-    regions = {unit.name: unit.region for unit in shown.units}
-    whole = Counter(unit.region for unit in shown.units if unit.sort == _sort_of(shown, place))
+    regions = {unit.name: unit.region for unit in shown.instances}
+    whole = Counter(unit.region for unit in shown.instances if unit.kind == _sort_of(shown, place))
     table = _table("wave", "region", "out", "stay there")
     for at, wave in enumerate(placed.waves, 1):
         region = regions[wave[0]]
@@ -380,35 +382,39 @@
     console.print(table, highlight=False)
 
 
-def _sort_of(shown: Shown, place: Place) -> str:
-    return next(unit.sort for unit in shown.units if unit.name == place.names[0])
+def _sort_of(shown: FleetStatus, place: Submit) -> str:
+    return next(unit.kind for unit in shown.instances if unit.name == place.instances[0])
 
 
-def _status(shown: Shown) -> None:
+def _status(shown: FleetStatus) -> None:
     seats = ", ".join(shown.members)
-    console.print(f"{shown.seat} leads in term {shown.term}; council: {seats}", highlight=False)
-    if shown.halted:
-        console.print(f"halted: {shown.halted}", highlight=False, soft_wrap=True)
-    states = Counter((unit.sort, unit.state) for unit in shown.units)
+    console.print(f"{shown.node} leads in term {shown.term}; council: {seats}", highlight=False)
+    if shown.halt_reason:
+        console.print(f"halted: {shown.halt_reason}", highlight=False, soft_wrap=True)
+    states = Counter((unit.kind, unit.state) for unit in shown.instances)
     for (sort, state), count in sorted(states.items()):
         console.print(f"{count} {sort} {state}", highlight=False)
-    odd = [unit for unit in shown.units if unit.state != "in" or unit.version not in ("", unit.wanted)]
+    odd = [
+        unit
+        for unit in shown.instances
+        if unit.state != "in" or unit.running_version not in ("", unit.desired_version)
+    ]
     if odd:
         table = _table("instance", "region", "state", "runs", "wanted", "by")
         for unit in odd:
-            by = f"{unit.order} ({unit.number})" if unit.number else ""
-            table.add_row(unit.name, unit.region, unit.state, unit.version, unit.wanted, by)
+            by = f"{unit.operation_id} ({unit.fencing_token})" if unit.fencing_token else ""
+            table.add_row(unit.name, unit.region, unit.state, unit.running_version, unit.desired_version, by)
         console.print(table, highlight=False)
-    for order in shown.orders:
+    for order in shown.operations:
         if order.phase != "ended":
             line = f"{order.id}: {order.kind} {order.version}".rstrip()
-            wave = f"wave {order.wave + 1} of {len(order.waves)}"
+            wave = f"wave {order.wave_index + 1} of {len(order.waves)}"
             console.print(f"{line}, {order.phase}, {wave}: {_counts(order)}", highlight=False, soft_wrap=True)
-            if order.why:
-                console.print(f"  halted: {order.why}", highlight=False, soft_wrap=True)
-            for member in order.members:
-                if member.why and member.step in ("waiting", "failed", "to return"):
-                    console.print(f"  {member.name}: {member.why}", highlight=False, soft_wrap=True)
+            if order.halt_reason:
+                console.print(f"  halted: {order.halt_reason}", highlight=False, soft_wrap=True)
+            for member in order.participants:
+                if member.reason and member.status in ("waiting", "failed", "to return"):
+                    console.print(f"  {member.name}: {member.reason}", highlight=False, soft_wrap=True)
 
 
 COMMANDS = (drain, undrain, restart, release, halt, back, retire, status, history)
--- a/valverouter/days/ordercourses.py
+++ b/valverouter/days/ordercourses.py
@@ -45,9 +45,9 @@
             while not self.rested:
                 await rig.settled(REST_S)
                 shown = await rig.status()
-                if shown is None or any(one.phase != "ended" for one in shown.orders):
+                if shown is None or any(one.phase != "ended" for one in shown.operations):
                     continue
-                if any(unit.state == "drained" for unit in shown.units):
+                if any(unit.state == "drained" for unit in shown.instances):
                     await rig.tool("undrain", "--all")
                     continue
                 self.rested = True
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -25,7 +25,7 @@
 from valverouter.days.viewing import SECRET
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
-from valverouter.rollout.status import Order, Shown
+from valverouter.rollout.status import FleetStatus, OperationStatus
 from valverouter.servermodel.paths import PathFault, Paths
 from valverouter.signalling.tap import Fault, Limited, Ordered, Row, Runs, Turned
 from valverouter.standins.paths import PathStandIn
@@ -241,12 +241,12 @@
             while not self._has_begun(await self.status()):
                 await trio.sleep(0.2)
 
-    def _has_begun(self, shown: Shown | None) -> bool:
+    def _has_begun(self, shown: FleetStatus | None) -> bool:
         return (
             shown is not None
             and set(shown.members) == set(SEATS)
-            and len(shown.units) == len(self.edges) + len(self.servers)
-            and all(unit.state == "in" and unit.version for unit in shown.units)
+            and len(shown.instances) == len(self.edges) + len(self.servers)
+            and all(unit.state == "in" and unit.running_version for unit in shown.instances)
             and all(self._listens(name) for name in self.edges)
         )
 
@@ -309,19 +309,19 @@
             return done.returncode, (done.stdout + done.stderr).decode()
         return -1, ""
 
-    async def status(self) -> Shown | None:
+    async def status(self) -> FleetStatus | None:
         code, said = await self.tool("status", "--json", within=15.0)
-        return msgspec.json.decode(said.splitlines()[0], type=Shown) if code == 0 and said else None
+        return msgspec.json.decode(said.splitlines()[0], type=FleetStatus) if code == 0 and said else None
 
-    async def settled(self, within: float) -> Shown:
+    async def settled(self, within: float) -> FleetStatus:
         """Once no order waits or goes and everybody who is to run is in; TooSlowError past that."""
         with trio.fail_after(within):
             while True:
                 shown = await self.status()
                 if (
                     shown is not None
-                    and not any(one.phase != "ended" for one in shown.orders)
-                    and all(unit.state in ("in", "drained") for unit in shown.units)
+                    and not any(one.phase != "ended" for one in shown.operations)
+                    and all(unit.state in ("in", "drained") for unit in shown.instances)
                 ):
                     return shown
                 await trio.sleep(0.3)
@@ -331,7 +331,11 @@
     async def end(self) -> None:
         """Everybody is asked to end; the rows of their logs."""
         code, said = await self.tool("history", "--json", within=15.0)
-        orders = msgspec.json.decode(said.splitlines()[0], type=list[Order]) if code == 0 and said else []
+        orders = (
+            msgspec.json.decode(said.splitlines()[0], type=list[OperationStatus])
+            if code == 0 and said
+            else []
+        )
         for process in self.processes.values():
             process.terminate()
         with trio.move_on_after(12):
@@ -345,7 +349,7 @@
                 os.kill(pid, signal.SIGKILL)
         self._read_logs()
         for one in orders:
-            members = {m.name: (m.step, m.number, m.former) for m in one.members}
+            members = {m.name: (m.status, m.fencing_token, m.previous_version) for m in one.participants}
             self.world.tap.row(
                 Ordered,
                 order=one.id,
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -21,7 +21,7 @@
 from valverouter.fleet.asking import Count, Counted
 from valverouter.fleet.datagrams import LABEL
 from valverouter.fleet.sealing import Opener, Seal
-from valverouter.rollout.supervisor import Counts
+from valverouter.rollout.supervisor import InstanceCounters
 from valverouter.terms.between import key_of
 
 
@@ -42,7 +42,9 @@
                 if isinstance(message, Count):
                     label = os.environ.get(LABEL, "")
                     ready = state == b"warm"
-                    counts = Counts(life, serving=True, ready=ready, label=label, process=os.getpid())
+                    counts = InstanceCounters(
+                        life, serving=True, ready=ready, version_label=label, pid=os.getpid()
+                    )
                     socket.send(seal.seal(Counted(name, life, 0, message.nonce, counts)), came[1])
 
     async def hears() -> None:
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -1,8 +1,9 @@
 """Orders to a fleet in simulated time, under faults drawn by a seed: seats, keepers, programs, tools.
 
-Seats and keepers are the program's own (`rollout/control_plane_node.py`, `rollout/supervisor.py`), with disks that outlive
-them; what is modelled is the rest: programs that come up, serve, fail by their version, and are killed; words
-that are lost, late, repeated or cut. What is judged is what the programs really did, from a log of its own:
+Control plane nodes and supervisors are the program's own (`rollout/control_plane_node.py`,
+`rollout/supervisor.py`), with disks that outlive them. Simulated is the rest: programs that come up, serve, fail
+by their version, and are killed; messages that are lost, late, repeated or cut off. What the programs really did
+is judged from a log of the simulation's own:
 
     out       never more taken out by orders at once than the limits let, in all and by region
     once      no turn is carried out twice by a keeper that kept its disk
@@ -21,26 +22,32 @@
 
 import msgspec
 
-from valverouter.rollout.orchestrator import Orchestrator, CanaryWindow, OrchestratorConfig
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
 from valverouter.rollout.council import SECOND, Durable, Entry, Members, SaveEntries
-from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
-from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory
 from valverouter.rollout.limits import Limits, Sort
 from valverouter.rollout.operations import (
-    Book,
+    Advance,
+    Cancel,
     Command,
-    Kind,
-    Next,
-    Order,
-    Phase,
-    Place,
-    Placed,
-    Step,
-    Stop,
+    Operation,
+    OperationKind,
+    OperationLog,
+    OperationPhase,
+    StepStatus,
+    Submit,
+    SubmitResult,
     split_by_version,
 )
+from valverouter.rollout.orchestrator import CanaryWindow, Orchestrator, OrchestratorConfig
 from valverouter.rollout.permits import Back
-from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
+from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
+from valverouter.rollout.supervisor import (
+    InstanceCounters,
+    InstanceInfo,
+    Supervisor,
+    SupervisorAction,
+    SupervisorState,
+)
 from valverouter.servermodel.paths import PathFault, Paths
 
 TICK = SECOND // 10
@@ -69,7 +76,7 @@
 class Instance:
     """A keeper with its program. `disk`: the memory as it was last saved."""
 
-    facts: Facts
+    facts: InstanceInfo
     disk: bytes
     keeping: Supervisor | None = None
     life: int = 0
@@ -95,16 +102,16 @@
     """A baseline: after ten seconds, on if the released ones decline at most 1.5 times what the others do,
     and halted if not."""
 
-    def _look(self, now: int, book: Book, order: Order) -> list[Command]:
+    def _look(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
         released_ones, others = split_by_version(book, order)
-        if order.phase is not Phase.WATCHING:
+        if order.phase is not OperationPhase.EVALUATING:
             return []
         looked = self._canary
-        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.stage):
-            counts = {name: seen.report.counts for name, seen in self.readiness.observations.items()}
+        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.evaluation_stage):
+            counts = {name: seen.report.counters for name, seen in self.readiness.observations.items()}
             self._canary = CanaryWindow(
                 order.id,
-                order.stage,
+                order.evaluation_stage,
                 now,
                 CanaryEvidence(("declined",), SequentialTestConfig(), self._draw),
                 counts,
@@ -116,32 +123,36 @@
             return []
         ours, theirs = self._share(looked, released_ones), self._share(looked, others)
         return (
-            [Stop(order.id, f"{ours:.3f} of {theirs:.3f}")]
+            [Cancel(order.id, f"{ours:.3f} of {theirs:.3f}")]
             if ours > 1.5 * theirs
-            else [Next(order.id, order.wave)]
+            else [Advance(order.id, order.wave_index)]
         )
 
     def _share(self, looked: CanaryWindow, names: list[str]) -> float:
         bad = whole = 0
         for name in names:
             before, seen = looked.last_counters.get(name), self.readiness.observations.get(name)
-            if before is not None and seen is not None and before.life == seen.report.counts.life:
-                bad += seen.report.counts.declined - before.declined
-                whole += seen.report.counts.taken - before.taken
+            if (
+                before is not None
+                and seen is not None
+                and before.incarnation == seen.report.counters.incarnation
+            ):
+                bad += seen.report.counters.rejected - before.rejected
+                whole += seen.report.counters.accepted - before.accepted
         return bad / whole if whole else 0.0
 
 
 class Timer(Orchestrator):
     """A baseline: ten seconds after a wave the next goes."""
 
-    def _look(self, now: int, book: Book, order: Order) -> list[Command]:
-        if order.phase is not Phase.WATCHING:
+    def _look(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
+        if order.phase is not OperationPhase.EVALUATING:
             return []
         looked = self._canary
-        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.stage):
+        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.evaluation_stage):
             self._canary = CanaryWindow(
                 order.id,
-                order.stage,
+                order.evaluation_stage,
                 now,
                 CanaryEvidence(("declined",), SequentialTestConfig(), self._draw),
                 {},
@@ -149,7 +160,7 @@
                 now,
             )
             return []
-        return [Next(order.id, order.wave)] if now - looked.started_at >= 10 * SECOND else []
+        return [Advance(order.id, order.wave_index)] if now - looked.started_at >= 10 * SECOND else []
 
 
 BASELINES: dict[str, type[Orchestrator]] = {"threshold": Threshold, "timer": Timer}
@@ -181,7 +192,7 @@
             max_unsettled=10 * SECOND,
         )
         self.found: Counter[str] = Counter()
-        self.answers: dict[str, Placed] = {}
+        self.answers: dict[str, SubmitResult] = {}
         self.harmed = 0
         self.served = 0
         disks = tuple((f"c{at}", self.chance.getrandbits(64)) for at in range(3))
@@ -190,8 +201,8 @@
             one.durable.apply(SaveEntries(1, (Entry(1, Members(disks)),)))
         self.fleet: dict[str, Instance] = {}
         for at in range(instances):
-            facts = Facts(f"e{at}", Sort.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
-            self.fleet[facts.name] = Instance(facts, msgspec.msgpack.encode(Memory("v1")))
+            facts = InstanceInfo(f"e{at}", Sort.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
+            self.fleet[facts.name] = Instance(facts, msgspec.msgpack.encode(SupervisorState("v1")))
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
         self._processes = 0
@@ -245,7 +256,7 @@
     def _lapses(self, seat: ControlPlaneNode) -> None:
         """Planted: out becomes in by time."""
         assert seat.orchestrator is not None
-        for name, held in list(seat.operation_log.register.out.items()):
+        for name, held in list(seat.operation_log.permits.out.items()):
             if held is not None and self.chance.random() < 0.02:
                 seat.propose(self.now, Back(name, held.number))
 
@@ -284,12 +295,12 @@
             return
         one.life += 1
         one.stamps.clear()
-        memory = msgspec.msgpack.decode(one.disk, type=Memory)
+        memory = msgspec.msgpack.decode(one.disk, type=SupervisorState)
         one.keeping = Supervisor(one.facts, memory)
         # Its program may have outlived it: then it is taken over.
         one.keeping.resume(bool(one.process))
         if self.plant == "again":
-            memory.turns.clear()
+            memory.steps.clear()
         self.at(self.now, self._tick_keeper, one, one.life)
         self.at(self.now + int(self.chance.random() * REPORTS), self._reports, one, one.life)
 
@@ -301,7 +312,7 @@
         one = self.fleet[name]
         self.crash_keeper(name)
         # What runs tells the new keeper what it was started as.
-        one.disk = msgspec.msgpack.encode(Memory("v1", running=one.version))
+        one.disk = msgspec.msgpack.encode(SupervisorState("v1", running_version=one.version))
         one.lost_disk = True
         self.found["keeper disk lost"] += 1
 
@@ -352,7 +363,7 @@
         assert keeping is not None
         if one.process and self.now >= one.up_at:
             keeping.on_counters(
-                Counts(one.process, not one.ends_at, True, one.taken, one.declined, 0, 0, "settled")
+                InstanceCounters(one.process, not one.ends_at, True, one.taken, one.declined, 0, 0, "settled")
             )
         while (do := keeping.next_action(self.now)) is not None:
             if do is SupervisorAction.SAVE:
@@ -367,11 +378,11 @@
 
     def _saved(self, one: Instance, keeping: Supervisor) -> None:
         """What the disk holds is what has happened: a turn that was begun, one that was ended."""
-        if not keeping.state.turns:
+        if not keeping.state.steps:
             return
-        last = keeping.state.turns[-1]
-        turn = last.number, last.step
-        if last.why == "of a former memory":
+        last = keeping.state.steps[-1]
+        turn = last.fencing_token, last.index
+        if last.reason == "of a former memory":
             return
         if not last.outcome and one.turn != turn:
             if turn in one.done and not one.lost_disk:
@@ -450,31 +461,31 @@
 
     # Tools
 
-    def order(self, place: Place, tries: int = 10) -> None:
+    def order(self, place: Submit, tries: int = 10) -> None:
         """Told to all seats until one answers: the tool may be killed after any of them."""
-        if place.id in self.answers or not tries:
+        if place.operation_id in self.answers or not tries:
             return
         for machine in self.seats.values():
             self._send("tool", machine.name, self._ordered, machine, place)
         self.at(self.now + 2 * SECOND, self.order, place, tries - 1)
 
-    def _ordered(self, machine: Machine, place: Place) -> None:
+    def _ordered(self, machine: Machine, place: Submit) -> None:
         if machine.seat is None or self.now < machine.stopped_until:
             return
         if machine.seat.propose(self.now, place):
             self.at(self.now + SECOND, self._answers, machine, place)
         self._after(machine)
 
-    def _answers(self, machine: Machine, place: Place) -> None:
-        if machine.seat is not None and place.id in machine.seat.answers:
-            answer = machine.seat.answers[place.id]
-            assert isinstance(answer, Placed)
-            self.answers.setdefault(place.id, answer)
+    def _answers(self, machine: Machine, place: Submit) -> None:
+        if machine.seat is not None and place.operation_id in machine.seat.answers:
+            answer = machine.seat.answers[place.operation_id]
+            assert isinstance(answer, SubmitResult)
+            self.answers.setdefault(place.operation_id, answer)
 
     def stop_order(self, order: str, why: str, tries: int = 5) -> None:
         for machine in self.seats.values():
             if machine.seat is not None and self.now >= machine.stopped_until:
-                machine.seat.propose(self.now, Stop(order, why))
+                machine.seat.propose(self.now, Cancel(order, why))
                 self._after(machine)
         if tries > 1:
             self.at(self.now + 2 * SECOND, self.stop_order, order, why, tries - 1)
@@ -500,22 +511,24 @@
 
     def _some_order(self) -> None:
         chance = self.chance
-        kind = chance.choices(list(Kind), (2, 2, 2, 4))[0]
+        kind = chance.choices(list(OperationKind), (2, 2, 2, 4))[0]
         names = chance.sample(sorted(self.fleet), chance.randint(1, len(self.fleet)))
-        if kind is Kind.DRAIN:
+        if kind is OperationKind.DRAIN:
             names = names[: self.limits.in_region]
-        if kind is Kind.UNDRAIN:
+        if kind is OperationKind.UNDRAIN:
             names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up]
-        if kind is Kind.RELEASE and chance.random() < 0.7:
+        if kind is OperationKind.RELEASE and chance.random() < 0.7:
             names = sorted(self.fleet)
         if not names:
             return
         self.found[f"order {kind.value}"] += 1
-        version = chance.choice(VERSIONS) if kind is Kind.RELEASE else ""
-        place = Place(f"o{self.found.total()}", kind, tuple(names), version)
+        version = chance.choice(VERSIONS) if kind is OperationKind.RELEASE else ""
+        place = Submit(f"o{self.found.total()}", kind, tuple(names), version)
         self.order(place, chance.randint(1, 6))
         if chance.random() < 0.2:
-            self.at(self.now + int(chance.uniform(1, 20) * SECOND), self.stop_order, place.id, "by hand")
+            self.at(
+                self.now + int(chance.uniform(1, 20) * SECOND), self.stop_order, place.operation_id, "by hand"
+            )
         if chance.random() < 0.1:
             self.at(self.now + int(chance.uniform(10, 40) * SECOND), self.order, place)
 
@@ -568,7 +581,7 @@
     def _undrain(self) -> None:
         names = tuple(name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up)
         if names:
-            self.order(Place(f"undrain/{self.now}", Kind.UNDRAIN, names))
+            self.order(Submit(f"undrain/{self.now}", OperationKind.UNDRAIN, names))
 
     # At its end
 
@@ -578,19 +591,23 @@
         if leader is None:
             raise Broken("nobody leads at the end")
         ends: Counter[str] = Counter()
-        for order in leader.operation_log.orders.values():
+        for order in leader.operation_log.operations.values():
             ends[f"{order.kind.value}: {order.result or order.phase.value}"] += 1
-            self._judge(order, list(leader.operation_log.orders.values()))
+            self._judge(order, list(leader.operation_log.operations.values()))
         return dict(ends)
 
-    def _judge(self, order: Order, orders: list[Order]) -> None:
-        for name, member in order.members.items():
+    def _judge(self, order: Operation, orders: list[Operation]) -> None:
+        for name, member in order.participants.items():
             one = self.fleet[name]
-            told = member.step in (Step.DONE, Step.DRAINED, Step.RETURNED)
-            if told and not one.lost_disk and not any(turn[0] == member.number for turn in one.done):
-                raise Broken(f"{name} is told as {member.step.value} by {order.id}, and has not done it")
-        if order.kind is Kind.RELEASE and order.result == "halted":
-            later = any(one.at > order.at for one in orders)
-            for name, member in order.members.items():
-                if member.step in (Step.DONE, Step.OUT, Step.FAILED) and order.back and not later:
-                    raise Broken(f"{name} was not brought back by {order.id}: {member.step.value}")
+            told = member.status in (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
+            if told and not one.lost_disk and not any(turn[0] == member.fencing_token for turn in one.done):
+                raise Broken(f"{name} is told as {member.status.value} by {order.id}, and has not done it")
+        if order.kind is OperationKind.RELEASE and order.result == "halted":
+            later = any(one.submitted_at_ms > order.submitted_at_ms for one in orders)
+            for name, member in order.participants.items():
+                if (
+                    member.status in (StepStatus.DONE, StepStatus.OUT, StepStatus.FAILED)
+                    and order.roll_back
+                    and not later
+                ):
+                    raise Broken(f"{name} was not brought back by {order.id}: {member.status.value}")
--- a/valverouter/fleet/asking.py
+++ b/valverouter/fleet/asking.py
@@ -14,7 +14,7 @@
 from valverouter.membership.core import Membership
 from valverouter.membership.messages import Said
 from valverouter.membership.records import LIVING, State
-from valverouter.rollout.supervisor import Counts
+from valverouter.rollout.supervisor import InstanceCounters
 
 # Rows in one answer: each a name, a region, an address and numbers, all bounded by the terms.
 ROWS_ROOM = 1_000
@@ -35,7 +35,7 @@
 
 class Counted(Said, frozen=True, array_like=True, tag="C"):
     nonce: int = 0
-    counts: Counts = Counts()
+    counts: InstanceCounters = InstanceCounters()
 
 
 class Row(Struct, frozen=True, array_like=True):
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -18,13 +18,13 @@
 from valverouter.fleet.post import Post
 from valverouter.fleet.words import Asks, Here, Reported, Tells, Votes, Worded
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.rollout.orchestrator import OrchestratorConfig
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
 from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
-from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.rollout.limits import Limits, Sort
-from valverouter.rollout.operations import Book, Command, Place, Retire, Stop
+from valverouter.rollout.operations import Cancel, Command, OperationLog, Retire, Submit
+from valverouter.rollout.orchestrator import OrchestratorConfig
 from valverouter.rollout.permits import Halt
-from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
+from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.rollout.status import fleet_status
 from valverouter.rollout.written import heard as from_sent
 from valverouter.rollout.written import sent
@@ -205,9 +205,9 @@
             self._words.append((source, Tells(asks.nonce, self._terms.name, False, self.seat.leader)))
             return
         now, command = self._now(), asks.command
-        if asks.what == "do" and isinstance(command, Place | Stop | Halt | Retire):
+        if asks.what == "do" and isinstance(command, Submit | Cancel | Halt | Retire):
             self._do(source, asks, command)
-        elif asks.what == "plan" and isinstance(command, Place):
+        elif asks.what == "plan" and isinstance(command, Submit):
             place = command
             self.seat.read(now, lambda book: self._tells(source, asks, book.plan(place)))
         elif asks.what == "show":
@@ -225,12 +225,12 @@
                     del self._proposed[next(iter(self._proposed))]
         elif self.seat.applied_index >= index:
             answer: Any = {"done": True}
-            if isinstance(command, Place):
-                answer = self.seat.answers.get(command.id)
+            if isinstance(command, Submit):
+                answer = self.seat.answers.get(command.operation_id)
             if answer is not None:
                 self.seat.read(now, lambda book: self._tells(source, asks, answer))
 
-    def _shows(self, source: str, asks: Asks, book: Book) -> None:
+    def _shows(self, source: str, asks: Asks, book: OperationLog) -> None:
         """The same words to the same question, however often it is asked: a fleet's worth of them goes in
         many pieces, and those that were lost could not be filled from other words."""
         if asks.nonce not in self._shown:
@@ -253,23 +253,23 @@
             self._proposed.clear()
             term = self.seat.raft.durable.term
             self._log.info("council-leads" if self._was_leader else "council-follows", term=term)
-        orders = self.seat.operation_log.orders
+        orders = self.seat.operation_log.operations
         for gone in [id_ for id_ in self._told if id_ not in orders]:
             del self._told[gone]
         for order in orders.values():
-            said = f"{order.phase.value} {order.wave} {order.result} {order.why}"
+            said = f"{order.phase.value} {order.wave_index} {order.result} {order.halt_reason}"
             if self._told.get(order.id) != said:
                 self._told[order.id] = said
-                level = self._log.warning if order.why else self._log.info
+                level = self._log.warning if order.halt_reason else self._log.info
                 level(
                     "order",
                     order=order.id,
                     kind=order.kind.value,
                     phase=order.phase.value,
-                    wave=order.wave,
+                    wave=order.wave_index,
                     result=order.result,
-                    why=order.why,
-                    **{f"members_{step.replace(' ', '_')}": n for step, n in order.counts.items()},
+                    why=order.halt_reason,
+                    **{f"members_{step.replace(' ', '_')}": n for step, n in order.status_counts.items()},
                 )
 
 
--- a/valverouter/fleet/datagrams.py
+++ b/valverouter/fleet/datagrams.py
@@ -26,7 +26,7 @@
 from valverouter.membership.rules import Rules
 from valverouter.membership.trust import Trust
 from valverouter.membership.voice import Told
-from valverouter.rollout.supervisor import Counts
+from valverouter.rollout.supervisor import InstanceCounters
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
 
@@ -49,20 +49,20 @@
     return Phase.DRAINING if proxy.stopping else Phase.SERVING, proxy.terms.digest
 
 
-def counts_of(proxy: EdgeProxy) -> Counts:
+def counts_of(proxy: EdgeProxy) -> InstanceCounters:
     """What an edge proxy tells its keeper."""
     answers = proxy.tally.answers
     declined = answers["declined"] + answers["declined-here"]
     lost = answers["aborted"] + proxy.tally.withheld
-    return Counts(
+    return InstanceCounters(
         serving=not proxy.stopping,
         ready=proxy.ready,
-        taken=answers["stands"] + declined + lost,
-        declined=declined,
+        accepted=answers["stands"] + declined + lost,
+        rejected=declined,
         lost=lost,
         late=proxy.tally.late,
-        label=os.environ.get(LABEL, ""),
-        process=os.getpid(),
+        version_label=os.environ.get(LABEL, ""),
+        pid=os.getpid(),
     )
 
 
@@ -81,7 +81,7 @@
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
         watch: Callable[[Told], None] = lambda told: None,
-        tell_counts: Callable[[], Counts] = Counts,
+        tell_counts: Callable[[], InstanceCounters] = InstanceCounters,
     ) -> None:
         self.counts: Counter[str] = Counter()
         self.core: Membership | None = None
@@ -174,7 +174,9 @@
         elif isinstance(message, Query):
             self._show(socket, core, message, source)
         elif isinstance(message, Count):
-            told = msgspec.structs.replace(self._tell_counts(), life=self._life, trust=core.trust.value)
+            told = msgspec.structs.replace(
+                self._tell_counts(), incarnation=self._life, view_health=core.trust.value
+            )
             head = core.mine.name, core.mine.life, core.view.digest
             self._put(socket, source, Counted(*head, message.nonce, told))
         elif not isinstance(message, Shown | Counted):
--- a/valverouter/fleet/keeper.py
+++ b/valverouter/fleet/keeper.py
@@ -25,9 +25,15 @@
 from valverouter.fleet.sealing import Opener, Seal
 from valverouter.fleet.words import Reported, Worded
 from valverouter.ledger.supervisor_store import SupervisorStore
-from valverouter.rollout.supervisor import Counts, SupervisorAction, Facts, Supervisor, Memory
 from valverouter.rollout.limits import Sort
-from valverouter.rollout.operations import Want
+from valverouter.rollout.operations import DesiredState
+from valverouter.rollout.supervisor import (
+    InstanceCounters,
+    InstanceInfo,
+    Supervisor,
+    SupervisorAction,
+    SupervisorState,
+)
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
 from valverouter.signalling.serverlist import Leave, Left, ListSession, Returns
@@ -108,9 +114,13 @@
     """One keeper. `memory`: what its store held; None: nothing."""
 
     def __init__(
-        self, terms: KeeperTerms, surroundings: Surroundings, store: SupervisorStore, memory: Memory | None
+        self,
+        terms: KeeperTerms,
+        surroundings: Surroundings,
+        store: SupervisorStore,
+        memory: SupervisorState | None,
     ) -> None:
-        facts = Facts(
+        facts = InstanceInfo(
             terms.name,
             Sort.SERVER if terms.is_server else Sort.EDGE,
             terms.region,
@@ -118,7 +128,7 @@
             terms.processor,
             tuple(sorted(terms.commands)),
         )
-        self.keeping = Supervisor(facts, memory or Memory(terms.version))
+        self.keeping = Supervisor(facts, memory or SupervisorState(terms.version))
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
@@ -201,10 +211,10 @@
                 await socket.readable()
                 while (came := socket.take()) is not None:
                     answer = opener.open(came[0])
-                    if isinstance(answer, Counted) and answer.counts.process:
-                        process = Running.of(answer.counts.process)
+                    if isinstance(answer, Counted) and answer.counts.pid:
+                        process = Running.of(answer.counts.pid)
                         self.keeping.state.process = process.mark if process is not None else ""
-                        self.keeping.state.running = answer.counts.label
+                        self.keeping.state.running_version = answer.counts.version_label
                         if process is not None:
                             process.close()
                         return
@@ -226,10 +236,15 @@
             return  # overtaken by a later word of that seat
         self._stamps[name] = word.life, word.stamp
         self._heard_council = True
-        want: Want = word.want
+        want: DesiredState = word.want
         if self.keeping.on_desired_state(self._now(), want, word.is_open):
             self._log.info(
-                "turn", number=want.number, step=want.step, order=want.order, version=want.version, up=want.up
+                "turn",
+                number=want.fencing_token,
+                step=want.step_index,
+                order=want.operation_id,
+                version=want.version,
+                up=want.up,
             )
 
     def _report(self, post: Post) -> None:
@@ -250,10 +265,10 @@
             if isinstance(answer, Counted) and answer.nonce == self._nonce:
                 self._answered_at = trio.current_time()
                 memory = self._process.memory if self._process is not None else 0
-                self.keeping.on_counters(msgspec.structs.replace(answer.counts, memory=memory))
+                self.keeping.on_counters(msgspec.structs.replace(answer.counts, memory_bytes=memory))
         now = trio.current_time()
-        if now - self._answered_at > ANSWER_S and self.keeping.counters.life:
-            self.keeping.counters = Counts()
+        if now - self._answered_at > ANSWER_S and self.keeping.counters.incarnation:
+            self.keeping.counters = InstanceCounters()
         if now - self._ask_at >= ASK_S and self.keeping.is_running:
             self._ask_at = now
             self._nonce += 1
@@ -266,7 +281,7 @@
         if process is not None:
             self._process = process
             self.keeping.resume(True)
-            self._log.info("taken-over", version=memory.running, process=process.pid)
+            self._log.info("taken-over", version=memory.running_version, process=process.pid)
             assert self._nursery is not None
             self._nursery.start_soon(self._waits, process)
 
@@ -280,17 +295,17 @@
             elif do is SupervisorAction.STOP:
                 self._stop()
             elif do in (SupervisorAction.LEAVE_LIST, SupervisorAction.REJOIN_LIST):
-                number = keeping.state.turns[-1].number if keeping.state.turns else 0
+                number = keeping.state.steps[-1].fencing_token if keeping.state.steps else 0
                 assert self._nursery is not None
                 self._nursery.start_soon(self._asks_list, do is SupervisorAction.LEAVE_LIST, number)
             else:
                 self._start()
-        last = keeping.state.turns[-1] if keeping.state.turns else None
-        said = f"{last.number}/{last.step} {last.outcome}" if last else ""
+        last = keeping.state.steps[-1] if keeping.state.steps else None
+        said = f"{last.fencing_token}/{last.index} {last.outcome}" if last else ""
         if last is not None and last.outcome and said != self._told:
             self._told = said
             self._log.info(
-                "turn-over", number=last.number, step=last.step, outcome=last.outcome, why=last.why
+                "turn-over", number=last.fencing_token, step=last.index, outcome=last.outcome, why=last.reason
             )
 
     def _start(self) -> None:
--- a/valverouter/fleet/words.py
+++ b/valverouter/fleet/words.py
@@ -5,8 +5,8 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.rollout.supervisor import Report
-from valverouter.rollout.operations import Command, Want
+from valverouter.rollout.operations import Command, DesiredState
+from valverouter.rollout.supervisor import SupervisorReport
 from valverouter.rollout.written import Sent
 
 
@@ -27,7 +27,7 @@
 class Reported(Struct, frozen=True, array_like=True, tag="r"):
     """A keeper's report. `to`: the life of the seat whose `stamp` is given back; both 0: none yet."""
 
-    report: Report
+    report: SupervisorReport
     to: int = 0
     stamp: int = 0
 
@@ -39,7 +39,7 @@
     name: str
     life: int
     stamp: int
-    want: Want
+    want: DesiredState
     is_open: bool
 
 
--- a/valverouter/ledger/supervisor_store.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from valverouter.ledger.file import LedgerError, body_of, cover, owned, sound, summed
-from valverouter.rollout.supervisor import Memory
+from valverouter.rollout.supervisor import SupervisorState
 
 FORMAT = b"keeper 1"
 MAP_SIZE = 4 * 1024 * 1024
@@ -35,7 +35,7 @@
         self._env.close()
         self._lock.close()
 
-    def load(self) -> Memory | None:
+    def load(self) -> SupervisorState | None:
         """None where nothing was kept yet; LedgerError where it can't be trusted."""
         try:
             with self._env.begin() as read:
@@ -45,11 +45,11 @@
                 body = body_of(bytes(kept)) if kept is not None else None
                 if bytes(found) != FORMAT or body is None:
                     raise LedgerError(f"{self.path}: what a keeper kept is damaged")
-                return msgspec.msgpack.decode(body, type=Memory)
+                return msgspec.msgpack.decode(body, type=SupervisorState)
         except (lmdb.Error, msgspec.MsgspecError) as error:
             raise LedgerError(f"{self.path}: {error}") from error
 
-    def save(self, memory: Memory) -> None:
+    def save(self, memory: SupervisorState) -> None:
         """On disk when it returns; LedgerError where it is not."""
         try:
             with self._env.begin(write=True) as commit:
@@ -59,7 +59,7 @@
             raise LedgerError(f"{self.path}: {error}") from error
 
 
-def open_supervisor_store(path: Path) -> tuple[SupervisorStore, Memory | None, str]:
+def open_supervisor_store(path: Path) -> tuple[SupervisorStore, SupervisorState | None, str]:
     """A store that can be used, what it held, and why a former one was set aside: empty, if none was."""
     store, memory, why, _ = sound(path, lambda: SupervisorStore(path), SupervisorStore.load)
     return store, memory, why
--- a/valverouter/rollout/control_plane_node.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.council import PATIENCE, Councillor, Durable, Members, Message, Part, Save
-from valverouter.rollout.supervisor import Report
-from valverouter.rollout.operations import Book, Command, Place, Placed, Want
+from valverouter.rollout.operations import Command, DesiredState, OperationLog, Submit, SubmitResult
+from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.permits import Answer
+from valverouter.rollout.supervisor import SupervisorReport
 
 # Between two steps of the conductor.
 ORCHESTRATION_INTERVAL = PATIENCE // 10
@@ -30,7 +30,7 @@
     turn is still held; of one that is over nothing is begun any more."""
 
     instance: str
-    desired: Want
+    desired: DesiredState
     is_open: bool
     # Given back by the keeper's next report: our clock when this left.
     stamp: int
@@ -51,21 +51,21 @@
         self, name: str, durable: Durable, rules: OrchestratorConfig, draw: Callable[[], float], now: int
     ) -> None:
         self.name = name
-        self.operation_log = Book()
+        self.operation_log = OperationLog()
         self.applied_index = durable.snapshot.index if durable.snapshot else 0
         self.config = rules
         self.orchestrator: Orchestrator | None = None
         # What conducts; experiments put a baseline in its place.
         self.orchestrator_class: type[Orchestrator] = Orchestrator
         # What was agreed on of late, for tools that asked for it: by the command's id.
-        self.answers: dict[str, Answer | Placed] = {}
+        self.answers: dict[str, Answer | SubmitResult] = {}
         self._draw = draw
         self._now = now
         self._stepped_at = now
         self._pending_reads: deque[PendingRead] = deque()
         self.raft = Councillor(name, durable, draw, now, lambda: self.operation_log.copy(), self._install)
 
-    def _install(self, state: Book) -> None:
+    def _install(self, state: OperationLog) -> None:
         self.operation_log = state.copy()
 
     # Carried
@@ -112,7 +112,7 @@
         self._after()
 
     def on_report(
-        self, now: int, report: Report, made_after: int, answer: Callable[[DesiredStateReply], None]
+        self, now: int, report: SupervisorReport, made_after: int, answer: Callable[[DesiredStateReply], None]
     ) -> bool:
         """A keeper's. Whether this seat leads and will answer."""
         self._now = now
@@ -121,10 +121,10 @@
         self.orchestrator.record_report(now, report, made_after)
 
         def say() -> None:
-            name = report.facts.name
-            want, held = self.operation_log.wants.get(name), self.operation_log.register.out.get(name)
+            name = report.info.name
+            want, held = self.operation_log.desired.get(name), self.operation_log.permits.out.get(name)
             if want is not None:
-                is_open = held is not None and held.number == want.number
+                is_open = held is not None and held.number == want.fencing_token
                 answer(DesiredStateReply(name, want, is_open, self._now))
 
         return self._ask(say)
@@ -132,13 +132,13 @@
     def propose(self, now: int, command: Command) -> bool:
         """A tool's. Whether this seat leads; agreed on or not, the tool asks again by the command's id."""
         self._now = now
-        if isinstance(command, Place):
-            self.answers.pop(command.id, None)
+        if isinstance(command, Submit):
+            self.answers.pop(command.operation_id, None)
         done = self.is_leader and self.raft.propose(now, command)
         self._after()
         return done
 
-    def read(self, now: int, answer: Callable[[Book], None]) -> bool:
+    def read(self, now: int, answer: Callable[[OperationLog], None]) -> bool:
         """Whether this seat leads and will answer with the book as it holds after now."""
         self._now = now
         return self.is_leader and self._ask(lambda: answer(self.operation_log))
@@ -172,6 +172,7 @@
     def _apply(self, index: int, what: Command) -> None:
         answer = self.operation_log.apply(index, what)
         if answer is not None:
-            self.answers[answer.id] = answer
+            key = answer.operation_id if isinstance(answer, SubmitResult) else answer.id
+            self.answers[key] = answer
             if len(self.answers) > MAX_PENDING_READS:
                 del self.answers[next(iter(self.answers))]
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -28,513 +28,602 @@
 MAX_OPEN_OPERATIONS = 16
 
 
-class Kind(Enum):
+class OperationKind(Enum):
     DRAIN = "drain"
     UNDRAIN = "undrain"
     RESTART = "restart"
     RELEASE = "release"
 
 
-class Phase(Enum):
+class OperationPhase(Enum):
     """QUEUED: another order goes first. WATCHING: a wave is back, and evidence is gathered. RETURNING: what
     is out comes in again, and what was released goes back to its former version."""
 
     QUEUED = "queued"
-    GOING = "going"
-    WATCHING = "watching"
-    RETURNING = "returning"
+    RUNNING = "going"
+    EVALUATING = "watching"
+    ROLLING_BACK = "returning"
     ENDED = "ended"
 
 
-class Step(Enum):
+class StepStatus(Enum):
     """Of one instance in one order. OUT: under its permit, whatever it does there; what became of it is known
     only once it has told. FAILED: its program does not come up as ordered, and it is out."""
 
-    WAITING = "waiting"
+    PENDING = "waiting"
     OUT = "out"
     FAILED = "failed"
     DRAINED = "drained"
     DONE = "done"
-    NOT_REACHED = "not reached"
+    UNREACHABLE = "not reached"
     # While the order returns: released, and still to go back; and back.
-    TO_RETURN = "to return"
-    RETURNED = "returned"
+    ROLLBACK_PENDING = "to return"
+    ROLLED_BACK = "returned"
     # Never gone out by this order.
-    LEFT = "left"
+    SKIPPED = "left"
 
 
-UNFINISHED = (Step.WAITING, Step.OUT, Step.FAILED)
-ACTIVE_PHASES = (Phase.GOING, Phase.WATCHING, Phase.RETURNING)
+UNFINISHED = (StepStatus.PENDING, StepStatus.OUT, StepStatus.FAILED)
+ACTIVE_PHASES = (OperationPhase.RUNNING, OperationPhase.EVALUATING, OperationPhase.ROLLING_BACK)
 
 
-class Place(Struct, frozen=True, tag="Place"):
+class Submit(
+    Struct,
+    frozen=True,
+    tag="Place",
+    rename={"operation_id": "id", "instances": "names", "submitted_at_ms": "at", "submitted_by": "by"},
+):
     """An order. `id` is its own: placed again, it is the same order. `at`: wall time in ms, to be shown and
     for nothing else. `dry`: nothing is placed, the plan is told."""
 
-    id: str
-    kind: Kind
-    names: tuple[str, ...]
+    operation_id: str
+    kind: OperationKind
+    instances: tuple[str, ...]
     version: str = ""
-    at: int = 0
-    by: str = ""
-
-
-class Went(Struct, frozen=True, tag="Went"):
+    submitted_at_ms: int = 0
+    submitted_by: str = ""
+
+
+class StepReported(
+    Struct,
+    frozen=True,
+    tag="Went",
+    rename={
+        "instance": "name",
+        "operation_id": "order",
+        "fencing_token": "number",
+        "status": "step",
+        "reason": "why",
+    },
+):
     """What became of an instance, as it told; `number`: of its permit, 0 where it has none yet."""
 
-    order: str
-    name: str
-    number: int
-    step: Step
-    why: str = ""
+    operation_id: str
+    instance: str
+    fencing_token: int
+    status: StepStatus
+    reason: str = ""
 
 
-class Next(Struct, frozen=True, tag="Next"):
+class Advance(Struct, frozen=True, tag="Next", rename={"operation_id": "order"}):
     """The evidence lets the wave after `wave` go."""
 
-    order: str
+    operation_id: str
     wave: int
 
 
-class Stop(Struct, frozen=True, tag="Stop"):
+class Cancel(
+    Struct,
+    frozen=True,
+    tag="Stop",
+    rename={"operation_id": "order", "reason": "why", "roll_back": "back", "cancelled_at_ms": "at"},
+):
     """Nothing further goes out by the order (empty: by any), and what is out comes in. `back`: what was
     released returns to its former version as well."""
 
-    order: str
-    why: str
-    back: bool = True
-    at: int = 0
-
-
-class Runs(Struct, frozen=True, tag="Runs"):
+    operation_id: str
+    reason: str
+    roll_back: bool = True
+    cancelled_at_ms: int = 0
+
+
+class InstanceReported(
+    Struct,
+    frozen=True,
+    tag="Runs",
+    rename={
+        "instance": "name",
+        "available_versions": "versions",
+        "fencing_token": "number",
+        "step_index": "step",
+    },
+):
     """An instance tells which version it runs, and which its keeper can start; the highest turn that its
     keeper has begun, and whether it is to be up by that."""
 
-    name: str
+    instance: str
     version: str
-    versions: tuple[str, ...]
-    number: int = 0
-    step: int = 0
+    available_versions: tuple[str, ...]
+    fencing_token: int = 0
+    step_index: int = 0
     up: bool = True
 
 
-class Retire(Struct, frozen=True, tag="Retire"):
+class Retire(Struct, frozen=True, tag="Retire", rename={"instance": "name"}):
     """An instance that is no part of the fleet any more."""
 
-    name: str
+    instance: str
 
 
-Command = PermitCommand | Place | Went | Next | Stop | Runs | Retire
+Command = PermitCommand | Submit | StepReported | Advance | Cancel | InstanceReported | Retire
 
 
-class Want(Struct, frozen=True):
+class DesiredState(
+    Struct, frozen=True, rename={"fencing_token": "number", "step_index": "step", "operation_id": "order"}
+):
     """What an instance should be. `number`, `step`: the turn that made it so; (0, 0): as it was found."""
 
     version: str
     up: bool = True
-    number: int = 0
-    step: int = 0
-    order: str = ""
+    fencing_token: int = 0
+    step_index: int = 0
+    operation_id: str = ""
 
     @property
-    def turn(self) -> tuple[int, int]:
-        return self.number, self.step
-
-
-class Member(Struct):
+    def step_id(self) -> tuple[int, int]:
+        return self.fencing_token, self.step_index
+
+
+class Participant(
+    Struct,
+    rename={
+        "status": "step",
+        "fencing_token": "number",
+        "permit_requests": "tries",
+        "previous_version": "former",
+        "reason": "why",
+    },
+):
     """An instance in an order. `tries`: how often it asked for leave; `former`: its version before."""
 
-    step: Step = Step.WAITING
-    number: int = 0
-    tries: int = 0
-    former: str = ""
-    why: str = ""
-
-
-class Order(Struct):
+    status: StepStatus = StepStatus.PENDING
+    fencing_token: int = 0
+    permit_requests: int = 0
+    previous_version: str = ""
+    reason: str = ""
+
+
+class Operation(
+    Struct,
+    rename={
+        "submitted_at_ms": "at",
+        "submitted_by": "by",
+        "participants": "members",
+        "evaluated_waves": "watched",
+        "wave_index": "wave",
+        "roll_back": "back",
+        "halt_reason": "why",
+    },
+):
     """One order. `wave` counts from 0, `watched` are those after which evidence is awaited; `result` is told
     once it has ended."""
 
     id: str
-    kind: Kind
+    kind: OperationKind
     version: str
-    at: int
-    by: str
+    submitted_at_ms: int
+    submitted_by: str
     waves: list[list[str]]
-    members: dict[str, Member]
-    watched: list[int] = field(default_factory=list)
-    phase: Phase = Phase.QUEUED
-    wave: int = 0
-    back: bool = False
-    why: str = ""
+    participants: dict[str, Participant]
+    evaluated_waves: list[int] = field(default_factory=list)
+    phase: OperationPhase = OperationPhase.QUEUED
+    wave_index: int = 0
+    roll_back: bool = False
+    halt_reason: str = ""
     result: str = ""
 
     @property
-    def present(self) -> list[str]:
+    def current_wave(self) -> list[str]:
         """The names of the wave that goes."""
-        return self.waves[self.wave] if self.wave < len(self.waves) else []
+        return self.waves[self.wave_index] if self.wave_index < len(self.waves) else []
 
     @property
-    def stage(self) -> int:
+    def evaluation_stage(self) -> int:
         """How many watches are over."""
-        return sum(wave < self.wave for wave in self.watched)
+        return sum(wave < self.wave_index for wave in self.evaluated_waves)
 
     @property
-    def counts(self) -> dict[str, int]:
+    def status_counts(self) -> dict[str, int]:
         told: dict[str, int] = {}
-        for member in self.members.values():
-            told[member.step.value] = told.get(member.step.value, 0) + 1
+        for member in self.participants.values():
+            told[member.status.value] = told.get(member.status.value, 0) + 1
         return told
 
-    def copy(self) -> Order:
+    def copy(self) -> Operation:
         return replace(
             self,
             waves=[list(wave) for wave in self.waves],
-            watched=list(self.watched),
-            members={name: replace(one) for name, one in self.members.items()},
+            evaluated_waves=list(self.evaluated_waves),
+            participants={name: replace(one) for name, one in self.participants.items()},
         )
 
 
-class Placed(Struct, frozen=True):
+class SubmitResult(Struct, frozen=True, rename={"operation_id": "id", "rejection": "why"}):
     """To a Place: the order's waves, or why it is refused."""
 
-    id: str
+    operation_id: str
     waves: tuple[tuple[str, ...], ...] = ()
-    why: str = ""
-
-
-class Book(Struct):
+    rejection: str = ""
+
+
+class OperationLog(
+    Struct,
+    rename={
+        "permits": "register",
+        "desired": "wants",
+        "available_versions": "versions",
+        "operations": "orders",
+        "fencing_token_offset": "base",
+    },
+):
     """The state: permits, what is wanted of whom, and the orders in the order in which they were placed."""
 
-    register: Register = field(default_factory=Register)
-    wants: dict[str, Want] = field(default_factory=dict)
-    versions: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    orders: dict[str, Order] = field(default_factory=dict)
+    permits: Register = field(default_factory=Register)
+    desired: dict[str, DesiredState] = field(default_factory=dict)
+    available_versions: dict[str, tuple[str, ...]] = field(default_factory=dict)
+    operations: dict[str, Operation] = field(default_factory=dict)
     # Permits' numbers are places in the record and this: a council that was founded anew, its former record
     # lost, must not give a number again that a keeper or the list has seen.
-    base: int = 0
+    fencing_token_offset: int = 0
 
-    def apply(self, place: int, command: Command) -> Answer | Placed | None:
+    def apply(self, index: int, command: Command) -> Answer | SubmitResult | None:
         """The command at a place of the record."""
-        number = place + self.base
+        number = index + self.fencing_token_offset
         match command:
-            case Place():
+            case Submit():
                 return self._place(command)
             case Ask():
                 return self._ask(number, command)
             case Back(name, permit):
                 self._back(number, name, permit)
-            case Went():
+            case StepReported():
                 self._went(command)
-            case Next(order, wave):
+            case Advance(order, wave):
                 self._next(order, wave)
-            case Stop(order, why, back):
+            case Cancel(order, why, back):
                 self._stop(order, why, back)
-            case Runs():
+            case InstanceReported():
                 self._runs(number, command)
             case Retire(name):
                 self._retire(name)
             case Away() | Enrol() | Halt():
-                self.register.apply(number, command)
+                self.permits.apply(number, command)
         return None
 
-    def copy(self) -> Book:
+    def copy(self) -> OperationLog:
         """For a snapshot."""
-        return Book(
-            self.register.copy(),
-            dict(self.wants),
-            dict(self.versions),
-            {name: order.copy() for name, order in self.orders.items()},
-            self.base,
+        return OperationLog(
+            self.permits.copy(),
+            dict(self.desired),
+            dict(self.available_versions),
+            {name: order.copy() for name, order in self.operations.items()},
+            self.fencing_token_offset,
         )
 
-    def _runs(self, number: int, told: Runs) -> None:
-        self.base += max(0, told.number - number)
-        self.versions[told.name] = told.versions
-        if told.name in self.wants:
+    def _runs(self, number: int, told: InstanceReported) -> None:
+        self.fencing_token_offset += max(0, told.fencing_token - number)
+        self.available_versions[told.instance] = told.available_versions
+        if told.instance in self.desired:
             return
-        self.wants[told.name] = Want(told.version, told.up, told.number, told.step)
-        if not told.up and told.number:
+        self.desired[told.instance] = DesiredState(told.version, told.up, told.fencing_token, told.step_index)
+        if not told.up and told.fencing_token:
             # Drained by a council that is no more: it stays so, and can be brought back.
-            self.register.out[told.name] = Permit(told.number, told.name, "")
+            self.permits.out[told.instance] = Permit(told.fencing_token, told.instance, "")
 
     # What is asked of it
 
     @property
-    def going(self) -> Order | None:
+    def active_operation(self) -> Operation | None:
         """The one order that takes anybody out."""
-        busy = (order for order in self.orders.values() if order.phase in ACTIVE_PHASES)
-        return next((order for order in busy if order.kind is not Kind.UNDRAIN), None)
+        busy = (order for order in self.operations.values() if order.phase in ACTIVE_PHASES)
+        return next((order for order in busy if order.kind is not OperationKind.UNDRAIN), None)
 
     @property
-    def undrains(self) -> list[Order]:
+    def active_undrains(self) -> list[Operation]:
         """Those under way: they bring in, wait for nobody, and whoever waits for room may wait for them."""
-        return [o for o in self.orders.values() if o.kind is Kind.UNDRAIN and o.phase in ACTIVE_PHASES]
+        return [
+            o
+            for o in self.operations.values()
+            if o.kind is OperationKind.UNDRAIN and o.phase in ACTIVE_PHASES
+        ]
 
-    def plan(self, place: Place) -> Placed:
+    def plan(self, place: Submit) -> SubmitResult:
         """The waves of an order as it would be placed now, or why it would be refused whole."""
         why = self._flaw(place)
         if why:
-            return Placed(place.id, (), why)
-        if place.kind is Kind.UNDRAIN:
-            return Placed(place.id, (place.names,))
-        units = list(self.register.units.values())
-        sort = self.register.units[place.names[0]].sort
-        limits = self.register.limits.get(sort)
+            return SubmitResult(place.operation_id, (), why)
+        if place.kind is OperationKind.UNDRAIN:
+            return SubmitResult(place.operation_id, (place.instances,))
+        units = list(self.permits.units.values())
+        sort = self.permits.units[place.instances[0]].sort
+        limits = self.permits.limits.get(sort)
         if limits is None:
-            return Placed(place.id, (), f"no limits are told for {sort.several}, so none may go out")
+            return SubmitResult(
+                place.operation_id, (), f"no limits are told for {sort.several}, so none may go out"
+            )
         flaws = impossible(limits, sort, units)
         if flaws:
-            return Placed(place.id, (), f"by these limits: {flaws[0]}")
+            return SubmitResult(place.operation_id, (), f"by these limits: {flaws[0]}")
         try:
             # Planned for a whole fleet: who is out at this moment holds a wave up and does not change it.
-            made = waves(limits, units, (), list(place.names))
-            if place.kind is Kind.DRAIN:
+            made = waves(limits, units, (), list(place.instances))
+            if place.kind is OperationKind.DRAIN:
                 self._stays_out(place)
         except ValueError as flaw:
-            return Placed(place.id, (), str(flaw))
-        return Placed(place.id, tuple(tuple(wave) for wave in made))
+            return SubmitResult(place.operation_id, (), str(flaw))
+        return SubmitResult(place.operation_id, tuple(tuple(wave) for wave in made))
 
-    def _flaw(self, place: Place) -> str:
-        if not place.names:
+    def _flaw(self, place: Submit) -> str:
+        if not place.instances:
             return "nobody is meant"
-        for name in place.names:
-            if name not in self.register.units:
+        for name in place.instances:
+            if name not in self.permits.units:
                 return f"{name} is not enrolled"
-        if len({self.register.units[name].sort for name in place.names}) > 1:
+        if len({self.permits.units[name].sort for name in place.instances}) > 1:
             return "edge proxies and servers go out by orders of their own"
-        if sum(order.phase is not Phase.ENDED for order in self.orders.values()) >= MAX_OPEN_OPERATIONS:
+        if (
+            sum(order.phase is not OperationPhase.ENDED for order in self.operations.values())
+            >= MAX_OPEN_OPERATIONS
+        ):
             return f"{MAX_OPEN_OPERATIONS} orders wait or go already"
-        if self.register.halted:
-            return f"halted: {self.register.halted}"
-        for order in self.orders.values():
-            both = sorted(set(place.names) & order.members.keys())
-            if order.phase is not Phase.ENDED and both:
+        if self.permits.halted:
+            return f"halted: {self.permits.halted}"
+        for order in self.operations.values():
+            both = sorted(set(place.instances) & order.participants.keys())
+            if order.phase is not OperationPhase.ENDED and both:
                 return f"{', '.join(both[:3])} of it: order {order.id} is not done with them"
-        for name in place.names:
-            if place.kind is Kind.RELEASE and place.version not in self.versions.get(name, ()):
+        for name in place.instances:
+            if place.kind is OperationKind.RELEASE and place.version not in self.available_versions.get(
+                name, ()
+            ):
                 return f"the keeper of {name} knows no version {place.version!r}"
-            want = self.wants.get(name)
-            if place.kind is Kind.RELEASE and want is not None and want.version == place.version:
+            want = self.desired.get(name)
+            if place.kind is OperationKind.RELEASE and want is not None and want.version == place.version:
                 return f"{name} is at {place.version} already"
-            if place.kind is Kind.UNDRAIN and (want is None or want.up or not self._number(name)):
+            if place.kind is OperationKind.UNDRAIN and (want is None or want.up or not self._number(name)):
                 return f"{name} is not drained"
-            if place.kind is not Kind.UNDRAIN and want is not None and not want.up:
+            if place.kind is not OperationKind.UNDRAIN and want is not None and not want.up:
                 return f"{name} is drained: it is brought back by undrain"
         return ""
 
-    def _stays_out(self, place: Place) -> None:
+    def _stays_out(self, place: Submit) -> None:
         """Who is drained stays out: all of them must find room together, with those drained before."""
-        unit = self.register.units[place.names[0]]
-        units, out = list(self.register.units.values()), set(self._drained())
-        for name in place.names:
-            why = refusal(self.register.limits[unit.sort], units, out, self.register.units[name])
+        unit = self.permits.units[place.instances[0]]
+        units, out = list(self.permits.units.values()), set(self._drained())
+        for name in place.instances:
+            why = refusal(self.permits.limits[unit.sort], units, out, self.permits.units[name])
             if why is not None:
                 raise ValueError(f"{name}: {why}")
             out.add(name)
 
     def _drained(self) -> list[str]:
-        return [name for name, want in self.wants.items() if not want.up]
+        return [name for name, want in self.desired.items() if not want.up]
 
     def _number(self, name: str) -> int:
         """Of the permit that it is out by; 0: it has none."""
-        held = self.register.out.get(name)
+        held = self.permits.out.get(name)
         return held.number if held else 0
 
     # Orders
 
-    def _place(self, place: Place) -> Placed:
-        known = self.orders.get(place.id)
+    def _place(self, place: Submit) -> SubmitResult:
+        known = self.operations.get(place.operation_id)
         if known is not None:
             # Told again, a day later too: the same order, and not once more.
-            return Placed(place.id, tuple(tuple(wave) for wave in known.waves))
+            return SubmitResult(place.operation_id, tuple(tuple(wave) for wave in known.waves))
         plan = self.plan(place)
-        if plan.why:
+        if plan.rejection:
             return plan
         members = {
-            name: Member(former=self.wants[name].version if name in self.wants else "")
-            for name in place.names
+            name: Participant(previous_version=self.desired[name].version if name in self.desired else "")
+            for name in place.instances
         }
-        order = Order(
-            place.id,
+        order = Operation(
+            place.operation_id,
             place.kind,
             place.version,
-            place.at,
-            place.by,
+            place.submitted_at_ms,
+            place.submitted_by,
             [list(w) for w in plan.waves],
             members,
-            evaluation_waves(plan.waves) if place.kind is Kind.RELEASE else [],
+            evaluation_waves(plan.waves) if place.kind is OperationKind.RELEASE else [],
         )
-        self.orders[place.id] = order
-        ended = [one.id for one in self.orders.values() if one.phase is Phase.ENDED]
+        self.operations[place.operation_id] = order
+        ended = [one.id for one in self.operations.values() if one.phase is OperationPhase.ENDED]
         for old in ended[: max(0, len(ended) - MAX_ENDED_OPERATIONS)]:
-            del self.orders[old]
-        if place.kind is Kind.UNDRAIN:
+            del self.operations[old]
+        if place.kind is OperationKind.UNDRAIN:
             self._undrain(order)
         self._begin()
         return plan
 
-    def _undrain(self, order: Order) -> None:
+    def _undrain(self, order: Operation) -> None:
         """At once: queued behind an order that waited for the very room that it gives back, neither ever
         ended."""
-        order.phase = Phase.GOING
-        for name, member in order.members.items():
-            member.number, member.step = self._number(name), Step.OUT
-            self._want(name, member, 1, member.former, True, order.id)
+        order.phase = OperationPhase.RUNNING
+        for name, member in order.participants.items():
+            member.fencing_token, member.status = self._number(name), StepStatus.OUT
+            self._want(name, member, 1, member.previous_version, True, order.id)
 
     def _begin(self) -> None:
         """The first that waits goes, if none goes."""
-        if self.going is None:
-            order = next((one for one in self.orders.values() if one.phase is Phase.QUEUED), None)
+        if self.active_operation is None:
+            order = next(
+                (one for one in self.operations.values() if one.phase is OperationPhase.QUEUED), None
+            )
             if order is not None:
-                order.phase = Phase.GOING
+                order.phase = OperationPhase.RUNNING
 
-    def _want(self, name: str, member: Member, step: int, version: str, up: bool, order: str) -> None:
-        self.wants[name] = Want(version, up, member.number, step, order)
+    def _want(self, name: str, member: Participant, step: int, version: str, up: bool, order: str) -> None:
+        self.desired[name] = DesiredState(version, up, member.fencing_token, step, order)
 
     def _ask(self, number: int, ask: Ask) -> Answer | None:
-        order = self.orders.get(ask.order)
-        member = order.members.get(ask.name) if order else None
+        order = self.operations.get(ask.order)
+        member = order.participants.get(ask.name) if order else None
         if order is None or member is None:
-            return self.register.apply(number, ask)
-        wanted = Step.TO_RETURN if order.phase is Phase.RETURNING else Step.WAITING
-        if order.phase not in (Phase.GOING, Phase.RETURNING) or member.step is not wanted:
+            return self.permits.apply(number, ask)
+        wanted = (
+            StepStatus.ROLLBACK_PENDING if order.phase is OperationPhase.ROLLING_BACK else StepStatus.PENDING
+        )
+        if (
+            order.phase not in (OperationPhase.RUNNING, OperationPhase.ROLLING_BACK)
+            or member.status is not wanted
+        ):
             # Asked before the order was stopped, and agreed on after: nothing further goes out.
             return Answer(ask.id, None, f"order {order.id} does not ask for it any more")
         answer = self._leave(number, ask, order)
         if answer.permit is not None and answer.permit.number != number:
             return answer  # an ask that came twice: its permit was acted on, and is over
-        member.tries += 1
+        member.permit_requests += 1
         if answer.permit is None:
-            member.why = answer.why
+            member.reason = answer.why
             return answer
-        member.number, member.why = answer.permit.number, ""
-        if order.phase is Phase.RETURNING:
-            member.step = Step.OUT
-            self._want(ask.name, member, 1, member.former, True, order.id)
+        member.fencing_token, member.reason = answer.permit.number, ""
+        if order.phase is OperationPhase.ROLLING_BACK:
+            member.status = StepStatus.OUT
+            self._want(ask.name, member, 1, member.previous_version, True, order.id)
             return answer
-        member.step = Step.OUT
-        version = order.version if order.kind is Kind.RELEASE else member.former
-        self._want(ask.name, member, 0, version, order.kind is not Kind.DRAIN, order.id)
+        member.status = StepStatus.OUT
+        version = order.version if order.kind is OperationKind.RELEASE else member.previous_version
+        self._want(ask.name, member, 0, version, order.kind is not OperationKind.DRAIN, order.id)
         return answer
 
-    def _leave(self, number: int, ask: Ask, order: Order) -> Answer:
-        if order.phase is Phase.RETURNING and self.register.out.get(ask.name, ask) is None:
+    def _leave(self, number: int, ask: Ask, order: Operation) -> Answer:
+        if order.phase is OperationPhase.ROLLING_BACK and self.permits.out.get(ask.name, ask) is None:
             # It is out without leave and uses its room already. Refused for that, an instance whose release
             # ends by itself over and over could never go back to what it ran before.
             permit = Permit(number, ask.name, ask.order)
-            self.register.out[ask.name] = permit
+            self.permits.out[ask.name] = permit
             return Answer(ask.id, permit)
-        answer = self.register.apply(number, ask)
+        answer = self.permits.apply(number, ask)
         assert answer is not None
         return answer
 
     def _back(self, number: int, name: str, permit: int) -> None:
-        if name not in self.register.out or self._number(name) != permit:
+        if name not in self.permits.out or self._number(name) != permit:
             return
-        if not (self.wants.get(name) or Want("")).up:
+        if not (self.desired.get(name) or DesiredState("")).up:
             return  # drained: that its program runs is no leave to count it as in
-        self.register.apply(number, Back(name, permit))
-        for order in self.orders.values():
-            member = order.members.get(name)
-            if order.phase is not Phase.ENDED and member and member.number == permit and permit:
+        self.permits.apply(number, Back(name, permit))
+        for order in self.operations.values():
+            member = order.participants.get(name)
+            if (
+                order.phase is not OperationPhase.ENDED
+                and member
+                and member.fencing_token == permit
+                and permit
+            ):
                 self._came_in(order, name, member)
 
-    def _came_in(self, order: Order, name: str, member: Member) -> None:
-        if member.step not in (Step.OUT, Step.FAILED):
+    def _came_in(self, order: Operation, name: str, member: Participant) -> None:
+        if member.status not in (StepStatus.OUT, StepStatus.FAILED):
             return
-        if order.phase is not Phase.RETURNING:
-            member.step, member.why = Step.DONE, ""
-        elif order.kind is Kind.RELEASE and self.wants[name].version == member.former:
-            member.step = Step.RETURNED
+        if order.phase is not OperationPhase.ROLLING_BACK:
+            member.status, member.reason = StepStatus.DONE, ""
+        elif order.kind is OperationKind.RELEASE and self.desired[name].version == member.previous_version:
+            member.status = StepStatus.ROLLED_BACK
         else:
-            member.step = Step.DONE
+            member.status = StepStatus.DONE
         self._forward(order)
 
-    def _went(self, went: Went) -> None:
-        order = self.orders.get(went.order)
-        member = order.members.get(went.name) if order else None
-        if order is None or member is None or order.phase is Phase.ENDED:
+    def _went(self, went: StepReported) -> None:
+        order = self.operations.get(went.operation_id)
+        member = order.participants.get(went.instance) if order else None
+        if order is None or member is None or order.phase is OperationPhase.ENDED:
             return
-        if went.step is Step.NOT_REACHED:
-            if member.step is Step.WAITING:
-                member.step, member.why = Step.NOT_REACHED, went.why
-        elif member.number == went.number and went.number and member.step in (Step.OUT, Step.FAILED):
-            if went.step is Step.FAILED:
-                member.step, member.why = Step.FAILED, went.why
-            elif went.step is Step.DRAINED and not self.wants[went.name].up:
-                member.step = Step.DRAINED
+        if went.status is StepStatus.UNREACHABLE:
+            if member.status is StepStatus.PENDING:
+                member.status, member.reason = StepStatus.UNREACHABLE, went.reason
+        elif (
+            member.fencing_token == went.fencing_token
+            and went.fencing_token
+            and member.status in (StepStatus.OUT, StepStatus.FAILED)
+        ):
+            if went.status is StepStatus.FAILED:
+                member.status, member.reason = StepStatus.FAILED, went.reason
+            elif went.status is StepStatus.DRAINED and not self.desired[went.instance].up:
+                member.status = StepStatus.DRAINED
         self._forward(order)
 
-    def _forward(self, order: Order) -> None:
+    def _forward(self, order: Operation) -> None:
         """What follows from a member's change: a wave that is over, an order that has ended."""
-        if order.phase is Phase.GOING:
-            if any(order.members[name].step in UNFINISHED for name in order.present):
+        if order.phase is OperationPhase.RUNNING:
+            if any(order.participants[name].status in UNFINISHED for name in order.current_wave):
                 return
-            last = order.wave + 1 >= len(order.waves)
+            last = order.wave_index + 1 >= len(order.waves)
             if last:
                 self._end(order)
-            elif order.wave in order.watched:
-                order.phase = Phase.WATCHING
+            elif order.wave_index in order.evaluated_waves:
+                order.phase = OperationPhase.EVALUATING
             else:
-                order.wave += 1
+                order.wave_index += 1
                 self._forward(order)
-        elif order.phase is Phase.RETURNING:
-            still = (Step.OUT, Step.FAILED, Step.TO_RETURN)
-            if not any(member.step in still for member in order.members.values()):
+        elif order.phase is OperationPhase.ROLLING_BACK:
+            still = (StepStatus.OUT, StepStatus.FAILED, StepStatus.ROLLBACK_PENDING)
+            if not any(member.status in still for member in order.participants.values()):
                 self._end(order)
 
     def _next(self, order_id: str, wave: int) -> None:
-        order = self.orders.get(order_id)
-        if order is not None and order.phase is Phase.WATCHING and order.wave == wave:
-            order.phase, order.wave = Phase.GOING, wave + 1
+        order = self.operations.get(order_id)
+        if order is not None and order.phase is OperationPhase.EVALUATING and order.wave_index == wave:
+            order.phase, order.wave_index = OperationPhase.RUNNING, wave + 1
             self._forward(order)
 
-    def _end(self, order: Order) -> None:
-        returned = order.phase is Phase.RETURNING
-        order.phase = Phase.ENDED
-        missed = any(member.step is Step.NOT_REACHED for member in order.members.values())
+    def _end(self, order: Operation) -> None:
+        returned = order.phase is OperationPhase.ROLLING_BACK
+        order.phase = OperationPhase.ENDED
+        missed = any(member.status is StepStatus.UNREACHABLE for member in order.participants.values())
         order.result = "halted" if returned else "in part" if missed else "done"
         self._begin()
 
     def _stop(self, order_id: str, why: str, back: bool) -> None:
-        for order in list(self.orders.values()):
-            if order_id in ("", order.id) and order.phase is not Phase.ENDED:
+        for order in list(self.operations.values()):
+            if order_id in ("", order.id) and order.phase is not OperationPhase.ENDED:
                 self._stop_one(order, why, back)
         self._begin()
 
-    def _stop_one(self, order: Order, why: str, back: bool) -> None:
-        if order.phase is Phase.RETURNING:
-            order.back = order.back or back
+    def _stop_one(self, order: Operation, why: str, back: bool) -> None:
+        if order.phase is OperationPhase.ROLLING_BACK:
+            order.roll_back = order.roll_back or back
         else:
-            order.why, order.back = why, back
-        order.phase = Phase.RETURNING
-        for name, member in order.members.items():
-            if member.step in (Step.OUT, Step.FAILED, Step.DRAINED):
+            order.halt_reason, order.roll_back = why, back
+        order.phase = OperationPhase.ROLLING_BACK
+        for name, member in order.participants.items():
+            if member.status in (StepStatus.OUT, StepStatus.FAILED, StepStatus.DRAINED):
                 self._turn_back(order, name, member)
-            elif member.step is Step.WAITING:
-                member.step = Step.LEFT
-            elif member.step is Step.DONE and order.kind is Kind.RELEASE and order.back:
-                member.step = Step.TO_RETURN
+            elif member.status is StepStatus.PENDING:
+                member.status = StepStatus.SKIPPED
+            elif member.status is StepStatus.DONE and order.kind is OperationKind.RELEASE and order.roll_back:
+                member.status = StepStatus.ROLLBACK_PENDING
         self._forward(order)
 
-    def _turn_back(self, order: Order, name: str, member: Member) -> None:
+    def _turn_back(self, order: Operation, name: str, member: Participant) -> None:
         """It is out: it comes up as it was, by its permit's second step."""
-        want = self.wants.get(name)
-        if want is not None and want.turn < (member.number, 1):
-            member.step = Step.OUT
-            self._want(name, member, 1, member.former, True, order.id)
+        want = self.desired.get(name)
+        if want is not None and want.step_id < (member.fencing_token, 1):
+            member.status = StepStatus.OUT
+            self._want(name, member, 1, member.previous_version, True, order.id)
 
     def _retire(self, name: str) -> None:
         """It is gone for good: what it was in goes on without it."""
-        self.register.units.pop(name, None)
-        self.register.out.pop(name, None)
-        self.wants.pop(name, None)
-        self.versions.pop(name, None)
-        for order in list(self.orders.values()):
-            member = order.members.get(name)
-            if member is not None and order.phase is not Phase.ENDED:
-                member.step, member.why = Step.LEFT, "retired"
+        self.permits.units.pop(name, None)
+        self.permits.out.pop(name, None)
+        self.desired.pop(name, None)
+        self.available_versions.pop(name, None)
+        for order in list(self.operations.values()):
+            member = order.participants.get(name)
+            if member is not None and order.phase is not OperationPhase.ENDED:
+                member.status, member.reason = StepStatus.SKIPPED, "retired"
                 self._forward(order)
 
 
@@ -551,14 +640,14 @@
     return found
 
 
-def split_by_version(book: Book, order: Order) -> tuple[list[str], list[str]]:
+def split_by_version(book: OperationLog, order: Operation) -> tuple[list[str], list[str]]:
     """Who runs the order's version, being in, and who of its sort does not yet."""
-    sort = book.register.units[next(iter(order.members))].sort
+    sort = book.permits.units[next(iter(order.participants))].sort
     ones: list[str] = []
     others: list[str] = []
-    for name, unit in book.register.units.items():
-        want = book.wants.get(name)
-        if unit.sort is not sort or want is None or name in book.register.out:
+    for name, unit in book.permits.units.items():
+        want = book.desired.get(name)
+        if unit.sort is not sort or want is None or name in book.permits.out:
             continue
         (ones if want.version == order.version else others).append(name)
     return ones, others
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -11,29 +11,29 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from valverouter.rollout.sequential_test import CanaryEvidence, OutcomeCount, Verdict
-from valverouter.rollout.sequential_test import SequentialTestConfig as EvidenceRule
-from valverouter.rollout.supervisor import Counts, Report
 from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.operations import (
-    Book,
+    Advance,
+    Cancel,
     Command,
-    Kind,
-    Next,
-    Order,
-    Phase,
-    Runs,
-    Step,
-    Stop,
-    Want,
-    Went,
+    DesiredState,
+    InstanceReported,
+    Operation,
+    OperationKind,
+    OperationLog,
+    OperationPhase,
+    StepReported,
+    StepStatus,
     split_by_version,
 )
 from valverouter.rollout.permits import Ask, Away, Back, Enrol
 from valverouter.rollout.readiness import ReadinessTracker
+from valverouter.rollout.sequential_test import CanaryEvidence, OutcomeCount, Verdict
+from valverouter.rollout.sequential_test import SequentialTestConfig as EvidenceRule
+from valverouter.rollout.supervisor import InstanceCounters, SupervisorReport
 
 SECOND = 10**9
-MEASURES = ("declined", "lost", "late")
+MEASURES = {"declined": "rejected", "lost": "lost", "late": "late"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     stage: int
     started_at: int
     evidence: CanaryEvidence
-    last_counters: dict[str, Counts]
+    last_counters: dict[str, InstanceCounters]
     initial_exits: dict[str, int]
     sampled_at: int
 
@@ -82,20 +82,20 @@
         self._unsettled_since: int | None = None
         self._canary: CanaryWindow | None = None
 
-    def record_report(self, now: int, report: Report, made_after: int) -> None:
+    def record_report(self, now: int, report: SupervisorReport, made_after: int) -> None:
         """`since`: a moment after which it was made for certain."""
         self.readiness.record_report(now, report, made_after)
 
-    def next_commands(self, now: int, log: Book) -> list[Command]:
+    def next_commands(self, now: int, log: OperationLog) -> list[Command]:
         """Commands to be agreed on; the next step is taken when they are."""
         commands = self._enrols(log)
         if commands:
             return commands
         commands = [*self._presence(now, log)]
-        for undrain in log.undrains:
-            for name in undrain.members:
+        for undrain in log.active_undrains:
+            for name in undrain.participants:
                 commands += self._outcome(log, undrain, name)
-        order = log.going
+        order = log.active_operation
         if order is not None:
             stop = self._must_stop(now, log, order)
             commands += [stop] if stop else self._conduct(now, log, order)
@@ -111,27 +111,36 @@
 
     # Who there is
 
-    def _enrols(self, book: Book) -> list[Command]:
+    def _enrols(self, book: OperationLog) -> list[Command]:
         commands: list[Command] = []
         limits = tuple((sort, one) for sort, one in self.config.limits.items())
-        if any(book.register.limits.get(sort) != one for sort, one in limits):
+        if any(book.permits.limits.get(sort) != one for sort, one in limits):
             commands.append(Enrol((), limits))
         for name, seen in self.readiness.observations.items():
-            facts, held = seen.report.facts, book.register.units.get(name)
-            unit = Unit(name, facts.sort, facts.region, facts.capacity, facts.processor)
+            facts, held = seen.report.info, book.permits.units.get(name)
+            unit = Unit(name, facts.kind, facts.region, facts.capacity, facts.processor)
             if unit != held:
                 commands.append(Enrol((unit,)))
-            if name not in book.wants or book.versions.get(name) != facts.versions:
+            if name not in book.desired or book.available_versions.get(name) != facts.available_versions:
                 told = seen.report
-                commands.append(Runs(name, told.version, facts.versions, told.number, told.step, told.up))
+                commands.append(
+                    InstanceReported(
+                        name,
+                        told.version,
+                        facts.available_versions,
+                        told.fencing_token,
+                        told.step_index,
+                        told.up,
+                    )
+                )
         return commands
 
-    def _presence(self, now: int, book: Book) -> list[Command]:
+    def _presence(self, now: int, book: OperationLog) -> list[Command]:
         """Out without leave by what is not heard or is told down; in by evidence alone."""
         commands: list[Command] = []
-        out = book.register.out
-        for name in book.register.units:
-            seen, want = self.readiness.observations.get(name), book.wants.get(name)
+        out = book.permits.out
+        for name in book.permits.units:
+            seen, want = self.readiness.observations.get(name), book.desired.get(name)
             if name in out:
                 held = out[name]
                 if want is not None and self.readiness.is_ready(name, want, now, out.__contains__):
@@ -139,33 +148,35 @@
                 continue
             away = self.readiness.time_since_report(name, now) > self.config.away_after
             if seen is not None and self.readiness.has_fresh_report(name, now):
-                away = away or not seen.report.runs or seen.report.leaving
+                away = away or not seen.report.is_running or seen.report.is_leaving
             if away:
                 commands.append(Away(name))
         return commands
 
     # Whether an order may go on
 
-    def _must_stop(self, now: int, book: Book, order: Order) -> Stop | None:
-        if order.phase is Phase.RETURNING:
+    def _must_stop(self, now: int, book: OperationLog, order: Operation) -> Cancel | None:
+        if order.phase is OperationPhase.ROLLING_BACK:
             return None
         why = self._view(now, book)
-        failed = next((name for name, one in order.members.items() if one.step is Step.FAILED), None)
+        failed = next(
+            (name for name, one in order.participants.items() if one.status is StepStatus.FAILED), None
+        )
         if not why and failed is not None:
-            why = f"{failed}: {order.members[failed].why or 'did not come up'}"
-        if not why and order.kind is Kind.RELEASE:
+            why = f"{failed}: {order.participants[failed].reason or 'did not come up'}"
+        if not why and order.kind is OperationKind.RELEASE:
             why = self._ends(book, order) or self._memory(book, order)
-        return Stop(order.id, why) if why else None
+        return Cancel(order.id, why) if why else None
 
-    def _view(self, now: int, book: Book) -> str:
+    def _view(self, now: int, book: OperationLog) -> str:
         """A fleet that does not know itself takes nothing out. An instance that is out itself is no witness;
         those that keep no view say nothing."""
         said = [
-            seen.report.counts.trust
+            seen.report.counters.view_health
             for name, seen in self.readiness.observations.items()
-            if name not in book.register.out
+            if name not in book.permits.out
             and self.readiness.has_fresh_report(name, now)
-            and seen.report.counts.trust
+            and seen.report.counters.view_health
         ]
         if not said or all(trust == "settled" for trust in said):
             self._unsettled_since = None
@@ -178,9 +189,13 @@
             return f"the fleet's view has not settled for {self.config.max_unsettled // SECOND} s"
         return ""
 
-    def _ends(self, book: Book, order: Order) -> str:
+    def _ends(self, book: OperationLog, order: Operation) -> str:
         """Programs of the release that end by themselves, against those of the others at the same time."""
-        ours = [name for name, one in order.members.items() if one.step in (Step.OUT, Step.DONE)]
+        ours = [
+            name
+            for name, one in order.participants.items()
+            if one.status in (StepStatus.OUT, StepStatus.DONE)
+        ]
         counted = self._counted(book, order, ours)
         if counted >= min(self.config.max_unexpected_exits, max(1, len(ours))):
             others = split_by_version(book, order)[1]
@@ -189,7 +204,7 @@
                 return f"{counted} programs of {len(ours)} released ended by themselves"
         return ""
 
-    def _memory(self, book: Book, order: Order) -> str:
+    def _memory(self, book: OperationLog, order: Operation) -> str:
         ours, theirs = (self._held(names) for names in split_by_version(book, order))
         if not ours or not theirs:
             return ""
@@ -200,92 +215,107 @@
 
     def _held(self, names: list[str]) -> list[int]:
         seen = (self.readiness.observations.get(name) for name in names)
-        return [one.report.counts.memory for one in seen if one is not None and one.report.counts.memory]
+        return [
+            one.report.counters.memory_bytes
+            for one in seen
+            if one is not None and one.report.counters.memory_bytes
+        ]
 
-    def _counted(self, book: Book, order: Order, names: list[str], since: bool = False) -> int:
+    def _counted(self, book: OperationLog, order: Operation, names: list[str], since: bool = False) -> int:
         total = 0
         for name in names:
             seen = self.readiness.observations.get(name)
             if seen is None:
                 continue
-            member = order.members.get(name)
+            member = order.participants.get(name)
             if since:
                 before = (
-                    self._canary.initial_exits.get(name, seen.report.ends)
+                    self._canary.initial_exits.get(name, seen.report.unexpected_exits)
                     if self._canary
-                    else seen.report.ends
+                    else seen.report.unexpected_exits
                 )
-                total += max(0, seen.report.ends - before)
-            elif member is not None and seen.report.turn == (member.number, 0):
-                total += seen.report.ends
+                total += max(0, seen.report.unexpected_exits - before)
+            elif member is not None and seen.report.step_id == (member.fencing_token, 0):
+                total += seen.report.unexpected_exits
         return total
 
     # An order's course
 
-    def _conduct(self, now: int, book: Book, order: Order) -> list[Command]:
+    def _conduct(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
         match order.phase:
-            case Phase.GOING:
+            case OperationPhase.RUNNING:
                 stop: list[Command] = [
-                    one for one in self._evaluate_canary(now, book, order) if isinstance(one, Stop)
+                    one for one in self._evaluate_canary(now, book, order) if isinstance(one, Cancel)
                 ]
                 return stop or self._wave(now, book, order)
-            case Phase.WATCHING:
+            case OperationPhase.EVALUATING:
                 return self._evaluate_canary(now, book, order)
-            case Phase.RETURNING:
+            case OperationPhase.ROLLING_BACK:
                 return self._returns(now, book, order)
             case _:
                 return []
 
-    def _wave(self, now: int, book: Book, order: Order) -> list[Command]:
+    def _wave(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
         commands: list[Command] = []
         settled = self._unsettled_since is None
-        for name in order.present:
-            member = order.members[name]
-            if member.step is Step.WAITING:
+        for name in order.current_wave:
+            member = order.participants[name]
+            if member.status is StepStatus.PENDING:
                 if self.readiness.time_since_report(name, now) > self.config.unreachable_after:
                     silent = self.readiness.time_since_report(name, now) // SECOND
-                    commands.append(Went(order.id, name, 0, Step.NOT_REACHED, f"silent for {silent} s"))
+                    commands.append(
+                        StepReported(order.id, name, 0, StepStatus.UNREACHABLE, f"silent for {silent} s")
+                    )
                 elif settled and self.readiness.has_fresh_report(name, now):
                     commands += self._ask(now, order, name)
             else:
                 commands += self._outcome(book, order, name)
         return commands
 
-    def _ask(self, now: int, order: Order, name: str) -> list[Command]:
-        member = order.members[name]
-        if member.tries and now - self._permit_requested_at.get(name, 0) < self.config.permit_retry_interval:
+    def _ask(self, now: int, order: Operation, name: str) -> list[Command]:
+        member = order.participants[name]
+        if (
+            member.permit_requests
+            and now - self._permit_requested_at.get(name, 0) < self.config.permit_retry_interval
+        ):
             return []
         self._permit_requested_at[name] = now
-        back = "/back" if order.phase is Phase.RETURNING else ""
-        return [Ask(f"{order.id}/{name}{back}/{member.tries}", name, order.id)]
+        back = "/back" if order.phase is OperationPhase.ROLLING_BACK else ""
+        return [Ask(f"{order.id}/{name}{back}/{member.permit_requests}", name, order.id)]
 
-    def _outcome(self, book: Book, order: Order, name: str) -> list[Command]:
+    def _outcome(self, book: OperationLog, order: Operation, name: str) -> list[Command]:
         """What its keeper tells of the turn, by its number: it is asked and never guessed."""
         member, seen, want = (
-            order.members[name],
+            order.participants[name],
             self.readiness.observations.get(name),
-            book.wants.get(name, Want("")),
+            book.desired.get(name, DesiredState("")),
         )
-        if member.step is not Step.OUT or seen is None or seen.report.turn != want.turn:
+        if member.status is not StepStatus.OUT or seen is None or seen.report.step_id != want.step_id:
             return []
         report = seen.report
         if report.outcome == "failed":
-            return [Went(order.id, name, member.number, Step.FAILED, report.why)]
+            return [StepReported(order.id, name, member.fencing_token, StepStatus.FAILED, report.reason)]
         if report.outcome == "done" and not want.up:
-            return [Went(order.id, name, member.number, Step.DRAINED)]
+            return [StepReported(order.id, name, member.fencing_token, StepStatus.DRAINED)]
         return []
 
-    def _returns(self, now: int, book: Book, order: Order) -> list[Command]:
+    def _returns(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
         """What is out comes in by itself; what was released asks for leave to go back, in waves that the
         limits make: whoever is refused asks again."""
         commands: list[Command] = []
-        waiting = [name for name, one in order.members.items() if one.step is Step.TO_RETURN]
-        out = [name for name, one in order.members.items() if one.step in (Step.OUT, Step.FAILED)]
+        waiting = [
+            name for name, one in order.participants.items() if one.status is StepStatus.ROLLBACK_PENDING
+        ]
+        out = [
+            name
+            for name, one in order.participants.items()
+            if one.status in (StepStatus.OUT, StepStatus.FAILED)
+        ]
         for name in out:
             commands += self._outcome(book, order, name)
         # Those whose program does not run go first: they have nothing to lose.
-        waiting.sort(key=lambda name: (name not in book.register.out, name))
-        size = max(1, len(order.members) // 4)
+        waiting.sort(key=lambda name: (name not in book.permits.out, name))
+        size = max(1, len(order.participants) // 4)
         for name in waiting[: max(0, size - len(out))]:
             if self.readiness.has_fresh_report(name, now):
                 commands += self._ask(now, order, name)
@@ -293,28 +323,30 @@
 
     # Evidence
 
-    def _evaluate_canary(self, now: int, book: Book, order: Order) -> list[Command]:
-        if order.kind is not Kind.RELEASE or not any(one.step is Step.DONE for one in order.members.values()):
+    def _evaluate_canary(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
+        if order.kind is not OperationKind.RELEASE or not any(
+            one.status is StepStatus.DONE for one in order.participants.values()
+        ):
             return []
         ones, others = split_by_version(book, order)
         # The keeper's own count of unasked ends is compared from the beginning of the wave's watch.
         looked = self._canary
-        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.stage):
+        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.evaluation_stage):
             looked = self._canary = CanaryWindow(
                 order.id,
-                order.stage,
+                order.evaluation_stage,
                 now,
-                CanaryEvidence(MEASURES, self.config.sequential_test, self._draw),
+                CanaryEvidence(tuple(MEASURES), self.config.sequential_test, self._draw),
                 {},
-                {name: seen.report.ends for name, seen in self.readiness.observations.items()},
+                {name: seen.report.unexpected_exits for name, seen in self.readiness.observations.items()},
                 now - self.config.sample_interval,
             )
         if now - looked.sampled_at < self.config.sample_interval:
             return []
         looked.sampled_at = now
         ours, theirs = self._spans(looked, now, ones), self._spans(looked, now, others)
-        regions = {book.register.units[name].region for name in ours}
-        apart = regions.isdisjoint(book.register.units[name].region for name in theirs)
+        regions = {book.permits.units[name].region for name in ours}
+        apart = regions.isdisjoint(book.permits.units[name].region for name in theirs)
         for measure in MEASURES:
             looked.evidence.add_interval(
                 self._tallies(book, ours, measure, apart),
@@ -322,8 +354,8 @@
                 measure,
             )
         if looked.evidence.verdict is Verdict.HALT:
-            return [Stop(order.id, looked.evidence.halt_reason)]
-        if order.phase is Phase.GOING:
+            return [Cancel(order.id, looked.evidence.halt_reason)]
+        if order.phase is OperationPhase.RUNNING:
             # Seen when its last wave is back, not before: evidence of few must not let all of them go.
             looked.started_at = now
             return []
@@ -333,34 +365,45 @@
             and settled
             and now - looked.started_at >= self.config.min_evaluation
         ):
-            return [Next(order.id, order.wave)]
+            return [Advance(order.id, order.wave_index)]
         return []
 
-    def _spans(self, looked: CanaryWindow, now: int, names: list[str]) -> dict[str, tuple[Counts, Counts]]:
+    def _spans(
+        self, looked: CanaryWindow, now: int, names: list[str]
+    ) -> dict[str, tuple[InstanceCounters, InstanceCounters]]:
         """Of each that was heard, its counts before and now; a new process has nothing before."""
         spans = {}
         for name in names:
             seen = self.readiness.observations.get(name)
-            if seen is None or not self.readiness.has_fresh_report(name, now) or not seen.report.counts.life:
+            if (
+                seen is None
+                or not self.readiness.has_fresh_report(name, now)
+                or not seen.report.counters.incarnation
+            ):
                 continue
-            counts = seen.report.counts
+            counts = seen.report.counters
             before = looked.last_counters.get(name)
             looked.last_counters[name] = counts
-            if before is not None and before.life == counts.life:
+            if before is not None and before.incarnation == counts.incarnation:
                 spans[name] = before, counts
         return spans
 
     def _tallies(
-        self, book: Book, spans: dict[str, tuple[Counts, Counts]], measure: str, apart: bool
+        self,
+        book: OperationLog,
+        spans: dict[str, tuple[InstanceCounters, InstanceCounters]],
+        measure: str,
+        apart: bool,
     ) -> dict[str, OutcomeCount]:
         """By region. `apart`: nobody of a released one's region is left to compare with, and those of the
         others must do."""
         told: dict[str, OutcomeCount] = {}
         for name, (before, after) in spans.items():
-            region = "" if apart else book.register.units[name].region
-            bad = getattr(after, measure) - getattr(before, measure)
+            region = "" if apart else book.permits.units[name].region
+            counter = MEASURES[measure]
+            bad = getattr(after, counter) - getattr(before, counter)
             # Answers of this span may be to dialogs of the one before.
-            whole = max(bad, after.taken - before.taken)
+            whole = max(bad, after.accepted - before.accepted)
             held = told.get(region, OutcomeCount(0, 0))
             told[region] = OutcomeCount(held.failures + bad, held.total + whole)
         return told
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -5,113 +5,158 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.operations import Book, Phase
 from valverouter.rollout.control_plane_node import ControlPlaneNode
-
-
-class Unit(Struct, frozen=True):
+from valverouter.rollout.operations import OperationLog, OperationPhase
+
+
+class InstanceStatus(
+    Struct,
+    frozen=True,
+    rename={
+        "kind": "sort",
+        "running_version": "version",
+        "desired_version": "wanted",
+        "fencing_token": "number",
+        "operation_id": "order",
+        "report_age_ms": "heard_ms",
+        "unexpected_exits": "ends",
+        "available_versions": "versions",
+    },
+):
     """`version`: as its keeper told it last; `wanted`: as agreed. `heard_ms`: since its last report, -1:
     never by this leader."""
 
     name: str
-    sort: str
+    kind: str
     region: str
-    version: str
-    wanted: str
+    running_version: str
+    desired_version: str
     state: str
-    number: int = 0
-    order: str = ""
-    heard_ms: int = -1
-    ends: int = 0
-    versions: tuple[str, ...] = ()
-
-
-class Member(Struct, frozen=True):
+    fencing_token: int = 0
+    operation_id: str = ""
+    report_age_ms: int = -1
+    unexpected_exits: int = 0
+    available_versions: tuple[str, ...] = ()
+
+
+class ParticipantStatus(
+    Struct,
+    frozen=True,
+    rename={"status": "step", "fencing_token": "number", "previous_version": "former", "reason": "why"},
+):
     name: str
-    step: str
-    number: int
-    former: str
-    why: str
-
-
-class Order(Struct, frozen=True):
+    status: str
+    fencing_token: int
+    previous_version: str
+    reason: str
+
+
+class OperationStatus(
+    Struct,
+    frozen=True,
+    rename={
+        "submitted_at_ms": "at",
+        "submitted_by": "by",
+        "wave_index": "wave",
+        "halt_reason": "why",
+        "status_counts": "counts",
+        "participants": "members",
+    },
+):
     """`counts`: of members by their step; `members` where they were asked for, or the order has not ended."""
 
     id: str
     kind: str
     version: str
-    at: int
-    by: str
+    submitted_at_ms: int
+    submitted_by: str
     phase: str
-    wave: int
+    wave_index: int
     waves: tuple[tuple[str, ...], ...]
     result: str
-    why: str
-    counts: dict[str, int]
-    members: tuple[Member, ...]
-
-
-class Shown(Struct, frozen=True):
+    halt_reason: str
+    status_counts: dict[str, int]
+    participants: tuple[ParticipantStatus, ...]
+
+
+class FleetStatus(
+    Struct,
+    frozen=True,
+    rename={
+        "node": "seat",
+        "halt_reason": "halted",
+        "instances": "units",
+        "operations": "orders",
+        "compared_pairs": "pairs",
+        "min_pairs": "least",
+    },
+):
     """`pairs`, `least`: of a release's evidence under way, how many were looked at and are wanted."""
 
-    seat: str
+    node: str
     term: int
     members: tuple[str, ...]
-    halted: str
-    units: tuple[Unit, ...]
-    orders: tuple[Order, ...]
-    pairs: int = 0
-    least: int = 0
+    halt_reason: str
+    instances: tuple[InstanceStatus, ...]
+    operations: tuple[OperationStatus, ...]
+    compared_pairs: int = 0
+    min_pairs: int = 0
 
 
-def fleet_status(log: Book, node: ControlPlaneNode, now: int, about: str = "") -> Shown:
+def fleet_status(log: OperationLog, node: ControlPlaneNode, now: int, about: str = "") -> FleetStatus:
     """`about`: an order that has ended and whose members are wanted too; * is all of them."""
     pairs, least = node.orchestrator.evidence_progress if node.orchestrator else (0, 0)
-    going = log.going
-    watching = going is not None and going.phase in (Phase.WATCHING, Phase.GOING)
-    return Shown(
-        seat=node.name,
+    going = log.active_operation
+    watching = going is not None and going.phase in (OperationPhase.EVALUATING, OperationPhase.RUNNING)
+    return FleetStatus(
+        node=node.name,
         term=node.raft.durable.term,
         members=tuple(name for name, _ in node.raft.members.disks),
-        halted=log.register.halted,
-        units=tuple(_unit(log, node, now, name) for name in sorted(log.register.units)),
-        orders=tuple(
-            Order(
+        halt_reason=log.permits.halted,
+        instances=tuple(_unit(log, node, now, name) for name in sorted(log.permits.units)),
+        operations=tuple(
+            OperationStatus(
                 one.id,
                 one.kind.value,
                 one.version,
-                one.at,
-                one.by,
+                one.submitted_at_ms,
+                one.submitted_by,
                 one.phase.value,
-                one.wave,
+                one.wave_index,
                 tuple(tuple(wave) for wave in one.waves),
                 one.result,
-                one.why,
-                one.counts,
+                one.halt_reason,
+                one.status_counts,
                 tuple(
-                    Member(name, member.step.value, member.number, member.former, member.why)
-                    for name, member in one.members.items()
-                    if one.phase is not Phase.ENDED or about in ("*", one.id)
+                    ParticipantStatus(
+                        name,
+                        member.status.value,
+                        member.fencing_token,
+                        member.previous_version,
+                        member.reason,
+                    )
+                    for name, member in one.participants.items()
+                    if one.phase is not OperationPhase.ENDED or about in ("*", one.id)
                 ),
             )
-            for one in log.orders.values()
+            for one in log.operations.values()
         ),
-        pairs=pairs if watching else 0,
-        least=least if watching else 0,
+        compared_pairs=pairs if watching else 0,
+        min_pairs=least if watching else 0,
     )
 
 
-def _unit(book: Book, seat: ControlPlaneNode, now: int, name: str) -> Unit:
-    unit, want = book.register.units[name], book.wants.get(name)
+def _unit(book: OperationLog, seat: ControlPlaneNode, now: int, name: str) -> InstanceStatus:
+    unit, want = book.permits.units[name], book.desired.get(name)
     seen = seat.orchestrator.readiness.observations.get(name) if seat.orchestrator else None
     state, number, order = "in", 0, ""
-    if name in book.register.out:
-        held = book.register.out[name]
+    if name in book.permits.out:
+        held = book.permits.out[name]
         state = "out" if held else "away"
         number, order = (held.number, held.order) if held else (0, "")
         if held and want is not None and not want.up:
             state = "drained"
-    return Unit(
+    return InstanceStatus(
         name,
         unit.sort.value,
         unit.region,
@@ -121,6 +166,6 @@
         number,
         order,
         (now - seen.received_at) // 1_000_000 if seen else -1,
-        seen.report.ends if seen else 0,
-        book.versions.get(name, ()),
+        seen.report.unexpected_exits if seen else 0,
+        book.available_versions.get(name, ()),
     )
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -18,7 +18,7 @@
 from msgspec import Struct
 
 from valverouter.rollout.limits import Sort
-from valverouter.rollout.operations import Want
+from valverouter.rollout.operations import DesiredState
 
 SECOND = 10**9
 # A start that has not brought the program up by then has failed; after so many the turn is told as failed.
@@ -32,17 +32,21 @@
 MAX_KEPT_STEPS = 64
 
 
-class Turn(Struct, frozen=True):
+class Step(
+    Struct,
+    frozen=True,
+    rename={"fencing_token": "number", "index": "step", "operation_id": "order", "reason": "why"},
+):
     """One that was begun. `outcome`: empty while it is under way, done, or failed."""
 
-    number: int
-    step: int
-    order: str
+    fencing_token: int
+    index: int
+    operation_id: str
     outcome: str = ""
-    why: str = ""
+    reason: str = ""
 
 
-class Memory(Struct):
+class SupervisorState(Struct, rename={"running_version": "running", "steps": "turns"}):
     """What the keeper's disk holds. `version`, `up`: what its instance should be. `process`: what was last
     started, in the carrier's words, and `running`, by which version: a keeper that was killed takes its
     program over again."""
@@ -50,16 +54,28 @@
     version: str
     up: bool = True
     process: str = ""
-    running: str = ""
-    turns: list[Turn] = []
+    running_version: str = ""
+    steps: list[Step] = []
 
     @property
-    def highest(self) -> tuple[int, int]:
+    def latest_step_id(self) -> tuple[int, int]:
         """The highest turn begun."""
-        return (self.turns[-1].number, self.turns[-1].step) if self.turns else (0, 0)
-
-
-class Counts(Struct, frozen=True):
+        return (self.steps[-1].fencing_token, self.steps[-1].index) if self.steps else (0, 0)
+
+
+class InstanceCounters(
+    Struct,
+    frozen=True,
+    rename={
+        "incarnation": "life",
+        "accepted": "taken",
+        "rejected": "declined",
+        "view_health": "trust",
+        "memory_bytes": "memory",
+        "version_label": "label",
+        "pid": "process",
+    },
+):
     """What an instance tells of itself since its start; None of it is believed of a former process.
 
     `life`: of the process. `ready`: it has the list and a server. `trust`: in its view of the fleet.
@@ -68,52 +84,65 @@
     finds what it had started.
     """
 
-    life: int = 0
+    incarnation: int = 0
     serving: bool = False
     ready: bool = False
-    taken: int = 0
-    declined: int = 0
+    accepted: int = 0
+    rejected: int = 0
     lost: int = 0
     late: int = 0
-    trust: str = ""
-    memory: int = 0
-    label: str = ""
-    process: int = 0
+    view_health: str = ""
+    memory_bytes: int = 0
+    version_label: str = ""
+    pid: int = 0
 
 
-class Facts(Struct, frozen=True):
+class InstanceInfo(Struct, frozen=True, rename={"kind": "sort", "available_versions": "versions"}):
     """Who an instance is, as its keeper's terms say."""
 
     name: str
-    sort: Sort = Sort.EDGE
+    kind: Sort = Sort.EDGE
     region: str = ""
     capacity: int = 0
     processor: float = 0.0
-    versions: tuple[str, ...] = ()
-
-
-class Report(Struct, frozen=True):
+    available_versions: tuple[str, ...] = ()
+
+
+class SupervisorReport(
+    Struct,
+    frozen=True,
+    rename={
+        "info": "facts",
+        "is_running": "runs",
+        "fencing_token": "number",
+        "step_index": "step",
+        "reason": "why",
+        "unexpected_exits": "ends",
+        "is_leaving": "leaving",
+        "counters": "counts",
+    },
+):
     """What a keeper tells the council, now and then. `number`, `step`: the highest turn begun, and
     `outcome`."""
 
-    facts: Facts
+    info: InstanceInfo
     version: str
-    runs: bool
-    number: int = 0
-    step: int = 0
+    is_running: bool
+    fencing_token: int = 0
+    step_index: int = 0
     outcome: str = ""
-    why: str = ""
+    reason: str = ""
     # Ends of the program that nobody asked for, since the last turn.
-    ends: int = 0
+    unexpected_exits: int = 0
     # The machine has asked the keeper to go.
-    leaving: bool = False
+    is_leaving: bool = False
     # Whether it is to run, by that turn.
     up: bool = True
-    counts: Counts = Counts()
+    counters: InstanceCounters = InstanceCounters()
 
     @property
-    def turn(self) -> tuple[int, int]:
-        return self.number, self.step
+    def step_id(self) -> tuple[int, int]:
+        return self.fencing_token, self.step_index
 
 
 class SupervisorAction(Enum):
@@ -132,13 +161,13 @@
 class Supervisor:
     """One instance's keeper. `act` gives what to do next, one thing after the other."""
 
-    info: Facts
-    state: Memory
+    info: InstanceInfo
+    state: SupervisorState
     is_running: bool = False
     running_version: str = ""
     unexpected_exits: int = 0
     is_leaving: bool = False
-    counters: Counts = field(default_factory=Counts)
+    counters: InstanceCounters = field(default_factory=InstanceCounters)
     _stopping: bool = False
     _unsaved: bool = False
     # The turn under way wants the program stopped first.
@@ -153,69 +182,85 @@
     _start_at: int = 0
     _ends_in_a_row: int = 0
 
-    def on_desired_state(self, now: int, desired: Want, is_open: bool) -> bool:
+    def on_desired_state(self, now: int, desired: DesiredState, is_open: bool) -> bool:
         """The council's word, in answer to a report of this process. Whether it began a turn.
 
         `is_open`: its permit is still held. Where it is not, this keeper has lost its disk: the turn was
         carried out by its former self, and is taken for done. What runs meanwhile goes on running: to take it
         out, for another version too, needs an open permit.
         """
-        if self.is_leaving or desired.turn <= self.state.highest:
+        if self.is_leaving or desired.step_id <= self.state.latest_step_id:
             return False
         if not is_open:
             self.state.version, self.state.up = desired.version, desired.up
-            self._begin(Turn(desired.number, desired.step, desired.order, "done", "of a former memory"))
+            self._begin(
+                Step(
+                    desired.fencing_token,
+                    desired.step_index,
+                    desired.operation_id,
+                    "done",
+                    "of a former memory",
+                )
+            )
             return False
-        if desired.version not in self.info.versions:
+        if desired.version not in self.info.available_versions:
             self._begin(
-                Turn(desired.number, desired.step, desired.order, "failed", f"no version {desired.version!r}")
+                Step(
+                    desired.fencing_token,
+                    desired.step_index,
+                    desired.operation_id,
+                    "failed",
+                    f"no version {desired.version!r}",
+                )
             )
             return True
         self.state.version, self.state.up = desired.version, desired.up
-        self._begin(Turn(desired.number, desired.step, desired.order))
+        self._begin(Step(desired.fencing_token, desired.step_index, desired.operation_id))
         # Coming up again needs no stop of what runs as it should: a turn that was halted or refused before
         # its program went leaves it running.
-        self._must_stop = self.is_running and (desired.step == 0 or self.running_version != desired.version)
+        self._must_stop = self.is_running and (
+            desired.step_index == 0 or self.running_version != desired.version
+        )
         self._leaving_list = self._left_list = self._refused = False
         self._starts, self._start_at, self._ends_in_a_row, self.unexpected_exits = 0, now, 0, 0
         return True
 
-    def _begin(self, turn: Turn) -> None:
-        self.state.turns.append(turn)
-        del self.state.turns[:-MAX_KEPT_STEPS]
+    def _begin(self, turn: Step) -> None:
+        self.state.steps.append(turn)
+        del self.state.steps[:-MAX_KEPT_STEPS]
         self._unsaved = True
 
     def _finish(self, outcome: str, why: str = "") -> None:
-        last = self.state.turns[-1]
+        last = self.state.steps[-1]
         if last.outcome != outcome:
-            self.state.turns[-1] = Turn(last.number, last.step, last.order, outcome, why)
+            self.state.steps[-1] = Step(last.fencing_token, last.index, last.operation_id, outcome, why)
             self._unsaved = True
 
     @property
     def _open(self) -> bool:
-        return bool(self.state.turns) and self.state.turns[-1].outcome in ("", "failed")
+        return bool(self.state.steps) and self.state.steps[-1].outcome in ("", "failed")
 
     def resume(self, is_running: bool) -> None:
         """After the keeper's own restart: a turn that was begun and not ended goes on from its beginning, its
         program being stopped if it still runs. It is the same turn, and it is told only once as done."""
         self.is_running = is_running
-        self.running_version = self.state.running
+        self.running_version = self.state.running_version
         self._must_stop = is_running and self._open
 
     # What happened
 
     def on_started(self, now: int, version: str, process: str = "") -> None:
-        self.state.process, self.state.running = process, version
+        self.state.process, self.state.running_version = process, version
         self._unsaved = True
         self.is_running, self.running_version, self._began_at = True, version, now
         self._stopping = False
-        self.counters = Counts()
+        self.counters = InstanceCounters()
 
     def on_exited(self, now: int) -> None:
         """The program has ended, asked or not."""
         asked = self._stopping
         self.is_running, self._stopping, self._must_stop = False, False, False
-        self.counters = Counts()
+        self.counters = InstanceCounters()
         if asked or self.is_leaving:
             self._start_at = now
             return
@@ -249,14 +294,14 @@
         self.state.up = True
         self._finish("failed", f"the list refuses: {reason}")
 
-    def on_counters(self, counters: Counts) -> None:
+    def on_counters(self, counters: InstanceCounters) -> None:
         """What the instance answers of itself."""
         if not self.is_running or self._must_stop or self._stopping:
             return
         self.counters = counters
         if self._open and self.state.up and counters.serving and counters.ready and not self._refused:
             self._finish("done")
-            self._returns = self.state.turns[-1].number if self.info.sort is Sort.SERVER else 0
+            self._returns = self.state.steps[-1].fencing_token if self.info.kind is Sort.SERVER else 0
 
     def shut_down(self) -> None:
         """The machine asks this keeper to go: obeyed, whatever the council says."""
@@ -285,7 +330,7 @@
                 self._returns = 0
                 return SupervisorAction.REJOIN_LIST
             return None
-        if self.info.sort is Sort.SERVER and not self.is_leaving and not self._left_list:
+        if self.info.kind is Sort.SERVER and not self.is_leaving and not self._left_list:
             if self._leaving_list:
                 return None
             self._leaving_list = True
@@ -303,21 +348,21 @@
         """When to look again, if nothing happens."""
         return self._start_at
 
-    def report(self) -> Report:
+    def report(self) -> SupervisorReport:
         """Of a turn that is not on disk yet nothing is told."""
-        last = self.state.turns[-1] if self.state.turns else Turn(0, 0, "")
-        if self._unsaved and self.state.turns:
-            last = Turn(last.number, last.step, last.order)
-        return Report(
-            facts=self.info,
+        last = self.state.steps[-1] if self.state.steps else Step(0, 0, "")
+        if self._unsaved and self.state.steps:
+            last = Step(last.fencing_token, last.index, last.operation_id)
+        return SupervisorReport(
+            info=self.info,
             version=self.running_version if self.is_running else self.state.version,
-            runs=self.is_running and not self._must_stop,
-            number=last.number,
-            step=last.step,
+            is_running=self.is_running and not self._must_stop,
+            fencing_token=last.fencing_token,
+            step_index=last.index,
             outcome=last.outcome,
-            why=last.why,
-            ends=self.unexpected_exits,
-            leaving=self.is_leaving,
+            reason=last.reason,
+            unexpected_exits=self.unexpected_exits,
+            is_leaving=self.is_leaving,
             up=self.state.up,
-            counts=self.counters,
+            counters=self.counters,
         )
--- a/valverouter/rollout/written.py
+++ b/valverouter/rollout/written.py
@@ -18,7 +18,7 @@
     Vote,
     Voted,
 )
-from valverouter.rollout.operations import Book, Command
+from valverouter.rollout.operations import Command, OperationLog
 
 
 class KeptEntry(Struct, frozen=True, array_like=True):
@@ -33,7 +33,7 @@
     index: int
     term: int
     members: Members
-    state: Book
+    state: OperationLog
 
     def snapshot(self) -> Snapshot:
         return Snapshot(self.index, self.term, self.members, self.state)
