--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Sequence
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Any
+from typing import Any, NoReturn, TypeVar
 
 import click
 import msgspec
@@ -32,6 +32,7 @@
 WITHIN_S = 10.0
 LOOK_S = 1.0
 
+Answer = TypeVar("Answer")
 Option = Callable[[Callable[..., None]], Callable[..., None]]
 
 
@@ -102,10 +103,10 @@
     placed = _ask(file, "plan" if dry_run else "do", place, SubmitResult)
     if placed is None:
         _unknown(place.operation_id)
-    if placed.why:
-        console.print(f"refused: {placed.why}", highlight=False, soft_wrap=True)
+    if placed.rejection:
+        console.print(f"refused: {placed.rejection}", highlight=False, soft_wrap=True)
         sys.exit(REFUSED)
-    return placed  # type: ignore[no-any-return]
+    return placed
 
 
 def _picked(
@@ -202,7 +203,7 @@
     if hold and not over:
         commands.insert(0, Halt(why))
     for command in commands:
-        if _ask(file, "do", command, Any) is None:
+        if _ask(file, "do", command, dict) is None:
             _unknown(order)
 
 
@@ -217,7 +218,7 @@
     if known is None or known.kind != OperationKind.RELEASE.value:
         raise ValueError(f"there is no release {order!r}")
     if known.phase != "ended":
-        if _ask(file, "do", Cancel(order, "back, by hand", True, _wall()), Any) is None:
+        if _ask(file, "do", Cancel(order, "back, by hand", True, _wall()), dict) is None:
             _unknown(order)
         if not no_wait:
             _follow(file, order, as_json)
@@ -237,7 +238,7 @@
 @click.argument("name")
 def retire(file: Path, name: str) -> None:
     """Strike NAME, which is no part of the fleet any more, and whatever waits for it goes on."""
-    if _ask(file, "do", Retire(name), Any) is None:
+    if _ask(file, "do", Retire(name), dict) is None:
         _unknown(name)
 
 
@@ -290,10 +291,13 @@
     return time.time_ns() // 1_000_000
 
 
-def _ask(file: Path, what: str, command: Command | None, kind: Any, about: str = "") -> Any:
+def _ask(
+    file: Path, what: str, command: Command | None, kind: type[Answer], about: str = ""
+) -> Answer | None:
+    """The leader's answer, decoded as `kind`; None where no leader answered in time."""
     terms = load_tool(file)
 
-    async def asked() -> Any:
+    async def asked() -> Answer | None:
         host = next(iter(terms.council.values())).rpartition(":")[0]
         socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
@@ -310,10 +314,10 @@
     if shown is None:
         console.print("nobody of the council who leads was reached", highlight=False)
         sys.exit(UNKNOWN)
-    return shown  # type: ignore[no-any-return]
+    return shown
 
 
-def _unknown(what: str) -> None:
+def _unknown(what: str) -> NoReturn:
     console.print(f"unknown what became of {what or 'it'}: no answer; ask by its id", highlight=False)
     sys.exit(UNKNOWN)
 
@@ -326,7 +330,6 @@
         one = next((one for one in shown.operations if one.id == order), None)
         if one is None:
             _unknown(order)
-            return
         line = f"{one.phase}, wave {one.wave_index + 1} of {len(one.waves)}: {_counts(one)}"
         if shown.min_pairs and one.phase == "watching":
             line += f"; evidence: {shown.compared_pairs} pairs, {shown.min_pairs} at least"
