--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -2,8 +2,8 @@
 
 Control plane nodes and supervisors are the program's own (`rollout/control_plane_node.py`,
 `rollout/supervisor.py`), with disks that outlive them. The rest is simulated: programs that come up, serve,
-fail by their version, and are killed; messages that are lost, late, repeated or cut off. What the programs really
-did is judged from the simulation's own log:
+fail by their version, and are killed; messages that are lost, late, repeated or cut off. What the programs
+really did is judged from the simulation's own log:
 
     out       never more taken out by orders at once than the limits let, in all and by region
     once      no turn is carried out twice by a keeper that kept its disk
