--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -31,9 +31,9 @@
 from valverouter.days.ordering import OrderRig, run_orders
 from valverouter.edge import logs
 from valverouter.emulator.rollouts import Broken, Rollout
-from valverouter.rollout.council import SECOND
-from valverouter.rollout.limits import Limits
+from valverouter.rollout.disruption_limits import Limits
 from valverouter.rollout.orders import Kind, Phase, Place
+from valverouter.rollout.raft import SECOND
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
 from valverouter.terms.ini import IniFile
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -12,10 +12,10 @@
 
 from valverouter.emulator.rollouts import VERSIONS, Broken, Rollout
 from valverouter.rollout.conducting import Conductor, Rules
-from valverouter.rollout.council import Members
+from valverouter.rollout.disruption_limits import Limits, Sort, Unit
+from valverouter.rollout.disruption_permits import Answer, Ask, Away, Back, Enrol, Halt
 from valverouter.rollout.evidence import Rule
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory, Report
-from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.orders import (
     BUSY,
     Book,
@@ -33,9 +33,9 @@
     Went,
     watches,
 )
-from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt
+from valverouter.rollout.raft_log import Members
+from valverouter.rollout.serialization import KeptSnapshot
 from valverouter.rollout.serving import Watch
-from valverouter.rollout.written import KeptSnapshot
 
 SECOND = 10**9
 LIMITS = Limits(most=2, in_region=1)
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -28,13 +28,13 @@
 from valverouter.fleet.sealing import MOST, Opener, Posted, Seal
 from valverouter.fleet.tool import CouncilAsker
 from valverouter.fleet.words import Asks, Here, Word
-from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore, opened
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.store import LedgerBusyError
+from valverouter.rollout.disruption_limits import Sort, Unit
+from valverouter.rollout.disruption_permits import Enrol
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory, Turn
-from valverouter.rollout.limits import Sort, Unit
 from valverouter.rollout.orders import Kind, Place, Placed, Runs, Want
-from valverouter.rollout.permits import Enrol
 from valverouter.rollout.shown import Shown
 from valverouter.signalling import tap
 from valverouter.signalling.serverlist import Leave, Permits, Returns
@@ -228,12 +228,12 @@
     """Shown anew at each question, with other spans in it, the pieces of two answers never made one."""
     text = SEAT.replace(", c1 127.0.0.1:7001, c2 127.0.0.1:7002", "").replace("7000", str(free_port()))
     terms = load_seat(written(tmp_path, text))
-    store = CouncilStore(terms.store, 7)
+    store = RaftStore(terms.store, 7)
     task = SeatTask(terms, Sockets(), store, found=True)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
         with trio.fail_after(5):
-            while not task.seat.councillor.confirmed:
+            while not task.seat.councillor.confirmed_round:
                 await trio.sleep(0.05)
         names = [f"edge-{at}" for at in range(900)]
         units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -14,32 +14,43 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.councils import Broken, Course
-from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.store import LedgerBusyError, LedgerError
-from valverouter.rollout.council import (
-    KEPT,
-    PATIENCE,
-    Append,
-    Appended,
-    Councillor,
-    Durable,
-    Entry,
+from valverouter.rollout.disruption_limits import (
+    Limits,
+    Sort,
+    Unit,
+    check_budget,
+    find_unsatisfiable_limits,
+    plan_waves,
+)
+from valverouter.rollout.disruption_permits import (
+    Ask,
+    Away,
+    Back,
+    Command,
+    Enrol,
+    Fence,
+    Halt,
+    Permit,
+    Register,
+)
+from valverouter.rollout.evidence import Evidence, Rule, Tally, Verdict
+from valverouter.rollout.orders import Book
+from valverouter.rollout.permit_model import PLANTED_FAULTS, PermitModel
+from valverouter.rollout.permit_model import InvariantViolationError as ModelBroken
+from valverouter.rollout.raft import COMPACTION_THRESHOLD, ELECTION_TIMEOUT, RaftNode, Role
+from valverouter.rollout.raft_log import (
+    LogEntry,
     Members,
-    Part,
+    PersistentState,
     Save,
     SaveEntries,
     SaveSnapshot,
     SaveTerm,
     Snapshot,
-    Vote,
-    Voted,
 )
-from valverouter.rollout.evidence import Evidence, Rule, Tally, Verdict
-from valverouter.rollout.limits import Limits, Sort, Unit, impossible, refusal, waves
-from valverouter.rollout.model import PLANTS, Model
-from valverouter.rollout.model import Broken as ModelBroken
-from valverouter.rollout.orders import Book
-from valverouter.rollout.permits import Ask, Away, Back, Command, Enrol, Fence, Halt, Permit, Register
+from valverouter.rollout.raft_messages import Append, Appended, Vote, Voted
 
 SECOND = 10**9
 
@@ -60,27 +71,27 @@
 def test_a_refusal_says_which_limit_and_by_whom_it_is_used() -> None:
     limits = Limits(most=2, in_region=1, least_capacity=0.5)
     fleet = units()
-    assert refusal(limits, fleet, [], fleet[0]) is None
+    assert check_budget(limits, fleet, [], fleet[0]) is None
     assert (
-        str(refusal(limits, fleet, ["e2"], fleet[0]))
+        str(check_budget(limits, fleet, ["e2"], fleet[0]))
         == "edge proxies out at once in north: 1 of 1, used by e2"
     )
     assert "edge proxies out at once: 2 of 2, used by e1, e2" in str(
-        refusal(limits, fleet, ["e1", "e2"], fleet[0])
+        check_budget(limits, fleet, ["e1", "e2"], fleet[0])
     )
     tight = Limits(most=4, in_region=3, least_capacity=0.5)
-    assert refusal(tight, fleet, ["e2"], fleet[0]) is not None, "a third of 300 stays, half must"
-    assert refusal(tight, fleet, ["e0"], fleet[0]) is None, "out already, it uses no more room"
+    assert check_budget(tight, fleet, ["e2"], fleet[0]) is not None, "a third of 300 stays, half must"
+    assert check_budget(tight, fleet, ["e0"], fleet[0]) is None, "out already, it uses no more room"
     server = Unit("s0", Sort.SERVER, "north", 400, 1.0)
     both = [*fleet, server, Unit("s1", Sort.SERVER, "north", 400, 1.0)]
-    assert refusal(limits, both, ["e0", "e1", "e2"], server) is None, "servers are counted apart"
+    assert check_budget(limits, both, ["e0", "e1", "e2"], server) is None, "servers are counted apart"
 
 
 def test_a_region_s_processor_must_stay_too() -> None:
     fleet = [Unit("s0", Sort.SERVER, "n", 100, 3.0), Unit("s1", Sort.SERVER, "n", 100, 1.0)]
     limits = Limits(most=1, in_region=1, least_capacity=0.5, least_processor=0.5)
-    assert refusal(limits, fleet, [], fleet[1]) is None
-    assert "least processor of n" in str(refusal(limits, fleet, [], fleet[0]))
+    assert check_budget(limits, fleet, [], fleet[1]) is None
+    assert "least processor of n" in str(check_budget(limits, fleet, [], fleet[0]))
 
 
 @pytest.mark.parametrize(
@@ -94,8 +105,8 @@
     ],
 )
 def test_limits_that_no_order_could_meet_are_told_beforehand(limits: Limits, said: str) -> None:
-    assert any(said in flaw for flaw in impossible(limits, Sort.EDGE, units()))
-    assert not impossible(Limits(2, 1, least_capacity=0.6), Sort.EDGE, units())
+    assert any(said in flaw for flaw in find_unsatisfiable_limits(limits, Sort.EDGE, units()))
+    assert not find_unsatisfiable_limits(Limits(2, 1, least_capacity=0.6), Sort.EDGE, units())
 
 
 @settings(max_examples=60, deadline=None)
@@ -104,7 +115,7 @@
     fleet, limits = units(count, ("n", "s", "w")), Limits(most, here, least_capacity=least)
     wanted = [unit.name for unit in fleet]
     try:
-        made = waves(limits, fleet, [], wanted)
+        made = plan_waves(limits, fleet, [], wanted)
     except ValueError as error:
         assert "least capacity" in str(error)
         return
@@ -115,7 +126,7 @@
         assert len({by_name[name].region for name in wave}) == 1
         out: list[str] = []
         for name in wave:
-            assert refusal(limits, fleet, out, by_name[name]) is None
+            assert check_budget(limits, fleet, out, by_name[name]) is None
             out.append(name)
 
 
@@ -171,7 +182,7 @@
     assert fence.accepts(Permit(5, "e0", "")) and fence.accepts(Permit(5, "e0", ""))
     assert fence.accepts(Permit(8, "e0", "")) and not fence.accepts(Permit(5, "e0", ""))
     assert fence.accepts(Permit(2, "e1", ""))
-    fence.over(Permit(8, "e0", ""))
+    fence.end(Permit(8, "e0", ""))
     assert not fence.accepts(Permit(8, "e0", "")), "a copy that comes late"
     assert fence.accepts(Permit(9, "e0", ""))
 
@@ -208,32 +219,32 @@
     def __init__(self, count: int = 3) -> None:
         disks = tuple((f"c{at}", at + 1) for at in range(count))
         self.now = 0
-        self.ones: dict[str, Councillor] = {}
+        self.ones: dict[str, RaftNode] = {}
         for name, disk in disks:
-            durable = Durable(disk)
-            durable.apply(SaveEntries(1, (Entry(1, Members(disks)),)))
-            self.ones[name] = Councillor(name, durable, random.Random(name).random, 0)
+            durable = PersistentState(disk)
+            durable.apply(SaveEntries(1, (LogEntry(1, Members(disks)),)))
+            self.ones[name] = RaftNode(name, durable, random.Random(name).random, 0)
         self.cut: set[str] = set()
 
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
         while self.now < until:
-            self.now += PATIENCE // 8
+            self.now += ELECTION_TIMEOUT // 8
             for one in self.ones.values():
                 one.tick(self.now)
             self.carry()
 
     def carry(self) -> None:
-        while any(one.out for one in self.ones.values()):
+        while any(one.outgoing for one in self.ones.values()):
             for one in self.ones.values():
-                out, one.out = one.out, []
+                out, one.outgoing = one.outgoing, []
                 for to, message in out:
                     if to in self.ones and not {to, one.name} & self.cut:
-                        self.ones[to].heard(self.now, message)
+                        self.ones[to].receive(self.now, message)
 
     @property
-    def leader(self) -> Councillor:
-        (leads,) = [one for one in self.ones.values() if one.part is Part.LEADER and one.name not in self.cut]
+    def leader(self) -> RaftNode:
+        (leads,) = [one for one in self.ones.values() if one.role is Role.LEADER and one.name not in self.cut]
         return leads
 
 
@@ -243,9 +254,9 @@
     assert table.leader.propose(table.now, "x")
     table.run(1)
     for one in table.ones.values():
-        assert [what for _, what in one.decided if isinstance(what, str)] == ["x"]
-        assert one.leader == table.leader.name
-    assert not next(one for one in table.ones.values() if one.part is not Part.LEADER).propose(0, "y")
+        assert [what for _, what in one.committed if isinstance(what, str)] == ["x"]
+        assert one.leader_id == table.leader.name
+    assert not next(one for one in table.ones.values() if one.role is not Role.LEADER).propose(0, "y")
 
 
 def test_the_smaller_side_of_a_cut_agrees_on_nothing_and_knows_it() -> None:
@@ -255,33 +266,33 @@
     table.cut = {former.name}
     former.propose(table.now, "lost")
     table.run(8)
-    assert former.part is not Part.LEADER, "a leader that nobody answers is none"
+    assert former.role is not Role.LEADER, "a leader that nobody answers is none"
     assert table.leader.propose(table.now, "kept")
     table.run(1)
     table.cut = set()
     table.run(3)
     for one in table.ones.values():
-        assert [what for _, what in one.decided if isinstance(what, str)] == ["kept"]
+        assert [what for _, what in one.committed if isinstance(what, str)] == ["kept"]
 
 
 def test_one_that_was_stopped_does_not_depose_the_leader_when_it_wakes() -> None:
     table = Table()
     table.run(5)
-    leader, term = table.leader.name, table.leader.durable.term
+    leader, term = table.leader.name, table.leader.persistent.current_term
     sleeper = next(name for name in table.ones if name != leader)
     table.cut = {sleeper}
     table.run(20)
     table.cut = set()
     table.run(5)
-    assert (table.leader.name, table.leader.durable.term) == (leader, term)
+    assert (table.leader.name, table.leader.persistent.current_term) == (leader, term)
 
 
 def test_a_term_that_one_refuses_in_advance_by_is_heard() -> None:
     """Found by courses: the longer record with the lower term, and the other way round, asked for ever."""
     table = Table()
     long, short = table.ones["c0"], table.ones["c1"]
-    long.durable.apply(SaveEntries(2, tuple(Entry(1, at) for at in range(5))))
-    short.durable.term = 4
+    long.persistent.apply(SaveEntries(2, tuple(LogEntry(1, at) for at in range(5))))
+    short.persistent.current_term = 4
     table.cut = {"c2"}
     table.run(20)
     assert table.leader is long
@@ -291,58 +302,60 @@
     table = Table()
     one = table.ones["c0"]
     one.tick(5 * SECOND)
-    assert one.part is Part.ASKING
+    assert one.role is Role.PRE_CANDIDATE
     for _ in range(3):
-        one.heard(5 * SECOND, Voted(1, "c1", 99, True, ahead=True))
-    assert one.part is Part.ASKING, "another disk: it has forgotten what it voted"
-    one.heard(5 * SECOND, Voted(1, "c1", 2, True, ahead=True))
-    assert one.part.value == "candidate"
-    one.heard(5 * SECOND, Voted(1, "c0", 1, True))
-    assert one.part.value == "candidate", "its own again"
-    one.heard(5 * SECOND, Voted(1, "c2", 3, True))
-    assert one.part.value == "leader"
+        one.receive(5 * SECOND, Voted(1, "c1", 99, True, ahead=True))
+    assert one.role is Role.PRE_CANDIDATE, "another disk: it has forgotten what it voted"
+    one.receive(5 * SECOND, Voted(1, "c1", 2, True, ahead=True))
+    assert one.role.value == "candidate"
+    one.receive(5 * SECOND, Voted(1, "c0", 1, True))
+    assert one.role.value == "candidate", "its own again"
+    one.receive(5 * SECOND, Voted(1, "c2", 3, True))
+    assert one.role.value == "leader"
 
 
 def test_a_vote_is_given_once_a_term_and_over_a_restart() -> None:
     table = Table()
     one = table.ones["c2"]
-    one.heard(5 * SECOND, Vote(7, "c0", 1, 1, 1))
-    one.heard(5 * SECOND, Vote(7, "c1", 2, 1, 1))
-    given = [message.given for _, message in one.out if isinstance(message, Voted)]
+    one.receive(5 * SECOND, Vote(7, "c0", 1, 1, 1))
+    one.receive(5 * SECOND, Vote(7, "c1", 2, 1, 1))
+    given = [message.given for _, message in one.outgoing if isinstance(message, Voted)]
     assert given == [True, False]
-    again = Councillor("c2", one.durable, random.random, 6 * SECOND)
-    again.heard(9 * SECOND, Vote(7, "c1", 2, 1, 1))
-    assert [message.given for _, message in again.out if isinstance(message, Voted)] == [False]
+    again = RaftNode("c2", one.persistent, random.random, 6 * SECOND)
+    again.receive(9 * SECOND, Vote(7, "c1", 2, 1, 1))
+    assert [message.given for _, message in again.outgoing if isinstance(message, Voted)] == [False]
 
 
 def test_an_entry_of_a_former_term_is_agreed_on_with_one_of_the_leader_s_own_only() -> None:
     """Figure 8 of the paper: on a majority's disks, and yet it may be written over."""
     table = Table()
     one = table.ones["c0"]
-    one.durable.apply(SaveEntries(2, (Entry(2, "old"),)))
-    one.durable.term = 3
+    one.persistent.apply(SaveEntries(2, (LogEntry(2, "old"),)))
+    one.persistent.current_term = 3
     one.tick(5 * SECOND)
-    one.heard(5 * SECOND, Voted(4, "c1", 2, True, ahead=True))
-    one.heard(5 * SECOND, Voted(4, "c1", 2, True))
-    assert one.part is Part.LEADER and one.last == 3
-    one.heard(5 * SECOND, Appended(4, "c1", 2, True, 2))
-    assert one.agreed == 0
-    one.heard(5 * SECOND, Appended(4, "c1", 2, True, 3))
-    assert one.agreed == 3
+    one.receive(5 * SECOND, Voted(4, "c1", 2, True, ahead=True))
+    one.receive(5 * SECOND, Voted(4, "c1", 2, True))
+    assert one.role is Role.LEADER and one.last_log_index == 3
+    one.receive(5 * SECOND, Appended(4, "c1", 2, True, 2))
+    assert one.commit_index == 0
+    one.receive(5 * SECOND, Appended(4, "c1", 2, True, 3))
+    assert one.commit_index == 3
 
 
 def test_what_differs_behind_the_leader_s_word_is_written_over_and_nothing_else() -> None:
     table = Table()
     one = table.ones["c1"]
-    one.durable.apply(SaveEntries(2, (Entry(1, "a"), Entry(1, "b"))))
-    one.heard(SECOND, Append(2, "c0", 1, 1, (Entry(1, "a"),), 2))
-    assert [entry.what for entry in one.durable.entries[1:]] == ["a", "b"], "a repeat takes nothing away"
-    one.heard(SECOND, Append(2, "c0", 2, 1, (Entry(2, "c"),), 3))
-    assert [entry.what for entry in one.durable.entries[1:]] == ["a", "c"] and one.agreed == 3
-    one.heard(SECOND, Append(2, "c0", 9, 2, (), 3))
-    assert one.out[-1][1] == Appended(2, "c1", 2, False, 3)
-    one.heard(SECOND, Append(1, "c2", 1, 1, (Entry(1, "z"),), 2))
-    assert [entry.what for entry in one.durable.entries[1:]] == ["a", "c"], "of a leader gone by"
+    one.persistent.apply(SaveEntries(2, (LogEntry(1, "a"), LogEntry(1, "b"))))
+    one.receive(SECOND, Append(2, "c0", 1, 1, (LogEntry(1, "a"),), 2))
+    assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "b"], (
+        "a repeat takes nothing away"
+    )
+    one.receive(SECOND, Append(2, "c0", 2, 1, (LogEntry(2, "c"),), 3))
+    assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "c"] and one.commit_index == 3
+    one.receive(SECOND, Append(2, "c0", 9, 2, (), 3))
+    assert one.outgoing[-1][1] == Appended(2, "c1", 2, False, 3)
+    one.receive(SECOND, Append(1, "c2", 1, 1, (LogEntry(1, "z"),), 2))
+    assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "c"], "of a leader gone by"
 
 
 def test_a_long_record_becomes_a_snapshot_and_one_that_was_away_takes_it() -> None:
@@ -352,26 +365,26 @@
     table.cut = {away}
     states = {name: 0 for name in table.ones}
     for name, one in table.ones.items():
-        one._state = lambda name=name: states[name]  # type: ignore[misc]
-        one._install = lambda state, name=name: states.__setitem__(name, state)  # type: ignore[misc]
-    for number in range(KEPT + 60):
+        one._capture_state = lambda name=name: states[name]  # type: ignore[misc]
+        one._restore_state = lambda state, name=name: states.__setitem__(name, state)  # type: ignore[misc]
+    for number in range(COMPACTION_THRESHOLD + 60):
         table.leader.propose(table.now, 1)
         table.carry()
         if number % 50 == 49:
             table.run(0.5)
             for name, one in table.ones.items():
-                states[name] += sum(isinstance(what, int) for _, what in one.decided)
-                one.decided.clear()
-                one.compact()
+                states[name] += sum(isinstance(what, int) for _, what in one.committed)
+                one.committed.clear()
+                one.compact_log()
     table.run(2)
     leader = table.leader
-    assert leader.durable.snapshot is not None and len(leader.durable.entries) < KEPT
+    assert leader.persistent.snapshot is not None and len(leader.persistent.entries) < COMPACTION_THRESHOLD
     table.cut = set()
     table.run(3)
     one = table.ones[away]
-    total = states[away] + sum(isinstance(what, int) for _, what in one.decided)
-    assert total == KEPT + 60 and one.agreed == leader.agreed
-    assert one.members == leader.members
+    total = states[away] + sum(isinstance(what, int) for _, what in one.committed)
+    assert total == COMPACTION_THRESHOLD + 60 and one.commit_index == leader.commit_index
+    assert one.configuration == leader.configuration
 
 
 def test_members_change_one_at_a_time_and_a_lost_disk_is_another_member() -> None:
@@ -379,18 +392,18 @@
     table.run(5)
     leader = table.leader
     lost = next(name for name in table.ones if name != leader.name)
-    table.ones[lost] = Councillor(lost, Durable(77), random.random, table.now)
+    table.ones[lost] = RaftNode(lost, PersistentState(77), random.random, table.now)
     table.run(3)
-    assert table.ones[lost].last == 0 or not table.ones[lost].is_member
-    assert "must go first" in leader.replace(table.now, "", (lost, 77))
-    assert leader.replace(table.now, lost, (lost, 77)).startswith("one change at a time")
-    assert leader.replace(table.now, lost, None) == ""
-    assert leader.replace(table.now, "", (lost, 77)) in ("another change is under way", "")
+    assert table.ones[lost].last_log_index == 0 or not table.ones[lost].is_member
+    assert "must go first" in leader.change_membership(table.now, "", (lost, 77))
+    assert leader.change_membership(table.now, lost, (lost, 77)).startswith("one change at a time")
+    assert leader.change_membership(table.now, lost, None) == ""
+    assert leader.change_membership(table.now, "", (lost, 77)) in ("another change is under way", "")
     table.run(2)
-    leader.replace(table.now, "", (lost, 77))
+    leader.change_membership(table.now, "", (lost, 77))
     table.run(3)
-    assert table.ones[lost].is_member and table.ones[lost].agreed == leader.agreed
-    assert leader.replace(table.now, "nobody", None) == "that changes nothing"
+    assert table.ones[lost].is_member and table.ones[lost].commit_index == leader.commit_index
+    assert leader.change_membership(table.now, "nobody", None) == "that changes nothing"
 
 
 def test_courses_of_faults_keep_the_limits_and_the_council_comes_back() -> None:
@@ -419,17 +432,27 @@
 
 
 @pytest.mark.parametrize(
-    ("model", "states"), [(Model(terms=1, crashes=0), 1_879), (Model(terms=2, length=1, crashes=1), 12_416)]
+    ("model", "states"),
+    [
+        (PermitModel(max_terms=1, max_crashes=0), 1_879),
+        (PermitModel(max_terms=2, max_log_length=1, max_crashes=1), 12_416),
+    ],
 )
-def test_no_order_of_steps_lets_more_out_than_allowed(model: Model, states: int) -> None:
-    assert model.walk() == states
+def test_no_order_of_steps_lets_more_out_than_allowed(model: PermitModel, states: int) -> None:
+    assert model.explore() == states
 
 
-@pytest.mark.parametrize("without", PLANTS)
+@pytest.mark.parametrize("without", PLANTED_FAULTS)
 def test_the_walk_finds_each_planted_fault(without: str) -> None:
     terms, length, crashes = (2, 1, 1) if without == "memory" else (1, 3, 0)
     with pytest.raises(ModelBroken):
-        Model(terms=terms, length=length, crashes=crashes, without=without, deep=crashes > 0).walk()
+        PermitModel(
+            max_terms=terms,
+            max_log_length=length,
+            max_crashes=crashes,
+            planted_fault=without,
+            depth_first=crashes > 0,
+        ).explore()
 
 
 # The evidence
@@ -490,14 +513,21 @@
 
 
 def test_what_is_committed_is_read_back_as_it_was_applied(tmp_path: Path) -> None:
-    store, here = CouncilStore(tmp_path, 7), Durable(7)
+    store, here = RaftStore(tmp_path, 7), PersistentState(7)
     one = Book(register())
     members = Members((("c0", 7), ("c1", 8)))
     steps: list[list[Save]] = [
-        [SaveTerm(3, "c1"), SaveEntries(1, (Entry(1, members), Entry(1, enrolled()), Entry(2, None)))],
-        [SaveEntries(3, (Entry(3, Ask("a", "e0", "roll")), Entry(3, Away("e1")), Entry(3, Halt("why"))))],
+        [
+            SaveTerm(3, "c1"),
+            SaveEntries(1, (LogEntry(1, members), LogEntry(1, enrolled()), LogEntry(2, None))),
+        ],
+        [
+            SaveEntries(
+                3, (LogEntry(3, Ask("a", "e0", "roll")), LogEntry(3, Away("e1")), LogEntry(3, Halt("why")))
+            )
+        ],
         [SaveSnapshot(Snapshot(4, 3, members, one))],
-        [SaveEntries(6, (Entry(3, Back("e1")),)), SaveTerm(4, "")],
+        [SaveEntries(6, (LogEntry(3, Back("e1")),)), SaveTerm(4, "")],
     ]
     for saves in steps:
         store.commit(saves)
@@ -505,32 +535,32 @@
             here.apply(save)
         assert store.load() == here
     store.close()
-    again = CouncilStore(tmp_path, 99)
+    again = RaftStore(tmp_path, 99)
     assert again.load() == here, "its disk's number is the one that it began with"
     with pytest.raises(LedgerBusyError):
-        CouncilStore(tmp_path, 1)
+        RaftStore(tmp_path, 1)
     again.commit([SaveSnapshot(Snapshot(40, 9, members, one))])
     assert again.load().entries == [], "a snapshot past all that is here"
     again.close()
 
 
 def test_a_commit_that_fails_leaves_nothing_of_it(tmp_path: Path) -> None:
-    store = CouncilStore(tmp_path, 7)
+    store = RaftStore(tmp_path, 7)
     store.commit([SaveTerm(1, "c0")])
-    bad: Any = SaveEntries(1, (Entry(1, object()),))
+    bad: Any = SaveEntries(1, (LogEntry(1, object()),))
     with pytest.raises(TypeError):
         store.commit([SaveTerm(2, "c1"), bad])
-    assert (store.load().term, store.load().voted) == (1, "c0")
+    assert (store.load().current_term, store.load().voted_for) == (1, "c0")
     store.close()
 
 
 @pytest.mark.parametrize("what", ["flipped", "cut off", "entry missing"])
 def test_a_store_that_can_not_be_read_whole_is_a_lost_disk(tmp_path: Path, what: str) -> None:
-    store = CouncilStore(tmp_path, 7)
-    store.commit([SaveEntries(1, tuple(Entry(1, Ask(f"ask-{at}", "e0")) for at in range(400)))])
+    store = RaftStore(tmp_path, 7)
+    store.commit([SaveEntries(1, tuple(LogEntry(1, Ask(f"ask-{at}", "e0")) for at in range(400)))])
     if what == "entry missing":
         with store._env.begin(write=True) as commit:
-            commit.delete((200).to_bytes(8, "big"), db=store._record)
+            commit.delete((200).to_bytes(8, "big"), db=store._log_db)
     store.close()
     file = tmp_path / "data.mdb"
     data = bytearray(file.read_bytes())
@@ -540,7 +570,7 @@
         data = data[: len(data) * 2 // 3]
     file.write_bytes(data)
     with pytest.raises(LedgerError):
-        CouncilStore(tmp_path, 8).load()
+        RaftStore(tmp_path, 8).load()
 
 
 def test_killed_while_it_writes_a_store_holds_whole_commits(tmp_path: Path) -> None:
@@ -548,19 +578,19 @@
     script = """
 import sys
 from pathlib import Path
-from valverouter.ledger.councilstore import CouncilStore
-from valverouter.rollout.council import Entry, SaveEntries, SaveTerm
-store = CouncilStore(Path(sys.argv[1]), 7)
-durable, first = store.load(), store.load().first
-term = durable.term
+from valverouter.ledger.raft_store import RaftStore
+from valverouter.rollout.raft_log import LogEntry, SaveEntries, SaveTerm
+store = RaftStore(Path(sys.argv[1]), 7)
+state = store.load()
+term = state.current_term
 print("on", flush=True)
 while True:
     term += 1
-    last = len(durable.entries)
-    saves = [SaveTerm(term, "c0"), SaveEntries(last + 1, (Entry(term, None), Entry(term, None)))]
+    last = len(state.entries)
+    saves = [SaveTerm(term, "c0"), SaveEntries(last + 1, (LogEntry(term, None), LogEntry(term, None)))]
     store.commit(saves)
     for save in saves:
-        durable.apply(save)
+        state.apply(save)
 """
     chance = random.Random(5)
     for _ in range(6):
@@ -570,28 +600,30 @@
         process.kill()
         process.wait()
         process.stdout.close()
-        store = CouncilStore(tmp_path, 1)
+        store = RaftStore(tmp_path, 1)
         durable = store.load()
         store.close()
-        assert len(durable.entries) == 2 * durable.term
-        assert [entry.term for entry in durable.entries[-2:]] == [durable.term] * min(2, len(durable.entries))
+        assert len(durable.entries) == 2 * durable.current_term
+        assert [entry.term for entry in durable.entries[-2:]] == [durable.current_term] * min(
+            2, len(durable.entries)
+        )
 
 
 def test_a_course_s_councillor_lives_on_in_a_store(tmp_path: Path) -> None:
     """Each save of a course also goes to a store, and what is read back is what the course's disk holds."""
     course = Course(3)
     seat = course.seats["c1"]
-    store = CouncilStore(tmp_path, seat.durable.disk)
+    store = RaftStore(tmp_path, seat.durable.disk_id)
     store.commit([SaveEntries(1, tuple(seat.durable.entries))])
-    applies = Durable.apply
+    applies = PersistentState.apply
 
-    def both(self: Durable, save: Save) -> None:
+    def both(self: PersistentState, save: Save) -> None:
         applies(self, save)
         if self is seat.durable:
             store.commit([save])
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Durable, "apply", both)
+        patch.setattr(PersistentState, "apply", both)
         course._fault = lambda: None  # type: ignore[method-assign]
         course.run(12)
     assert seat.durable.entries and store.load() == seat.durable
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -17,9 +17,9 @@
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.council import NotFoundedError, SeatTask
 from valverouter.fleet.keeper import KeeperTask
-from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.keeperstore import opened
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
 log = structlog.get_logger()
@@ -46,16 +46,16 @@
         sys.exit(FAILED)
 
 
-def _store(terms: SeatTerms) -> CouncilStore:
+def _store(terms: SeatTerms) -> RaftStore:
     """One that can't be read whole is a lost disk: set aside, and the seat comes back as another."""
     fresh = secrets.randbits(63)
-    store, _, why, aside = sound(terms.store, lambda: CouncilStore(terms.store, fresh), CouncilStore.load)
+    store, _, why, aside = sound(terms.store, lambda: RaftStore(terms.store, fresh), RaftStore.load)
     if why:
         log.error("record-set-aside", why=why, to=str(aside))
     return store
 
 
-async def _seat(terms: SeatTerms, store: CouncilStore, found: bool) -> None:
+async def _seat(terms: SeatTerms, store: RaftStore, found: bool) -> None:
     task = SeatTask(terms, Sockets(), store, found)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
--- a/valverouter/emulator/councils.py
+++ b/valverouter/emulator/councils.py
@@ -15,19 +15,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from valverouter.rollout.council import (
-    PATIENCE,
-    SECOND,
-    Councillor,
-    Durable,
-    Entry,
-    Members,
-    Message,
-    Part,
-    SaveEntries,
-)
-from valverouter.rollout.limits import Limits, Sort, Unit
-from valverouter.rollout.permits import Ask, Away, Back, Enrol, Fence, Permit, Register
+from valverouter.rollout.disruption_limits import Limits, Sort, Unit
+from valverouter.rollout.disruption_permits import Ask, Away, Back, Enrol, Fence, Permit, Register
+from valverouter.rollout.raft import ELECTION_TIMEOUT, SECOND, RaftNode, Role
+from valverouter.rollout.raft_log import LogEntry, Members, PersistentState, SaveEntries
+from valverouter.rollout.raft_messages import RaftMessage
 from valverouter.servermodel.paths import PathFault, Paths
 
 
@@ -40,8 +32,8 @@
     """A councillor's machine: its disk outlives it. `councillor` None: it is down."""
 
     name: str
-    durable: Durable
-    councillor: Councillor | None = None
+    durable: PersistentState
+    councillor: RaftNode | None = None
     register: Register | None = None
     applied: int = 0
     stopped_until: int = 0
@@ -81,7 +73,7 @@
         names = [f"c{at}" for at in range(seats)]
         disks = tuple((name, self.chance.getrandbits(64)) for name in names)
         founded = Members(disks)
-        self.seats = {name: Seat(name, Durable(disk)) for name, disk in disks}
+        self.seats = {name: Seat(name, PersistentState(disk)) for name, disk in disks}
         for seat in self.seats.values():
             # All were there when it was founded, and have the same first entry.
             seat.durable.apply(SaveEntries(1, (_first(founded),)))
@@ -123,13 +115,13 @@
             seat.register = state.copy()
 
         durable = seat.durable
-        seat.applied = durable.snapshot.index if durable.snapshot else 0
-        seat.councillor = Councillor(
+        seat.applied = durable.snapshot.last_included_index if durable.snapshot else 0
+        seat.councillor = RaftNode(
             name, durable, self.chance.random, self.now, lambda: self._state(seat), install
         )
         if durable.snapshot is None:
             seat.register = register
-        self.at(self.now + PATIENCE // 8, self._tick, seat, seat.life)
+        self.at(self.now + ELECTION_TIMEOUT // 8, self._tick, seat, seat.life)
 
     @staticmethod
     def _state(seat: Seat) -> Register:
@@ -144,9 +136,9 @@
         """It comes back as another: under its name, with an empty disk."""
         self.crash(name)
         seat = self.seats[name]
-        old = seat.durable.disk
+        old = seat.durable.disk_id
         disk = old if self.plant == "disk" else self.chance.getrandbits(64)
-        seat.durable = Durable(disk)
+        seat.durable = PersistentState(disk)
         if self.plant == "disk":
             seat.durable.apply(SaveEntries(1, (_first(self._decided[1]),)))
         self.found["disk lost"] += 1
@@ -159,30 +151,30 @@
     def _tick(self, seat: Seat, life: int) -> None:
         if seat.councillor is None or seat.life != life:
             return
-        self.at(self.now + PATIENCE // 8, self._tick, seat, life)
+        self.at(self.now + ELECTION_TIMEOUT // 8, self._tick, seat, life)
         if self.now >= seat.stopped_until:
             seat.councillor.tick(self.now)
             self._after(seat)
 
-    def _hears(self, seat: Seat, message: Message) -> None:
+    def _hears(self, seat: Seat, message: RaftMessage) -> None:
         if self.now < seat.stopped_until:
             self.at(seat.stopped_until, self._hears, seat, message)
             return
         if seat.councillor is not None:
-            seat.councillor.heard(self.now, message)
+            seat.councillor.receive(self.now, message)
             self._after(seat)
 
     def _after(self, seat: Seat) -> None:
         """Saves are durable, then words leave: between the two it may crash."""
         one = seat.councillor
         assert one is not None
-        one.saves.clear()
-        out, one.out = one.out, []
-        decided, one.decided = one.decided, []
-        if one.part is Part.LEADER:
-            known = self._leaders.setdefault(one.durable.term, one.name)
+        one.pending_saves.clear()
+        out, one.outgoing = one.outgoing, []
+        decided, one.committed = one.committed, []
+        if one.role is Role.LEADER:
+            known = self._leaders.setdefault(one.persistent.current_term, one.name)
             if known != one.name:
-                raise Broken(f"two leaders in term {one.durable.term}: {known}, {one.name}")
+                raise Broken(f"two leaders in term {one.persistent.current_term}: {known}, {one.name}")
         if self._faulty and self.chance.random() < 0.0005:
             self.crash(seat.name)
             self.at(self.now + int(self.chance.random() * 5 * SECOND), self.start, seat.name)
@@ -197,7 +189,7 @@
                     self.at(self.now + span, self._hears, there, message)
         for index, what in decided:
             self._apply(seat, index, what)
-        one.compact()
+        one.compact_log()
 
     def _apply(self, seat: Seat, index: int, what: Any) -> None:
         known = self._decided.setdefault(index, what)
@@ -231,16 +223,16 @@
         """Lets a member in that comes with another disk: its former self goes first."""
         for seat in list(self.seats.values()):
             one = seat.councillor
-            if one is None or one.part is not Part.LEADER or self.now < seat.stopped_until:
+            if one is None or one.role is not Role.LEADER or self.now < seat.stopped_until:
                 continue
-            present = dict(one.members.disks)
+            present = dict(one.configuration.disks)
             for name, other in self.seats.items():
                 if other.councillor is None:
                     continue
-                if name in present and present[name] != other.durable.disk:
-                    one.replace(self.now, name, None)
+                if name in present and present[name] != other.durable.disk_id:
+                    one.change_membership(self.now, name, None)
                 elif name not in present:
-                    one.replace(self.now, "", (name, other.durable.disk))
+                    one.change_membership(self.now, "", (name, other.durable.disk_id))
             self._after(seat)
 
     # Holders
@@ -292,7 +284,7 @@
     def _comes_back(self, holder: Holder) -> None:
         holder.out = False
         assert holder.permit is not None
-        self.fence.over(holder.permit)
+        self.fence.end(holder.permit)
         self._tell_back(holder)
 
     def _tell_back(self, holder: Holder) -> None:
@@ -352,8 +344,8 @@
             raise Broken(f"{len(out)} are out at {self.now / SECOND:.1f}, {self.limits.most} may be")
         for region in {holder.unit.region for holder in out}:
             here = sum(holder.unit.region == region for holder in out)
-            if here > self.limits.of(region):
-                raise Broken(f"{here} of {region} are out, {self.limits.of(region)} may be")
+            if here > self.limits.max_unavailable_in(region):
+                raise Broken(f"{here} of {region} are out, {self.limits.max_unavailable_in(region)} may be")
 
     # The course
 
@@ -415,9 +407,9 @@
 
     def _all_members(self) -> bool:
         ones = [seat.councillor for seat in self.seats.values() if seat.councillor is not None]
-        leads = [one for one in ones if one.part is Part.LEADER]
+        leads = [one for one in ones if one.role is Role.LEADER]
         return any(
-            all(one.is_member for one in ones) and len(lead.members.disks) == len(self.seats)
+            all(one.is_member for one in ones) and len(lead.configuration.disks) == len(self.seats)
             for lead in leads
         )
 
@@ -436,7 +428,7 @@
         leads = [
             seat.name
             for seat in self.seats.values()
-            if seat.councillor is not None and seat.councillor.part is Part.LEADER
+            if seat.councillor is not None and seat.councillor.role is Role.LEADER
         ]
         if len(leads) != 1:
             return f"led by {leads}"
@@ -446,5 +438,5 @@
         return ""
 
 
-def _first(members: Members) -> Entry:
-    return Entry(1, members)
+def _first(members: Members) -> LogEntry:
+    return LogEntry(1, members)
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -22,10 +22,10 @@
 import msgspec
 
 from valverouter.rollout.conducting import Conductor, Looked, Rules
-from valverouter.rollout.council import SECOND, Durable, Entry, Members, SaveEntries
+from valverouter.rollout.disruption_limits import Limits, Sort
+from valverouter.rollout.disruption_permits import Back
 from valverouter.rollout.evidence import Evidence, Rule
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
-from valverouter.rollout.limits import Limits, Sort
 from valverouter.rollout.orders import (
     Book,
     Command,
@@ -39,7 +39,8 @@
     Stop,
     released,
 )
-from valverouter.rollout.permits import Back
+from valverouter.rollout.raft import SECOND
+from valverouter.rollout.raft_log import LogEntry, Members, PersistentState, SaveEntries
 from valverouter.rollout.seat import Seat, Word
 from valverouter.servermodel.paths import PathFault, Paths
 
@@ -59,7 +60,7 @@
     """A seat's: its disk outlives it. `seat` None: it is down."""
 
     name: str
-    durable: Durable
+    durable: PersistentState
     seat: Seat | None = None
     stopped_until: int = 0
     life: int = 0
@@ -171,9 +172,9 @@
         self.harmed = 0
         self.served = 0
         disks = tuple((f"c{at}", self.chance.getrandbits(64)) for at in range(3))
-        self.seats = {name: Machine(name, Durable(disk)) for name, disk in disks}
+        self.seats = {name: Machine(name, PersistentState(disk)) for name, disk in disks}
         for one in self.seats.values():
-            one.durable.apply(SaveEntries(1, (Entry(1, Members(disks)),)))
+            one.durable.apply(SaveEntries(1, (LogEntry(1, Members(disks)),)))
         self.fleet: dict[str, Instance] = {}
         for at in range(instances):
             facts = Facts(f"e{at}", Sort.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
@@ -260,7 +261,7 @@
     def leader(self) -> Seat | None:
         """Whoever leads by the highest term."""
         ones = [m.seat for m in self.seats.values() if m.seat is not None and m.seat.leads]
-        return max(ones, key=lambda seat: seat.councillor.durable.term, default=None)
+        return max(ones, key=lambda seat: seat.councillor.persistent.current_term, default=None)
 
     # Keepers
 
@@ -429,8 +430,10 @@
             )
         for region in {one.facts.region for one in out}:
             here = sum(one.facts.region == region for one in out)
-            if here > self.limits.of(region):
-                raise Broken(f"{here} of {region} are out by orders, {self.limits.of(region)} may be")
+            if here > self.limits.max_unavailable_in(region):
+                raise Broken(
+                    f"{here} of {region} are out by orders, {self.limits.max_unavailable_in(region)} may be"
+                )
 
     # Tools
 
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -17,17 +17,17 @@
 from valverouter.edge.surroundings import Surroundings
 from valverouter.fleet.post import Post
 from valverouter.fleet.words import Asks, Here, Reported, Tells, Votes, Worded
-from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.rollout.conducting import Rules
-from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
+from valverouter.rollout.disruption_limits import Limits, Sort
+from valverouter.rollout.disruption_permits import Halt
 from valverouter.rollout.evidence import Rule
-from valverouter.rollout.limits import Limits, Sort
 from valverouter.rollout.orders import Book, Command, Place, Retire, Stop
-from valverouter.rollout.permits import Halt
+from valverouter.rollout.raft_log import LogEntry, Members, PersistentState, SaveEntries
 from valverouter.rollout.seat import Seat, Word
+from valverouter.rollout.serialization import from_wire as from_sent
+from valverouter.rollout.serialization import to_wire
 from valverouter.rollout.shown import shown
-from valverouter.rollout.written import heard as from_sent
-from valverouter.rollout.written import sent
 from valverouter.terms.rollout import SeatTerms
 
 # The longest sleep.
@@ -69,9 +69,7 @@
 class SeatTask:
     """One seat. `found`: the first of a new council, which lets the others in."""
 
-    def __init__(
-        self, terms: SeatTerms, surroundings: Surroundings, store: CouncilStore, found: bool
-    ) -> None:
+    def __init__(self, terms: SeatTerms, surroundings: Surroundings, store: RaftStore, found: bool) -> None:
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
@@ -130,7 +128,7 @@
 
     @property
     def _disk(self) -> int:
-        return self.seat.councillor.durable.disk
+        return self.seat.councillor.persistent.disk_id
 
     def _leave(self, post: Post) -> None:
         """On disk first, then words."""
@@ -141,7 +139,7 @@
         self.seat.out.clear()
         for to, message in out:
             if (address := self._terms.council.get(to)) is not None:
-                post.send(address, Votes(to, sent(message)))
+                post.send(address, Votes(to, to_wire(message)))
         words, self._words = self._words, []
         for address, word in words:
             post.send(address, word)
@@ -182,12 +180,12 @@
         one = self.seat.councillor
         if not self.seat.leads or not self._disks:
             return
-        present = dict(one.members.disks)
+        present = dict(one.configuration.disks)
         for name, disk in self._disks.items():
             if name not in present:
-                why = one.replace(self._now(), "", (name, disk))
+                why = one.change_membership(self._now(), "", (name, disk))
             elif present[name] != disk:
-                why = one.replace(self._now(), name, None)
+                why = one.change_membership(self._now(), name, None)
             else:
                 continue
             if not why:
@@ -217,7 +215,7 @@
         index = self._proposed.get(asks.nonce)
         if index is None:
             if self.seat.propose(now, command):
-                self._proposed[asks.nonce] = self.seat.councillor.last
+                self._proposed[asks.nonce] = self.seat.councillor.last_log_index
                 if len(self._proposed) > PROPOSED_MOST:
                     del self._proposed[next(iter(self._proposed))]
         elif self.seat.applied >= index:
@@ -246,7 +244,7 @@
         if self.seat.leads != self._was_leader:
             self._was_leader = self.seat.leads
             self._proposed.clear()
-            term = self.seat.councillor.durable.term
+            term = self.seat.councillor.persistent.current_term
             self._log.info("council-leads" if self._was_leader else "council-follows", term=term)
         orders = self.seat.book.orders
         for gone in [id_ for id_ in self._told if id_ not in orders]:
@@ -268,9 +266,9 @@
                 )
 
 
-def _found(name: str, durable: Durable, store: CouncilStore) -> None:
-    if durable.entries or durable.snapshot or durable.term:
+def _found(name: str, durable: PersistentState, store: RaftStore) -> None:
+    if durable.entries or durable.snapshot or durable.current_term:
         raise NotFoundedError(f"{store.path} holds a record: this council was founded before")
-    save = SaveEntries(1, (Entry(1, Members(((name, durable.disk),))),))
+    save = SaveEntries(1, (LogEntry(1, Members(((name, durable.disk_id),))),))
     durable.apply(save)
     store.commit([save])
--- a/valverouter/fleet/keeper.py
+++ b/valverouter/fleet/keeper.py
@@ -25,8 +25,8 @@
 from valverouter.fleet.sealing import Opener, Seal
 from valverouter.fleet.words import Reported, Worded
 from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.rollout.disruption_limits import Sort
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
-from valverouter.rollout.limits import Sort
 from valverouter.rollout.orders import Want
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
--- a/valverouter/fleet/words.py
+++ b/valverouter/fleet/words.py
@@ -7,14 +7,14 @@
 
 from valverouter.rollout.keeping import Report
 from valverouter.rollout.orders import Command, Want
-from valverouter.rollout.written import Sent
+from valverouter.rollout.serialization import WireMessage
 
 
 class Votes(Struct, frozen=True, array_like=True, tag="v"):
     """A council's message to seat `to`."""
 
     to: str
-    message: Sent
+    message: WireMessage
 
 
 class Here(Struct, frozen=True, array_like=True, tag="h"):
--- a/valverouter/ledger/councilstore.py
+++ b/valverouter/ledger/raft_store.py
@@ -16,11 +16,11 @@
 import msgspec
 
 from valverouter.ledger.file import LedgerError, body_of, cover, owned, summed
-from valverouter.rollout.council import Durable, Save, SaveEntries, SaveSnapshot, SaveTerm
-from valverouter.rollout.written import KeptEntry, KeptSnapshot, kept_entry, kept_snapshot
+from valverouter.rollout.raft_log import PersistentState, Save, SaveEntries, SaveSnapshot, SaveTerm
+from valverouter.rollout.serialization import KeptEntry, KeptSnapshot, to_stored_entry, to_stored_snapshot
 
 FORMAT = b"council 1"
-MOST = 64 * 1024 * 1024
+MAP_SIZE = 64 * 1024 * 1024
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -28,17 +28,17 @@
 _snapshots = msgspec.msgpack.Decoder(KeptSnapshot)
 
 
-class CouncilStore:
+class RaftStore:
     """An open store, one process at a time. `fresh_disk` names an empty one."""
 
     def __init__(self, path: Path, fresh_disk: int) -> None:
         self.path = path
         self._lock = owned(path)
         try:
-            self._env = lmdb.open(str(path), map_size=MOST, max_dbs=2, sync=True, metasync=True)
+            self._env = lmdb.open(str(path), map_size=MAP_SIZE, max_dbs=2, sync=True, metasync=True)
             cover(path, self._env)
-            self._meta = self._env.open_db(b"meta")
-            self._record = self._env.open_db(b"record")
+            self._metadata_db = self._env.open_db(b"meta")
+            self._log_db = self._env.open_db(b"record")
             self._begin(fresh_disk)
         except lmdb.Error as error:
             self._lock.close()
@@ -53,26 +53,28 @@
 
     def _begin(self, fresh_disk: int) -> None:
         with self._env.begin(write=True) as commit:
-            found = commit.get(b"format", db=self._meta)
+            found = commit.get(b"format", db=self._metadata_db)
             if found is None:
-                commit.put(b"format", FORMAT, db=self._meta)
-                commit.put(b"disk", _kept(fresh_disk), db=self._meta)
+                commit.put(b"format", FORMAT, db=self._metadata_db)
+                commit.put(b"disk", _kept(fresh_disk), db=self._metadata_db)
             elif bytes(found) != FORMAT:
                 raise LedgerError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
 
-    def load(self) -> Durable:
+    def load(self) -> PersistentState:
         """All of it, checked; LedgerError where any of it can't be trusted."""
         try:
             with self._env.begin() as read:
-                disk = msgspec.msgpack.decode(self._read(read.get(b"disk", db=self._meta), "disk"), type=int)
-                durable = Durable(disk)
-                if (vote := read.get(b"vote", db=self._meta)) is not None:
+                disk = msgspec.msgpack.decode(
+                    self._read(read.get(b"disk", db=self._metadata_db), "disk"), type=int
+                )
+                durable = PersistentState(disk)
+                if (vote := read.get(b"vote", db=self._metadata_db)) is not None:
                     term, voted = msgspec.msgpack.decode(self._read(vote, "vote"), type=tuple[int, str])
-                    durable.term, durable.voted = term, voted
-                if (kept := read.get(b"snapshot", db=self._meta)) is not None:
+                    durable.current_term, durable.voted_for = term, voted
+                if (kept := read.get(b"snapshot", db=self._metadata_db)) is not None:
                     durable.snapshot = _snapshots.decode(self._read(kept, "snapshot")).snapshot()
-                expected = durable.first
-                for key, value in read.cursor(db=self._record):
+                expected = durable.first_index
+                for key, value in read.cursor(db=self._log_db):
                     index = int.from_bytes(key, "big")
                     if index != expected:
                         raise LedgerError(f"{self.path}: entry {expected} is missing")
@@ -100,20 +102,20 @@
     def _put(self, commit: Any, save: Save) -> None:
         match save:
             case SaveTerm(term, voted):
-                commit.put(b"vote", _kept((term, voted)), db=self._meta)
+                commit.put(b"vote", _kept((term, voted)), db=self._metadata_db)
             case SaveEntries(first, entries):
                 self._cut(commit, first, None)
                 for index, entry in enumerate(entries, first):
-                    commit.put(_key(index), _kept(kept_entry(entry)), db=self._record)
+                    commit.put(_key(index), _kept(to_stored_entry(entry)), db=self._log_db)
             case SaveSnapshot(snapshot):
-                at = commit.get(_key(snapshot.index), db=self._record)
-                same = at is not None and _entries.decode(bytes(at)[4:]).term == snapshot.term
-                commit.put(b"snapshot", _kept(kept_snapshot(snapshot)), db=self._meta)
-                self._cut(commit, 0, snapshot.index if same else None)
+                at = commit.get(_key(snapshot.last_included_index), db=self._log_db)
+                same = at is not None and _entries.decode(bytes(at)[4:]).term == snapshot.last_included_term
+                commit.put(b"snapshot", _kept(to_stored_snapshot(snapshot)), db=self._metadata_db)
+                self._cut(commit, 0, snapshot.last_included_index if same else None)
 
     def _cut(self, commit: Any, first: int, last: int | None) -> None:
         """Entries from `first` to `last`, or to the end, go."""
-        cursor = commit.cursor(db=self._record)
+        cursor = commit.cursor(db=self._log_db)
         more = cursor.set_range(_key(first))
         while more and (last is None or int.from_bytes(cursor.key(), "big") <= last):
             more = cursor.delete()
--- a/valverouter/rollout/conducting.py
+++ b/valverouter/rollout/conducting.py
@@ -11,10 +11,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
+from valverouter.rollout.disruption_limits import Limits, Sort, Unit
+from valverouter.rollout.disruption_permits import Ask, Away, Back, Enrol
 from valverouter.rollout.evidence import Evidence, Tally, Verdict
 from valverouter.rollout.evidence import Rule as EvidenceRule
 from valverouter.rollout.keeping import Counts, Report
-from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.orders import (
     Book,
     Command,
@@ -29,7 +30,6 @@
     Went,
     released,
 )
-from valverouter.rollout.permits import Ask, Away, Back, Enrol
 from valverouter.rollout.serving import Watch
 
 SECOND = 10**9
--- a/valverouter/rollout/limits.py
+++ b/valverouter/rollout/disruption_limits.py
@@ -19,7 +19,7 @@
     SERVER = "server"
 
     @property
-    def several(self) -> str:
+    def plural(self) -> str:
         return "edge proxies" if self is Sort.EDGE else "servers"
 
 
@@ -46,37 +46,39 @@
     least_capacity: float = 0.0
     least_processor: float = 0.0
 
-    def of(self, region: str) -> int:
+    def max_unavailable_in(self, region: str) -> int:
         return self.regions.get(region, self.in_region)
 
 
 @dataclass(frozen=True, slots=True)
-class Refusal:
+class BudgetExceeded:
     """Which limit, how far it is used, and by whom."""
 
     limit: str
     allowed: float
     used: float
-    by: tuple[str, ...]
+    instances: tuple[str, ...]
 
     def __str__(self) -> str:
-        names = ", ".join(self.by) or "nobody"
+        names = ", ".join(self.instances) or "nobody"
         return f"{self.limit}: {self.used:g} of {self.allowed:g}, used by {names}"
 
 
-def refusal(limits: Limits, units: Iterable[Unit], out: Iterable[str], asked: Unit) -> Refusal | None:
+def check_budget(
+    limits: Limits, units: Iterable[Unit], out: Iterable[str], asked: Unit
+) -> BudgetExceeded | None:
     """Why `asked` may not go out as well; None: it may. One that is out already uses no more room."""
     same = [unit for unit in units if unit.sort is asked.sort]
     gone = {unit.name for unit in same} & set(out)
     if asked.name in gone:
         return None
     if len(gone) + 1 > limits.most:
-        return Refusal(f"{asked.sort.several} out at once", limits.most, len(gone), tuple(sorted(gone)))
+        return BudgetExceeded(f"{asked.sort.plural} out at once", limits.most, len(gone), tuple(sorted(gone)))
     here = [unit for unit in same if unit.region == asked.region]
     away = sorted(unit.name for unit in here if unit.name in gone)
-    if len(away) + 1 > limits.of(asked.region):
-        what = f"{asked.sort.several} out at once in {asked.region}"
-        return Refusal(what, limits.of(asked.region), len(away), tuple(away))
+    if len(away) + 1 > limits.max_unavailable_in(asked.region):
+        what = f"{asked.sort.plural} out at once in {asked.region}"
+        return BudgetExceeded(what, limits.max_unavailable_in(asked.region), len(away), tuple(away))
     stay = [unit for unit in here if unit.name not in gone and unit.name != asked.name]
     for what, least, whole, stays in (
         ("capacity", limits.least_capacity, _capacity(here), _capacity(stay)),
@@ -84,7 +86,7 @@
     ):
         # Reckoned against the region's whole, so that what is away counts as missing and not as never there.
         if whole and stays < least * whole:
-            return Refusal(f"least {what} of {asked.region}", least * whole, stays, tuple(away))
+            return BudgetExceeded(f"least {what} of {asked.region}", least * whole, stays, tuple(away))
     return None
 
 
@@ -96,7 +98,7 @@
     return sum(unit.processor for unit in units)
 
 
-def impossible(limits: Limits, sort: Sort, units: Iterable[Unit]) -> list[str]:
+def find_unsatisfiable_limits(limits: Limits, sort: Sort, units: Iterable[Unit]) -> list[str]:
     """Flaws by which no order could ever be met: those that contradict each other or the fleet."""
     flaws = []
     same = [unit for unit in units if unit.sort is sort]
@@ -104,10 +106,10 @@
         flaws.append(f"no {sort.value} could ever go out: the most is below 1")
     if limits.in_region > limits.most:
         flaws.append(
-            f"more {sort.several} may be out in a region ({limits.in_region}) than in all ({limits.most})"
+            f"more {sort.plural} may be out in a region ({limits.in_region}) than in all ({limits.most})"
         )
     if len(same) > 1 and limits.most >= len(same):
-        flaws.append(f"all {len(same)} {sort.several} may be out at once")
+        flaws.append(f"all {len(same)} {sort.plural} may be out at once")
     regions = Counter(unit.region for unit in same)
     for region in sorted(limits.regions.keys() - regions.keys()):
         flaws.append(f"there is no {sort.value} in {region}")
@@ -122,7 +124,7 @@
     return flaws
 
 
-def waves(limits: Limits, units: list[Unit], out: Iterable[str], wanted: list[str]) -> list[list[str]]:
+def plan_waves(limits: Limits, units: list[Unit], out: Iterable[str], wanted: list[str]) -> list[list[str]]:
     """`wanted` in the order in which they may go out together: one, then few, then as many as the limits let,
     each wave within a region, the regions in turn. ValueError with the refusal where one never could."""
     by_name = {unit.name: unit for unit in units}
@@ -143,7 +145,7 @@
         for name in waiting[region]:
             if len(wave) == size:
                 break
-            why = refusal(limits, units, {*out, *wave}, by_name[name])
+            why = check_budget(limits, units, {*out, *wave}, by_name[name])
             if why is not None:
                 if not wave:
                     raise ValueError(f"{name}: {why}")
--- a/valverouter/rollout/permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -14,10 +14,10 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.limits import Limits, Refusal, Sort, Unit, refusal
+from valverouter.rollout.disruption_limits import BudgetExceeded, Limits, Sort, Unit, check_budget
 
 # Outcomes of asks are kept so that one that is told again is answered again; the oldest leave.
-ANSWERS_KEPT = 1_024
+MAX_DECISIONS = 1_024
 
 
 class Ask(Struct, frozen=True, tag=True):
@@ -108,7 +108,7 @@
             return known
         answer = self._decide(number, ask)
         self.answers[ask.id] = answer
-        if len(self.answers) > ANSWERS_KEPT:
+        if len(self.answers) > MAX_DECISIONS:
             del self.answers[next(iter(self.answers))]
         if answer.permit is not None:
             self.out[ask.name] = answer.permit
@@ -126,14 +126,14 @@
             return Answer(ask.id, None, f"{ask.name} is out already, {by}")
         limits = self.limits.get(unit.sort)
         if limits is None:
-            return Answer(ask.id, None, f"no limits are told for {unit.sort.several}, so none may go out")
-        why = refusal(limits, self.units.values(), self.out, unit)
+            return Answer(ask.id, None, f"no limits are told for {unit.sort.plural}, so none may go out")
+        why = check_budget(limits, self.units.values(), self.out, unit)
         if why is not None:
             return Answer(ask.id, None, self._told(why))
         return Answer(ask.id, Permit(number, ask.name, ask.order))
 
-    def _told(self, why: Refusal) -> str:
-        orders = {permit.order for name, permit in self.out.items() if name in why.by and permit}
+    def _told(self, why: BudgetExceeded) -> str:
+        orders = {permit.order for name, permit in self.out.items() if name in why.instances and permit}
         of = f"; of {', '.join(sorted(order or 'no order' for order in orders))}" if orders else ""
         return f"{why}{of}; ask again when one of them is back"
 
@@ -161,18 +161,18 @@
     permit
     that is over, or lower than one seen, is void, however late its word comes or its holder wakes."""
 
-    highest: dict[str, int] = field(default_factory=dict)
-    spent: dict[str, int] = field(default_factory=dict)
+    highest_seen: dict[str, int] = field(default_factory=dict)
+    highest_ended: dict[str, int] = field(default_factory=dict)
 
     def accepts(self, permit: Permit) -> bool:
-        if permit.number < self.highest.get(permit.name, 0) or permit.number <= self.spent.get(
+        if permit.number < self.highest_seen.get(permit.name, 0) or permit.number <= self.highest_ended.get(
             permit.name, 0
         ):
             return False
-        self.highest[permit.name] = permit.number
+        self.highest_seen[permit.name] = permit.number
         return True
 
-    def over(self, permit: Permit) -> None:
+    def end(self, permit: Permit) -> None:
         """Its holder is in again. Kept open, a copy of its word that comes late let the holder out once more
         while the council took it for in."""
-        self.spent[permit.name] = max(self.spent.get(permit.name, 0), permit.number)
+        self.highest_ended[permit.name] = max(self.highest_ended.get(permit.name, 0), permit.number)
--- a/valverouter/rollout/keeping.py
+++ b/valverouter/rollout/keeping.py
@@ -17,7 +17,7 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.limits import Sort
+from valverouter.rollout.disruption_limits import Sort
 from valverouter.rollout.orders import Want
 
 SECOND = 10**9
--- a/valverouter/rollout/orders.py
+++ b/valverouter/rollout/orders.py
@@ -18,9 +18,9 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.limits import impossible, refusal, waves
-from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt, Permit, Register
-from valverouter.rollout.permits import Command as PermitCommand
+from valverouter.rollout.disruption_limits import check_budget, find_unsatisfiable_limits, plan_waves
+from valverouter.rollout.disruption_permits import Answer, Ask, Away, Back, Enrol, Halt, Permit, Register
+from valverouter.rollout.disruption_permits import Command as PermitCommand
 
 # Ended orders that are kept for `history`; the oldest leave.
 ENDED_KEPT = 64
@@ -287,13 +287,13 @@
         sort = self.register.units[place.names[0]].sort
         limits = self.register.limits.get(sort)
         if limits is None:
-            return Placed(place.id, (), f"no limits are told for {sort.several}, so none may go out")
-        flaws = impossible(limits, sort, units)
+            return Placed(place.id, (), f"no limits are told for {sort.plural}, so none may go out")
+        flaws = find_unsatisfiable_limits(limits, sort, units)
         if flaws:
             return Placed(place.id, (), f"by these limits: {flaws[0]}")
         try:
             # Planned for a whole fleet: who is out at this moment holds a wave up and does not change it.
-            made = waves(limits, units, (), list(place.names))
+            made = plan_waves(limits, units, (), list(place.names))
             if place.kind is Kind.DRAIN:
                 self._stays_out(place)
         except ValueError as flaw:
@@ -333,7 +333,7 @@
         unit = self.register.units[place.names[0]]
         units, out = list(self.register.units.values()), set(self._drained())
         for name in place.names:
-            why = refusal(self.register.limits[unit.sort], units, out, self.register.units[name])
+            why = check_budget(self.register.limits[unit.sort], units, out, self.register.units[name])
             if why is not None:
                 raise ValueError(f"{name}: {why}")
             out.add(name)
--- a/valverouter/rollout/model.py
+++ b/valverouter/rollout/permit_model.py
@@ -22,10 +22,10 @@
 from dataclasses import dataclass, replace
 from itertools import combinations
 
-from valverouter.rollout.limits import Limits, Sort, Unit
-from valverouter.rollout.permits import Ask, Back, Enrol, Fence, Permit, Register
+from valverouter.rollout.disruption_limits import Limits, Sort, Unit
+from valverouter.rollout.disruption_permits import Ask, Back, Enrol, Fence, Permit, Register
 
-PLANTS = ("fence", "lapse", "twice", "memory")
+PLANTED_FAULTS = ("fence", "lapse", "twice", "memory")
 GIVERS = 3
 MAJORITY = 2
 
@@ -33,7 +33,7 @@
 Record = tuple[Entry, ...]
 
 
-class Broken(Exception):  # noqa: N818 - a property that a step breaks
+class InvariantViolationError(Exception):
     """What a step broke."""
 
 
@@ -70,23 +70,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Model:
+class PermitModel:
     holders: int = 2
-    most: int = 1
-    terms: int = 2
-    length: int = 3
-    crashes: int = 1
-    without: str = ""
+    max_unavailable: int = 1
+    max_terms: int = 2
+    max_log_length: int = 3
+    max_crashes: int = 1
+    planted_fault: str = ""
     # Whether the newest state is gone on from first: a planted fault many steps away is found sooner.
-    deep: bool = False
+    depth_first: bool = False
 
-    def walk(self, limit: int = 3_000_000) -> int:
+    def explore(self, limit: int = 3_000_000) -> int:
         """How many states there are; raises Broken at the first that breaks a property."""
         asks = frozenset(Ask(f"a{at}", f"h{at}") for at in range(self.holders))
-        begin = State(holders=(Holder(),) * self.holders, words=((),) * self.terms, asked=asks)
+        begin = State(holders=(Holder(),) * self.holders, words=((),) * self.max_terms, asked=asks)
         seen, waiting = {begin}, deque([begin])
         while waiting:
-            for after in self._steps(waiting.pop() if self.deep else waiting.popleft()):
+            for after in self._steps(waiting.pop() if self.depth_first else waiting.popleft()):
                 if after not in seen:
                     self._check(after)
                     seen.add(after)
@@ -97,8 +97,10 @@
 
     def _check(self, state: State) -> None:
         out = sum(holder.out > 0 for holder in state.holders)
-        if out > self.most:
-            raise Broken(f"out: {out} are out by permits {[holder.out for holder in state.holders]}")
+        if out > self.max_unavailable:
+            raise InvariantViolationError(
+                f"out: {out} are out by permits {[holder.out for holder in state.holders]}"
+            )
 
     def _steps(self, state: State) -> Iterator[State]:
         for at, giver in enumerate(state.givers):
@@ -106,8 +108,8 @@
             if giver.leads:
                 yield from self._takes_up(state, at, giver)
                 yield from self._agrees(state, at, giver)
-            if state.crashes < self.crashes:
-                down = Giver() if self.without == "memory" else replace(giver, leads=0)
+            if state.crashes < self.max_crashes:
+                down = Giver() if self.planted_fault == "memory" else replace(giver, leads=0)
                 yield replace(_with(state, at, down), crashes=state.crashes + 1)
         for term, record in enumerate(state.words, 1):
             for length in range(1, len(record) + 1):
@@ -124,14 +126,14 @@
 
     def _elects(self, state: State, at: int, giver: Giver) -> Iterator[State]:
         term = giver.term + 1
-        if term > self.terms:
+        if term > self.max_terms:
             return
         willing = [
             other
             for other in range(GIVERS)
             if other != at and self._gives(state.givers[other], term, giver.record)
         ]
-        needed = MAJORITY - 1 if self.without != "twice" else 0
+        needed = MAJORITY - 1 if self.planted_fault != "twice" else 0
         for voters in combinations(willing, needed):
             givers = list(state.givers)
             for other in voters:
@@ -147,7 +149,7 @@
         return fresh and (mine, len(record)) >= (last, len(other.record))
 
     def _takes_up(self, state: State, at: int, giver: Giver) -> Iterator[State]:
-        if len(giver.record) >= self.length:
+        if len(giver.record) >= self.max_log_length:
             return
         for command in state.asked:
             if any(command == kept for _, kept in giver.record):
@@ -178,7 +180,7 @@
                 continue
             record = giver.record[:length]
             if record[: len(state.agreed)] != state.agreed[:length]:
-                raise Broken(f"one: {state.agreed} was agreed on, and now {record}")
+                raise InvariantViolationError(f"one: {state.agreed} was agreed on, and now {record}")
             if length > len(state.agreed):
                 yield replace(state, agreed=record)
 
@@ -190,7 +192,7 @@
                 after = replace(holder, out=0, spent=holder.out)
                 told = state.asked | {Back(f"h{at}", holder.out)}
                 yield replace(_held(state, at, after), asked=told)
-                if self.without == "lapse":
+                if self.planted_fault == "lapse":
                     yield replace(state, asked=told)
                 continue
             for permit in self._permits(state.agreed):
@@ -200,13 +202,13 @@
 
     def _accepts(self, holder: Holder, permit: Permit) -> bool:
         fence = Fence({permit.name: holder.highest}, {permit.name: holder.spent})
-        return self.without == "fence" or fence.accepts(permit)
+        return self.planted_fault == "fence" or fence.accepts(permit)
 
     def _permits(self, agreed: Record) -> list[Permit]:
         """Every permit that the machine gave over what is agreed on."""
         register = Register()
         units = tuple(Unit(f"h{at}", Sort.EDGE, "", 1) for at in range(self.holders))
-        limits = Limits(self.most, self.most)
+        limits = Limits(self.max_unavailable, self.max_unavailable)
         register.apply(0, Enrol(units, ((Sort.EDGE, limits),)))
         given = []
         for number, (_, command) in enumerate(agreed, 1):
--- /dev/null
+++ b/valverouter/rollout/raft_log.py
@@ -0,0 +1,188 @@
+"""The Raft log and everything else that a member must keep on disk.
+
+The names follow the Raft paper (Ongaro and Ousterhout 2014, figure 2): `current_term`, `voted_for` and the
+log are the persistent state of a server. Log indexes count from 1; 0 is the empty log before the first entry.
+
+A member is identified by its name *and* a disk id, 64 random bits that are drawn when the disk is empty. A
+member that lost its disk has forgotten its votes and its acknowledgements, so it must not be mistaken for the
+former one.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from typing import Any
+
+from msgspec import Struct
+
+
+class Members(Struct, frozen=True, tag=True):
+    """The membership of the group, replicated as a log entry: pairs of a member's name and disk id."""
+
+    disks: tuple[tuple[str, int], ...]
+
+    @property
+    def names(self) -> list[str]:
+        """The members' names, in the order in which they joined."""
+        return [name for name, _ in self.disks]
+
+    def has(self, name: str, disk_id: int) -> bool:
+        """Whether `name` is a member with this very disk."""
+        return (name, disk_id) in self.disks
+
+    @property
+    def majority(self) -> int:
+        """The smallest number of members that is a majority."""
+        return len(self.disks) // 2 + 1
+
+
+@dataclass(frozen=True, slots=True)
+class LogEntry:
+    """`command` is a command of the state machine, a `Members`, or None: the no-op of a new leader."""
+
+    term: int
+    command: Any
+
+
+@dataclass(frozen=True, slots=True)
+class Snapshot:
+    """Replaces all entries up to `last_included_index`: the state machine's state and the membership then."""
+
+    last_included_index: int
+    last_included_term: int
+    configuration: Members
+    state: Any
+
+
+@dataclass(frozen=True, slots=True)
+class SaveTerm:
+    """The term and the vote given in it (empty: none) change."""
+
+    term: int
+    voted_for: str
+
+
+@dataclass(frozen=True, slots=True)
+class SaveEntries:
+    """`entries` replace everything in the log from `first_index` on."""
+
+    first_index: int
+    entries: tuple[LogEntry, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class SaveSnapshot:
+    """A snapshot replaces the entries that it includes."""
+
+    snapshot: Snapshot
+
+
+# A change of the persistent state; it has to be on disk before any message that depends on it is sent.
+Save = SaveTerm | SaveEntries | SaveSnapshot
+
+
+@dataclass(slots=True)
+class PersistentState:
+    """What a member's disk holds. A store reads its saves back through `apply` as well."""
+
+    disk_id: int
+    current_term: int = 0
+    voted_for: str = ""
+    snapshot: Snapshot | None = None
+    entries: list[LogEntry] = field(default_factory=list)
+    # Searching the log at each question took half of a node's processor time. None: not known, search again.
+    _configuration: Members | None = field(default=None, compare=False, repr=False)
+
+    @property
+    def first_index(self) -> int:
+        """The log index of `entries[0]`."""
+        return self.snapshot.last_included_index + 1 if self.snapshot else 1
+
+    @property
+    def last_index(self) -> int:
+        """The log index of the last entry; 0: the log is empty."""
+        return self.first_index + len(self.entries) - 1
+
+    @property
+    def last_term(self) -> int:
+        """The term of the last entry; 0: the log is empty."""
+        return self.term_at(self.last_index) or 0
+
+    def term_at(self, index: int) -> int | None:
+        """The term of the entry at `index`; None: it was compacted away, or is not in the log yet."""
+        if index == 0:
+            return 0
+        if self.snapshot is not None and index == self.snapshot.last_included_index:
+            return self.snapshot.last_included_term
+        if self.first_index <= index <= self.last_index:
+            return self.entries[index - self.first_index].term
+        return None
+
+    def entry_at(self, index: int) -> LogEntry:
+        """The entry at `index`, which must not have been compacted away."""
+        return self.entries[index - self.first_index]
+
+    def entries_from(self, index: int, limit: int | None = None) -> Sequence[LogEntry]:
+        """Entries from `index` on, at most `limit` of them."""
+        start = index - self.first_index
+        return self.entries[start : None if limit is None else start + limit]
+
+    @property
+    def configuration(self) -> Members:
+        """The newest membership in the log, committed or not.
+
+        Using it before it is committed is safe: members change one at a time, so any majority of the former
+        membership and any of the new one have a member in common.
+        """
+        if self._configuration is None:
+            self._configuration = self._configuration_up_to(self.last_index)
+        return self._configuration
+
+    def compacted(self, index: int, state: Any) -> Snapshot:
+        """A snapshot that includes all entries up to `index`; `state` is the state machine's after that."""
+        term = self.term_at(index)
+        assert term is not None
+        return Snapshot(index, term, self._configuration_up_to(index), state)
+
+    def _configuration_up_to(self, index: int) -> Members:
+        entries = self.entries[: index + 1 - self.first_index]
+        commands = (entry.command for entry in reversed(entries))
+        newest = next((command for command in commands if isinstance(command, Members)), None)
+        if newest is not None:
+            return newest
+        return self.snapshot.configuration if self.snapshot else Members(())
+
+    def missing_entries(self, prev_index: int, entries: Sequence[LogEntry]) -> SaveEntries | None:
+        """What has to be saved of `entries`, which follow `prev_index`; None: the log holds all of them.
+
+        Only what conflicts is replaced: a request that comes late or twice must not cut off entries that came
+        after it.
+        """
+        for index, entry in enumerate(entries, prev_index + 1):
+            if self.term_at(index) != entry.term:
+                return SaveEntries(index, tuple(entries[index - prev_index - 1 :]))
+        return None
+
+    def apply(self, save: Save) -> None:
+        """Makes a change of the persistent state in memory."""
+        match save:
+            case SaveTerm(term, voted_for):
+                self.current_term, self.voted_for = term, voted_for
+            case SaveEntries(first_index, entries):
+                del self.entries[first_index - self.first_index :]
+                self.entries += entries
+                self._configuration = None
+            case SaveSnapshot(snapshot):
+                self._apply_snapshot(snapshot)
+                self._configuration = None
+
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        """Entries behind the snapshot stay only if the log agrees with it at its last entry."""
+        included = snapshot.last_included_index + 1 - self.first_index
+        is_prefix = (
+            0 < included <= len(self.entries)
+            and self.entries[included - 1].term == snapshot.last_included_term
+        )
+        self.entries = self.entries[included:] if is_prefix else []
+        self.snapshot = snapshot
--- a/valverouter/rollout/seat.py
+++ b/valverouter/rollout/seat.py
@@ -13,13 +13,15 @@
 from dataclasses import dataclass
 
 from valverouter.rollout.conducting import Conductor, Rules
-from valverouter.rollout.council import PATIENCE, Councillor, Durable, Members, Message, Part, Save
+from valverouter.rollout.disruption_permits import Answer
 from valverouter.rollout.keeping import Report
 from valverouter.rollout.orders import Book, Command, Place, Placed, Want
-from valverouter.rollout.permits import Answer
+from valverouter.rollout.raft import ELECTION_TIMEOUT, RaftNode, Role
+from valverouter.rollout.raft_log import Members, PersistentState, Save
+from valverouter.rollout.raft_messages import RaftMessage
 
 # Between two steps of the conductor.
-STEP = PATIENCE // 10
+STEP = ELECTION_TIMEOUT // 10
 # Askers that wait for a confirmation; more are dropped, and ask again.
 WAITING_MOST = 4_096
 
@@ -48,11 +50,11 @@
     """One seat. `decided` tells whoever watches what was agreed on."""
 
     def __init__(
-        self, name: str, durable: Durable, rules: Rules, draw: Callable[[], float], now: int
+        self, name: str, durable: PersistentState, rules: Rules, draw: Callable[[], float], now: int
     ) -> None:
         self.name = name
         self.book = Book()
-        self.applied = durable.snapshot.index if durable.snapshot else 0
+        self.applied = durable.snapshot.last_included_index if durable.snapshot else 0
         self.rules = rules
         self.conductor: Conductor | None = None
         # What conducts; experiments put a baseline in its place.
@@ -63,7 +65,7 @@
         self._now = now
         self._stepped_at = now
         self._asked: deque[Asked] = deque()
-        self.councillor = Councillor(name, durable, draw, now, lambda: self.book.copy(), self._install)
+        self.councillor = RaftNode(name, durable, draw, now, lambda: self.book.copy(), self._install)
 
     def _install(self, state: Book) -> None:
         self.book = state.copy()
@@ -72,26 +74,26 @@
 
     @property
     def saves(self) -> list[Save]:
-        return self.councillor.saves
+        return self.councillor.pending_saves
 
     @property
-    def out(self) -> list[tuple[str, Message]]:
-        return self.councillor.out
+    def out(self) -> list[tuple[str, RaftMessage]]:
+        return self.councillor.outgoing
 
     @property
     def leads(self) -> bool:
-        return self.councillor.part is Part.LEADER
+        return self.councillor.role is Role.LEADER
 
     @property
     def leader(self) -> str:
         """Who leads, as far as this seat knows; empty: nobody."""
-        return self.councillor.leader
+        return self.councillor.leader_id
 
     # Fed
 
-    def heard(self, now: int, message: Message) -> None:
+    def heard(self, now: int, message: RaftMessage) -> None:
         self._now = now
-        self.councillor.heard(now, message)
+        self.councillor.receive(now, message)
         self._after()
 
     def tick(self, now: int) -> None:
@@ -105,7 +107,7 @@
     def _step(self, now: int) -> None:
         """One batch at a time: what the conductor sees must hold all that it proposed before."""
         one = self.councillor
-        if self.conductor is None or not one.confirmed or one.last != one.agreed:
+        if self.conductor is None or not one.confirmed_round or one.last_log_index != one.commit_index:
             return
         for command in self.conductor.step(now, self.book):
             one.propose(now, command)
@@ -144,26 +146,26 @@
     def _ask(self, answer: Callable[[], None]) -> bool:
         if len(self._asked) >= WAITING_MOST:
             return False
-        self._asked.append(Asked(self.councillor.round + 1, answer))
+        self._asked.append(Asked(self.councillor.round_number + 1, answer))
         self._after()
         return True
 
     def _after(self) -> None:
         one = self.councillor
-        decided, one.decided = one.decided, []
+        decided, one.committed = one.committed, []
         for index, what in decided:
             self.applied = index
             if what is not None and not isinstance(what, Members):
                 self._apply(index, what)
         if decided:
-            one.compact()
+            one.compact_log()
         if not self.leads:
             self.conductor = None
             self._asked.clear()
             return
         if self.conductor is None:
             self.conductor = self.make(self.rules, self._draw, self._now)
-        confirmed = one.confirmed
+        confirmed = one.confirmed_round
         while self._asked and self._asked[0].after <= confirmed:
             self._asked.popleft().answer()
 
--- a/valverouter/rollout/written.py
+++ b/valverouter/rollout/serialization.py
@@ -7,26 +7,17 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.council import (
-    Append,
-    Appended,
-    Entry,
-    Install,
-    Members,
-    Message,
-    Snapshot,
-    Vote,
-    Voted,
-)
 from valverouter.rollout.orders import Book, Command
+from valverouter.rollout.raft_log import LogEntry, Members, Snapshot
+from valverouter.rollout.raft_messages import Append, Appended, Install, RaftMessage, Vote, Voted
 
 
 class KeptEntry(Struct, frozen=True, array_like=True):
     term: int
     what: Command | Members | None
 
-    def entry(self) -> Entry:
-        return Entry(self.term, self.what)
+    def entry(self) -> LogEntry:
+        return LogEntry(self.term, self.what)
 
 
 class KeptSnapshot(Struct, frozen=True, array_like=True):
@@ -57,29 +48,29 @@
     snapshot: KeptSnapshot
 
 
-Sent = Vote | Voted | Appended | SentAppend | SentInstall
+WireMessage = Vote | Voted | Appended | SentAppend | SentInstall
 
 
-def kept_entry(entry: Entry) -> KeptEntry:
-    return KeptEntry(entry.term, entry.what)
+def to_stored_entry(entry: LogEntry) -> KeptEntry:
+    return KeptEntry(entry.term, entry.command)
 
 
-def kept_snapshot(one: Snapshot) -> KeptSnapshot:
-    return KeptSnapshot(one.index, one.term, one.members, one.state)
+def to_stored_snapshot(one: Snapshot) -> KeptSnapshot:
+    return KeptSnapshot(one.last_included_index, one.last_included_term, one.configuration, one.state)
 
 
-def sent(message: Message) -> Sent:
+def to_wire(message: RaftMessage) -> WireMessage:
     match message:
         case Append(term, name, before, before_term, entries, agreed, turn):
-            kept = tuple(kept_entry(entry) for entry in entries)
+            kept = tuple(to_stored_entry(entry) for entry in entries)
             return SentAppend(term, name, before, before_term, kept, agreed, turn)
         case Install(term, name, snapshot):
-            return SentInstall(term, name, kept_snapshot(snapshot))
+            return SentInstall(term, name, to_stored_snapshot(snapshot))
         case _:
             return message
 
 
-def heard(message: Sent) -> Message:
+def from_wire(message: WireMessage) -> RaftMessage:
     match message:
         case SentAppend(term, name, before, before_term, entries, agreed, turn):
             own = tuple(one.entry() for one in entries)
--- a/valverouter/rollout/shown.py
+++ b/valverouter/rollout/shown.py
@@ -71,8 +71,8 @@
     watching = going is not None and going.phase in (Phase.WATCHING, Phase.GOING)
     return Shown(
         seat=seat.name,
-        term=seat.councillor.durable.term,
-        members=tuple(name for name, _ in seat.councillor.members.disks),
+        term=seat.councillor.persistent.current_term,
+        members=tuple(name for name, _ in seat.councillor.configuration.disks),
         halted=book.register.halted,
         units=tuple(_unit(book, seat, now, name) for name in sorted(book.register.units)),
         orders=tuple(
