--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -160,8 +160,8 @@
     def propose(self, now: int, command: Any) -> bool:
         """Whether this node leads and has appended the command to its log.
 
-        The command is committed once it appears in `committed`, and may still be lost before: whoever proposed
-        it proposes it again, with an id by which the state machine recognizes it.
+        The command is committed once it appears in `committed`, and may be lost before that: its sender
+        proposes it again, with an id by which the state machine recognizes it.
         """
         self._now = now
         if self.role is not Role.LEADER:
--- a/valverouter/rollout/raft_log.py
+++ b/valverouter/rollout/raft_log.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 
-class Members(Struct, frozen=True, tag=True):
+class Members(Struct, frozen=True, tag="Members"):
     """The membership of the group, replicated as a log entry: pairs of a member's name and disk id."""
 
     disks: tuple[tuple[str, int], ...]
--- a/valverouter/rollout/raft_messages.py
+++ b/valverouter/rollout/raft_messages.py
@@ -12,7 +12,7 @@
 from valverouter.rollout.raft_log import LogEntry, Snapshot
 
 
-class Vote(Struct, frozen=True, array_like=True, tag=True):
+class Vote(Struct, frozen=True, array_like=True, tag="Vote"):
     """Asks for a vote in `term`. `ahead`: asks only whether it would be granted, and changes no term."""
 
     term: int
@@ -23,7 +23,7 @@
     ahead: bool = False
 
 
-class Voted(Struct, frozen=True, array_like=True, tag=True):
+class Voted(Struct, frozen=True, array_like=True, tag="Voted"):
     """The answer to a request for a vote."""
 
     term: int
@@ -33,7 +33,7 @@
     ahead: bool = False
 
 
-class Append(Struct, frozen=True, array_like=True, tag=True):
+class Append(Struct, frozen=True, array_like=True, tag="Append"):
     """Entries that follow the one at `before`; without entries a heartbeat."""
 
     term: int
@@ -45,7 +45,7 @@
     turn: int = 0
 
 
-class Appended(Struct, frozen=True, array_like=True, tag=True):
+class Appended(Struct, frozen=True, array_like=True, tag="Appended"):
     """The answer to appended entries or a snapshot.
 
     `has`: where it succeeded, the last index at which the follower's log is known to be the leader's; where
@@ -60,7 +60,7 @@
     turn: int = 0
 
 
-class Install(Struct, frozen=True, array_like=True, tag=True):
+class Install(Struct, frozen=True, array_like=True, tag="Install"):
     """A snapshot in place of entries that the leader has compacted away."""
 
     term: int
