--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -32,7 +32,7 @@
 from valverouter.edge import logs
 from valverouter.emulator.rollouts import Broken, Rollout
 from valverouter.rollout.disruption_limits import Limits
-from valverouter.rollout.orders import Kind, Phase, Place
+from valverouter.rollout.operations import Kind, Phase, Place
 from valverouter.rollout.raft import SECOND
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
@@ -137,7 +137,7 @@
     while course.now < 1_200 * SECOND:
         course.run(course.now + SECOND)
         leader = course.leader
-        order = leader.book.orders.get("r") if leader is not None else None
+        order = leader.operation_log.orders.get("r") if leader is not None else None
         if order is not None and order.phase is Phase.ENDED:
             took = course.now / SECOND - 10
             return order.result == "halted", course.harmed / max(1, course.served), took
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -31,8 +31,8 @@
 from valverouter.experiments.plan import Run
 from valverouter.fleet import asking, parcels, sealing, words
 from valverouter.ledger import store
-from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.ledger.raft_store import RaftStore
+from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
 from valverouter.recovery import course, learnt
 from valverouter.regions import accounts
@@ -41,12 +41,12 @@
 from valverouter.rollout import (
     disruption_limits,
     disruption_permits,
-    keeping,
-    orders,
+    operations,
     raft_log,
     raft_messages,
     serialization,
-    shown,
+    status,
+    supervisor,
 )
 from valverouter.signalling import framing, greeting, serverlist, setup, tap
 from valverouter.terms import calls
@@ -136,7 +136,7 @@
 
 # What an instance tells of itself, and of its view
 
-COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+COUNTS = supervisor.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
 def view_row(state: records.State = records.State.LEFT) -> asking.Row:
@@ -171,35 +171,35 @@
     "halt": disruption_permits.Halt("as asked", True),
 }
 ORDER_COMMANDS: dict[str, Any] = {
-    "place": orders.Place("o2", orders.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
-    "went": orders.Went("o3", "e11", 229, orders.Step.DRAINED, "emptied"),
-    "next": orders.Next("o4", 3),
-    "stop": orders.Stop("o5", "evidence", False, 233),
-    "runs": orders.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
-    "retire": orders.Retire("e13"),
+    "place": operations.Place("o2", operations.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
+    "went": operations.Went("o3", "e11", 229, operations.Step.DRAINED, "emptied"),
+    "next": operations.Next("o4", 3),
+    "stop": operations.Stop("o5", "evidence", False, 233),
+    "runs": operations.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
+    "retire": operations.Retire("e13"),
 }
 COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
 MEMBERS = raft_log.Members((("c1", 241), ("c2", 251)))
-WANT = orders.Want("v8", False, 257, 1, "o6")
+WANT = operations.Want("v8", False, 257, 1, "o6")
 PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
-def member(step: orders.Step = orders.Step.OUT) -> orders.Member:
-    return orders.Member(step, 269, 3, "v9", "slow")
+def member(step: operations.Step = operations.Step.OUT) -> operations.Member:
+    return operations.Member(step, 269, 3, "v9", "slow")
 
 
-def order(kind: orders.Kind, phase: orders.Phase) -> orders.Order:
+def order(kind: operations.Kind, phase: operations.Phase) -> operations.Order:
     """With a member for each step."""
-    members = {f"m{at}": member(step) for at, step in enumerate(orders.Step)}
+    members = {f"m{at}": member(step) for at, step in enumerate(operations.Step)}
     waves = [["m0"], list(members)[1:]]
     head = f"o-{kind.value}", kind, "v10", 271, "operator"
-    return orders.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
+    return operations.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
 
 
-def book() -> orders.Book:
+def book() -> operations.Book:
     """Every kind of order and every phase of one, at least once each."""
-    phases = list(orders.Phase)
-    kinds = [list(orders.Kind)[at % len(orders.Kind)] for at in range(len(phases))]
+    phases = list(operations.Phase)
+    kinds = [list(operations.Kind)[at % len(operations.Kind)] for at in range(len(phases))]
     placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
     register = disruption_permits.Register(
         {unit.name: unit for unit in UNITS},
@@ -211,7 +211,7 @@
         },
         "until noon",
     )
-    return orders.Book(
+    return operations.Book(
         register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
     )
 
@@ -243,14 +243,14 @@
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = keeping.Facts("e16", disruption_limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
-REPORT = keeping.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
-MEMORY = keeping.Memory(
+FACTS = supervisor.Facts("e16", disruption_limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
+REPORT = supervisor.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
+MEMORY = supervisor.Memory(
     "v13",
     False,
     "409 boot",
     "v12",
-    [keeping.Turn(419, 1, "o8", "done", "in time"), keeping.Turn(421, 2, "o9", "failed", "late")],
+    [supervisor.Turn(419, 1, "o8", "done", "in time"), supervisor.Turn(421, 2, "o9", "failed", "late")],
 )
 
 WORDS: dict[str, Any] = {
@@ -265,15 +265,15 @@
     "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
-PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
-TOOL_PAGE = shown.Shown(
+PLACED = operations.Placed("o10", (("e5",), ("e8", "e11")), "refused")
+TOOL_PAGE = status.Shown(
     "c1",
     463,
     ("c1", "c2"),
     "halted",
-    (shown.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
+    (status.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
     (
-        shown.Order(
+        status.Order(
             "o11",
             "release",
             "v15",
@@ -285,7 +285,7 @@
             "partly",
             "evidence",
             {"out": 1, "waiting": 2},
-            (shown.Member("e5", "out", 491, "v14", "slow"),),
+            (status.Member("e5", "out", 491, "v14", "slow"),),
         ),
     ),
     499,
@@ -531,9 +531,9 @@
     return {
         "membership.state": records.State,
         "membership.phase": records.Phase,
-        "orders.kind": orders.Kind,
-        "orders.phase": orders.Phase,
-        "orders.step": orders.Step,
+        "orders.kind": operations.Kind,
+        "orders.phase": operations.Phase,
+        "orders.step": operations.Step,
         "limits.sort": disruption_limits.Sort,
         "ledger.phase": course.Phase,
     }
@@ -550,12 +550,12 @@
     words,
     disruption_limits,
     disruption_permits,
-    orders,
+    operations,
     raft_log,
     raft_messages,
     serialization,
-    keeping,
-    shown,
+    supervisor,
+    status,
     course,
     learnt,
     store,
@@ -607,12 +607,12 @@
     disruption_permits.Away: "Away",
     disruption_permits.Enrol: "Enrol",
     disruption_permits.Halt: "Halt",
-    orders.Place: "Place",
-    orders.Went: "Went",
-    orders.Next: "Next",
-    orders.Stop: "Stop",
-    orders.Runs: "Runs",
-    orders.Retire: "Retire",
+    operations.Place: "Place",
+    operations.Went: "Went",
+    operations.Next: "Next",
+    operations.Stop: "Stop",
+    operations.Runs: "Runs",
+    operations.Retire: "Retire",
     raft_log.Members: "Members",
     raft_messages.Vote: "Vote",
     raft_messages.Voted: "Voted",
@@ -694,7 +694,7 @@
 
 
 def write_keeper(folder: Path) -> None:
-    with closing(KeeperStore(folder)) as durable:
+    with closing(SupervisorStore(folder)) as durable:
         durable.save(MEMORY)
 
 
--- a/valverouter/fleet/words.py
+++ b/valverouter/fleet/words.py
@@ -5,9 +5,9 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.rollout.keeping import Report
-from valverouter.rollout.orders import Command, Want
+from valverouter.rollout.operations import Command, Want
 from valverouter.rollout.serialization import WireMessage
+from valverouter.rollout.supervisor import Report
 
 
 class Votes(Struct, frozen=True, array_like=True, tag="v"):
--- a/valverouter/rollout/serialization.py
+++ b/valverouter/rollout/serialization.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.orders import Book, Command
+from valverouter.rollout.operations import Book, Command
 from valverouter.rollout.raft_log import LogEntry, Members, Snapshot
 from valverouter.rollout.raft_messages import Append, Appended, Install, RaftMessage, Vote, Voted
 
