--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -31,7 +31,7 @@
 from valverouter.days.ordering import OrderRig, run_orders
 from valverouter.edge import logs
 from valverouter.emulator.rollouts import Broken, Rollout
-from valverouter.rollout.disruption_limits import Limits
+from valverouter.rollout.disruption_limits import DisruptionLimits
 from valverouter.rollout.operations import Kind, Phase, Place
 from valverouter.rollout.raft import SECOND
 from valverouter.terms.day import Day, day
@@ -130,7 +130,9 @@
 def one_release(case: tuple[int, int, str, str]) -> tuple[bool, float, float]:
     """Whether it was halted, the share of dialogs harmed beyond the ordinary, and how long it took, s."""
     seed, instances, version, rule = case
-    limits = Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
+    limits = DisruptionLimits(
+        max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
+    )
     course = Rollout(seed, instances, limits, loss=0.0, watching=rule)
     place = Place("r", Kind.RELEASE, tuple(sorted(course.fleet)), version)
     course.at(10 * SECOND, course.order, place)
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -19,7 +19,7 @@
 from valverouter.audit.account import account, service
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
-from valverouter.rollout.disruption_limits import Limits, Sort, Unit, plan_waves
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance, plan_waves
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
 
@@ -77,10 +77,12 @@
         third = edges // 3
         bounds = (edges - 2 * third, edges - third, edges)
         units = [
-            Unit(name, Sort.EDGE, str(next(r for r, most in enumerate(bounds) if at < most)), 100)
+            Instance(name, InstanceKind.EDGE, str(next(r for r, most in enumerate(bounds) if at < most)), 100)
             for at, name in enumerate(names)
         ]
-        return plan_waves(Limits(edges // 6, edges // 8, least_capacity=0.6), units, (), names)
+        return plan_waves(
+            DisruptionLimits(edges // 6, edges // 8, min_capacity_fraction=0.6), units, (), names
+        )
     size = {"one": 1, "tenth": max(1, edges // 10), "all": edges}[rule]
     return [names[at : at + size] for at in range(0, edges, size)]
 
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -156,19 +156,20 @@
 # Orders and permits
 
 UNITS = (
-    disruption_limits.Unit("e5", disruption_limits.Sort.EDGE, "east", 199, 1.5),
-    disruption_limits.Unit("s6", disruption_limits.Sort.SERVER, "west", 211, 2.5),
+    disruption_limits.Instance("e5", disruption_limits.InstanceKind.EDGE, "east", 199, 1.5),
+    disruption_limits.Instance("s6", disruption_limits.InstanceKind.SERVER, "west", 211, 2.5),
 )
-LIMITS = disruption_limits.Limits(4, 2, {"east": 1}, 0.25, 0.75)
+LIMITS = disruption_limits.DisruptionLimits(4, 2, {"east": 1}, 0.25, 0.75)
 
 PERMIT_COMMANDS: dict[str, Any] = {
-    "ask": disruption_permits.Ask("o1/e5", "e5", "o1"),
-    "back": disruption_permits.Back("e8", 223),
-    "away": disruption_permits.Away("e10"),
-    "enrol": disruption_permits.Enrol(
-        UNITS, ((disruption_limits.Sort.SERVER, LIMITS), (disruption_limits.Sort.EDGE, LIMITS))
+    "ask": disruption_permits.RequestPermit("o1/e5", "e5", "o1"),
+    "back": disruption_permits.InstanceReturned("e8", 223),
+    "away": disruption_permits.InstanceLost("e10"),
+    "enrol": disruption_permits.EnrollInstances(
+        UNITS,
+        ((disruption_limits.InstanceKind.SERVER, LIMITS), (disruption_limits.InstanceKind.EDGE, LIMITS)),
     ),
-    "halt": disruption_permits.Halt("as asked", True),
+    "halt": disruption_permits.HaltDisruptions("as asked", True),
 }
 ORDER_COMMANDS: dict[str, Any] = {
     "place": operations.Place("o2", operations.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
@@ -179,7 +180,7 @@
     "retire": operations.Retire("e13"),
 }
 COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
-MEMBERS = raft_log.Members((("c1", 241), ("c2", 251)))
+MEMBERS = raft_log.Configuration((("c1", 241), ("c2", 251)))
 WANT = operations.Want("v8", False, 257, 1, "o6")
 PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
@@ -201,13 +202,13 @@
     phases = list(operations.Phase)
     kinds = [list(operations.Kind)[at % len(operations.Kind)] for at in range(len(phases))]
     placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
-    register = disruption_permits.Register(
+    register = disruption_permits.PermitRegister(
         {unit.name: unit for unit in UNITS},
-        {disruption_limits.Sort.EDGE: LIMITS, disruption_limits.Sort.SERVER: LIMITS},
+        {disruption_limits.InstanceKind.EDGE: LIMITS, disruption_limits.InstanceKind.SERVER: LIMITS},
         {"e14": PERMIT, "e10": None},
         {
-            "o7/e14": disruption_permits.Answer("o7/e14", PERMIT, "given"),
-            "o7/e15": disruption_permits.Answer("o7/e15", None, "no"),
+            "o7/e14": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
+            "o7/e15": disruption_permits.PermitDecision("o7/e15", None, "no"),
         },
         "until noon",
     )
@@ -229,21 +230,21 @@
     return raft_log.Snapshot(283, 280, MEMBERS, book())
 
 
-def kept_entries() -> tuple[serialization.KeptEntry, ...]:
+def kept_entries() -> tuple[serialization.StoredEntry, ...]:
     return tuple(serialization.to_stored_entry(entry) for entry in entries())
 
 
 COUNCIL: dict[str, Any] = {
-    "vote": raft_messages.Vote(293, "c1", 307, 311, 313, True),
-    "voted": raft_messages.Voted(317, "c2", 331, True, True),
-    "appended": raft_messages.Appended(337, "c3", 347, True, 349, 353),
-    "append": serialization.to_wire(raft_messages.Append(359, "c4", 367, 373, entries(), 379, 383)),
-    "install": serialization.to_wire(raft_messages.Install(389, "c5", snapshot())),
+    "vote": raft_messages.RequestVote(293, "c1", 307, 311, 313, True),
+    "voted": raft_messages.RequestVoteResponse(317, "c2", 331, True, True),
+    "appended": raft_messages.AppendEntriesResponse(337, "c3", 347, True, 349, 353),
+    "append": serialization.to_wire(raft_messages.AppendEntries(359, "c4", 367, 373, entries(), 379, 383)),
+    "install": serialization.to_wire(raft_messages.InstallSnapshot(389, "c5", snapshot())),
 }
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = supervisor.Facts("e16", disruption_limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
+FACTS = supervisor.Facts("e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12"))
 REPORT = supervisor.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
 MEMORY = supervisor.Memory(
     "v13",
@@ -495,7 +496,7 @@
         "council.snapshot": serialization.to_stored_snapshot(snapshot()),
         "orders.placed": PLACED,
         "orders.shown": TOOL_PAGE,
-        "permits.answer": disruption_permits.Answer("o7/e14", PERMIT, "given"),
+        "permits.answer": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
         "keeper.memory": MEMORY,
         "keeper.report": REPORT,
         **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in course.Phase},
@@ -534,7 +535,7 @@
         "orders.kind": operations.Kind,
         "orders.phase": operations.Phase,
         "orders.step": operations.Step,
-        "limits.sort": disruption_limits.Sort,
+        "limits.sort": disruption_limits.InstanceKind,
         "ledger.phase": course.Phase,
     }
 
@@ -580,7 +581,13 @@
 
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
-NEVER_WRITTEN = (messages.Said, setup.OfLeg, greeting._Kind, raft_messages.Append, raft_messages.Install)
+NEVER_WRITTEN = (
+    messages.Said,
+    setup.OfLeg,
+    greeting._Kind,
+    raft_messages.AppendEntries,
+    raft_messages.InstallSnapshot,
+)
 
 TAGS: dict[type[msgspec.Struct], str] = {
     messages.Said: "Said",
@@ -602,25 +609,25 @@
     words.Worded: "w",
     words.Asks: "q",
     words.Tells: "t",
-    disruption_permits.Ask: "Ask",
-    disruption_permits.Back: "Back",
-    disruption_permits.Away: "Away",
-    disruption_permits.Enrol: "Enrol",
-    disruption_permits.Halt: "Halt",
+    disruption_permits.RequestPermit: "Ask",
+    disruption_permits.InstanceReturned: "Back",
+    disruption_permits.InstanceLost: "Away",
+    disruption_permits.EnrollInstances: "Enrol",
+    disruption_permits.HaltDisruptions: "Halt",
     operations.Place: "Place",
     operations.Went: "Went",
     operations.Next: "Next",
     operations.Stop: "Stop",
     operations.Runs: "Runs",
     operations.Retire: "Retire",
-    raft_log.Members: "Members",
-    raft_messages.Vote: "Vote",
-    raft_messages.Voted: "Voted",
-    raft_messages.Append: "Append",
-    raft_messages.Appended: "Appended",
-    raft_messages.Install: "Install",
-    serialization.SentAppend: "SentAppend",
-    serialization.SentInstall: "SentInstall",
+    raft_log.Configuration: "Members",
+    raft_messages.RequestVote: "Vote",
+    raft_messages.RequestVoteResponse: "Voted",
+    raft_messages.AppendEntries: "Append",
+    raft_messages.AppendEntriesResponse: "Appended",
+    raft_messages.InstallSnapshot: "Install",
+    serialization.WireAppendEntries: "SentAppend",
+    serialization.WireInstallSnapshot: "SentInstall",
     greeting.Hello: "hello",
     greeting.Welcome: "welcome",
     greeting.Error: "error",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,8 +11,15 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.rollouts import VERSIONS, Broken, Rollout
-from valverouter.rollout.disruption_limits import Limits, Sort, Unit
-from valverouter.rollout.disruption_permits import Answer, Ask, Away, Back, Enrol, Halt
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance
+from valverouter.rollout.disruption_permits import (
+    PermitDecision,
+    RequestPermit,
+    InstanceLost,
+    InstanceReturned,
+    EnrollInstances,
+    HaltDisruptions,
+)
 from valverouter.rollout.operations import (
     ACTIVE_PHASES,
     Book,
@@ -31,24 +38,26 @@
     evaluation_waves,
 )
 from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
-from valverouter.rollout.raft_log import Members
+from valverouter.rollout.raft_log import Configuration
 from valverouter.rollout.readiness import ReadinessTracker
 from valverouter.rollout.sequential_test import SequentialTestConfig
-from valverouter.rollout.serialization import KeptSnapshot
+from valverouter.rollout.serialization import StoredSnapshot
 from valverouter.rollout.supervisor import Counts, Facts, Memory, Report, Supervisor, SupervisorAction
 
 SECOND = 10**9
-LIMITS = Limits(most=2, in_region=1)
+LIMITS = DisruptionLimits(max_unavailable=2, max_unavailable_per_region=1)
 
 
 class Record:
     """A book with the number of the next command."""
 
-    def __init__(self, count: int = 6, limits: Limits = LIMITS) -> None:
+    def __init__(self, count: int = 6, limits: DisruptionLimits = LIMITS) -> None:
         self.book = Book()
         self.number = 0
-        units = tuple(Unit(f"e{at}", Sort.EDGE, ("north", "south")[at % 2], 100) for at in range(count))
-        self.says(Enrol(units, ((Sort.EDGE, limits),)))
+        units = tuple(
+            Instance(f"e{at}", InstanceKind.EDGE, ("north", "south")[at % 2], 100) for at in range(count)
+        )
+        self.says(EnrollInstances(units, ((InstanceKind.EDGE, limits),)))
         for unit in units:
             self.says(Runs(unit.name, "v1", ("v1", "v2")))
 
@@ -62,8 +71,8 @@
         return placed
 
     def leave(self, order: str, name: str, try_: int = 0) -> int:
-        answer = self.says(Ask(f"{order}/{name}/{try_}", name, order))
-        assert isinstance(answer, Answer) and answer.permit is not None, answer
+        answer = self.says(RequestPermit(f"{order}/{name}/{try_}", name, order))
+        assert isinstance(answer, PermitDecision) and answer.permit is not None, answer
         return answer.permit.number
 
     def step(self, order: str, name: str) -> Step:
@@ -82,7 +91,7 @@
     first = placed.waves[0][0]
     number = record.leave("r", first)
     assert record.book.wants[first] == Want("v2", True, number, 0, "r")
-    record.says(Back(first, number))
+    record.says(InstanceReturned(first, number))
     assert (order.phase, record.step("r", first)) == (Phase.WATCHING, Step.DONE)
     record.says(Next("r", 5))
     assert order.phase is Phase.WATCHING, "of another wave"
@@ -130,10 +139,10 @@
     assert "order a is not done" in record.place("b", Kind.RESTART, "e0", "e1").why
     assert not record.place("c", Kind.RESTART, "e2").why
     assert record.book.orders["c"].phase is Phase.QUEUED
-    answer = record.says(Ask("c/e2/0", "e2", "c"))
+    answer = record.says(RequestPermit("c/e2/0", "e2", "c"))
     assert answer.permit is None, "not its turn"
     number = record.leave("a", "e0")
-    record.says(Back("e0", number))
+    record.says(InstanceReturned("e0", number))
     assert record.book.orders["a"].result == "done"
     assert record.book.going is record.book.orders["c"]
 
@@ -142,7 +151,7 @@
     record = Record()
     record.place("a", Kind.RESTART, "e0")
     number = record.leave("a", "e0")
-    record.says(Back("e0", number))
+    record.says(InstanceReturned("e0", number))
     again = record.place("a", Kind.RESTART, "e0")
     assert again.waves == (("e0",),) and record.book.orders["a"].result == "done"
     assert record.book.going is None
@@ -154,7 +163,7 @@
     waves = record.place("r", Kind.RELEASE, *names, version="v2").waves
     first, second = waves[0][0], waves[1][0]
     one = record.leave("r", first)
-    record.says(Back(first, one))
+    record.says(InstanceReturned(first, one))
     record.says(Next("r", 0))
     two = record.leave("r", second)
     record.says(Stop("r", "harm"))
@@ -162,14 +171,14 @@
     assert order.phase is Phase.RETURNING
     assert record.book.wants[second] == Want("v1", True, two, 1, "r"), "by its permit's second step"
     assert record.step("r", first) is Step.TO_RETURN
-    late = record.says(Ask("r/e5/0", "e5", "r"))
+    late = record.says(RequestPermit("r/e5/0", "e5", "r"))
     assert late.permit is None, "nothing further goes out"
-    twice = record.says(Ask(f"r/{first}/0", first, "r"))
+    twice = record.says(RequestPermit(f"r/{first}/0", first, "r"))
     assert twice.permit.number == one and record.step("r", first) is Step.TO_RETURN, "told again"
     three = record.leave("r", first, 1)
     assert record.book.wants[first] == Want("v1", True, three, 1, "r")
-    record.says(Back(second, two))
-    record.says(Back(first, three))
+    record.says(InstanceReturned(second, two))
+    record.says(InstanceReturned(first, three))
     assert order.result == "halted"
     assert {member.step for member in order.members.values()} == {Step.RETURNED, Step.LEFT}
 
@@ -179,26 +188,26 @@
     record = Record()
     waves = record.place("r", Kind.RELEASE, "e0", "e1", "e2", version="v2").waves
     first = waves[0][0]
-    record.says(Back(first, record.leave("r", first)))
-    record.says(Away(first))
+    record.says(InstanceReturned(first, record.leave("r", first)))
+    record.says(InstanceLost(first))
     record.says(Stop("r", "it ends by itself"))
     number = record.leave("r", first, 1)
     assert record.book.wants[first] == Want("v1", True, number, 1, "r")
-    assert record.book.register.out[first] is not None
+    assert record.book.register.unavailable[first] is not None
 
 
 def test_a_drained_one_stays_out_whatever_its_program_does() -> None:
     record = Record()
     record.place("d", Kind.DRAIN, "e0")
     number = record.leave("d", "e0")
-    record.says(Back("e0", number))
-    assert "e0" in record.book.register.out
+    record.says(InstanceReturned("e0", number))
+    assert "e0" in record.book.register.unavailable
     record.says(Went("d", "e0", number, Step.DRAINED))
     assert record.book.orders["d"].result == "done"
     record.place("u", Kind.UNDRAIN, "e0")
     assert record.book.wants["e0"] == Want("v1", True, number, 1, "u")
-    record.says(Back("e0", number))
-    assert record.book.orders["u"].result == "done" and "e0" not in record.book.register.out
+    record.says(InstanceReturned("e0", number))
+    assert record.book.orders["u"].result == "done" and "e0" not in record.book.register.unavailable
 
 
 def test_one_not_reached_is_left_out_and_one_retired_holds_nothing_up() -> None:
@@ -211,7 +220,7 @@
     assert record.step("a", waves[1][0]) is Step.OUT, "with leave it may have gone out: unknown"
     record.says(Retire(waves[1][0]))
     assert record.book.orders["a"].result == "in part"
-    assert waves[1][0] not in record.book.register.units
+    assert waves[1][0] not in record.book.register.instances
 
 
 def test_a_council_founded_anew_gives_no_number_again_and_takes_the_drained_over() -> None:
@@ -219,14 +228,14 @@
     record.number = 3  # it is young, and keepers have seen higher numbers
     record.says(Retire("e0"))
     record.says(Retire("e1"))
-    units = (Unit("e0", Sort.EDGE, "north", 100), Unit("e1", Sort.EDGE, "south", 100))
-    record.says(Enrol(units))
+    units = (Instance("e0", InstanceKind.EDGE, "north", 100), Instance("e1", InstanceKind.EDGE, "south", 100))
+    record.says(EnrollInstances(units))
     record.says(Runs("e0", "v2", ("v1", "v2"), 900, 0, True))
     record.says(Runs("e1", "v1", ("v1", "v2"), 950, 0, False))
     assert record.book.wants["e0"] == Want("v2", True, 900, 0)
     record.place("u", Kind.UNDRAIN, "e1")
     assert record.book.wants["e1"] == Want("v1", True, 950, 1, "u")
-    record.says(Back("e1", 950))
+    record.says(InstanceReturned("e1", 950))
     assert record.book.orders["u"].result == "done"
     record.place("a", Kind.RESTART, "e0")
     assert record.leave("a", "e0") > 950
@@ -234,9 +243,9 @@
 
 def test_a_halt_of_the_fleet_takes_no_orders() -> None:
     record = Record()
-    record.says(Halt("by hand"))
+    record.says(HaltDisruptions("by hand"))
     assert record.place("a", Kind.RESTART, "e0").why == "halted: by hand"
-    record.says(Halt("", over=True))
+    record.says(HaltDisruptions("", lifted=True))
     assert not record.place("a", Kind.RESTART, "e0").why
 
 
@@ -244,8 +253,8 @@
     record = Record()
     record.place("r", Kind.RELEASE, "e0", "e1", version="v2")
     record.leave("r", record.book.orders["r"].waves[0][0])
-    kept = KeptSnapshot(3, 1, Members(()), record.book)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(kept), type=KeptSnapshot).state == record.book
+    kept = StoredSnapshot(3, 1, Configuration(()), record.book)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(kept), type=StoredSnapshot).state == record.book
 
 
 NAMES = [f"e{at}" for at in range(6)]
@@ -254,13 +263,13 @@
 told = st.one_of(
     st.builds(Place, orders, st.sampled_from(Kind), names, st.sampled_from(["v1", "v2"])),
     st.builds(
-        lambda order, name, back, at: Ask(f"{order}/{name}{back}/{at}", name, order),
+        lambda order, name, back, at: RequestPermit(f"{order}/{name}{back}/{at}", name, order),
         orders,
         st.sampled_from(NAMES),
         st.sampled_from(["", "/back"]),
         st.integers(0, 3),
     ),
-    st.builds(Back, st.sampled_from(NAMES), st.integers(0, 60)),
+    st.builds(InstanceReturned, st.sampled_from(NAMES), st.integers(0, 60)),
     # Of whoever is out, as it would be told: drawn numbers alone rarely meet one.
     st.builds(lambda name: ("back", name), st.sampled_from(NAMES)),
     st.builds(
@@ -272,8 +281,8 @@
     st.builds(Went, orders, st.sampled_from(NAMES), st.integers(0, 60), st.sampled_from(Step)),
     st.builds(Next, orders, st.integers(0, 5)),
     st.builds(Stop, st.sampled_from(["", "a", "b", "c"]), st.just("why"), st.booleans()),
-    st.builds(Away, st.sampled_from(NAMES)),
-    st.builds(Halt, st.just("why"), st.booleans()),
+    st.builds(InstanceLost, st.sampled_from(NAMES)),
+    st.builds(HaltDisruptions, st.just("why"), st.booleans()),
     st.builds(Retire, st.sampled_from(NAMES)),
 )
 
@@ -287,22 +296,26 @@
     for command in commands:
         if isinstance(command, tuple):
             name = command[-1] if command[0] == "back" else command[2]
-            held = book.register.out.get(name)
+            held = book.register.unavailable.get(name)
             number = held.number if held else 0
             command = (
-                Back(name, number) if command[0] == "back" else Went(command[1], name, number, command[3])
+                InstanceReturned(name, number)
+                if command[0] == "back"
+                else Went(command[1], name, number, command[3])
             )
-        before = set(book.register.out)
+        before = set(book.register.unavailable)
         record.says(command)
-        permits = [name for name, held in book.register.out.items() if held is not None]
-        units = {name: unit for name, unit in book.register.units.items() if name in permits}
-        grew = len(set(book.register.out) - before)
-        if isinstance(command, Ask) and grew:
-            assert len(book.register.out) <= LIMITS.most, "leave was given past what may be out"
+        permits = [name for name, held in book.register.unavailable.items() if held is not None]
+        units = {name: unit for name, unit in book.register.instances.items() if name in permits}
+        grew = len(set(book.register.unavailable) - before)
+        if isinstance(command, RequestPermit) and grew:
+            assert len(book.register.unavailable) <= LIMITS.max_unavailable, (
+                "leave was given past what may be out"
+            )
             for region in ("north", "south"):
-                away = [n for n in book.register.out if book.register.units[n].region == region]
+                away = [n for n in book.register.unavailable if book.register.instances[n].region == region]
                 here = [n for n in away if units.get(n) and n == command.name]
-                assert not here or len(away) <= LIMITS.in_region
+                assert not here or len(away) <= LIMITS.max_unavailable_per_region
         for name, want in book.wants.items():
             assert want.turn >= turns[name], "what is wanted goes back to a former turn"
             turns[name] = want.turn
@@ -314,7 +327,7 @@
         assert busy or not waiting, "one waits and none goes"
         for order in book.orders.values():
             for name, member in order.members.items():
-                held = book.register.out.get(name)
+                held = book.register.unavailable.get(name)
                 if order.phase is not Phase.ENDED and member.step in (Step.OUT, Step.FAILED):
                     assert held is not None and held.number == member.number, (order.id, name, member)
             if order.phase is Phase.ENDED:
@@ -500,14 +513,14 @@
 
 
 def conducted(record: Record, **rules: Any) -> Orchestrator:
-    return Orchestrator(OrchestratorConfig({Sort.EDGE: LIMITS}, **rules), random.Random(1).random, 0)
+    return Orchestrator(OrchestratorConfig({InstanceKind.EDGE: LIMITS}, **rules), random.Random(1).random, 0)
 
 
 def all_report(one: Orchestrator, record: Record, now: int, **counts: Any) -> None:
-    for name, unit in record.book.register.units.items():
+    for name, unit in record.book.register.instances.items():
         want = record.book.wants[name]
         told = Counts(life=1, serving=True, ready=True, trust=counts.get("trust", "settled"))
-        facts = Facts(name, unit.sort, unit.region, unit.capacity, 0.0, ("v1", "v2"))
+        facts = Facts(name, unit.kind, unit.region, unit.capacity, 0.0, ("v1", "v2"))
         done = "done" if want.number else ""
         one.record_report(
             now, Report(facts, want.version, True, want.number, want.step, done, counts=told), now
@@ -520,10 +533,10 @@
     assert one.next_commands(3 * SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
     one.readiness.forget(["e3"])
-    assert one.next_commands(5 * SECOND, record.book) == [Away("e3")]
-    record.says(Away("e3"))
+    assert one.next_commands(5 * SECOND, record.book) == [InstanceLost("e3")]
+    record.says(InstanceLost("e3"))
     all_report(one, record, 5 * SECOND)
-    assert one.next_commands(5 * SECOND, record.book) == [Back("e3", 0)]
+    assert one.next_commands(5 * SECOND, record.book) == [InstanceReturned("e3", 0)]
 
 
 def test_an_unsettled_view_takes_nothing_out_and_halts_in_the_end() -> None:
@@ -533,7 +546,7 @@
     all_report(one, record, SECOND, trust="unsettled")
     assert one.next_commands(SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
-    assert [type(command) for command in one.next_commands(4 * SECOND, record.book)] == [Ask]
+    assert [type(command) for command in one.next_commands(4 * SECOND, record.book)] == [RequestPermit]
     all_report(one, record, 5 * SECOND, trust="unsettled")
     one.next_commands(5 * SECOND, record.book)
     all_report(one, record, 11 * SECOND, trust="unsettled")
@@ -552,8 +565,8 @@
 def test_too_few_dialogs_are_no_leave_to_go_on() -> None:
     record = Record()
     one = conducted(record, evidence=SequentialTestConfig(min_pairs=10))
-    waves = record.place("r", Kind.RELEASE, *record.book.register.units, version="v2").waves
-    record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
+    waves = record.place("r", Kind.RELEASE, *record.book.register.instances, version="v2").waves
+    record.says(InstanceReturned(waves[0][0], record.leave("r", waves[0][0])))
     for at in range(1, 300):
         all_report(one, record, at * SECOND)
         assert one.next_commands(at * SECOND, record.book) == []
@@ -562,8 +575,8 @@
 def test_a_release_that_holds_far_more_memory_is_halted() -> None:
     record = Record()
     one = conducted(record)
-    waves = record.place("r", Kind.RELEASE, *record.book.register.units, version="v2").waves
-    record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
+    waves = record.place("r", Kind.RELEASE, *record.book.register.instances, version="v2").waves
+    record.says(InstanceReturned(waves[0][0], record.leave("r", waves[0][0])))
     for more, halts in ((0, False), (40, False), (200, True)):
         all_report(one, record, SECOND)
         for name, seen in one.readiness.observations.items():
@@ -576,7 +589,7 @@
 
 
 def test_limits_that_no_order_could_meet_refuse_all() -> None:
-    record = Record(limits=Limits(6, 3))
+    record = Record(limits=DisruptionLimits(6, 3))
     assert (
         record.place("a", Kind.RESTART, "e0").why == "by these limits: all 6 edge proxies may be out at once"
     )
@@ -625,11 +638,11 @@
     number = record.leave("d", "e0")
     record.says(Went("d", "e0", number, Step.DRAINED))
     record.place("a", Kind.RESTART, "e2")
-    refused = record.says(Ask("a/e2/0", "e2", "a"))
-    assert refused.permit is None and "of d" in refused.why
+    refused = record.says(RequestPermit("a/e2/0", "e2", "a"))
+    assert refused.permit is None and "of d" in refused.rejection
     record.place("u", Kind.UNDRAIN, "e0")
     assert record.book.wants["e0"].turn == (number, 1)
-    record.says(Back("e0", number))
+    record.says(InstanceReturned("e0", number))
     assert record.book.orders["u"].result == "done"
     record.leave("a", "e2", 1)
 
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -31,8 +31,8 @@
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.store import LedgerBusyError
 from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
-from valverouter.rollout.disruption_limits import Sort, Unit
-from valverouter.rollout.disruption_permits import Enrol
+from valverouter.rollout.disruption_limits import InstanceKind, Instance
+from valverouter.rollout.disruption_permits import EnrollInstances
 from valverouter.rollout.operations import Kind, Place, Placed, Runs, Want
 from valverouter.rollout.status import Shown
 from valverouter.rollout.supervisor import Counts, Facts, Memory, Supervisor, SupervisorAction, Turn
@@ -236,8 +236,8 @@
             while not task.seat.raft.confirmed_round:
                 await trio.sleep(0.05)
         names = [f"edge-{at}" for at in range(900)]
-        units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
-        assert task.seat.propose(round(trio.current_time() * 1e9), Enrol(units))
+        units = tuple(Instance(name, InstanceKind.EDGE, "north", 100) for name in names)
+        assert task.seat.propose(round(trio.current_time() * 1e9), EnrollInstances(units))
         for name in names:
             task.seat.propose(round(trio.current_time() * 1e9), Runs(name, "v1", ("v1", "v2")))
         socket = Sockets().datagrams("127.0.0.1:0")
@@ -306,7 +306,7 @@
 
 
 def server() -> Supervisor:
-    one = Supervisor(Facts("s0", Sort.SERVER, versions=("v1", "v2")), Memory("v1"))
+    one = Supervisor(Facts("s0", InstanceKind.SERVER, versions=("v1", "v2")), Memory("v1"))
     assert one.next_action(0) is SupervisorAction.START
     one.on_started(0, "v1")
     one.on_saved()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -17,23 +17,23 @@
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.store import LedgerBusyError, LedgerError
 from valverouter.rollout.disruption_limits import (
-    Limits,
-    Sort,
-    Unit,
+    DisruptionLimits,
+    InstanceKind,
+    Instance,
     check_budget,
     find_unsatisfiable_limits,
     plan_waves,
 )
 from valverouter.rollout.disruption_permits import (
-    Ask,
-    Away,
-    Back,
-    Command,
-    Enrol,
+    RequestPermit,
+    InstanceLost,
+    InstanceReturned,
+    PermitCommand,
+    EnrollInstances,
     Fence,
-    Halt,
+    HaltDisruptions,
     Permit,
-    Register,
+    PermitRegister,
 )
 from valverouter.rollout.operations import Book
 from valverouter.rollout.permit_model import PLANTED_FAULTS, PermitModel
@@ -41,7 +41,7 @@
 from valverouter.rollout.raft import COMPACTION_THRESHOLD, ELECTION_TIMEOUT, RaftNode, Role
 from valverouter.rollout.raft_log import (
     LogEntry,
-    Members,
+    Configuration,
     PersistentState,
     Save,
     SaveEntries,
@@ -49,19 +49,26 @@
     SaveTerm,
     Snapshot,
 )
-from valverouter.rollout.raft_messages import Append, Appended, Vote, Voted
+from valverouter.rollout.raft_messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    RequestVote,
+    RequestVoteResponse,
+)
 from valverouter.rollout.sequential_test import CanaryEvidence, OutcomeCount, SequentialTestConfig, Verdict
 
 SECOND = 10**9
 
 
-def units(count: int = 6, regions: tuple[str, ...] = ("north", "south")) -> list[Unit]:
-    return [Unit(f"e{at}", Sort.EDGE, regions[at % len(regions)], 100) for at in range(count)]
+def units(count: int = 6, regions: tuple[str, ...] = ("north", "south")) -> list[Instance]:
+    return [Instance(f"e{at}", InstanceKind.EDGE, regions[at % len(regions)], 100) for at in range(count)]
 
 
-def register(limits: Limits | None = None, count: int = 6) -> Register:
-    one = Register()
-    one.apply(1, Enrol(tuple(units(count)), ((Sort.EDGE, limits or Limits(2, 1)),)))
+def register(limits: DisruptionLimits | None = None, count: int = 6) -> PermitRegister:
+    one = PermitRegister()
+    one.apply(
+        1, EnrollInstances(tuple(units(count)), ((InstanceKind.EDGE, limits or DisruptionLimits(2, 1)),))
+    )
     return one
 
 
@@ -69,7 +76,7 @@
 
 
 def test_a_refusal_says_which_limit_and_by_whom_it_is_used() -> None:
-    limits = Limits(most=2, in_region=1, least_capacity=0.5)
+    limits = DisruptionLimits(max_unavailable=2, max_unavailable_per_region=1, min_capacity_fraction=0.5)
     fleet = units()
     assert check_budget(limits, fleet, [], fleet[0]) is None
     assert (
@@ -79,17 +86,22 @@
     assert "edge proxies out at once: 2 of 2, used by e1, e2" in str(
         check_budget(limits, fleet, ["e1", "e2"], fleet[0])
     )
-    tight = Limits(most=4, in_region=3, least_capacity=0.5)
+    tight = DisruptionLimits(max_unavailable=4, max_unavailable_per_region=3, min_capacity_fraction=0.5)
     assert check_budget(tight, fleet, ["e2"], fleet[0]) is not None, "a third of 300 stays, half must"
     assert check_budget(tight, fleet, ["e0"], fleet[0]) is None, "out already, it uses no more room"
-    server = Unit("s0", Sort.SERVER, "north", 400, 1.0)
-    both = [*fleet, server, Unit("s1", Sort.SERVER, "north", 400, 1.0)]
+    server = Instance("s0", InstanceKind.SERVER, "north", 400, 1.0)
+    both = [*fleet, server, Instance("s1", InstanceKind.SERVER, "north", 400, 1.0)]
     assert check_budget(limits, both, ["e0", "e1", "e2"], server) is None, "servers are counted apart"
 
 
 def test_a_region_s_processor_must_stay_too() -> None:
-    fleet = [Unit("s0", Sort.SERVER, "n", 100, 3.0), Unit("s1", Sort.SERVER, "n", 100, 1.0)]
-    limits = Limits(most=1, in_region=1, least_capacity=0.5, least_processor=0.5)
+    fleet = [
+        Instance("s0", InstanceKind.SERVER, "n", 100, 3.0),
+        Instance("s1", InstanceKind.SERVER, "n", 100, 1.0),
+    ]
+    limits = DisruptionLimits(
+        max_unavailable=1, max_unavailable_per_region=1, min_capacity_fraction=0.5, min_processor_fraction=0.5
+    )
     assert check_budget(limits, fleet, [], fleet[1]) is None
     assert "least processor of n" in str(check_budget(limits, fleet, [], fleet[0]))
 
@@ -97,22 +109,24 @@
 @pytest.mark.parametrize(
     ("limits", "said"),
     [
-        (Limits(0, 1), "no edge proxy could ever go out"),
-        (Limits(1, 2), "more edge proxies may be out in a region (2) than in all (1)"),
-        (Limits(6, 3), "all 6 edge proxies may be out at once"),
-        (Limits(2, 1, {"west": 1}), "there is no edge proxy in west"),
-        (Limits(2, 1, least_capacity=0.9), "it would leave less than the least capacity"),
+        (DisruptionLimits(0, 1), "no edge proxy could ever go out"),
+        (DisruptionLimits(1, 2), "more edge proxies may be out in a region (2) than in all (1)"),
+        (DisruptionLimits(6, 3), "all 6 edge proxies may be out at once"),
+        (DisruptionLimits(2, 1, {"west": 1}), "there is no edge proxy in west"),
+        (DisruptionLimits(2, 1, min_capacity_fraction=0.9), "it would leave less than the least capacity"),
     ],
 )
-def test_limits_that_no_order_could_meet_are_told_beforehand(limits: Limits, said: str) -> None:
-    assert any(said in flaw for flaw in find_unsatisfiable_limits(limits, Sort.EDGE, units()))
-    assert not find_unsatisfiable_limits(Limits(2, 1, least_capacity=0.6), Sort.EDGE, units())
+def test_limits_that_no_order_could_meet_are_told_beforehand(limits: DisruptionLimits, said: str) -> None:
+    assert any(said in flaw for flaw in find_unsatisfiable_limits(limits, InstanceKind.EDGE, units()))
+    assert not find_unsatisfiable_limits(
+        DisruptionLimits(2, 1, min_capacity_fraction=0.6), InstanceKind.EDGE, units()
+    )
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(2, 40), st.integers(1, 8), st.integers(1, 4), st.sampled_from([0.0, 0.4, 0.7]))
 def test_waves_keep_every_limit_and_leave_nobody_out(count: int, most: int, here: int, least: float) -> None:
-    fleet, limits = units(count, ("n", "s", "w")), Limits(most, here, least_capacity=least)
+    fleet, limits = units(count, ("n", "s", "w")), DisruptionLimits(most, here, min_capacity_fraction=least)
     wanted = [unit.name for unit in fleet]
     try:
         made = plan_waves(limits, fleet, [], wanted)
@@ -135,46 +149,48 @@
 
 def test_a_crash_uses_up_the_room_that_a_drain_would_have_had() -> None:
     one = register()
-    one.apply(2, Away("e0"))
-    answer = one.apply(3, Ask("a", "e2"))
-    assert answer is not None and answer.permit is None and "used by e0" in answer.why
-    one.apply(4, Back("e0"))
-    answer = one.apply(5, Ask("b", "e2"))
+    one.apply(2, InstanceLost("e0"))
+    answer = one.apply(3, RequestPermit("a", "e2"))
+    assert answer is not None and answer.permit is None and "used by e0" in answer.rejection
+    one.apply(4, InstanceReturned("e0"))
+    answer = one.apply(5, RequestPermit("b", "e2"))
     assert answer is not None and answer.permit == Permit(5, "e2", "")
 
 
 def test_out_becomes_in_by_the_number_it_went_out_by_and_no_other() -> None:
     one = register()
-    one.apply(2, Ask("a", "e0"))
-    one.apply(3, Back("e0", 2))
-    one.apply(4, Ask("b", "e0"))
-    one.apply(5, Back("e0", 2))
-    assert one.out["e0"] == Permit(4, "e0", ""), "the former permit's end, told late, ends nothing"
-    one.apply(6, Back("e0"))
-    assert "e0" in one.out
-    one.apply(7, Back("e0", 4))
-    assert not one.out
+    one.apply(2, RequestPermit("a", "e0"))
+    one.apply(3, InstanceReturned("e0", 2))
+    one.apply(4, RequestPermit("b", "e0"))
+    one.apply(5, InstanceReturned("e0", 2))
+    assert one.unavailable["e0"] == Permit(4, "e0", ""), "the former permit's end, told late, ends nothing"
+    one.apply(6, InstanceReturned("e0"))
+    assert "e0" in one.unavailable
+    one.apply(7, InstanceReturned("e0", 4))
+    assert not one.unavailable
 
 
 def test_an_ask_told_again_gets_its_first_answer() -> None:
     one = register()
-    first = one.apply(2, Ask("a", "e0", "roll"))
-    one.apply(3, Back("e0", 2))
-    assert one.apply(9, Ask("a", "e0", "roll")) == first and not one.out, "not carried out twice"
+    first = one.apply(2, RequestPermit("a", "e0", "roll"))
+    one.apply(3, InstanceReturned("e0", 2))
+    assert one.apply(9, RequestPermit("a", "e0", "roll")) == first and not one.unavailable, (
+        "not carried out twice"
+    )
 
 
 def test_what_is_refused_says_why() -> None:
     one = register()
-    assert "not enrolled" in str(one.apply(2, Ask("a", "e9")))
-    one.apply(3, Halt("declines"))
-    assert "halted: declines" in str(one.apply(4, Ask("b", "e0")))
-    one.apply(5, Halt("", over=True))
-    one.apply(6, Ask("c", "e0", "roll"))
-    assert "out already, by permit 6 of roll" in str(one.apply(7, Ask("d", "e0")))
-    assert "of roll; ask again" in str(one.apply(8, Ask("e", "e2")))
-    empty = Register()
-    empty.apply(1, Enrol(tuple(units())))
-    assert "no limits are told" in str(empty.apply(2, Ask("a", "e0")))
+    assert "not enrolled" in str(one.apply(2, RequestPermit("a", "e9")))
+    one.apply(3, HaltDisruptions("declines"))
+    assert "halted: declines" in str(one.apply(4, RequestPermit("b", "e0")))
+    one.apply(5, HaltDisruptions("", lifted=True))
+    one.apply(6, RequestPermit("c", "e0", "roll"))
+    assert "out already, by permit 6 of roll" in str(one.apply(7, RequestPermit("d", "e0")))
+    assert "of roll; ask again" in str(one.apply(8, RequestPermit("e", "e2")))
+    empty = PermitRegister()
+    empty.apply(1, EnrollInstances(tuple(units())))
+    assert "no limits are told" in str(empty.apply(2, RequestPermit("a", "e0")))
 
 
 def test_a_fence_lets_no_lower_number_through() -> None:
@@ -188,24 +204,24 @@
 
 
 COMMANDS = st.one_of(
-    st.builds(Ask, st.uuids().map(str), st.sampled_from([f"e{at}" for at in range(8)])),
-    st.builds(Back, st.sampled_from([f"e{at}" for at in range(8)]), st.integers(0, 30)),
-    st.builds(Away, st.sampled_from([f"e{at}" for at in range(8)])),
+    st.builds(RequestPermit, st.uuids().map(str), st.sampled_from([f"e{at}" for at in range(8)])),
+    st.builds(InstanceReturned, st.sampled_from([f"e{at}" for at in range(8)]), st.integers(0, 30)),
+    st.builds(InstanceLost, st.sampled_from([f"e{at}" for at in range(8)])),
 )
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(COMMANDS, max_size=40))
-def test_whatever_is_told_permits_keep_the_limits_and_numbers_grow(commands: list[Command]) -> None:
-    one, two = register(Limits(3, 2), 8), register(Limits(3, 2), 8)
+def test_whatever_is_told_permits_keep_the_limits_and_numbers_grow(commands: list[PermitCommand]) -> None:
+    one, two = register(DisruptionLimits(3, 2), 8), register(DisruptionLimits(3, 2), 8)
     numbers = []
     for number, command in enumerate(commands, 2):
         answer = one.apply(number, command)
         assert two.apply(number, command) == answer
         if answer is not None and answer.permit is not None:
             numbers.append(answer.permit.number)
-            assert len(one.out) <= 3, "with those away counted"
-            north = [name for name in one.out if int(name[1:]) % 2 == 0]
+            assert len(one.unavailable) <= 3, "with those away counted"
+            north = [name for name in one.unavailable if int(name[1:]) % 2 == 0]
             assert len(north) <= 2 or int(answer.permit.name[1:]) % 2
     assert numbers == sorted(set(numbers))
 
@@ -222,7 +238,7 @@
         self.ones: dict[str, RaftNode] = {}
         for name, disk in disks:
             durable = PersistentState(disk)
-            durable.apply(SaveEntries(1, (LogEntry(1, Members(disks)),)))
+            durable.apply(SaveEntries(1, (LogEntry(1, Configuration(disks)),)))
             self.ones[name] = RaftNode(name, durable, random.Random(name).random, 0)
         self.cut: set[str] = set()
 
@@ -304,26 +320,28 @@
     one.tick(5 * SECOND)
     assert one.role is Role.PRE_CANDIDATE
     for _ in range(3):
-        one.receive(5 * SECOND, Voted(1, "c1", 99, True, ahead=True))
+        one.receive(5 * SECOND, RequestVoteResponse(1, "c1", 99, True, pre_vote=True))
     assert one.role is Role.PRE_CANDIDATE, "another disk: it has forgotten what it voted"
-    one.receive(5 * SECOND, Voted(1, "c1", 2, True, ahead=True))
+    one.receive(5 * SECOND, RequestVoteResponse(1, "c1", 2, True, pre_vote=True))
     assert one.role.value == "candidate"
-    one.receive(5 * SECOND, Voted(1, "c0", 1, True))
+    one.receive(5 * SECOND, RequestVoteResponse(1, "c0", 1, True))
     assert one.role.value == "candidate", "its own again"
-    one.receive(5 * SECOND, Voted(1, "c2", 3, True))
+    one.receive(5 * SECOND, RequestVoteResponse(1, "c2", 3, True))
     assert one.role.value == "leader"
 
 
 def test_a_vote_is_given_once_a_term_and_over_a_restart() -> None:
     table = Table()
     one = table.ones["c2"]
-    one.receive(5 * SECOND, Vote(7, "c0", 1, 1, 1))
-    one.receive(5 * SECOND, Vote(7, "c1", 2, 1, 1))
-    given = [message.given for _, message in one.outgoing if isinstance(message, Voted)]
+    one.receive(5 * SECOND, RequestVote(7, "c0", 1, 1, 1))
+    one.receive(5 * SECOND, RequestVote(7, "c1", 2, 1, 1))
+    given = [message.vote_granted for _, message in one.outgoing if isinstance(message, RequestVoteResponse)]
     assert given == [True, False]
     again = RaftNode("c2", one.persistent, random.random, 6 * SECOND)
-    again.receive(9 * SECOND, Vote(7, "c1", 2, 1, 1))
-    assert [message.given for _, message in again.outgoing if isinstance(message, Voted)] == [False]
+    again.receive(9 * SECOND, RequestVote(7, "c1", 2, 1, 1))
+    assert [
+        message.vote_granted for _, message in again.outgoing if isinstance(message, RequestVoteResponse)
+    ] == [False]
 
 
 def test_an_entry_of_a_former_term_is_agreed_on_with_one_of_the_leader_s_own_only() -> None:
@@ -333,12 +351,12 @@
     one.persistent.apply(SaveEntries(2, (LogEntry(2, "old"),)))
     one.persistent.current_term = 3
     one.tick(5 * SECOND)
-    one.receive(5 * SECOND, Voted(4, "c1", 2, True, ahead=True))
-    one.receive(5 * SECOND, Voted(4, "c1", 2, True))
+    one.receive(5 * SECOND, RequestVoteResponse(4, "c1", 2, True, pre_vote=True))
+    one.receive(5 * SECOND, RequestVoteResponse(4, "c1", 2, True))
     assert one.role is Role.LEADER and one.last_log_index == 3
-    one.receive(5 * SECOND, Appended(4, "c1", 2, True, 2))
+    one.receive(5 * SECOND, AppendEntriesResponse(4, "c1", 2, True, 2))
     assert one.commit_index == 0
-    one.receive(5 * SECOND, Appended(4, "c1", 2, True, 3))
+    one.receive(5 * SECOND, AppendEntriesResponse(4, "c1", 2, True, 3))
     assert one.commit_index == 3
 
 
@@ -346,15 +364,15 @@
     table = Table()
     one = table.ones["c1"]
     one.persistent.apply(SaveEntries(2, (LogEntry(1, "a"), LogEntry(1, "b"))))
-    one.receive(SECOND, Append(2, "c0", 1, 1, (LogEntry(1, "a"),), 2))
+    one.receive(SECOND, AppendEntries(2, "c0", 1, 1, (LogEntry(1, "a"),), 2))
     assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "b"], (
         "a repeat takes nothing away"
     )
-    one.receive(SECOND, Append(2, "c0", 2, 1, (LogEntry(2, "c"),), 3))
+    one.receive(SECOND, AppendEntries(2, "c0", 2, 1, (LogEntry(2, "c"),), 3))
     assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "c"] and one.commit_index == 3
-    one.receive(SECOND, Append(2, "c0", 9, 2, (), 3))
-    assert one.outgoing[-1][1] == Appended(2, "c1", 2, False, 3)
-    one.receive(SECOND, Append(1, "c2", 1, 1, (LogEntry(1, "z"),), 2))
+    one.receive(SECOND, AppendEntries(2, "c0", 9, 2, (), 3))
+    assert one.outgoing[-1][1] == AppendEntriesResponse(2, "c1", 2, False, 3)
+    one.receive(SECOND, AppendEntries(1, "c2", 1, 1, (LogEntry(1, "z"),), 2))
     assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "c"], "of a leader gone by"
 
 
@@ -418,7 +436,7 @@
 
 def test_courses_with_five_members() -> None:
     for seed in range(100, 103):
-        course = Course(seed, seats=5, holders=20, limits=Limits(4, 2))
+        course = Course(seed, seats=5, holders=20, limits=DisruptionLimits(4, 2))
         course.run(30)
         assert course.is_whole() == "", f"seed {seed}"
 
@@ -511,14 +529,14 @@
 # What a councillor keeps
 
 
-def enrolled() -> Enrol:
-    return Enrol(tuple(units(2)), ((Sort.EDGE, Limits(2, 1, {"north": 1}, 0.5)),))
+def enrolled() -> EnrollInstances:
+    return EnrollInstances(tuple(units(2)), ((InstanceKind.EDGE, DisruptionLimits(2, 1, {"north": 1}, 0.5)),))
 
 
 def test_what_is_committed_is_read_back_as_it_was_applied(tmp_path: Path) -> None:
     store, here = RaftStore(tmp_path, 7), PersistentState(7)
     one = Book(register())
-    members = Members((("c0", 7), ("c1", 8)))
+    members = Configuration((("c0", 7), ("c1", 8)))
     steps: list[list[Save]] = [
         [
             SaveTerm(3, "c1"),
@@ -526,11 +544,16 @@
         ],
         [
             SaveEntries(
-                3, (LogEntry(3, Ask("a", "e0", "roll")), LogEntry(3, Away("e1")), LogEntry(3, Halt("why")))
+                3,
+                (
+                    LogEntry(3, RequestPermit("a", "e0", "roll")),
+                    LogEntry(3, InstanceLost("e1")),
+                    LogEntry(3, HaltDisruptions("why")),
+                ),
             )
         ],
         [SaveSnapshot(Snapshot(4, 3, members, one))],
-        [SaveEntries(6, (LogEntry(3, Back("e1")),)), SaveTerm(4, "")],
+        [SaveEntries(6, (LogEntry(3, InstanceReturned("e1")),)), SaveTerm(4, "")],
     ]
     for saves in steps:
         store.commit(saves)
@@ -560,7 +583,7 @@
 @pytest.mark.parametrize("what", ["flipped", "cut off", "entry missing"])
 def test_a_store_that_can_not_be_read_whole_is_a_lost_disk(tmp_path: Path, what: str) -> None:
     store = RaftStore(tmp_path, 7)
-    store.commit([SaveEntries(1, tuple(LogEntry(1, Ask(f"ask-{at}", "e0")) for at in range(400)))])
+    store.commit([SaveEntries(1, tuple(LogEntry(1, RequestPermit(f"ask-{at}", "e0")) for at in range(400)))])
     if what == "entry missing":
         with store._env.begin(write=True) as commit:
             commit.delete((200).to_bytes(8, "big"), db=store._log_db)
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -22,7 +22,7 @@
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.tool import CouncilAsker
-from valverouter.rollout.disruption_permits import Halt
+from valverouter.rollout.disruption_permits import HaltDisruptions
 from valverouter.rollout.operations import Command, Kind, Place, Placed, Retire, Stop
 from valverouter.rollout.status import Order, Shown, Unit
 from valverouter.terms.rollout import load_tool
@@ -196,9 +196,11 @@
 
     What a release brought to its new version goes back, unless it is to stay.
     """
-    commands: list[Command] = [Halt("", over=True)] if over else [Stop(order, why, not stay, _wall())]
+    commands: list[Command] = (
+        [HaltDisruptions("", lifted=True)] if over else [Stop(order, why, not stay, _wall())]
+    )
     if hold and not over:
-        commands.insert(0, Halt(why))
+        commands.insert(0, HaltDisruptions(why))
     for command in commands:
         if _ask(file, "do", command, Any) is None:
             _unknown(order)
--- a/valverouter/emulator/councils.py
+++ b/valverouter/emulator/councils.py
@@ -15,10 +15,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from valverouter.rollout.disruption_limits import Limits, Sort, Unit
-from valverouter.rollout.disruption_permits import Ask, Away, Back, Enrol, Fence, Permit, Register
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance
+from valverouter.rollout.disruption_permits import (
+    RequestPermit,
+    InstanceLost,
+    InstanceReturned,
+    EnrollInstances,
+    Fence,
+    Permit,
+    PermitRegister,
+)
 from valverouter.rollout.raft import ELECTION_TIMEOUT, SECOND, RaftNode, Role
-from valverouter.rollout.raft_log import LogEntry, Members, PersistentState, SaveEntries
+from valverouter.rollout.raft_log import LogEntry, Configuration, PersistentState, SaveEntries
 from valverouter.rollout.raft_messages import RaftMessage
 from valverouter.servermodel.paths import PathFault, Paths
 
@@ -34,7 +42,7 @@
     name: str
     durable: PersistentState
     councillor: RaftNode | None = None
-    register: Register | None = None
+    register: PermitRegister | None = None
     applied: int = 0
     stopped_until: int = 0
     life: int = 0
@@ -44,7 +52,7 @@
 class Holder:
     """A unit that wants to go out now and then. `out`: really, whatever anybody believes."""
 
-    unit: Unit
+    unit: Instance
     out: bool = False
     permit: Permit | None = None
     asking: str = ""
@@ -61,25 +69,26 @@
         seed: int,
         seats: int = 3,
         holders: int = 12,
-        limits: Limits | None = None,
+        limits: DisruptionLimits | None = None,
         loss: float = 0.02,
         plant: str = "",
     ) -> None:
         self.now = 0
         self.chance = random.Random(f"council/{seed}")
         self.plant = plant
-        self.limits = limits or Limits(most=3, in_region=2)
+        self.limits = limits or DisruptionLimits(max_unavailable=3, max_unavailable_per_region=2)
         self.found: Counter[str] = Counter()
         names = [f"c{at}" for at in range(seats)]
         disks = tuple((name, self.chance.getrandbits(64)) for name in names)
-        founded = Members(disks)
+        founded = Configuration(disks)
         self.seats = {name: Seat(name, PersistentState(disk)) for name, disk in disks}
         for seat in self.seats.values():
             # All were there when it was founded, and have the same first entry.
             seat.durable.apply(SaveEntries(1, (_first(founded),)))
         regions = ("north", "south", "west")
         self.holders = {
-            f"e{at}": Holder(Unit(f"e{at}", Sort.EDGE, regions[at % 3], 100)) for at in range(holders)
+            f"e{at}": Holder(Instance(f"e{at}", InstanceKind.EDGE, regions[at % 3], 100))
+            for at in range(holders)
         }
         self.fence = Fence()
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -109,7 +118,7 @@
         if seat.councillor is not None:
             return
         seat.life += 1
-        seat.register = register = Register()
+        seat.register = register = PermitRegister()
 
         def install(state: Any) -> None:
             seat.register = state.copy()
@@ -124,7 +133,7 @@
         self.at(self.now + ELECTION_TIMEOUT // 8, self._tick, seat, seat.life)
 
     @staticmethod
-    def _state(seat: Seat) -> Register:
+    def _state(seat: Seat) -> PermitRegister:
         assert seat.register is not None
         return seat.register.copy()
 
@@ -198,19 +207,23 @@
         if index <= seat.applied:
             raise Broken(f"{seat.name} applies entry {index} after {seat.applied}")
         seat.applied = index
-        if isinstance(what, Members) or what is None:
+        if isinstance(what, Configuration) or what is None:
             return
         assert seat.register is not None
         answer = seat.register.apply(index, what)
         if answer is not None:
-            told = answer.id, answer.permit, answer.why
+            told = answer.id, answer.permit, answer.rejection
             self.at(self.now + self._delay("", ""), self._answered, *told)
             if self.chance.random() < 0.1:
                 self.at(self.now + 3 * SECOND, self._answered_late, answer.permit)
-        if len(seat.register.out) > self.limits.most and not isinstance(what, Away):
-            crashed = [name for name, permit in seat.register.out.items() if permit is None]
-            if len(seat.register.out) - len(crashed) > self.limits.most:
-                raise Broken(f"{sorted(seat.register.out)} are out by permits, {self.limits.most} may be")
+        if len(seat.register.unavailable) > self.limits.max_unavailable and not isinstance(
+            what, InstanceLost
+        ):
+            crashed = [name for name, permit in seat.register.unavailable.items() if permit is None]
+            if len(seat.register.unavailable) - len(crashed) > self.limits.max_unavailable:
+                raise Broken(
+                    f"{sorted(seat.register.unavailable)} are out by permits, {self.limits.max_unavailable} may be"
+                )
 
     def propose(self, what: Any) -> None:
         """By somebody, to everybody: who leads takes it."""
@@ -225,7 +238,7 @@
             one = seat.councillor
             if one is None or one.role is not Role.LEADER or self.now < seat.stopped_until:
                 continue
-            present = dict(one.configuration.disks)
+            present = dict(one.configuration.members)
             for name, other in self.seats.items():
                 if other.councillor is None:
                     continue
@@ -252,7 +265,7 @@
         if not holder.asking:
             holder.asks += 1
             holder.asking = f"{holder.unit.name}/{holder.asks}"
-        self.propose(Ask(holder.asking, holder.unit.name, "roll"))
+        self.propose(RequestPermit(holder.asking, holder.unit.name, "roll"))
 
     def _answered(self, ask: str, permit: Permit | None, why: str) -> None:
         holder = self.holders[ask.partition("/")[0]]
@@ -289,7 +302,7 @@
 
     def _tell_back(self, holder: Holder) -> None:
         assert holder.permit is not None
-        self.propose(Back(holder.unit.name, holder.permit.number))
+        self.propose(InstanceReturned(holder.unit.name, holder.permit.number))
         if self._is_in(holder.unit.name, holder.permit):
             holder.permit = None
 
@@ -299,7 +312,7 @@
             seat.councillor is not None
             and seat.register is not None
             and seat.applied >= permit.number
-            and seat.register.out.get(name) != permit
+            and seat.register.unavailable.get(name) != permit
             for seat in self.seats.values()
         )
 
@@ -316,7 +329,7 @@
     def _tell_away(self, holder: Holder) -> None:
         if holder.dead and not holder.out:
             holder.away_told = True
-            self.propose(Away(holder.unit.name))
+            self.propose(InstanceLost(holder.unit.name))
 
     def _revive(self, holder: Holder) -> None:
         """Serving again. What it went out by, it has from its keeper."""
@@ -324,24 +337,28 @@
         holder.asking = ""
         if holder.away_told:
             holder.away_told = False
-            self.propose(Back(holder.unit.name, 0))
+            self.propose(InstanceReturned(holder.unit.name, 0))
             self.at(self.now + 2 * SECOND, self._tell_again, holder)
 
     def _tell_again(self, holder: Holder) -> None:
         """That it is in without a permit, until somebody says that it is."""
-        known = [seat.register.out for seat in self.seats.values() if seat.councillor and seat.register]
+        known = [
+            seat.register.unavailable for seat in self.seats.values() if seat.councillor and seat.register
+        ]
         if (
             any(holder.unit.name in out and out[holder.unit.name] is None for out in known)
             and not holder.dead
         ):
-            self.propose(Back(holder.unit.name, 0))
+            self.propose(InstanceReturned(holder.unit.name, 0))
             self.at(self.now + 2 * SECOND, self._tell_again, holder)
 
     def _watch(self) -> None:
         """Who is really out by a permit: never more than the limits let."""
         out = [holder for holder in self.holders.values() if holder.out]
-        if len(out) > self.limits.most:
-            raise Broken(f"{len(out)} are out at {self.now / SECOND:.1f}, {self.limits.most} may be")
+        if len(out) > self.limits.max_unavailable:
+            raise Broken(
+                f"{len(out)} are out at {self.now / SECOND:.1f}, {self.limits.max_unavailable} may be"
+            )
         for region in {holder.unit.region for holder in out}:
             here = sum(holder.unit.region == region for holder in out)
             if here > self.limits.max_unavailable_in(region):
@@ -375,10 +392,10 @@
     def _enrol(self) -> None:
         """Until it is in the record: the first of all commands may be lost like any other."""
         known = [seat.register for seat in self.seats.values() if seat.councillor and seat.register]
-        if any(register.units for register in known):
+        if any(register.instances for register in known):
             return
         units = tuple(holder.unit for holder in self.holders.values())
-        self.propose(Enrol(units, ((Sort.EDGE, self.limits),)))
+        self.propose(EnrollInstances(units, ((InstanceKind.EDGE, self.limits),)))
         self.at(self.now + SECOND, self._enrol)
 
     def _fault(self) -> None:
@@ -409,7 +426,7 @@
         ones = [seat.councillor for seat in self.seats.values() if seat.councillor is not None]
         leads = [one for one in ones if one.role is Role.LEADER]
         return any(
-            all(one.is_member for one in ones) and len(lead.configuration.disks) == len(self.seats)
+            all(one.is_member for one in ones) and len(lead.configuration.members) == len(self.seats)
             for lead in leads
         )
 
@@ -438,5 +455,5 @@
         return ""
 
 
-def _first(members: Members) -> LogEntry:
+def _first(members: Configuration) -> LogEntry:
     return LogEntry(1, members)
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -22,8 +22,8 @@
 import msgspec
 
 from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
-from valverouter.rollout.disruption_limits import Limits, Sort
-from valverouter.rollout.disruption_permits import Back
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
+from valverouter.rollout.disruption_permits import InstanceReturned
 from valverouter.rollout.operations import (
     Book,
     Command,
@@ -39,7 +39,7 @@
 )
 from valverouter.rollout.orchestrator import CanaryWindow, Orchestrator, OrchestratorConfig
 from valverouter.rollout.raft import SECOND
-from valverouter.rollout.raft_log import LogEntry, Members, PersistentState, SaveEntries
+from valverouter.rollout.raft_log import LogEntry, Configuration, PersistentState, SaveEntries
 from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
 from valverouter.rollout.supervisor import Counts, Facts, Memory, Supervisor, SupervisorAction
 from valverouter.servermodel.paths import PathFault, Paths
@@ -165,7 +165,7 @@
         self,
         seed: int,
         instances: int = 12,
-        limits: Limits | None = None,
+        limits: DisruptionLimits | None = None,
         loss: float = 0.02,
         rules: OrchestratorConfig | None = None,
         plant: str = "",
@@ -175,9 +175,11 @@
         self._watching = watching
         self.chance = random.Random(f"rollout/{seed}")
         self.plant = plant
-        self.limits = limits or Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
+        self.limits = limits or DisruptionLimits(
+            max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
+        )
         self.rules = rules or OrchestratorConfig(
-            {Sort.EDGE: self.limits},
+            {InstanceKind.EDGE: self.limits},
             sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
             max_unsettled=10 * SECOND,
         )
@@ -188,10 +190,10 @@
         disks = tuple((f"c{at}", self.chance.getrandbits(64)) for at in range(3))
         self.seats = {name: Machine(name, PersistentState(disk)) for name, disk in disks}
         for one in self.seats.values():
-            one.durable.apply(SaveEntries(1, (LogEntry(1, Members(disks)),)))
+            one.durable.apply(SaveEntries(1, (LogEntry(1, Configuration(disks)),)))
         self.fleet: dict[str, Instance] = {}
         for at in range(instances):
-            facts = Facts(f"e{at}", Sort.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
+            facts = Facts(f"e{at}", InstanceKind.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
             self.fleet[facts.name] = Instance(facts, msgspec.msgpack.encode(Memory("v1")))
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
@@ -246,9 +248,9 @@
     def _lapses(self, seat: ControlPlaneNode) -> None:
         """Planted: out becomes in by time."""
         assert seat.orchestrator is not None
-        for name, held in list(seat.operation_log.register.out.items()):
+        for name, held in list(seat.operation_log.register.unavailable.items()):
             if held is not None and self.chance.random() < 0.02:
-                seat.propose(self.now, Back(name, held.number))
+                seat.propose(self.now, InstanceReturned(name, held.number))
 
     def _hears(self, one: Machine, message: Any) -> None:
         if self.now < one.stopped_until:
@@ -440,9 +442,9 @@
 
     def _watch(self) -> None:
         out = [one for one in self.fleet.values() if one.turn is not None]
-        if len(out) > self.limits.most:
+        if len(out) > self.limits.max_unavailable:
             raise Broken(
-                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, {self.limits.most} may be"
+                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, {self.limits.max_unavailable} may be"
             )
         for region in {one.facts.region for one in out}:
             here = sum(one.facts.region == region for one in out)
@@ -506,7 +508,7 @@
         kind = chance.choices(list(Kind), (2, 2, 2, 4))[0]
         names = chance.sample(sorted(self.fleet), chance.randint(1, len(self.fleet)))
         if kind is Kind.DRAIN:
-            names = names[: self.limits.in_region]
+            names = names[: self.limits.max_unavailable_per_region]
         if kind is Kind.UNDRAIN:
             names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up]
         if kind is Kind.RELEASE and chance.random() < 0.7:
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -19,11 +19,11 @@
 from valverouter.fleet.words import Asks, Here, Reported, Tells, Votes, Worded
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
-from valverouter.rollout.disruption_limits import Limits, Sort
-from valverouter.rollout.disruption_permits import Halt
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
+from valverouter.rollout.disruption_permits import HaltDisruptions
 from valverouter.rollout.operations import Book, Command, Place, Retire, Stop
 from valverouter.rollout.orchestrator import OrchestratorConfig
-from valverouter.rollout.raft_log import LogEntry, Members, PersistentState, SaveEntries
+from valverouter.rollout.raft_log import LogEntry, Configuration, PersistentState, SaveEntries
 from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.rollout.serialization import from_wire as from_sent
 from valverouter.rollout.serialization import to_wire
@@ -45,7 +45,7 @@
 def rules_of(terms: SeatTerms) -> OrchestratorConfig:
     """The seat's terms in the words of the decisions."""
     limits = {
-        Sort.EDGE if sort == "edge proxies" else Sort.SERVER: Limits(
+        InstanceKind.EDGE if sort == "edge proxies" else InstanceKind.SERVER: DisruptionLimits(
             one.most, one.in_region, one.by_region, one.least_capacity, one.least_processor
         )
         for sort, one in terms.limits.items()
@@ -183,7 +183,7 @@
         one = self.seat.raft
         if not self.seat.is_leader or not self._disks:
             return
-        present = dict(one.configuration.disks)
+        present = dict(one.configuration.members)
         for name, disk in self._disks.items():
             if name not in present:
                 why = one.change_membership(self._now(), "", (name, disk))
@@ -203,7 +203,7 @@
             self._words.append((source, Tells(asks.nonce, self._terms.name, False, self.seat.leader)))
             return
         now, command = self._now(), asks.command
-        if asks.what == "do" and isinstance(command, Place | Stop | Halt | Retire):
+        if asks.what == "do" and isinstance(command, Place | Stop | HaltDisruptions | Retire):
             self._do(source, asks, command)
         elif asks.what == "plan" and isinstance(command, Place):
             place = command
@@ -274,6 +274,6 @@
 def _found(name: str, durable: PersistentState, store: RaftStore) -> None:
     if durable.entries or durable.snapshot or durable.current_term:
         raise NotFoundedError(f"{store.path} holds a record: this council was founded before")
-    save = SaveEntries(1, (LogEntry(1, Members(((name, durable.disk_id),))),))
+    save = SaveEntries(1, (LogEntry(1, Configuration(((name, durable.disk_id),))),))
     durable.apply(save)
     store.commit([save])
--- a/valverouter/fleet/keeper.py
+++ b/valverouter/fleet/keeper.py
@@ -25,7 +25,7 @@
 from valverouter.fleet.sealing import Opener, Seal
 from valverouter.fleet.words import Reported, Worded
 from valverouter.ledger.supervisor_store import SupervisorStore
-from valverouter.rollout.disruption_limits import Sort
+from valverouter.rollout.disruption_limits import InstanceKind
 from valverouter.rollout.operations import Want
 from valverouter.rollout.supervisor import Counts, Facts, Memory, Supervisor, SupervisorAction
 from valverouter.signalling.framing import ProtocolError
@@ -112,7 +112,7 @@
     ) -> None:
         facts = Facts(
             terms.name,
-            Sort.SERVER if terms.is_server else Sort.EDGE,
+            InstanceKind.SERVER if terms.is_server else InstanceKind.EDGE,
             terms.region,
             terms.capacity,
             terms.processor,
--- a/valverouter/ledger/raft_store.py
+++ b/valverouter/ledger/raft_store.py
@@ -17,15 +17,15 @@
 
 from valverouter.ledger.file import LedgerError, body_of, cover, owned, summed
 from valverouter.rollout.raft_log import PersistentState, Save, SaveEntries, SaveSnapshot, SaveTerm
-from valverouter.rollout.serialization import KeptEntry, KeptSnapshot, to_stored_entry, to_stored_snapshot
+from valverouter.rollout.serialization import StoredEntry, StoredSnapshot, to_stored_entry, to_stored_snapshot
 
 FORMAT = b"council 1"
 MAP_SIZE = 64 * 1024 * 1024
 
 
 _encoder = msgspec.msgpack.Encoder()
-_entries = msgspec.msgpack.Decoder(KeptEntry)
-_snapshots = msgspec.msgpack.Decoder(KeptSnapshot)
+_entries = msgspec.msgpack.Decoder(StoredEntry)
+_snapshots = msgspec.msgpack.Decoder(StoredSnapshot)
 
 
 class RaftStore:
@@ -72,13 +72,15 @@
                     term, voted = msgspec.msgpack.decode(self._read(vote, "vote"), type=tuple[int, str])
                     durable.current_term, durable.voted_for = term, voted
                 if (kept := read.get(b"snapshot", db=self._metadata_db)) is not None:
-                    durable.snapshot = _snapshots.decode(self._read(kept, "snapshot")).snapshot()
+                    durable.snapshot = _snapshots.decode(self._read(kept, "snapshot")).to_snapshot()
                 expected = durable.first_index
                 for key, value in read.cursor(db=self._log_db):
                     index = int.from_bytes(key, "big")
                     if index != expected:
                         raise LedgerError(f"{self.path}: entry {expected} is missing")
-                    durable.entries.append(_entries.decode(self._read(value, f"entry {index}")).entry())
+                    durable.entries.append(
+                        _entries.decode(self._read(value, f"entry {index}")).to_log_entry()
+                    )
                     expected += 1
                 return durable
         except (lmdb.Error, msgspec.MsgspecError) as error:
--- a/valverouter/rollout/control_plane_node.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from valverouter.rollout.disruption_permits import Answer
+from valverouter.rollout.disruption_permits import PermitDecision
 from valverouter.rollout.operations import Book, Command, Place, Placed, Want
 from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
 from valverouter.rollout.raft import ELECTION_TIMEOUT, RaftNode, Role
-from valverouter.rollout.raft_log import Members, PersistentState, Save
+from valverouter.rollout.raft_log import Configuration, PersistentState, Save
 from valverouter.rollout.raft_messages import RaftMessage
 from valverouter.rollout.supervisor import Report
 
@@ -65,7 +65,7 @@
         # What conducts; experiments put a baseline in its place.
         self.orchestrator_class: type[Orchestrator] = Orchestrator
         # What was agreed on of late, for tools that asked for it: by the command's id.
-        self.answers: dict[str, Answer | Placed] = {}
+        self.answers: dict[str, PermitDecision | Placed] = {}
         self._draw = draw
         self._now = now
         self._stepped_at = now
@@ -129,7 +129,7 @@
 
         def say() -> None:
             name = report.facts.name
-            want, held = self.operation_log.wants.get(name), self.operation_log.register.out.get(name)
+            want, held = self.operation_log.wants.get(name), self.operation_log.register.unavailable.get(name)
             if want is not None:
                 is_open = held is not None and held.number == want.number
                 answer(DesiredStateReply(name, want, is_open, self._now))
@@ -162,7 +162,7 @@
         decided, one.committed = one.committed, []
         for index, what in decided:
             self.applied_index = index
-            if what is not None and not isinstance(what, Members):
+            if what is not None and not isinstance(what, Configuration):
                 self._apply(index, what)
         if decided:
             one.compact_log()
--- a/valverouter/rollout/disruption_limits.py
+++ b/valverouter/rollout/disruption_limits.py
@@ -8,11 +8,13 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum
 
+from msgspec import Struct, field
 
-class Sort(Enum):
+
+class InstanceKind(Enum):
     """What can be out; the limits of one sort know nothing of the other's."""
 
     EDGE = "edge proxy"
@@ -20,34 +22,42 @@
 
     @property
     def plural(self) -> str:
-        return "edge proxies" if self is Sort.EDGE else "servers"
+        return "edge proxies" if self is InstanceKind.EDGE else "servers"
 
 
-@dataclass(frozen=True, slots=True)
-class Unit:
+class Instance(Struct, frozen=True, rename={"kind": "sort"}):
     """An edge proxy or a core server. `capacity`: dialogs of an edge proxy, lines of a server; `processor`: a
     server's, in any unit that all of them share."""
 
     name: str
-    sort: Sort
+    kind: InstanceKind
     region: str
     capacity: int = 0
     processor: float = 0.0
 
 
-@dataclass(frozen=True, slots=True)
-class Limits:
+class DisruptionLimits(
+    Struct,
+    frozen=True,
+    rename={
+        "max_unavailable": "most",
+        "max_unavailable_per_region": "in_region",
+        "region_overrides": "regions",
+        "min_capacity_fraction": "least_capacity",
+        "min_processor_fraction": "least_processor",
+    },
+):
     """For one sort. `most`: out at once in all; `in_region`: in any one region, with others by name in
     `regions`. `least_capacity`, `least_processor`: shares of a region's that must stay, 0 to 1."""
 
-    most: int
-    in_region: int
-    regions: Mapping[str, int] = field(default_factory=dict)
-    least_capacity: float = 0.0
-    least_processor: float = 0.0
+    max_unavailable: int
+    max_unavailable_per_region: int
+    region_overrides: Mapping[str, int] = field(default_factory=dict)
+    min_capacity_fraction: float = 0.0
+    min_processor_fraction: float = 0.0
 
     def max_unavailable_in(self, region: str) -> int:
-        return self.regions.get(region, self.in_region)
+        return self.region_overrides.get(region, self.max_unavailable_per_region)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,24 +75,26 @@
 
 
 def check_budget(
-    limits: Limits, units: Iterable[Unit], out: Iterable[str], asked: Unit
+    limits: DisruptionLimits, units: Iterable[Instance], out: Iterable[str], asked: Instance
 ) -> BudgetExceeded | None:
     """Why `asked` may not go out as well; None: it may. One that is out already uses no more room."""
-    same = [unit for unit in units if unit.sort is asked.sort]
+    same = [unit for unit in units if unit.kind is asked.kind]
     gone = {unit.name for unit in same} & set(out)
     if asked.name in gone:
         return None
-    if len(gone) + 1 > limits.most:
-        return BudgetExceeded(f"{asked.sort.plural} out at once", limits.most, len(gone), tuple(sorted(gone)))
+    if len(gone) + 1 > limits.max_unavailable:
+        return BudgetExceeded(
+            f"{asked.kind.plural} out at once", limits.max_unavailable, len(gone), tuple(sorted(gone))
+        )
     here = [unit for unit in same if unit.region == asked.region]
     away = sorted(unit.name for unit in here if unit.name in gone)
     if len(away) + 1 > limits.max_unavailable_in(asked.region):
-        what = f"{asked.sort.plural} out at once in {asked.region}"
+        what = f"{asked.kind.plural} out at once in {asked.region}"
         return BudgetExceeded(what, limits.max_unavailable_in(asked.region), len(away), tuple(away))
     stay = [unit for unit in here if unit.name not in gone and unit.name != asked.name]
     for what, least, whole, stays in (
-        ("capacity", limits.least_capacity, _capacity(here), _capacity(stay)),
-        ("processor", limits.least_processor, _processor(here), _processor(stay)),
+        ("capacity", limits.min_capacity_fraction, _capacity(here), _capacity(stay)),
+        ("processor", limits.min_processor_fraction, _processor(here), _processor(stay)),
     ):
         # Reckoned against the region's whole, so that what is away counts as missing and not as never there.
         if whole and stays < least * whole:
@@ -90,41 +102,45 @@
     return None
 
 
-def _capacity(units: list[Unit]) -> float:
+def _capacity(units: list[Instance]) -> float:
     return sum(unit.capacity for unit in units)
 
 
-def _processor(units: list[Unit]) -> float:
+def _processor(units: list[Instance]) -> float:
     return sum(unit.processor for unit in units)
 
 
-def find_unsatisfiable_limits(limits: Limits, sort: Sort, units: Iterable[Unit]) -> list[str]:
+def find_unsatisfiable_limits(
+    limits: DisruptionLimits, sort: InstanceKind, units: Iterable[Instance]
+) -> list[str]:
     """Flaws by which no order could ever be met: those that contradict each other or the fleet."""
     flaws = []
-    same = [unit for unit in units if unit.sort is sort]
-    if limits.most < 1 or limits.in_region < 1:
+    same = [unit for unit in units if unit.kind is sort]
+    if limits.max_unavailable < 1 or limits.max_unavailable_per_region < 1:
         flaws.append(f"no {sort.value} could ever go out: the most is below 1")
-    if limits.in_region > limits.most:
+    if limits.max_unavailable_per_region > limits.max_unavailable:
         flaws.append(
-            f"more {sort.plural} may be out in a region ({limits.in_region}) than in all ({limits.most})"
+            f"more {sort.plural} may be out in a region ({limits.max_unavailable_per_region}) than in all ({limits.max_unavailable})"
         )
-    if len(same) > 1 and limits.most >= len(same):
+    if len(same) > 1 and limits.max_unavailable >= len(same):
         flaws.append(f"all {len(same)} {sort.plural} may be out at once")
     regions = Counter(unit.region for unit in same)
-    for region in sorted(limits.regions.keys() - regions.keys()):
+    for region in sorted(limits.region_overrides.keys() - regions.keys()):
         flaws.append(f"there is no {sort.value} in {region}")
     for region in sorted(regions):
         here = [unit for unit in same if unit.region == region]
         whole = sum(unit.capacity for unit in here)
         least = min((unit.capacity for unit in here), default=0)
-        if whole and whole - least < limits.least_capacity * whole:
+        if whole and whole - least < limits.min_capacity_fraction * whole:
             flaws.append(
                 f"no {sort.value} of {region} could go out: it would leave less than the least capacity"
             )
     return flaws
 
 
-def plan_waves(limits: Limits, units: list[Unit], out: Iterable[str], wanted: list[str]) -> list[list[str]]:
+def plan_waves(
+    limits: DisruptionLimits, units: list[Instance], out: Iterable[str], wanted: list[str]
+) -> list[list[str]]:
     """`wanted` in the order in which they may go out together: one, then few, then as many as the limits let,
     each wave within a region, the regions in turn. ValueError with the refusal where one never could."""
     by_name = {unit.name: unit for unit in units}
--- a/valverouter/rollout/disruption_permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -10,148 +10,159 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 
+import msgspec
 from msgspec import Struct
 
-from valverouter.rollout.disruption_limits import BudgetExceeded, Limits, Sort, Unit, check_budget
+from valverouter.rollout.disruption_limits import (
+    BudgetExceeded,
+    DisruptionLimits,
+    InstanceKind,
+    Instance,
+    check_budget,
+)
 
 # Outcomes of asks are kept so that one that is told again is answered again; the oldest leave.
 MAX_DECISIONS = 1_024
 
 
-class Ask(Struct, frozen=True, tag="Ask"):
+class RequestPermit(Struct, frozen=True, tag="Ask", rename={"operation": "order"}):
     """`name` asks to go out, for an order. `id` is the ask's own: repeated, it gets its first answer."""
 
     id: str
     name: str
-    order: str = ""
+    operation: str = ""
 
 
-class Back(Struct, frozen=True, tag="Back"):
+class InstanceReturned(Struct, frozen=True, tag="Back", rename={"permit_number": "number"}):
     """`name` serves again, is warm and takes its share; `number`: the permit it went out by, 0: without."""
 
     name: str
-    number: int = 0
+    permit_number: int = 0
 
 
-class Away(Struct, frozen=True, tag="Away"):
+class InstanceLost(Struct, frozen=True, tag="Away"):
     """`name` was found gone, or was stopped by its machine, without leave."""
 
     name: str
 
 
-class Enrol(Struct, frozen=True, tag="Enrol"):
+class EnrollInstances(Struct, frozen=True, tag="Enrol", rename={"instances": "units"}):
     """What there is in the fleet, and its limits; `units` of the same name take the former's place."""
 
-    units: tuple[Unit, ...] = ()
-    limits: tuple[tuple[Sort, Limits], ...] = ()
+    instances: tuple[Instance, ...] = ()
+    limits: tuple[tuple[InstanceKind, DisruptionLimits], ...] = ()
 
 
-class Halt(Struct, frozen=True, tag="Halt"):
+class HaltDisruptions(Struct, frozen=True, tag="Halt", rename={"reason": "why", "lifted": "over"}):
     """Nothing further goes out, until `over`."""
 
-    why: str
-    over: bool = False
+    reason: str
+    lifted: bool = False
 
 
-Command = Ask | Back | Away | Enrol | Halt
+PermitCommand = RequestPermit | InstanceReturned | InstanceLost | EnrollInstances | HaltDisruptions
 
 
-@dataclass(frozen=True, slots=True)
-class Permit:
+class Permit(Struct, frozen=True, rename={"operation": "order"}):
     """Leave to be out. `number` is its fencing number."""
 
     number: int
     name: str
-    order: str
+    operation: str
 
 
-@dataclass(frozen=True, slots=True)
-class Answer:
+class PermitDecision(Struct, frozen=True, rename={"rejection": "why"}):
     """To an ask: a permit, or why not."""
 
     id: str
     permit: Permit | None
-    why: str = ""
+    rejection: str = ""
 
 
-@dataclass(slots=True)
-class Register:
+class PermitRegister(
+    Struct,
+    rename={"instances": "units", "unavailable": "out", "decisions": "answers", "halt_reason": "halted"},
+):
     """The state. `out`: those out, by name; None: without leave."""
 
-    units: dict[str, Unit] = field(default_factory=dict)
-    limits: dict[Sort, Limits] = field(default_factory=dict)
-    out: dict[str, Permit | None] = field(default_factory=dict)
-    answers: dict[str, Answer] = field(default_factory=dict)
-    halted: str = ""
+    instances: dict[str, Instance] = msgspec.field(default_factory=dict)
+    limits: dict[InstanceKind, DisruptionLimits] = msgspec.field(default_factory=dict)
+    unavailable: dict[str, Permit | None] = msgspec.field(default_factory=dict)
+    decisions: dict[str, PermitDecision] = msgspec.field(default_factory=dict)
+    halt_reason: str = ""
 
-    def apply(self, number: int, command: Command) -> Answer | None:
+    def apply(self, number: int, command: PermitCommand) -> PermitDecision | None:
         """The command at place `number` of the record; an answer to an ask."""
         match command:
-            case Ask():
+            case RequestPermit():
                 return self._ask(number, command)
-            case Back(name, permit):
+            case InstanceReturned(name, permit):
                 self._back(name, permit)
-            case Away(name):
-                if name in self.units:
-                    self.out.setdefault(name, None)
-            case Enrol(units, limits):
-                self.units |= {unit.name: unit for unit in units}
+            case InstanceLost(name):
+                if name in self.instances:
+                    self.unavailable.setdefault(name, None)
+            case EnrollInstances(units, limits):
+                self.instances |= {unit.name: unit for unit in units}
                 self.limits |= dict(limits)
-            case Halt(why, over):
-                self.halted = "" if over else why
+            case HaltDisruptions(why, over):
+                self.halt_reason = "" if over else why
         return None
 
-    def _ask(self, number: int, ask: Ask) -> Answer:
-        if (known := self.answers.get(ask.id)) is not None:
+    def _ask(self, number: int, ask: RequestPermit) -> PermitDecision:
+        if (known := self.decisions.get(ask.id)) is not None:
             return known
         answer = self._decide(number, ask)
-        self.answers[ask.id] = answer
-        if len(self.answers) > MAX_DECISIONS:
-            del self.answers[next(iter(self.answers))]
+        self.decisions[ask.id] = answer
+        if len(self.decisions) > MAX_DECISIONS:
+            del self.decisions[next(iter(self.decisions))]
         if answer.permit is not None:
-            self.out[ask.name] = answer.permit
+            self.unavailable[ask.name] = answer.permit
         return answer
 
-    def _decide(self, number: int, ask: Ask) -> Answer:
-        unit = self.units.get(ask.name)
+    def _decide(self, number: int, ask: RequestPermit) -> PermitDecision:
+        unit = self.instances.get(ask.name)
         if unit is None:
-            return Answer(ask.id, None, f"{ask.name} is not enrolled")
-        if self.halted:
-            return Answer(ask.id, None, f"halted: {self.halted}")
-        if ask.name in self.out:
-            held = self.out[ask.name]
-            by = f"by permit {held.number} of {held.order or 'no order'}" if held else "without leave"
-            return Answer(ask.id, None, f"{ask.name} is out already, {by}")
-        limits = self.limits.get(unit.sort)
+            return PermitDecision(ask.id, None, f"{ask.name} is not enrolled")
+        if self.halt_reason:
+            return PermitDecision(ask.id, None, f"halted: {self.halt_reason}")
+        if ask.name in self.unavailable:
+            held = self.unavailable[ask.name]
+            by = f"by permit {held.number} of {held.operation or 'no order'}" if held else "without leave"
+            return PermitDecision(ask.id, None, f"{ask.name} is out already, {by}")
+        limits = self.limits.get(unit.kind)
         if limits is None:
-            return Answer(ask.id, None, f"no limits are told for {unit.sort.plural}, so none may go out")
-        why = check_budget(limits, self.units.values(), self.out, unit)
+            return PermitDecision(
+                ask.id, None, f"no limits are told for {unit.kind.plural}, so none may go out"
+            )
+        why = check_budget(limits, self.instances.values(), self.unavailable, unit)
         if why is not None:
-            return Answer(ask.id, None, self._told(why))
-        return Answer(ask.id, Permit(number, ask.name, ask.order))
+            return PermitDecision(ask.id, None, self._told(why))
+        return PermitDecision(ask.id, Permit(number, ask.name, ask.operation))
 
     def _told(self, why: BudgetExceeded) -> str:
-        orders = {permit.order for name, permit in self.out.items() if name in why.instances and permit}
+        orders = {
+            permit.operation for name, permit in self.unavailable.items() if name in why.instances and permit
+        }
         of = f"; of {', '.join(sorted(order or 'no order' for order in orders))}" if orders else ""
         return f"{why}{of}; ask again when one of them is back"
 
     def _back(self, name: str, number: int) -> None:
-        held = self.out.get(name)
-        if name not in self.out or (held.number if held else 0) != number:
+        held = self.unavailable.get(name)
+        if name not in self.unavailable or (held.number if held else 0) != number:
             # Of a permit that ended before, told late; or of a former process of one that is out again.
             return
-        del self.out[name]
+        del self.unavailable[name]
 
-    def copy(self) -> Register:
+    def copy(self) -> PermitRegister:
         """For a snapshot."""
-        return replace(
-            self,
-            units=dict(self.units),
-            limits=dict(self.limits),
-            out=dict(self.out),
-            answers=dict(self.answers),
+        return PermitRegister(
+            dict(self.instances),
+            dict(self.limits),
+            dict(self.unavailable),
+            dict(self.decisions),
+            self.halt_reason,
         )
 
 
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -19,8 +19,17 @@
 from msgspec.structs import replace
 
 from valverouter.rollout.disruption_limits import check_budget, find_unsatisfiable_limits, plan_waves
-from valverouter.rollout.disruption_permits import Answer, Ask, Away, Back, Enrol, Halt, Permit, Register
-from valverouter.rollout.disruption_permits import Command as PermitCommand
+from valverouter.rollout.disruption_permits import (
+    PermitDecision,
+    RequestPermit,
+    InstanceLost,
+    InstanceReturned,
+    EnrollInstances,
+    HaltDisruptions,
+    Permit,
+    PermitRegister,
+)
+from valverouter.rollout.disruption_permits import PermitCommand as PermitCommand
 
 # Ended orders that are kept for `history`; the oldest leave.
 MAX_ENDED_OPERATIONS = 64
@@ -206,7 +215,7 @@
 class Book(Struct):
     """The state: permits, what is wanted of whom, and the orders in the order in which they were placed."""
 
-    register: Register = field(default_factory=Register)
+    register: PermitRegister = field(default_factory=PermitRegister)
     wants: dict[str, Want] = field(default_factory=dict)
     versions: dict[str, tuple[str, ...]] = field(default_factory=dict)
     orders: dict[str, Order] = field(default_factory=dict)
@@ -214,15 +223,15 @@
     # lost, must not give a number again that a keeper or the list has seen.
     base: int = 0
 
-    def apply(self, place: int, command: Command) -> Answer | Placed | None:
+    def apply(self, place: int, command: Command) -> PermitDecision | Placed | None:
         """The command at a place of the record."""
         number = place + self.base
         match command:
             case Place():
                 return self._place(command)
-            case Ask():
+            case RequestPermit():
                 return self._ask(number, command)
-            case Back(name, permit):
+            case InstanceReturned(name, permit):
                 self._back(number, name, permit)
             case Went():
                 self._went(command)
@@ -234,7 +243,7 @@
                 self._runs(number, command)
             case Retire(name):
                 self._retire(name)
-            case Away() | Enrol() | Halt():
+            case InstanceLost() | EnrollInstances() | HaltDisruptions():
                 self.register.apply(number, command)
         return None
 
@@ -256,7 +265,7 @@
         self.wants[told.name] = Want(told.version, told.up, told.number, told.step)
         if not told.up and told.number:
             # Drained by a council that is no more: it stays so, and can be brought back.
-            self.register.out[told.name] = Permit(told.number, told.name, "")
+            self.register.unavailable[told.name] = Permit(told.number, told.name, "")
 
     # What is asked of it
 
@@ -278,8 +287,8 @@
             return Placed(place.id, (), why)
         if place.kind is Kind.UNDRAIN:
             return Placed(place.id, (place.names,))
-        units = list(self.register.units.values())
-        sort = self.register.units[place.names[0]].sort
+        units = list(self.register.instances.values())
+        sort = self.register.instances[place.names[0]].kind
         limits = self.register.limits.get(sort)
         if limits is None:
             return Placed(place.id, (), f"no limits are told for {sort.plural}, so none may go out")
@@ -299,14 +308,14 @@
         if not place.names:
             return "nobody is meant"
         for name in place.names:
-            if name not in self.register.units:
+            if name not in self.register.instances:
                 return f"{name} is not enrolled"
-        if len({self.register.units[name].sort for name in place.names}) > 1:
+        if len({self.register.instances[name].kind for name in place.names}) > 1:
             return "edge proxies and servers go out by orders of their own"
         if sum(order.phase is not Phase.ENDED for order in self.orders.values()) >= MAX_OPEN_OPERATIONS:
             return f"{MAX_OPEN_OPERATIONS} orders wait or go already"
-        if self.register.halted:
-            return f"halted: {self.register.halted}"
+        if self.register.halt_reason:
+            return f"halted: {self.register.halt_reason}"
         for order in self.orders.values():
             both = sorted(set(place.names) & order.members.keys())
             if order.phase is not Phase.ENDED and both:
@@ -325,10 +334,10 @@
 
     def _stays_out(self, place: Place) -> None:
         """Who is drained stays out: all of them must find room together, with those drained before."""
-        unit = self.register.units[place.names[0]]
-        units, out = list(self.register.units.values()), set(self._drained())
+        unit = self.register.instances[place.names[0]]
+        units, out = list(self.register.instances.values()), set(self._drained())
         for name in place.names:
-            why = check_budget(self.register.limits[unit.sort], units, out, self.register.units[name])
+            why = check_budget(self.register.limits[unit.kind], units, out, self.register.instances[name])
             if why is not None:
                 raise ValueError(f"{name}: {why}")
             out.add(name)
@@ -338,7 +347,7 @@
 
     def _number(self, name: str) -> int:
         """Of the permit that it is out by; 0: it has none."""
-        held = self.register.out.get(name)
+        held = self.register.unavailable.get(name)
         return held.number if held else 0
 
     # Orders
@@ -392,21 +401,21 @@
     def _want(self, name: str, member: Member, step: int, version: str, up: bool, order: str) -> None:
         self.wants[name] = Want(version, up, member.number, step, order)
 
-    def _ask(self, number: int, ask: Ask) -> Answer | None:
-        order = self.orders.get(ask.order)
+    def _ask(self, number: int, ask: RequestPermit) -> PermitDecision | None:
+        order = self.orders.get(ask.operation)
         member = order.members.get(ask.name) if order else None
         if order is None or member is None:
             return self.register.apply(number, ask)
         wanted = Step.TO_RETURN if order.phase is Phase.RETURNING else Step.WAITING
         if order.phase not in (Phase.GOING, Phase.RETURNING) or member.step is not wanted:
             # Asked before the order was stopped, and agreed on after: nothing further goes out.
-            return Answer(ask.id, None, f"order {order.id} does not ask for it any more")
+            return PermitDecision(ask.id, None, f"order {order.id} does not ask for it any more")
         answer = self._leave(number, ask, order)
         if answer.permit is not None and answer.permit.number != number:
             return answer  # an ask that came twice: its permit was acted on, and is over
         member.tries += 1
         if answer.permit is None:
-            member.why = answer.why
+            member.why = answer.rejection
             return answer
         member.number, member.why = answer.permit.number, ""
         if order.phase is Phase.RETURNING:
@@ -418,23 +427,23 @@
         self._want(ask.name, member, 0, version, order.kind is not Kind.DRAIN, order.id)
         return answer
 
-    def _leave(self, number: int, ask: Ask, order: Order) -> Answer:
-        if order.phase is Phase.RETURNING and self.register.out.get(ask.name, ask) is None:
+    def _leave(self, number: int, ask: RequestPermit, order: Order) -> PermitDecision:
+        if order.phase is Phase.RETURNING and self.register.unavailable.get(ask.name, ask) is None:
             # It is out without leave and uses its room already. Refused for that, an instance whose release
             # ends by itself over and over could never go back to what it ran before.
-            permit = Permit(number, ask.name, ask.order)
-            self.register.out[ask.name] = permit
-            return Answer(ask.id, permit)
+            permit = Permit(number, ask.name, ask.operation)
+            self.register.unavailable[ask.name] = permit
+            return PermitDecision(ask.id, permit)
         answer = self.register.apply(number, ask)
         assert answer is not None
         return answer
 
     def _back(self, number: int, name: str, permit: int) -> None:
-        if name not in self.register.out or self._number(name) != permit:
+        if name not in self.register.unavailable or self._number(name) != permit:
             return
         if not (self.wants.get(name) or Want("")).up:
             return  # drained: that its program runs is no leave to count it as in
-        self.register.apply(number, Back(name, permit))
+        self.register.apply(number, InstanceReturned(name, permit))
         for order in self.orders.values():
             member = order.members.get(name)
             if order.phase is not Phase.ENDED and member and member.number == permit and permit:
@@ -527,8 +536,8 @@
 
     def _retire(self, name: str) -> None:
         """It is gone for good: what it was in goes on without it."""
-        self.register.units.pop(name, None)
-        self.register.out.pop(name, None)
+        self.register.instances.pop(name, None)
+        self.register.unavailable.pop(name, None)
         self.wants.pop(name, None)
         self.versions.pop(name, None)
         for order in list(self.orders.values()):
@@ -553,12 +562,12 @@
 
 def split_by_version(book: Book, order: Order) -> tuple[list[str], list[str]]:
     """Who runs the order's version, being in, and who of its sort does not yet."""
-    sort = book.register.units[next(iter(order.members))].sort
+    sort = book.register.instances[next(iter(order.members))].kind
     ones: list[str] = []
     others: list[str] = []
-    for name, unit in book.register.units.items():
+    for name, unit in book.register.instances.items():
         want = book.wants.get(name)
-        if unit.sort is not sort or want is None or name in book.register.out:
+        if unit.kind is not sort or want is None or name in book.register.unavailable:
             continue
         (ones if want.version == order.version else others).append(name)
     return ones, others
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -11,8 +11,13 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from valverouter.rollout.disruption_limits import Limits, Sort, Unit
-from valverouter.rollout.disruption_permits import Ask, Away, Back, Enrol
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance
+from valverouter.rollout.disruption_permits import (
+    RequestPermit,
+    InstanceLost,
+    InstanceReturned,
+    EnrollInstances,
+)
 from valverouter.rollout.operations import (
     Book,
     Command,
@@ -45,7 +50,7 @@
     `memory`: so many times what the others hold in the median, and at least `memory_least` bytes more, halts
     a release; those released are the younger ones, which hold less, not more."""
 
-    limits: Mapping[Sort, Limits]
+    limits: Mapping[InstanceKind, DisruptionLimits]
     away_after: int = 4 * SECOND
     unreachable_after: int = 15 * SECOND
     permit_retry_interval: int = SECOND
@@ -115,12 +120,12 @@
         commands: list[Command] = []
         limits = tuple((sort, one) for sort, one in self.config.limits.items())
         if any(book.register.limits.get(sort) != one for sort, one in limits):
-            commands.append(Enrol((), limits))
+            commands.append(EnrollInstances((), limits))
         for name, seen in self.readiness.observations.items():
-            facts, held = seen.report.facts, book.register.units.get(name)
-            unit = Unit(name, facts.sort, facts.region, facts.capacity, facts.processor)
+            facts, held = seen.report.facts, book.register.instances.get(name)
+            unit = Instance(name, facts.sort, facts.region, facts.capacity, facts.processor)
             if unit != held:
-                commands.append(Enrol((unit,)))
+                commands.append(EnrollInstances((unit,)))
             if name not in book.wants or book.versions.get(name) != facts.versions:
                 told = seen.report
                 commands.append(Runs(name, told.version, facts.versions, told.number, told.step, told.up))
@@ -129,19 +134,19 @@
     def _presence(self, now: int, book: Book) -> list[Command]:
         """Out without leave by what is not heard or is told down; in by evidence alone."""
         commands: list[Command] = []
-        out = book.register.out
-        for name in book.register.units:
+        out = book.register.unavailable
+        for name in book.register.instances:
             seen, want = self.readiness.observations.get(name), book.wants.get(name)
             if name in out:
                 held = out[name]
                 if want is not None and self.readiness.is_ready(name, want, now, out.__contains__):
-                    commands.append(Back(name, held.number if held else 0))
+                    commands.append(InstanceReturned(name, held.number if held else 0))
                 continue
             away = self.readiness.time_since_report(name, now) > self.config.away_after
             if seen is not None and self.readiness.has_fresh_report(name, now):
                 away = away or not seen.report.runs or seen.report.leaving
             if away:
-                commands.append(Away(name))
+                commands.append(InstanceLost(name))
         return commands
 
     # Whether an order may go on
@@ -163,7 +168,7 @@
         said = [
             seen.report.counts.trust
             for name, seen in self.readiness.observations.items()
-            if name not in book.register.out
+            if name not in book.register.unavailable
             and self.readiness.has_fresh_report(name, now)
             and seen.report.counts.trust
         ]
@@ -257,7 +262,7 @@
             return []
         self._permit_requested_at[name] = now
         back = "/back" if order.phase is Phase.RETURNING else ""
-        return [Ask(f"{order.id}/{name}{back}/{member.tries}", name, order.id)]
+        return [RequestPermit(f"{order.id}/{name}{back}/{member.tries}", name, order.id)]
 
     def _outcome(self, book: Book, order: Order, name: str) -> list[Command]:
         """What its keeper tells of the turn, by its number: it is asked and never guessed."""
@@ -284,7 +289,7 @@
         for name in out:
             commands += self._outcome(book, order, name)
         # Those whose program does not run go first: they have nothing to lose.
-        waiting.sort(key=lambda name: (name not in book.register.out, name))
+        waiting.sort(key=lambda name: (name not in book.register.unavailable, name))
         size = max(1, len(order.members) // 4)
         for name in waiting[: max(0, size - len(out))]:
             if self.readiness.has_fresh_report(name, now):
@@ -313,8 +318,8 @@
             return []
         looked.sampled_at = now
         ours, theirs = self._spans(looked, now, ones), self._spans(looked, now, others)
-        regions = {book.register.units[name].region for name in ours}
-        apart = regions.isdisjoint(book.register.units[name].region for name in theirs)
+        regions = {book.register.instances[name].region for name in ours}
+        apart = regions.isdisjoint(book.register.instances[name].region for name in theirs)
         for measure in MEASURES:
             looked.evidence.add_interval(
                 self._tallies(book, ours, measure, apart),
@@ -357,7 +362,7 @@
         others must do."""
         told: dict[str, OutcomeCount] = {}
         for name, (before, after) in spans.items():
-            region = "" if apart else book.register.units[name].region
+            region = "" if apart else book.register.instances[name].region
             bad = getattr(after, measure) - getattr(before, measure)
             # Answers of this span may be to dialogs of the one before.
             whole = max(bad, after.taken - before.taken)
--- a/valverouter/rollout/permit_model.py
+++ b/valverouter/rollout/permit_model.py
@@ -22,14 +22,21 @@
 from dataclasses import dataclass, replace
 from itertools import combinations
 
-from valverouter.rollout.disruption_limits import Limits, Sort, Unit
-from valverouter.rollout.disruption_permits import Ask, Back, Enrol, Fence, Permit, Register
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance
+from valverouter.rollout.disruption_permits import (
+    RequestPermit,
+    InstanceReturned,
+    EnrollInstances,
+    Fence,
+    Permit,
+    PermitRegister,
+)
 
 PLANTED_FAULTS = ("fence", "lapse", "twice", "memory")
 GIVERS = 3
 MAJORITY = 2
 
-Entry = tuple[int, Ask | Back]
+Entry = tuple[int, RequestPermit | InstanceReturned]
 Record = tuple[Entry, ...]
 
 
@@ -65,7 +72,7 @@
     words: tuple[Record, ...] = ()
     acks: frozenset[tuple[int, int, int]] = frozenset()
     agreed: Record = ()
-    asked: frozenset[Ask | Back] = frozenset()
+    asked: frozenset[RequestPermit | InstanceReturned] = frozenset()
     crashes: int = 0
 
 
@@ -82,7 +89,7 @@
 
     def explore(self, limit: int = 3_000_000) -> int:
         """How many states there are; raises Broken at the first that breaks a property."""
-        asks = frozenset(Ask(f"a{at}", f"h{at}") for at in range(self.holders))
+        asks = frozenset(RequestPermit(f"a{at}", f"h{at}") for at in range(self.holders))
         begin = State(holders=(Holder(),) * self.holders, words=((),) * self.max_terms, asked=asks)
         seen, waiting = {begin}, deque([begin])
         while waiting:
@@ -190,7 +197,7 @@
         for at, holder in enumerate(state.holders):
             if holder.out:
                 after = replace(holder, out=0, spent=holder.out)
-                told = state.asked | {Back(f"h{at}", holder.out)}
+                told = state.asked | {InstanceReturned(f"h{at}", holder.out)}
                 yield replace(_held(state, at, after), asked=told)
                 if self.planted_fault == "lapse":
                     yield replace(state, asked=told)
@@ -206,10 +213,10 @@
 
     def _permits(self, agreed: Record) -> list[Permit]:
         """Every permit that the machine gave over what is agreed on."""
-        register = Register()
-        units = tuple(Unit(f"h{at}", Sort.EDGE, "", 1) for at in range(self.holders))
-        limits = Limits(self.max_unavailable, self.max_unavailable)
-        register.apply(0, Enrol(units, ((Sort.EDGE, limits),)))
+        register = PermitRegister()
+        units = tuple(Instance(f"h{at}", InstanceKind.EDGE, "", 1) for at in range(self.holders))
+        limits = DisruptionLimits(self.max_unavailable, self.max_unavailable)
+        register.apply(0, EnrollInstances(units, ((InstanceKind.EDGE, limits),)))
         given = []
         for number, (_, command) in enumerate(agreed, 1):
             answer = register.apply(number, command)
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -20,14 +20,21 @@
 
 from valverouter.rollout.raft_log import (
     LogEntry,
-    Members,
+    Configuration,
     PersistentState,
     Save,
     SaveEntries,
     SaveSnapshot,
     SaveTerm,
 )
-from valverouter.rollout.raft_messages import Append, Appended, Install, RaftMessage, Vote, Voted
+from valverouter.rollout.raft_messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    RaftMessage,
+    RequestVote,
+    RequestVoteResponse,
+)
 from valverouter.rollout.raft_progress import LeaderState
 
 SECOND = 10**9
@@ -97,14 +104,14 @@
         return self.persistent.last_index
 
     @property
-    def configuration(self) -> Members:
+    def configuration(self) -> Configuration:
         """The newest membership in the log, committed or not."""
         return self.persistent.configuration
 
     @property
     def is_member(self) -> bool:
         """Whether the group has this node, with its present disk, as a member."""
-        return self.configuration.has(self.name, self.persistent.disk_id)
+        return self.configuration.contains(self.name, self.persistent.disk_id)
 
     @property
     def round_number(self) -> int:
@@ -142,19 +149,19 @@
     def receive(self, now: int, message: RaftMessage) -> None:
         """Takes a message of another member in."""
         self._now = now
-        if isinstance(message, Vote):
+        if isinstance(message, RequestVote):
             self._on_request_vote(message)
             return
         if message.term > self.persistent.current_term and not _is_granted_pre_vote(message):
             self._become_follower(message.term)
         match message:
-            case Voted():
+            case RequestVoteResponse():
                 self._on_vote_response(message)
-            case Append():
+            case AppendEntries():
                 self._on_append_entries(message)
-            case Install():
+            case InstallSnapshot():
                 self._on_install_snapshot(message)
-            case Appended():
+            case AppendEntriesResponse():
                 self._on_append_response(message)
 
     def propose(self, now: int, command: Any) -> bool:
@@ -180,11 +187,11 @@
         if not self._has_committed_own_term():
             return "nothing of this leader's own is agreed on yet"
         uncommitted = self.persistent.entries_from(self.commit_index + 1)
-        if any(isinstance(entry.command, Members) for entry in uncommitted):
+        if any(isinstance(entry.command, Configuration) for entry in uncommitted):
             return "another change is under way"
         if remove and add:
             return "one change at a time: first in, then out"
-        present = self.configuration.disks
+        present = self.configuration.members
         if remove:
             changed = tuple(member for member in present if member[0] != remove)
         else:
@@ -196,7 +203,7 @@
             return "that changes nothing"
         if not changed:
             return "the last member stays"
-        self._append_to_log(Members(changed))
+        self._append_to_log(Configuration(changed))
         return ""
 
     def compact_log(self) -> None:
@@ -228,7 +235,7 @@
             self.role = Role.CANDIDATE
             self._save(SaveTerm(term, self.name))
         persistent = self.persistent
-        request = Vote(
+        request = RequestVote(
             term, self.name, persistent.disk_id, persistent.last_index, persistent.last_term, pre_vote
         )
         for name in self.configuration.names:
@@ -237,7 +244,7 @@
         self._count_votes()
 
     def _count_votes(self) -> None:
-        if len(self._votes) < self.configuration.majority:
+        if len(self._votes) < self.configuration.quorum_size:
             return
         if self.role is Role.PRE_CANDIDATE:
             self._start_election(pre_vote=False)
@@ -256,15 +263,15 @@
         self.role, self.leader_id = Role.FOLLOWER, leader_id
         self._reset_election_timer()
 
-    def _on_request_vote(self, request: Vote) -> None:
+    def _on_request_vote(self, request: RequestVote) -> None:
         if self._has_live_leader(request):
             self._respond_to_vote(request, False)
             return
-        if request.term > self.persistent.current_term and not request.ahead:
+        if request.term > self.persistent.current_term and not request.pre_vote:
             self._become_follower(request.term)
         last_entry = (self.persistent.last_term, self.persistent.last_index)
-        is_up_to_date = (request.last_term, request.last) >= last_entry
-        if request.ahead:
+        is_up_to_date = (request.last_log_term, request.last_log_index) >= last_entry
+        if request.pre_vote:
             granted = request.term > self.persistent.current_term and is_up_to_date
         else:
             granted = is_up_to_date and self._may_vote(request)
@@ -272,38 +279,38 @@
                 self._grant_vote(request)
         self._respond_to_vote(request, granted)
 
-    def _has_live_leader(self, request: Vote) -> bool:
+    def _has_live_leader(self, request: RequestVote) -> bool:
         """A candidate that asks while a leader is heard was away itself, and must not depose it."""
-        if self.role is Role.LEADER and request.ahead:
+        if self.role is Role.LEADER and request.pre_vote:
             return True
         return bool(self.leader_id) and self._now - self._leader_contact_at < ELECTION_TIMEOUT
 
-    def _may_vote(self, request: Vote) -> bool:
+    def _may_vote(self, request: RequestVote) -> bool:
         """One vote a term: for whoever asks first, again and again."""
         is_current = request.term == self.persistent.current_term
-        return is_current and self.persistent.voted_for in ("", request.name)
+        return is_current and self.persistent.voted_for in ("", request.candidate_id)
 
-    def _grant_vote(self, request: Vote) -> None:
+    def _grant_vote(self, request: RequestVote) -> None:
         if not self.persistent.voted_for:
-            self._save(SaveTerm(self.persistent.current_term, request.name))
+            self._save(SaveTerm(self.persistent.current_term, request.candidate_id))
         self._reset_election_timer()
 
-    def _respond_to_vote(self, request: Vote, granted: bool) -> None:
+    def _respond_to_vote(self, request: RequestVote, granted: bool) -> None:
         # A pre-vote is granted for a term that has not begun; a rejection tells this node's own.
-        term = request.term if request.ahead and granted else self.persistent.current_term
-        response = Voted(term, self.name, self.persistent.disk_id, granted, request.ahead)
-        self._send(request.name, response)
+        term = request.term if request.pre_vote and granted else self.persistent.current_term
+        response = RequestVoteResponse(term, self.name, self.persistent.disk_id, granted, request.pre_vote)
+        self._send(request.candidate_id, response)
 
-    def _on_vote_response(self, response: Voted) -> None:
-        if not response.given or not self.configuration.has(response.name, response.disk):
+    def _on_vote_response(self, response: RequestVoteResponse) -> None:
+        if not response.vote_granted or not self.configuration.contains(response.voter_id, response.disk_id):
             return
         current_term = self.persistent.current_term
-        if response.ahead:
+        if response.pre_vote:
             counts = self.role is Role.PRE_CANDIDATE and response.term == current_term + 1
         else:
             counts = self.role is Role.CANDIDATE and response.term == current_term
         if counts:
-            self._votes.add(response.name)
+            self._votes.add(response.voter_id)
             self._count_votes()
 
     # Replication, by the leader
@@ -318,7 +325,7 @@
     def _append_to_log(self, command: Any) -> None:
         entry = LogEntry(self.persistent.current_term, command)
         self._save(SaveEntries(self.last_log_index + 1, (entry,)))
-        if isinstance(command, Members):
+        if isinstance(command, Configuration):
             self._progress.change_members(command, self.last_log_index, self._now)
         self._broadcast()
         self._advance_commit_index()
@@ -336,10 +343,12 @@
         prev_term = persistent.term_at(next_index - 1)
         if prev_term is None:
             assert persistent.snapshot is not None
-            self._send(name, Install(persistent.current_term, self.name, persistent.snapshot, self._round))
+            self._send(
+                name, InstallSnapshot(persistent.current_term, self.name, persistent.snapshot, self._round)
+            )
             return
         entries = tuple(persistent.entries_from(next_index, MAX_ENTRIES_PER_MESSAGE))
-        request = Append(
+        request = AppendEntries(
             persistent.current_term,
             self.name,
             next_index - 1,
@@ -350,22 +359,22 @@
         )
         self._send(name, request)
 
-    def _on_append_response(self, response: Appended) -> None:
+    def _on_append_response(self, response: AppendEntriesResponse) -> None:
         if self.role is not Role.LEADER or response.term != self.persistent.current_term:
             return
-        if not self.configuration.has(response.name, response.disk):
+        if not self.configuration.contains(response.follower_id, response.disk_id):
             return
-        follower = self._progress.on_response(response.name, response.turn, self._now)
-        if response.taken:
-            follower.match_index = max(follower.match_index, response.has)
-            follower.next_index = max(follower.next_index, response.has + 1)
+        follower = self._progress.on_response(response.follower_id, response.round_number, self._now)
+        if response.success:
+            follower.match_index = max(follower.match_index, response.match_index)
+            follower.next_index = max(follower.next_index, response.match_index + 1)
             self._advance_commit_index()
             is_behind = follower.next_index <= self.last_log_index
             if self.role is Role.LEADER and is_behind:
-                self._replicate_to(response.name)
+                self._replicate_to(response.follower_id)
         else:
-            follower.next_index = max(1, min(follower.next_index - 1, response.has + 1))
-            self._replicate_to(response.name)
+            follower.next_index = max(1, min(follower.next_index - 1, response.match_index + 1))
+            self._replicate_to(response.follower_id)
 
     def _advance_commit_index(self) -> None:
         """Commits the last entry of its own term that a majority has on disk, and all before it.
@@ -389,29 +398,29 @@
 
     # Replication, by a follower
 
-    def _on_append_entries(self, request: Append) -> None:
+    def _on_append_entries(self, request: AppendEntries) -> None:
         if request.term < self.persistent.current_term:
             self._respond_to_append(request, False, self.last_log_index)
             return
         self._follow_leader(request)
-        prev_term = self.persistent.term_at(request.before)
-        if prev_term is None and request.before < self.commit_index:
+        prev_term = self.persistent.term_at(request.prev_log_index)
+        if prev_term is None and request.prev_log_index < self.commit_index:
             # Older than the snapshot: what that includes is committed, and so it is the leader's as well.
             self._respond_to_append(request, True, self.commit_index)
-        elif prev_term != request.before_term:
-            self._respond_to_append(request, False, min(self.last_log_index, request.before - 1))
+        elif prev_term != request.prev_log_term:
+            self._respond_to_append(request, False, min(self.last_log_index, request.prev_log_index - 1))
         else:
             self._append_entries(request)
 
-    def _append_entries(self, request: Append) -> None:
-        save = self.persistent.missing_entries(request.before, request.entries)
+    def _append_entries(self, request: AppendEntries) -> None:
+        save = self.persistent.missing_entries(request.prev_log_index, request.entries)
         if save is not None:
             self._save(save)
-        match_index = request.before + len(request.entries)
-        self._commit_up_to(min(request.agreed, match_index))
+        match_index = request.prev_log_index + len(request.entries)
+        self._commit_up_to(min(request.leader_commit, match_index))
         self._respond_to_append(request, True, match_index)
 
-    def _on_install_snapshot(self, request: Install) -> None:
+    def _on_install_snapshot(self, request: InstallSnapshot) -> None:
         if request.term < self.persistent.current_term:
             self._respond_to_append(request, False, self.last_log_index)
             return
@@ -424,15 +433,20 @@
             self._restore_state(request.snapshot.state)
         self._respond_to_append(request, True, last_included_index)
 
-    def _follow_leader(self, request: Append | Install) -> None:
+    def _follow_leader(self, request: AppendEntries | InstallSnapshot) -> None:
         self._leader_contact_at = self._now
-        self._become_follower(request.term, request.name)
+        self._become_follower(request.term, request.leader_id)
 
-    def _respond_to_append(self, request: Append | Install, success: bool, index: int) -> None:
-        response = Appended(
-            self.persistent.current_term, self.name, self.persistent.disk_id, success, index, request.turn
+    def _respond_to_append(self, request: AppendEntries | InstallSnapshot, success: bool, index: int) -> None:
+        response = AppendEntriesResponse(
+            self.persistent.current_term,
+            self.name,
+            self.persistent.disk_id,
+            success,
+            index,
+            request.round_number,
         )
-        self._send(request.name, response)
+        self._send(request.leader_id, response)
 
 
 def _is_granted_pre_vote(message: RaftMessage) -> bool:
@@ -441,4 +455,4 @@
     Ignoring the rejected ones' terms too, two members asked each other for ever: one with the longer log and
     the lower term, the other the other way round.
     """
-    return isinstance(message, Voted) and message.ahead and message.given
+    return isinstance(message, RequestVoteResponse) and message.pre_vote and message.vote_granted
--- a/valverouter/rollout/raft_log.py
+++ b/valverouter/rollout/raft_log.py
@@ -17,24 +17,24 @@
 from msgspec import Struct
 
 
-class Members(Struct, frozen=True, tag="Members"):
+class Configuration(Struct, frozen=True, tag="Members", rename={"members": "disks"}):
     """The membership of the group, replicated as a log entry: pairs of a member's name and disk id."""
 
-    disks: tuple[tuple[str, int], ...]
+    members: tuple[tuple[str, int], ...]
 
     @property
     def names(self) -> list[str]:
         """The members' names, in the order in which they joined."""
-        return [name for name, _ in self.disks]
+        return [name for name, _ in self.members]
 
-    def has(self, name: str, disk_id: int) -> bool:
+    def contains(self, name: str, disk_id: int) -> bool:
         """Whether `name` is a member with this very disk."""
-        return (name, disk_id) in self.disks
+        return (name, disk_id) in self.members
 
     @property
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
         """The smallest number of members that is a majority."""
-        return len(self.disks) // 2 + 1
+        return len(self.members) // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 
     last_included_index: int
     last_included_term: int
-    configuration: Members
+    configuration: Configuration
     state: Any
 
 
@@ -92,7 +92,7 @@
     snapshot: Snapshot | None = None
     entries: list[LogEntry] = field(default_factory=list)
     # Searching the log at each question took half of a node's processor time. None: not known, search again.
-    _configuration: Members | None = field(default=None, compare=False, repr=False)
+    _configuration: Configuration | None = field(default=None, compare=False, repr=False)
 
     @property
     def first_index(self) -> int:
@@ -129,7 +129,7 @@
         return self.entries[start : None if limit is None else start + limit]
 
     @property
-    def configuration(self) -> Members:
+    def configuration(self) -> Configuration:
         """The newest membership in the log, committed or not.
 
         Using it before it is committed is safe: members change one at a time, so any majority of the former
@@ -145,13 +145,13 @@
         assert term is not None
         return Snapshot(index, term, self._configuration_up_to(index), state)
 
-    def _configuration_up_to(self, index: int) -> Members:
+    def _configuration_up_to(self, index: int) -> Configuration:
         entries = self.entries[: index + 1 - self.first_index]
         commands = (entry.command for entry in reversed(entries))
-        newest = next((command for command in commands if isinstance(command, Members)), None)
+        newest = next((command for command in commands if isinstance(command, Configuration)), None)
         if newest is not None:
             return newest
-        return self.snapshot.configuration if self.snapshot else Members(())
+        return self.snapshot.configuration if self.snapshot else Configuration(())
 
     def missing_entries(self, prev_index: int, entries: Sequence[LogEntry]) -> SaveEntries | None:
         """What has to be saved of `entries`, which follow `prev_index`; None: the log holds all of them.
--- a/valverouter/rollout/raft_messages.py
+++ b/valverouter/rollout/raft_messages.py
@@ -12,40 +12,40 @@
 from valverouter.rollout.raft_log import LogEntry, Snapshot
 
 
-class Vote(Struct, frozen=True, array_like=True, tag="Vote"):
+class RequestVote(Struct, frozen=True, array_like=True, tag="Vote"):
     """Asks for a vote in `term`. `ahead`: asks only whether it would be granted, and changes no term."""
 
     term: int
-    name: str
-    disk: int
-    last: int
-    last_term: int
-    ahead: bool = False
+    candidate_id: str
+    disk_id: int
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool = False
 
 
-class Voted(Struct, frozen=True, array_like=True, tag="Voted"):
+class RequestVoteResponse(Struct, frozen=True, array_like=True, tag="Voted"):
     """The answer to a request for a vote."""
 
     term: int
-    name: str
-    disk: int
-    given: bool
-    ahead: bool = False
+    voter_id: str
+    disk_id: int
+    vote_granted: bool
+    pre_vote: bool = False
 
 
-class Append(Struct, frozen=True, array_like=True, tag="Append"):
+class AppendEntries(Struct, frozen=True, array_like=True, tag="Append"):
     """Entries that follow the one at `before`; without entries a heartbeat."""
 
     term: int
-    name: str
-    before: int
-    before_term: int
+    leader_id: str
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[LogEntry, ...]
-    agreed: int
-    turn: int = 0
+    leader_commit: int
+    round_number: int = 0
 
 
-class Appended(Struct, frozen=True, array_like=True, tag="Appended"):
+class AppendEntriesResponse(Struct, frozen=True, array_like=True, tag="Appended"):
     """The answer to appended entries or a snapshot.
 
     `has`: where it succeeded, the last index at which the follower's log is known to be the leader's; where
@@ -53,20 +53,20 @@
     """
 
     term: int
-    name: str
-    disk: int
-    taken: bool
-    has: int
-    turn: int = 0
+    follower_id: str
+    disk_id: int
+    success: bool
+    match_index: int
+    round_number: int = 0
 
 
-class Install(Struct, frozen=True, array_like=True, tag="Install"):
+class InstallSnapshot(Struct, frozen=True, array_like=True, tag="Install"):
     """A snapshot in place of entries that the leader has compacted away."""
 
     term: int
-    name: str
+    leader_id: str
     snapshot: Snapshot
-    turn: int = 0
+    round_number: int = 0
 
 
-RaftMessage = Vote | Voted | Append | Appended | Install
+RaftMessage = RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot
--- a/valverouter/rollout/raft_progress.py
+++ b/valverouter/rollout/raft_progress.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from valverouter.rollout.raft_log import Members
+from valverouter.rollout.raft_log import Configuration
 
 
 @dataclass(slots=True)
@@ -31,11 +31,11 @@
     followers: dict[str, FollowerProgress] = field(default_factory=dict)
 
     @classmethod
-    def begin(cls, leader: str, configuration: Members, last_log_index: int, now: int) -> LeaderState:
+    def begin(cls, leader: str, configuration: Configuration, last_log_index: int, now: int) -> LeaderState:
         """A new leader assumes that every log is as long as its own, and that everyone is there."""
         return cls(leader, {name: FollowerProgress(last_log_index + 1, now) for name in configuration.names})
 
-    def change_members(self, configuration: Members, last_log_index: int, now: int) -> None:
+    def change_members(self, configuration: Configuration, last_log_index: int, now: int) -> None:
         """Takes a new membership over, whose entry is the one at `last_log_index`.
 
         Members that leave are forgotten: otherwise what a lost disk held would count for the empty disk that
@@ -47,29 +47,29 @@
         for name in names - self.followers.keys():
             self.followers[name] = FollowerProgress(last_log_index, now)
 
-    def is_quorum_in_contact(self, configuration: Members, now: int, timeout: int) -> bool:
+    def is_quorum_in_contact(self, configuration: Configuration, now: int, timeout: int) -> bool:
         """Whether a majority has answered within `timeout`."""
         in_contact = sum(
             name == self.leader or now - self.followers[name].last_response_at < timeout
             for name in configuration.names
         )
-        return in_contact >= configuration.majority
+        return in_contact >= configuration.quorum_size
 
-    def is_replicated(self, index: int, configuration: Members, last_log_index: int) -> bool:
+    def is_replicated(self, index: int, configuration: Configuration, last_log_index: int) -> bool:
         """Whether a majority has the entry at `index` on disk."""
         replicas = sum(
             index <= (last_log_index if name == self.leader else self.followers[name].match_index)
             for name in configuration.names
         )
-        return replicas >= configuration.majority
+        return replicas >= configuration.quorum_size
 
-    def acknowledged_round(self, configuration: Members, current_round: int) -> int:
+    def acknowledged_round(self, configuration: Configuration, current_round: int) -> int:
         """The highest round that a majority has answered."""
         rounds = [
             current_round if name == self.leader else self.followers[name].acknowledged_round
             for name in configuration.names
         ]
-        return sorted(rounds, reverse=True)[configuration.majority - 1]
+        return sorted(rounds, reverse=True)[configuration.quorum_size - 1]
 
     def on_response(self, name: str, round_number: int, now: int) -> FollowerProgress:
         """Notes that a member has answered, and returns its progress."""
--- a/valverouter/rollout/serialization.py
+++ b/valverouter/rollout/serialization.py
@@ -8,74 +8,83 @@
 from msgspec import Struct
 
 from valverouter.rollout.operations import Book, Command
-from valverouter.rollout.raft_log import LogEntry, Members, Snapshot
-from valverouter.rollout.raft_messages import Append, Appended, Install, RaftMessage, Vote, Voted
-
-
-class KeptEntry(Struct, frozen=True, array_like=True):
+from valverouter.rollout.raft_log import LogEntry, Configuration, Snapshot
+from valverouter.rollout.raft_messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    RaftMessage,
+    RequestVote,
+    RequestVoteResponse,
+)
+
+
+class StoredEntry(Struct, frozen=True, array_like=True):
     term: int
-    what: Command | Members | None
+    command: Command | Configuration | None
 
-    def entry(self) -> LogEntry:
-        return LogEntry(self.term, self.what)
+    def to_log_entry(self) -> LogEntry:
+        return LogEntry(self.term, self.command)
 
 
-class KeptSnapshot(Struct, frozen=True, array_like=True):
-    index: int
-    term: int
-    members: Members
+class StoredSnapshot(Struct, frozen=True, array_like=True):
+    last_included_index: int
+    last_included_term: int
+    configuration: Configuration
     state: Book
 
-    def snapshot(self) -> Snapshot:
-        return Snapshot(self.index, self.term, self.members, self.state)
+    def to_snapshot(self) -> Snapshot:
+        return Snapshot(self.last_included_index, self.last_included_term, self.configuration, self.state)
 
 
-class SentAppend(Struct, frozen=True, array_like=True, tag="SentAppend"):
+class WireAppendEntries(Struct, frozen=True, array_like=True, tag="SentAppend"):
     term: int
-    name: str
-    before: int
-    before_term: int
-    entries: tuple[KeptEntry, ...]
-    agreed: int
-    turn: int
+    leader_id: str
+    prev_log_index: int
+    prev_log_term: int
+    entries: tuple[StoredEntry, ...]
+    leader_commit: int
+    round_number: int
 
 
-class SentInstall(Struct, frozen=True, array_like=True, tag="SentInstall"):
+class WireInstallSnapshot(Struct, frozen=True, array_like=True, tag="SentInstall"):
     """Without the number of its round: sent again it is the same words, whose missing pieces follow."""
 
     term: int
-    name: str
-    snapshot: KeptSnapshot
+    leader_id: str
+    snapshot: StoredSnapshot
 
 
-WireMessage = Vote | Voted | Appended | SentAppend | SentInstall
+WireMessage = (
+    RequestVote | RequestVoteResponse | AppendEntriesResponse | WireAppendEntries | WireInstallSnapshot
+)
 
 
-def to_stored_entry(entry: LogEntry) -> KeptEntry:
-    return KeptEntry(entry.term, entry.command)
+def to_stored_entry(entry: LogEntry) -> StoredEntry:
+    return StoredEntry(entry.term, entry.command)
 
 
-def to_stored_snapshot(one: Snapshot) -> KeptSnapshot:
-    return KeptSnapshot(one.last_included_index, one.last_included_term, one.configuration, one.state)
+def to_stored_snapshot(one: Snapshot) -> StoredSnapshot:
+    return StoredSnapshot(one.last_included_index, one.last_included_term, one.configuration, one.state)
 
 
 def to_wire(message: RaftMessage) -> WireMessage:
     match message:
-        case Append(term, name, before, before_term, entries, agreed, turn):
+        case AppendEntries(term, name, before, before_term, entries, agreed, turn):
             kept = tuple(to_stored_entry(entry) for entry in entries)
-            return SentAppend(term, name, before, before_term, kept, agreed, turn)
-        case Install(term, name, snapshot):
-            return SentInstall(term, name, to_stored_snapshot(snapshot))
+            return WireAppendEntries(term, name, before, before_term, kept, agreed, turn)
+        case InstallSnapshot(term, name, snapshot):
+            return WireInstallSnapshot(term, name, to_stored_snapshot(snapshot))
         case _:
             return message
 
 
 def from_wire(message: WireMessage) -> RaftMessage:
     match message:
-        case SentAppend(term, name, before, before_term, entries, agreed, turn):
-            own = tuple(one.entry() for one in entries)
-            return Append(term, name, before, before_term, own, agreed, turn)
-        case SentInstall(term, name, snapshot):
-            return Install(term, name, snapshot.snapshot())
+        case WireAppendEntries(term, name, before, before_term, entries, agreed, turn):
+            own = tuple(one.to_log_entry() for one in entries)
+            return AppendEntries(term, name, before, before_term, own, agreed, turn)
+        case WireInstallSnapshot(term, name, snapshot):
+            return InstallSnapshot(term, name, snapshot.to_snapshot())
         case _:
             return message
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -72,9 +72,9 @@
     return Shown(
         seat=node.name,
         term=node.raft.persistent.current_term,
-        members=tuple(name for name, _ in node.raft.configuration.disks),
-        halted=log.register.halted,
-        units=tuple(_unit(log, node, now, name) for name in sorted(log.register.units)),
+        members=tuple(name for name, _ in node.raft.configuration.members),
+        halted=log.register.halt_reason,
+        units=tuple(_unit(log, node, now, name) for name in sorted(log.register.instances)),
         orders=tuple(
             Order(
                 one.id,
@@ -102,18 +102,18 @@
 
 
 def _unit(book: Book, seat: ControlPlaneNode, now: int, name: str) -> Unit:
-    unit, want = book.register.units[name], book.wants.get(name)
+    unit, want = book.register.instances[name], book.wants.get(name)
     seen = seat.orchestrator.readiness.observations.get(name) if seat.orchestrator else None
     state, number, order = "in", 0, ""
-    if name in book.register.out:
-        held = book.register.out[name]
+    if name in book.register.unavailable:
+        held = book.register.unavailable[name]
         state = "out" if held else "away"
-        number, order = (held.number, held.order) if held else (0, "")
+        number, order = (held.number, held.operation) if held else (0, "")
         if held and want is not None and not want.up:
             state = "drained"
     return Unit(
         name,
-        unit.sort.value,
+        unit.kind.value,
         unit.region,
         seen.report.version if seen else "",
         want.version if want else "",
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -17,7 +17,7 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.disruption_limits import Sort
+from valverouter.rollout.disruption_limits import InstanceKind
 from valverouter.rollout.operations import Want
 
 SECOND = 10**9
@@ -85,7 +85,7 @@
     """Who an instance is, as its keeper's terms say."""
 
     name: str
-    sort: Sort = Sort.EDGE
+    sort: InstanceKind = InstanceKind.EDGE
     region: str = ""
     capacity: int = 0
     processor: float = 0.0
@@ -256,7 +256,7 @@
         self.counters = counters
         if self._open and self.state.up and counters.serving and counters.ready and not self._refused:
             self._finish("done")
-            self._returns = self.state.turns[-1].number if self.info.sort is Sort.SERVER else 0
+            self._returns = self.state.turns[-1].number if self.info.sort is InstanceKind.SERVER else 0
 
     def shut_down(self) -> None:
         """The machine asks this keeper to go: obeyed, whatever the council says."""
@@ -285,7 +285,7 @@
                 self._returns = 0
                 return SupervisorAction.REJOIN_LIST
             return None
-        if self.info.sort is Sort.SERVER and not self.is_leaving and not self._left_list:
+        if self.info.sort is InstanceKind.SERVER and not self.is_leaving and not self._left_list:
             if self._leaving_list:
                 return None
             self._leaving_list = True
