--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -19,7 +19,7 @@
 from valverouter.audit.account import account, service
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
-from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance, plan_waves
+from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind, plan_waves
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -18,30 +18,30 @@
 from valverouter.ledger.store import LedgerBusyError, LedgerError
 from valverouter.rollout.disruption_limits import (
     DisruptionLimits,
-    InstanceKind,
     Instance,
+    InstanceKind,
     check_budget,
     find_unsatisfiable_limits,
     plan_waves,
 )
 from valverouter.rollout.disruption_permits import (
-    RequestPermit,
-    InstanceLost,
-    InstanceReturned,
-    PermitCommand,
     EnrollInstances,
     Fence,
     HaltDisruptions,
+    InstanceLost,
+    InstanceReturned,
     Permit,
+    PermitCommand,
     PermitRegister,
+    RequestPermit,
 )
-from valverouter.rollout.operations import Book
+from valverouter.rollout.operations import OperationLog
 from valverouter.rollout.permit_model import PLANTED_FAULTS, PermitModel
 from valverouter.rollout.permit_model import InvariantViolationError as ModelBroken
 from valverouter.rollout.raft import COMPACTION_THRESHOLD, ELECTION_TIMEOUT, RaftNode, Role
 from valverouter.rollout.raft_log import (
-    LogEntry,
     Configuration,
+    LogEntry,
     PersistentState,
     Save,
     SaveEntries,
@@ -535,7 +535,7 @@
 
 def test_what_is_committed_is_read_back_as_it_was_applied(tmp_path: Path) -> None:
     store, here = RaftStore(tmp_path, 7), PersistentState(7)
-    one = Book(register())
+    one = OperationLog(register())
     members = Configuration((("c0", 7), ("c1", 8)))
     steps: list[list[Save]] = [
         [
--- a/valverouter/emulator/councils.py
+++ b/valverouter/emulator/councils.py
@@ -15,18 +15,18 @@
 from dataclasses import dataclass
 from typing import Any
 
-from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance
+from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
 from valverouter.rollout.disruption_permits import (
-    RequestPermit,
-    InstanceLost,
-    InstanceReturned,
     EnrollInstances,
     Fence,
+    InstanceLost,
+    InstanceReturned,
     Permit,
     PermitRegister,
+    RequestPermit,
 )
 from valverouter.rollout.raft import ELECTION_TIMEOUT, SECOND, RaftNode, Role
-from valverouter.rollout.raft_log import LogEntry, Configuration, PersistentState, SaveEntries
+from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.raft_messages import RaftMessage
 from valverouter.servermodel.paths import PathFault, Paths
 
--- a/valverouter/rollout/disruption_permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -18,8 +18,8 @@
 from valverouter.rollout.disruption_limits import (
     BudgetExceeded,
     DisruptionLimits,
-    InstanceKind,
     Instance,
+    InstanceKind,
     check_budget,
 )
 
--- a/valverouter/rollout/permit_model.py
+++ b/valverouter/rollout/permit_model.py
@@ -22,14 +22,14 @@
 from dataclasses import dataclass, replace
 from itertools import combinations
 
-from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind, Instance
+from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
 from valverouter.rollout.disruption_permits import (
-    RequestPermit,
-    InstanceReturned,
     EnrollInstances,
     Fence,
+    InstanceReturned,
     Permit,
     PermitRegister,
+    RequestPermit,
 )
 
 PLANTED_FAULTS = ("fence", "lapse", "twice", "memory")
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from valverouter.rollout.raft_log import (
-    LogEntry,
     Configuration,
+    LogEntry,
     PersistentState,
     Save,
     SaveEntries,
--- a/valverouter/rollout/serialization.py
+++ b/valverouter/rollout/serialization.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.operations import Book, Command
-from valverouter.rollout.raft_log import LogEntry, Configuration, Snapshot
+from valverouter.rollout.operations import Command, OperationLog
+from valverouter.rollout.raft_log import Configuration, LogEntry, Snapshot
 from valverouter.rollout.raft_messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -31,7 +31,7 @@
     last_included_index: int
     last_included_term: int
     configuration: Configuration
-    state: Book
+    state: OperationLog
 
     def to_snapshot(self) -> Snapshot:
         return Snapshot(self.last_included_index, self.last_included_term, self.configuration, self.state)
