--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -31,9 +31,9 @@
 from valverouter.days.ordering import OrderRig, run_orders
 from valverouter.edge import logs
 from valverouter.emulator.rollouts import Broken, Rollout
-from valverouter.rollout.council import SECOND
-from valverouter.rollout.limits import Limits
+from valverouter.rollout.disruption_limits import DisruptionLimits
 from valverouter.rollout.operations import OperationKind, OperationPhase, Submit
+from valverouter.rollout.raft import SECOND
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
 from valverouter.terms.ini import IniFile
@@ -130,7 +130,9 @@
 def one_release(case: tuple[int, int, str, str]) -> tuple[bool, float, float]:
     """Whether it was halted, the share of dialogs harmed beyond the ordinary, and how long it took, s."""
     seed, instances, version, rule = case
-    limits = Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
+    limits = DisruptionLimits(
+        max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
+    )
     course = Rollout(seed, instances, limits, loss=0.0, watching=rule)
     place = Submit("r", OperationKind.RELEASE, tuple(sorted(course.fleet)), version)
     course.at(10 * SECOND, course.order, place)
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -31,14 +31,23 @@
 from valverouter.experiments.plan import Run
 from valverouter.fleet import asking, parcels, sealing, words
 from valverouter.ledger import store
-from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
 from valverouter.recovery import course, learnt
 from valverouter.regions import accounts
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
-from valverouter.rollout import council, limits, operations, permits, status, supervisor, written
+from valverouter.rollout import (
+    disruption_limits,
+    disruption_permits,
+    operations,
+    raft_log,
+    raft_messages,
+    serialization,
+    status,
+    supervisor,
+)
 from valverouter.signalling import framing, greeting, serverlist, setup, tap
 from valverouter.terms import calls
 
@@ -147,17 +156,20 @@
 # Orders and permits
 
 UNITS = (
-    limits.Unit("e5", limits.Sort.EDGE, "east", 199, 1.5),
-    limits.Unit("s6", limits.Sort.SERVER, "west", 211, 2.5),
+    disruption_limits.Instance("e5", disruption_limits.InstanceKind.EDGE, "east", 199, 1.5),
+    disruption_limits.Instance("s6", disruption_limits.InstanceKind.SERVER, "west", 211, 2.5),
 )
-LIMITS = limits.Limits(4, 2, {"east": 1}, 0.25, 0.75)
+LIMITS = disruption_limits.DisruptionLimits(4, 2, {"east": 1}, 0.25, 0.75)
 
 PERMIT_COMMANDS: dict[str, Any] = {
-    "ask": permits.Ask("o1/e5", "e5", "o1"),
-    "back": permits.Back("e8", 223),
-    "away": permits.Away("e10"),
-    "enrol": permits.Enrol(UNITS, ((limits.Sort.SERVER, LIMITS), (limits.Sort.EDGE, LIMITS))),
-    "halt": permits.Halt("as asked", True),
+    "ask": disruption_permits.RequestPermit("o1/e5", "e5", "o1"),
+    "back": disruption_permits.InstanceReturned("e8", 223),
+    "away": disruption_permits.InstanceLost("e10"),
+    "enrol": disruption_permits.EnrollInstances(
+        UNITS,
+        ((disruption_limits.InstanceKind.SERVER, LIMITS), (disruption_limits.InstanceKind.EDGE, LIMITS)),
+    ),
+    "halt": disruption_permits.HaltDisruptions("as asked", True),
 }
 ORDER_COMMANDS: dict[str, Any] = {
     "place": operations.Submit("o2", operations.OperationKind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
@@ -168,9 +180,9 @@
     "retire": operations.Retire("e13"),
 }
 COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
-MEMBERS = council.Members((("c1", 241), ("c2", 251)))
+MEMBERS = raft_log.Configuration((("c1", 241), ("c2", 251)))
 WANT = operations.DesiredState("v8", False, 257, 1, "o6")
-PERMIT = permits.Permit(263, "e14", "o7")
+PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
 def member(step: operations.StepStatus = operations.StepStatus.OUT) -> operations.Participant:
@@ -190,11 +202,14 @@
     phases = list(operations.OperationPhase)
     kinds = [list(operations.OperationKind)[at % len(operations.OperationKind)] for at in range(len(phases))]
     placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
-    register = permits.Register(
+    register = disruption_permits.PermitRegister(
         {unit.name: unit for unit in UNITS},
-        {limits.Sort.EDGE: LIMITS, limits.Sort.SERVER: LIMITS},
+        {disruption_limits.InstanceKind.EDGE: LIMITS, disruption_limits.InstanceKind.SERVER: LIMITS},
         {"e14": PERMIT, "e10": None},
-        {"o7/e14": permits.Answer("o7/e14", PERMIT, "given"), "o7/e15": permits.Answer("o7/e15", None, "no")},
+        {
+            "o7/e14": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
+            "o7/e15": disruption_permits.PermitDecision("o7/e15", None, "no"),
+        },
         "until noon",
     )
     return operations.OperationLog(
@@ -205,31 +220,33 @@
 # The council
 
 
-def entries() -> tuple[council.Entry, ...]:
+def entries() -> tuple[raft_log.LogEntry, ...]:
     """One of each command, the members, and a leader's first word."""
     what = [*COMMANDS.values(), MEMBERS, None]
-    return tuple(council.Entry(281 + at, one) for at, one in enumerate(what))
+    return tuple(raft_log.LogEntry(281 + at, one) for at, one in enumerate(what))
 
 
-def snapshot() -> council.Snapshot:
-    return council.Snapshot(283, 280, MEMBERS, book())
+def snapshot() -> raft_log.Snapshot:
+    return raft_log.Snapshot(283, 280, MEMBERS, book())
 
 
-def kept_entries() -> tuple[written.KeptEntry, ...]:
-    return tuple(written.kept_entry(entry) for entry in entries())
+def kept_entries() -> tuple[serialization.StoredEntry, ...]:
+    return tuple(serialization.to_stored_entry(entry) for entry in entries())
 
 
 COUNCIL: dict[str, Any] = {
-    "vote": council.Vote(293, "c1", 307, 311, 313, True),
-    "voted": council.Voted(317, "c2", 331, True, True),
-    "appended": council.Appended(337, "c3", 347, True, 349, 353),
-    "append": written.sent(council.Append(359, "c4", 367, 373, entries(), 379, 383)),
-    "install": written.sent(council.Install(389, "c5", snapshot())),
+    "vote": raft_messages.RequestVote(293, "c1", 307, 311, 313, True),
+    "voted": raft_messages.RequestVoteResponse(317, "c2", 331, True, True),
+    "appended": raft_messages.AppendEntriesResponse(337, "c3", 347, True, 349, 353),
+    "append": serialization.to_wire(raft_messages.AppendEntries(359, "c4", 367, 373, entries(), 379, 383)),
+    "install": serialization.to_wire(raft_messages.InstallSnapshot(389, "c5", snapshot())),
 }
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = supervisor.InstanceInfo("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
+FACTS = supervisor.InstanceInfo(
+    "e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12")
+)
 REPORT = supervisor.SupervisorReport(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
 MEMORY = supervisor.SupervisorState(
     "v13",
@@ -482,10 +499,10 @@
         "fleet.envelope": sealing.Envelope(3, MEMBERSHIP["ping"]),
         "fleet.posted": sealing.Posted(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
-        "council.snapshot": written.kept_snapshot(snapshot()),
+        "council.snapshot": serialization.to_stored_snapshot(snapshot()),
         "orders.placed": PLACED,
         "orders.shown": TOOL_PAGE,
-        "permits.answer": permits.Answer("o7/e14", PERMIT, "given"),
+        "permits.answer": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
         "keeper.memory": MEMORY,
         "keeper.report": REPORT,
         **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in course.Phase},
@@ -524,7 +541,7 @@
         "orders.kind": operations.OperationKind,
         "orders.phase": operations.OperationPhase,
         "orders.step": operations.StepStatus,
-        "limits.sort": limits.Sort,
+        "limits.sort": disruption_limits.InstanceKind,
         "ledger.phase": course.Phase,
     }
 
@@ -538,11 +555,12 @@
     parcels,
     sealing,
     words,
-    limits,
-    permits,
+    disruption_limits,
+    disruption_permits,
     operations,
-    council,
-    written,
+    raft_log,
+    raft_messages,
+    serialization,
     supervisor,
     status,
     course,
@@ -569,7 +587,13 @@
 
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
-NEVER_WRITTEN = (messages.Said, setup.OfLeg, greeting._Kind, council.Append, council.Install)
+NEVER_WRITTEN = (
+    messages.Said,
+    setup.OfLeg,
+    greeting._Kind,
+    raft_messages.AppendEntries,
+    raft_messages.InstallSnapshot,
+)
 
 TAGS: dict[type[msgspec.Struct], str] = {
     messages.Said: "Said",
@@ -591,25 +615,25 @@
     words.Worded: "w",
     words.Asks: "q",
     words.Tells: "t",
-    permits.Ask: "Ask",
-    permits.Back: "Back",
-    permits.Away: "Away",
-    permits.Enrol: "Enrol",
-    permits.Halt: "Halt",
+    disruption_permits.RequestPermit: "Ask",
+    disruption_permits.InstanceReturned: "Back",
+    disruption_permits.InstanceLost: "Away",
+    disruption_permits.EnrollInstances: "Enrol",
+    disruption_permits.HaltDisruptions: "Halt",
     operations.Submit: "Place",
     operations.StepReported: "Went",
     operations.Advance: "Next",
     operations.Cancel: "Stop",
     operations.InstanceReported: "Runs",
     operations.Retire: "Retire",
-    council.Members: "Members",
-    council.Vote: "Vote",
-    council.Voted: "Voted",
-    council.Append: "Append",
-    council.Appended: "Appended",
-    council.Install: "Install",
-    written.SentAppend: "SentAppend",
-    written.SentInstall: "SentInstall",
+    raft_log.Configuration: "Members",
+    raft_messages.RequestVote: "Vote",
+    raft_messages.RequestVoteResponse: "Voted",
+    raft_messages.AppendEntries: "Append",
+    raft_messages.AppendEntriesResponse: "Appended",
+    raft_messages.InstallSnapshot: "Install",
+    serialization.WireAppendEntries: "SentAppend",
+    serialization.WireInstallSnapshot: "SentInstall",
     greeting.Hello: "hello",
     greeting.Welcome: "welcome",
     greeting.Error: "error",
@@ -671,13 +695,13 @@
 
 
 def write_council(folder: Path) -> None:
-    with closing(CouncilStore(folder, 997)) as durable:
-        first = snapshot().index + 1
+    with closing(RaftStore(folder, 997)) as durable:
+        first = snapshot().last_included_index + 1
         durable.commit(
             [
-                council.SaveTerm(1009, "c2"),
-                council.SaveSnapshot(snapshot()),
-                council.SaveEntries(first, entries()),
+                raft_log.SaveTerm(1009, "c2"),
+                raft_log.SaveSnapshot(snapshot()),
+                raft_log.SaveEntries(first, entries()),
             ]
         )
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,8 +11,15 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.rollouts import VERSIONS, Broken, Rollout
-from valverouter.rollout.council import Members
-from valverouter.rollout.limits import Limits, Sort, Unit
+from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
+from valverouter.rollout.disruption_permits import (
+    EnrollInstances,
+    HaltDisruptions,
+    InstanceLost,
+    InstanceReturned,
+    PermitDecision,
+    RequestPermit,
+)
 from valverouter.rollout.operations import (
     ACTIVE_PHASES,
     Advance,
@@ -31,9 +38,10 @@
     evaluation_waves,
 )
 from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
-from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt
+from valverouter.rollout.raft_log import Configuration
 from valverouter.rollout.readiness import ReadinessTracker
 from valverouter.rollout.sequential_test import SequentialTestConfig
+from valverouter.rollout.serialization import StoredSnapshot
 from valverouter.rollout.supervisor import (
     InstanceCounters,
     InstanceInfo,
@@ -42,20 +50,21 @@
     SupervisorReport,
     SupervisorState,
 )
-from valverouter.rollout.written import KeptSnapshot
 
 SECOND = 10**9
-LIMITS = Limits(most=2, in_region=1)
+LIMITS = DisruptionLimits(max_unavailable=2, max_unavailable_per_region=1)
 
 
 class Record:
     """A book with the number of the next command."""
 
-    def __init__(self, count: int = 6, limits: Limits = LIMITS) -> None:
+    def __init__(self, count: int = 6, limits: DisruptionLimits = LIMITS) -> None:
         self.book = OperationLog()
         self.number = 0
-        units = tuple(Unit(f"e{at}", Sort.EDGE, ("north", "south")[at % 2], 100) for at in range(count))
-        self.says(Enrol(units, ((Sort.EDGE, limits),)))
+        units = tuple(
+            Instance(f"e{at}", InstanceKind.EDGE, ("north", "south")[at % 2], 100) for at in range(count)
+        )
+        self.says(EnrollInstances(units, ((InstanceKind.EDGE, limits),)))
         for unit in units:
             self.says(InstanceReported(unit.name, "v1", ("v1", "v2")))
 
@@ -69,8 +78,8 @@
         return placed
 
     def leave(self, order: str, name: str, try_: int = 0) -> int:
-        answer = self.says(Ask(f"{order}/{name}/{try_}", name, order))
-        assert isinstance(answer, Answer) and answer.permit is not None, answer
+        answer = self.says(RequestPermit(f"{order}/{name}/{try_}", name, order))
+        assert isinstance(answer, PermitDecision) and answer.permit is not None, answer
         return answer.permit.number
 
     def step(self, order: str, name: str) -> StepStatus:
@@ -89,7 +98,7 @@
     first = placed.waves[0][0]
     number = record.leave("r", first)
     assert record.book.desired[first] == DesiredState("v2", True, number, 0, "r")
-    record.says(Back(first, number))
+    record.says(InstanceReturned(first, number))
     assert (order.phase, record.step("r", first)) == (OperationPhase.EVALUATING, StepStatus.DONE)
     record.says(Advance("r", 5))
     assert order.phase is OperationPhase.EVALUATING, "of another wave"
@@ -137,10 +146,10 @@
     assert "order a is not done" in record.place("b", OperationKind.RESTART, "e0", "e1").rejection
     assert not record.place("c", OperationKind.RESTART, "e2").rejection
     assert record.book.operations["c"].phase is OperationPhase.QUEUED
-    answer = record.says(Ask("c/e2/0", "e2", "c"))
+    answer = record.says(RequestPermit("c/e2/0", "e2", "c"))
     assert answer.permit is None, "not its turn"
     number = record.leave("a", "e0")
-    record.says(Back("e0", number))
+    record.says(InstanceReturned("e0", number))
     assert record.book.operations["a"].result == "done"
     assert record.book.active_operation is record.book.operations["c"]
 
@@ -149,7 +158,7 @@
     record = Record()
     record.place("a", OperationKind.RESTART, "e0")
     number = record.leave("a", "e0")
-    record.says(Back("e0", number))
+    record.says(InstanceReturned("e0", number))
     again = record.place("a", OperationKind.RESTART, "e0")
     assert again.waves == (("e0",),) and record.book.operations["a"].result == "done"
     assert record.book.active_operation is None
@@ -161,7 +170,7 @@
     waves = record.place("r", OperationKind.RELEASE, *names, version="v2").waves
     first, second = waves[0][0], waves[1][0]
     one = record.leave("r", first)
-    record.says(Back(first, one))
+    record.says(InstanceReturned(first, one))
     record.says(Advance("r", 0))
     two = record.leave("r", second)
     record.says(Cancel("r", "harm"))
@@ -169,14 +178,14 @@
     assert order.phase is OperationPhase.ROLLING_BACK
     assert record.book.desired[second] == DesiredState("v1", True, two, 1, "r"), "by its permit's second step"
     assert record.step("r", first) is StepStatus.ROLLBACK_PENDING
-    late = record.says(Ask("r/e5/0", "e5", "r"))
+    late = record.says(RequestPermit("r/e5/0", "e5", "r"))
     assert late.permit is None, "nothing further goes out"
-    twice = record.says(Ask(f"r/{first}/0", first, "r"))
+    twice = record.says(RequestPermit(f"r/{first}/0", first, "r"))
     assert twice.permit.number == one and record.step("r", first) is StepStatus.ROLLBACK_PENDING, "told again"
     three = record.leave("r", first, 1)
     assert record.book.desired[first] == DesiredState("v1", True, three, 1, "r")
-    record.says(Back(second, two))
-    record.says(Back(first, three))
+    record.says(InstanceReturned(second, two))
+    record.says(InstanceReturned(first, three))
     assert order.result == "halted"
     assert {member.status for member in order.participants.values()} == {
         StepStatus.ROLLED_BACK,
@@ -189,26 +198,26 @@
     record = Record()
     waves = record.place("r", OperationKind.RELEASE, "e0", "e1", "e2", version="v2").waves
     first = waves[0][0]
-    record.says(Back(first, record.leave("r", first)))
-    record.says(Away(first))
+    record.says(InstanceReturned(first, record.leave("r", first)))
+    record.says(InstanceLost(first))
     record.says(Cancel("r", "it ends by itself"))
     number = record.leave("r", first, 1)
     assert record.book.desired[first] == DesiredState("v1", True, number, 1, "r")
-    assert record.book.permits.out[first] is not None
+    assert record.book.permits.unavailable[first] is not None
 
 
 def test_a_drained_one_stays_out_whatever_its_program_does() -> None:
     record = Record()
     record.place("d", OperationKind.DRAIN, "e0")
     number = record.leave("d", "e0")
-    record.says(Back("e0", number))
-    assert "e0" in record.book.permits.out
+    record.says(InstanceReturned("e0", number))
+    assert "e0" in record.book.permits.unavailable
     record.says(StepReported("d", "e0", number, StepStatus.DRAINED))
     assert record.book.operations["d"].result == "done"
     record.place("u", OperationKind.UNDRAIN, "e0")
     assert record.book.desired["e0"] == DesiredState("v1", True, number, 1, "u")
-    record.says(Back("e0", number))
-    assert record.book.operations["u"].result == "done" and "e0" not in record.book.permits.out
+    record.says(InstanceReturned("e0", number))
+    assert record.book.operations["u"].result == "done" and "e0" not in record.book.permits.unavailable
 
 
 def test_one_not_reached_is_left_out_and_one_retired_holds_nothing_up() -> None:
@@ -221,7 +230,7 @@
     assert record.step("a", waves[1][0]) is StepStatus.OUT, "with leave it may have gone out: unknown"
     record.says(Retire(waves[1][0]))
     assert record.book.operations["a"].result == "in part"
-    assert waves[1][0] not in record.book.permits.units
+    assert waves[1][0] not in record.book.permits.instances
 
 
 def test_a_council_founded_anew_gives_no_number_again_and_takes_the_drained_over() -> None:
@@ -229,14 +238,14 @@
     record.number = 3  # it is young, and keepers have seen higher numbers
     record.says(Retire("e0"))
     record.says(Retire("e1"))
-    units = (Unit("e0", Sort.EDGE, "north", 100), Unit("e1", Sort.EDGE, "south", 100))
-    record.says(Enrol(units))
+    units = (Instance("e0", InstanceKind.EDGE, "north", 100), Instance("e1", InstanceKind.EDGE, "south", 100))
+    record.says(EnrollInstances(units))
     record.says(InstanceReported("e0", "v2", ("v1", "v2"), 900, 0, True))
     record.says(InstanceReported("e1", "v1", ("v1", "v2"), 950, 0, False))
     assert record.book.desired["e0"] == DesiredState("v2", True, 900, 0)
     record.place("u", OperationKind.UNDRAIN, "e1")
     assert record.book.desired["e1"] == DesiredState("v1", True, 950, 1, "u")
-    record.says(Back("e1", 950))
+    record.says(InstanceReturned("e1", 950))
     assert record.book.operations["u"].result == "done"
     record.place("a", OperationKind.RESTART, "e0")
     assert record.leave("a", "e0") > 950
@@ -244,9 +253,9 @@
 
 def test_a_halt_of_the_fleet_takes_no_orders() -> None:
     record = Record()
-    record.says(Halt("by hand"))
+    record.says(HaltDisruptions("by hand"))
     assert record.place("a", OperationKind.RESTART, "e0").rejection == "halted: by hand"
-    record.says(Halt("", over=True))
+    record.says(HaltDisruptions("", lifted=True))
     assert not record.place("a", OperationKind.RESTART, "e0").rejection
 
 
@@ -254,8 +263,8 @@
     record = Record()
     record.place("r", OperationKind.RELEASE, "e0", "e1", version="v2")
     record.leave("r", record.book.operations["r"].waves[0][0])
-    kept = KeptSnapshot(3, 1, Members(()), record.book)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(kept), type=KeptSnapshot).state == record.book
+    kept = StoredSnapshot(3, 1, Configuration(()), record.book)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(kept), type=StoredSnapshot).state == record.book
 
 
 NAMES = [f"e{at}" for at in range(6)]
@@ -264,13 +273,13 @@
 told = st.one_of(
     st.builds(Submit, orders, st.sampled_from(OperationKind), names, st.sampled_from(["v1", "v2"])),
     st.builds(
-        lambda order, name, back, at: Ask(f"{order}/{name}{back}/{at}", name, order),
+        lambda order, name, back, at: RequestPermit(f"{order}/{name}{back}/{at}", name, order),
         orders,
         st.sampled_from(NAMES),
         st.sampled_from(["", "/back"]),
         st.integers(0, 3),
     ),
-    st.builds(Back, st.sampled_from(NAMES), st.integers(0, 60)),
+    st.builds(InstanceReturned, st.sampled_from(NAMES), st.integers(0, 60)),
     # Of whoever is out, as it would be told: drawn numbers alone rarely meet one.
     st.builds(lambda name: ("back", name), st.sampled_from(NAMES)),
     st.builds(
@@ -282,8 +291,8 @@
     st.builds(StepReported, orders, st.sampled_from(NAMES), st.integers(0, 60), st.sampled_from(StepStatus)),
     st.builds(Advance, orders, st.integers(0, 5)),
     st.builds(Cancel, st.sampled_from(["", "a", "b", "c"]), st.just("why"), st.booleans()),
-    st.builds(Away, st.sampled_from(NAMES)),
-    st.builds(Halt, st.just("why"), st.booleans()),
+    st.builds(InstanceLost, st.sampled_from(NAMES)),
+    st.builds(HaltDisruptions, st.just("why"), st.booleans()),
     st.builds(Retire, st.sampled_from(NAMES)),
 )
 
@@ -297,24 +306,26 @@
     for command in commands:
         if isinstance(command, tuple):
             name = command[-1] if command[0] == "back" else command[2]
-            held = book.permits.out.get(name)
+            held = book.permits.unavailable.get(name)
             number = held.number if held else 0
             command = (
-                Back(name, number)
+                InstanceReturned(name, number)
                 if command[0] == "back"
                 else StepReported(command[1], name, number, command[3])
             )
-        before = set(book.permits.out)
+        before = set(book.permits.unavailable)
         record.says(command)
-        permits = [name for name, held in book.permits.out.items() if held is not None]
-        units = {name: unit for name, unit in book.permits.units.items() if name in permits}
-        grew = len(set(book.permits.out) - before)
-        if isinstance(command, Ask) and grew:
-            assert len(book.permits.out) <= LIMITS.most, "leave was given past what may be out"
+        permits = [name for name, held in book.permits.unavailable.items() if held is not None]
+        units = {name: unit for name, unit in book.permits.instances.items() if name in permits}
+        grew = len(set(book.permits.unavailable) - before)
+        if isinstance(command, RequestPermit) and grew:
+            assert len(book.permits.unavailable) <= LIMITS.max_unavailable, (
+                "leave was given past what may be out"
+            )
             for region in ("north", "south"):
-                away = [n for n in book.permits.out if book.permits.units[n].region == region]
+                away = [n for n in book.permits.unavailable if book.permits.instances[n].region == region]
                 here = [n for n in away if units.get(n) and n == command.name]
-                assert not here or len(away) <= LIMITS.in_region
+                assert not here or len(away) <= LIMITS.max_unavailable_per_region
         for name, want in book.desired.items():
             assert want.step_id >= turns[name], "what is wanted goes back to a former turn"
             turns[name] = want.step_id
@@ -328,7 +339,7 @@
         assert busy or not waiting, "one waits and none goes"
         for order in book.operations.values():
             for name, member in order.participants.items():
-                held = book.permits.out.get(name)
+                held = book.permits.unavailable.get(name)
                 if order.phase is not OperationPhase.ENDED and member.status in (
                     StepStatus.OUT,
                     StepStatus.FAILED,
@@ -521,16 +532,16 @@
 
 
 def conducted(record: Record, **rules: Any) -> Orchestrator:
-    return Orchestrator(OrchestratorConfig({Sort.EDGE: LIMITS}, **rules), random.Random(1).random, 0)
+    return Orchestrator(OrchestratorConfig({InstanceKind.EDGE: LIMITS}, **rules), random.Random(1).random, 0)
 
 
 def all_report(one: Orchestrator, record: Record, now: int, **counts: Any) -> None:
-    for name, unit in record.book.permits.units.items():
+    for name, unit in record.book.permits.instances.items():
         want = record.book.desired[name]
         told = InstanceCounters(
             incarnation=1, serving=True, ready=True, view_health=counts.get("trust", "settled")
         )
-        facts = InstanceInfo(name, unit.sort, unit.region, unit.capacity, 0.0, ("v1", "v2"))
+        facts = InstanceInfo(name, unit.kind, unit.region, unit.capacity, 0.0, ("v1", "v2"))
         done = "done" if want.fencing_token else ""
         one.record_report(
             now,
@@ -547,10 +558,10 @@
     assert one.next_commands(3 * SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
     one.readiness.forget(["e3"])
-    assert one.next_commands(5 * SECOND, record.book) == [Away("e3")]
-    record.says(Away("e3"))
+    assert one.next_commands(5 * SECOND, record.book) == [InstanceLost("e3")]
+    record.says(InstanceLost("e3"))
     all_report(one, record, 5 * SECOND)
-    assert one.next_commands(5 * SECOND, record.book) == [Back("e3", 0)]
+    assert one.next_commands(5 * SECOND, record.book) == [InstanceReturned("e3", 0)]
 
 
 def test_an_unsettled_view_takes_nothing_out_and_halts_in_the_end() -> None:
@@ -560,7 +571,7 @@
     all_report(one, record, SECOND, trust="unsettled")
     assert one.next_commands(SECOND, record.book) == []
     all_report(one, record, 4 * SECOND)
-    assert [type(command) for command in one.next_commands(4 * SECOND, record.book)] == [Ask]
+    assert [type(command) for command in one.next_commands(4 * SECOND, record.book)] == [RequestPermit]
     all_report(one, record, 5 * SECOND, trust="unsettled")
     one.next_commands(5 * SECOND, record.book)
     all_report(one, record, 11 * SECOND, trust="unsettled")
@@ -579,8 +590,8 @@
 def test_too_few_dialogs_are_no_leave_to_go_on() -> None:
     record = Record()
     one = conducted(record, sequential_test=SequentialTestConfig(min_pairs=10))
-    waves = record.place("r", OperationKind.RELEASE, *record.book.permits.units, version="v2").waves
-    record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
+    waves = record.place("r", OperationKind.RELEASE, *record.book.permits.instances, version="v2").waves
+    record.says(InstanceReturned(waves[0][0], record.leave("r", waves[0][0])))
     for at in range(1, 300):
         all_report(one, record, at * SECOND)
         assert one.next_commands(at * SECOND, record.book) == []
@@ -589,8 +600,8 @@
 def test_a_release_that_holds_far_more_memory_is_halted() -> None:
     record = Record()
     one = conducted(record)
-    waves = record.place("r", OperationKind.RELEASE, *record.book.permits.units, version="v2").waves
-    record.says(Back(waves[0][0], record.leave("r", waves[0][0])))
+    waves = record.place("r", OperationKind.RELEASE, *record.book.permits.instances, version="v2").waves
+    record.says(InstanceReturned(waves[0][0], record.leave("r", waves[0][0])))
     for more, halts in ((0, False), (40, False), (200, True)):
         all_report(one, record, SECOND)
         for name, seen in one.readiness.observations.items():
@@ -603,7 +614,7 @@
 
 
 def test_limits_that_no_order_could_meet_refuse_all() -> None:
-    record = Record(limits=Limits(6, 3))
+    record = Record(limits=DisruptionLimits(6, 3))
     assert (
         record.place("a", OperationKind.RESTART, "e0").rejection
         == "by these limits: all 6 edge proxies may be out at once"
@@ -655,11 +666,11 @@
     number = record.leave("d", "e0")
     record.says(StepReported("d", "e0", number, StepStatus.DRAINED))
     record.place("a", OperationKind.RESTART, "e2")
-    refused = record.says(Ask("a/e2/0", "e2", "a"))
-    assert refused.permit is None and "of d" in refused.why
+    refused = record.says(RequestPermit("a/e2/0", "e2", "a"))
+    assert refused.permit is None and "of d" in refused.rejection
     record.place("u", OperationKind.UNDRAIN, "e0")
     assert record.book.desired["e0"].step_id == (number, 1)
-    record.says(Back("e0", number))
+    record.says(InstanceReturned("e0", number))
     assert record.book.operations["u"].result == "done"
     record.leave("a", "e2", 1)
 
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -28,12 +28,12 @@
 from valverouter.fleet.sealing import MOST, Opener, Posted, Seal
 from valverouter.fleet.tool import CouncilAsker
 from valverouter.fleet.words import Asks, Here, Word
-from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.store import LedgerBusyError
 from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
-from valverouter.rollout.limits import Sort, Unit
+from valverouter.rollout.disruption_limits import Instance, InstanceKind
+from valverouter.rollout.disruption_permits import EnrollInstances
 from valverouter.rollout.operations import DesiredState, InstanceReported, OperationKind, Submit, SubmitResult
-from valverouter.rollout.permits import Enrol
 from valverouter.rollout.status import FleetStatus
 from valverouter.rollout.supervisor import (
     InstanceCounters,
@@ -235,16 +235,16 @@
     """Shown anew at each question, with other spans in it, the pieces of two answers never made one."""
     text = SEAT.replace(", c1 127.0.0.1:7001, c2 127.0.0.1:7002", "").replace("7000", str(free_port()))
     terms = load_seat(written(tmp_path, text))
-    store = CouncilStore(terms.store, 7)
+    store = RaftStore(terms.store, 7)
     task = SeatTask(terms, Sockets(), store, found=True)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
         with trio.fail_after(5):
-            while not task.seat.raft.confirmed:
+            while not task.seat.raft.confirmed_round:
                 await trio.sleep(0.05)
         names = [f"edge-{at}" for at in range(900)]
-        units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
-        assert task.seat.propose(round(trio.current_time() * 1e9), Enrol(units))
+        units = tuple(Instance(name, InstanceKind.EDGE, "north", 100) for name in names)
+        assert task.seat.propose(round(trio.current_time() * 1e9), EnrollInstances(units))
         for name in names:
             task.seat.propose(round(trio.current_time() * 1e9), InstanceReported(name, "v1", ("v1", "v2")))
         socket = Sockets().datagrams("127.0.0.1:0")
@@ -315,7 +315,9 @@
 
 
 def server() -> Supervisor:
-    one = Supervisor(InstanceInfo("s0", Sort.SERVER, available_versions=("v1", "v2")), SupervisorState("v1"))
+    one = Supervisor(
+        InstanceInfo("s0", InstanceKind.SERVER, available_versions=("v1", "v2")), SupervisorState("v1")
+    )
     assert one.next_action(0) is SupervisorAction.START
     one.on_started(0, "v1")
     one.on_saved()
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -15,11 +15,11 @@
 import pytest
 
 from tests import stored_values
-from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.store import Ledger
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.recovery import course
-from valverouter.rollout.council import Durable
+from valverouter.rollout.raft_log import PersistentState
 from valverouter.signalling import tap
 from valverouter.terms.calls import read_calls
 from valverouter.terms.ini import IniFile
@@ -53,8 +53,8 @@
 
 
 def test_a_councils_store_of_before_gives_its_record_back(tmp_path: Path) -> None:
-    with closing(CouncilStore(copied_store("council", tmp_path), 1)) as store:
-        assert store.load() == Durable(
+    with closing(RaftStore(copied_store("council", tmp_path), 1)) as store:
+        assert store.load() == PersistentState(
             997, 1009, "c2", stored_values.snapshot(), list(stored_values.entries())
         )
 
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -23,8 +23,8 @@
 import msgspec
 
 from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
-from valverouter.rollout.council import SECOND, Durable, Entry, Members, SaveEntries
-from valverouter.rollout.limits import Limits, Sort
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
+from valverouter.rollout.disruption_permits import InstanceReturned
 from valverouter.rollout.operations import (
     Advance,
     Cancel,
@@ -39,7 +39,8 @@
     split_by_version,
 )
 from valverouter.rollout.orchestrator import CanaryWindow, Orchestrator, OrchestratorConfig
-from valverouter.rollout.permits import Back
+from valverouter.rollout.raft import SECOND
+from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
 from valverouter.rollout.supervisor import (
     InstanceCounters,
@@ -66,7 +67,7 @@
     """A seat's: its disk outlives it. `seat` None: it is down."""
 
     name: str
-    durable: Durable
+    durable: PersistentState
     seat: ControlPlaneNode | None = None
     stopped_until: int = 0
     life: int = 0
@@ -175,7 +176,7 @@
         self,
         seed: int,
         instances: int = 12,
-        limits: Limits | None = None,
+        limits: DisruptionLimits | None = None,
         loss: float = 0.02,
         rules: OrchestratorConfig | None = None,
         plant: str = "",
@@ -185,9 +186,11 @@
         self._watching = watching
         self.chance = random.Random(f"rollout/{seed}")
         self.plant = plant
-        self.limits = limits or Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
+        self.limits = limits or DisruptionLimits(
+            max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
+        )
         self.rules = rules or OrchestratorConfig(
-            {Sort.EDGE: self.limits},
+            {InstanceKind.EDGE: self.limits},
             sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
             max_unsettled=10 * SECOND,
         )
@@ -196,12 +199,14 @@
         self.harmed = 0
         self.served = 0
         disks = tuple((f"c{at}", self.chance.getrandbits(64)) for at in range(3))
-        self.seats = {name: Machine(name, Durable(disk)) for name, disk in disks}
+        self.seats = {name: Machine(name, PersistentState(disk)) for name, disk in disks}
         for one in self.seats.values():
-            one.durable.apply(SaveEntries(1, (Entry(1, Members(disks)),)))
+            one.durable.apply(SaveEntries(1, (LogEntry(1, Configuration(disks)),)))
         self.fleet: dict[str, Instance] = {}
         for at in range(instances):
-            facts = InstanceInfo(f"e{at}", Sort.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
+            facts = InstanceInfo(
+                f"e{at}", InstanceKind.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS
+            )
             self.fleet[facts.name] = Instance(facts, msgspec.msgpack.encode(SupervisorState("v1")))
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
@@ -256,9 +261,9 @@
     def _lapses(self, seat: ControlPlaneNode) -> None:
         """Planted: out becomes in by time."""
         assert seat.orchestrator is not None
-        for name, held in list(seat.operation_log.permits.out.items()):
+        for name, held in list(seat.operation_log.permits.unavailable.items()):
             if held is not None and self.chance.random() < 0.02:
-                seat.propose(self.now, Back(name, held.number))
+                seat.propose(self.now, InstanceReturned(name, held.number))
 
     def _hears(self, one: Machine, message: Any) -> None:
         if self.now < one.stopped_until:
@@ -285,7 +290,7 @@
     def leader(self) -> ControlPlaneNode | None:
         """Whoever leads by the highest term."""
         ones = [m.seat for m in self.seats.values() if m.seat is not None and m.seat.is_leader]
-        return max(ones, key=lambda seat: seat.raft.durable.term, default=None)
+        return max(ones, key=lambda seat: seat.raft.persistent.current_term, default=None)
 
     # Keepers
 
@@ -450,14 +455,16 @@
 
     def _watch(self) -> None:
         out = [one for one in self.fleet.values() if one.turn is not None]
-        if len(out) > self.limits.most:
+        if len(out) > self.limits.max_unavailable:
             raise Broken(
-                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, {self.limits.most} may be"
+                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, {self.limits.max_unavailable} may be"
             )
         for region in {one.facts.region for one in out}:
             here = sum(one.facts.region == region for one in out)
-            if here > self.limits.of(region):
-                raise Broken(f"{here} of {region} are out by orders, {self.limits.of(region)} may be")
+            if here > self.limits.max_unavailable_in(region):
+                raise Broken(
+                    f"{here} of {region} are out by orders, {self.limits.max_unavailable_in(region)} may be"
+                )
 
     # Tools
 
@@ -514,7 +521,7 @@
         kind = chance.choices(list(OperationKind), (2, 2, 2, 4))[0]
         names = chance.sample(sorted(self.fleet), chance.randint(1, len(self.fleet)))
         if kind is OperationKind.DRAIN:
-            names = names[: self.limits.in_region]
+            names = names[: self.limits.max_unavailable_per_region]
         if kind is OperationKind.UNDRAIN:
             names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up]
         if kind is OperationKind.RELEASE and chance.random() < 0.7:
--- a/valverouter/fleet/words.py
+++ b/valverouter/fleet/words.py
@@ -6,15 +6,15 @@
 from msgspec import Struct
 
 from valverouter.rollout.operations import Command, DesiredState
+from valverouter.rollout.serialization import WireMessage
 from valverouter.rollout.supervisor import SupervisorReport
-from valverouter.rollout.written import Sent
 
 
 class Votes(Struct, frozen=True, array_like=True, tag="v"):
     """A council's message to seat `to`."""
 
     to: str
-    message: Sent
+    message: WireMessage
 
 
 class Here(Struct, frozen=True, array_like=True, tag="h"):
--- a/valverouter/rollout/control_plane_node.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -12,14 +12,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from valverouter.rollout.council import PATIENCE, Councillor, Durable, Members, Message, Part, Save
+from valverouter.rollout.disruption_permits import PermitDecision
 from valverouter.rollout.operations import Command, DesiredState, OperationLog, Submit, SubmitResult
 from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
-from valverouter.rollout.permits import Answer
+from valverouter.rollout.raft import ELECTION_TIMEOUT, RaftNode, Role
+from valverouter.rollout.raft_log import Configuration, PersistentState, Save
+from valverouter.rollout.raft_messages import RaftMessage
 from valverouter.rollout.supervisor import SupervisorReport
 
 # Between two steps of the conductor.
-ORCHESTRATION_INTERVAL = PATIENCE // 10
+ORCHESTRATION_INTERVAL = ELECTION_TIMEOUT // 10
 # Askers that wait for a confirmation; more are dropped, and ask again.
 MAX_PENDING_READS = 4_096
 
@@ -48,22 +50,27 @@
     """One seat. `decided` tells whoever watches what was agreed on."""
 
     def __init__(
-        self, name: str, durable: Durable, rules: OrchestratorConfig, draw: Callable[[], float], now: int
+        self,
+        name: str,
+        durable: PersistentState,
+        rules: OrchestratorConfig,
+        draw: Callable[[], float],
+        now: int,
     ) -> None:
         self.name = name
         self.operation_log = OperationLog()
-        self.applied_index = durable.snapshot.index if durable.snapshot else 0
+        self.applied_index = durable.snapshot.last_included_index if durable.snapshot else 0
         self.config = rules
         self.orchestrator: Orchestrator | None = None
         # What conducts; experiments put a baseline in its place.
         self.orchestrator_class: type[Orchestrator] = Orchestrator
         # What was agreed on of late, for tools that asked for it: by the command's id.
-        self.answers: dict[str, Answer | SubmitResult] = {}
+        self.answers: dict[str, PermitDecision | SubmitResult] = {}
         self._draw = draw
         self._now = now
         self._stepped_at = now
         self._pending_reads: deque[PendingRead] = deque()
-        self.raft = Councillor(name, durable, draw, now, lambda: self.operation_log.copy(), self._install)
+        self.raft = RaftNode(name, durable, draw, now, lambda: self.operation_log.copy(), self._install)
 
     def _install(self, state: OperationLog) -> None:
         self.operation_log = state.copy()
@@ -72,26 +79,26 @@
 
     @property
     def saves(self) -> list[Save]:
-        return self.raft.saves
+        return self.raft.pending_saves
 
     @property
-    def out(self) -> list[tuple[str, Message]]:
-        return self.raft.out
+    def out(self) -> list[tuple[str, RaftMessage]]:
+        return self.raft.outgoing
 
     @property
     def is_leader(self) -> bool:
-        return self.raft.part is Part.LEADER
+        return self.raft.role is Role.LEADER
 
     @property
     def leader(self) -> str:
         """Who leads, as far as this seat knows; empty: nobody."""
-        return self.raft.leader
+        return self.raft.leader_id
 
     # Fed
 
-    def on_message(self, now: int, message: Message) -> None:
+    def on_message(self, now: int, message: RaftMessage) -> None:
         self._now = now
-        self.raft.heard(now, message)
+        self.raft.receive(now, message)
         self._after()
 
     def tick(self, now: int) -> None:
@@ -105,7 +112,7 @@
     def _step(self, now: int) -> None:
         """One batch at a time: what the conductor sees must hold all that it proposed before."""
         one = self.raft
-        if self.orchestrator is None or not one.confirmed or one.last != one.agreed:
+        if self.orchestrator is None or not one.confirmed_round or one.last_log_index != one.commit_index:
             return
         for command in self.orchestrator.next_commands(now, self.operation_log):
             one.propose(now, command)
@@ -122,7 +129,10 @@
 
         def say() -> None:
             name = report.info.name
-            want, held = self.operation_log.desired.get(name), self.operation_log.permits.out.get(name)
+            want, held = (
+                self.operation_log.desired.get(name),
+                self.operation_log.permits.unavailable.get(name),
+            )
             if want is not None:
                 is_open = held is not None and held.number == want.fencing_token
                 answer(DesiredStateReply(name, want, is_open, self._now))
@@ -146,26 +156,26 @@
     def _ask(self, answer: Callable[[], None]) -> bool:
         if len(self._pending_reads) >= MAX_PENDING_READS:
             return False
-        self._pending_reads.append(PendingRead(self.raft.round + 1, answer))
+        self._pending_reads.append(PendingRead(self.raft.round_number + 1, answer))
         self._after()
         return True
 
     def _after(self) -> None:
         one = self.raft
-        decided, one.decided = one.decided, []
+        decided, one.committed = one.committed, []
         for index, what in decided:
             self.applied_index = index
-            if what is not None and not isinstance(what, Members):
+            if what is not None and not isinstance(what, Configuration):
                 self._apply(index, what)
         if decided:
-            one.compact()
+            one.compact_log()
         if not self.is_leader:
             self.orchestrator = None
             self._pending_reads.clear()
             return
         if self.orchestrator is None:
             self.orchestrator = self.orchestrator_class(self.config, self._draw, self._now)
-        confirmed = one.confirmed
+        confirmed = one.confirmed_round
         while self._pending_reads and self._pending_reads[0].confirmed_round <= confirmed:
             self._pending_reads.popleft().answer()
 
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -18,9 +18,18 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
-from valverouter.rollout.limits import impossible, refusal, waves
-from valverouter.rollout.permits import Answer, Ask, Away, Back, Enrol, Halt, Permit, Register
-from valverouter.rollout.permits import Command as PermitCommand
+from valverouter.rollout.disruption_limits import check_budget, find_unsatisfiable_limits, plan_waves
+from valverouter.rollout.disruption_permits import (
+    EnrollInstances,
+    HaltDisruptions,
+    InstanceLost,
+    InstanceReturned,
+    Permit,
+    PermitDecision,
+    PermitRegister,
+    RequestPermit,
+)
+from valverouter.rollout.disruption_permits import PermitCommand as PermitCommand
 
 # Ended orders that are kept for `history`; the oldest leave.
 MAX_ENDED_OPERATIONS = 64
@@ -268,7 +277,7 @@
 ):
     """The state: permits, what is wanted of whom, and the orders in the order in which they were placed."""
 
-    permits: Register = field(default_factory=Register)
+    permits: PermitRegister = field(default_factory=PermitRegister)
     desired: dict[str, DesiredState] = field(default_factory=dict)
     available_versions: dict[str, tuple[str, ...]] = field(default_factory=dict)
     operations: dict[str, Operation] = field(default_factory=dict)
@@ -276,15 +285,15 @@
     # lost, must not give a number again that a keeper or the list has seen.
     fencing_token_offset: int = 0
 
-    def apply(self, index: int, command: Command) -> Answer | SubmitResult | None:
+    def apply(self, index: int, command: Command) -> PermitDecision | SubmitResult | None:
         """The command at a place of the record."""
         number = index + self.fencing_token_offset
         match command:
             case Submit():
                 return self._place(command)
-            case Ask():
+            case RequestPermit():
                 return self._ask(number, command)
-            case Back(name, permit):
+            case InstanceReturned(name, permit):
                 self._back(number, name, permit)
             case StepReported():
                 self._went(command)
@@ -296,7 +305,7 @@
                 self._runs(number, command)
             case Retire(name):
                 self._retire(name)
-            case Away() | Enrol() | Halt():
+            case InstanceLost() | EnrollInstances() | HaltDisruptions():
                 self.permits.apply(number, command)
         return None
 
@@ -318,7 +327,7 @@
         self.desired[told.instance] = DesiredState(told.version, told.up, told.fencing_token, told.step_index)
         if not told.up and told.fencing_token:
             # Drained by a council that is no more: it stays so, and can be brought back.
-            self.permits.out[told.instance] = Permit(told.fencing_token, told.instance, "")
+            self.permits.unavailable[told.instance] = Permit(told.fencing_token, told.instance, "")
 
     # What is asked of it
 
@@ -344,19 +353,19 @@
             return SubmitResult(place.operation_id, (), why)
         if place.kind is OperationKind.UNDRAIN:
             return SubmitResult(place.operation_id, (place.instances,))
-        units = list(self.permits.units.values())
-        sort = self.permits.units[place.instances[0]].sort
+        units = list(self.permits.instances.values())
+        sort = self.permits.instances[place.instances[0]].kind
         limits = self.permits.limits.get(sort)
         if limits is None:
             return SubmitResult(
-                place.operation_id, (), f"no limits are told for {sort.several}, so none may go out"
+                place.operation_id, (), f"no limits are told for {sort.plural}, so none may go out"
             )
-        flaws = impossible(limits, sort, units)
+        flaws = find_unsatisfiable_limits(limits, sort, units)
         if flaws:
             return SubmitResult(place.operation_id, (), f"by these limits: {flaws[0]}")
         try:
             # Planned for a whole fleet: who is out at this moment holds a wave up and does not change it.
-            made = waves(limits, units, (), list(place.instances))
+            made = plan_waves(limits, units, (), list(place.instances))
             if place.kind is OperationKind.DRAIN:
                 self._stays_out(place)
         except ValueError as flaw:
@@ -367,17 +376,17 @@
         if not place.instances:
             return "nobody is meant"
         for name in place.instances:
-            if name not in self.permits.units:
+            if name not in self.permits.instances:
                 return f"{name} is not enrolled"
-        if len({self.permits.units[name].sort for name in place.instances}) > 1:
+        if len({self.permits.instances[name].kind for name in place.instances}) > 1:
             return "edge proxies and servers go out by orders of their own"
         if (
             sum(order.phase is not OperationPhase.ENDED for order in self.operations.values())
             >= MAX_OPEN_OPERATIONS
         ):
             return f"{MAX_OPEN_OPERATIONS} orders wait or go already"
-        if self.permits.halted:
-            return f"halted: {self.permits.halted}"
+        if self.permits.halt_reason:
+            return f"halted: {self.permits.halt_reason}"
         for order in self.operations.values():
             both = sorted(set(place.instances) & order.participants.keys())
             if order.phase is not OperationPhase.ENDED and both:
@@ -398,10 +407,10 @@
 
     def _stays_out(self, place: Submit) -> None:
         """Who is drained stays out: all of them must find room together, with those drained before."""
-        unit = self.permits.units[place.instances[0]]
-        units, out = list(self.permits.units.values()), set(self._drained())
+        unit = self.permits.instances[place.instances[0]]
+        units, out = list(self.permits.instances.values()), set(self._drained())
         for name in place.instances:
-            why = refusal(self.permits.limits[unit.sort], units, out, self.permits.units[name])
+            why = check_budget(self.permits.limits[unit.kind], units, out, self.permits.instances[name])
             if why is not None:
                 raise ValueError(f"{name}: {why}")
             out.add(name)
@@ -411,7 +420,7 @@
 
     def _number(self, name: str) -> int:
         """Of the permit that it is out by; 0: it has none."""
-        held = self.permits.out.get(name)
+        held = self.permits.unavailable.get(name)
         return held.number if held else 0
 
     # Orders
@@ -467,8 +476,8 @@
     def _want(self, name: str, member: Participant, step: int, version: str, up: bool, order: str) -> None:
         self.desired[name] = DesiredState(version, up, member.fencing_token, step, order)
 
-    def _ask(self, number: int, ask: Ask) -> Answer | None:
-        order = self.operations.get(ask.order)
+    def _ask(self, number: int, ask: RequestPermit) -> PermitDecision | None:
+        order = self.operations.get(ask.operation)
         member = order.participants.get(ask.name) if order else None
         if order is None or member is None:
             return self.permits.apply(number, ask)
@@ -480,13 +489,13 @@
             or member.status is not wanted
         ):
             # Asked before the order was stopped, and agreed on after: nothing further goes out.
-            return Answer(ask.id, None, f"order {order.id} does not ask for it any more")
+            return PermitDecision(ask.id, None, f"order {order.id} does not ask for it any more")
         answer = self._leave(number, ask, order)
         if answer.permit is not None and answer.permit.number != number:
             return answer  # an ask that came twice: its permit was acted on, and is over
         member.permit_requests += 1
         if answer.permit is None:
-            member.reason = answer.why
+            member.reason = answer.rejection
             return answer
         member.fencing_token, member.reason = answer.permit.number, ""
         if order.phase is OperationPhase.ROLLING_BACK:
@@ -498,23 +507,23 @@
         self._want(ask.name, member, 0, version, order.kind is not OperationKind.DRAIN, order.id)
         return answer
 
-    def _leave(self, number: int, ask: Ask, order: Operation) -> Answer:
-        if order.phase is OperationPhase.ROLLING_BACK and self.permits.out.get(ask.name, ask) is None:
+    def _leave(self, number: int, ask: RequestPermit, order: Operation) -> PermitDecision:
+        if order.phase is OperationPhase.ROLLING_BACK and self.permits.unavailable.get(ask.name, ask) is None:
             # It is out without leave and uses its room already. Refused for that, an instance whose release
             # ends by itself over and over could never go back to what it ran before.
-            permit = Permit(number, ask.name, ask.order)
-            self.permits.out[ask.name] = permit
-            return Answer(ask.id, permit)
+            permit = Permit(number, ask.name, ask.operation)
+            self.permits.unavailable[ask.name] = permit
+            return PermitDecision(ask.id, permit)
         answer = self.permits.apply(number, ask)
         assert answer is not None
         return answer
 
     def _back(self, number: int, name: str, permit: int) -> None:
-        if name not in self.permits.out or self._number(name) != permit:
+        if name not in self.permits.unavailable or self._number(name) != permit:
             return
         if not (self.desired.get(name) or DesiredState("")).up:
             return  # drained: that its program runs is no leave to count it as in
-        self.permits.apply(number, Back(name, permit))
+        self.permits.apply(number, InstanceReturned(name, permit))
         for order in self.operations.values():
             member = order.participants.get(name)
             if (
@@ -616,8 +625,8 @@
 
     def _retire(self, name: str) -> None:
         """It is gone for good: what it was in goes on without it."""
-        self.permits.units.pop(name, None)
-        self.permits.out.pop(name, None)
+        self.permits.instances.pop(name, None)
+        self.permits.unavailable.pop(name, None)
         self.desired.pop(name, None)
         self.available_versions.pop(name, None)
         for order in list(self.operations.values()):
@@ -642,12 +651,12 @@
 
 def split_by_version(book: OperationLog, order: Operation) -> tuple[list[str], list[str]]:
     """Who runs the order's version, being in, and who of its sort does not yet."""
-    sort = book.permits.units[next(iter(order.participants))].sort
+    sort = book.permits.instances[next(iter(order.participants))].kind
     ones: list[str] = []
     others: list[str] = []
-    for name, unit in book.permits.units.items():
+    for name, unit in book.permits.instances.items():
         want = book.desired.get(name)
-        if unit.sort is not sort or want is None or name in book.permits.out:
+        if unit.kind is not sort or want is None or name in book.permits.unavailable:
             continue
         (ones if want.version == order.version else others).append(name)
     return ones, others
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -11,7 +11,13 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from valverouter.rollout.limits import Limits, Sort, Unit
+from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
+from valverouter.rollout.disruption_permits import (
+    EnrollInstances,
+    InstanceLost,
+    InstanceReturned,
+    RequestPermit,
+)
 from valverouter.rollout.operations import (
     Advance,
     Cancel,
@@ -26,7 +32,6 @@
     StepStatus,
     split_by_version,
 )
-from valverouter.rollout.permits import Ask, Away, Back, Enrol
 from valverouter.rollout.readiness import ReadinessTracker
 from valverouter.rollout.sequential_test import CanaryEvidence, OutcomeCount, Verdict
 from valverouter.rollout.sequential_test import SequentialTestConfig as EvidenceRule
@@ -45,7 +50,7 @@
     `memory`: so many times what the others hold in the median, and at least `memory_least` bytes more, halts
     a release; those released are the younger ones, which hold less, not more."""
 
-    limits: Mapping[Sort, Limits]
+    limits: Mapping[InstanceKind, DisruptionLimits]
     away_after: int = 4 * SECOND
     unreachable_after: int = 15 * SECOND
     permit_retry_interval: int = SECOND
@@ -115,12 +120,12 @@
         commands: list[Command] = []
         limits = tuple((sort, one) for sort, one in self.config.limits.items())
         if any(book.permits.limits.get(sort) != one for sort, one in limits):
-            commands.append(Enrol((), limits))
+            commands.append(EnrollInstances((), limits))
         for name, seen in self.readiness.observations.items():
-            facts, held = seen.report.info, book.permits.units.get(name)
-            unit = Unit(name, facts.kind, facts.region, facts.capacity, facts.processor)
+            facts, held = seen.report.info, book.permits.instances.get(name)
+            unit = Instance(name, facts.kind, facts.region, facts.capacity, facts.processor)
             if unit != held:
-                commands.append(Enrol((unit,)))
+                commands.append(EnrollInstances((unit,)))
             if name not in book.desired or book.available_versions.get(name) != facts.available_versions:
                 told = seen.report
                 commands.append(
@@ -138,19 +143,19 @@
     def _presence(self, now: int, book: OperationLog) -> list[Command]:
         """Out without leave by what is not heard or is told down; in by evidence alone."""
         commands: list[Command] = []
-        out = book.permits.out
-        for name in book.permits.units:
+        out = book.permits.unavailable
+        for name in book.permits.instances:
             seen, want = self.readiness.observations.get(name), book.desired.get(name)
             if name in out:
                 held = out[name]
                 if want is not None and self.readiness.is_ready(name, want, now, out.__contains__):
-                    commands.append(Back(name, held.number if held else 0))
+                    commands.append(InstanceReturned(name, held.number if held else 0))
                 continue
             away = self.readiness.time_since_report(name, now) > self.config.away_after
             if seen is not None and self.readiness.has_fresh_report(name, now):
                 away = away or not seen.report.is_running or seen.report.is_leaving
             if away:
-                commands.append(Away(name))
+                commands.append(InstanceLost(name))
         return commands
 
     # Whether an order may go on
@@ -174,7 +179,7 @@
         said = [
             seen.report.counters.view_health
             for name, seen in self.readiness.observations.items()
-            if name not in book.permits.out
+            if name not in book.permits.unavailable
             and self.readiness.has_fresh_report(name, now)
             and seen.report.counters.view_health
         ]
@@ -281,7 +286,7 @@
             return []
         self._permit_requested_at[name] = now
         back = "/back" if order.phase is OperationPhase.ROLLING_BACK else ""
-        return [Ask(f"{order.id}/{name}{back}/{member.permit_requests}", name, order.id)]
+        return [RequestPermit(f"{order.id}/{name}{back}/{member.permit_requests}", name, order.id)]
 
     def _outcome(self, book: OperationLog, order: Operation, name: str) -> list[Command]:
         """What its keeper tells of the turn, by its number: it is asked and never guessed."""
@@ -314,7 +319,7 @@
         for name in out:
             commands += self._outcome(book, order, name)
         # Those whose program does not run go first: they have nothing to lose.
-        waiting.sort(key=lambda name: (name not in book.permits.out, name))
+        waiting.sort(key=lambda name: (name not in book.permits.unavailable, name))
         size = max(1, len(order.participants) // 4)
         for name in waiting[: max(0, size - len(out))]:
             if self.readiness.has_fresh_report(name, now):
@@ -345,8 +350,8 @@
             return []
         looked.sampled_at = now
         ours, theirs = self._spans(looked, now, ones), self._spans(looked, now, others)
-        regions = {book.permits.units[name].region for name in ours}
-        apart = regions.isdisjoint(book.permits.units[name].region for name in theirs)
+        regions = {book.permits.instances[name].region for name in ours}
+        apart = regions.isdisjoint(book.permits.instances[name].region for name in theirs)
         for measure in MEASURES:
             looked.evidence.add_interval(
                 self._tallies(book, ours, measure, apart),
@@ -399,7 +404,7 @@
         others must do."""
         told: dict[str, OutcomeCount] = {}
         for name, (before, after) in spans.items():
-            region = "" if apart else book.permits.units[name].region
+            region = "" if apart else book.permits.instances[name].region
             counter = MEASURES[measure]
             bad = getattr(after, counter) - getattr(before, counter)
             # Answers of this span may be to dialogs of the one before.
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -110,10 +110,10 @@
     watching = going is not None and going.phase in (OperationPhase.EVALUATING, OperationPhase.RUNNING)
     return FleetStatus(
         node=node.name,
-        term=node.raft.durable.term,
-        members=tuple(name for name, _ in node.raft.members.disks),
-        halt_reason=log.permits.halted,
-        instances=tuple(_unit(log, node, now, name) for name in sorted(log.permits.units)),
+        term=node.raft.persistent.current_term,
+        members=tuple(name for name, _ in node.raft.configuration.members),
+        halt_reason=log.permits.halt_reason,
+        instances=tuple(_unit(log, node, now, name) for name in sorted(log.permits.instances)),
         operations=tuple(
             OperationStatus(
                 one.id,
@@ -147,18 +147,18 @@
 
 
 def _unit(book: OperationLog, seat: ControlPlaneNode, now: int, name: str) -> InstanceStatus:
-    unit, want = book.permits.units[name], book.desired.get(name)
+    unit, want = book.permits.instances[name], book.desired.get(name)
     seen = seat.orchestrator.readiness.observations.get(name) if seat.orchestrator else None
     state, number, order = "in", 0, ""
-    if name in book.permits.out:
-        held = book.permits.out[name]
+    if name in book.permits.unavailable:
+        held = book.permits.unavailable[name]
         state = "out" if held else "away"
-        number, order = (held.number, held.order) if held else (0, "")
+        number, order = (held.number, held.operation) if held else (0, "")
         if held and want is not None and not want.up:
             state = "drained"
     return InstanceStatus(
         name,
-        unit.sort.value,
+        unit.kind.value,
         unit.region,
         seen.report.version if seen else "",
         want.version if want else "",
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -17,7 +17,7 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.limits import Sort
+from valverouter.rollout.disruption_limits import InstanceKind
 from valverouter.rollout.operations import DesiredState
 
 SECOND = 10**9
@@ -101,7 +101,7 @@
     """Who an instance is, as its keeper's terms say."""
 
     name: str
-    kind: Sort = Sort.EDGE
+    kind: InstanceKind = InstanceKind.EDGE
     region: str = ""
     capacity: int = 0
     processor: float = 0.0
@@ -301,7 +301,7 @@
         self.counters = counters
         if self._open and self.state.up and counters.serving and counters.ready and not self._refused:
             self._finish("done")
-            self._returns = self.state.steps[-1].fencing_token if self.info.kind is Sort.SERVER else 0
+            self._returns = self.state.steps[-1].fencing_token if self.info.kind is InstanceKind.SERVER else 0
 
     def shut_down(self) -> None:
         """The machine asks this keeper to go: obeyed, whatever the council says."""
@@ -330,7 +330,7 @@
                 self._returns = 0
                 return SupervisorAction.REJOIN_LIST
             return None
-        if self.info.kind is Sort.SERVER and not self.is_leaving and not self._left_list:
+        if self.info.kind is InstanceKind.SERVER and not self.is_leaving and not self._left_list:
             if self._leaving_list:
                 return None
             self._leaving_list = True
