--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -20,7 +20,7 @@
     DisruptionLimits,
     Instance,
     InstanceKind,
-    check_budget,
+    find_exceeded_limit,
     find_unsatisfiable_limits,
     plan_waves,
 )
@@ -78,20 +78,20 @@
 def test_a_refusal_says_which_limit_and_by_whom_it_is_used() -> None:
     limits = DisruptionLimits(max_unavailable=2, max_unavailable_per_region=1, min_capacity_fraction=0.5)
     fleet = units()
-    assert check_budget(limits, fleet, [], fleet[0]) is None
+    assert find_exceeded_limit(limits, fleet, [], fleet[0]) is None
     assert (
-        str(check_budget(limits, fleet, ["e2"], fleet[0]))
+        str(find_exceeded_limit(limits, fleet, ["e2"], fleet[0]))
         == "edge proxies out at once in north: 1 of 1, used by e2"
     )
     assert "edge proxies out at once: 2 of 2, used by e1, e2" in str(
-        check_budget(limits, fleet, ["e1", "e2"], fleet[0])
+        find_exceeded_limit(limits, fleet, ["e1", "e2"], fleet[0])
     )
     tight = DisruptionLimits(max_unavailable=4, max_unavailable_per_region=3, min_capacity_fraction=0.5)
-    assert check_budget(tight, fleet, ["e2"], fleet[0]) is not None, "a third of 300 stays, half must"
-    assert check_budget(tight, fleet, ["e0"], fleet[0]) is None, "out already, it uses no more room"
+    assert find_exceeded_limit(tight, fleet, ["e2"], fleet[0]) is not None, "a third of 300 stays, half must"
+    assert find_exceeded_limit(tight, fleet, ["e0"], fleet[0]) is None, "out already, it uses no more room"
     server = Instance("s0", InstanceKind.SERVER, "north", 400, 1.0)
     both = [*fleet, server, Instance("s1", InstanceKind.SERVER, "north", 400, 1.0)]
-    assert check_budget(limits, both, ["e0", "e1", "e2"], server) is None, "servers are counted apart"
+    assert find_exceeded_limit(limits, both, ["e0", "e1", "e2"], server) is None, "servers are counted apart"
 
 
 def test_a_region_s_processor_must_stay_too() -> None:
@@ -102,8 +102,8 @@
     limits = DisruptionLimits(
         max_unavailable=1, max_unavailable_per_region=1, min_capacity_fraction=0.5, min_processor_fraction=0.5
     )
-    assert check_budget(limits, fleet, [], fleet[1]) is None
-    assert "least processor of n" in str(check_budget(limits, fleet, [], fleet[0]))
+    assert find_exceeded_limit(limits, fleet, [], fleet[1]) is None
+    assert "least processor of n" in str(find_exceeded_limit(limits, fleet, [], fleet[0]))
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
         assert len({by_name[name].region for name in wave}) == 1
         out: list[str] = []
         for name in wave:
-            assert check_budget(limits, fleet, out, by_name[name]) is None
+            assert find_exceeded_limit(limits, fleet, out, by_name[name]) is None
             out.append(name)
 
 
--- a/valverouter/rollout/disruption_limits.py
+++ b/valverouter/rollout/disruption_limits.py
@@ -1,33 +1,41 @@
-"""How many may be out at once, and how much must stay.
+"""How many instances may be unavailable at once, and how much capacity must stay.
 
-Out is whoever is draining, stopped, starting, back but cold, or away without leave: a crash uses up the room
-that a drain would have had. Nothing here knows of time: who is out comes in by evidence alone.
+This is what Kubernetes calls a disruption budget. Unavailable is an instance that is draining, stopped,
+starting, up but still warming up, or that went away without a permit: a crash uses up what a drain would have
+been allowed. Nothing here knows of time, since only evidence makes an instance available again.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from enum import Enum
 
 from msgspec import Struct, field
 
+# Each wave may be so many times as large as the one before.
+WAVE_GROWTH = 3
+
 
 class InstanceKind(Enum):
-    """What can be out; the limits of one sort know nothing of the other's."""
+    """What can be unavailable. Each kind has limits of its own and is counted apart."""
 
     EDGE = "edge proxy"
     SERVER = "server"
 
     @property
     def plural(self) -> str:
+        """The kind's name in texts about several instances."""
         return "edge proxies" if self is InstanceKind.EDGE else "servers"
 
 
 class Instance(Struct, frozen=True, rename={"kind": "sort"}):
-    """An edge proxy or a core server. `capacity`: dialogs of an edge proxy, lines of a server; `processor`: a
-    server's, in any unit that all of them share."""
+    """An edge proxy or a core server of the fleet.
+
+    `capacity` counts dialogs of an edge proxy and lines of a server; `processor` is a server's processor
+    power, in any unit that all servers share.
+    """
 
     name: str
     kind: InstanceKind
@@ -47,8 +55,12 @@
         "min_processor_fraction": "least_processor",
     },
 ):
-    """For one sort. `most`: out at once in all; `in_region`: in any one region, with others by name in
-    `regions`. `least_capacity`, `least_processor`: shares of a region's that must stay, 0 to 1."""
+    """The limits of one kind of instance.
+
+    `max_unavailable` holds for the whole fleet, `max_unavailable_per_region` for each region that
+    `region_overrides` does not name. The fractions, 0 to 1, are of a region's whole capacity and processor
+    power; so much of it must stay available.
+    """
 
     max_unavailable: int
     max_unavailable_per_region: int
@@ -57,12 +69,13 @@
     min_processor_fraction: float = 0.0
 
     def max_unavailable_in(self, region: str) -> int:
+        """How many instances of `region` may be unavailable at once."""
         return self.region_overrides.get(region, self.max_unavailable_per_region)
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetExceeded:
-    """Which limit, how far it is used, and by whom."""
+class ExceededLimit:
+    """The limit that a further instance would exceed, how far it is used, and by which instances."""
 
     limit: str
     allowed: float
@@ -70,104 +83,164 @@
     instances: tuple[str, ...]
 
     def __str__(self) -> str:
+        """The limit with its use, as operators read it in a rejection."""
         names = ", ".join(self.instances) or "nobody"
         return f"{self.limit}: {self.used:g} of {self.allowed:g}, used by {names}"
 
 
-def check_budget(
-    limits: DisruptionLimits, units: Iterable[Instance], out: Iterable[str], asked: Instance
-) -> BudgetExceeded | None:
-    """Why `asked` may not go out as well; None: it may. One that is out already uses no more room."""
-    same = [unit for unit in units if unit.kind is asked.kind]
-    gone = {unit.name for unit in same} & set(out)
-    if asked.name in gone:
+class UnsatisfiableLimitsError(ValueError):
+    """An instance could never go out within the limits, even if all others were available."""
+
+    def __init__(self, instance: str, exceeded: ExceededLimit) -> None:
+        """`instance` is the name of the one that could not go out, `exceeded` the limit against it."""
+        super().__init__(f"{instance}: {exceeded}")
+        self.instance = instance
+        self.exceeded = exceeded
+
+
+def find_exceeded_limit(
+    limits: DisruptionLimits, fleet: Iterable[Instance], unavailable: Iterable[str], candidate: Instance
+) -> ExceededLimit | None:
+    """The limit that stands against `candidate` becoming unavailable as well; None: it may.
+
+    `unavailable` are names, of any kind of instance. A candidate that is among them uses no more than before.
+    """
+    peers = [instance for instance in fleet if instance.kind is candidate.kind]
+    gone = {instance.name for instance in peers} & set(unavailable)
+    if candidate.name in gone:
         return None
     if len(gone) + 1 > limits.max_unavailable:
-        return BudgetExceeded(
-            f"{asked.kind.plural} out at once", limits.max_unavailable, len(gone), tuple(sorted(gone))
-        )
-    here = [unit for unit in same if unit.region == asked.region]
-    away = sorted(unit.name for unit in here if unit.name in gone)
-    if len(away) + 1 > limits.max_unavailable_in(asked.region):
-        what = f"{asked.kind.plural} out at once in {asked.region}"
-        return BudgetExceeded(what, limits.max_unavailable_in(asked.region), len(away), tuple(away))
-    stay = [unit for unit in here if unit.name not in gone and unit.name != asked.name]
-    for what, least, whole, stays in (
-        ("capacity", limits.min_capacity_fraction, _capacity(here), _capacity(stay)),
-        ("processor", limits.min_processor_fraction, _processor(here), _processor(stay)),
+        limit = f"{candidate.kind.plural} out at once"
+        return ExceededLimit(limit, limits.max_unavailable, len(gone), tuple(sorted(gone)))
+    region = [instance for instance in peers if instance.region == candidate.region]
+    return _exceeded_count_in_region(limits, region, gone, candidate) or _exceeded_reserve(
+        limits, region, gone, candidate
+    )
+
+
+def _exceeded_count_in_region(
+    limits: DisruptionLimits, region: list[Instance], gone: set[str], candidate: Instance
+) -> ExceededLimit | None:
+    gone_here = _names_in(region, gone)
+    allowed = limits.max_unavailable_in(candidate.region)
+    if len(gone_here) + 1 <= allowed:
+        return None
+    limit = f"{candidate.kind.plural} out at once in {candidate.region}"
+    return ExceededLimit(limit, allowed, len(gone_here), gone_here)
+
+
+def _exceeded_reserve(
+    limits: DisruptionLimits, region: list[Instance], gone: set[str], candidate: Instance
+) -> ExceededLimit | None:
+    """Whether too little of the region's capacity or processor power would stay.
+
+    It is measured against the whole of the region, unavailable instances included, so that what is gone
+    counts as missing and not as never there.
+    """
+    staying = [
+        instance for instance in region if instance.name not in gone and instance.name != candidate.name
+    ]
+    for resource, fraction, whole, available in (
+        ("capacity", limits.min_capacity_fraction, _capacity(region), _capacity(staying)),
+        ("processor", limits.min_processor_fraction, _processor(region), _processor(staying)),
     ):
-        # Reckoned against the region's whole, so that what is away counts as missing and not as never there.
-        if whole and stays < least * whole:
-            return BudgetExceeded(f"least {what} of {asked.region}", least * whole, stays, tuple(away))
+        if whole and available < fraction * whole:
+            limit = f"least {resource} of {candidate.region}"
+            return ExceededLimit(limit, fraction * whole, available, _names_in(region, gone))
     return None
 
 
-def _capacity(units: list[Instance]) -> float:
-    return sum(unit.capacity for unit in units)
+def _names_in(region: list[Instance], gone: set[str]) -> tuple[str, ...]:
+    return tuple(sorted(instance.name for instance in region if instance.name in gone))
+
 
+def _capacity(instances: Iterable[Instance]) -> float:
+    return sum(instance.capacity for instance in instances)
 
-def _processor(units: list[Instance]) -> float:
-    return sum(unit.processor for unit in units)
+
+def _processor(instances: Iterable[Instance]) -> float:
+    return sum(instance.processor for instance in instances)
 
 
 def find_unsatisfiable_limits(
-    limits: DisruptionLimits, sort: InstanceKind, units: Iterable[Instance]
+    limits: DisruptionLimits, kind: InstanceKind, fleet: Iterable[Instance]
 ) -> list[str]:
-    """Flaws by which no order could ever be met: those that contradict each other or the fleet."""
-    flaws = []
-    same = [unit for unit in units if unit.kind is sort]
-    if limits.max_unavailable < 1 or limits.max_unavailable_per_region < 1:
-        flaws.append(f"no {sort.value} could ever go out: the most is below 1")
-    if limits.max_unavailable_per_region > limits.max_unavailable:
-        flaws.append(
-            f"more {sort.plural} may be out in a region ({limits.max_unavailable_per_region}) than in all ({limits.max_unavailable})"
-        )
-    if len(same) > 1 and limits.max_unavailable >= len(same):
-        flaws.append(f"all {len(same)} {sort.plural} may be out at once")
-    regions = Counter(unit.region for unit in same)
+    """Problems by which no operation could ever be carried out: limits against each other or the fleet."""
+    instances = [instance for instance in fleet if instance.kind is kind]
+    return [*_contradictions(limits, kind, len(instances)), *_region_problems(limits, kind, instances)]
+
+
+def _contradictions(limits: DisruptionLimits, kind: InstanceKind, count: int) -> Iterator[str]:
+    in_all, in_region = limits.max_unavailable, limits.max_unavailable_per_region
+    if in_all < 1 or in_region < 1:
+        yield f"no {kind.value} could ever go out: the most is below 1"
+    if in_region > in_all:
+        yield f"more {kind.plural} may be out in a region ({in_region}) than in all ({in_all})"
+    if count > 1 and in_all >= count:
+        yield f"all {count} {kind.plural} may be out at once"
+
+
+def _region_problems(
+    limits: DisruptionLimits, kind: InstanceKind, instances: list[Instance]
+) -> Iterator[str]:
+    regions = Counter(instance.region for instance in instances)
     for region in sorted(limits.region_overrides.keys() - regions.keys()):
-        flaws.append(f"there is no {sort.value} in {region}")
+        yield f"there is no {kind.value} in {region}"
     for region in sorted(regions):
-        here = [unit for unit in same if unit.region == region]
-        whole = sum(unit.capacity for unit in here)
-        least = min((unit.capacity for unit in here), default=0)
-        if whole and whole - least < limits.min_capacity_fraction * whole:
-            flaws.append(
-                f"no {sort.value} of {region} could go out: it would leave less than the least capacity"
-            )
-    return flaws
+        capacities = [instance.capacity for instance in instances if instance.region == region]
+        whole = sum(capacities)
+        if whole and whole - min(capacities) < limits.min_capacity_fraction * whole:
+            yield f"no {kind.value} of {region} could go out: it would leave less than the least capacity"
 
 
 def plan_waves(
-    limits: DisruptionLimits, units: list[Instance], out: Iterable[str], wanted: list[str]
+    limits: DisruptionLimits, fleet: list[Instance], unavailable: Iterable[str], names: list[str]
 ) -> list[list[str]]:
-    """`wanted` in the order in which they may go out together: one, then few, then as many as the limits let,
-    each wave within a region, the regions in turn. ValueError with the refusal where one never could."""
-    by_name = {unit.name: unit for unit in units}
+    """`names` parted into waves, in their order, each of which may be unavailable together.
+
+    The first wave is one instance, each further one up to `WAVE_GROWTH` times the size before, as far as the
+    limits allow. A wave stays within a region, and the regions take turns. Raises UnsatisfiableLimitsError
+    where an instance could never go out.
+    """
+    by_name = {instance.name: instance for instance in fleet}
     waiting: dict[str, list[str]] = {}
-    for name in sorted(wanted):
+    for name in sorted(names):
         waiting.setdefault(by_name[name].region, []).append(name)
-    whole = {region: len(names) for region, names in waiting.items()}
-    made: list[list[str]] = []
-    size = 1
+    totals = {region: len(in_region) for region, in_region in waiting.items()}
+    waves: list[list[str]] = []
+    max_size = 1
     while any(waiting.values()):
-        # The region with the most still to come, the smallest first: what a release harms is seen where least
-        # depends on it, and beside those released there is somebody of their region to compare them with.
-        region = max(
-            (one for one in waiting if waiting[one]),
-            key=lambda one: (len(waiting[one]) / whole[one], -whole[one], one),
-        )
-        wave: list[str] = []
-        for name in waiting[region]:
-            if len(wave) == size:
-                break
-            why = check_budget(limits, units, {*out, *wave}, by_name[name])
-            if why is not None:
-                if not wave:
-                    raise ValueError(f"{name}: {why}")
-                break
-            wave.append(name)
-        made.append(wave)
+        region = _next_region(waiting, totals)
+        candidates = [by_name[name] for name in waiting[region][:max_size]]
+        wave = _largest_wave(limits, fleet, unavailable, candidates)
+        waves.append(wave)
         waiting[region] = [name for name in waiting[region] if name not in wave]
-        size *= 3
-    return made
+        max_size *= WAVE_GROWTH
+    return waves
+
+
+def _next_region(waiting: Mapping[str, list[str]], totals: Mapping[str, int]) -> str:
+    """The region of which the largest part still waits; among equals, the smallest region.
+
+    What a release harms is then seen where least depends on it, and released instances have unreleased ones
+    of their region beside them to be compared with.
+    """
+    return max(
+        (region for region in waiting if waiting[region]),
+        key=lambda region: (len(waiting[region]) / totals[region], -totals[region], region),
+    )
+
+
+def _largest_wave(
+    limits: DisruptionLimits, fleet: list[Instance], unavailable: Iterable[str], candidates: list[Instance]
+) -> list[str]:
+    """As many of `candidates`, from the first on, as the limits allow: at least one."""
+    wave: list[str] = []
+    for candidate in candidates:
+        exceeded = find_exceeded_limit(limits, fleet, {*unavailable, *wave}, candidate)
+        if exceeded is not None:
+            if not wave:
+                raise UnsatisfiableLimitsError(candidate.name, exceeded)
+            break
+        wave.append(candidate.name)
+    return wave
--- a/valverouter/rollout/disruption_permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -1,34 +1,39 @@
-"""The record that the council agrees on: who is out, by which permit, and what was refused.
+"""Permits to be unavailable: the part of the replicated state that keeps the disruption limits.
 
-A replicated machine: the same commands in the same order give the same state everywhere, and nothing in it
-reads a clock, a view or chance. The number of a permit is the place of its command in the record, so a later
-permit has a higher number, and whoever was shown a number refuses any lower one.
+`PermitRegister` is a replicated state machine: the same commands in the same order give the same state on
+every member, and nothing in it reads a clock, a view of the fleet or chance. A permit's number is derived from
+the log index of the command that it answers, so a later permit has a higher number. It is the permit's fencing
+token: whoever has seen a number rejects every lower one (see `Fence`).
 
-Out never becomes in by time. A permit ends by evidence that its holder serves again, told with its number; a
-holder that died keeps its permit until that. One that is found away without leave is out until it is back.
+An unavailable instance never becomes available by time. A permit ends by evidence that its holder serves
+again, sent with the permit's number; a holder that died keeps its permit until then. An instance that is found
+gone without a permit is unavailable until it is back.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+import dataclasses
 
 import msgspec
 from msgspec import Struct
 
 from valverouter.rollout.disruption_limits import (
-    BudgetExceeded,
     DisruptionLimits,
+    ExceededLimit,
     Instance,
     InstanceKind,
-    check_budget,
+    find_exceeded_limit,
 )
 
-# Outcomes of asks are kept so that one that is told again is answered again; the oldest leave.
+# Decisions are kept so that a request that comes again gets its first answer; the oldest are dropped.
 MAX_DECISIONS = 1_024
 
 
 class RequestPermit(Struct, frozen=True, tag="Ask", rename={"operation": "order"}):
-    """`name` asks to go out, for an order. `id` is the ask's own: repeated, it gets its first answer."""
+    """Instance `name` asks to become unavailable, for an operation (empty: for none).
+
+    `id` identifies the request: repeated, it gets its first decision again.
+    """
 
     id: str
     name: str
@@ -36,27 +41,30 @@
 
 
 class InstanceReturned(Struct, frozen=True, tag="Back", rename={"permit_number": "number"}):
-    """`name` serves again, is warm and takes its share; `number`: the permit it went out by, 0: without."""
+    """Instance `name` serves again, is warm and takes its part of the traffic.
+
+    `permit_number`: of the permit by which it was unavailable; 0: it had none.
+    """
 
     name: str
     permit_number: int = 0
 
 
 class InstanceLost(Struct, frozen=True, tag="Away"):
-    """`name` was found gone, or was stopped by its machine, without leave."""
+    """Instance `name` was found gone, or its machine stopped it, without a permit."""
 
     name: str
 
 
 class EnrollInstances(Struct, frozen=True, tag="Enrol", rename={"instances": "units"}):
-    """What there is in the fleet, and its limits; `units` of the same name take the former's place."""
+    """Instances and limits of the fleet. Those of the same name or kind replace the former ones."""
 
     instances: tuple[Instance, ...] = ()
     limits: tuple[tuple[InstanceKind, DisruptionLimits], ...] = ()
 
 
 class HaltDisruptions(Struct, frozen=True, tag="Halt", rename={"reason": "why", "lifted": "over"}):
-    """Nothing further goes out, until `over`."""
+    """No further permit is given, until the same command comes with `lifted`."""
 
     reason: str
     lifted: bool = False
@@ -66,7 +74,7 @@
 
 
 class Permit(Struct, frozen=True, rename={"operation": "order"}):
-    """Leave to be out. `number` is its fencing number."""
+    """Allows an instance to be unavailable; `number` is the fencing token."""
 
     number: int
     name: str
@@ -74,7 +82,7 @@
 
 
 class PermitDecision(Struct, frozen=True, rename={"rejection": "why"}):
-    """To an ask: a permit, or why not."""
+    """The answer to a request: a permit, or why it is rejected."""
 
     id: str
     permit: Permit | None
@@ -85,7 +93,7 @@
     Struct,
     rename={"instances": "units", "unavailable": "out", "decisions": "answers", "halt_reason": "halted"},
 ):
-    """The state. `out`: those out, by name; None: without leave."""
+    """The state machine. `unavailable` holds the permit of each unavailable instance; None: it has none."""
 
     instances: dict[str, Instance] = msgspec.field(default_factory=dict)
     limits: dict[InstanceKind, DisruptionLimits] = msgspec.field(default_factory=dict)
@@ -94,69 +102,24 @@
     halt_reason: str = ""
 
     def apply(self, number: int, command: PermitCommand) -> PermitDecision | None:
-        """The command at place `number` of the record; an answer to an ask."""
+        """Applies a committed command; `number` is the one that a permit given by it gets."""
         match command:
             case RequestPermit():
-                return self._ask(number, command)
-            case InstanceReturned(name, permit):
-                self._back(name, permit)
+                return self._on_request(number, command)
+            case InstanceReturned(name, permit_number):
+                self._on_returned(name, permit_number)
             case InstanceLost(name):
                 if name in self.instances:
                     self.unavailable.setdefault(name, None)
-            case EnrollInstances(units, limits):
-                self.instances |= {unit.name: unit for unit in units}
+            case EnrollInstances(instances, limits):
+                self.instances |= {instance.name: instance for instance in instances}
                 self.limits |= dict(limits)
-            case HaltDisruptions(why, over):
-                self.halt_reason = "" if over else why
+            case HaltDisruptions(reason, lifted):
+                self.halt_reason = "" if lifted else reason
         return None
 
-    def _ask(self, number: int, ask: RequestPermit) -> PermitDecision:
-        if (known := self.decisions.get(ask.id)) is not None:
-            return known
-        answer = self._decide(number, ask)
-        self.decisions[ask.id] = answer
-        if len(self.decisions) > MAX_DECISIONS:
-            del self.decisions[next(iter(self.decisions))]
-        if answer.permit is not None:
-            self.unavailable[ask.name] = answer.permit
-        return answer
-
-    def _decide(self, number: int, ask: RequestPermit) -> PermitDecision:
-        unit = self.instances.get(ask.name)
-        if unit is None:
-            return PermitDecision(ask.id, None, f"{ask.name} is not enrolled")
-        if self.halt_reason:
-            return PermitDecision(ask.id, None, f"halted: {self.halt_reason}")
-        if ask.name in self.unavailable:
-            held = self.unavailable[ask.name]
-            by = f"by permit {held.number} of {held.operation or 'no order'}" if held else "without leave"
-            return PermitDecision(ask.id, None, f"{ask.name} is out already, {by}")
-        limits = self.limits.get(unit.kind)
-        if limits is None:
-            return PermitDecision(
-                ask.id, None, f"no limits are told for {unit.kind.plural}, so none may go out"
-            )
-        why = check_budget(limits, self.instances.values(), self.unavailable, unit)
-        if why is not None:
-            return PermitDecision(ask.id, None, self._told(why))
-        return PermitDecision(ask.id, Permit(number, ask.name, ask.operation))
-
-    def _told(self, why: BudgetExceeded) -> str:
-        orders = {
-            permit.operation for name, permit in self.unavailable.items() if name in why.instances and permit
-        }
-        of = f"; of {', '.join(sorted(order or 'no order' for order in orders))}" if orders else ""
-        return f"{why}{of}; ask again when one of them is back"
-
-    def _back(self, name: str, number: int) -> None:
-        held = self.unavailable.get(name)
-        if name not in self.unavailable or (held.number if held else 0) != number:
-            # Of a permit that ended before, told late; or of a former process of one that is out again.
-            return
-        del self.unavailable[name]
-
     def copy(self) -> PermitRegister:
-        """For a snapshot."""
+        """An independent copy, for a snapshot."""
         return PermitRegister(
             dict(self.instances),
             dict(self.limits),
@@ -165,25 +128,77 @@
             self.halt_reason,
         )
 
-
-@dataclass(slots=True)
+    def _on_request(self, number: int, request: RequestPermit) -> PermitDecision:
+        if (known := self.decisions.get(request.id)) is not None:
+            return known
+        rejection = self._rejection(request)
+        permit = None if rejection else Permit(number, request.name, request.operation)
+        decision = PermitDecision(request.id, permit, rejection)
+        self.decisions[request.id] = decision
+        if len(self.decisions) > MAX_DECISIONS:
+            del self.decisions[next(iter(self.decisions))]
+        if permit is not None:
+            self.unavailable[request.name] = permit
+        return decision
+
+    def _rejection(self, request: RequestPermit) -> str:
+        """Why a request is rejected; empty: it is granted."""
+        instance = self.instances.get(request.name)
+        if instance is None:
+            return f"{request.name} is not enrolled"
+        if self.halt_reason:
+            return f"halted: {self.halt_reason}"
+        if request.name in self.unavailable:
+            return f"{request.name} is out already, {self._describe_permit(request.name)}"
+        limits = self.limits.get(instance.kind)
+        if limits is None:
+            return f"no limits are told for {instance.kind.plural}, so none may go out"
+        exceeded = find_exceeded_limit(limits, self.instances.values(), self.unavailable, instance)
+        return "" if exceeded is None else self._describe_exceeded(exceeded)
+
+    def _describe_permit(self, name: str) -> str:
+        permit = self.unavailable[name]
+        if permit is None:
+            return "without leave"
+        return f"by permit {permit.number} of {permit.operation or 'no order'}"
+
+    def _describe_exceeded(self, exceeded: ExceededLimit) -> str:
+        permits = (self.unavailable.get(name) for name in exceeded.instances)
+        operations = {permit.operation for permit in permits if permit is not None}
+        names = sorted(operation or "no order" for operation in operations)
+        users = f"; of {', '.join(names)}" if names else ""
+        return f"{exceeded}{users}; ask again when one of them is back"
+
+    def _on_returned(self, name: str, permit_number: int) -> None:
+        permit = self.unavailable.get(name)
+        # Any other number is of a permit that ended before, or of a former process of the instance.
+        if name in self.unavailable and permit_number == (permit.number if permit else 0):
+            del self.unavailable[name]
+
+
+@dataclasses.dataclass(slots=True)
 class Fence:
-    """At whoever acts on permits: the highest number seen of each name, and the highest that is over. A
-    permit
-    that is over, or lower than one seen, is void, however late its word comes or its holder wakes."""
+    """Rejects stale permits, at whoever acts on permits.
 
-    highest_seen: dict[str, int] = field(default_factory=dict)
-    highest_ended: dict[str, int] = field(default_factory=dict)
+    A permit that has ended, or is lower than one that was seen for the same instance, is void, however late
+    its message arrives or its holder wakes.
+    """
+
+    highest_seen: dict[str, int] = dataclasses.field(default_factory=dict)
+    highest_ended: dict[str, int] = dataclasses.field(default_factory=dict)
 
     def accepts(self, permit: Permit) -> bool:
-        if permit.number < self.highest_seen.get(permit.name, 0) or permit.number <= self.highest_ended.get(
-            permit.name, 0
-        ):
+        """Whether the permit may be acted on. One that is accepted makes the lower ones stale."""
+        is_stale = permit.number < self.highest_seen.get(permit.name, 0)
+        if is_stale or permit.number <= self.highest_ended.get(permit.name, 0):
             return False
         self.highest_seen[permit.name] = permit.number
         return True
 
     def end(self, permit: Permit) -> None:
-        """Its holder is in again. Kept open, a copy of its word that comes late let the holder out once more
-        while the council took it for in."""
+        """Notes that the permit's holder is available again.
+
+        Otherwise a copy of its message that comes late would take the holder out once more, while the group
+        holds it for available.
+        """
         self.highest_ended[permit.name] = max(self.highest_ended.get(permit.name, 0), permit.number)
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -18,7 +18,7 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
-from valverouter.rollout.disruption_limits import check_budget, find_unsatisfiable_limits, plan_waves
+from valverouter.rollout.disruption_limits import find_exceeded_limit, find_unsatisfiable_limits, plan_waves
 from valverouter.rollout.disruption_permits import (
     EnrollInstances,
     HaltDisruptions,
@@ -410,7 +410,9 @@
         unit = self.permits.instances[place.instances[0]]
         units, out = list(self.permits.instances.values()), set(self._drained())
         for name in place.instances:
-            why = check_budget(self.permits.limits[unit.kind], units, out, self.permits.instances[name])
+            why = find_exceeded_limit(
+                self.permits.limits[unit.kind], units, out, self.permits.instances[name]
+            )
             if why is not None:
                 raise ValueError(f"{name}: {why}")
             out.add(name)
