--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -36,7 +36,7 @@
 from valverouter.edge.logs import set_up
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
-from valverouter.fleet.datagrams import FleetTask
+from valverouter.fleet.membership_service import FleetTask
 from valverouter.ledger.store import Ledger
 from valverouter.membership.records import Phase
 from valverouter.signalling import setup
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -23,7 +23,7 @@
 from multiprocessing import Pool
 
 from valverouter.emulator.views import SECOND, Node, Views
-from valverouter.fleet.sealing import size_of
+from valverouter.fleet.authentication import size_of
 from valverouter.membership.core import Membership
 from valverouter.membership.messages import Gossip, Message
 from valverouter.membership.records import Record, State, said, told
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,10 +28,10 @@
 from valverouter.days.virtual import MemoryEdge, MemoryPlace, MemorySurroundings, run_virtual
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.asking import Heard, Query, Row, Shown, differences, is_settled, pages_of
-from valverouter.fleet.datagrams import FleetTask
-from valverouter.fleet.sealing import HEAD, MOST, VERSION, Envelope, Opener, Seal, TooLongError, Window
-from valverouter.fleet.tool import Asker
+from valverouter.fleet.authentication import HEAD, MOST, VERSION, Envelope, Opener, Seal, TooLongError, Window
+from valverouter.fleet.client import Asker
+from valverouter.fleet.membership_service import FleetTask
+from valverouter.fleet.queries import Heard, Query, Row, Shown, differences, is_settled, pages_of
 from valverouter.membership.messages import Ask, Gossip, Ping, Sync
 from valverouter.membership.records import Phase, Record, State
 from valverouter.membership.rules import Rules
@@ -92,14 +92,14 @@
     opener, seal = Opener(Seal((KEY,))), Seal((KEY,))
     assert opener.open(data) is None
     head = bytes((VERSION,)) + seal._mark
-    from valverouter.fleet.sealing import _digest
+    from valverouter.fleet.authentication import _digest
 
     assert opener.open(head + _digest(KEY, head, data) + data) is None, "also under our own key"
     assert sum(opener.dropped.values()) == 2
 
 
 def test_another_version_is_dropped_and_told_once() -> None:
-    from valverouter.fleet.sealing import _digest
+    from valverouter.fleet.authentication import _digest
 
     seal, opener = Seal((KEY,)), Opener(Seal((KEY,)))
     body = msgspec.msgpack.encode(Envelope(1, ping()))
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -20,14 +20,14 @@
 from valverouter.audit.orders import judge_orders
 from valverouter.cli.__main__ import main
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.asking import Count
-from valverouter.fleet.council import SeatTask
-from valverouter.fleet.keeper import Running
-from valverouter.fleet.parcels import BURST, HELD_MOST, PIECE, Parcels, Piece, TooManyPiecesError
-from valverouter.fleet.post import Post
-from valverouter.fleet.sealing import MOST, Opener, Posted, Seal
-from valverouter.fleet.tool import CouncilAsker
-from valverouter.fleet.words import Asks, Here, Word
+from valverouter.fleet.authentication import MOST, Opener, Posted, Seal
+from valverouter.fleet.client import CouncilAsker
+from valverouter.fleet.fragmentation import BURST, HELD_MOST, PIECE, Parcels, Piece, TooManyPiecesError
+from valverouter.fleet.messages import Asks, Here, Word
+from valverouter.fleet.queries import Count
+from valverouter.fleet.raft_server import SeatTask
+from valverouter.fleet.supervisor_service import Running
+from valverouter.fleet.transport import Post
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore, opened
 from valverouter.ledger.store import LedgerBusyError
--- a/valverouter/cli/edging.py
+++ b/valverouter/cli/edging.py
@@ -19,7 +19,7 @@
 from valverouter.edge.keeping import edge_proxy
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
-from valverouter.fleet.datagrams import FleetTask, counts_of, facts_of
+from valverouter.fleet.membership_service import FleetTask, counts_of, facts_of
 from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.store import Ledger
 from valverouter.terms.edge import EdgeTerms, load_edge_terms, load_settled
--- a/valverouter/cli/fleeting.py
+++ b/valverouter/cli/fleeting.py
@@ -19,8 +19,8 @@
 from valverouter.cli.seating import council, keeper
 from valverouter.days.emulated_views import run_views
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.asking import Heard, Row, differences, is_settled
-from valverouter.fleet.tool import Asker
+from valverouter.fleet.client import Asker
+from valverouter.fleet.queries import Heard, Row, differences, is_settled
 from valverouter.membership.records import LIVING, Phase, State
 from valverouter.terms.between import Between
 from valverouter.terms.day import load_day
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -21,7 +21,7 @@
 
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.tool import CouncilAsker
+from valverouter.fleet.client import CouncilAsker
 from valverouter.rollout.orders import Command, Kind, Place, Placed, Retire, Stop
 from valverouter.rollout.permits import Halt
 from valverouter.rollout.shown import Order, Shown, Unit
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -15,8 +15,8 @@
 from valverouter.cli.common import FAILED, FILE, leaf
 from valverouter.edge import logs
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.council import NotFoundedError, SeatTask
-from valverouter.fleet.keeper import KeeperTask
+from valverouter.fleet.raft_server import NotFoundedError, SeatTask
+from valverouter.fleet.supervisor_service import KeeperTask
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.keeperstore import opened
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -18,9 +18,9 @@
 import trio
 
 from valverouter.edge.surroundings import UdpSocket, split
-from valverouter.fleet.asking import Count, Counted
-from valverouter.fleet.datagrams import LABEL
-from valverouter.fleet.sealing import Opener, Seal
+from valverouter.fleet.authentication import Opener, Seal
+from valverouter.fleet.membership_service import LABEL
+from valverouter.fleet.queries import Count, Counted
 from valverouter.rollout.keeping import Counts
 from valverouter.terms.between import key_of
 
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -19,9 +19,9 @@
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, Surroundings
-from valverouter.fleet.asking import Heard
-from valverouter.fleet.datagrams import FleetTask, facts_of
-from valverouter.fleet.tool import Asker
+from valverouter.fleet.client import Asker
+from valverouter.fleet.membership_service import FleetTask, facts_of
+from valverouter.fleet.queries import Heard
 from valverouter.membership.records import LIVING
 from valverouter.membership.voice import Told
 from valverouter.servermodel.paths import Paths
--- a/valverouter/fleet/sealing.py
+++ b/valverouter/fleet/authentication.py
@@ -20,8 +20,8 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.fleet.asking import Count, Counted, Query, Shown
-from valverouter.fleet.parcels import Piece
+from valverouter.fleet.fragmentation import Piece
+from valverouter.fleet.queries import Count, Counted, Query, Shown
 from valverouter.membership.messages import Ack, Ask, Gossip, Message, Nack, Pages, Ping, Sync
 from valverouter.membership.records import State
 
--- a/valverouter/fleet/tool.py
+++ b/valverouter/fleet/client.py
@@ -10,10 +10,10 @@
 import trio
 
 from valverouter.edge.surroundings import Datagrams
-from valverouter.fleet.asking import Heard, Query, Shown
-from valverouter.fleet.post import Post
-from valverouter.fleet.sealing import Opener, Seal
-from valverouter.fleet.words import Asks, Tells
+from valverouter.fleet.authentication import Opener, Seal
+from valverouter.fleet.messages import Asks, Tells
+from valverouter.fleet.queries import Heard, Query, Shown
+from valverouter.fleet.transport import Post
 from valverouter.rollout.orders import Command
 from valverouter.terms.rollout import ToolTerms
 
--- a/valverouter/fleet/parcels.py
+++ b/valverouter/fleet/fragmentation.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-# Of a piece's body, so that a datagram of it stays under fleet/sealing.py's MOST.
+# Of a piece's body, so that a datagram of it stays under fleet/authentication.py's MOST.
 PIECE = 1_200
 PIECES_MOST = 2_048
 # Pieces of one parcel that leave at once; a longer one goes on, where it is sent again, with those after.
--- a/valverouter/fleet/datagrams.py
+++ b/valverouter/fleet/membership_service.py
@@ -19,8 +19,8 @@
 
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Datagrams, Surroundings
-from valverouter.fleet.asking import Count, Counted, Query, Shown, pages_of, rows_of
-from valverouter.fleet.sealing import MOST, Opener, Seal, TooLongError
+from valverouter.fleet.authentication import MOST, Opener, Seal, TooLongError
+from valverouter.fleet.queries import Count, Counted, Query, Shown, pages_of, rows_of
 from valverouter.membership.core import Membership
 from valverouter.membership.records import Phase, Record
 from valverouter.membership.rules import Rules
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/raft_server.py
@@ -15,8 +15,8 @@
 import trio
 
 from valverouter.edge.surroundings import Surroundings
-from valverouter.fleet.post import Post
-from valverouter.fleet.words import Asks, Here, Reported, Tells, Votes, Worded
+from valverouter.fleet.messages import Asks, Here, Reported, Tells, Votes, Worded
+from valverouter.fleet.transport import Post
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.rollout.conducting import Rules
 from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
--- a/valverouter/fleet/keeper.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -19,11 +19,11 @@
 import trio
 
 from valverouter.edge.surroundings import READ, Datagrams, Surroundings
-from valverouter.fleet.asking import Count, Counted
-from valverouter.fleet.datagrams import LABEL
-from valverouter.fleet.post import Post
-from valverouter.fleet.sealing import Opener, Seal
-from valverouter.fleet.words import Reported, Worded
+from valverouter.fleet.authentication import Opener, Seal
+from valverouter.fleet.membership_service import LABEL
+from valverouter.fleet.messages import Reported, Worded
+from valverouter.fleet.queries import Count, Counted
+from valverouter.fleet.transport import Post
 from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
 from valverouter.rollout.limits import Sort
--- a/valverouter/fleet/post.py
+++ b/valverouter/fleet/transport.py
@@ -9,9 +9,9 @@
 import trio
 
 from valverouter.edge.surroundings import Datagrams
-from valverouter.fleet.parcels import Parcels, TooManyPiecesError
-from valverouter.fleet.sealing import Opener, Posted, Seal
-from valverouter.fleet.words import Word, decoder, encoder
+from valverouter.fleet.authentication import Opener, Posted, Seal
+from valverouter.fleet.fragmentation import Parcels, TooManyPiecesError
+from valverouter.fleet.messages import Word, decoder, encoder
 
 # Drops are told no oftener than so.
 DROPS_TOLD_S = 60.0
