--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -29,7 +29,8 @@
 from valverouter.edge import listing
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
-from valverouter.fleet import asking, parcels, sealing, words
+from valverouter.fleet import authentication, fragmentation, queries
+from valverouter.fleet import messages as fleet_messages
 from valverouter.ledger import store
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore
@@ -75,7 +76,7 @@
             case Format.FRAME:
                 return framing.frame(self.value)
             case Format.DATAGRAM:
-                return sealing.Seal((KEY,)).seal(self.value)
+                return authentication.Seal((KEY,)).seal(self.value)
 
     def decode(self, data: bytes) -> Any:
         match self.format:
@@ -87,7 +88,7 @@
                 (body,) = framing.FrameReader().feed(data)
                 return msgspec.msgpack.decode(body, type=self.decoded_as)
             case Format.DATAGRAM:
-                return sealing.Opener(sealing.Seal((KEY,)), self.decoded_as).open(data)
+                return authentication.Opener(authentication.Seal((KEY,)), self.decoded_as).open(data)
 
 
 # Membership
@@ -130,19 +131,19 @@
 COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.State = records.State.LEFT) -> asking.Row:
-    return asking.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
+def view_row(state: records.State = records.State.LEFT) -> queries.Row:
+    return queries.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
 
 
 VIEW = tuple(view_row(state) for state in records.State)
 VIEWS: dict[str, Any] = {
-    "query": asking.Query(*HEAD, 9, 4),
-    "count": asking.Count(*HEAD, 10),
-    "counted": asking.Counted(*HEAD, 12, COUNTS),
-    "shown": asking.Shown(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
+    "query": queries.Query(*HEAD, 9, 4),
+    "count": queries.Count(*HEAD, 10),
+    "counted": queries.Counted(*HEAD, 12, COUNTS),
+    "shown": queries.Shown(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
 }
 
-PIECE = parcels.Piece("c1", 193, 197, 2, 5, b"of a parcel")
+PIECE = fragmentation.Piece("c1", 193, 197, 2, 5, b"of a parcel")
 
 # Orders and permits
 
@@ -240,15 +241,15 @@
 )
 
 WORDS: dict[str, Any] = {
-    **{f"votes-{name}": words.Votes("c2", message) for name, message in COUNCIL.items()},
-    "here": words.Here("c3", 431),
-    "reported": words.Reported(REPORT, 433, 439),
-    "worded": words.Worded("c1", "e16", 443, 449, WANT, True),
+    **{f"votes-{name}": fleet_messages.Votes("c2", message) for name, message in COUNCIL.items()},
+    "here": fleet_messages.Here("c3", 431),
+    "reported": fleet_messages.Reported(REPORT, 433, 439),
+    "worded": fleet_messages.Worded("c1", "e16", 443, 449, WANT, True),
     **{
-        f"asks-{name}": words.Asks(457 + at, "do", command, "about")
+        f"asks-{name}": fleet_messages.Asks(457 + at, "do", command, "about")
         for at, (name, command) in enumerate(COMMANDS.items())
     },
-    "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
+    "tells": fleet_messages.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
 PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
@@ -475,8 +476,8 @@
     plain: dict[str, Any] = {
         **{f"membership.record-{state.value}": member_record(state) for state in records.State},
         **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
-        "fleet.envelope": sealing.Envelope(3, MEMBERSHIP["ping"]),
-        "fleet.posted": sealing.Posted(4, PIECE),
+        "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
+        "fleet.posted": authentication.Posted(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
         "council.snapshot": written.kept_snapshot(snapshot()),
         "orders.placed": PLACED,
@@ -498,9 +499,9 @@
         {key: Sample(value) for key, value in plain.items()}
         | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
         | _named("fleet", VIEWS | {"piece": PIECE}, Format.MSGPACK)
-        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, sealing.Envelope)
-        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, sealing.Posted)
-        | _named("words", WORDS, Format.MSGPACK, words.Word)
+        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, authentication.Envelope)
+        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, authentication.Posted)
+        | _named("words", WORDS, Format.MSGPACK, fleet_messages.Word)
         | _named("setup", SETUP, Format.FRAME, SETUP_KINDS)
         | _named("greeting", GREETING, Format.FRAME, greeting.Greeting)
         | _named("list", LIST, Format.FRAME, LIST_KINDS)
@@ -530,10 +531,10 @@
 MODULES = (
     messages,
     records,
-    asking,
-    parcels,
-    sealing,
-    words,
+    queries,
+    fragmentation,
+    authentication,
+    fleet_messages,
     limits,
     permits,
     orders,
@@ -576,17 +577,17 @@
     messages.Gossip: "g",
     messages.Sync: "s",
     messages.Pages: "v",
-    asking.Query: "?",
-    asking.Count: "c",
-    asking.Counted: "C",
-    asking.Shown: "!",
-    parcels.Piece: "Piece",
-    words.Votes: "v",
-    words.Here: "h",
-    words.Reported: "r",
-    words.Worded: "w",
-    words.Asks: "q",
-    words.Tells: "t",
+    queries.Query: "?",
+    queries.Count: "c",
+    queries.Counted: "C",
+    queries.Shown: "!",
+    fragmentation.Piece: "Piece",
+    fleet_messages.Votes: "v",
+    fleet_messages.Here: "h",
+    fleet_messages.Reported: "r",
+    fleet_messages.Worded: "w",
+    fleet_messages.Asks: "q",
+    fleet_messages.Tells: "t",
     permits.Ask: "Ask",
     permits.Back: "Back",
     permits.Away: "Away",
