--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -36,7 +36,7 @@
 from valverouter.edge.logs import set_up
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
-from valverouter.fleet.membership_service import FleetTask
+from valverouter.fleet.membership_service import MembershipService
 from valverouter.ledger.store import Ledger
 from valverouter.membership.records import Phase
 from valverouter.signalling import setup
@@ -192,10 +192,12 @@
 KEY = key_of(b"what benchmarks are keyed with, and nothing else")
 
 
-def member(name: str, seeds: tuple[str, ...], port: int) -> FleetTask:
+def member(name: str, seeds: tuple[str, ...], port: int) -> MembershipService:
     terms = edge_terms(IniFile(INI.format(port=port).replace("name = e0", f"name = {name}"), "bench"))
     between = Between("127.0.0.1:0", (KEY,), seeds)
-    return FleetTask(terms, between, Sockets(), random.getrandbits(64), lambda: (Phase.SERVING, terms.digest))
+    return MembershipService(
+        terms, between, Sockets(), random.getrandbits(64), lambda: (Phase.SERVING, terms.digest)
+    )
 
 
 def crowd(count: int, told: Any) -> None:
@@ -206,14 +208,14 @@
         async with trio.open_nursery() as nursery:
             first = member("m0", (), 1)
             await nursery.start(first.run)
-            assert first.core is not None
-            others = [member(f"m{at}", (first.core.mine.address,), 1) for at in range(1, count)]
+            assert first.membership is not None
+            others = [member(f"m{at}", (first.membership.mine.address,), 1) for at in range(1, count)]
             for one in others:
                 await nursery.start(one.run)
-            told.put(first.core.mine.address)
-            while first.core.view.living < count + 1 or first.core.trust.value != "settled":
+            told.put(first.membership.mine.address)
+            while first.membership.view.living < count + 1 or first.membership.trust.value != "settled":
                 await trio.sleep(0.2)
-            told.put(f"{first.core.view.living} members, {first.core.trust.value}")
+            told.put(f"{first.membership.view.living} members, {first.membership.trust.value}")
             await trio.sleep_forever()
 
     set_up(edge_terms(IniFile(INI.format(port=1), "bench")).log)
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -23,7 +23,7 @@
 from multiprocessing import Pool
 
 from valverouter.emulator.views import SECOND, Node, Views
-from valverouter.fleet.authentication import size_of
+from valverouter.fleet.authentication import datagram_size
 from valverouter.membership.core import Membership
 from valverouter.membership.messages import Gossip, Message
 from valverouter.membership.records import Record, State, said, told
@@ -106,7 +106,7 @@
         ),
         case.seed,
         watch,
-        size_of if sized else None,
+        datagram_size if sized else None,
         make,  # type: ignore[arg-type]
     )
     views.full(case.members, SEEDS)
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -76,7 +76,7 @@
             case Format.FRAME:
                 return framing.frame(self.value)
             case Format.DATAGRAM:
-                return authentication.Seal((KEY,)).seal(self.value)
+                return authentication.Authenticator((KEY,)).sign(self.value)
 
     def decode(self, data: bytes) -> Any:
         match self.format:
@@ -88,7 +88,9 @@
                 (body,) = framing.FrameReader().feed(data)
                 return msgspec.msgpack.decode(body, type=self.decoded_as)
             case Format.DATAGRAM:
-                return authentication.Opener(authentication.Seal((KEY,)), self.decoded_as).open(data)
+                return authentication.DatagramReader(
+                    authentication.Authenticator((KEY,)), self.decoded_as
+                ).read(data)
 
 
 # Membership
@@ -131,19 +133,21 @@
 COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.State = records.State.LEFT) -> queries.Row:
-    return queries.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
+def view_row(state: records.State = records.State.LEFT) -> queries.MemberRow:
+    return queries.MemberRow(
+        "e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True
+    )
 
 
 VIEW = tuple(view_row(state) for state in records.State)
 VIEWS: dict[str, Any] = {
-    "query": queries.Query(*HEAD, 9, 4),
-    "count": queries.Count(*HEAD, 10),
-    "counted": queries.Counted(*HEAD, 12, COUNTS),
-    "shown": queries.Shown(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
+    "query": queries.ViewQuery(*HEAD, 9, 4),
+    "count": queries.CountersQuery(*HEAD, 10),
+    "counted": queries.CountersReply(*HEAD, 12, COUNTS),
+    "shown": queries.ViewPage(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
 }
 
-PIECE = fragmentation.Piece("c1", 193, 197, 2, 5, b"of a parcel")
+PIECE = fragmentation.Fragment("c1", 193, 197, 2, 5, b"of a parcel")
 
 # Orders and permits
 
@@ -241,15 +245,15 @@
 )
 
 WORDS: dict[str, Any] = {
-    **{f"votes-{name}": fleet_messages.Votes("c2", message) for name, message in COUNCIL.items()},
-    "here": fleet_messages.Here("c3", 431),
-    "reported": fleet_messages.Reported(REPORT, 433, 439),
-    "worded": fleet_messages.Worded("c1", "e16", 443, 449, WANT, True),
+    **{f"votes-{name}": fleet_messages.RaftEnvelope("c2", message) for name, message in COUNCIL.items()},
+    "here": fleet_messages.NodeAnnouncement("c3", 431),
+    "reported": fleet_messages.ReportMessage(REPORT, 433, 439),
+    "worded": fleet_messages.DesiredStateMessage("c1", "e16", 443, 449, WANT, True),
     **{
-        f"asks-{name}": fleet_messages.Asks(457 + at, "do", command, "about")
+        f"asks-{name}": fleet_messages.ClientRequest(457 + at, "do", command, "about")
         for at, (name, command) in enumerate(COMMANDS.items())
     },
-    "tells": fleet_messages.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
+    "tells": fleet_messages.ClientResponse(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
 PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
@@ -477,7 +481,7 @@
         **{f"membership.record-{state.value}": member_record(state) for state in records.State},
         **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
         "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
-        "fleet.posted": authentication.Posted(4, PIECE),
+        "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
         "council.snapshot": written.kept_snapshot(snapshot()),
         "orders.placed": PLACED,
@@ -500,8 +504,8 @@
         | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
         | _named("fleet", VIEWS | {"piece": PIECE}, Format.MSGPACK)
         | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, authentication.Envelope)
-        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, authentication.Posted)
-        | _named("words", WORDS, Format.MSGPACK, fleet_messages.Word)
+        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, authentication.FragmentEnvelope)
+        | _named("words", WORDS, Format.MSGPACK, fleet_messages.ControlMessage)
         | _named("setup", SETUP, Format.FRAME, SETUP_KINDS)
         | _named("greeting", GREETING, Format.FRAME, greeting.Greeting)
         | _named("list", LIST, Format.FRAME, LIST_KINDS)
@@ -577,17 +581,17 @@
     messages.Gossip: "g",
     messages.Sync: "s",
     messages.Pages: "v",
-    queries.Query: "?",
-    queries.Count: "c",
-    queries.Counted: "C",
-    queries.Shown: "!",
-    fragmentation.Piece: "Piece",
-    fleet_messages.Votes: "v",
-    fleet_messages.Here: "h",
-    fleet_messages.Reported: "r",
-    fleet_messages.Worded: "w",
-    fleet_messages.Asks: "q",
-    fleet_messages.Tells: "t",
+    queries.ViewQuery: "?",
+    queries.CountersQuery: "c",
+    queries.CountersReply: "C",
+    queries.ViewPage: "!",
+    fragmentation.Fragment: "Piece",
+    fleet_messages.RaftEnvelope: "v",
+    fleet_messages.NodeAnnouncement: "h",
+    fleet_messages.ReportMessage: "r",
+    fleet_messages.DesiredStateMessage: "w",
+    fleet_messages.ClientRequest: "q",
+    fleet_messages.ClientResponse: "t",
     permits.Ask: "Ask",
     permits.Back: "Back",
     permits.Away: "Away",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,10 +28,27 @@
 from valverouter.days.virtual import MemoryEdge, MemoryPlace, MemorySurroundings, run_virtual
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.authentication import HEAD, MOST, VERSION, Envelope, Opener, Seal, TooLongError, Window
-from valverouter.fleet.client import Asker
-from valverouter.fleet.membership_service import FleetTask
-from valverouter.fleet.queries import Heard, Query, Row, Shown, differences, is_settled, pages_of
+from valverouter.fleet.authentication import (
+    HEADER_BYTES,
+    MAX_DATAGRAM_BYTES,
+    PROTOCOL_VERSION,
+    Authenticator,
+    DatagramReader,
+    Envelope,
+    MessageTooLongError,
+    ReplayWindow,
+)
+from valverouter.fleet.client import FleetClient
+from valverouter.fleet.membership_service import MembershipService
+from valverouter.fleet.queries import (
+    MemberRow,
+    ViewAnswer,
+    ViewPage,
+    ViewQuery,
+    find_differences,
+    is_converged,
+    paginate,
+)
 from valverouter.membership.messages import Ask, Gossip, Ping, Sync
 from valverouter.membership.records import Phase, Record, State
 from valverouter.membership.rules import Rules
@@ -55,32 +72,32 @@
 
 
 def test_only_those_with_a_key_are_heard_and_the_former_key_while_one_is_changed() -> None:
-    sealed = Seal((OTHER,)).seal(ping())
-    opener = Opener(Seal((KEY, OTHER)))
-    assert opener.open(sealed) == ping()
-    assert Opener(Seal((KEY,))).open(sealed) is None
+    sealed = Authenticator((OTHER,)).sign(ping())
+    opener = DatagramReader(Authenticator((KEY, OTHER)))
+    assert opener.read(sealed) == ping()
+    assert DatagramReader(Authenticator((KEY,))).read(sealed) is None
     for at in range(len(sealed)):
         spoilt = bytearray(sealed)
         spoilt[at] ^= 1
-        assert opener.open(bytes(spoilt)) is None, f"byte {at}"
+        assert opener.read(bytes(spoilt)) is None, f"byte {at}"
     assert set(opener.dropped) == {"stranger"}
 
 
 def test_a_replay_is_dropped_and_counted_and_an_overtaken_one_is_not() -> None:
-    seal, opener = Seal((KEY,)), Opener(Seal((KEY,)))
-    sealed = [seal.seal(ping(nonce=at)) for at in range(4)]
+    seal, opener = Authenticator((KEY,)), DatagramReader(Authenticator((KEY,)))
+    sealed = [seal.sign(ping(nonce=at)) for at in range(4)]
     for at in (0, 2, 1, 3):
-        assert opener.open(sealed[at]) is not None
+        assert opener.read(sealed[at]) is not None
     for at in range(4):
-        assert opener.open(sealed[at]) is None
+        assert opener.read(sealed[at]) is None
     assert opener.dropped == {"replay": 4}
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.integers(1, 3_000), max_size=120))
 def test_the_window_takes_no_counter_twice(counters: list[int]) -> None:
-    window = Window()
-    taken = [counter for counter in counters if window.is_new(5, counter)]
+    window = ReplayWindow()
+    taken = [counter for counter in counters if window.accept(5, counter)]
     assert len(taken) == len(set(taken))
     if counters:
         assert max(counters) in taken
@@ -89,24 +106,24 @@
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=1_500))
 def test_rubbish_is_dropped_whatever_it_is(data: bytes) -> None:
-    opener, seal = Opener(Seal((KEY,))), Seal((KEY,))
-    assert opener.open(data) is None
-    head = bytes((VERSION,)) + seal._mark
+    opener, seal = DatagramReader(Authenticator((KEY,))), Authenticator((KEY,))
+    assert opener.read(data) is None
+    head = bytes((PROTOCOL_VERSION,)) + seal._key_id
     from valverouter.fleet.authentication import _digest
 
-    assert opener.open(head + _digest(KEY, head, data) + data) is None, "also under our own key"
+    assert opener.read(head + _digest(KEY, head, data) + data) is None, "also under our own key"
     assert sum(opener.dropped.values()) == 2
 
 
 def test_another_version_is_dropped_and_told_once() -> None:
     from valverouter.fleet.authentication import _digest
 
-    seal, opener = Seal((KEY,)), Opener(Seal((KEY,)))
+    seal, opener = Authenticator((KEY,)), DatagramReader(Authenticator((KEY,)))
     body = msgspec.msgpack.encode(Envelope(1, ping()))
-    head = bytes((VERSION + 1,)) + seal._mark
+    head = bytes((PROTOCOL_VERSION + 1,)) + seal._key_id
     for _ in range(3):
-        assert opener.open(head + _digest(KEY, head, body) + body) is None
-    assert opener.strange == [VERSION + 1] and opener.dropped == {"version": 3}
+        assert opener.read(head + _digest(KEY, head, body) + body) is None
+    assert opener.unknown_versions == [PROTOCOL_VERSION + 1] and opener.dropped == {"version": 3}
 
 
 def test_the_longest_messages_fit_a_datagram_and_longer_ones_are_told() -> None:
@@ -121,17 +138,19 @@
         9,
         over=(2**63,) * 3,
     )
-    seal, most = Seal((KEY,)), 2**64 - 1
+    seal, most = Authenticator((KEY,)), 2**64 - 1
     page = (long,) * (Rules().room // long.size)
-    assert len(seal.seal(Sync(name, most, most, (most,) * 64, (long,)))) <= MOST
-    assert len(seal.seal(Ask(name, most, most, most, name, most, long.address, page))) <= MOST
-    row = Row(name, "r" * 64, 0, long.address, 2**60, 2**63, State.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False)
+    assert len(seal.sign(Sync(name, most, most, (most,) * 64, (long,)))) <= MAX_DATAGRAM_BYTES
+    assert len(seal.sign(Ask(name, most, most, most, name, most, long.address, page))) <= MAX_DATAGRAM_BYTES
+    row = MemberRow(
+        name, "r" * 64, 0, long.address, 2**60, 2**63, State.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False
+    )
     counts = {f"dropped-{why}": 2**40 for why in ("oversize", "stranger", "version", "rubbish", "replay")}
-    for at, rows in enumerate(pages_of([row] * 20)):
-        shown = Shown(name, most, most, most, at, 99, "unsettled", counts if at == 0 else {}, rows)
-        assert len(seal.seal(shown)) <= MOST
-    with pytest.raises(TooLongError):
-        seal.seal(Gossip(name, most, most, (long,) * 9))
+    for at, rows in enumerate(paginate([row] * 20)):
+        shown = ViewPage(name, most, most, most, at, 99, "unsettled", counts if at == 0 else {}, rows)
+        assert len(seal.sign(shown)) <= MAX_DATAGRAM_BYTES
+    with pytest.raises(MessageTooLongError):
+        seal.sign(Gossip(name, most, most, (long,) * 9))
 
 
 # The terms
@@ -240,10 +259,10 @@
 
 def task(
     name: str, seeds: tuple[str, ...] = (), keys: tuple[bytes, ...] = (KEY,), listen: str = "127.0.0.1:0"
-) -> FleetTask:
+) -> MembershipService:
     told = named(name)
     between = Between(listen, keys, seeds, period=100 * MS)
-    return FleetTask(
+    return MembershipService(
         told, between, Sockets(), random.Random(name).getrandbits(64), lambda: (Phase.SERVING, "")
     )
 
@@ -253,7 +272,7 @@
 
 
 @asynccontextmanager
-async def running(*tasks: FleetTask) -> AsyncIterator[trio.Nursery]:
+async def running(*tasks: MembershipService) -> AsyncIterator[trio.Nursery]:
     async with trio.open_nursery() as nursery:
         for one in tasks:
             await nursery.start(one.run)
@@ -261,9 +280,9 @@
         nursery.cancel_scope.cancel()
 
 
-def at(one: FleetTask) -> str:
-    assert one.core is not None
-    return one.core.mine.address
+def at(one: MembershipService) -> str:
+    assert one.membership is not None
+    return one.membership.mine.address
 
 
 async def until(true: Any, within: float = 10.0) -> None:
@@ -272,9 +291,9 @@
             await trio.sleep(0.02)
 
 
-def living(one: FleetTask) -> set[str]:
-    assert one.core is not None
-    return {name for name in one.core.view.records if one.core.view.lives(name)}
+def living(one: MembershipService) -> set[str]:
+    assert one.membership is not None
+    return {name for name in one.membership.view.records if one.membership.view.lives(name)}
 
 
 async def test_two_instances_find_each_other_on_sockets_and_one_leaves() -> None:
@@ -283,7 +302,7 @@
         second = task("e1", (at(first),))
         await nursery.start(second.run)
         await until(lambda: living(first) == living(second) == {"e0", "e1"})
-        await until(lambda: first.core.trust.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: first.membership.trust.value == "settled")  # type: ignore[union-attr]
         await until(lambda: first.counts["size-differs"] == 1)  # the rig's terms say 1
         second.leave()
         await second.ended.wait()
@@ -295,12 +314,12 @@
     first = task("e0")
     async with running(first) as nursery:
         one, two = task("e1", (at(first),)), task("e1", (at(first),))
-        two._life += 1
+        two._incarnation += 1
         await nursery.start(one.run)
         await until(lambda: living(first) == {"e0", "e1"})
         await nursery.start(two.run)
         await until(lambda: one.counts["conflict"] == two.counts["conflict"] == 1)
-        await until(lambda: first.core is not None and first.core.view.records["e1"].twin)
+        await until(lambda: first.membership is not None and first.membership.view.records["e1"].twin)
         restarts = first.counts["restarted"]
         await trio.sleep(1.5)
         assert first.counts["restarted"] == restarts <= 1 and first.counts["gone"] == 0
@@ -311,7 +330,7 @@
     async with running(first) as nursery:
         old = task("e1", (at(first),), (OTHER,))
         await nursery.start(old.run)
-        await until(lambda: first._opener.dropped["stranger"] > 2)
+        await until(lambda: first._reader.dropped["stranger"] > 2)
         assert living(first) == {"e0"} and living(old) == {"e1"}
         both = task("e2", (at(first),), (KEY, OTHER))
         await nursery.start(both.run)
@@ -329,7 +348,7 @@
         flood.bind(("127.0.0.1", 0))
         flood.setblocking(False)
         host, _, port = at(first).rpartition(":")
-        forged = Seal((OTHER,)).seal(ping())
+        forged = Authenticator((OTHER,)).sign(ping())
         slowest, sent, began = 0.0, 0, trio.current_time()
         while (now := trio.current_time()) - began < 1.5:
             for _ in range(max(0, int((now - began) * 10_000) - sent)):
@@ -342,46 +361,50 @@
         with pytest.raises(BlockingIOError):
             flood.recvfrom(100)
         flood.close()
-        assert first._opener.dropped["stranger"] > 1_000 and set(first._opener.dropped) == {"stranger"}
+        assert first._reader.dropped["stranger"] > 1_000 and set(first._reader.dropped) == {"stranger"}
         assert living(first) == living(second) == {"e0", "e1"} and first.counts["gone"] == 0
 
 
 async def test_a_question_is_answered_page_by_page_and_a_tool_is_no_member() -> None:
     first = task("e0", ("127.0.0.1:9",))
     async with running(first):
-        assert first.core is not None
+        assert first.membership is not None
         for number in range(1, 60):
             record = Record(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
-            first.core.view.put(record, 0)
-        asker = Asker((KEY,), Sockets().datagrams("127.0.0.1:0"), random.Random(1))
-        first.core.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
-        heard, silent = await asker.ask([at(first), "127.0.0.1:9"])
-        assert heard.missing is None and heard.wanted > 3 and silent.missing == 0
+            first.membership.view.put(record, 0)
+        asker = FleetClient((KEY,), Sockets().datagrams("127.0.0.1:0"), random.Random(1))
+        first.membership.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
+        heard, silent = await asker.query_views([at(first), "127.0.0.1:9"])
+        assert heard.missing_page is None and heard.page_count > 3 and silent.missing_page == 0
         assert [row.name for row in heard.rows if row.state != State.UNKNOWN] == sorted(
             f"e{number}" for number in range(60)
         )
         assert [row.address for row in heard.rows if row.state == State.UNKNOWN] == ["127.0.0.1:9"]
-        assert first.core.view.living == 60 and heard.digest == first.core.view.digest
+        assert first.membership.view.living == 60 and heard.digest == first.membership.view.digest
 
 
-def heard(name: str, digest: int, rows: list[Row], trust: str = "settled") -> Heard:
-    one = Heard(f"{name}:1")
-    one.take(Shown(name, hash(name), digest, 1, 0, 1, trust, {}, tuple(rows)))
+def heard(name: str, digest: int, rows: list[MemberRow], trust: str = "settled") -> ViewAnswer:
+    one = ViewAnswer(f"{name}:1")
+    one.add_page(ViewPage(name, hash(name), digest, 1, 0, 1, trust, {}, tuple(rows)))
     return one
 
 
 def test_views_that_differ_are_shown_as_differing_and_never_one_as_the_truth() -> None:
-    def row(name: str, state: State = State.ALIVE) -> Row:
-        return Row(name, "", 0, f"{name}:1", 1, 1, state, 0, "", "", 0, False)
+    def row(name: str, state: State = State.ALIVE) -> MemberRow:
+        return MemberRow(name, "", 0, f"{name}:1", 1, 1, state, 0, "", "", 0, False)
 
     one, two = heard("e0", 5, [row("e0"), row("e1")]), heard("e1", 6, [row("e0", State.GONE), row("e1")])
-    assert differences([one, two]) == {
+    assert find_differences([one, two]) == {
         "e0": {"alive at e0:1, life 0000000000000001": ["e0"], "gone at e0:1, life 0000000000000001": ["e1"]}
     }
-    assert not is_settled([one, two])
+    assert not is_converged([one, two])
     same = heard("e1", 5, [row("e0"), row("e1")])
-    assert is_settled([one, same]) and not is_settled([one, same, Heard("e2:1")]) and not is_settled([])
-    assert not is_settled([one, heard("e1", 5, [row("e0"), row("e1")], trust="cut off")])
+    assert (
+        is_converged([one, same])
+        and not is_converged([one, same, ViewAnswer("e2:1")])
+        and not is_converged([])
+    )
+    assert not is_converged([one, heard("e1", 5, [row("e0"), row("e1")], trust="cut off")])
 
 
 def test_fleet_view_of_a_file_without_the_section_and_of_nobody(tmp_path: Path) -> None:
@@ -405,7 +428,7 @@
     async with running(first) as nursery:
         second = task("e1", (at(first),))
         await nursery.start(second.run)
-        await until(lambda: first.core.trust.value == second.core.trust.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: first.membership.trust.value == second.membership.trust.value == "settled")  # type: ignore[union-attr]
         file = tmp_path / "e.ini"
         file.write_text(EDGE + SOUND.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", at(first)))
 
@@ -532,7 +555,7 @@
         for number, place in enumerate(places):
             told = named(f"e{number}")
             between = Between(f"b{number}:1", (KEY,), ("b0:1",), period=SECOND)
-            one = FleetTask(told, between, place, 100 + number, lambda: (Phase.SERVING, ""))
+            one = MembershipService(told, between, place, 100 + number, lambda: (Phase.SERVING, ""))
             tasks.append(one)
             await nursery.start(one.run)
         await trio.sleep(5)
@@ -583,6 +606,6 @@
 
 
 def test_a_query_has_no_name_and_its_head_is_as_short_as_any() -> None:
-    query = Query("", 5, 0, 1, 0)
-    assert len(Seal((KEY,)).seal(query)) < HEAD + 40
+    query = ViewQuery("", 5, 0, 1, 0)
+    assert len(Authenticator((KEY,)).sign(query)) < HEADER_BYTES + 40
     assert dataclasses.is_dataclass(Rules)
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -20,14 +20,26 @@
 from valverouter.audit.orders import judge_orders
 from valverouter.cli.__main__ import main
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.authentication import MOST, Opener, Posted, Seal
-from valverouter.fleet.client import CouncilAsker
-from valverouter.fleet.fragmentation import BURST, HELD_MOST, PIECE, Parcels, Piece, TooManyPiecesError
-from valverouter.fleet.messages import Asks, Here, Word
-from valverouter.fleet.queries import Count
-from valverouter.fleet.raft_server import SeatTask
-from valverouter.fleet.supervisor_service import Running
-from valverouter.fleet.transport import Post
+from valverouter.fleet.authentication import (
+    MAX_DATAGRAM_BYTES,
+    Authenticator,
+    DatagramReader,
+    FragmentEnvelope,
+)
+from valverouter.fleet.client import OperationsClient
+from valverouter.fleet.fragmentation import (
+    BURST_FRAGMENTS,
+    FRAGMENT_BYTES,
+    MAX_PARTIAL_MESSAGES,
+    Fragment,
+    Fragmenter,
+    TooManyFragmentsError,
+)
+from valverouter.fleet.messages import ClientRequest, ControlMessage, NodeAnnouncement
+from valverouter.fleet.queries import CountersQuery
+from valverouter.fleet.raft_server import RaftServer
+from valverouter.fleet.supervisor_service import ManagedProcess
+from valverouter.fleet.transport import Transport
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore, opened
 from valverouter.ledger.store import LedgerBusyError
@@ -48,68 +60,68 @@
 # Parcels
 
 
-@given(st.binary(max_size=5 * PIECE), st.randoms())
+@given(st.binary(max_size=5 * FRAGMENT_BYTES), st.randoms())
 @settings(max_examples=50, deadline=None)
 def test_pieces_in_any_order_make_the_whole(body: bytes, chance: Any) -> None:
-    here, there = Parcels("a", 1), Parcels("b", 2)
-    pieces = here.pieces("x:1", body)
+    here, there = Fragmenter("a", 1), Fragmenter("b", 2)
+    pieces = here.split("x:1", body)
     chance.shuffle(pieces)
-    wholes = [whole for piece in pieces if (whole := there.take(piece)) is not None]
+    wholes = [whole for piece in pieces if (whole := there.add(piece)) is not None]
     assert wholes == [body]
 
 
 def test_a_long_record_comes_over_in_bursts_and_fills_its_gaps() -> None:
-    here, there = Parcels("a", 1), Parcels("b", 2)
-    body = os.urandom(3 * BURST * PIECE)
+    here, there = Fragmenter("a", 1), Fragmenter("b", 2)
+    body = os.urandom(3 * BURST_FRAGMENTS * FRAGMENT_BYTES)
     whole, sendings = None, 0
     while whole is None:
         sendings += 1
-        pieces = here.pieces("x:1", body)
-        assert len(pieces) == BURST
+        pieces = here.split("x:1", body)
+        assert len(pieces) == BURST_FRAGMENTS
         for at, piece in enumerate(pieces):
             if (at + sendings) % 7:  # one in seven is lost
-                whole = there.take(piece) or whole
+                whole = there.add(piece) or whole
     assert whole == body and sendings <= 9
 
 
 def test_what_is_half_there_is_bounded_and_nonsense_makes_nothing() -> None:
-    there = Parcels("b", 2)
-    for id_ in range(10 * HELD_MOST):
-        assert there.take(Piece("a", 1, id_, 0, 2, b"x")) is None
-    assert len(there._held) <= HELD_MOST
+    there = Fragmenter("b", 2)
+    for id_ in range(10 * MAX_PARTIAL_MESSAGES):
+        assert there.add(Fragment("a", 1, id_, 0, 2, b"x")) is None
+    assert len(there._held) <= MAX_PARTIAL_MESSAGES
     for at, of in ((0, 0), (2, 2), (-1, 1), (0, 10**9)):
-        assert there.take(Piece("a", 1, 1, at, of, b"x")) is None
-    with pytest.raises(TooManyPiecesError):
-        there.pieces("x:1", bytes(10**7))
+        assert there.add(Fragment("a", 1, 1, at, of, b"x")) is None
+    with pytest.raises(TooManyFragmentsError):
+        there.split("x:1", bytes(10**7))
 
 
 async def test_only_who_has_the_key_is_heard_between_seats_and_keepers() -> None:
     sockets = Sockets()
     one, two, stranger = (sockets.datagrams("127.0.0.1:0") for _ in range(3))
-    ours, theirs = Post(one, KEY, "c0", 1), Post(two, KEY, "c1", 2)
-    theirs.send(one.address, Here("c1", 7))
-    Post(stranger, (b"x" * 32,), "c1", 3).send(one.address, Here("c1", 8))
+    ours, theirs = Transport(one, KEY, "c0", 1), Transport(two, KEY, "c1", 2)
+    theirs.send(one.address, NodeAnnouncement("c1", 7))
+    Transport(stranger, (b"x" * 32,), "c1", 3).send(one.address, NodeAnnouncement("c1", 8))
     stranger.send(b"rubbish", one.address)
     # Words of the view are under the same key, and are no words of the council.
-    stranger.send(Seal(KEY).seal(Count("", 9, 0, 1)), one.address)
-    heard: list[tuple[Word, str]] = []
+    stranger.send(Authenticator(KEY).sign(CountersQuery("", 9, 0, 1)), one.address)
+    heard: list[tuple[ControlMessage, str]] = []
     with trio.move_on_after(0.3):
         while True:
             await one.readable()
-            while (came := ours.take()) is not None:
+            while (came := ours.receive()) is not None:
                 heard.append(came)
-    assert [word for word, _ in heard] == [Here("c1", 7)]
+    assert [word for word, _ in heard] == [NodeAnnouncement("c1", 7)]
     assert two.take() is None and stranger.take() is None, "and nobody is answered"
     for each in (one, two, stranger):
         each.close()
 
 
 def test_the_longest_piece_fits_a_datagram_and_a_replay_is_dropped() -> None:
-    seal = Seal(KEY)
-    data = seal.seal(Piece("n" * 60, 2**64 - 1, 2**64 - 1, 2_047, 2_048, bytes(PIECE)))
-    assert len(data) <= MOST
-    opener = Opener(Seal(KEY), Posted)
-    assert opener.open(data) is not None and opener.open(data) is None
+    seal = Authenticator(KEY)
+    data = seal.sign(Fragment("n" * 60, 2**64 - 1, 2**64 - 1, 2_047, 2_048, bytes(FRAGMENT_BYTES)))
+    assert len(data) <= MAX_DATAGRAM_BYTES
+    opener = DatagramReader(Authenticator(KEY), FragmentEnvelope)
+    assert opener.read(data) is not None and opener.read(data) is None
     assert opener.dropped["replay"] == 1
 
 
@@ -229,23 +241,23 @@
     text = SEAT.replace(", c1 127.0.0.1:7001, c2 127.0.0.1:7002", "").replace("7000", str(free_port()))
     terms = load_seat(written(tmp_path, text))
     store = CouncilStore(terms.store, 7)
-    task = SeatTask(terms, Sockets(), store, found=True)
+    task = RaftServer(terms, Sockets(), store, bootstrap=True)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
         with trio.fail_after(5):
-            while not task.seat.councillor.confirmed:
+            while not task.node.councillor.confirmed:
                 await trio.sleep(0.05)
         names = [f"edge-{at}" for at in range(900)]
         units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
-        assert task.seat.propose(round(trio.current_time() * 1e9), Enrol(units))
+        assert task.node.propose(round(trio.current_time() * 1e9), Enrol(units))
         for name in names:
-            task.seat.propose(round(trio.current_time() * 1e9), Runs(name, "v1", ("v1", "v2")))
+            task.node.propose(round(trio.current_time() * 1e9), Runs(name, "v1", ("v1", "v2")))
         socket = Sockets().datagrams("127.0.0.1:0")
-        asker = CouncilAsker(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
-        shown = await asker.ask("show", None, Shown, 15)
+        asker = OperationsClient(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
+        shown = await asker.request("show", None, Shown, 15)
         assert shown is not None and [unit.name for unit in shown.units] == sorted(names)
-        assert len(msgspec.msgpack.encode(shown)) > BURST * PIECE
-        refused = await asker.ask("plan", Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
+        assert len(msgspec.msgpack.encode(shown)) > BURST_FRAGMENTS * FRAGMENT_BYTES
+        refused = await asker.request("plan", Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
         assert refused is not None and refused.why == "nobody is not enrolled"
         nursery.cancel_scope.cancel()
     socket.close()
@@ -276,15 +288,15 @@
 
 async def test_a_program_is_known_again_by_its_number_and_its_birth() -> None:
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
-    first = Running(child.pid)
-    again = Running.again(first.mark)
+    first = ManagedProcess(child.pid)
+    again = ManagedProcess.reattach(first.identity)
     assert again is not None and again.pid == child.pid
-    assert Running.again(f"{child.pid} 1") is None, "another process with its number"
-    assert Running.again("") is None and Running.again("x y") is None
+    assert ManagedProcess.reattach(f"{child.pid} 1") is None, "another process with its number"
+    assert ManagedProcess.reattach("") is None and ManagedProcess.reattach("x y") is None
     child.kill()
     with trio.fail_after(5):
         await again.wait()
-    assert Running.again(first.mark) is None, "ended, though nobody has heard of it yet"
+    assert ManagedProcess.reattach(first.identity) is None, "ended, though nobody has heard of it yet"
     child.wait()
     first.close()
     again.close()
@@ -406,5 +418,5 @@
 
 
 def test_a_tool_s_words_are_read_as_they_were_written() -> None:
-    asks = Asks(3, "show")
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(asks), type=Word) == asks
+    asks = ClientRequest(3, "show")
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(asks), type=ControlMessage) == asks
--- a/valverouter/cli/edging.py
+++ b/valverouter/cli/edging.py
@@ -19,7 +19,7 @@
 from valverouter.edge.keeping import edge_proxy
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
-from valverouter.fleet.membership_service import FleetTask, counts_of, facts_of
+from valverouter.fleet.membership_service import MembershipService, instance_counters, membership_facts
 from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.store import Ledger
 from valverouter.terms.edge import EdgeTerms, load_edge_terms, load_settled
@@ -53,14 +53,14 @@
             nursery.start_soon(_signals, proxy, file)
             fleet = None
             if terms.between is not None:
-                fleet = FleetTask(
+                fleet = MembershipService(
                     terms,
                     terms.between,
                     surroundings,
                     secrets.randbits(64),
-                    lambda: facts_of(proxy),
+                    lambda: membership_facts(proxy),
                     version("valverouter"),
-                    tell_counts=lambda: counts_of(proxy),
+                    counters=lambda: instance_counters(proxy),
                 )
                 await nursery.start(fleet.run)
             long_lived()
--- a/valverouter/cli/fleeting.py
+++ b/valverouter/cli/fleeting.py
@@ -19,8 +19,8 @@
 from valverouter.cli.seating import council, keeper
 from valverouter.days.emulated_views import run_views
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.client import Asker
-from valverouter.fleet.queries import Heard, Row, differences, is_settled
+from valverouter.fleet.client import FleetClient
+from valverouter.fleet.queries import MemberRow, ViewAnswer, find_differences, is_converged
 from valverouter.membership.records import LIVING, Phase, State
 from valverouter.terms.between import Between
 from valverouter.terms.day import load_day
@@ -90,7 +90,7 @@
     console.print(f"one view {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
 
 
-async def _asked(between: Between, at: tuple[str, ...], most: int) -> list[Heard]:
+async def _asked(between: Between, at: tuple[str, ...], most: int) -> list[ViewAnswer]:
     """Those named; else this file's instance, its seeds, and then whom the answers name."""
     first = list(at) or [
         address
@@ -100,65 +100,78 @@
     host = first[0].rpartition(":")[0] if first else "127.0.0.1"
     socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
     try:
-        asker = Asker(between.keys, socket, random.Random(secrets.randbits(64)))
-        answers = await asker.ask(first[:most])
+        asker = FleetClient(between.keys, socket, random.Random(secrets.randbits(64)))
+        answers = await asker.query_views(first[:most])
         if at:
             return answers
         known = {one.address for one in answers}
         more = [row.address for one in answers for row in one.rows if row.state in LIVING]
         named = [address for address in dict.fromkeys(more) if address not in known]
-        return answers + await asker.ask(named[: max(0, most - len(answers))])
+        return answers + await asker.query_views(named[: max(0, most - len(answers))])
     finally:
         socket.close()
 
 
-def _whole(answers: list[Heard]) -> dict[int, Heard]:
+def _whole(answers: list[ViewAnswer]) -> dict[int, ViewAnswer]:
     """By life: the same instance may have been asked by two addresses."""
-    return {one.life: one for one in answers if one.missing is None}
+    return {one.incarnation: one for one in answers if one.missing_page is None}
 
 
-def _code(answers: list[Heard]) -> int:
+def _code(answers: list[ViewAnswer]) -> int:
     whole = _whole(answers)
     if not whole:
         return NOBODY
     # A seed that is no member's address any more answers nothing, and says nothing of those who live.
-    silent = {one.address for one in answers if one.missing is not None}
+    silent = {one.address for one in answers if one.missing_page is not None}
     living = {row.address for one in whole.values() for row in one.rows if row.state in LIVING}
-    return 0 if is_settled(list(whole.values())) and not silent & living else UNSETTLED
+    return 0 if is_converged(list(whole.values())) and not silent & living else UNSETTLED
 
 
-def _json(answers: list[Heard]) -> None:
+def _json(answers: list[ViewAnswer]) -> None:
     whole = _whole(answers)
     page = {
         "settled": _code(answers) == 0,
-        "silent": [one.address for one in answers if one.missing is not None],
+        "silent": [one.address for one in answers if one.missing_page is not None],
         "answers": [
             {
                 "name": one.name,
                 "address": one.address,
-                "life": f"{one.life:016x}",
+                "life": f"{one.incarnation:016x}",
                 "digest": f"{one.digest:016x}",
-                "trust": one.trust,
+                "trust": one.view_health,
                 "counts": one.counts,
                 "members": [_row(row) for row in one.rows],
             }
             for one in whole.values()
         ],
-        "differences": differences(whole.values()),
+        "differences": find_differences(whole.values()),
     }
     click.echo(msgspec.json.encode(page).decode())
 
 
-def _row(row: Row) -> dict[str, object]:
-    told = msgspec.structs.asdict(row)
-    return told | {"life": f"{row.life:016x}", "state": row.state.name.lower(), "phase": _phase(row)}
+def _row(row: MemberRow) -> dict[str, object]:
+    """The row under the keys of the JSON output, in their order, which are not to change."""
+    return {
+        "name": row.name,
+        "region": row.region,
+        "place": row.place,
+        "address": row.address,
+        "number": row.generation,
+        "life": f"{row.incarnation:016x}",
+        "state": row.state.name.lower(),
+        "since_ms": row.since_ms,
+        "version": row.version,
+        "terms": row.config_digest,
+        "phase": _phase(row),
+        "twin": row.name_conflict,
+    }
 
 
-def _phase(row: Row) -> str:
+def _phase(row: MemberRow) -> str:
     return Phase(row.phase).name.lower() if row.phase in list(Phase) else str(row.phase)
 
 
-def _metrics(answers: list[Heard]) -> None:
+def _metrics(answers: list[ViewAnswer]) -> None:
     """The words of the log, counted by each instance since its start."""
     for one in _whole(answers).values():
         states = {state: 0 for state in State}
@@ -169,27 +182,27 @@
             click.echo(f"valverouter_fleet_members{{{labels}}} {count}")
         for word, count in sorted(one.counts.items()):
             click.echo(f'valverouter_fleet_total{{instance="{one.name}",what="{word}"}} {count}')
-        settled = int(one.trust == "settled")
+        settled = int(one.view_health == "settled")
         click.echo(f'valverouter_fleet_settled{{instance="{one.name}"}} {settled}')
 
 
-def _tables(answers: list[Heard]) -> None:
+def _tables(answers: list[ViewAnswer]) -> None:
     whole = list(_whole(answers).values())
     for one in answers:
-        if one.missing is not None:
+        if one.missing_page is not None:
             console.print(f"no answer from {one.address}", highlight=False)
     if not whole:
         console.print("nobody was reached", highlight=False)
         return
-    views: dict[int, list[Heard]] = {}
+    views: dict[int, list[ViewAnswer]] = {}
     for one in whole:
         views.setdefault(one.digest, []).append(one)
     for digest, same in sorted(views.items(), key=lambda item: -len(item[1])):
-        trusts = sorted({one.trust for one in same})
+        trusts = sorted({one.view_health for one in same})
         names = ", ".join(sorted(one.name for one in same))
         console.print(f"view {digest:016x}: {', '.join(trusts)}; of {names}", highlight=False)
     _table(max(views.values(), key=len)[0])
-    differing = differences(whole)
+    differing = find_differences(whole)
     for name, words in differing.items():
         for word, by in words.items():
             console.print(f"differs: {name} is {word} to {', '.join(by)}", highlight=False)
@@ -199,17 +212,17 @@
         console.print("not settled", highlight=False)
 
 
-def _table(one: Heard) -> None:
+def _table(one: ViewAnswer) -> None:
     """Six narrow columns: the whole of it stands in 80."""
     table = Table(box=None, pad_edge=False, title=f"as {one.name} sees it", title_justify="left")
-    columns: list[tuple[str, Callable[[Row], str]]] = [
+    columns: list[tuple[str, Callable[[MemberRow], str]]] = [
         ("member", lambda row: row.name or "?"),
         ("region", lambda row: row.region),
         ("address", lambda row: row.address),
         ("state", _state),
         ("since", lambda row: _since(row.since_ms) if row.state != State.UNKNOWN else ""),
         ("version", lambda row: row.version),
-        ("terms", lambda row: row.terms),
+        ("terms", lambda row: row.config_digest),
     ]
     for head, _ in columns:
         table.add_column(head, overflow="fold")
@@ -218,8 +231,8 @@
     console.print(table, highlight=False)
 
 
-def _state(row: Row) -> str:
-    if row.twin:
+def _state(row: MemberRow) -> str:
+    if row.name_conflict:
         return "conflict"
     if row.state == State.ALIVE and row.phase == Phase.DRAINING:
         return "draining"
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -21,7 +21,7 @@
 
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.client import CouncilAsker
+from valverouter.fleet.client import OperationsClient
 from valverouter.rollout.orders import Command, Kind, Place, Placed, Retire, Stop
 from valverouter.rollout.permits import Halt
 from valverouter.rollout.shown import Order, Shown, Unit
@@ -295,8 +295,8 @@
         host = next(iter(terms.council.values())).rpartition(":")[0]
         socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
-            asker = CouncilAsker(terms, socket, random.Random(secrets.randbits(64)))
-            return await asker.ask(what, command, kind, WITHIN_S, about)
+            asker = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
+            return await asker.request(what, command, kind, WITHIN_S, about)
         finally:
             socket.close()
 
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -15,8 +15,8 @@
 from valverouter.cli.common import FAILED, FILE, leaf
 from valverouter.edge import logs
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.raft_server import NotFoundedError, SeatTask
-from valverouter.fleet.supervisor_service import KeeperTask
+from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
+from valverouter.fleet.supervisor_service import SupervisorService
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.keeperstore import opened
@@ -41,7 +41,7 @@
             trio.run(_seat, terms, store, found)
         finally:
             store.close()
-    except* (OSError, LedgerError, NotFoundedError) as group:
+    except* (OSError, LedgerError, AlreadyBootstrappedError) as group:
         log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
         sys.exit(FAILED)
 
@@ -56,7 +56,7 @@
 
 
 async def _seat(terms: SeatTerms, store: CouncilStore, found: bool) -> None:
-    task = SeatTask(terms, Sockets(), store, found)
+    task = RaftServer(terms, Sockets(), store, found)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
         await _asked(nursery.cancel_scope.cancel)
@@ -77,7 +77,7 @@
         if aside:
             log.error("memory-set-aside", why=aside)
         try:
-            task = KeeperTask(terms, Sockets(), store, memory)
+            task = SupervisorService(terms, Sockets(), store, memory)
             trio.run(_keep, task)
         finally:
             store.close()
@@ -86,9 +86,9 @@
         sys.exit(FAILED)
 
 
-async def _keep(task: KeeperTask) -> None:
+async def _keep(task: SupervisorService) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_asked, task.leave)
+        nursery.start_soon(_asked, task.shut_down)
         await task.run()
         nursery.cancel_scope.cancel()
 
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -18,9 +18,9 @@
 import trio
 
 from valverouter.edge.surroundings import UdpSocket, split
-from valverouter.fleet.authentication import Opener, Seal
-from valverouter.fleet.membership_service import LABEL
-from valverouter.fleet.queries import Count, Counted
+from valverouter.fleet.authentication import Authenticator, DatagramReader
+from valverouter.fleet.membership_service import VERSION_VARIABLE
+from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.rollout.keeping import Counts
 from valverouter.terms.between import key_of
 
@@ -31,19 +31,19 @@
     stream = await trio.open_tcp_stream(host, port)
     await stream.send_all(name.encode() + b"\n")
     life, state = secrets.randbits(63), bytearray(b"cold")
-    seal = Seal((key_of(key.read_bytes().strip()),))
-    opener, socket = Opener(seal), UdpSocket(asked)
+    seal = Authenticator((key_of(key.read_bytes().strip()),))
+    opener, socket = DatagramReader(seal), UdpSocket(asked)
 
     async def answers() -> None:
         while True:
             await socket.readable()
             while (came := socket.take()) is not None:
-                message = opener.open(came[0])
-                if isinstance(message, Count):
-                    label = os.environ.get(LABEL, "")
+                message = opener.read(came[0])
+                if isinstance(message, CountersQuery):
+                    label = os.environ.get(VERSION_VARIABLE, "")
                     ready = state == b"warm"
                     counts = Counts(life, serving=True, ready=ready, label=label, process=os.getpid())
-                    socket.send(seal.seal(Counted(name, life, 0, message.nonce, counts)), came[1])
+                    socket.send(seal.sign(CountersReply(name, life, 0, message.nonce, counts)), came[1])
 
     async def hears() -> None:
         while data := await stream.receive_some(64):
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -19,9 +19,9 @@
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, Surroundings
-from valverouter.fleet.client import Asker
-from valverouter.fleet.membership_service import FleetTask, facts_of
-from valverouter.fleet.queries import Heard
+from valverouter.fleet.client import FleetClient
+from valverouter.fleet.membership_service import MembershipService, membership_facts
+from valverouter.fleet.queries import ViewAnswer
 from valverouter.membership.records import LIVING
 from valverouter.membership.voice import Told
 from valverouter.servermodel.paths import Paths
@@ -88,33 +88,33 @@
         # What follows is the day's own end, and says nothing of the views.
         self._closed = True
 
-    async def _ask(self, asker: Asker) -> None:
+    async def _ask(self, asker: FleetClient) -> None:
         while True:
             began = trio.current_time()
             where = dict(self._where)
-            answers = await asker.ask(where.values())
+            answers = await asker.query_views(where.values())
             for one in answers:
                 self._row(one)
             await trio.sleep(max(0.0, began + self.every / 1e9 - trio.current_time()))
 
-    def _row(self, one: Heard) -> None:
-        if one.missing is not None or self._closed:
+    def _row(self, one: ViewAnswer) -> None:
+        if one.missing_page is not None or self._closed:
             return
         self._world.tap.row(
             Viewed,
             edge=one.name,
-            life=f"{one.life:016x}",
+            life=f"{one.incarnation:016x}",
             digest=f"{one.digest:016x}",
-            trust=one.trust,
-            members={row.name: f"{row.life:016x}" for row in one.rows if row.state in LIVING},
+            trust=one.view_health,
+            members={row.name: f"{row.incarnation:016x}" for row in one.rows if row.state in LIVING},
         )
 
     def _chance(self, what: str) -> Callable[[], float]:
         return random.Random(f"{self.day.terms.seed}/{what}").random
 
-    def _asker(self, surroundings: Surroundings, address: str) -> Asker:
+    def _asker(self, surroundings: Surroundings, address: str) -> FleetClient:
         chance = random.Random(f"{self.day.terms.seed}/asker")
-        return Asker(self._keys, surroundings.datagrams(address), chance)
+        return FleetClient(self._keys, surroundings.datagrams(address), chance)
 
 
 class LoopbackViews(Views):
@@ -174,7 +174,7 @@
         self._asks = asks
         self._draw = self._chance("paths")
         self._starts = 0
-        self._tasks: dict[str, FleetTask] = {}
+        self._tasks: dict[str, MembershipService] = {}
         for place in range(day.fleet.edge_proxies):
             network.names[f"between{place}:1"] = f"e{place}"
 
@@ -192,7 +192,9 @@
         self._network.paths = paths
         self._network.unstruck = frozenset({"asker:1"})
 
-    def task(self, name: str, terms: EdgeTerms, surroundings: Surroundings, proxy: EdgeProxy) -> FleetTask:
+    def task(
+        self, name: str, terms: EdgeTerms, surroundings: Surroundings, proxy: EdgeProxy
+    ) -> MembershipService:
         self._starts += 1
         life = random.Random(f"{self.day.terms.seed}/life/{name}/{self._starts}").getrandbits(64)
         seeds = tuple(f"between{place}:1" for place in range(self.between.seeds))
@@ -203,12 +205,12 @@
             period=self.between.period,
             remembers=self.between.remembers,
         )
-        task = FleetTask(
+        task = MembershipService(
             msgspec.structs.replace(terms, between=told),
             told,
             surroundings,
             life,
-            lambda: facts_of(proxy),
+            lambda: membership_facts(proxy),
             "virtual",
             lambda said: self._hears(name, said),
         )
@@ -216,7 +218,7 @@
         return task
 
     def began(self, name: str) -> None:
-        core = self._tasks[name].core
+        core = self._tasks[name].membership
         assert core is not None
         self.began_at(name, f"{core.mine.life:016x}", core.mine.address)
 
--- a/valverouter/fleet/fragmentation.py
+++ b/valverouter/fleet/fragmentation.py
@@ -12,30 +12,30 @@
 from msgspec import Struct
 
 # Of a piece's body, so that a datagram of it stays under fleet/authentication.py's MOST.
-PIECE = 1_200
-PIECES_MOST = 2_048
+FRAGMENT_BYTES = 1_200
+MAX_FRAGMENTS = 2_048
 # Pieces of one parcel that leave at once; a longer one goes on, where it is sent again, with those after.
-BURST = 48
+BURST_FRAGMENTS = 48
 # Parcels that are held half there, and those whose next pieces are remembered; the oldest leave.
-HELD_MOST = 64
+MAX_PARTIAL_MESSAGES = 64
 
 
-class Piece(Struct, frozen=True, array_like=True, tag="Piece"):
+class Fragment(Struct, frozen=True, array_like=True, tag="Piece"):
     """Piece `at` of `of` of the parcel `id`, from one life."""
 
     name: str
     life: int
-    id: int
-    at: int
-    of: int
+    message_id: int
+    index: int
+    count: int
     body: bytes
 
 
-class TooManyPiecesError(ValueError):
+class TooManyFragmentsError(ValueError):
     """A message that no parcel holds."""
 
 
-class Parcels:
+class Fragmenter:
     """One process's, to and from anybody."""
 
     def __init__(self, name: str, life: int) -> None:
@@ -43,37 +43,40 @@
         self._next: dict[tuple[str, int], int] = {}
         self._held: dict[tuple[int, int], dict[int, bytes]] = {}
 
-    def pieces(self, address: str, body: bytes) -> list[Piece]:
+    def split(self, address: str, body: bytes) -> list[Fragment]:
         """What leaves now; TooManyPiecesError for what is too long for any parcel."""
-        of = max(1, -(-len(body) // PIECE))
-        if of > PIECES_MOST:
-            raise TooManyPiecesError(f"{len(body)} bytes")
+        of = max(1, -(-len(body) // FRAGMENT_BYTES))
+        if of > MAX_FRAGMENTS:
+            raise TooManyFragmentsError(f"{len(body)} bytes")
         id_ = int.from_bytes(blake2b(body, digest_size=8).digest(), "big")
         first = 0
-        if of > BURST:
+        if of > BURST_FRAGMENTS:
             first = self._next.pop((address, id_), 0)
-            self._next[address, id_] = (first + BURST) % of
-            if len(self._next) > HELD_MOST:
+            self._next[address, id_] = (first + BURST_FRAGMENTS) % of
+            if len(self._next) > MAX_PARTIAL_MESSAGES:
                 del self._next[next(iter(self._next))]
-        places = [(first + at) % of for at in range(min(of, BURST))]
+        places = [(first + at) % of for at in range(min(of, BURST_FRAGMENTS))]
         return [
-            Piece(self._name, self._life, id_, at, of, body[at * PIECE : (at + 1) * PIECE]) for at in places
+            Fragment(
+                self._name, self._life, id_, at, of, body[at * FRAGMENT_BYTES : (at + 1) * FRAGMENT_BYTES]
+            )
+            for at in places
         ]
 
-    def take(self, piece: Piece) -> bytes | None:
+    def add(self, piece: Fragment) -> bytes | None:
         """The whole, once all of it is here."""
-        if not 0 <= piece.at < piece.of <= PIECES_MOST:
+        if not 0 <= piece.index < piece.count <= MAX_FRAGMENTS:
             return None
-        if piece.of == 1:
+        if piece.count == 1:
             return piece.body
-        key = piece.life, piece.id
+        key = piece.life, piece.message_id
         held = self._held.pop(key, {})
-        held[piece.at] = piece.body
-        if len(held) < piece.of:
+        held[piece.index] = piece.body
+        if len(held) < piece.count:
             self._held[key] = held
-            if len(self._held) > HELD_MOST:
+            if len(self._held) > MAX_PARTIAL_MESSAGES:
                 del self._held[next(iter(self._held))]
             return None
-        if sorted(held) != list(range(piece.of)):
+        if sorted(held) != list(range(piece.count)):
             return None
-        return b"".join(held[at] for at in range(piece.of))
+        return b"".join(held[at] for at in range(piece.count))
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -19,8 +19,13 @@
 
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Datagrams, Surroundings
-from valverouter.fleet.authentication import MOST, Opener, Seal, TooLongError
-from valverouter.fleet.queries import Count, Counted, Query, Shown, pages_of, rows_of
+from valverouter.fleet.authentication import (
+    MAX_DATAGRAM_BYTES,
+    Authenticator,
+    DatagramReader,
+    MessageTooLongError,
+)
+from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery, member_rows, paginate
 from valverouter.membership.core import Membership
 from valverouter.membership.records import Phase, Record
 from valverouter.membership.rules import Rules
@@ -39,17 +44,17 @@
 # Drops are told no oftener than so.
 DROPS_TOLD_S = 60.0
 # The version that a keeper started this process as.
-LABEL = "VALVEROUTER_VERSION"
+VERSION_VARIABLE = "VALVEROUTER_VERSION"
 
 log = structlog.get_logger()
 
 
-def facts_of(proxy: EdgeProxy) -> tuple[Phase, str]:
+def membership_facts(proxy: EdgeProxy) -> tuple[Phase, str]:
     """What an edge proxy tells its fleet of itself."""
     return Phase.DRAINING if proxy.stopping else Phase.SERVING, proxy.terms.digest
 
 
-def counts_of(proxy: EdgeProxy) -> Counts:
+def instance_counters(proxy: EdgeProxy) -> Counts:
     """What an edge proxy tells its keeper."""
     answers = proxy.tally.answers
     declined = answers["declined"] + answers["declined-here"]
@@ -61,12 +66,12 @@
         declined=declined,
         lost=lost,
         late=proxy.tally.late,
-        label=os.environ.get(LABEL, ""),
+        label=os.environ.get(VERSION_VARIABLE, ""),
         process=os.getpid(),
     )
 
 
-class FleetTask:
+class MembershipService:
     """An instance's place in its fleet. `facts` tells its phase and its terms' digest, asked now and then.
 
     `life`: 64 random bits, drawn for this process alone.
@@ -77,24 +82,24 @@
         terms: EdgeTerms,
         between: Between,
         surroundings: Surroundings,
-        life: int,
+        incarnation: int,
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
-        watch: Callable[[Told], None] = lambda told: None,
-        tell_counts: Callable[[], Counts] = Counts,
+        on_event: Callable[[Told], None] = lambda told: None,
+        counters: Callable[[], Counts] = Counts,
     ) -> None:
         self.counts: Counter[str] = Counter()
-        self.core: Membership | None = None
+        self.membership: Membership | None = None
         self._terms = terms
         self._between = between
         self._surroundings = surroundings
-        self._life = life
+        self._incarnation = incarnation
         self._facts = facts
         self._version = version
-        self._watch = watch
-        self._tell_counts = tell_counts
-        self._seal = Seal(between.keys)
-        self._opener = Opener(self._seal)
+        self._watch = on_event
+        self._tell_counts = counters
+        self._authenticator = Authenticator(between.keys)
+        self._reader = DatagramReader(self._authenticator)
         self._log = log.bind(edge=terms.name)
         self._draws = 0
         self._leaves = False
@@ -105,12 +110,12 @@
 
     def _draw(self) -> float:
         self._draws += 1
-        return zlib.crc32(b"%d/%d" % (self._life, self._draws)) / 2**32
+        return zlib.crc32(b"%d/%d" % (self._incarnation, self._draws)) / 2**32
 
     def _now(self) -> int:
         return round(trio.current_time() * 1e9)
 
-    async def run(self, task_status: trio.TaskStatus[FleetTask] = trio.TASK_STATUS_IGNORED) -> None:
+    async def run(self, task_status: trio.TaskStatus[MembershipService] = trio.TASK_STATUS_IGNORED) -> None:
         """Until cancelled; OSError when the address can't be had."""
         between, terms = self._between, self._terms
         socket = self._surroundings.datagrams(between.listen)
@@ -122,18 +127,18 @@
                 place=terms.place,
                 address=between.advertise or socket.address,
                 number=self._surroundings.wall() // 1_000_000,
-                life=self._life,
+                life=self._incarnation,
                 version=self._version,
                 terms=digest,
                 phase=phase,
             )
             rules = Rules(period=between.period, remembers=between.remembers)
-            self.core = Membership(mine, rules, self._draw, self._now(), between.seeds)
+            self.membership = Membership(mine, rules, self._draw, self._now(), between.seeds)
             self._log.info(
                 "between", address=socket.address, advertised=mine.address, life=f"{mine.life:016x}"
             )
             task_status.started(self)
-            await self._serve(socket, self.core)
+            await self._serve(socket, self.membership)
         finally:
             socket.close()
             self.ended.set()
@@ -168,35 +173,37 @@
         self._sleep.cancel()
 
     def _hear(self, socket: Datagrams, core: Membership, data: bytes, source: str) -> None:
-        message = self._opener.open(data)
+        message = self._reader.read(data)
         if message is None:
             self._drops()
-        elif isinstance(message, Query):
+        elif isinstance(message, ViewQuery):
             self._show(socket, core, message, source)
-        elif isinstance(message, Count):
-            told = msgspec.structs.replace(self._tell_counts(), life=self._life, trust=core.trust.value)
+        elif isinstance(message, CountersQuery):
+            told = msgspec.structs.replace(
+                self._tell_counts(), life=self._incarnation, trust=core.trust.value
+            )
             head = core.mine.name, core.mine.life, core.view.digest
-            self._put(socket, source, Counted(*head, message.nonce, told))
-        elif not isinstance(message, Shown | Counted):
+            self._put(socket, source, CountersReply(*head, message.nonce, told))
+        elif not isinstance(message, ViewPage | CountersReply):
             self.counts["heard"] += 1
             core.heard(self._now(), source, message)
 
     def _drops(self) -> None:
-        for version in self._opener.strange:
+        for version in self._reader.unknown_versions:
             self._log.warning("version-unknown", version=version)
-        self._opener.strange.clear()
+        self._reader.unknown_versions.clear()
         now = trio.current_time()
         if now - self._drops_told_at >= DROPS_TOLD_S:
             self._drops_told_at = now
-            self._log.warning("datagrams-dropped", **self._opener.dropped)
+            self._log.warning("datagrams-dropped", **self._reader.dropped)
 
-    def _show(self, socket: Datagrams, core: Membership, query: Query, source: str) -> None:
+    def _show(self, socket: Datagrams, core: Membership, query: ViewQuery, source: str) -> None:
         now = self._now()
-        pages = pages_of(rows_of(core, now))
+        pages = paginate(member_rows(core, now))
         if 0 <= query.page < len(pages):
             first = query.page == 0
-            counts = {f"dropped-{why}": n for why, n in self._opener.dropped.items()} | dict(self.counts)
-            shown = Shown(
+            counts = {f"dropped-{why}": n for why, n in self._reader.dropped.items()} | dict(self.counts)
+            shown = ViewPage(
                 core.mine.name,
                 core.mine.life,
                 core.view.digest,
@@ -211,10 +218,10 @@
 
     def _put(self, socket: Datagrams, address: str, message: Any) -> None:
         try:
-            data = self._seal.seal(message)
-        except TooLongError as error:
+            data = self._authenticator.sign(message)
+        except MessageTooLongError as error:
             self.counts["too-long"] += 1
-            self._log.error("message-too-long", why=str(error), most=MOST)
+            self._log.error("message-too-long", why=str(error), most=MAX_DATAGRAM_BYTES)
             return
         self.counts["sent"] += 1
         self.counts["sent-bytes"] += len(data)
--- a/valverouter/fleet/messages.py
+++ b/valverouter/fleet/messages.py
@@ -10,61 +10,63 @@
 from valverouter.rollout.written import Sent
 
 
-class Votes(Struct, frozen=True, array_like=True, tag="v"):
+class RaftEnvelope(Struct, frozen=True, array_like=True, tag="v"):
     """A council's message to seat `to`."""
 
-    to: str
+    recipient: str
     message: Sent
 
 
-class Here(Struct, frozen=True, array_like=True, tag="h"):
+class NodeAnnouncement(Struct, frozen=True, array_like=True, tag="h"):
     """A seat with its disk."""
 
     name: str
-    disk: int
+    disk_id: int
 
 
-class Reported(Struct, frozen=True, array_like=True, tag="r"):
+class ReportMessage(Struct, frozen=True, array_like=True, tag="r"):
     """A keeper's report. `to`: the life of the seat whose `stamp` is given back; both 0: none yet."""
 
     report: Report
-    to: int = 0
+    incarnation: int = 0
     stamp: int = 0
 
 
-class Worded(Struct, frozen=True, array_like=True, tag="w"):
+class DesiredStateMessage(Struct, frozen=True, array_like=True, tag="w"):
     """To a keeper, of its instance `name`; `life`: of the seat that says it."""
 
-    seat: str
+    node: str
     name: str
-    life: int
+    incarnation: int
     stamp: int
-    want: Want
+    desired: Want
     is_open: bool
 
 
-class Asks(Struct, frozen=True, array_like=True, tag="q"):
+class ClientRequest(Struct, frozen=True, array_like=True, tag="q"):
     """A tool's. `what`: plan, do, show. `command`: an order, a stop; None where it only looks."""
 
     nonce: int
-    what: str
+    kind: str
     command: Command | None = None
     # Of the answer's part that the tool is given, where it looks.
-    about: str = ""
+    operation: str = ""
 
 
-class Tells(Struct, frozen=True, array_like=True, tag="t"):
+class ClientResponse(Struct, frozen=True, array_like=True, tag="t"):
     """To a tool. `leads`: whether the seat that answers does, else whom it takes for the leader; only a
     leader's `body` holds."""
 
     nonce: int
-    seat: str
-    leads: bool
+    node: str
+    is_leader: bool
     leader: str = ""
     body: msgspec.Raw = msgspec.Raw(b"\xc0")
 
 
-Word = Votes | Here | Reported | Worded | Asks | Tells
+ControlMessage = (
+    RaftEnvelope | NodeAnnouncement | ReportMessage | DesiredStateMessage | ClientRequest | ClientResponse
+)
 
 encoder = msgspec.msgpack.Encoder()
-decoder: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+decoder: msgspec.msgpack.Decoder[ControlMessage] = msgspec.msgpack.Decoder(ControlMessage)
--- a/valverouter/fleet/queries.py
+++ b/valverouter/fleet/queries.py
@@ -17,133 +17,138 @@
 from valverouter.rollout.keeping import Counts
 
 # Rows in one answer: each a name, a region, an address and numbers, all bounded by the terms.
-ROWS_ROOM = 1_000
+PAGE_BYTES = 1_000
 
 
-class Query(Said, frozen=True, array_like=True, tag="?"):
+class ViewQuery(Said, frozen=True, array_like=True, tag="?"):
     """Show me page `page` of your view. Its `name` is empty."""
 
     nonce: int = 0
     page: int = 0
 
 
-class Count(Said, frozen=True, array_like=True, tag="c"):
+class CountersQuery(Said, frozen=True, array_like=True, tag="c"):
     """What have you done since your start? Asked by an instance's keeper."""
 
     nonce: int = 0
 
 
-class Counted(Said, frozen=True, array_like=True, tag="C"):
+class CountersReply(Said, frozen=True, array_like=True, tag="C"):
     nonce: int = 0
-    counts: Counts = Counts()
+    counters: Counts = Counts()
 
 
-class Row(Struct, frozen=True, array_like=True):
+class MemberRow(Struct, frozen=True, array_like=True):
     """A member as an instance sees it. `since_ms`: how long it has been so."""
 
     name: str
     region: str
     place: int
     address: str
-    number: int
-    life: int
+    generation: int
+    incarnation: int
     state: State
     since_ms: int
     version: str
-    terms: str
+    config_digest: str
     phase: int
-    twin: bool
+    name_conflict: bool
 
     @property
     def size(self) -> int:
         return 64 + sum(len(t.encode()) for t in (self.name, self.region, self.address, self.version))
 
 
-class Shown(Said, frozen=True, array_like=True, tag="!"):
+class ViewPage(Said, frozen=True, array_like=True, tag="!"):
     """One page of a view. `counts`: what was found and dropped since the start, by word."""
 
     nonce: int = 0
     page: int = 0
-    pages: int = 1
-    trust: str = ""
+    page_count: int = 1
+    view_health: str = ""
     counts: dict[str, int] = msgspec.field(default_factory=dict)
-    rows: tuple[Row, ...] = ()
+    rows: tuple[MemberRow, ...] = ()
 
 
-def rows_of(core: Membership, now: int) -> list[Row]:
+def member_rows(core: Membership, now: int) -> list[MemberRow]:
     """The whole view, with the seeds that nobody is known at."""
     rows = [
-        Row(
+        MemberRow(
             name=one.name,
             region=one.region,
             place=one.place,
             address=one.address,
-            number=one.number,
-            life=one.life,
+            generation=one.number,
+            incarnation=one.life,
             state=one.state,
             since_ms=(now - core.view.since[name]) // 1_000_000,
             version=one.version,
-            terms=one.terms,
+            config_digest=one.terms,
             phase=int(one.phase),
-            twin=one.twin,
+            name_conflict=one.twin,
         )
         for name, one in sorted(core.view.records.items())
     ]
     known = {row.address for row in rows}
     rows += [
-        Row("", "", 0, seed, 0, 0, State.UNKNOWN, 0, "", "", 0, False)
+        MemberRow("", "", 0, seed, 0, 0, State.UNKNOWN, 0, "", "", 0, False)
         for seed in core.seeds
         if seed not in known
     ]
     return rows
 
 
-def pages_of(rows: list[Row]) -> list[tuple[Row, ...]]:
-    pages: list[list[Row]] = [[]]
-    room = ROWS_ROOM // 2  # the counts go with the first page
+def paginate(rows: list[MemberRow]) -> list[tuple[MemberRow, ...]]:
+    pages: list[list[MemberRow]] = [[]]
+    room = PAGE_BYTES // 2  # the counts go with the first page
     for row in rows:
         if row.size > room and pages[-1]:
             pages.append([])
-            room = ROWS_ROOM
+            room = PAGE_BYTES
         pages[-1].append(row)
         room -= row.size
     return [tuple(page) for page in pages]
 
 
 @dataclass(slots=True)
-class Heard:
+class ViewAnswer:
     """One instance's answer, page by page; whole once all have come."""
 
     address: str
     name: str = ""
-    life: int = 0
+    incarnation: int = 0
     digest: int = 0
-    trust: str = ""
+    view_health: str = ""
     counts: dict[str, int] = field(default_factory=dict)
-    pages: dict[int, tuple[Row, ...]] = field(default_factory=dict)
-    wanted: int = 1
+    pages: dict[int, tuple[MemberRow, ...]] = field(default_factory=dict)
+    page_count: int = 1
 
-    def take(self, shown: Shown) -> None:
-        if (shown.life, shown.digest) != (self.life, self.digest):
+    def add_page(self, shown: ViewPage) -> None:
+        if (shown.life, shown.digest) != (self.incarnation, self.digest):
             # It changed its mind between two pages: pages of two views make none.
             self.pages.clear()
-        self.name, self.life, self.digest, self.trust = shown.name, shown.life, shown.digest, shown.trust
-        self.wanted = shown.pages
+        self.name, self.incarnation, self.digest, self.view_health = (
+            shown.name,
+            shown.life,
+            shown.digest,
+            shown.view_health,
+        )
+        self.page_count = shown.page_count
         self.counts = shown.counts or self.counts
         self.pages[shown.page] = shown.rows
 
     @property
-    def missing(self) -> int | None:
-        return next((page for page in range(self.wanted) if page not in self.pages), None)
+    def missing_page(self) -> int | None:
+        return next((page for page in range(self.page_count) if page not in self.pages), None)
 
     @property
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[MemberRow]:
         return [row for page in sorted(self.pages) for row in self.pages[page]]
 
 
-def differences(answers: Iterable[Heard]) -> dict[str, dict[str, list[str]]]:
+def find_differences(answers: Iterable[ViewAnswer]) -> dict[str, dict[str, list[str]]]:
     """By member: what it is believed to be, and by whom, where those asked do not all say the same."""
-    answers = [one for one in answers if one.missing is None]
+    answers = [one for one in answers if one.missing_page is None]
     beliefs: dict[str, dict[str, list[str]]] = {}
     names = {row.name for one in answers for row in one.rows if row.name}
     for one in answers:
@@ -155,15 +160,15 @@
     return {name: words for name, words in sorted(beliefs.items()) if len(words) > 1}
 
 
-def _word(row: Row) -> str:
-    return f"{row.state.name.lower()} at {row.address}, life {row.life:016x}"
+def _word(row: MemberRow) -> str:
+    return f"{row.state.name.lower()} at {row.address}, life {row.incarnation:016x}"
 
 
-def is_settled(answers: list[Heard]) -> bool:
+def is_converged(answers: list[ViewAnswer]) -> bool:
     """One digest over all that were asked, each of whom trusts it, and everybody there was asked."""
-    whole = [one for one in answers if one.missing is None]
+    whole = [one for one in answers if one.missing_page is None]
     if not whole or len(whole) < len(answers) or len({one.digest for one in whole}) > 1:
         return False
-    if any(one.trust != "settled" for one in whole):
+    if any(one.view_health != "settled" for one in whole):
         return False
     return all(row.state in LIVING for row in whole[0].rows if row.name in {one.name for one in whole})
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -15,8 +15,15 @@
 import trio
 
 from valverouter.edge.surroundings import Surroundings
-from valverouter.fleet.messages import Asks, Here, Reported, Tells, Votes, Worded
-from valverouter.fleet.transport import Post
+from valverouter.fleet.messages import (
+    ClientRequest,
+    ClientResponse,
+    DesiredStateMessage,
+    NodeAnnouncement,
+    RaftEnvelope,
+    ReportMessage,
+)
+from valverouter.fleet.transport import Transport
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.rollout.conducting import Rules
 from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
@@ -42,7 +49,7 @@
 log = structlog.get_logger()
 
 
-def rules_of(terms: SeatTerms) -> Rules:
+def orchestrator_config(terms: SeatTerms) -> Rules:
     """The seat's terms in the words of the decisions."""
     limits = {
         Sort.EDGE if sort == "edge proxies" else Sort.SERVER: Limits(
@@ -62,15 +69,15 @@
     )
 
 
-class NotFoundedError(RuntimeError):
+class AlreadyBootstrappedError(RuntimeError):
     """The council was founded already, or its store holds something."""
 
 
-class SeatTask:
+class RaftServer:
     """One seat. `found`: the first of a new council, which lets the others in."""
 
     def __init__(
-        self, terms: SeatTerms, surroundings: Surroundings, store: CouncilStore, found: bool
+        self, terms: SeatTerms, surroundings: Surroundings, store: CouncilStore, bootstrap: bool
     ) -> None:
         self._terms = terms
         self._surroundings = surroundings
@@ -88,10 +95,10 @@
         # Where in the record tools' commands stand, by the question; of this time in office.
         self._proposed: dict[int, int] = {}
         durable = store.load()
-        if found:
+        if bootstrap:
             _found(terms.name, durable, store)
         self._log = log.bind(seat=terms.name)
-        self.seat = Seat(terms.name, durable, rules_of(terms), self._draw, self._now())
+        self.node = Seat(terms.name, durable, orchestrator_config(terms), self._draw, self._now())
         # Words that wait for what stands behind them to be on disk.
         self._words: list[tuple[str, Any]] = []
 
@@ -107,7 +114,7 @@
         that can't keep what it promises must not stay."""
         socket = self._surroundings.datagrams(self._terms.listen)
         try:
-            post = Post(socket, self._terms.keys, self._terms.name, self._life)
+            post = Transport(socket, self._terms.keys, self._terms.name, self._life)
             self._log.info("seat-listening", address=post.address, disk=f"{self._disk:016x}")
             task_status.started(post.address)
             while True:
@@ -115,12 +122,12 @@
                     await socket.readable()
                 await self._surroundings.turn()
                 for _ in range(BATCH):
-                    came = post.take()
+                    came = post.receive()
                     if came is None:
                         break
                     self._hear(*came)
                     self._leave(post)
-                self.seat.tick(self._now())
+                self.node.tick(self._now())
                 self._mend()
                 self._leave(post)
                 self._say_here(post)
@@ -130,18 +137,18 @@
 
     @property
     def _disk(self) -> int:
-        return self.seat.councillor.durable.disk
+        return self.node.councillor.durable.disk
 
-    def _leave(self, post: Post) -> None:
+    def _leave(self, post: Transport) -> None:
         """On disk first, then words."""
-        if self.seat.saves:
-            self._store.commit(self.seat.saves)
-            self.seat.saves.clear()
-        out = list(self.seat.out)
-        self.seat.out.clear()
+        if self.node.saves:
+            self._store.commit(self.node.saves)
+            self.node.saves.clear()
+        out = list(self.node.out)
+        self.node.out.clear()
         for to, message in out:
             if (address := self._terms.council.get(to)) is not None:
-                post.send(address, Votes(to, sent(message)))
+                post.send(address, RaftEnvelope(to, sent(message)))
         words, self._words = self._words, []
         for address, word in words:
             post.send(address, word)
@@ -149,38 +156,43 @@
     def _hear(self, word: Any, source: str) -> None:
         now = self._now()
         match word:
-            case Votes(to, message):
+            case RaftEnvelope(to, message):
                 if to == self._terms.name:
-                    self.seat.heard(now, from_sent(message))
-            case Here(name, disk):
+                    self.node.heard(now, from_sent(message))
+            case NodeAnnouncement(name, disk):
                 if name in self._terms.council:
                     self._disks[name] = disk
-            case Reported(report, to, stamp):
+            case ReportMessage(report, to, stamp):
                 since = stamp if to == self._life else -(10**18)
-                self.seat.report(now, report, since, lambda said: self._word(source, said))
-            case Asks():
+                self.node.report(now, report, since, lambda said: self._word(source, said))
+            case ClientRequest():
                 self._asked(source, word)
 
     def _word(self, address: str, said: Word) -> None:
         self._words.append(
-            (address, Worded(self._terms.name, said.name, self._life, said.stamp, said.want, said.is_open))
+            (
+                address,
+                DesiredStateMessage(
+                    self._terms.name, said.name, self._life, said.stamp, said.want, said.is_open
+                ),
+            )
         )
 
     # The council's own membership
 
-    def _say_here(self, post: Post) -> None:
+    def _say_here(self, post: Transport) -> None:
         if trio.current_time() - self._here_at < HERE_S:
             return
         self._here_at = trio.current_time()
-        here = Here(self._terms.name, self._disk)
+        here = NodeAnnouncement(self._terms.name, self._disk)
         for name, address in self._terms.council.items():
             if name != self._terms.name:
                 post.send(address, here)
 
     def _mend(self) -> None:
         """Lets in who is named in the terms, under the disk that it tells of; a former disk goes first."""
-        one = self.seat.councillor
-        if not self.seat.leads or not self._disks:
+        one = self.node.councillor
+        if not self.node.leads or not self._disks:
             return
         present = dict(one.members.disks)
         for name, disk in self._disks.items():
@@ -196,59 +208,65 @@
 
     # Tools
 
-    def _asked(self, source: str, asks: Asks) -> None:
+    def _asked(self, source: str, asks: ClientRequest) -> None:
         """A leader answers with what holds; anybody else says who leads, as far as it knows."""
-        if not self.seat.leads:
-            self._words.append((source, Tells(asks.nonce, self._terms.name, False, self.seat.leader)))
+        if not self.node.leads:
+            self._words.append(
+                (source, ClientResponse(asks.nonce, self._terms.name, False, self.node.leader))
+            )
             return
         now, command = self._now(), asks.command
-        if asks.what == "do" and isinstance(command, Place | Stop | Halt | Retire):
+        if asks.kind == "do" and isinstance(command, Place | Stop | Halt | Retire):
             self._do(source, asks, command)
-        elif asks.what == "plan" and isinstance(command, Place):
+        elif asks.kind == "plan" and isinstance(command, Place):
             place = command
-            self.seat.read(now, lambda book: self._tells(source, asks, book.plan(place)))
-        elif asks.what == "show":
-            self.seat.read(now, lambda book: self._shows(source, asks, book))
+            self.node.read(now, lambda book: self._tells(source, asks, book.plan(place)))
+        elif asks.kind == "show":
+            self.node.read(now, lambda book: self._shows(source, asks, book))
 
-    def _do(self, source: str, asks: Asks, command: Command) -> None:
+    def _do(self, source: str, asks: ClientRequest, command: Command) -> None:
         """Put into the record once for each question, and answered once the record holds it. A question of
         its own is put there again, though it may be the same order: what refused it then may be over."""
         now = self._now()
         index = self._proposed.get(asks.nonce)
         if index is None:
-            if self.seat.propose(now, command):
-                self._proposed[asks.nonce] = self.seat.councillor.last
+            if self.node.propose(now, command):
+                self._proposed[asks.nonce] = self.node.councillor.last
                 if len(self._proposed) > PROPOSED_MOST:
                     del self._proposed[next(iter(self._proposed))]
-        elif self.seat.applied >= index:
+        elif self.node.applied >= index:
             answer: Any = {"done": True}
             if isinstance(command, Place):
-                answer = self.seat.answers.get(command.id)
+                answer = self.node.answers.get(command.id)
             if answer is not None:
-                self.seat.read(now, lambda book: self._tells(source, asks, answer))
+                self.node.read(now, lambda book: self._tells(source, asks, answer))
 
-    def _shows(self, source: str, asks: Asks, book: Book) -> None:
+    def _shows(self, source: str, asks: ClientRequest, book: Book) -> None:
         """The same words to the same question, however often it is asked: a fleet's worth of them goes in
         many pieces, and those that were lost could not be filled from other words."""
         if asks.nonce not in self._shown:
-            self._shown[asks.nonce] = msgspec.msgpack.encode(shown(book, self.seat, self._now(), asks.about))
+            self._shown[asks.nonce] = msgspec.msgpack.encode(
+                shown(book, self.node, self._now(), asks.operation)
+            )
             if len(self._shown) > SHOWN_MOST:
                 del self._shown[next(iter(self._shown))]
         self._tells(source, asks, msgspec.Raw(self._shown[asks.nonce]))
 
-    def _tells(self, source: str, asks: Asks, body: Any) -> None:
+    def _tells(self, source: str, asks: ClientRequest, body: Any) -> None:
         raw = msgspec.Raw(msgspec.msgpack.encode(body))
-        self._words.append((source, Tells(asks.nonce, self._terms.name, True, self._terms.name, raw)))
+        self._words.append(
+            (source, ClientResponse(asks.nonce, self._terms.name, True, self._terms.name, raw))
+        )
 
     # The log
 
     def _tell(self) -> None:
-        if self.seat.leads != self._was_leader:
-            self._was_leader = self.seat.leads
+        if self.node.leads != self._was_leader:
+            self._was_leader = self.node.leads
             self._proposed.clear()
-            term = self.seat.councillor.durable.term
+            term = self.node.councillor.durable.term
             self._log.info("council-leads" if self._was_leader else "council-follows", term=term)
-        orders = self.seat.book.orders
+        orders = self.node.book.orders
         for gone in [id_ for id_ in self._told if id_ not in orders]:
             del self._told[gone]
         for order in orders.values():
@@ -270,7 +288,7 @@
 
 def _found(name: str, durable: Durable, store: CouncilStore) -> None:
     if durable.entries or durable.snapshot or durable.term:
-        raise NotFoundedError(f"{store.path} holds a record: this council was founded before")
+        raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
     save = SaveEntries(1, (Entry(1, Members(((name, durable.disk),))),))
     durable.apply(save)
     store.commit([save])
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -19,11 +19,11 @@
 import trio
 
 from valverouter.edge.surroundings import READ, Datagrams, Surroundings
-from valverouter.fleet.authentication import Opener, Seal
-from valverouter.fleet.membership_service import LABEL
-from valverouter.fleet.messages import Reported, Worded
-from valverouter.fleet.queries import Count, Counted
-from valverouter.fleet.transport import Post
+from valverouter.fleet.authentication import Authenticator, DatagramReader
+from valverouter.fleet.membership_service import VERSION_VARIABLE
+from valverouter.fleet.messages import DesiredStateMessage, ReportMessage
+from valverouter.fleet.queries import CountersQuery, CountersReply
+from valverouter.fleet.transport import Transport
 from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
 from valverouter.rollout.limits import Sort
@@ -47,24 +47,24 @@
 log = structlog.get_logger()
 
 
-class Running:
+class ManagedProcess:
     """A program that runs, started by this keeper or by its former self: waited for by a descriptor of the
     process, since of another's child there is no other news."""
 
     def __init__(self, pid: int) -> None:
         self.pid = pid
-        self.mark = f"{pid} {_born(pid)}"
+        self.identity = f"{pid} {_born(pid)}"
         self._descriptor = os.pidfd_open(pid)
 
     @classmethod
-    def of(cls, pid: int) -> Running | None:
+    def attach(cls, pid: int) -> ManagedProcess | None:
         """The process of that number, if there is one."""
         with suppress(OSError):
             return cls(pid)
         return None
 
     @classmethod
-    def again(cls, mark: str) -> Running | None:
+    def reattach(cls, mark: str) -> ManagedProcess | None:
         """The process of that mark, if it still runs: a number alone may be another's by now."""
         pid, _, born = mark.partition(" ")
         if not pid.isdigit() or not born or _born(int(pid)) != born:
@@ -74,7 +74,7 @@
         return None
 
     @property
-    def memory(self) -> int:
+    def resident_bytes(self) -> int:
         """Bytes that it holds in memory; 0 where that can't be read."""
         try:
             return int(Path(f"/proc/{self.pid}/statm").read_text("ascii").split()[1]) * PAGE
@@ -104,7 +104,7 @@
     return told[19] if told[0] not in "ZX" else ""
 
 
-class KeeperTask:
+class SupervisorService:
     """One keeper. `memory`: what its store held; None: nothing."""
 
     def __init__(
@@ -118,14 +118,14 @@
             terms.processor,
             tuple(sorted(terms.commands)),
         )
-        self.keeping = Keeping(facts, memory or Memory(terms.version))
+        self.supervisor = Keeping(facts, memory or Memory(terms.version))
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
         self._fresh = memory is None
         self._life = secrets.randbits(63)
         self._log = log.bind(keeper=terms.name)
-        self._process: Running | None = None
+        self._process: ManagedProcess | None = None
         # Those of ours are reaped.
         self._children: dict[int, subprocess.Popen[bytes]] = {}
         # By seat: the life and the stamp of its last word.
@@ -146,9 +146,9 @@
         socket = self._surroundings.datagrams(self._terms.listen)
         asking = self._surroundings.datagrams(_beside(self._terms.asks)) if self._terms.asks else None
         try:
-            post = Post(socket, self._terms.keys, self._terms.name, self._life)
-            seal = Seal(self._terms.keys)
-            opener = Opener(seal)
+            post = Transport(socket, self._terms.keys, self._terms.name, self._life)
+            seal = Authenticator(self._terms.keys)
+            opener = DatagramReader(seal)
             self._log.info("keeper-listening", address=post.address)
             task_status.started(post.address)
             await self._hears_first(post)
@@ -165,7 +165,7 @@
                         self._ask(asking, seal, opener)
                     self._act()
                     self._report(post)
-                    if self.keeping.leaving and not self.keeping.runs:
+                    if self.supervisor.leaving and not self.supervisor.runs:
                         self._report_at = float("-inf")
                         self._report(post)
                         self._nursery.cancel_scope.cancel()
@@ -175,11 +175,11 @@
             if asking is not None:
                 asking.close()
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """The machine asks it to go: its program is asked to end, and the council hears of it."""
-        self.keeping.leave()
+        self.supervisor.leave()
 
-    async def _hears_first(self, post: Post) -> None:
+    async def _hears_first(self, post: Transport) -> None:
         """One that has no memory asks what is wanted before it starts anything: what it starts by its own
         terms may be a version that was taken back. A council that does not answer holds nobody up for
         long."""
@@ -192,86 +192,86 @@
                     await post.socket.readable()
                 self._hear(post)
 
-    async def _finds(self, socket: Datagrams, seal: Seal, opener: Opener) -> None:
+    async def _finds(self, socket: Datagrams, seal: Authenticator, opener: DatagramReader) -> None:
         """What a former self started, whose disk is lost: it answers where the instance is asked, and a
         second one would find its addresses in use."""
-        socket.send(seal.seal(Count("", self._life, 0, self._nonce)), self._terms.asks)
+        socket.send(seal.sign(CountersQuery("", self._life, 0, self._nonce)), self._terms.asks)
         with trio.move_on_after(ASK_S):
             while True:
                 await socket.readable()
                 while (came := socket.take()) is not None:
-                    answer = opener.open(came[0])
-                    if isinstance(answer, Counted) and answer.counts.process:
-                        process = Running.of(answer.counts.process)
-                        self.keeping.memory.process = process.mark if process is not None else ""
-                        self.keeping.memory.running = answer.counts.label
+                    answer = opener.read(came[0])
+                    if isinstance(answer, CountersReply) and answer.counters.process:
+                        process = ManagedProcess.attach(answer.counters.process)
+                        self.supervisor.memory.process = process.identity if process is not None else ""
+                        self.supervisor.memory.running = answer.counters.label
                         if process is not None:
                             process.close()
                         return
 
     # The council
 
-    def _hear(self, post: Post) -> None:
-        while (came := post.take()) is not None:
+    def _hear(self, post: Transport) -> None:
+        while (came := post.receive()) is not None:
             word: Any = came[0]
-            if isinstance(word, Worded) and word.name == self._terms.name:
+            if isinstance(word, DesiredStateMessage) and word.name == self._terms.name:
                 self._worded(word)
 
-    def _worded(self, word: Worded) -> None:
-        name = word.seat
+    def _worded(self, word: DesiredStateMessage) -> None:
+        name = word.node
         if name not in self._terms.council:
             return
         life, stamp = self._stamps.get(name, (0, 0))
-        if word.life == life and word.stamp < stamp:
+        if word.incarnation == life and word.stamp < stamp:
             return  # overtaken by a later word of that seat
-        self._stamps[name] = word.life, word.stamp
+        self._stamps[name] = word.incarnation, word.stamp
         self._heard_council = True
-        want: Want = word.want
-        if self.keeping.wanted(self._now(), want, word.is_open):
+        want: Want = word.desired
+        if self.supervisor.wanted(self._now(), want, word.is_open):
             self._log.info(
                 "turn", number=want.number, step=want.step, order=want.order, version=want.version, up=want.up
             )
 
-    def _report(self, post: Post) -> None:
+    def _report(self, post: Transport) -> None:
         now = trio.current_time()
         if now - self._report_at < REPORT_S:
             return
         self._report_at = now
-        report = self.keeping.report()
+        report = self.supervisor.report()
         for name, address in self._terms.council.items():
             life, stamp = self._stamps.get(name, (0, 0))
-            post.send(address, Reported(report, life, stamp))
+            post.send(address, ReportMessage(report, life, stamp))
 
     # The instance
 
-    def _ask(self, socket: Datagrams, seal: Seal, opener: Opener) -> None:
+    def _ask(self, socket: Datagrams, seal: Authenticator, opener: DatagramReader) -> None:
         while (came := socket.take()) is not None:
-            answer = opener.open(came[0])
-            if isinstance(answer, Counted) and answer.nonce == self._nonce:
+            answer = opener.read(came[0])
+            if isinstance(answer, CountersReply) and answer.nonce == self._nonce:
                 self._answered_at = trio.current_time()
-                memory = self._process.memory if self._process is not None else 0
-                self.keeping.told(msgspec.structs.replace(answer.counts, memory=memory))
+                memory = self._process.resident_bytes if self._process is not None else 0
+                self.supervisor.told(msgspec.structs.replace(answer.counters, memory=memory))
         now = trio.current_time()
-        if now - self._answered_at > ANSWER_S and self.keeping.counts.life:
-            self.keeping.counts = Counts()
-        if now - self._ask_at >= ASK_S and self.keeping.runs:
+        if now - self._answered_at > ANSWER_S and self.supervisor.counts.life:
+            self.supervisor.counts = Counts()
+        if now - self._ask_at >= ASK_S and self.supervisor.runs:
             self._ask_at = now
             self._nonce += 1
-            socket.send(seal.seal(Count("", self._life, 0, self._nonce)), self._terms.asks)
+            socket.send(seal.sign(CountersQuery("", self._life, 0, self._nonce)), self._terms.asks)
 
     def _takes_over(self) -> None:
         """What its former self started and left running."""
-        memory = self.keeping.memory
-        process = Running.again(memory.process)
+        memory = self.supervisor.memory
+        process = ManagedProcess.reattach(memory.process)
         if process is not None:
             self._process = process
-            self.keeping.resumes(True)
+            self.supervisor.resumes(True)
             self._log.info("taken-over", version=memory.running, process=process.pid)
             assert self._nursery is not None
             self._nursery.start_soon(self._waits, process)
 
     def _act(self) -> None:
-        keeping = self.keeping
+        keeping = self.supervisor
         while (do := keeping.act(self._now())) is not None:
             if do is Do.SAVE:
                 # Not in a thread: a turn that is not on disk must not begin, and nothing else waits here.
@@ -294,7 +294,7 @@
             )
 
     def _start(self) -> None:
-        version = self.keeping.memory.version
+        version = self.supervisor.memory.version
         command = self._terms.commands.get(version, ())
         try:
             if not command:
@@ -309,23 +309,23 @@
                 stdout=output,
                 stderr=output,
                 start_new_session=True,
-                env=os.environ | {LABEL: version},
+                env=os.environ | {VERSION_VARIABLE: version},
             )
             if self._terms.output:
                 output.close()
             self._children[child.pid] = child
-            process = Running(child.pid)
+            process = ManagedProcess(child.pid)
         except OSError as error:
             self._log.error("could-not-start", version=version, why=str(error))
-            self.keeping.could_not_start(self._now())
+            self.supervisor.could_not_start(self._now())
             return
         self._process = process
-        self.keeping.started(self._now(), version, process.mark)
+        self.supervisor.started(self._now(), version, process.identity)
         self._log.info("started", version=version, process=process.pid)
         assert self._nursery is not None
         self._nursery.start_soon(self._waits, process)
 
-    async def _waits(self, process: Running) -> None:
+    async def _waits(self, process: ManagedProcess) -> None:
         await process.wait()
         child = self._children.pop(process.pid, None)
         code = child.wait() if child is not None else None
@@ -333,7 +333,7 @@
         process.close()
         if self._process is process:
             self._process = None
-            self.keeping.ended(self._now())
+            self.supervisor.ended(self._now())
 
     async def _asks_list(self, leaves: bool, number: int) -> None:
         """Until the list service has answered: one that is away lets no server go."""
@@ -345,7 +345,7 @@
         if leaves:
             if left.given:
                 await trio.sleep(self._terms.drain_within / 1e9)
-            self.keeping.left_list(left.given, left.why)
+            self.supervisor.left_list(left.given, left.why)
 
     async def _ask_list(self, asks: Leave | Returns) -> Left | None:
         session = ListSession(Hello((OLDEST, NEWEST), "keeper", self._terms.name))
@@ -362,7 +362,7 @@
         return None
 
     def _stop(self) -> None:
-        self.keeping.asked_to_stop()
+        self.supervisor.asked_to_stop()
         process = self._process
         if process is None:
             return
@@ -370,7 +370,7 @@
         assert self._nursery is not None
         self._nursery.start_soon(self._kills, process)
 
-    async def _kills(self, process: Running) -> None:
+    async def _kills(self, process: ManagedProcess) -> None:
         """Asked to end, it has its own limit; past it and a little it is ended."""
         await trio.sleep(self._terms.stop_within / 1e9)
         if self._process is process:
--- a/valverouter/fleet/transport.py
+++ b/valverouter/fleet/transport.py
@@ -9,9 +9,9 @@
 import trio
 
 from valverouter.edge.surroundings import Datagrams
-from valverouter.fleet.authentication import Opener, Posted, Seal
-from valverouter.fleet.fragmentation import Parcels, TooManyPiecesError
-from valverouter.fleet.messages import Word, decoder, encoder
+from valverouter.fleet.authentication import Authenticator, DatagramReader, FragmentEnvelope
+from valverouter.fleet.fragmentation import Fragmenter, TooManyFragmentsError
+from valverouter.fleet.messages import ControlMessage, decoder, encoder
 
 # Drops are told no oftener than so.
 DROPS_TOLD_S = 60.0
@@ -19,43 +19,43 @@
 log = structlog.get_logger()
 
 
-class Post:
+class Transport:
     """One process's socket. Strangers, rubbish and replays are dropped and counted, and never answered."""
 
     def __init__(self, socket: Datagrams, keys: tuple[bytes, ...], name: str, life: int) -> None:
         self.socket = socket
         self.life = life
         self.counts: Counter[str] = Counter()
-        self._seal = Seal(keys)
-        self._opener = Opener(self._seal, Posted)
-        self._parcels = Parcels(name, life)
+        self._authenticator = Authenticator(keys)
+        self._reader = DatagramReader(self._authenticator, FragmentEnvelope)
+        self._fragmenter = Fragmenter(name, life)
         self._told_at = float("-inf")
 
     @property
     def address(self) -> str:
         return self.socket.address
 
-    def send(self, address: str, word: Word) -> None:
+    def send(self, address: str, word: ControlMessage) -> None:
         """Gone or lost: whoever needs an answer says it again."""
         try:
-            pieces = self._parcels.pieces(address, encoder.encode(word))
-        except TooManyPiecesError as error:
+            pieces = self._fragmenter.split(address, encoder.encode(word))
+        except TooManyFragmentsError as error:
             self.counts["too-long"] += 1
             log.error("word-too-long", word=type(word).__name__, why=str(error))
             return
         for piece in pieces:
             self.counts["sent"] += 1
-            self.socket.send(self._seal.seal(piece), address)
+            self.socket.send(self._authenticator.sign(piece), address)
 
-    def take(self) -> tuple[Word, str] | None:
+    def receive(self) -> tuple[ControlMessage, str] | None:
         """A word that is here, and where it came from."""
         while (came := self.socket.take()) is not None:
             data, source = came
-            piece = self._opener.open(data)
+            piece = self._reader.read(data)
             if piece is None:
                 self._drops()
                 continue
-            whole = self._parcels.take(piece)
+            whole = self._fragmenter.add(piece)
             if whole is None:
                 continue
             self.counts["heard"] += 1
@@ -70,4 +70,4 @@
         now = trio.current_time()
         if now - self._told_at >= DROPS_TOLD_S:
             self._told_at = now
-            log.warning("datagrams-dropped", **self._opener.dropped)
+            log.warning("datagrams-dropped", **self._reader.dropped)
