--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,19 +36,13 @@
     DatagramReader,
     Envelope,
     MessageTooLongError,
-    ReplayWindow,
 )
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.membership_service import MembershipService
-from valverouter.fleet.queries import (
-    MemberRow,
-    ViewAnswer,
-    ViewPage,
-    ViewQuery,
-    find_differences,
-    is_converged,
-    paginate,
-)
+from valverouter.fleet.queries import MemberRow, ViewPage, ViewQuery
+from valverouter.fleet.replay_window import ReplayWindow
+from valverouter.fleet.view_comparison import ViewAnswer, find_differences, is_converged
+from valverouter.fleet.view_pages import paginate
 from valverouter.membership.messages import Ask, Gossip, Ping, Sync
 from valverouter.membership.records import Phase, Record, State
 from valverouter.membership.rules import Rules
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -26,19 +26,20 @@
     DatagramReader,
     FragmentEnvelope,
 )
-from valverouter.fleet.client import OperationsClient
 from valverouter.fleet.fragmentation import (
     BURST_FRAGMENTS,
     FRAGMENT_BYTES,
     MAX_PARTIAL_MESSAGES,
     Fragment,
     Fragmenter,
+    Reassembler,
     TooManyFragmentsError,
 )
-from valverouter.fleet.messages import ClientRequest, ControlMessage, NodeAnnouncement
+from valverouter.fleet.managed_process import ManagedProcess
+from valverouter.fleet.messages import ClientRequest, ControlMessage, NodeAnnouncement, RequestKind
+from valverouter.fleet.operations_client import OperationsClient
 from valverouter.fleet.queries import CountersQuery
 from valverouter.fleet.raft_server import RaftServer
-from valverouter.fleet.supervisor_service import ManagedProcess
 from valverouter.fleet.transport import Transport
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore, opened
@@ -57,72 +58,72 @@
 SECOND = 10**9
 KEY = (b"k" * 32,)
 
-# Parcels
+# Fragmentation and transport
 
 
 @given(st.binary(max_size=5 * FRAGMENT_BYTES), st.randoms())
 @settings(max_examples=50, deadline=None)
-def test_pieces_in_any_order_make_the_whole(body: bytes, chance: Any) -> None:
-    here, there = Fragmenter("a", 1), Fragmenter("b", 2)
-    pieces = here.split("x:1", body)
-    chance.shuffle(pieces)
-    wholes = [whole for piece in pieces if (whole := there.add(piece)) is not None]
-    assert wholes == [body]
+def test_fragments_in_any_order_make_the_message(body: bytes, chance: Any) -> None:
+    reassembler = Reassembler()
+    fragments = Fragmenter("a", 1).split("x:1", body)
+    chance.shuffle(fragments)
+    messages = [message for fragment in fragments if (message := reassembler.add(fragment)) is not None]
+    assert messages == [body]
 
 
-def test_a_long_record_comes_over_in_bursts_and_fills_its_gaps() -> None:
-    here, there = Fragmenter("a", 1), Fragmenter("b", 2)
+def test_a_long_message_is_sent_in_bursts_and_fills_its_gaps() -> None:
+    fragmenter, reassembler = Fragmenter("a", 1), Reassembler()
     body = os.urandom(3 * BURST_FRAGMENTS * FRAGMENT_BYTES)
-    whole, sendings = None, 0
-    while whole is None:
-        sendings += 1
-        pieces = here.split("x:1", body)
-        assert len(pieces) == BURST_FRAGMENTS
-        for at, piece in enumerate(pieces):
-            if (at + sendings) % 7:  # one in seven is lost
-                whole = there.add(piece) or whole
-    assert whole == body and sendings <= 9
-
-
-def test_what_is_half_there_is_bounded_and_nonsense_makes_nothing() -> None:
-    there = Fragmenter("b", 2)
-    for id_ in range(10 * MAX_PARTIAL_MESSAGES):
-        assert there.add(Fragment("a", 1, id_, 0, 2, b"x")) is None
-    assert len(there._held) <= MAX_PARTIAL_MESSAGES
-    for at, of in ((0, 0), (2, 2), (-1, 1), (0, 10**9)):
-        assert there.add(Fragment("a", 1, 1, at, of, b"x")) is None
+    message, transmissions = None, 0
+    while message is None:
+        transmissions += 1
+        fragments = fragmenter.split("x:1", body)
+        assert len(fragments) == BURST_FRAGMENTS
+        for index, fragment in enumerate(fragments):
+            if (index + transmissions) % 7:  # one in seven is lost
+                message = reassembler.add(fragment) or message
+    assert message == body and transmissions <= 9
+
+
+def test_partial_messages_are_bounded_and_invalid_fragments_are_ignored() -> None:
+    reassembler = Reassembler()
+    for message_id in range(10 * MAX_PARTIAL_MESSAGES):
+        assert reassembler.add(Fragment("a", 1, message_id, 0, 2, b"x")) is None
+    assert len(reassembler._partial) <= MAX_PARTIAL_MESSAGES
+    for index, count in ((0, 0), (2, 2), (-1, 1), (0, 10**9)):
+        assert reassembler.add(Fragment("a", 1, 1, index, count, b"x")) is None
     with pytest.raises(TooManyFragmentsError):
-        there.split("x:1", bytes(10**7))
+        Fragmenter("b", 2).split("x:1", bytes(10**7))
 
 
-async def test_only_who_has_the_key_is_heard_between_seats_and_keepers() -> None:
+async def test_only_holders_of_the_key_are_heard_on_the_control_plane() -> None:
     sockets = Sockets()
-    one, two, stranger = (sockets.datagrams("127.0.0.1:0") for _ in range(3))
-    ours, theirs = Transport(one, KEY, "c0", 1), Transport(two, KEY, "c1", 2)
-    theirs.send(one.address, NodeAnnouncement("c1", 7))
-    Transport(stranger, (b"x" * 32,), "c1", 3).send(one.address, NodeAnnouncement("c1", 8))
-    stranger.send(b"rubbish", one.address)
-    # Words of the view are under the same key, and are no words of the council.
-    stranger.send(Authenticator(KEY).sign(CountersQuery("", 9, 0, 1)), one.address)
-    heard: list[tuple[ControlMessage, str]] = []
+    first, second, stranger = (sockets.datagrams("127.0.0.1:0") for _ in range(3))
+    ours, theirs = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
+    theirs.send(first.address, NodeAnnouncement("c1", 7))
+    Transport(stranger, (b"x" * 32,), "c1", 3).send(first.address, NodeAnnouncement("c1", 8))
+    stranger.send(b"rubbish", first.address)
+    # Membership messages are under the same key, and are not messages of the control plane.
+    stranger.send(Authenticator(KEY).sign(CountersQuery("", 9, 0, 1)), first.address)
+    received: list[tuple[ControlMessage, str]] = []
     with trio.move_on_after(0.3):
         while True:
-            await one.readable()
-            while (came := ours.receive()) is not None:
-                heard.append(came)
-    assert [word for word, _ in heard] == [NodeAnnouncement("c1", 7)]
-    assert two.take() is None and stranger.take() is None, "and nobody is answered"
-    for each in (one, two, stranger):
+            await first.readable()
+            while (message := ours.receive()) is not None:
+                received.append(message)
+    assert [message for message, _ in received] == [NodeAnnouncement("c1", 7)]
+    assert second.take() is None and stranger.take() is None, "and nobody is answered"
+    for each in (first, second, stranger):
         each.close()
 
 
-def test_the_longest_piece_fits_a_datagram_and_a_replay_is_dropped() -> None:
-    seal = Authenticator(KEY)
-    data = seal.sign(Fragment("n" * 60, 2**64 - 1, 2**64 - 1, 2_047, 2_048, bytes(FRAGMENT_BYTES)))
+def test_the_longest_fragment_fits_a_datagram_and_a_replay_is_dropped() -> None:
+    fragment = Fragment("n" * 60, 2**64 - 1, 2**64 - 1, 2_047, 2_048, bytes(FRAGMENT_BYTES))
+    data = Authenticator(KEY).sign(fragment)
     assert len(data) <= MAX_DATAGRAM_BYTES
-    opener = DatagramReader(Authenticator(KEY), FragmentEnvelope)
-    assert opener.read(data) is not None and opener.read(data) is None
-    assert opener.dropped["replay"] == 1
+    reader = DatagramReader(Authenticator(KEY), FragmentEnvelope)
+    assert reader.read(data) is not None and reader.read(data) is None
+    assert reader.dropped["replay"] == 1
 
 
 # Files
@@ -254,10 +255,10 @@
             task.node.propose(round(trio.current_time() * 1e9), Runs(name, "v1", ("v1", "v2")))
         socket = Sockets().datagrams("127.0.0.1:0")
         asker = OperationsClient(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
-        shown = await asker.request("show", None, Shown, 15)
+        shown = await asker.request(RequestKind.SHOW, None, Shown, 15)
         assert shown is not None and [unit.name for unit in shown.units] == sorted(names)
         assert len(msgspec.msgpack.encode(shown)) > BURST_FRAGMENTS * FRAGMENT_BYTES
-        refused = await asker.request("plan", Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
+        refused = await asker.request(RequestKind.PLAN, Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
         assert refused is not None and refused.why == "nobody is not enrolled"
         nursery.cancel_scope.cancel()
     socket.close()
@@ -418,5 +419,5 @@
 
 
 def test_a_tool_s_words_are_read_as_they_were_written() -> None:
-    asks = ClientRequest(3, "show")
+    asks = ClientRequest(3, RequestKind.SHOW)
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(asks), type=ControlMessage) == asks
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -109,7 +109,7 @@
             nursery.start_soon(rig.tool, "restart", "e1", "--id", "one")
             log = rig.folder / "k1.log"
             with trio.fail_after(20):
-                while b'"turn"' not in log.read_bytes():
+                while b'"step-started"' not in log.read_bytes():
                     await trio.sleep(0.01)
             rig.kill("k1")
             await trio.sleep(2)
@@ -345,7 +345,7 @@
                 await trio.sleep(0.1)
         # The last of the signals may meet one that has done all and is on its way out.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
-        assert rig._pid("e1") is None and b'"ended"' in (rig.folder / "k1.log").read_bytes()
+        assert rig._pid("e1") is None and b'"process-exited"' in (rig.folder / "k1.log").read_bytes()
         rig.start("k1")
         assert {unit.state for unit in (await rig.settled(20)).units} == {"in"}
 
--- a/valverouter/cli/edging.py
+++ b/valverouter/cli/edging.py
@@ -19,7 +19,8 @@
 from valverouter.edge.keeping import edge_proxy
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
-from valverouter.fleet.membership_service import MembershipService, instance_counters, membership_facts
+from valverouter.fleet.instance_status import instance_counters, membership_facts
+from valverouter.fleet.membership_service import MembershipService
 from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.store import Ledger
 from valverouter.terms.edge import EdgeTerms, load_edge_terms, load_settled
--- a/valverouter/cli/fleeting.py
+++ b/valverouter/cli/fleeting.py
@@ -20,7 +20,8 @@
 from valverouter.days.emulated_views import run_views
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.client import FleetClient
-from valverouter.fleet.queries import MemberRow, ViewAnswer, find_differences, is_converged
+from valverouter.fleet.queries import MemberRow
+from valverouter.fleet.view_comparison import ViewAnswer, find_differences, is_converged
 from valverouter.membership.records import LIVING, Phase, State
 from valverouter.terms.between import Between
 from valverouter.terms.day import load_day
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -21,7 +21,8 @@
 
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.client import OperationsClient
+from valverouter.fleet.messages import RequestKind
+from valverouter.fleet.operations_client import OperationsClient
 from valverouter.rollout.orders import Command, Kind, Place, Placed, Retire, Stop
 from valverouter.rollout.permits import Halt
 from valverouter.rollout.shown import Order, Shown, Unit
@@ -99,7 +100,7 @@
     sent, so that it can be taken up whatever becomes of this tool."""
     if not dry_run:
         console.print(f"order {place.id}", highlight=False)
-    placed = _ask(file, "plan" if dry_run else "do", place, Placed)
+    placed = _ask(file, RequestKind.PLAN if dry_run else RequestKind.EXECUTE, place, Placed)
     if placed is None:
         _unknown(place.id)
     if placed.why:
@@ -200,7 +201,7 @@
     if hold and not over:
         commands.insert(0, Halt(why))
     for command in commands:
-        if _ask(file, "do", command, Any) is None:
+        if _ask(file, RequestKind.EXECUTE, command, Any) is None:
             _unknown(order)
 
 
@@ -215,7 +216,7 @@
     if known is None or known.kind != Kind.RELEASE.value:
         raise ValueError(f"there is no release {order!r}")
     if known.phase != "ended":
-        if _ask(file, "do", Stop(order, "back, by hand", True, _wall()), Any) is None:
+        if _ask(file, RequestKind.EXECUTE, Stop(order, "back, by hand", True, _wall()), Any) is None:
             _unknown(order)
         if not no_wait:
             _follow(file, order, as_json)
@@ -235,7 +236,7 @@
 @click.argument("name")
 def retire(file: Path, name: str) -> None:
     """Strike NAME, which is no part of the fleet any more, and whatever waits for it goes on."""
-    if _ask(file, "do", Retire(name), Any) is None:
+    if _ask(file, RequestKind.EXECUTE, Retire(name), Any) is None:
         _unknown(name)
 
 
@@ -288,15 +289,15 @@
     return time.time_ns() // 1_000_000
 
 
-def _ask(file: Path, what: str, command: Command | None, kind: Any, about: str = "") -> Any:
+def _ask(file: Path, request: RequestKind, command: Command | None, kind: Any, about: str = "") -> Any:
     terms = load_tool(file)
 
     async def asked() -> Any:
         host = next(iter(terms.council.values())).rpartition(":")[0]
         socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
-            asker = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
-            return await asker.request(what, command, kind, WITHIN_S, about)
+            client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
+            return await client.request(request, command, kind, WITHIN_S, about)
         finally:
             socket.close()
 
@@ -304,7 +305,7 @@
 
 
 def _show(file: Path, about: str = "") -> Shown:
-    shown = _ask(file, "show", None, Shown, about)
+    shown = _ask(file, RequestKind.SHOW, None, Shown, about)
     if shown is None:
         console.print("nobody of the council who leads was reached", highlight=False)
         sys.exit(UNKNOWN)
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -372,15 +372,15 @@
                     continue
                 at = base + round(datetime.fromisoformat(said.timestamp).timestamp() * 1e9)
                 seq, turn = len(rows), (said.number, said.step)
-                if said.event == "turn":
+                if said.event == "step-started":
                     turns[turn] = said.up
                     rows.append(Turned(seq, at, name, said.number, said.step, said.up))
-                elif said.event == "turn-over":
+                elif said.event == "step-ended":
                     up = turns.get(turn, True)
                     rows.append(Turned(seq, at, name, said.number, said.step, up, said.outcome))
-                elif said.event in ("started", "taken-over"):
+                elif said.event in ("process-started", "process-adopted"):
                     rows.append(Runs(seq, at, name, said.version))
-                elif said.event == "ended":
+                elif said.event == "process-exited":
                     rows.append(Runs(seq, at, name, ""))
 
 
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -19,7 +19,7 @@
 
 from valverouter.edge.surroundings import UdpSocket, split
 from valverouter.fleet.authentication import Authenticator, DatagramReader
-from valverouter.fleet.membership_service import VERSION_VARIABLE
+from valverouter.fleet.instance_status import VERSION_VARIABLE
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.rollout.keeping import Counts
 from valverouter.terms.between import key_of
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -20,8 +20,9 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, Surroundings
 from valverouter.fleet.client import FleetClient
-from valverouter.fleet.membership_service import MembershipService, membership_facts
-from valverouter.fleet.queries import ViewAnswer
+from valverouter.fleet.instance_status import membership_facts
+from valverouter.fleet.membership_service import MembershipService
+from valverouter.fleet.view_comparison import ViewAnswer
 from valverouter.membership.records import LIVING
 from valverouter.membership.voice import Told
 from valverouter.servermodel.paths import Paths
@@ -156,7 +157,7 @@
 
     def heard(self, name: str, event: str, address: str, member: str, life: str) -> None:
         """A line of its log."""
-        if event == "between":
+        if event == "membership-started":
             self._paths.stands(name, address)
             self.began_at(name, life, address)
         elif event.startswith(SAYS):
--- a/valverouter/fleet/authentication.py
+++ b/valverouter/fleet/authentication.py
@@ -1,13 +1,13 @@
-"""Datagrams: a version, which key, a keyed digest, then a counter and a message as MessagePack.
+"""Authenticated datagrams: a version, a key id, a keyed digest, then a counter and a message as MessagePack.
 
-    1 byte    version
-    4 bytes   the key's mark
-    16 bytes  BLAKE2b keyed, over version, mark and what follows
+    1 byte    protocol version
+    4 bytes   key id
+    16 bytes  BLAKE2b, keyed, over version, key id and everything that follows
     rest      [counter, message]
 
-Nothing is read of one whose digest is wrong. The counter grows with each datagram of a life; one that came
-before, or lies further back than the window, is a replay. Nothing is ever answered here, so strangers get no
-word out of an instance, however many they send.
+Nothing of a datagram is decoded unless its digest is right. The counter grows with each datagram of an
+incarnation (one run of a process); a counter that came before or lies behind the replay window is rejected.
+This layer never answers, so unauthenticated senders get no reply, however much they send.
 """
 
 from __future__ import annotations
@@ -22,18 +22,23 @@
 
 from valverouter.fleet.fragmentation import Fragment
 from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
+from valverouter.fleet.replay_window import ReplayWindow
 from valverouter.membership.messages import Ack, Ask, Gossip, Message, Nack, Pages, Ping, Sync
 from valverouter.membership.records import State
 
 PROTOCOL_VERSION = 1
 MAX_DATAGRAM_BYTES = 1_400
-HEADER_BYTES = 1 + 4 + 16
-# Counters of a life that are told apart behind the highest; lives that are kept.
-WINDOW_SIZE = 1_024
-MAX_INCARNATIONS = 8_192
+VERSION_BYTES = 1
+KEY_ID_BYTES = 4
+DIGEST_BYTES = 16
+# Version and key id, over which the digest goes as well.
+PREFIX_BYTES = VERSION_BYTES + KEY_ID_BYTES
+HEADER_BYTES = PREFIX_BYTES + DIGEST_BYTES
 MAX_NAME_LENGTH = 128
-# Words of versions that are not understood are told once each, and so many at most.
+# Each unknown protocol version is reported once, and no more than so many of them.
 MAX_REPORTED_VERSIONS = 16
+# A counter as large as a long run makes it, for estimating the size of datagrams.
+TYPICAL_COUNTER = 1 << 20
 
 MembershipDatagram = (
     Ping | Ack | Ask | Nack | Gossip | Sync | Pages | ViewQuery | ViewPage | CountersQuery | CountersReply
@@ -41,127 +46,114 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
+    """What a datagram on a membership socket carries."""
+
     counter: int
     message: MembershipDatagram
 
 
 class FragmentEnvelope(Struct, frozen=True, array_like=True):
-    """As an Envelope, between seats, keepers and tools."""
+    """What a datagram between raft servers, supervisors and operators' clients carries."""
 
     counter: int
     message: Fragment
 
 
 class MessageTooLongError(ValueError):
-    """A message that no datagram holds."""
+    """The message does not fit into one datagram."""
 
 
 class Authenticator:
-    """The keys and the counter of one life. `keys[0]` seals; any of them opens."""
+    """The fleet's keys and the counter of one incarnation.
+
+    `keys[0]` signs; any of the keys verifies, so that a key can be changed while the fleet runs.
+    """
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
+        """Start counting datagrams from 1."""
         self._keys = {key_id(key): key for key in reversed(keys)}
-        self._key_id, self._key = key_id(keys[0]), keys[0]
+        self._signing_key = keys[0]
+        self._key_id = key_id(keys[0])
         self._encoder = msgspec.msgpack.Encoder()
         self._counter = 0
 
     def sign(self, message: MembershipDatagram | Fragment) -> bytes:
-        """The datagram; TooLongError when it would be one of over MOST bytes."""
+        """Return the datagram; MessageTooLongError above MAX_DATAGRAM_BYTES."""
         self._counter += 1
         body = self._encoder.encode((self._counter, message))
-        if len(body) + HEADER_BYTES > MAX_DATAGRAM_BYTES:
-            raise MessageTooLongError(f"{len(body) + HEADER_BYTES} bytes of {type(message).__name__}")
-        head = bytes((PROTOCOL_VERSION,)) + self._key_id
-        return head + _digest(self._key, head, body) + body
-
-    def verify(self, data: bytes) -> bool:
-        """Whether somebody who has one of the keys made it."""
-        key = self._keys.get(data[1:5])
-        return key is not None and hmac.compare_digest(
-            data[5:HEADER_BYTES], _digest(key, data[:5], data[HEADER_BYTES:])
-        )
+        size = len(body) + HEADER_BYTES
+        if size > MAX_DATAGRAM_BYTES:
+            raise MessageTooLongError(f"{size} bytes of {type(message).__name__}")
+        prefix = bytes((PROTOCOL_VERSION,)) + self._key_id
+        return prefix + _digest(self._signing_key, prefix, body) + body
+
+    def verify(self, datagram: bytes) -> bool:
+        """Whether a holder of one of the keys made the datagram."""
+        prefix = datagram[:PREFIX_BYTES]
+        key = self._keys.get(prefix[VERSION_BYTES:])
+        if key is None:
+            return False
+        digest = datagram[PREFIX_BYTES:HEADER_BYTES]
+        return hmac.compare_digest(digest, _digest(key, prefix, datagram[HEADER_BYTES:]))
 
 
 def key_id(key: bytes) -> bytes:
-    return blake2b(key, digest_size=4, person=b"valverouter-mark").digest()
+    """The id under which datagrams name a key without disclosing it."""
+    return blake2b(key, digest_size=KEY_ID_BYTES, person=b"valverouter-mark").digest()
 
 
-def _digest(key: bytes, head: bytes, body: bytes) -> bytes:
-    digest = blake2b(head, key=key, digest_size=16)
+def _digest(key: bytes, prefix: bytes, body: bytes) -> bytes:
+    digest = blake2b(prefix, key=key, digest_size=DIGEST_BYTES)
     digest.update(body)
     return digest.digest()
 
 
-class ReplayWindow:
-    """Which counters of each life came already. The lives heard of longest ago leave first."""
-
-    def __init__(self) -> None:
-        self._lives: dict[int, tuple[int, int]] = {}
-
-    def accept(self, life: int, counter: int) -> bool:
-        known = self._lives.pop(life, None)
-        if known is None:
-            self._lives[life] = counter, 1
-            if len(self._lives) > MAX_INCARNATIONS:
-                del self._lives[next(iter(self._lives))]
-            return True
-        top, seen = known
-        if counter > top:
-            ahead = counter - top
-            seen = (seen << ahead | 1) & ((1 << WINDOW_SIZE) - 1) if ahead < WINDOW_SIZE else 1
-            self._lives[life] = counter, seen
-            return True
-        behind = top - counter
-        new = behind < WINDOW_SIZE and not seen >> behind & 1
-        self._lives[life] = top, seen | 1 << behind if new else seen
-        return new
-
-
 class DatagramReader:
-    """Takes datagrams in; those that are dropped are counted by why, in fixed words."""
+    """Verifies and decodes incoming datagrams, and counts those that it drops by their reason."""
 
-    def __init__(self, seal: Authenticator, kind: type[Envelope] | type[FragmentEnvelope] = Envelope) -> None:
+    def __init__(
+        self, authenticator: Authenticator, envelope: type[Envelope] | type[FragmentEnvelope] = Envelope
+    ) -> None:
+        """`envelope` is the type that the datagrams' bodies are decoded as."""
         self.dropped: Counter[str] = Counter()
-        # Versions that came under our key and are not ours, until the task has told of them.
+        # Unknown protocol versions under our key that have not been logged yet; the owner empties it.
         self.unknown_versions: list[int] = []
         self._reported_versions: set[int] = set()
-        self._authenticator = seal
+        self._authenticator = authenticator
         self._window = ReplayWindow()
-        self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(kind)
-
-    def read(self, data: bytes) -> Any:
-        """The message, or None where it is not one for us."""
-        if len(data) > MAX_DATAGRAM_BYTES:
-            self.dropped["oversize"] += 1
-            return None
-        if len(data) <= HEADER_BYTES or not self._authenticator.verify(data):
-            self.dropped["stranger"] += 1
-            return None
-        if data[0] != PROTOCOL_VERSION:
-            if (
-                data[0] not in self._reported_versions
-                and len(self._reported_versions) < MAX_REPORTED_VERSIONS
-            ):
-                self._reported_versions.add(data[0])
-                self.unknown_versions.append(data[0])
-            self.dropped["version"] += 1
-            return None
+        self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(envelope)
+
+    def read(self, datagram: bytes) -> Any:
+        """Return the message, or None with the reason counted in `dropped`."""
+        if len(datagram) > MAX_DATAGRAM_BYTES:
+            return self._drop("oversize")
+        if len(datagram) <= HEADER_BYTES or not self._authenticator.verify(datagram):
+            return self._drop("stranger")
+        if datagram[0] != PROTOCOL_VERSION:
+            self._note_version(datagram[0])
+            return self._drop("version")
         try:
-            envelope = self._decoder.decode(data[HEADER_BYTES:])
+            envelope = self._decoder.decode(datagram[HEADER_BYTES:])
         except msgspec.MsgspecError:
-            self.dropped["rubbish"] += 1
-            return None
+            return self._drop("rubbish")
         message = envelope.message
         if not _is_well_formed(message):
-            self.dropped["rubbish"] += 1
-            return None
+            return self._drop("rubbish")
         if not self._window.accept(message.life, envelope.counter):
-            self.dropped["replay"] += 1
-            return None
+            return self._drop("replay")
         return message
 
+    def _drop(self, reason: str) -> None:
+        self.dropped[reason] += 1
+
+    def _note_version(self, version: int) -> None:
+        if version not in self._reported_versions and len(self._reported_versions) < MAX_REPORTED_VERSIONS:
+            self._reported_versions.add(version)
+            self.unknown_versions.append(version)
+
 
 def _is_well_formed(message: MembershipDatagram | Fragment) -> bool:
+    """Whether names are within their limits and records are such as a member may send."""
     if len(message.name) > MAX_NAME_LENGTH:
         return False
     return all(
@@ -171,5 +163,5 @@
 
 
 def datagram_size(message: Message) -> int:
-    """Bytes of a message as a datagram, for reckoning."""
-    return HEADER_BYTES + len(msgspec.msgpack.encode(Envelope(1 << 20, message)))
+    """Bytes of the datagram that carries a membership message, for estimates."""
+    return HEADER_BYTES + len(msgspec.msgpack.encode(Envelope(TYPICAL_COUNTER, message)))
--- /dev/null
+++ b/valverouter/fleet/control_plane_link.py
@@ -0,0 +1,60 @@
+"""A supervisor's side of the control plane: reports to all raft servers, desired states from the leader."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+import trio
+
+from valverouter.fleet.messages import DesiredStateMessage, ReportMessage
+from valverouter.fleet.transport import Transport
+from valverouter.rollout.keeping import Report
+
+REPORT_INTERVAL_S = 0.5
+
+
+class ControlPlaneLink:
+    """Reports for one instance, and takes its desired state from the messages of known raft servers."""
+
+    def __init__(self, transport: Transport, instance: str, servers: dict[str, str]) -> None:
+        """`servers` are the raft servers' addresses by name."""
+        self.has_received = False
+        self._transport = transport
+        self._instance = instance
+        self._servers = servers
+        # By raft server: the incarnation and the stamp of its last message.
+        self._stamps: dict[str, tuple[int, int]] = {}
+        self._reported_at = float("-inf")
+
+    async def readable(self) -> None:
+        """Return when a message may have arrived."""
+        await self._transport.socket.readable()
+
+    def receive(self) -> Iterator[DesiredStateMessage]:
+        """Yield the messages for the instance, without those that a later one of the same server overtook."""
+        while (received := self._transport.receive()) is not None:
+            message = received[0]
+            if isinstance(message, DesiredStateMessage) and self._accept(message):
+                yield message
+
+    def _accept(self, message: DesiredStateMessage) -> bool:
+        if message.name != self._instance or message.node not in self._servers:
+            return False
+        incarnation, stamp = self._stamps.get(message.node, (0, 0))
+        if message.incarnation == incarnation and message.stamp < stamp:
+            return False
+        self._stamps[message.node] = message.incarnation, message.stamp
+        self.has_received = True
+        return True
+
+    def report_if_due(self, make_report: Callable[[], Report]) -> None:
+        """Report, once per REPORT_INTERVAL_S at most."""
+        if trio.current_time() - self._reported_at >= REPORT_INTERVAL_S:
+            self.report(make_report())
+
+    def report(self, report: Report) -> None:
+        """Send the report to every raft server: any of them may be the leader."""
+        self._reported_at = trio.current_time()
+        for name, address in self._servers.items():
+            incarnation, stamp = self._stamps.get(name, (0, 0))
+            self._transport.send(address, ReportMessage(report, incarnation, stamp))
--- a/valverouter/fleet/fragmentation.py
+++ b/valverouter/fleet/fragmentation.py
@@ -1,8 +1,9 @@
-"""Messages of any length in datagrams: cut up, put together again, sent anew by whoever waits for an answer.
+"""Messages of any length over datagrams: split into fragments, reassembled by the receiver.
 
-A parcel is named by a digest of what is in it, so that the same words sent again fill the gaps that the first
-sending left: a long record reaches a seat over a path that loses many of its pieces. Nothing is confirmed
-here; who wants to know whether a parcel came asks again. What is held of parcels half there is bounded.
+A message is identified by a digest of its content, so that a retransmission of the same bytes fills the gaps
+that an earlier transmission left: a long message gets through although the path loses many of its fragments.
+Nothing is acknowledged here; a sender that needs to know whether a message arrived waits for a reply and
+sends again. The memory for partial messages is bounded.
 """
 
 from __future__ import annotations
@@ -11,17 +12,19 @@
 
 from msgspec import Struct
 
-# Of a piece's body, so that a datagram of it stays under fleet/authentication.py's MOST.
+from valverouter.fleet.bounded_dict import BoundedDict
+
+# Bytes of the message in each fragment: the datagram has to stay below authentication.MAX_DATAGRAM_BYTES.
 FRAGMENT_BYTES = 1_200
 MAX_FRAGMENTS = 2_048
-# Pieces of one parcel that leave at once; a longer one goes on, where it is sent again, with those after.
+# Fragments of one message that leave at once; each retransmission of a longer one continues after these.
 BURST_FRAGMENTS = 48
-# Parcels that are held half there, and those whose next pieces are remembered; the oldest leave.
+# Incomplete incoming messages, and long outgoing ones whose position is remembered; the oldest are evicted.
 MAX_PARTIAL_MESSAGES = 64
 
 
 class Fragment(Struct, frozen=True, array_like=True, tag="Piece"):
-    """Piece `at` of `of` of the parcel `id`, from one life."""
+    """Fragment `index` of `count` of the message `message_id`; `life` is the sender's incarnation."""
 
     name: str
     life: int
@@ -32,51 +35,61 @@
 
 
 class TooManyFragmentsError(ValueError):
-    """A message that no parcel holds."""
+    """The message is longer than MAX_FRAGMENTS fragments."""
 
 
 class Fragmenter:
-    """One process's, to and from anybody."""
+    """Splits the outgoing messages of one process; remembers how far the long ones have been sent."""
 
-    def __init__(self, name: str, life: int) -> None:
-        self._name, self._life = name, life
-        self._next: dict[tuple[str, int], int] = {}
-        self._held: dict[tuple[int, int], dict[int, bytes]] = {}
+    def __init__(self, name: str, incarnation: int) -> None:
+        """`name` and `incarnation` identify the sender in each fragment."""
+        self._name = name
+        self._incarnation = incarnation
+        self._next_index: BoundedDict[tuple[str, int], int] = BoundedDict(MAX_PARTIAL_MESSAGES)
 
     def split(self, address: str, body: bytes) -> list[Fragment]:
-        """What leaves now; TooManyPiecesError for what is too long for any parcel."""
-        of = max(1, -(-len(body) // FRAGMENT_BYTES))
-        if of > MAX_FRAGMENTS:
+        """Return the fragments to send to `address` now; TooManyFragmentsError if there would be too many."""
+        count = max(1, -(-len(body) // FRAGMENT_BYTES))
+        if count > MAX_FRAGMENTS:
             raise TooManyFragmentsError(f"{len(body)} bytes")
-        id_ = int.from_bytes(blake2b(body, digest_size=8).digest(), "big")
-        first = 0
-        if of > BURST_FRAGMENTS:
-            first = self._next.pop((address, id_), 0)
-            self._next[address, id_] = (first + BURST_FRAGMENTS) % of
-            if len(self._next) > MAX_PARTIAL_MESSAGES:
-                del self._next[next(iter(self._next))]
-        places = [(first + at) % of for at in range(min(of, BURST_FRAGMENTS))]
-        return [
-            Fragment(
-                self._name, self._life, id_, at, of, body[at * FRAGMENT_BYTES : (at + 1) * FRAGMENT_BYTES]
-            )
-            for at in places
-        ]
-
-    def add(self, piece: Fragment) -> bytes | None:
-        """The whole, once all of it is here."""
-        if not 0 <= piece.index < piece.count <= MAX_FRAGMENTS:
+        message_id = int.from_bytes(blake2b(body, digest_size=8).digest(), "big")
+        first = self._first_index(address, message_id, count)
+        burst = min(count, BURST_FRAGMENTS)
+        return [self._fragment(message_id, (first + offset) % count, count, body) for offset in range(burst)]
+
+    def _first_index(self, address: str, message_id: int, count: int) -> int:
+        """Where this transmission begins: after the last burst of the same message to the same address."""
+        if count <= BURST_FRAGMENTS:
+            return 0
+        first = self._next_index.pop((address, message_id), 0)
+        self._next_index[address, message_id] = (first + BURST_FRAGMENTS) % count
+        return first
+
+    def _fragment(self, message_id: int, index: int, count: int, body: bytes) -> Fragment:
+        start = index * FRAGMENT_BYTES
+        part = body[start : start + FRAGMENT_BYTES]
+        return Fragment(self._name, self._incarnation, message_id, index, count, part)
+
+
+class Reassembler:
+    """Puts incoming messages together from their fragments, which may come in any order and repeatedly."""
+
+    def __init__(self) -> None:
+        """Start without partial messages."""
+        self._partial: BoundedDict[tuple[int, int], dict[int, bytes]] = BoundedDict(MAX_PARTIAL_MESSAGES)
+
+    def add(self, fragment: Fragment) -> bytes | None:
+        """Return the message that this fragment completes, else None."""
+        if not 0 <= fragment.index < fragment.count <= MAX_FRAGMENTS:
             return None
-        if piece.count == 1:
-            return piece.body
-        key = piece.life, piece.message_id
-        held = self._held.pop(key, {})
-        held[piece.index] = piece.body
-        if len(held) < piece.count:
-            self._held[key] = held
-            if len(self._held) > MAX_PARTIAL_MESSAGES:
-                del self._held[next(iter(self._held))]
+        if fragment.count == 1:
+            return fragment.body
+        key = fragment.life, fragment.message_id
+        parts = self._partial.pop(key, {})
+        parts[fragment.index] = fragment.body
+        if len(parts) < fragment.count:
+            self._partial[key] = parts
             return None
-        if sorted(held) != list(range(piece.count)):
+        if sorted(parts) != list(range(fragment.count)):
             return None
-        return b"".join(held[at] for at in range(piece.count))
+        return b"".join(parts[index] for index in range(fragment.count))
--- /dev/null
+++ b/valverouter/fleet/instance_status.py
@@ -0,0 +1,34 @@
+"""What an edge proxy says of itself: to the other members of its fleet, and to its supervisor."""
+
+from __future__ import annotations
+
+import os
+
+from valverouter.edge.proxy import EdgeProxy
+from valverouter.membership.records import Phase
+from valverouter.rollout.keeping import Counts
+
+# The environment variable that holds the version label as which a supervisor started the process.
+VERSION_VARIABLE = "VALVEROUTER_VERSION"
+
+
+def membership_facts(proxy: EdgeProxy) -> tuple[Phase, str]:
+    """Return the phase and the digest of the configuration that go into the instance's member record."""
+    return Phase.DRAINING if proxy.stopping else Phase.SERVING, proxy.terms.digest
+
+
+def instance_counters(proxy: EdgeProxy) -> Counts:
+    """Return the counters since the process's start; incarnation and view health are left to be filled in."""
+    answers = proxy.tally.answers
+    declined = answers["declined"] + answers["declined-here"]
+    lost = answers["aborted"] + proxy.tally.withheld
+    return Counts(
+        serving=not proxy.stopping,
+        ready=proxy.ready,
+        taken=answers["stands"] + declined + lost,
+        declined=declined,
+        lost=lost,
+        late=proxy.tally.late,
+        label=os.environ.get(VERSION_VARIABLE, ""),
+        process=os.getpid(),
+    )
--- /dev/null
+++ b/valverouter/fleet/list_client.py
@@ -0,0 +1,54 @@
+"""A server's supervisor at the list service: it asks for the server's drain and announces its return."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+
+import trio
+
+from valverouter.edge.surroundings import READ, Surroundings
+from valverouter.signalling.framing import ProtocolError
+from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
+from valverouter.signalling.serverlist import Leave, Left, ListSession, Returns
+
+ANSWER_TIMEOUT_S = 2.0
+RETRY_INTERVAL_S = 0.5
+# As what the supervisor introduces itself in the protocol.
+ROLE = "keeper"
+
+
+class ListClient:
+    """Sends requests to the list service, one connection each."""
+
+    def __init__(self, surroundings: Surroundings, address: str, name: str) -> None:
+        """`address` is the list service's, `name` the server's."""
+        self._surroundings = surroundings
+        self._address = address
+        self._name = name
+
+    async def request_until_answered(self, request: Leave | Returns) -> Left:
+        """Retry until the list service has answered: while it is away, no server may leave."""
+        while (answer := await self._request(request)) is None:
+            await trio.sleep(RETRY_INTERVAL_S)
+        return answer
+
+    async def _request(self, request: Leave | Returns) -> Left | None:
+        """The answer; None where the connection failed or the answer took longer than ANSWER_TIMEOUT_S."""
+        session = ListSession(Hello((OLDEST, NEWEST), ROLE, self._name))
+        failures = (OSError, ProtocolError, trio.BrokenResourceError)
+        with trio.move_on_after(ANSWER_TIMEOUT_S), suppress(*failures):
+            stream = await self._surroundings.connect(self._address)
+            async with stream:
+                return await _exchange(stream, session, request)
+        return None
+
+
+async def _exchange(stream: trio.abc.Stream, session: ListSession, request: Leave | Returns) -> Left | None:
+    await stream.send_all(session.opening())
+    while data := await stream.receive_some(READ):
+        for message in session.receive(data):
+            if isinstance(message, Welcome):
+                await stream.send_all(session.send(request))
+            elif isinstance(message, Left):
+                return message
+    return None
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -1,14 +1,12 @@
-"""The task beside an edge proxy that carries its part of the fleet's view: one socket, one `Membership`.
+"""The task beside an edge proxy that takes part in its fleet's membership: one socket, one `Membership`.
 
-It takes what came in small batches and gives way between them, so a flood costs the instance the reading of
-it and no turn is held up. What came is read before what is due is done: after a stop of the process the
-others' words must count before their silence does.
+Datagrams are taken in small batches with a checkpoint between them, so that a flood costs the instance the
+reading of it and delays no other task. What has arrived is read before timers are run: after a pause of the
+process the others' messages must count before their silence does.
 """
 
 from __future__ import annotations
 
-import os
-import zlib
 from collections import Counter
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +15,6 @@
 import structlog
 import trio
 
-from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Datagrams, Surroundings
 from valverouter.fleet.authentication import (
     MAX_DATAGRAM_BYTES,
@@ -25,7 +22,10 @@
     DatagramReader,
     MessageTooLongError,
 )
-from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery, member_rows, paginate
+from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
+from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
+from valverouter.fleet.transport import DropLogger
+from valverouter.fleet.view_pages import view_page
 from valverouter.membership.core import Membership
 from valverouter.membership.records import Phase, Record
 from valverouter.membership.rules import Rules
@@ -35,47 +35,23 @@
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
 
-# Datagrams taken in one go before the rest of the instance gets its turn.
-BATCH = 16
-# The longest sleep: facts of the instance are looked at as often.
-LOOK_S = 0.25
-# What is told of a fleet's course, at which level; the rest is info.
-LEVELS = {"conflict": "error", "cut-off": "warning", "stalled": "warning", "accused": "warning"}
-# Drops are told no oftener than so.
-DROPS_TOLD_S = 60.0
-# The version that a keeper started this process as.
-VERSION_VARIABLE = "VALVEROUTER_VERSION"
+# Datagrams that are read before the other tasks of the instance get their turn.
+BATCH_SIZE = 16
+# The longest sleep in seconds, and so how often the instance's own facts are looked at.
+MAX_SLEEP_S = 0.25
+NS_PER_MS = 1_000_000
+# Log levels of membership events; the others are logged as info.
+EVENT_LEVELS = {"conflict": "error", "cut-off": "warning", "stalled": "warning", "accused": "warning"}
 
 log = structlog.get_logger()
 
 
-def membership_facts(proxy: EdgeProxy) -> tuple[Phase, str]:
-    """What an edge proxy tells its fleet of itself."""
-    return Phase.DRAINING if proxy.stopping else Phase.SERVING, proxy.terms.digest
-
-
-def instance_counters(proxy: EdgeProxy) -> Counts:
-    """What an edge proxy tells its keeper."""
-    answers = proxy.tally.answers
-    declined = answers["declined"] + answers["declined-here"]
-    lost = answers["aborted"] + proxy.tally.withheld
-    return Counts(
-        serving=not proxy.stopping,
-        ready=proxy.ready,
-        taken=answers["stands"] + declined + lost,
-        declined=declined,
-        lost=lost,
-        late=proxy.tally.late,
-        label=os.environ.get(VERSION_VARIABLE, ""),
-        process=os.getpid(),
-    )
+def _ignore_event(event: Told) -> None:
+    """Stand in for a subscriber where there is none."""
 
 
 class MembershipService:
-    """An instance's place in its fleet. `facts` tells its phase and its terms' digest, asked now and then.
-
-    `life`: 64 random bits, drawn for this process alone.
-    """
+    """Runs an instance's part in the membership protocol and answers queries about its view."""
 
     def __init__(
         self,
@@ -85,138 +61,155 @@
         incarnation: int,
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
-        on_event: Callable[[Told], None] = lambda told: None,
+        on_event: Callable[[Told], None] = _ignore_event,
         counters: Callable[[], Counts] = Counts,
     ) -> None:
+        """Prepare the service; `run` opens the socket.
+
+        `incarnation` is 64 random bits, drawn for this process alone. `facts` tells the instance's phase and
+        the digest of its configuration, `counters` what it has counted; both are asked repeatedly.
+        """
         self.counts: Counter[str] = Counter()
         self.membership: Membership | None = None
+        self.ended = trio.Event()
         self._terms = terms
         self._between = between
         self._surroundings = surroundings
         self._incarnation = incarnation
         self._facts = facts
         self._version = version
-        self._watch = on_event
-        self._tell_counts = counters
+        self._on_event = on_event
+        self._counters = counters
         self._authenticator = Authenticator(between.keys)
         self._reader = DatagramReader(self._authenticator)
         self._log = log.bind(edge=terms.name)
-        self._draws = 0
-        self._leaves = False
+        self._drop_logger = DropLogger(self._reader, self._log)
+        self._leaving = False
         self._sleep = trio.CancelScope()
-        self.ended = trio.Event()
-        self._told_size = terms.deployment.edge_proxies
-        self._drops_told_at = float("-inf")
-
-    def _draw(self) -> float:
-        self._draws += 1
-        return zlib.crc32(b"%d/%d" % (self._incarnation, self._draws)) / 2**32
-
-    def _now(self) -> int:
-        return round(trio.current_time() * 1e9)
+        # The size of the fleet that was compared with the configuration last.
+        self._checked_size = terms.deployment.edge_proxies
 
     async def run(self, task_status: trio.TaskStatus[MembershipService] = trio.TASK_STATUS_IGNORED) -> None:
-        """Until cancelled; OSError when the address can't be had."""
-        between, terms = self._between, self._terms
-        socket = self._surroundings.datagrams(between.listen)
+        """Serve until `leave` or cancellation; OSError if the address can't be bound."""
+        socket = self._surroundings.datagrams(self._between.listen)
         try:
-            phase, digest = self._facts()
-            mine = Record(
-                name=terms.name,
-                region=terms.region,
-                place=terms.place,
-                address=between.advertise or socket.address,
-                number=self._surroundings.wall() // 1_000_000,
-                life=self._incarnation,
-                version=self._version,
-                terms=digest,
-                phase=phase,
-            )
-            rules = Rules(period=between.period, remembers=between.remembers)
-            self.membership = Membership(mine, rules, self._draw, self._now(), between.seeds)
+            self.membership = membership = self._join(socket.address)
+            own_record = membership.mine
             self._log.info(
-                "between", address=socket.address, advertised=mine.address, life=f"{mine.life:016x}"
+                "membership-started",
+                address=socket.address,
+                advertised=own_record.address,
+                life=f"{own_record.life:016x}",
             )
             task_status.started(self)
-            await self._serve(socket, self.membership)
+            await self._serve(socket, membership)
         finally:
             socket.close()
             self.ended.set()
 
-    async def _serve(self, socket: Datagrams, core: Membership) -> None:
-        while not self._leaves:
-            now = self._now()
-            wait = min(max(0.0, (core.due - now) / 1e9), LOOK_S)
-            with trio.move_on_after(wait) as self._sleep:
-                await socket.readable()
-            await self._surroundings.turn()
-            for _ in range(BATCH):
-                came = socket.take()
-                if came is None:
-                    break
-                self._hear(socket, core, *came)
-            now = self._now()
-            phase, digest = self._facts()
-            core.change(now, phase, digest)
-            # A flood must not keep what is due from being done, nor a stop make it look due: read first, then
-            # see how late it is.
-            if core.due <= now:
-                core.tick(now)
-                self._look_at_size(core)
-            self._flush(socket, core)
-        core.leave(self._now())
-        self._flush(socket, core)
+    def _join(self, bound_address: str) -> Membership:
+        between, terms = self._between, self._terms
+        phase, config_digest = self._facts()
+        own_record = Record(
+            name=terms.name,
+            region=terms.region,
+            place=terms.place,
+            address=between.advertise or bound_address,
+            number=self._surroundings.wall() // NS_PER_MS,
+            life=self._incarnation,
+            version=self._version,
+            terms=config_digest,
+            phase=phase,
+        )
+        rules = Rules(period=between.period, remembers=between.remembers)
+        draw = IncarnationRandom(self._incarnation).draw
+        return Membership(own_record, rules, draw, monotonic_ns(), between.seeds)
+
+    async def _serve(self, socket: Datagrams, membership: Membership) -> None:
+        while not self._leaving:
+            await self._wait(socket, membership)
+            self._receive_batch(socket, membership)
+            now = monotonic_ns()
+            phase, config_digest = self._facts()
+            membership.change(now, phase, config_digest)
+            # A flood must not keep timers from running, nor a pause make them look due: datagrams are read
+            # first, and only then the clock.
+            if membership.due <= now:
+                membership.tick(now)
+                self._check_fleet_size(membership)
+            self._flush(socket, membership)
+        membership.leave(monotonic_ns())
+        self._flush(socket, membership)
+
+    async def _wait(self, socket: Datagrams, membership: Membership) -> None:
+        """Sleep until a datagram arrives, a timer is due or `leave` is called, MAX_SLEEP_S at most."""
+        until_due = (membership.due - monotonic_ns()) / 1e9
+        with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep:
+            await socket.readable()
+        await self._surroundings.turn()
 
     def leave(self) -> None:
-        """Tells the others that this instance goes, and ends."""
-        self._leaves = True
+        """Announce to the others that this instance leaves, and end `run`."""
+        self._leaving = True
         self._sleep.cancel()
 
-    def _hear(self, socket: Datagrams, core: Membership, data: bytes, source: str) -> None:
+    # Incoming datagrams
+
+    def _receive_batch(self, socket: Datagrams, membership: Membership) -> None:
+        for _ in range(BATCH_SIZE):
+            datagram = socket.take()
+            if datagram is None:
+                break
+            self._on_datagram(socket, membership, *datagram)
+
+    def _on_datagram(self, socket: Datagrams, membership: Membership, data: bytes, source: str) -> None:
         message = self._reader.read(data)
         if message is None:
-            self._drops()
+            self._on_dropped()
         elif isinstance(message, ViewQuery):
-            self._show(socket, core, message, source)
+            self._reply_with_page(socket, membership, message, source)
         elif isinstance(message, CountersQuery):
-            told = msgspec.structs.replace(
-                self._tell_counts(), life=self._incarnation, trust=core.trust.value
-            )
-            head = core.mine.name, core.mine.life, core.view.digest
-            self._put(socket, source, CountersReply(*head, message.nonce, told))
+            self._reply_with_counters(socket, membership, message, source)
         elif not isinstance(message, ViewPage | CountersReply):
             self.counts["heard"] += 1
-            core.heard(self._now(), source, message)
+            membership.heard(monotonic_ns(), source, message)
 
-    def _drops(self) -> None:
+    def _on_dropped(self) -> None:
         for version in self._reader.unknown_versions:
             self._log.warning("version-unknown", version=version)
         self._reader.unknown_versions.clear()
-        now = trio.current_time()
-        if now - self._drops_told_at >= DROPS_TOLD_S:
-            self._drops_told_at = now
-            self._log.warning("datagrams-dropped", **self._reader.dropped)
+        self._drop_logger.on_dropped()
 
-    def _show(self, socket: Datagrams, core: Membership, query: ViewQuery, source: str) -> None:
-        now = self._now()
-        pages = paginate(member_rows(core, now))
-        if 0 <= query.page < len(pages):
-            first = query.page == 0
-            counts = {f"dropped-{why}": n for why, n in self._reader.dropped.items()} | dict(self.counts)
-            shown = ViewPage(
-                core.mine.name,
-                core.mine.life,
-                core.view.digest,
-                query.nonce,
-                query.page,
-                len(pages),
-                core.trust.value,
-                counts if first else {},
-                pages[query.page],
-            )
-            self._put(socket, source, shown)
+    def _reply_with_page(
+        self, socket: Datagrams, membership: Membership, query: ViewQuery, source: str
+    ) -> None:
+        counts = {f"dropped-{reason}": count for reason, count in self._reader.dropped.items()}
+        page = view_page(membership, monotonic_ns(), query, counts | dict(self.counts))
+        if page is not None:
+            self._send(socket, source, page)
 
-    def _put(self, socket: Datagrams, address: str, message: Any) -> None:
+    def _reply_with_counters(
+        self, socket: Datagrams, membership: Membership, query: CountersQuery, source: str
+    ) -> None:
+        counters = msgspec.structs.replace(
+            self._counters(), life=self._incarnation, trust=membership.trust.value
+        )
+        own_record = membership.mine
+        reply = CountersReply(own_record.name, own_record.life, membership.view.digest, query.nonce, counters)
+        self._send(socket, source, reply)
+
+    # Outgoing datagrams and events
+
+    def _flush(self, socket: Datagrams, membership: Membership) -> None:
+        """Log the events and send the messages that the membership has queued."""
+        for event in membership.told:
+            self._log_event(membership, event)
+        membership.told.clear()
+        outbox, membership.out = membership.out, []
+        for address, message in outbox:
+            self._send(socket, address, message)
+
+    def _send(self, socket: Datagrams, address: str, message: Any) -> None:
         try:
             data = self._authenticator.sign(message)
         except MessageTooLongError as error:
@@ -228,37 +221,31 @@
         if not socket.send(data, address):
             self.counts["not-sent"] += 1
 
-    def _flush(self, socket: Datagrams, core: Membership) -> None:
-        for told in core.told:
-            self._tell(core, told)
-        core.told.clear()
-        out, core.out = core.out, []
-        for address, message in out:
-            self._put(socket, address, message)
-
-    def _tell(self, core: Membership, told: Told) -> None:
-        self.counts[told.what] += 1
-        self._watch(told)
-        about = told.record
-        level = LEVELS.get(told.what, "info")
+    def _log_event(self, membership: Membership, event: Told) -> None:
+        self.counts[event.what] += 1
+        self._on_event(event)
+        record = event.record
+        is_own = record.life == membership.mine.life
+        subject = "view" if is_own else "member"
+        level = EVENT_LEVELS.get(event.what, "info")
         getattr(self._log, level)(
-            f"member-{told.what}" if about.life != core.mine.life else f"view-{told.what}",
-            member=about.name,
-            life=f"{about.life:016x}",
-            number=about.number,
-            address=about.address,
-            by=told.by,
-            digest=f"{core.view.digest:016x}",
-            members=core.view.living,
+            f"{subject}-{event.what}",
+            member=record.name,
+            life=f"{record.life:016x}",
+            number=record.number,
+            address=record.address,
+            by=event.by,
+            digest=f"{membership.view.digest:016x}",
+            members=membership.view.living,
         )
 
-    def _look_at_size(self, core: Membership) -> None:
-        """Told once for each size that it settles on, whether or not it was unsettled in between."""
-        members = core.view.living
-        if core.trust is not Trust.SETTLED or members == self._told_size:
+    def _check_fleet_size(self, membership: Membership) -> None:
+        """Warn once about each size on which the view settles and which the configuration does not say."""
+        members = membership.view.living
+        if membership.trust is not Trust.SETTLED or members == self._checked_size:
             return
-        self._told_size = members
-        by_terms = self._terms.deployment.edge_proxies
-        if members != by_terms:
+        self._checked_size = members
+        configured = self._terms.deployment.edge_proxies
+        if members != configured:
             self.counts["size-differs"] += 1
-            self._log.warning("fleet-size-differs", members=members, edge_proxies=by_terms)
+            self._log.warning("fleet-size-differs", members=members, edge_proxies=configured)
--- a/valverouter/fleet/messages.py
+++ b/valverouter/fleet/messages.py
@@ -1,7 +1,12 @@
-"""What seats, keepers and tools say to each other, as MessagePack in parcels."""
+"""Messages between raft servers, supervisors and operators' clients, sent as fragmented MessagePack.
+
+All are arrays on the wire: the tags and the order of the fields are part of the protocol.
+"""
 
 from __future__ import annotations
 
+from enum import StrEnum
+
 import msgspec
 from msgspec import Struct
 
@@ -9,23 +14,29 @@
 from valverouter.rollout.orders import Command, Want
 from valverouter.rollout.written import Sent
 
+NIL = msgspec.Raw(b"\xc0")
+
 
 class RaftEnvelope(Struct, frozen=True, array_like=True, tag="v"):
-    """A council's message to seat `to`."""
+    """A raft message to the node named `recipient`."""
 
     recipient: str
     message: Sent
 
 
 class NodeAnnouncement(Struct, frozen=True, array_like=True, tag="h"):
-    """A seat with its disk."""
+    """A raft server tells the others its name and the id of its disk."""
 
     name: str
     disk_id: int
 
 
 class ReportMessage(Struct, frozen=True, array_like=True, tag="r"):
-    """A keeper's report. `to`: the life of the seat whose `stamp` is given back; both 0: none yet."""
+    """A supervisor's report to one raft server.
+
+    `stamp` and `incarnation` are those of the last DesiredStateMessage from that server; both are 0 where
+    there was none.
+    """
 
     report: Report
     incarnation: int = 0
@@ -33,7 +44,11 @@
 
 
 class DesiredStateMessage(Struct, frozen=True, array_like=True, tag="w"):
-    """To a keeper, of its instance `name`; `life`: of the seat that says it."""
+    """To a supervisor: the desired state of its instance `name`, from the raft server `node`.
+
+    `incarnation` and `stamp` (the server's clock, ns) order the messages of one server; `is_open`: the permit
+    of that step is still held.
+    """
 
     node: str
     name: str
@@ -43,25 +58,38 @@
     is_open: bool
 
 
+class RequestKind(StrEnum):
+    """What a client asks for; the values are sent."""
+
+    PLAN = "plan"
+    EXECUTE = "do"
+    SHOW = "show"
+
+
 class ClientRequest(Struct, frozen=True, array_like=True, tag="q"):
-    """A tool's. `what`: plan, do, show. `command`: an order, a stop; None where it only looks."""
+    """An operators' client to the control plane. `kind` is a RequestKind.
+
+    `command` is None for SHOW; `operation` then names the operation of which details are wanted.
+    """
 
     nonce: int
     kind: str
     command: Command | None = None
-    # Of the answer's part that the tool is given, where it looks.
     operation: str = ""
 
 
 class ClientResponse(Struct, frozen=True, array_like=True, tag="t"):
-    """To a tool. `leads`: whether the seat that answers does, else whom it takes for the leader; only a
-    leader's `body` holds."""
+    """The reply to the ClientRequest of the same nonce.
+
+    Only the leader's `body` holds an answer, as MessagePack; any other node names the one that it takes for
+    the `leader`.
+    """
 
     nonce: int
     node: str
     is_leader: bool
     leader: str = ""
-    body: msgspec.Raw = msgspec.Raw(b"\xc0")
+    body: msgspec.Raw = NIL
 
 
 ControlMessage = (
--- /dev/null
+++ b/valverouter/fleet/operation_events.py
@@ -0,0 +1,39 @@
+"""Log events on the progress of operations, as one raft server has applied them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from valverouter.rollout.orders import Order
+
+
+class OperationEventLogger:
+    """Logs each operation when its phase, wave, result or halt reason has changed."""
+
+    def __init__(self, logger: Any) -> None:
+        """`logger` is a structlog logger, bound to the server's name."""
+        self._log = logger
+        self._logged: dict[str, tuple[str, int, str, str]] = {}
+
+    def log_changes(self, operations: dict[str, Order]) -> None:
+        """Compare the operations, by id, with those of the last call."""
+        for removed in self._logged.keys() - operations.keys():
+            del self._logged[removed]
+        for operation in operations.values():
+            progress = operation.phase.value, operation.wave, operation.result, operation.why
+            if self._logged.get(operation.id) != progress:
+                self._logged[operation.id] = progress
+                self._log_progress(operation)
+
+    def _log_progress(self, operation: Order) -> None:
+        level = self._log.warning if operation.why else self._log.info
+        level(
+            "operation-changed",
+            order=operation.id,
+            kind=operation.kind.value,
+            phase=operation.phase.value,
+            wave=operation.wave,
+            result=operation.result,
+            why=operation.why,
+            **{f"members_{step.replace(' ', '_')}": count for step, count in operation.counts.items()},
+        )
--- /dev/null
+++ b/valverouter/fleet/operations_client.py
@@ -0,0 +1,69 @@
+"""The operators' client of the control plane: asks all raft servers until the leader has answered."""
+
+from __future__ import annotations
+
+import random
+from typing import TypeVar
+
+import msgspec
+import trio
+
+from valverouter.edge.surroundings import Datagrams
+from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
+from valverouter.fleet.transport import Transport
+from valverouter.rollout.orders import Command
+from valverouter.terms.rollout import ToolTerms
+
+# Seconds to wait for the leader's reply before the request is sent again.
+TRY_TIMEOUT_S = 0.4
+
+Answer = TypeVar("Answer")
+
+
+class OperationsClient:
+    """Sends requests to the control plane.
+
+    A request is identified by its nonce, so that a retry executes nothing twice. The client may be killed at
+    any moment; another one can take an operation up by its id.
+    """
+
+    def __init__(self, terms: ToolTerms, socket: Datagrams, chance: random.Random) -> None:
+        """`chance` draws the client's incarnation and its first nonce."""
+        self._terms = terms
+        self._transport = Transport(socket, terms.keys, "", chance.getrandbits(63))
+        self._nonce = chance.getrandbits(62)
+
+    async def request(
+        self,
+        kind: RequestKind,
+        command: Command | None,
+        answer_type: type[Answer],
+        timeout_s: float,
+        operation: str = "",
+    ) -> Answer | None:
+        """Return the leader's answer, decoded as `answer_type`; None on a timeout.
+
+        After a timeout it is unknown whether the command was executed; asking again by the id tells.
+        """
+        self._nonce += 1
+        request = ClientRequest(self._nonce, kind, command, operation)
+        with trio.move_on_after(timeout_s):
+            while True:
+                self._send(request)
+                with trio.move_on_after(TRY_TIMEOUT_S):
+                    body = await self._leader_response(request.nonce)
+                    return msgspec.msgpack.decode(body, type=answer_type)
+        return None
+
+    def _send(self, request: ClientRequest) -> None:
+        for address in self._terms.council.values():
+            self._transport.send(address, request)
+
+    async def _leader_response(self, nonce: int) -> msgspec.Raw:
+        """The body of the leader's response; waits for it without limit."""
+        while True:
+            await self._transport.socket.readable()
+            while (received := self._transport.receive()) is not None:
+                message = received[0]
+                if isinstance(message, ClientResponse) and message.is_leader and message.nonce == nonce:
+                    return message.body
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -1,292 +1,185 @@
-"""A seat of the council as a process: what `rollout/seat.py` decides, carried.
+"""The raft server process: carries the messages and the disk writes of one `rollout` control plane node.
 
-What a seat promises is on its disk before any word of it leaves. A seat that is no member yet, or has lost
-its disk, tells the others who it is, and the one who leads lets it in.
+What a node promises is on its disk before any message leaves that rests on it. A node that is not a member
+yet, or has lost its disk, announces itself to the others, and the leader admits it.
 """
 
 from __future__ import annotations
 
 import secrets
-import zlib
-from typing import Any
 
-import msgspec
 import structlog
 import trio
 
 from valverouter.edge.surroundings import Surroundings
+from valverouter.fleet.client_requests import ClientRequestHandler
+from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
 from valverouter.fleet.messages import (
     ClientRequest,
-    ClientResponse,
+    ControlMessage,
     DesiredStateMessage,
     NodeAnnouncement,
     RaftEnvelope,
     ReportMessage,
 )
+from valverouter.fleet.operation_events import OperationEventLogger
+from valverouter.fleet.orchestrator_config import orchestrator_config
+from valverouter.fleet.raft_membership import RaftMembershipReconciler
 from valverouter.fleet.transport import Transport
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.rollout.conducting import Rules
 from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
-from valverouter.rollout.evidence import Rule
-from valverouter.rollout.limits import Limits, Sort
-from valverouter.rollout.orders import Book, Command, Place, Retire, Stop
-from valverouter.rollout.permits import Halt
 from valverouter.rollout.seat import Seat, Word
-from valverouter.rollout.shown import shown
-from valverouter.rollout.written import heard as from_sent
-from valverouter.rollout.written import sent
+from valverouter.rollout.written import heard as from_wire
+from valverouter.rollout.written import sent as to_wire
 from valverouter.terms.rollout import SeatTerms
 
-# The longest sleep.
-LOOK_S = 0.05
-# Words taken in one go before what is due is done.
-BATCH = 64
-HERE_S = 1.0
-# Tools' questions that are remembered.
-PROPOSED_MOST = 1_024
-SHOWN_MOST = 16
+# The longest sleep in seconds.
+MAX_SLEEP_S = 0.05
+# Messages that are handled before the timers are looked at again.
+BATCH_SIZE = 64
+ANNOUNCEMENT_INTERVAL_S = 1.0
+INCARNATION_BITS = 63
+# The stamp of a report that answers no message of this incarnation: long before the clock's zero.
+NO_STAMP = -(10**18)
 
 log = structlog.get_logger()
 
 
-def orchestrator_config(terms: SeatTerms) -> Rules:
-    """The seat's terms in the words of the decisions."""
-    limits = {
-        Sort.EDGE if sort == "edge proxies" else Sort.SERVER: Limits(
-            one.most, one.in_region, one.by_region, one.least_capacity, one.least_processor
-        )
-        for sort, one in terms.limits.items()
-    }
-    told = terms.evidence
-    return Rules(
-        limits,
-        silent=terms.silent,
-        not_reached=terms.not_reached,
-        unsettled=terms.unsettled,
-        watch_least=told.watch,
-        ends=told.ends,
-        evidence=Rule(told.false_halt, told.missed, told.odds, told.least),
-    )
-
-
 class AlreadyBootstrappedError(RuntimeError):
-    """The council was founded already, or its store holds something."""
+    """A raft group is to be bootstrapped from a store that already holds something."""
 
 
 class RaftServer:
-    """One seat. `found`: the first of a new council, which lets the others in."""
+    """One node of the control plane, on a socket and a disk."""
 
     def __init__(
         self, terms: SeatTerms, surroundings: Surroundings, store: CouncilStore, bootstrap: bool
     ) -> None:
+        """Load the node's state from `store`.
+
+        `bootstrap`: this is the first node of a new group, which admits the others;
+        AlreadyBootstrappedError if the store is not empty.
+        """
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
-        self._life = secrets.randbits(63)
-        self._draws = 0
-        self._here_at = float("-inf")
-        # Names of the seats by the disks that they told of last.
-        self._disks: dict[str, int] = {}
+        self._incarnation = secrets.randbits(INCARNATION_BITS)
+        self._announced_at = float("-inf")
         self._was_leader = False
-        # What was told of each order last, for the log.
-        self._told: dict[str, str] = {}
-        # What tools were shown, by the question.
-        self._shown: dict[int, bytes] = {}
-        # Where in the record tools' commands stand, by the question; of this time in office.
-        self._proposed: dict[int, int] = {}
+        self._log = log.bind(seat=terms.name)
         durable = store.load()
         if bootstrap:
-            _found(terms.name, durable, store)
-        self._log = log.bind(seat=terms.name)
-        self.node = Seat(terms.name, durable, orchestrator_config(terms), self._draw, self._now())
-        # Words that wait for what stands behind them to be on disk.
-        self._words: list[tuple[str, Any]] = []
-
-    def _draw(self) -> float:
-        self._draws += 1
-        return zlib.crc32(b"%d/%d" % (self._life, self._draws)) / 2**32
-
-    def _now(self) -> int:
-        return round(trio.current_time() * 1e9)
+            _bootstrap(terms.name, durable, store)
+        draw = IncarnationRandom(self._incarnation).draw
+        self.node = Seat(terms.name, durable, orchestrator_config(terms), draw, monotonic_ns())
+        # Replies that must not leave before what they rest on is on disk.
+        self._replies: list[tuple[str, ControlMessage]] = []
+        self._client_requests = ClientRequestHandler(self.node, self._reply)
+        self._reconciler = RaftMembershipReconciler(self.node, frozenset(terms.council), self._log)
+        self._operation_events = OperationEventLogger(self._log)
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Until cancelled; OSError where the address can't be had, LedgerError where the disk fails: a seat
-        that can't keep what it promises must not stay."""
+        """Serve until cancelled.
+
+        OSError if the address can't be bound, LedgerError if the disk fails: a node that can't keep what it
+        promises must not go on.
+        """
         socket = self._surroundings.datagrams(self._terms.listen)
         try:
-            post = Transport(socket, self._terms.keys, self._terms.name, self._life)
-            self._log.info("seat-listening", address=post.address, disk=f"{self._disk:016x}")
-            task_status.started(post.address)
+            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
+            self._log.info("raft-server-listening", address=transport.address, disk=f"{self._disk_id:016x}")
+            task_status.started(transport.address)
             while True:
-                with trio.move_on_after(LOOK_S):
+                with trio.move_on_after(MAX_SLEEP_S):
                     await socket.readable()
                 await self._surroundings.turn()
-                for _ in range(BATCH):
-                    came = post.receive()
-                    if came is None:
-                        break
-                    self._hear(*came)
-                    self._leave(post)
-                self.node.tick(self._now())
-                self._mend()
-                self._leave(post)
-                self._say_here(post)
-                self._tell()
+                self._receive_batch(transport)
+                self.node.tick(monotonic_ns())
+                self._reconciler.reconcile(monotonic_ns())
+                self._flush(transport)
+                self._announce(transport)
+                self._log_changes()
         finally:
             socket.close()
 
     @property
-    def _disk(self) -> int:
+    def _disk_id(self) -> int:
         return self.node.councillor.durable.disk
 
-    def _leave(self, post: Transport) -> None:
-        """On disk first, then words."""
-        if self.node.saves:
-            self._store.commit(self.node.saves)
-            self.node.saves.clear()
-        out = list(self.node.out)
-        self.node.out.clear()
-        for to, message in out:
-            if (address := self._terms.council.get(to)) is not None:
-                post.send(address, RaftEnvelope(to, sent(message)))
-        words, self._words = self._words, []
-        for address, word in words:
-            post.send(address, word)
-
-    def _hear(self, word: Any, source: str) -> None:
-        now = self._now()
-        match word:
-            case RaftEnvelope(to, message):
-                if to == self._terms.name:
-                    self.node.heard(now, from_sent(message))
-            case NodeAnnouncement(name, disk):
-                if name in self._terms.council:
-                    self._disks[name] = disk
-            case ReportMessage(report, to, stamp):
-                since = stamp if to == self._life else -(10**18)
-                self.node.report(now, report, since, lambda said: self._word(source, said))
+    def _receive_batch(self, transport: Transport) -> None:
+        for _ in range(BATCH_SIZE):
+            received = transport.receive()
+            if received is None:
+                break
+            self._on_message(*received)
+            self._flush(transport)
+
+    def _on_message(self, message: ControlMessage, source: str) -> None:
+        match message:
+            case RaftEnvelope(recipient, content):
+                if recipient == self._terms.name:
+                    self.node.heard(monotonic_ns(), from_wire(content))
+            case NodeAnnouncement(name, disk_id):
+                self._reconciler.on_announcement(name, disk_id)
+            case ReportMessage():
+                self._on_report(message, source)
             case ClientRequest():
-                self._asked(source, word)
+                self._client_requests.on_request(source, message)
+
+    def _on_report(self, message: ReportMessage, source: str) -> None:
+        is_answer = message.incarnation == self._incarnation
+        made_after = message.stamp if is_answer else NO_STAMP
+        self.node.report(
+            monotonic_ns(),
+            message.report,
+            made_after,
+            lambda desired: self._reply(source, self._desired_state_message(desired)),
+        )
 
-    def _word(self, address: str, said: Word) -> None:
-        self._words.append(
-            (
-                address,
-                DesiredStateMessage(
-                    self._terms.name, said.name, self._life, said.stamp, said.want, said.is_open
-                ),
-            )
+    def _desired_state_message(self, reply: Word) -> DesiredStateMessage:
+        return DesiredStateMessage(
+            self._terms.name, reply.name, self._incarnation, reply.stamp, reply.want, reply.is_open
         )
 
-    # The council's own membership
+    def _reply(self, address: str, message: ControlMessage) -> None:
+        self._replies.append((address, message))
 
-    def _say_here(self, post: Transport) -> None:
-        if trio.current_time() - self._here_at < HERE_S:
+    def _flush(self, transport: Transport) -> None:
+        """Write to disk first, then send."""
+        if self.node.saves:
+            self._store.commit(self.node.saves)
+            self.node.saves.clear()
+        outgoing = list(self.node.out)
+        self.node.out.clear()
+        for name, message in outgoing:
+            address = self._terms.council.get(name)
+            if address is not None:
+                transport.send(address, RaftEnvelope(name, to_wire(message)))
+        replies, self._replies = self._replies, []
+        for address, reply in replies:
+            transport.send(address, reply)
+
+    def _announce(self, transport: Transport) -> None:
+        now = trio.current_time()
+        if now - self._announced_at < ANNOUNCEMENT_INTERVAL_S:
             return
-        self._here_at = trio.current_time()
-        here = NodeAnnouncement(self._terms.name, self._disk)
+        self._announced_at = now
+        announcement = NodeAnnouncement(self._terms.name, self._disk_id)
         for name, address in self._terms.council.items():
             if name != self._terms.name:
-                post.send(address, here)
-
-    def _mend(self) -> None:
-        """Lets in who is named in the terms, under the disk that it tells of; a former disk goes first."""
-        one = self.node.councillor
-        if not self.node.leads or not self._disks:
-            return
-        present = dict(one.members.disks)
-        for name, disk in self._disks.items():
-            if name not in present:
-                why = one.replace(self._now(), "", (name, disk))
-            elif present[name] != disk:
-                why = one.replace(self._now(), name, None)
-            else:
-                continue
-            if not why:
-                self._log.warning("council-changes", seat_named=name, disk=f"{disk:016x}")
-            return
-
-    # Tools
-
-    def _asked(self, source: str, asks: ClientRequest) -> None:
-        """A leader answers with what holds; anybody else says who leads, as far as it knows."""
-        if not self.node.leads:
-            self._words.append(
-                (source, ClientResponse(asks.nonce, self._terms.name, False, self.node.leader))
-            )
-            return
-        now, command = self._now(), asks.command
-        if asks.kind == "do" and isinstance(command, Place | Stop | Halt | Retire):
-            self._do(source, asks, command)
-        elif asks.kind == "plan" and isinstance(command, Place):
-            place = command
-            self.node.read(now, lambda book: self._tells(source, asks, book.plan(place)))
-        elif asks.kind == "show":
-            self.node.read(now, lambda book: self._shows(source, asks, book))
-
-    def _do(self, source: str, asks: ClientRequest, command: Command) -> None:
-        """Put into the record once for each question, and answered once the record holds it. A question of
-        its own is put there again, though it may be the same order: what refused it then may be over."""
-        now = self._now()
-        index = self._proposed.get(asks.nonce)
-        if index is None:
-            if self.node.propose(now, command):
-                self._proposed[asks.nonce] = self.node.councillor.last
-                if len(self._proposed) > PROPOSED_MOST:
-                    del self._proposed[next(iter(self._proposed))]
-        elif self.node.applied >= index:
-            answer: Any = {"done": True}
-            if isinstance(command, Place):
-                answer = self.node.answers.get(command.id)
-            if answer is not None:
-                self.node.read(now, lambda book: self._tells(source, asks, answer))
-
-    def _shows(self, source: str, asks: ClientRequest, book: Book) -> None:
-        """The same words to the same question, however often it is asked: a fleet's worth of them goes in
-        many pieces, and those that were lost could not be filled from other words."""
-        if asks.nonce not in self._shown:
-            self._shown[asks.nonce] = msgspec.msgpack.encode(
-                shown(book, self.node, self._now(), asks.operation)
-            )
-            if len(self._shown) > SHOWN_MOST:
-                del self._shown[next(iter(self._shown))]
-        self._tells(source, asks, msgspec.Raw(self._shown[asks.nonce]))
-
-    def _tells(self, source: str, asks: ClientRequest, body: Any) -> None:
-        raw = msgspec.Raw(msgspec.msgpack.encode(body))
-        self._words.append(
-            (source, ClientResponse(asks.nonce, self._terms.name, True, self._terms.name, raw))
-        )
-
-    # The log
+                transport.send(address, announcement)
 
-    def _tell(self) -> None:
+    def _log_changes(self) -> None:
         if self.node.leads != self._was_leader:
             self._was_leader = self.node.leads
-            self._proposed.clear()
-            term = self.node.councillor.durable.term
-            self._log.info("council-leads" if self._was_leader else "council-follows", term=term)
-        orders = self.node.book.orders
-        for gone in [id_ for id_ in self._told if id_ not in orders]:
-            del self._told[gone]
-        for order in orders.values():
-            said = f"{order.phase.value} {order.wave} {order.result} {order.why}"
-            if self._told.get(order.id) != said:
-                self._told[order.id] = said
-                level = self._log.warning if order.why else self._log.info
-                level(
-                    "order",
-                    order=order.id,
-                    kind=order.kind.value,
-                    phase=order.phase.value,
-                    wave=order.wave,
-                    result=order.result,
-                    why=order.why,
-                    **{f"members_{step.replace(' ', '_')}": n for step, n in order.counts.items()},
-                )
+            self._client_requests.on_leadership_changed()
+            event = "raft-leadership-acquired" if self._was_leader else "raft-leadership-lost"
+            self._log.info(event, term=self.node.councillor.durable.term)
+        self._operation_events.log_changes(self.node.book.orders)
 
 
-def _found(name: str, durable: Durable, store: CouncilStore) -> None:
+def _bootstrap(name: str, durable: Durable, store: CouncilStore) -> None:
+    """Write the first log entry of a new group, which names this node as its only member."""
     if durable.entries or durable.snapshot or durable.term:
         raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
     save = SaveEntries(1, (Entry(1, Members(((name, durable.disk),))),))
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -1,7 +1,8 @@
-"""A keeper as a process: what `rollout/keeping.py` decides about one instance, carried out.
+"""The supervisor process: carries out what `rollout` decides about one instance.
 
-It starts the instance's program by version, asks it for its counts, tells the council's seats, and does what
-the one who leads has been agreed to want. It needs no privileges, and knows of its program only the command.
+It starts the instance's program by version, queries it for its counters, reports to the control plane's raft
+servers, and brings the instance to the state that the leader tells. It needs no privileges, and knows nothing
+of the program but its command.
 """
 
 from __future__ import annotations
@@ -10,374 +11,306 @@
 import secrets
 import signal
 import subprocess
-from contextlib import suppress
+from collections.abc import Awaitable, Callable
+from contextlib import ExitStack
 from pathlib import Path
-from typing import Any
+from typing import IO
 
 import msgspec
 import structlog
 import trio
 
-from valverouter.edge.surroundings import READ, Datagrams, Surroundings
-from valverouter.fleet.authentication import Authenticator, DatagramReader
-from valverouter.fleet.membership_service import VERSION_VARIABLE
-from valverouter.fleet.messages import DesiredStateMessage, ReportMessage
-from valverouter.fleet.queries import CountersQuery, CountersReply
+from valverouter.edge.surroundings import Surroundings
+from valverouter.fleet.control_plane_link import ControlPlaneLink
+from valverouter.fleet.incarnation import monotonic_ns
+from valverouter.fleet.instance_probe import InstanceProbe
+from valverouter.fleet.instance_status import VERSION_VARIABLE
+from valverouter.fleet.list_client import ListClient
+from valverouter.fleet.managed_process import ManagedProcess
+from valverouter.fleet.messages import DesiredStateMessage
 from valverouter.fleet.transport import Transport
 from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
 from valverouter.rollout.limits import Sort
-from valverouter.rollout.orders import Want
-from valverouter.signalling.framing import ProtocolError
-from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
-from valverouter.signalling.serverlist import Leave, Left, ListSession, Returns
+from valverouter.signalling.serverlist import Leave, Returns
 from valverouter.terms.rollout import KeeperTerms
 
-# Between two reports, and two questions to the instance.
-REPORT_S = 0.5
-ASK_S = 0.25
-LOOK_S = 0.05
-# An instance that has not answered for so long serves nobody, as far as is known here.
-ANSWER_S = 2.0
-# Of the list service, and before it is asked again.
-LIST_ANSWERS_S, LIST_AGAIN_S = 2.0, 0.5
-
-PAGE = os.sysconf("SC_PAGE_SIZE")
+# The longest sleep in seconds.
+MAX_SLEEP_S = 0.05
+NS_PER_S = 1e9
+INCARNATION_BITS = 63
 
 log = structlog.get_logger()
 
 
-class ManagedProcess:
-    """A program that runs, started by this keeper or by its former self: waited for by a descriptor of the
-    process, since of another's child there is no other news."""
-
-    def __init__(self, pid: int) -> None:
-        self.pid = pid
-        self.identity = f"{pid} {_born(pid)}"
-        self._descriptor = os.pidfd_open(pid)
-
-    @classmethod
-    def attach(cls, pid: int) -> ManagedProcess | None:
-        """The process of that number, if there is one."""
-        with suppress(OSError):
-            return cls(pid)
-        return None
-
-    @classmethod
-    def reattach(cls, mark: str) -> ManagedProcess | None:
-        """The process of that mark, if it still runs: a number alone may be another's by now."""
-        pid, _, born = mark.partition(" ")
-        if not pid.isdigit() or not born or _born(int(pid)) != born:
-            return None
-        with suppress(OSError):
-            return cls(int(pid))
-        return None
-
-    @property
-    def resident_bytes(self) -> int:
-        """Bytes that it holds in memory; 0 where that can't be read."""
-        try:
-            return int(Path(f"/proc/{self.pid}/statm").read_text("ascii").split()[1]) * PAGE
-        except (OSError, IndexError, ValueError):
-            return 0
-
-    def signal(self, number: signal.Signals) -> None:
-        with suppress(OSError):
-            signal.pidfd_send_signal(self._descriptor, number)
-
-    async def wait(self) -> None:
-        await trio.lowlevel.wait_readable(self._descriptor)
-
-    def close(self) -> None:
-        if self._descriptor >= 0:
-            os.close(self._descriptor)
-            self._descriptor = -1
-
-
-def _born(pid: int) -> str:
-    """When a process began, in ticks since the boot; empty where there is none, or it has ended and waits
-    for somebody to hear of it."""
-    try:
-        told = Path(f"/proc/{pid}/stat").read_text("ascii", "replace").rpartition(")")[2].split()
-    except OSError:
-        return ""
-    return told[19] if told[0] not in "ZX" else ""
-
-
 class SupervisorService:
-    """One keeper. `memory`: what its store held; None: nothing."""
+    """Supervises one instance."""
 
     def __init__(
         self, terms: KeeperTerms, surroundings: Surroundings, store: KeeperStore, memory: Memory | None
     ) -> None:
-        facts = Facts(
-            terms.name,
-            Sort.SERVER if terms.is_server else Sort.EDGE,
-            terms.region,
-            terms.capacity,
-            terms.processor,
-            tuple(sorted(terms.commands)),
-        )
-        self.supervisor = Keeping(facts, memory or Memory(terms.version))
+        """`memory` is what the store held at the start; None where it is new or was lost."""
+        self.supervisor = Keeping(_instance_info(terms), memory or Memory(terms.version))
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
-        self._fresh = memory is None
-        self._life = secrets.randbits(63)
+        self._is_new = memory is None
+        self._incarnation = secrets.randbits(INCARNATION_BITS)
+        self._list_client = ListClient(surroundings, terms.list_service, terms.name)
         self._log = log.bind(keeper=terms.name)
         self._process: ManagedProcess | None = None
-        # Those of ours are reaped.
+        # The processes that this supervisor started itself and has to reap, by number.
         self._children: dict[int, subprocess.Popen[bytes]] = {}
-        # By seat: the life and the stamp of its last word.
-        self._stamps: dict[str, tuple[int, int]] = {}
-        self._report_at = self._ask_at = float("-inf")
-        self._answered_at = float("-inf")
-        self._nonce = 0
-        self._heard_council = False
         self._nursery: trio.Nursery | None = None
-        self._told = ""
-
-    def _now(self) -> int:
-        return round(trio.current_time() * 1e9)
+        self._logged_outcome: tuple[int, int, str] | None = None
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Until told to leave, and then until its program has ended; OSError where the address can't be
-        had."""
-        socket = self._surroundings.datagrams(self._terms.listen)
-        asking = self._surroundings.datagrams(_beside(self._terms.asks)) if self._terms.asks else None
-        try:
-            post = Transport(socket, self._terms.keys, self._terms.name, self._life)
-            seal = Authenticator(self._terms.keys)
-            opener = DatagramReader(seal)
-            self._log.info("keeper-listening", address=post.address)
-            task_status.started(post.address)
-            await self._hears_first(post)
-            if self._fresh and asking is not None:
-                await self._finds(asking, seal, opener)
+        """Supervise until `shut_down` and then until the program has ended; OSError for a socket."""
+        with ExitStack() as sockets:
+            socket = self._surroundings.datagrams(self._terms.listen)
+            sockets.callback(socket.close)
+            probe = self._open_probe()
+            if probe is not None:
+                sockets.callback(probe.close)
+            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
+            link = ControlPlaneLink(transport, self._terms.name, self._terms.council)
+            self._log.info("supervisor-listening", address=transport.address)
+            task_status.started(transport.address)
+            if self._is_new:
+                await self._await_desired_state(link)
+                await self._find_process(probe)
             async with trio.open_nursery() as self._nursery:
-                self._takes_over()
-                while True:
-                    with trio.move_on_after(LOOK_S):
-                        await socket.readable()
-                    await self._surroundings.turn()
-                    self._hear(post)
-                    if asking is not None:
-                        self._ask(asking, seal, opener)
-                    self._act()
-                    self._report(post)
-                    if self.supervisor.leaving and not self.supervisor.runs:
-                        self._report_at = float("-inf")
-                        self._report(post)
-                        self._nursery.cancel_scope.cancel()
-                        return
-        finally:
-            socket.close()
-            if asking is not None:
-                asking.close()
+                self._resume_process()
+                await self._supervise(link, probe)
+                self._nursery.cancel_scope.cancel()
 
     def shut_down(self) -> None:
-        """The machine asks it to go: its program is asked to end, and the council hears of it."""
+        """On the machine's request: stop the program, tell the control plane, and end `run`."""
         self.supervisor.leave()
 
-    async def _hears_first(self, post: Transport) -> None:
-        """One that has no memory asks what is wanted before it starts anything: what it starts by its own
-        terms may be a version that was taken back. A council that does not answer holds nobody up for
-        long."""
-        if not self._fresh:
-            return
-        with trio.move_on_after(self._terms.hears_within / 1e9):
-            while not self._heard_council:
-                self._report(post)
-                with trio.move_on_after(LOOK_S):
-                    await post.socket.readable()
-                self._hear(post)
-
-    async def _finds(self, socket: Datagrams, seal: Authenticator, opener: DatagramReader) -> None:
-        """What a former self started, whose disk is lost: it answers where the instance is asked, and a
-        second one would find its addresses in use."""
-        socket.send(seal.sign(CountersQuery("", self._life, 0, self._nonce)), self._terms.asks)
-        with trio.move_on_after(ASK_S):
-            while True:
-                await socket.readable()
-                while (came := socket.take()) is not None:
-                    answer = opener.read(came[0])
-                    if isinstance(answer, CountersReply) and answer.counters.process:
-                        process = ManagedProcess.attach(answer.counters.process)
-                        self.supervisor.memory.process = process.identity if process is not None else ""
-                        self.supervisor.memory.running = answer.counters.label
-                        if process is not None:
-                            process.close()
-                        return
-
-    # The council
-
-    def _hear(self, post: Transport) -> None:
-        while (came := post.receive()) is not None:
-            word: Any = came[0]
-            if isinstance(word, DesiredStateMessage) and word.name == self._terms.name:
-                self._worded(word)
-
-    def _worded(self, word: DesiredStateMessage) -> None:
-        name = word.node
-        if name not in self._terms.council:
+    def _open_probe(self) -> InstanceProbe | None:
+        address = self._terms.asks
+        if not address:
+            return None
+        socket = self._surroundings.datagrams(_any_port_like(address))
+        return InstanceProbe(socket, address, self._terms.keys, self._incarnation)
+
+    async def _supervise(self, link: ControlPlaneLink, probe: InstanceProbe | None) -> None:
+        while True:
+            with trio.move_on_after(MAX_SLEEP_S):
+                await link.readable()
+            await self._surroundings.turn()
+            self._receive(link)
+            if probe is not None:
+                self._update_counters(probe)
+            self._act()
+            link.report_if_due(self.supervisor.report)
+            if self.supervisor.leaving and not self.supervisor.runs:
+                link.report(self.supervisor.report())
+                return
+
+    # The start without a stored state
+
+    async def _await_desired_state(self, link: ControlPlaneLink) -> None:
+        """Wait for the control plane before anything is started.
+
+        The version in the configuration may have been rolled back since. A control plane that does not answer
+        delays the start by `hears_within` and no more.
+        """
+        with trio.move_on_after(self._terms.hears_within / NS_PER_S):
+            while not link.has_received:
+                link.report_if_due(self.supervisor.report)
+                with trio.move_on_after(MAX_SLEEP_S):
+                    await link.readable()
+                self._receive(link)
+
+    async def _find_process(self, probe: InstanceProbe | None) -> None:
+        """Find what a previous incarnation started before it lost its disk.
+
+        The instance replies where it is queried; a second one would find its addresses in use.
+        """
+        counters = await probe.find_running() if probe is not None else None
+        if counters is None:
             return
-        life, stamp = self._stamps.get(name, (0, 0))
-        if word.incarnation == life and word.stamp < stamp:
-            return  # overtaken by a later word of that seat
-        self._stamps[name] = word.incarnation, word.stamp
-        self._heard_council = True
-        want: Want = word.desired
-        if self.supervisor.wanted(self._now(), want, word.is_open):
+        process = ManagedProcess.attach(counters.process)
+        state = self.supervisor.memory
+        state.process = process.identity if process is not None else ""
+        state.running = counters.label
+        if process is not None:
+            process.close()
+
+    # Messages
+
+    def _receive(self, link: ControlPlaneLink) -> None:
+        for message in link.receive():
+            self._on_desired_state(message)
+
+    def _on_desired_state(self, message: DesiredStateMessage) -> None:
+        desired = message.desired
+        if self.supervisor.wanted(monotonic_ns(), desired, message.is_open):
             self._log.info(
-                "turn", number=want.number, step=want.step, order=want.order, version=want.version, up=want.up
+                "step-started",
+                number=desired.number,
+                step=desired.step,
+                order=desired.order,
+                version=desired.version,
+                up=desired.up,
             )
 
-    def _report(self, post: Transport) -> None:
-        now = trio.current_time()
-        if now - self._report_at < REPORT_S:
-            return
-        self._report_at = now
-        report = self.supervisor.report()
-        for name, address in self._terms.council.items():
-            life, stamp = self._stamps.get(name, (0, 0))
-            post.send(address, ReportMessage(report, life, stamp))
-
-    # The instance
-
-    def _ask(self, socket: Datagrams, seal: Authenticator, opener: DatagramReader) -> None:
-        while (came := socket.take()) is not None:
-            answer = opener.read(came[0])
-            if isinstance(answer, CountersReply) and answer.nonce == self._nonce:
-                self._answered_at = trio.current_time()
-                memory = self._process.resident_bytes if self._process is not None else 0
-                self.supervisor.told(msgspec.structs.replace(answer.counters, memory=memory))
-        now = trio.current_time()
-        if now - self._answered_at > ANSWER_S and self.supervisor.counts.life:
+    def _update_counters(self, probe: InstanceProbe) -> None:
+        for counters in probe.receive():
+            memory = self._process.resident_bytes if self._process is not None else 0
+            self.supervisor.told(msgspec.structs.replace(counters, memory=memory))
+        if probe.is_timed_out and self.supervisor.counts.life:
             self.supervisor.counts = Counts()
-        if now - self._ask_at >= ASK_S and self.supervisor.runs:
-            self._ask_at = now
-            self._nonce += 1
-            socket.send(seal.sign(CountersQuery("", self._life, 0, self._nonce)), self._terms.asks)
-
-    def _takes_over(self) -> None:
-        """What its former self started and left running."""
-        memory = self.supervisor.memory
-        process = ManagedProcess.reattach(memory.process)
-        if process is not None:
-            self._process = process
-            self.supervisor.resumes(True)
-            self._log.info("taken-over", version=memory.running, process=process.pid)
-            assert self._nursery is not None
-            self._nursery.start_soon(self._waits, process)
+        if self.supervisor.runs:
+            probe.query_if_due()
+
+    # Actions
 
     def _act(self) -> None:
-        keeping = self.supervisor
-        while (do := keeping.act(self._now())) is not None:
-            if do is Do.SAVE:
-                # Not in a thread: a turn that is not on disk must not begin, and nothing else waits here.
-                self._store.save(keeping.memory)
-                keeping.saved()
-            elif do is Do.STOP:
-                self._stop()
-            elif do in (Do.LEAVE, Do.RETURN):
-                number = keeping.memory.turns[-1].number if keeping.memory.turns else 0
-                assert self._nursery is not None
-                self._nursery.start_soon(self._asks_list, do is Do.LEAVE, number)
-            else:
-                self._start()
-        last = keeping.memory.turns[-1] if keeping.memory.turns else None
-        said = f"{last.number}/{last.step} {last.outcome}" if last else ""
-        if last is not None and last.outcome and said != self._told:
-            self._told = said
+        while (action := self.supervisor.act(monotonic_ns())) is not None:
+            self._carry_out(action)
+        self._log_outcome()
+
+    def _carry_out(self, action: Do) -> None:
+        match action:
+            case Do.SAVE:
+                # Not in a thread: a step that is not on disk must not begin, and nothing else waits here.
+                self._store.save(self.supervisor.memory)
+                self.supervisor.saved()
+            case Do.STOP:
+                self._stop_process()
+            case Do.LEAVE:
+                self._start_task(self._leave_list, self._permit_number())
+            case Do.RETURN:
+                self._start_task(self._return_to_list, self._permit_number())
+            case Do.START:
+                self._start_process()
+
+    def _permit_number(self) -> int:
+        steps = self.supervisor.memory.turns
+        return steps[-1].number if steps else 0
+
+    def _log_outcome(self) -> None:
+        """Log the outcome of the latest step once."""
+        steps = self.supervisor.memory.turns
+        if not steps or not steps[-1].outcome:
+            return
+        step = steps[-1]
+        outcome = step.number, step.step, step.outcome
+        if outcome != self._logged_outcome:
+            self._logged_outcome = outcome
             self._log.info(
-                "turn-over", number=last.number, step=last.step, outcome=last.outcome, why=last.why
+                "step-ended", number=step.number, step=step.step, outcome=step.outcome, why=step.why
             )
 
-    def _start(self) -> None:
+    # The process
+
+    def _resume_process(self) -> None:
+        """Take over the process that a previous incarnation left running."""
+        state = self.supervisor.memory
+        process = ManagedProcess.reattach(state.process)
+        if process is not None:
+            self._process = process
+            self.supervisor.resumes(True)
+            self._log.info("process-adopted", version=state.running, process=process.pid)
+            self._start_task(self._await_exit, process)
+
+    def _start_process(self) -> None:
         version = self.supervisor.memory.version
-        command = self._terms.commands.get(version, ())
         try:
-            if not command:
-                raise OSError(f"no command for version {version!r}")
-            output: Any = subprocess.DEVNULL
-            if self._terms.output:
-                output = Path(self._terms.output).open("ab")  # noqa: SIM115 - the program's own from here on
-            # In a session of its own: what ends this keeper's terminal must not end its instance.
-            child = subprocess.Popen(
-                command,
-                stdin=subprocess.DEVNULL,
-                stdout=output,
-                stderr=output,
-                start_new_session=True,
-                env=os.environ | {VERSION_VARIABLE: version},
-            )
-            if self._terms.output:
-                output.close()
+            child = self._spawn(version)
             self._children[child.pid] = child
             process = ManagedProcess(child.pid)
         except OSError as error:
-            self._log.error("could-not-start", version=version, why=str(error))
-            self.supervisor.could_not_start(self._now())
+            self._log.error("process-start-failed", version=version, why=str(error))
+            self.supervisor.could_not_start(monotonic_ns())
             return
         self._process = process
-        self.supervisor.started(self._now(), version, process.identity)
-        self._log.info("started", version=version, process=process.pid)
-        assert self._nursery is not None
-        self._nursery.start_soon(self._waits, process)
+        self.supervisor.started(monotonic_ns(), version, process.identity)
+        self._log.info("process-started", version=version, process=process.pid)
+        self._start_task(self._await_exit, process)
 
-    async def _waits(self, process: ManagedProcess) -> None:
+    def _spawn(self, version: str) -> subprocess.Popen[bytes]:
+        """Start the version's command; OSError where there is none, or it can't be started."""
+        command = self._terms.commands.get(version, ())
+        if not command:
+            raise OSError(f"no command for version {version!r}")
+        if not self._terms.output:
+            return _popen(command, version, subprocess.DEVNULL)
+        with Path(self._terms.output).open("ab") as output:
+            return _popen(command, version, output)
+
+    async def _await_exit(self, process: ManagedProcess) -> None:
         await process.wait()
         child = self._children.pop(process.pid, None)
         code = child.wait() if child is not None else None
-        self._log.info("ended", process=process.pid, code=code)
+        self._log.info("process-exited", process=process.pid, code=code)
         process.close()
         if self._process is process:
             self._process = None
-            self.supervisor.ended(self._now())
-
-    async def _asks_list(self, leaves: bool, number: int) -> None:
-        """Until the list service has answered: one that is away lets no server go."""
-        name = self._terms.name
-        asks = Leave(name, number) if leaves else Returns(name, number)
-        while (left := await self._ask_list(asks)) is None:
-            await trio.sleep(LIST_AGAIN_S)
-        self._log.info("list-answers", leaves=leaves, number=number, given=left.given, why=left.why)
-        if leaves:
-            if left.given:
-                await trio.sleep(self._terms.drain_within / 1e9)
-            self.supervisor.left_list(left.given, left.why)
-
-    async def _ask_list(self, asks: Leave | Returns) -> Left | None:
-        session = ListSession(Hello((OLDEST, NEWEST), "keeper", self._terms.name))
-        with trio.move_on_after(LIST_ANSWERS_S), suppress(OSError, ProtocolError, trio.BrokenResourceError):
-            stream = await self._surroundings.connect(self._terms.list_service)
-            async with stream:
-                await stream.send_all(session.opening())
-                while data := await stream.receive_some(READ):
-                    for message in session.receive(data):
-                        if isinstance(message, Welcome):
-                            await stream.send_all(session.send(asks))
-                        elif isinstance(message, Left):
-                            return message
-        return None
-
-    def _stop(self) -> None:
+            self.supervisor.ended(monotonic_ns())
+
+    def _stop_process(self) -> None:
         self.supervisor.asked_to_stop()
         process = self._process
-        if process is None:
-            return
-        process.signal(signal.SIGTERM)
-        assert self._nursery is not None
-        self._nursery.start_soon(self._kills, process)
+        if process is not None:
+            process.signal(signal.SIGTERM)
+            self._start_task(self._kill_after_timeout, process)
 
-    async def _kills(self, process: ManagedProcess) -> None:
-        """Asked to end, it has its own limit; past it and a little it is ended."""
-        await trio.sleep(self._terms.stop_within / 1e9)
+    async def _kill_after_timeout(self, process: ManagedProcess) -> None:
+        """Kill a process that is still there `stop_within` after it was asked to stop."""
+        await trio.sleep(self._terms.stop_within / NS_PER_S)
         if self._process is process:
-            self._log.warning("killed", process=process.pid)
+            self._log.warning("process-killed", process=process.pid)
             process.signal(signal.SIGKILL)
 
+    # The list service
+
+    async def _leave_list(self, number: int) -> None:
+        """Ask for the server's drain; once it is granted, let the server empty before it is stopped."""
+        answer = await self._list_client.request_until_answered(Leave(self._terms.name, number))
+        self._log_list_answer(True, number, answer.given, answer.why)
+        if answer.given:
+            await trio.sleep(self._terms.drain_within / NS_PER_S)
+        self.supervisor.left_list(answer.given, answer.why)
+
+    async def _return_to_list(self, number: int) -> None:
+        answer = await self._list_client.request_until_answered(Returns(self._terms.name, number))
+        self._log_list_answer(False, number, answer.given, answer.why)
 
-def _beside(address: str) -> str:
-    """Any port, of the same kind of address."""
+    def _log_list_answer(self, leaves: bool, number: int, given: bool, reason: str) -> None:
+        self._log.info("list-answer-received", leaves=leaves, number=number, given=given, why=reason)
+
+    def _start_task(self, function: Callable[..., Awaitable[object]], *arguments: object) -> None:
+        assert self._nursery is not None
+        self._nursery.start_soon(function, *arguments)
+
+
+def _popen(command: tuple[str, ...], version: str, output: IO[bytes] | int) -> subprocess.Popen[bytes]:
+    # In a session of its own: what ends this supervisor's terminal must not end its instance.
+    return subprocess.Popen(
+        command,
+        stdin=subprocess.DEVNULL,
+        stdout=output,
+        stderr=output,
+        start_new_session=True,
+        env=os.environ | {VERSION_VARIABLE: version},
+    )
+
+
+def _instance_info(terms: KeeperTerms) -> Facts:
+    return Facts(
+        terms.name,
+        Sort.SERVER if terms.is_server else Sort.EDGE,
+        terms.region,
+        terms.capacity,
+        terms.processor,
+        tuple(sorted(terms.commands)),
+    )
+
+
+def _any_port_like(address: str) -> str:
+    """Any port, in the same family of addresses."""
     return "[::]:0" if address.startswith("[") else "0.0.0.0:0"
--- a/valverouter/fleet/transport.py
+++ b/valverouter/fleet/transport.py
@@ -1,8 +1,10 @@
-"""Words between seats, keepers and tools: sealed, cut into datagrams, on one socket."""
+"""Transport of control messages: encoded, fragmented and authenticated, over one datagram socket."""
 
 from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Iterator
+from typing import Any
 
 import msgspec
 import structlog
@@ -10,64 +12,85 @@
 
 from valverouter.edge.surroundings import Datagrams
 from valverouter.fleet.authentication import Authenticator, DatagramReader, FragmentEnvelope
-from valverouter.fleet.fragmentation import Fragmenter, TooManyFragmentsError
+from valverouter.fleet.fragmentation import Fragmenter, Reassembler, TooManyFragmentsError
 from valverouter.fleet.messages import ControlMessage, decoder, encoder
 
-# Drops are told no oftener than so.
-DROPS_TOLD_S = 60.0
+# Seconds between two log entries on dropped datagrams, at least.
+DROP_LOG_INTERVAL_S = 60.0
 
 log = structlog.get_logger()
 
 
+class DropLogger:
+    """Logs a reader's counts of dropped datagrams, once per DROP_LOG_INTERVAL_S at most."""
+
+    def __init__(self, reader: DatagramReader, logger: Any) -> None:
+        """`logger` is a structlog logger, bound to whatever names its owner."""
+        self._reader = reader
+        self._log = logger
+        self._logged_at = float("-inf")
+
+    def on_dropped(self) -> None:
+        """Call after each dropped datagram."""
+        now = trio.current_time()
+        if now - self._logged_at >= DROP_LOG_INTERVAL_S:
+            self._logged_at = now
+            self._log.warning("datagrams-dropped", **self._reader.dropped)
+
+
+def received_messages(socket: Datagrams, reader: DatagramReader) -> Iterator[Any]:
+    """Read the authentic messages that wait at the socket; others are dropped, counted by the reader."""
+    while (datagram := socket.take()) is not None:
+        message = reader.read(datagram[0])
+        if message is not None:
+            yield message
+
+
 class Transport:
-    """One process's socket. Strangers, rubbish and replays are dropped and counted, and never answered."""
+    """One process's end of the control plane; unauthentic datagrams are dropped, counted, never answered."""
 
-    def __init__(self, socket: Datagrams, keys: tuple[bytes, ...], name: str, life: int) -> None:
+    def __init__(self, socket: Datagrams, keys: tuple[bytes, ...], name: str, incarnation: int) -> None:
+        """`name` (empty for a client) and `incarnation` identify this process to its peers."""
         self.socket = socket
-        self.life = life
         self.counts: Counter[str] = Counter()
         self._authenticator = Authenticator(keys)
         self._reader = DatagramReader(self._authenticator, FragmentEnvelope)
-        self._fragmenter = Fragmenter(name, life)
-        self._told_at = float("-inf")
+        self._drop_logger = DropLogger(self._reader, log)
+        self._fragmenter = Fragmenter(name, incarnation)
+        self._reassembler = Reassembler()
 
     @property
     def address(self) -> str:
+        """Where the socket is bound, as IP:PORT."""
         return self.socket.address
 
-    def send(self, address: str, word: ControlMessage) -> None:
-        """Gone or lost: whoever needs an answer says it again."""
+    def send(self, address: str, message: ControlMessage) -> None:
+        """Send without any guarantee; a sender that needs a reply sends again until it comes."""
         try:
-            pieces = self._fragmenter.split(address, encoder.encode(word))
+            fragments = self._fragmenter.split(address, encoder.encode(message))
         except TooManyFragmentsError as error:
             self.counts["too-long"] += 1
-            log.error("word-too-long", word=type(word).__name__, why=str(error))
+            log.error("message-too-long", kind=type(message).__name__, why=str(error))
             return
-        for piece in pieces:
+        for fragment in fragments:
             self.counts["sent"] += 1
-            self.socket.send(self._authenticator.sign(piece), address)
+            self.socket.send(self._authenticator.sign(fragment), address)
 
     def receive(self) -> tuple[ControlMessage, str] | None:
-        """A word that is here, and where it came from."""
-        while (came := self.socket.take()) is not None:
-            data, source = came
-            piece = self._reader.read(data)
-            if piece is None:
-                self._drops()
+        """Return the next complete message and its sender's address; None where there is none now."""
+        while (datagram := self.socket.take()) is not None:
+            data, source = datagram
+            fragment = self._reader.read(data)
+            if fragment is None:
+                self._drop_logger.on_dropped()
                 continue
-            whole = self._fragmenter.add(piece)
-            if whole is None:
+            body = self._reassembler.add(fragment)
+            if body is None:
                 continue
             self.counts["heard"] += 1
             try:
-                return decoder.decode(whole), source
+                return decoder.decode(body), source
             except msgspec.MsgspecError:
-                # Under our key and not understood: of a program of another version.
+                # Authentic, but not decodable: from another version of the program.
                 self.counts["not-understood"] += 1
         return None
-
-    def _drops(self) -> None:
-        now = trio.current_time()
-        if now - self._told_at >= DROPS_TOLD_S:
-            self._told_at = now
-            log.warning("datagrams-dropped", **self._reader.dropped)
--- /dev/null
+++ b/valverouter/fleet/view_comparison.py
@@ -0,0 +1,81 @@
+"""The asking side of view queries: an instance's answer put together from its pages, and answers compared."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from valverouter.fleet.queries import MemberRow, ViewPage
+from valverouter.membership.records import LIVING
+from valverouter.membership.trust import Trust
+
+# What is believed of a member that does not occur in a view.
+NOT_KNOWN = "not known"
+
+
+@dataclass(slots=True)
+class ViewAnswer:
+    """One instance's view, page by page; complete once `missing_page` is None."""
+
+    address: str
+    name: str = ""
+    incarnation: int = 0
+    digest: int = 0
+    view_health: str = ""
+    counts: dict[str, int] = field(default_factory=dict)
+    pages: dict[int, tuple[MemberRow, ...]] = field(default_factory=dict)
+    page_count: int = 1
+
+    def add_page(self, page: ViewPage) -> None:
+        """Take a page in; it drops the earlier ones if the view has changed since they were sent."""
+        if (page.life, page.digest) != (self.incarnation, self.digest):
+            self.pages.clear()
+        self.name = page.name
+        self.incarnation = page.life
+        self.digest = page.digest
+        self.view_health = page.view_health
+        self.page_count = page.page_count
+        self.counts = page.counts or self.counts
+        self.pages[page.page] = page.rows
+
+    @property
+    def missing_page(self) -> int | None:
+        """The first page that has not arrived yet; None where the answer is complete."""
+        return next((page for page in range(self.page_count) if page not in self.pages), None)
+
+    @property
+    def rows(self) -> list[MemberRow]:
+        """The rows of the pages that have arrived, in order."""
+        return [row for page in sorted(self.pages) for row in self.pages[page]]
+
+
+def find_differences(answers: Iterable[ViewAnswer]) -> dict[str, dict[str, list[str]]]:
+    """Members on which complete answers disagree: by name, each belief with the names of its holders."""
+    complete = [answer for answer in answers if answer.missing_page is None]
+    members = {row.name for answer in complete for row in answer.rows if row.name}
+    beliefs: dict[str, dict[str, list[str]]] = {}
+    for answer in complete:
+        rows = {row.name: row for row in answer.rows if row.name}
+        for member in members:
+            belief = _belief(rows.get(member))
+            beliefs.setdefault(member, {}).setdefault(belief, []).append(answer.name)
+    return {member: held for member, held in sorted(beliefs.items()) if len(held) > 1}
+
+
+def _belief(row: MemberRow | None) -> str:
+    if row is None:
+        return NOT_KNOWN
+    return f"{row.state.name.lower()} at {row.address}, life {row.incarnation:016x}"
+
+
+def is_converged(answers: list[ViewAnswer]) -> bool:
+    """Whether all answers are complete and settled on one digest, and all who answered are live members."""
+    complete = [answer for answer in answers if answer.missing_page is None]
+    if not complete or len(complete) < len(answers):
+        return False
+    if len({answer.digest for answer in complete}) > 1:
+        return False
+    if any(answer.view_health != Trust.SETTLED.value for answer in complete):
+        return False
+    names = {answer.name for answer in complete}
+    return all(row.state in LIVING for row in complete[0].rows if row.name in names)
--- /dev/null
+++ b/valverouter/fleet/view_pages.py
@@ -0,0 +1,85 @@
+"""The answering side of view queries: a membership view as rows, cut into pages that fit a datagram."""
+
+from __future__ import annotations
+
+from valverouter.fleet.queries import MemberRow, ViewPage, ViewQuery
+from valverouter.membership.core import Membership
+from valverouter.membership.records import Record, State
+
+# Bytes for the rows of one page; each row's texts are bounded by the configuration.
+PAGE_BYTES = 1_000
+NS_PER_MS = 1_000_000
+
+
+def view_page(membership: Membership, now: int, query: ViewQuery, counts: dict[str, int]) -> ViewPage | None:
+    """Return the page that is asked for; None where the view has no such page. `now` in ns."""
+    pages = paginate(member_rows(membership, now))
+    if not 0 <= query.page < len(pages):
+        return None
+    return ViewPage(
+        membership.mine.name,
+        membership.mine.life,
+        membership.view.digest,
+        query.nonce,
+        query.page,
+        len(pages),
+        membership.trust.value,
+        counts if query.page == 0 else {},
+        pages[query.page],
+    )
+
+
+def member_rows(membership: Membership, now: int) -> list[MemberRow]:
+    """All members of the view by name, then the seeds at whose address no member is known. `now` in ns."""
+    view = membership.view
+    rows = [_member_row(record, now - view.since[name]) for name, record in sorted(view.records.items())]
+    known_addresses = {row.address for row in rows}
+    rows += [_unknown_seed_row(seed) for seed in membership.seeds if seed not in known_addresses]
+    return rows
+
+
+def _member_row(record: Record, age: int) -> MemberRow:
+    return MemberRow(
+        name=record.name,
+        region=record.region,
+        place=record.place,
+        address=record.address,
+        generation=record.number,
+        incarnation=record.life,
+        state=record.state,
+        since_ms=age // NS_PER_MS,
+        version=record.version,
+        config_digest=record.terms,
+        phase=int(record.phase),
+        name_conflict=record.twin,
+    )
+
+
+def _unknown_seed_row(address: str) -> MemberRow:
+    return MemberRow(
+        name="",
+        region="",
+        place=0,
+        address=address,
+        generation=0,
+        incarnation=0,
+        state=State.UNKNOWN,
+        since_ms=0,
+        version="",
+        config_digest="",
+        phase=0,
+        name_conflict=False,
+    )
+
+
+def paginate(rows: list[MemberRow]) -> list[tuple[MemberRow, ...]]:
+    """Distribute the rows to pages of PAGE_BYTES; there is at least one, if an empty one."""
+    pages: list[list[MemberRow]] = [[]]
+    free_bytes = PAGE_BYTES // 2  # the counts go with the first page
+    for row in rows:
+        if row.size > free_bytes and pages[-1]:
+            pages.append([])
+            free_bytes = PAGE_BYTES
+        pages[-1].append(row)
+        free_bytes -= row.size
+    return [tuple(page) for page in pages]
