--- a/valverouter/ledger/raft_store.py
+++ b/valverouter/ledger/raft_store.py
@@ -1,9 +1,9 @@
-"""What a councillor must not forget, in an embedded store (lmdb): its disk's number, term, vote, record.
+"""What a Raft member must not forget, in an embedded store (lmdb): its disk id, term, vote, snapshot and log.
 
-A commit is one transaction and waits for the disk: a vote or an entry that was told and lost breaks
-agreement. After a kill at any moment the store holds a commit whole or not at all. Each value carries a
-checksum. A store that can't be read whole is a lost disk: nothing of it is trusted, it is set aside, and
-the councillor comes back with a new one, as another, for the council to let in.
+A commit is one transaction and waits for the disk: a vote or an acknowledgement that was sent and then lost
+breaks the safety of the group. After a kill at any moment the store holds a commit whole or not at all. Each
+value carries a checksum. A store that can't be read whole counts as a lost disk: nothing of it is trusted, it
+is set aside, and the member comes back with a new disk id, as another member, for the group to admit.
 """
 
 from __future__ import annotations
@@ -16,22 +16,40 @@
 import msgspec
 
 from valverouter.ledger.file import LedgerError, body_of, cover, owned, summed
-from valverouter.rollout.raft_log import PersistentState, Save, SaveEntries, SaveSnapshot, SaveTerm
+from valverouter.rollout.raft_log import (
+    LogEntry,
+    PersistentState,
+    Save,
+    SaveEntries,
+    SaveSnapshot,
+    SaveTerm,
+    Snapshot,
+)
 from valverouter.rollout.serialization import StoredEntry, StoredSnapshot, to_stored_entry, to_stored_snapshot
 
 FORMAT = b"council 1"
 MAP_SIZE = 64 * 1024 * 1024
-
+# Keys of the metadata.
+FORMAT_KEY = b"format"
+DISK_ID_KEY = b"disk"
+VOTE_KEY = b"vote"
+SNAPSHOT_KEY = b"snapshot"
 
 _encoder = msgspec.msgpack.Encoder()
-_entries = msgspec.msgpack.Decoder(StoredEntry)
-_snapshots = msgspec.msgpack.Decoder(StoredSnapshot)
+_entry_decoder = msgspec.msgpack.Decoder(StoredEntry)
+_snapshot_decoder = msgspec.msgpack.Decoder(StoredSnapshot)
+_vote_decoder = msgspec.msgpack.Decoder(tuple[int, str])
 
 
 class RaftStore:
-    """An open store, one process at a time. `fresh_disk` names an empty one."""
+    """An open store, held by one process at a time.
+
+    Every method raises LedgerError where the store fails or can't be trusted, LedgerBusyError where another
+    process holds it.
+    """
 
-    def __init__(self, path: Path, fresh_disk: int) -> None:
+    def __init__(self, path: Path, new_disk_id: int) -> None:
+        """Opens the store at `path`; an empty one gets `new_disk_id`."""
         self.path = path
         self._lock = owned(path)
         try:
@@ -39,7 +57,7 @@
             cover(path, self._env)
             self._metadata_db = self._env.open_db(b"meta")
             self._log_db = self._env.open_db(b"record")
-            self._begin(fresh_disk)
+            self._initialize(new_disk_id)
         except lmdb.Error as error:
             self._lock.close()
             raise LedgerError(f"{path}: {error}") from error
@@ -48,84 +66,106 @@
             raise
 
     def close(self) -> None:
+        """Closes the store and lets other processes open it."""
         self._env.close()
         self._lock.close()
 
-    def _begin(self, fresh_disk: int) -> None:
-        with self._env.begin(write=True) as commit:
-            found = commit.get(b"format", db=self._metadata_db)
-            if found is None:
-                commit.put(b"format", FORMAT, db=self._metadata_db)
-                commit.put(b"disk", _kept(fresh_disk), db=self._metadata_db)
-            elif bytes(found) != FORMAT:
-                raise LedgerError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
-
     def load(self) -> PersistentState:
-        """All of it, checked; LedgerError where any of it can't be trusted."""
+        """All that is stored, with every checksum verified."""
         try:
-            with self._env.begin() as read:
-                disk = msgspec.msgpack.decode(
-                    self._read(read.get(b"disk", db=self._metadata_db), "disk"), type=int
-                )
-                durable = PersistentState(disk)
-                if (vote := read.get(b"vote", db=self._metadata_db)) is not None:
-                    term, voted = msgspec.msgpack.decode(self._read(vote, "vote"), type=tuple[int, str])
-                    durable.current_term, durable.voted_for = term, voted
-                if (kept := read.get(b"snapshot", db=self._metadata_db)) is not None:
-                    durable.snapshot = _snapshots.decode(self._read(kept, "snapshot")).to_snapshot()
-                expected = durable.first_index
-                for key, value in read.cursor(db=self._log_db):
-                    index = int.from_bytes(key, "big")
-                    if index != expected:
-                        raise LedgerError(f"{self.path}: entry {expected} is missing")
-                    durable.entries.append(
-                        _entries.decode(self._read(value, f"entry {index}")).to_log_entry()
-                    )
-                    expected += 1
-                return durable
+            with self._env.begin() as transaction:
+                state = PersistentState(self._load_disk_id(transaction))
+                state.current_term, state.voted_for = self._load_vote(transaction)
+                state.snapshot = self._load_snapshot(transaction)
+                state.entries = self._load_entries(transaction, state.first_index)
+                return state
         except (lmdb.Error, msgspec.MsgspecError) as error:
             raise LedgerError(f"{self.path}: {error}") from error
 
-    def _read(self, value: Any, what: str) -> bytes:
-        body = body_of(bytes(value)) if value is not None else None
-        if body is None:
-            raise LedgerError(f"{self.path}: {what} is damaged")
-        return body
-
     def commit(self, saves: Iterable[Save]) -> None:
-        """All of them, on disk when it returns; LedgerError where they are not, and then none is."""
+        """Stores all changes in one transaction, on disk when it returns; where it fails, none is stored."""
         try:
-            with self._env.begin(write=True) as commit:
+            with self._env.begin(write=True) as transaction:
                 for save in saves:
-                    self._put(commit, save)
+                    self._put(transaction, save)
         except lmdb.Error as error:
             raise LedgerError(f"{self.path}: {error}") from error
 
-    def _put(self, commit: Any, save: Save) -> None:
+    def _initialize(self, new_disk_id: int) -> None:
+        with self._env.begin(write=True) as transaction:
+            found = transaction.get(FORMAT_KEY, db=self._metadata_db)
+            if found is None:
+                transaction.put(FORMAT_KEY, FORMAT, db=self._metadata_db)
+                transaction.put(DISK_ID_KEY, _encode(new_disk_id), db=self._metadata_db)
+            elif bytes(found) != FORMAT:
+                raise LedgerError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
+
+    def _load_disk_id(self, transaction: Any) -> int:
+        value = transaction.get(DISK_ID_KEY, db=self._metadata_db)
+        return msgspec.msgpack.decode(self._verified(value, "disk"), type=int)
+
+    def _load_vote(self, transaction: Any) -> tuple[int, str]:
+        value = transaction.get(VOTE_KEY, db=self._metadata_db)
+        return (0, "") if value is None else _vote_decoder.decode(self._verified(value, "vote"))
+
+    def _load_snapshot(self, transaction: Any) -> Snapshot | None:
+        value = transaction.get(SNAPSHOT_KEY, db=self._metadata_db)
+        if value is None:
+            return None
+        return _snapshot_decoder.decode(self._verified(value, "snapshot")).to_snapshot()
+
+    def _load_entries(self, transaction: Any, first_index: int) -> list[LogEntry]:
+        entries: list[LogEntry] = []
+        for expected, (key, value) in enumerate(transaction.cursor(db=self._log_db), first_index):
+            index = int.from_bytes(key, "big")
+            if index != expected:
+                raise LedgerError(f"{self.path}: entry {expected} is missing")
+            stored = _entry_decoder.decode(self._verified(value, f"entry {index}"))
+            entries.append(stored.to_log_entry())
+        return entries
+
+    def _verified(self, value: Any, name: str) -> bytes:
+        """The body of a stored value, once its checksum has been verified."""
+        body = body_of(bytes(value)) if value is not None else None
+        if body is None:
+            raise LedgerError(f"{self.path}: {name} is damaged")
+        return body
+
+    def _put(self, transaction: Any, save: Save) -> None:
         match save:
-            case SaveTerm(term, voted):
-                commit.put(b"vote", _kept((term, voted)), db=self._metadata_db)
-            case SaveEntries(first, entries):
-                self._cut(commit, first, None)
-                for index, entry in enumerate(entries, first):
-                    commit.put(_key(index), _kept(to_stored_entry(entry)), db=self._log_db)
+            case SaveTerm(term, voted_for):
+                transaction.put(VOTE_KEY, _encode((term, voted_for)), db=self._metadata_db)
+            case SaveEntries(first_index, entries):
+                self._delete_entries(transaction, first_index, None)
+                for index, entry in enumerate(entries, first_index):
+                    transaction.put(_key(index), _encode(to_stored_entry(entry)), db=self._log_db)
             case SaveSnapshot(snapshot):
-                at = commit.get(_key(snapshot.last_included_index), db=self._log_db)
-                same = at is not None and _entries.decode(bytes(at)[4:]).term == snapshot.last_included_term
-                commit.put(b"snapshot", _kept(to_stored_snapshot(snapshot)), db=self._metadata_db)
-                self._cut(commit, 0, snapshot.last_included_index if same else None)
+                self._put_snapshot(transaction, snapshot)
+
+    def _put_snapshot(self, transaction: Any, snapshot: Snapshot) -> None:
+        """Entries behind the snapshot stay only if the log agrees with it at its last entry."""
+        value = transaction.get(_key(snapshot.last_included_index), db=self._log_db)
+        is_prefix = value is not None and _stored_term(value) == snapshot.last_included_term
+        transaction.put(SNAPSHOT_KEY, _encode(to_stored_snapshot(snapshot)), db=self._metadata_db)
+        self._delete_entries(transaction, 0, snapshot.last_included_index if is_prefix else None)
 
-    def _cut(self, commit: Any, first: int, last: int | None) -> None:
-        """Entries from `first` to `last`, or to the end, go."""
-        cursor = commit.cursor(db=self._log_db)
-        more = cursor.set_range(_key(first))
-        while more and (last is None or int.from_bytes(cursor.key(), "big") <= last):
-            more = cursor.delete()
+    def _delete_entries(self, transaction: Any, first_index: int, last_index: int | None) -> None:
+        """Deletes the entries from `first_index` up to `last_index`, or to the end of the log."""
+        cursor = transaction.cursor(db=self._log_db)
+        has_entry = cursor.set_range(_key(first_index))
+        while has_entry and (last_index is None or int.from_bytes(cursor.key(), "big") <= last_index):
+            has_entry = cursor.delete()
 
 
 def _key(index: int) -> bytes:
+    """Big-endian, so that lmdb keeps the entries in the order of their indexes."""
     return index.to_bytes(8, "big")
 
 
-def _kept(value: Any) -> bytes:
+def _encode(value: Any) -> bytes:
     return summed(_encoder.encode(value))
+
+
+def _stored_term(value: Any) -> int:
+    """The term of a stored entry, behind its checksum of four bytes."""
+    return _entry_decoder.decode(bytes(value)[4:]).term
--- a/valverouter/rollout/disruption_permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -1,13 +1,13 @@
 """Permits to be unavailable: the part of the replicated state that keeps the disruption limits.
 
 `PermitRegister` is a replicated state machine: the same commands in the same order give the same state on
-every member, and nothing in it reads a clock, a view of the fleet or chance. A permit's number is derived from
-the log index of the command that it answers, so a later permit has a higher number. It is the permit's fencing
-token: whoever has seen a number rejects every lower one (see `Fence`).
+every member, and nothing in it reads a clock, a view of the fleet or chance. A permit's number is derived
+from the log index of the command that it answers, so a later permit has a higher number. It is the permit's
+fencing token: whoever has seen a number rejects every lower one (see `Fence`).
 
 An unavailable instance never becomes available by time. A permit ends by evidence that its holder serves
-again, sent with the permit's number; a holder that died keeps its permit until then. An instance that is found
-gone without a permit is unavailable until it is back.
+again, sent with the permit's number; a holder that died keeps its permit until then. An instance that is
+found gone without a permit is unavailable until it is back.
 """
 
 from __future__ import annotations
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -74,6 +74,7 @@
         capture_state: Callable[[], Any] = lambda: None,
         restore_state: Callable[[Any], None] = lambda state: None,
     ) -> None:
+        """Begins as a follower; a snapshot in `persistent` is restored."""
         self.name = name
         self.persistent = persistent
         self.role = Role.FOLLOWER
--- a/valverouter/rollout/raft_messages.py
+++ b/valverouter/rollout/raft_messages.py
@@ -13,7 +13,7 @@
 
 
 class RequestVote(Struct, frozen=True, array_like=True, tag="Vote"):
-    """Asks for a vote in `term`. `ahead`: asks only whether it would be granted, and changes no term."""
+    """Asks for a vote in `term`; with `pre_vote` only whether it would be granted, which begins no term."""
 
     term: int
     candidate_id: str
@@ -34,7 +34,7 @@
 
 
 class AppendEntries(Struct, frozen=True, array_like=True, tag="Append"):
-    """Entries that follow the one at `before`; without entries a heartbeat."""
+    """Entries that follow the one at `prev_log_index`; without entries a heartbeat."""
 
     term: int
     leader_id: str
@@ -48,8 +48,8 @@
 class AppendEntriesResponse(Struct, frozen=True, array_like=True, tag="Appended"):
     """The answer to appended entries or a snapshot.
 
-    `has`: where it succeeded, the last index at which the follower's log is known to be the leader's; where
-    not, the index to continue from.
+    `match_index`: where it succeeded, the last index at which the follower's log is known to be the leader's;
+    where not, the index before the one to continue from.
     """
 
     term: int
--- a/valverouter/rollout/serialization.py
+++ b/valverouter/rollout/serialization.py
@@ -1,6 +1,7 @@
-"""The council's record and messages with their types, as a store and datagrams hold them.
+"""Raft's log and messages with their concrete types, as stores and datagrams hold them.
 
-`council.py` itself knows nothing of what it agrees on; here it is the fleet's book and its commands.
+`raft.py` knows nothing of the commands that it replicates. Here they are those of the operation log, which is
+the replicated state machine.
 """
 
 from __future__ import annotations
@@ -20,24 +21,32 @@
 
 
 class StoredEntry(Struct, frozen=True, array_like=True):
+    """A `LogEntry` of the operation log."""
+
     term: int
     command: Command | Configuration | None
 
     def to_log_entry(self) -> LogEntry:
+        """The entry as the Raft node holds it."""
         return LogEntry(self.term, self.command)
 
 
 class StoredSnapshot(Struct, frozen=True, array_like=True):
+    """A `Snapshot` of the operation log."""
+
     last_included_index: int
     last_included_term: int
     configuration: Configuration
     state: OperationLog
 
     def to_snapshot(self) -> Snapshot:
+        """The snapshot as the Raft node holds it."""
         return Snapshot(self.last_included_index, self.last_included_term, self.configuration, self.state)
 
 
 class WireAppendEntries(Struct, frozen=True, array_like=True, tag="SentAppend"):
+    """An `AppendEntries` with entries of the operation log."""
+
     term: int
     leader_id: str
     prev_log_index: int
@@ -48,7 +57,11 @@
 
 
 class WireInstallSnapshot(Struct, frozen=True, array_like=True, tag="SentInstall"):
-    """Without the number of its round: sent again it is the same words, whose missing pieces follow."""
+    """An `InstallSnapshot` of the operation log.
+
+    It lacks the number of the round: sent again, the message is the same to the byte, so that fragments which
+    were lost the first time can be filled from the next.
+    """
 
     term: int
     leader_id: str
@@ -61,30 +74,50 @@
 
 
 def to_stored_entry(entry: LogEntry) -> StoredEntry:
+    """The entry as a store or datagram holds it."""
     return StoredEntry(entry.term, entry.command)
 
 
-def to_stored_snapshot(one: Snapshot) -> StoredSnapshot:
-    return StoredSnapshot(one.last_included_index, one.last_included_term, one.configuration, one.state)
+def to_stored_snapshot(snapshot: Snapshot) -> StoredSnapshot:
+    """The snapshot as a store or datagram holds it."""
+    return StoredSnapshot(
+        snapshot.last_included_index, snapshot.last_included_term, snapshot.configuration, snapshot.state
+    )
 
 
 def to_wire(message: RaftMessage) -> WireMessage:
+    """The message as a datagram holds it."""
     match message:
-        case AppendEntries(term, name, before, before_term, entries, agreed, turn):
-            kept = tuple(to_stored_entry(entry) for entry in entries)
-            return WireAppendEntries(term, name, before, before_term, kept, agreed, turn)
-        case InstallSnapshot(term, name, snapshot):
-            return WireInstallSnapshot(term, name, to_stored_snapshot(snapshot))
+        case AppendEntries():
+            return WireAppendEntries(
+                message.term,
+                message.leader_id,
+                message.prev_log_index,
+                message.prev_log_term,
+                tuple(to_stored_entry(entry) for entry in message.entries),
+                message.leader_commit,
+                message.round_number,
+            )
+        case InstallSnapshot():
+            return WireInstallSnapshot(message.term, message.leader_id, to_stored_snapshot(message.snapshot))
         case _:
             return message
 
 
 def from_wire(message: WireMessage) -> RaftMessage:
+    """The message as the Raft node takes it."""
     match message:
-        case WireAppendEntries(term, name, before, before_term, entries, agreed, turn):
-            own = tuple(one.to_log_entry() for one in entries)
-            return AppendEntries(term, name, before, before_term, own, agreed, turn)
-        case WireInstallSnapshot(term, name, snapshot):
-            return InstallSnapshot(term, name, snapshot.to_snapshot())
+        case WireAppendEntries():
+            return AppendEntries(
+                message.term,
+                message.leader_id,
+                message.prev_log_index,
+                message.prev_log_term,
+                tuple(entry.to_log_entry() for entry in message.entries),
+                message.leader_commit,
+                message.round_number,
+            )
+        case WireInstallSnapshot():
+            return InstallSnapshot(message.term, message.leader_id, message.snapshot.to_snapshot())
         case _:
             return message
