--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -49,6 +49,7 @@
     SaveTerm,
     Snapshot,
 )
+from valverouter.rollout.raft_membership import MembershipChangeError
 from valverouter.rollout.raft_messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -405,6 +406,15 @@
     assert one.configuration == leader.configuration
 
 
+def rejection(leader: RaftNode, now: int, remove: str, add: tuple[str, int] | None) -> str:
+    """Why a membership change is rejected; empty: it has begun."""
+    try:
+        leader.change_membership(now, remove, add)
+    except MembershipChangeError as error:
+        return str(error)
+    return ""
+
+
 def test_members_change_one_at_a_time_and_a_lost_disk_is_another_member() -> None:
     table = Table()
     table.run(5)
@@ -413,15 +423,15 @@
     table.ones[lost] = RaftNode(lost, PersistentState(77), random.random, table.now)
     table.run(3)
     assert table.ones[lost].last_log_index == 0 or not table.ones[lost].is_member
-    assert "must go first" in leader.change_membership(table.now, "", (lost, 77))
-    assert leader.change_membership(table.now, lost, (lost, 77)).startswith("one change at a time")
-    assert leader.change_membership(table.now, lost, None) == ""
-    assert leader.change_membership(table.now, "", (lost, 77)) in ("another change is under way", "")
+    assert "must go first" in rejection(leader, table.now, "", (lost, 77))
+    assert rejection(leader, table.now, lost, (lost, 77)).startswith("one change at a time")
+    assert rejection(leader, table.now, lost, None) == ""
+    assert rejection(leader, table.now, "", (lost, 77)) in ("another change is under way", "")
     table.run(2)
-    leader.change_membership(table.now, "", (lost, 77))
+    rejection(leader, table.now, "", (lost, 77))
     table.run(3)
     assert table.ones[lost].is_member and table.ones[lost].commit_index == leader.commit_index
-    assert leader.change_membership(table.now, "nobody", None) == "that changes nothing"
+    assert rejection(leader, table.now, "nobody", None) == "that changes nothing"
 
 
 def test_courses_of_faults_keep_the_limits_and_the_council_comes_back() -> None:
--- a/valverouter/emulator/councils.py
+++ b/valverouter/emulator/councils.py
@@ -12,6 +12,7 @@
 import random
 from collections import Counter
 from collections.abc import Callable
+from contextlib import suppress
 from dataclasses import dataclass
 from typing import Any
 
@@ -27,6 +28,7 @@
 )
 from valverouter.rollout.raft import ELECTION_TIMEOUT, SECOND, RaftNode, Role
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
+from valverouter.rollout.raft_membership import MembershipChangeError
 from valverouter.rollout.raft_messages import RaftMessage
 from valverouter.servermodel.paths import PathFault, Paths
 
@@ -242,10 +244,11 @@
             for name, other in self.seats.items():
                 if other.councillor is None:
                     continue
-                if name in present and present[name] != other.durable.disk_id:
-                    one.change_membership(self.now, name, None)
-                elif name not in present:
-                    one.change_membership(self.now, "", (name, other.durable.disk_id))
+                with suppress(MembershipChangeError):
+                    if name in present and present[name] != other.durable.disk_id:
+                        one.change_membership(self.now, name, None)
+                    elif name not in present:
+                        one.change_membership(self.now, "", (name, other.durable.disk_id))
             self._after(seat)
 
     # Holders
--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -24,6 +24,7 @@
 from valverouter.rollout.operations import Cancel, Command, OperationLog, Retire, Submit
 from valverouter.rollout.orchestrator import OrchestratorConfig
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
+from valverouter.rollout.raft_membership import MembershipChangeError
 from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.rollout.serialization import from_wire as from_sent
 from valverouter.rollout.serialization import to_wire
@@ -185,14 +186,16 @@
             return
         present = dict(one.configuration.members)
         for name, disk in self._disks.items():
-            if name not in present:
-                why = one.change_membership(self._now(), "", (name, disk))
-            elif present[name] != disk:
-                why = one.change_membership(self._now(), name, None)
-            else:
+            if present.get(name) == disk:
                 continue
-            if not why:
-                self._log.warning("council-changes", seat_named=name, disk=f"{disk:016x}")
+            try:
+                if name in present:
+                    one.change_membership(self._now(), name, None)
+                else:
+                    one.change_membership(self._now(), "", (name, disk))
+            except MembershipChangeError:
+                return
+            self._log.warning("council-changes", seat_named=name, disk=f"{disk:016x}")
             return
 
     # Tools
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -27,6 +27,7 @@
     SaveSnapshot,
     SaveTerm,
 )
+from valverouter.rollout.raft_membership import MembershipChangeError, changed_configuration
 from valverouter.rollout.raft_messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -177,35 +178,18 @@
         self._append_to_log(command)
         return True
 
-    def change_membership(self, now: int, remove: str, add: tuple[str, int] | None) -> str:
-        """Removes a member by name, or adds one by name and disk id.
+    def change_membership(self, now: int, remove: str, add: tuple[str, int] | None) -> None:
+        """Begins to remove a member by name, or to add one by name and disk id.
 
-        Returns why the change is rejected; empty: it has begun.
+        Raises MembershipChangeError where the change can't begin now.
         """
         self._now = now
         if self.role is not Role.LEADER:
-            return "another leads"
+            raise MembershipChangeError("another leads")
         if not self._has_committed_own_term():
-            return "nothing of this leader's own is agreed on yet"
+            raise MembershipChangeError("nothing of this leader's own is agreed on yet")
         uncommitted = self.persistent.entries_from(self.commit_index + 1)
-        if any(isinstance(entry.command, Configuration) for entry in uncommitted):
-            return "another change is under way"
-        if remove and add:
-            return "one change at a time: first in, then out"
-        present = self.configuration.members
-        if remove:
-            changed = tuple(member for member in present if member[0] != remove)
-        else:
-            assert add is not None
-            if add[0] in self.configuration.names:
-                return f"{add[0]} is a member, with another disk: it must go first"
-            changed = (*present, add)
-        if changed == present:
-            return "that changes nothing"
-        if not changed:
-            return "the last member stays"
-        self._append_to_log(Configuration(changed))
-        return ""
+        self._append_to_log(changed_configuration(self.configuration, uncommitted, remove, add))
 
     def compact_log(self) -> None:
         """Replaces committed entries by a snapshot if they are many; `committed` must have been applied."""
--- a/valverouter/rollout/raft_log.py
+++ b/valverouter/rollout/raft_log.py
@@ -39,8 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """`command` is a command of the state machine, a `Configuration`, or None: the no-op of a new
-    leader."""
+    """A command of the state machine, a `Configuration`, or None: the no-op of a new leader."""
 
     term: int
     command: Any
--- /dev/null
+++ b/valverouter/rollout/raft_membership.py
@@ -0,0 +1,46 @@
+"""Changes of a Raft group's membership, one member at a time (Ongaro's thesis, 4.1).
+
+One at a time, any majority before a change and any majority after it have a member in common. So a change
+needs no phase in which both memberships decide.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from valverouter.rollout.raft_log import Configuration, LogEntry
+
+
+class MembershipChangeError(Exception):
+    """A membership change is rejected; the text says why."""
+
+
+def changed_configuration(
+    present: Configuration, uncommitted: Iterable[LogEntry], remove: str, add: tuple[str, int] | None
+) -> Configuration:
+    """The membership without the member named `remove`, or with `add`, a pair of name and disk id.
+
+    Raises MembershipChangeError where an earlier change is among the `uncommitted` entries, or where more than
+    one member would change, or none.
+    """
+    if any(isinstance(entry.command, Configuration) for entry in uncommitted):
+        raise MembershipChangeError("another change is under way")
+    if remove and add:
+        raise MembershipChangeError("one change at a time: first in, then out")
+    changed = _without(present, remove) if add is None else _with(present, add)
+    if changed == present:
+        raise MembershipChangeError("that changes nothing")
+    if not changed.members:
+        raise MembershipChangeError("the last member stays")
+    return changed
+
+
+def _without(present: Configuration, name: str) -> Configuration:
+    return Configuration(tuple(member for member in present.members if member[0] != name))
+
+
+def _with(present: Configuration, member: tuple[str, int]) -> Configuration:
+    name, _ = member
+    if name in present.names:
+        raise MembershipChangeError(f"{name} is a member, with another disk: it must go first")
+    return Configuration((*present.members, member))
