--- a/valverouter/rollout/raft_membership.py
+++ b/valverouter/rollout/raft_membership.py
@@ -20,8 +20,8 @@
 ) -> Configuration:
     """The membership without the member named `remove`, or with `add`, a pair of name and disk id.
 
-    Raises MembershipChangeError where an earlier change is among the `uncommitted` entries, or where more than
-    one member would change, or none.
+    Raises MembershipChangeError where an earlier change is among the `uncommitted` entries, or where more
+    than one member would change, or none.
     """
     if any(isinstance(entry.command, Configuration) for entry in uncommitted):
         raise MembershipChangeError("another change is under way")
