--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_files.py
@@ -162,7 +162,7 @@
     return text if text.startswith("[") else f"[attempts a]\n{text}"
 
 
-@pytest.mark.parametrize("text, said", BAD)
+@pytest.mark.parametrize(("text", "said"), BAD)
 def test_a_bad_file_is_refused_whole_with_its_line_and_reason(text: str, said: str) -> None:
     with pytest.raises(FlawedTermsError) as caught:
         book(whole(text))
@@ -170,14 +170,15 @@
     assert all(flaw.line > len(INI.splitlines()) for flaw in caught.value.flaws)
 
 
-@pytest.mark.parametrize("text, effective", GOOD)
+@pytest.mark.parametrize(("text", "effective"), GOOD)
 def test_a_good_file_gives_the_stated_terms(text: str, effective: dict[str, float]) -> None:
     found = book(whole(text)).explain("plain", 21, "gw-7", 1)
     assert {key: found[key].value for key in effective} == effective
 
 
 def test_there_are_as_many_as_were_asked_for() -> None:
-    assert len(BAD) >= 60 and len(GOOD) >= 20
+    assert len(BAD) >= 60
+    assert len(GOOD) >= 20
 
 
 def test_budgets_are_those_of_each_server_set_and_of_the_rest() -> None:
@@ -194,7 +195,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, text, means",
+    ("kind", "text", "means"),
     [
         ("span", "0", 0),
         ("span", "2 min", 120 * SECOND),
@@ -212,8 +213,11 @@
 
 
 def test_peers_match_by_name_or_by_their_beginning() -> None:
-    assert matches_peer("gw-*", "gw-7") and matches_peer("*", "x") and matches_peer("c", "c")
-    assert not matches_peer("c", "c1") and not matches_peer("gw-*", "g")
+    assert matches_peer("gw-*", "gw-7")
+    assert matches_peer("*", "x")
+    assert matches_peer("c", "c")
+    assert not matches_peer("c", "c1")
+    assert not matches_peer("gw-*", "g")
     groups = "[trunk-group any]\npeers = *\n[trunk-group one]\npeers = gw-1*\n[attempts a]\nlegs = 2\n"
     found = book(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
     assert found.asked("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
@@ -243,7 +247,8 @@
         assert error.flaws
         return
     if found is not None:
-        assert found.legs <= 6 and found.release_wait >= 300 * MS
+        assert found.legs <= 6
+        assert found.release_wait >= 300 * MS
         assert broken(replace(found, no_answer=found.no_answer or 9 * SECOND), 300 * MS, 6) == []
 
 
@@ -363,7 +368,8 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(rest)
         found = await load_settled(path)
-    assert AttemptBook(found).explain("plain", 1)["legs"].value == 2 and not found.ends
+    assert AttemptBook(found).explain("plain", 1)["legs"].value == 2
+    assert not found.ends
     path.write_text(f"{text}{END}\n")
     assert (await load_settled(path)).ends
 
@@ -389,13 +395,19 @@
     bad.write_text(f"{text}\n[attempts a]\nlegs = 9\n[attempts b]\nretry_base = 9s\n")
     other.write_text(good.read_text().replace("legs = 2", "legs = 4"))
     sound = valverouter("terms", "check", str(good))
-    assert sound.returncode == 0 and "sound, 2 sections" in sound.stdout and "plain: 6 legs" in sound.stdout
+    assert sound.returncode == 0
+    assert "sound, 2 sections" in sound.stdout
+    assert "plain: 6 legs" in sound.stdout
     refused = valverouter("terms", "check", str(good), str(bad))
-    assert refused.returncode == 2 and "[attempts a] legs" in refused.stderr
+    assert refused.returncode == 2
+    assert "[attempts a] legs" in refused.stderr
     explained = valverouter("terms", "explain", str(good), "--class", "plain", "--first-choice", "1")
-    assert "legs           2" in explained.stdout and "tokens         10" in explained.stdout
+    assert "legs           2" in explained.stdout
+    assert "tokens         10" in explained.stdout
     chart = valverouter("terms", "courses", str(good), "--chart", "--first-choice", "1")
-    assert "█" in chart.stdout and "8950ms, 6 legs" in chart.stdout
+    assert "█" in chart.stdout
+    assert "8950ms, 6 legs" in chart.stdout
     diff = valverouter("terms", "diff", str(good), str(other))
-    assert diff.returncode == 1 and "plain, [attempts a]: legs 2 to 4" in diff.stdout
+    assert diff.returncode == 1
+    assert "plain, [attempts a]: legs 2 to 4" in diff.stdout
     assert "[attempts b]: legs" not in diff.stdout, "the more specific section is as it was"
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, number, name",
+    ("kind", "number", "name"),
     [
         ("plain", "77", "all"),
         ("urgent", "77", "urgent"),
@@ -112,7 +112,8 @@
 
 def test_the_longest_course_ends_at_the_no_answer_time_and_shows_its_steps() -> None:
     course = longest(TERMS)
-    assert course.answered_at == 9 * SECOND and course.steps[0].at == 0
+    assert course.answered_at == 9 * SECOND
+    assert course.steps[0].at == 0
     for step, after in zip(course.steps, course.steps[1:], strict=False):
         assert after.at == step.at + step.span
 
@@ -186,7 +187,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, key",
+    ("change", "key"),
     [
         ({"legs": 7}, "legs"),
         ({"legs": 0}, "legs"),
@@ -274,14 +275,19 @@
     (tmp_path / "bad.ini").write_text(text.replace("legs = 2", "legs = 2\nrelease_wait = 1ms"))
     old, new, bad = (str(tmp_path / f"{name}.ini") for name in ("old", "new", "bad"))
     explained = valverouter("terms", "explain", old, "--class", "plain")
-    assert "legs" in explained.stdout and "[attempts a]" in explained.stdout
+    assert "legs" in explained.stdout
+    assert "[attempts a]" in explained.stdout
     shown = valverouter("terms", "courses", old)
-    assert "plain: answered at 8950ms, 6 legs" in shown.stdout and "leg 2" in shown.stdout
+    assert "plain: answered at 8950ms, 6 legs" in shown.stdout
+    assert "leg 2" in shown.stdout
     diff = valverouter("terms", "diff", old, new)
-    assert diff.returncode == 1 and "plain, 0: legs 2 to 4" in diff.stdout and "late: new" in diff.stdout
+    assert diff.returncode == 1
+    assert "plain, 0: legs 2 to 4" in diff.stdout
+    assert "late: new" in diff.stdout
     assert valverouter("terms", "diff", old, old).returncode == 0
     refused = valverouter("check", bad)
-    assert refused.returncode == 2 and "a resend 1000000 ns after" in refused.stderr
+    assert refused.returncode == 2
+    assert "a resend 1000000 ns after" in refused.stderr
 
 
 # The guard
@@ -299,7 +305,7 @@
 
 
 @pytest.mark.parametrize(
-    "before, after, told",
+    ("before", "after", "told"),
     [
         ((200, 0.02), (100, 0.5), ["declined"]),
         ((200, 0.02), (100, 0.05), []),
@@ -348,8 +354,10 @@
                 await caller.send(dial(f"d{at}", first=at % 2))
                 await trio.sleep(0.1)
             served = len(caller.all(setup.Stands))
-            assert rig.edge.generation == 3 and not rig.edge.terms.attempts
-    assert served > 120 and [e["event"] for e in logged].count("terms-harm") == 1
+            assert rig.edge.generation == 3
+            assert not rig.edge.terms.attempts
+    assert served > 120
+    assert [e["event"] for e in logged].count("terms-harm") == 1
 
 
 # Changes while running
@@ -413,9 +421,8 @@
     waits = [at for at, _, leg in before if leg]
     assert len(waits) > 50, "retries were waiting"
     early = {f"d{at}" for at in range(int(0.85 * 200))}
-    assert {d for _, d, leg in after if leg and d in early} and max(
-        leg for _, d, leg in after if d not in early and int(d[1:]) > 1.35 * 200
-    ) == 0
+    assert {d for _, d, leg in after if leg and d in early}
+    assert max(leg for _, d, leg in after if d not in early and int(d[1:]) > 1.35 * 200) == 0
     most = max(sum(at <= other < at + 0.05 for other in waits) for at in waits)
     waits_after = [at for at, _, leg in after if leg]
     assert max(sum(at <= other < at + 0.05 for other in waits_after) for at in waits_after) <= most
@@ -448,7 +455,8 @@
         async with rigged(1, whole) as rig:
             rig.edge.reload(terms(whole[: whole.index("[attempts b]")]))  # passes every check by itself
             await trio.sleep(0.1)
-            assert rig.edge.generation == 1 and len(rig.edge.terms.attempts.sections) == 2
+            assert rig.edge.generation == 1
+            assert len(rig.edge.terms.attempts.sections) == 2
             rig.edge.reload(terms(whole.replace("legs = 2", "legs = 3")))
             await trio.sleep(0.1)
             assert rig.edge.generation == 2
@@ -486,9 +494,11 @@
     assert rig.control._fars["s1"].budget.tokens == 10_000
     far.failed()
     far.failed()
-    assert far.tokens == 2_500 and not far.allows_retry, "exactly half is not more than half"
+    assert far.tokens == 2_500, "exactly half is not more than half"
+    assert not far.allows_retry, "exactly half is not more than half"
     far.stood()
-    assert far.tokens == 2_700 and far.allows_retry
+    assert far.tokens == 2_700
+    assert far.allows_retry
     rig.driver.budgets({0: BudgetTerms(5_000, 200)}, BudgetTerms(10_000, 100))
     assert far.tokens == 2_700, "a change that does not concern it changes nothing"
     rig.listed([interface.ServerEntry("s0b", 0, True, started_at=rig.now)])
@@ -509,9 +519,10 @@
     rows = run_virtual(load_day(path))
     assert audit(rows).kept
     hasty, patient = seen(rows)["booking"], seen(rows)["reschedule"]
-    assert hasty.legs_most == 2 and hasty.cancelled_after is not None and hasty.gap is not None
+    assert hasty.legs_most == 2
+    assert hasty.cancelled_after is not None
+    assert hasty.gap is not None
     assert 600 * MS <= hasty.cancelled_after[0] <= hasty.cancelled_after[1] <= 701 * MS
     assert 450 * MS <= hasty.gap < 1000 * MS
-    assert patient.cancelled_after is not None and patient.cancelled_after[1] == pytest.approx(
-        2 * SECOND, abs=MS
-    )
+    assert patient.cancelled_after is not None
+    assert patient.cancelled_after[1] == pytest.approx(2 * SECOND, abs=MS)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -161,14 +161,15 @@
 ]
 
 
-@pytest.mark.parametrize("name, broken, rows", CASES, ids=[name for name, _, _ in CASES])
+@pytest.mark.parametrize(("name", "broken", "rows"), CASES, ids=[name for name, _, _ in CASES])
 def test_rules(name: str, broken: set[int], rows: list[Any]) -> None:
     assert audit(record(*rows)).broken() == broken
 
 
 def test_the_clocks_looseness_is_granted_and_no_more() -> None:
     rows = [*LEG, server(20, "cancel"), server(20 + RELEASE - 5, "setup", "s1", 1)]
-    assert audit(record(*rows, slack=5)).kept and not audit(record(*rows, slack=4)).kept
+    assert audit(record(*rows, slack=5)).kept
+    assert not audit(record(*rows, slack=4)).kept
 
 
 def test_what_a_held_server_reads_late_is_not_held_against_the_edge() -> None:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    ("text", "said"),
     [
         ("", ["calls.csv:1: the column 'at' is missing", "calls.csv:1: the column 'type' is missing"]),
         ("at,type,dge\n", ["calls.csv:1: 'dge' is no column; known are at, type, edge"]),
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    ("old", "new", "said"),
     [
         ("record = calls.csv\n", "", "rate: missing"),
         ("record = calls.csv\n", "rate = 1\ntimes = 2\n", "times: says something of a `record`"),
@@ -165,9 +165,11 @@
     rows = run_emulated(day(IniFile(DAY, "day"), "day")).rows
     assert write_calls(tmp_path / "calls.csv", calls_of(rows)) > 400
     again = run_emulated(replay(tmp_path)).rows
-    assert again == rows and audit(again).kept
+    assert again == rows
+    assert audit(again).kept
     other = run_emulated(replay(tmp_path, ("seed = 7", "seed = 8"))).rows
-    assert first_tries(other) == first_tries(rows) and other != rows, "the moments stay, chance does not"
+    assert first_tries(other) == first_tries(rows), "the moments stay, chance does not"
+    assert other != rows, "the moments stay, chance does not"
 
 
 def test_the_program_dials_a_record_at_its_moments(tmp_path: Path) -> None:
@@ -188,10 +190,12 @@
     spread = replay(tmp_path, ("calls.csv", "calls.csv\nspread = yes\nrecord_from = 4s"))
     assert spread.recorded is not None
     counts = [len(spread.recorded[place]) for place in range(3)]
-    assert sum(counts) == 300 and min(counts) > 70
+    assert sum(counts) == 300
+    assert min(counts) > 70
     assert min(calls[0].at for calls in spread.recorded.values()) == 0
     tries = first_tries(run_emulated(spread).rows)
-    assert len(tries) == 300 and max(at for at, *_ in tries) < 6 * SECOND + 1
+    assert len(tries) == 300
+    assert max(at for at, *_ in tries) < 6 * SECOND + 1
     assert {span for *_, span in tries} == {7 * SECOND}
 
 
@@ -204,7 +208,8 @@
     tries = first_tries(run_emulated(day(IniFile(text, "d", tmp_path), "d")).rows)
     before, burst = (sum((at >= 5 * SECOND) is late for at, *_ in tries) for late in (False, True))
     times = float(change.split()[-1])
-    assert before == pytest.approx(250 * times, rel=0.15) and burst == pytest.approx(500 * times, rel=0.15)
+    assert before == pytest.approx(250 * times, rel=0.15)
+    assert burst == pytest.approx(500 * times, rel=0.15)
 
 
 def test_another_record_is_another_run_of_an_experiment(tmp_path: Path) -> None:
@@ -236,7 +241,8 @@
     tap.write(tmp_path / "rows.jsonl", rows)
     words = ["calls", str(tmp_path / "rows.jsonl"), "--out", str(tmp_path / "calls.csv")]
     ran = CliRunner().invoke(main, words)
-    assert ran.exit_code == 0 and f"{len(first_tries(rows))} calls" in ran.output
+    assert ran.exit_code == 0
+    assert f"{len(first_tries(rows))} calls" in ran.output
     (tmp_path / "replay.ini").write_text(REPLAY)
     made = load_day(tmp_path / "replay.ini")
     assert made.recorded is not None
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -61,7 +61,8 @@
     assert 0.2 < verdict.cold_margin_used < 1
     accounts = account(once)
     offered = sum(one.offered for one in accounts.values())
-    assert offered > 1_000 and sum(one.in_objective for one in accounts.values()) > 0.7 * offered
+    assert offered > 1_000
+    assert sum(one.in_objective for one in accounts.values()) > 0.7 * offered
 
 
 def test_another_seed_is_another_day() -> None:
@@ -105,7 +106,7 @@
 }
 
 
-@pytest.mark.parametrize("kind", (*KINDS, *COMING_KINDS))
+@pytest.mark.parametrize("kind", [*KINDS, *COMING_KINDS])
 def test_each_kind_of_trouble_with_the_rules_kept(kind: str) -> None:
     rows = run_virtual(small((kind, HOW[kind])))
     verdict = audit(rows)
@@ -114,7 +115,8 @@
     words = {row.kind for row in rows if isinstance(row, tap.Passed)}
     words |= {f"{row.kind} {row.word}" for row in rows if isinstance(row, tap.Passed)}
     words |= {"lost" for row in rows if isinstance(row, tap.Lost)}
-    assert struck and (kind not in SHOWS or SHOWS[kind] in words), words
+    assert struck, words
+    assert kind not in SHOWS or SHOWS[kind] in words, words
 
 
 def test_a_cold_server_in_a_burst_and_an_edge_started_again() -> None:
@@ -124,7 +126,8 @@
         ("balancer_crash", {"start": 3 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
     verdict = audit(run_virtual(small(*troubles)))
-    assert verdict.kept and verdict.checked[4] > 20
+    assert verdict.kept
+    assert verdict.checked[4] > 20
 
 
 # Planted failures: each breaks the edge in one place, and the audit must name the rule.
@@ -172,7 +175,7 @@
     assert 3 in verdict_of(small(("deploy", HOW["deploy"]), length=5)).broken()
 
 
-@pytest.mark.parametrize("cut, broken", [(0, set()), (1 * MS, {5})])
+@pytest.mark.parametrize(("cut", "broken"), [(0, set()), (1 * MS, {5})])
 def test_a_planted_release_time_cut_by_a_millisecond_is_found(cut: int, broken: set[int]) -> None:
     def hasty(world: World, edges: list[MemoryEdge]) -> None:
         for edge in edges:
@@ -181,14 +184,15 @@
             edge.proxy._driver.control.terms = _with(terms, release_wait=terms.release_wait - cut)
 
     verdict = verdict_of(small(("answer_lost", HOW["answer_lost"])), hasty)
-    assert verdict.checked[5] > 3 and verdict.broken() == broken
+    assert verdict.checked[5] > 3
+    assert verdict.broken() == broken
 
 
 def _with(terms: Any, **more: Any) -> Any:
     return dataclasses.replace(terms, **more)
 
 
-@pytest.mark.parametrize("times, broken", [(1, set()), (2, {4})])
+@pytest.mark.parametrize(("times", "broken"), [(1, set()), (2, {4})])
 def test_a_planted_doubled_cold_budget_is_found(
     monkeypatch: pytest.MonkeyPatch, times: int, broken: set[int]
 ) -> None:
@@ -205,7 +209,8 @@
 
 def test_outcomes_are_all_mapped() -> None:
     assert set(OUTCOMES) == set(setup.SERVER_CLOSES) | {setup.Stands}
-    assert len(set(OUTCOMES.values())) == len(OUTCOMES) and Outcome.TIMED_OUT not in OUTCOMES.values()
+    assert len(set(OUTCOMES.values())) == len(OUTCOMES)
+    assert Outcome.TIMED_OUT not in OUTCOMES.values()
 
 
 # The command line, on loopback sockets with a process for each edge proxy
@@ -262,7 +267,8 @@
     records, logs = tmp_path / "rows.jsonl", tmp_path / "logs"
     ran = valverouter("day", str(tmp_path / "short.ini"), "--records", str(records), "--logs", str(logs))
     assert ran.returncode == 0, ran.stdout + ran.stderr
-    assert "service weighted by importance" in ran.stdout and "BROKEN" not in ran.stdout
+    assert "service weighted by importance" in ran.stdout
+    assert "BROKEN" not in ran.stdout
     rows = tap.read(records)
     assert sum(one.answers["stands"] for one in account(rows).values()) > 20
     starts = [
@@ -280,11 +286,12 @@
     )
     tap.write(records, [row for row in rows if row is not cut])
     broken = valverouter("audit", str(records))
-    assert broken.returncode == 1 and "BROKEN" in broken.stdout
+    assert broken.returncode == 1
+    assert "BROKEN" in broken.stdout
 
 
 @pytest.mark.parametrize(
-    "words, code, said",
+    ("words", "code", "said"),
     [
         (("check", "{bad}"), 2, "bad.ini:3: [day] lenght: unknown key; did you mean length?"),
         (("check", "{good}"), 0, "sound"),
@@ -311,7 +318,9 @@
     ini = "[edge]\nname = e\nlisten = 192.0.2.1:1\nlist_service = 127.0.0.1:9\n[fleet]\nedge_proxies = 1\n"
     (tmp_path / "e.ini").write_text(ini + "[traffic plain]\nobjective = 1s\n")
     ran = valverouter("edge", str(tmp_path / "e.ini"))
-    assert ran.returncode == 3 and "could-not-run" in ran.stderr and "Traceback" not in ran.stderr
+    assert ran.returncode == 3
+    assert "could-not-run" in ran.stderr
+    assert "Traceback" not in ran.stderr
 
 
 def test_the_short_day_runs_in_virtual_time_too() -> None:
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -64,7 +64,8 @@
         await one.start(one.ini())
         await one.tell(Row("s9", 9, "in-service", address, "", 1, 1))
         told = await one.event("link-down")
-        assert told["server"] == "s9" and told["why"].startswith("no connection")
+        assert told["server"] == "s9"
+        assert told["why"].startswith("no connection")
         await one.stands("d1")
 
 
@@ -136,7 +137,8 @@
         outbox.put(bytes(3 * ROOM))  # more than the stream takes: what follows waits behind it
         answer = await caller.next(Aborted | Declined)
         assert trio.current_time() - began <= 3
-        assert answer.dialog == "d1" and "d1" not in rig.edge._dialogs
+        assert answer.dialog == "d1"
+        assert "d1" not in rig.edge._dialogs
 
 
 async def test_every_reader_held_by_a_full_inbox_goes_on(autojump_clock: MockClock) -> None:
@@ -218,17 +220,21 @@
             for _ in range(5):  # repeated quickly it is read once more at most
                 one.process.send_signal(signal.SIGHUP)
             told = await one.event("reload-refused", many=len(one.events("reload-refused")) + 1)
-            assert told["generation"] == 1 and told["file"] == str(one.file) and told["why"]
+            assert told["generation"] == 1
+            assert told["file"] == str(one.file)
+            assert told["why"]
             await one.stands(f"d{at}", caller)
             await trio.sleep(0.3)
-        assert len(one.events("reload-refused")) <= 2 * len(flawed) and not one.events("reloaded")
+        assert len(one.events("reload-refused")) <= 2 * len(flawed)
+        assert not one.events("reloaded")
         one.file.write_text(good.replace("legs = 2", "legs = 1"))
         one.process.send_signal(signal.SIGHUP)
         assert (await one.event("reloaded"))["generation"] == 2
         await one.stands("d-after", caller)
         assert await held.next(Declined | Aborted)  # whose leg was out all the while
         after = await one.settled()
-        assert after["descriptors"] <= before["descriptors"] and not one.other_lines
+        assert after["descriptors"] <= before["descriptors"]
+        assert not one.other_lines
         one.process.send_signal(signal.SIGHUP)
         one.process.send_signal(signal.SIGTERM)
         assert await one.ended() == 0
@@ -263,7 +269,8 @@
                 now = (rule.terms, dict(rule._lanes), rule._reserve, rig.edge.terms, rig.edge.generation)
                 assert now == before
     told = [line["event"] for line in logs if line["event"] in ("reload-refused", "reloaded", "turn-failed")]
-    assert at > 3 and told == ["reload-refused"] * (at - 1) + ["reloaded"]
+    assert at > 3
+    assert told == ["reload-refused"] * (at - 1) + ["reloaded"]
 
 
 # Running out
@@ -304,8 +311,10 @@
             await more.cut()
         await trio.sleep(0.5)
         after = await one.settled()
-        assert after["descriptors"] <= before["descriptors"] + 1 and after["threads"] <= before["threads"] + 2
-        assert one.events("callers-refused") and not one.other_lines
+        assert after["descriptors"] <= before["descriptors"] + 1
+        assert after["threads"] <= before["threads"] + 2
+        assert one.events("callers-refused")
+        assert not one.other_lines
 
 
 async def test_callers_past_their_bound_leave_the_links_their_descriptors(tmp_path: Path) -> None:
@@ -344,7 +353,8 @@
                 others.append(other)
                 await other.stream.send_all(b"\x00\x00\xff\xff" + bytes(60_000))  # most of a large frame
             lost += patience.cancelled_caught or (bool(others) and others[-1].ended is not None)
-        assert lost == 3 and one.process.poll() is None
+        assert lost == 3
+        assert one.process.poll() is None
         for other in others:
             await other.cut()
         one.limit(resource.RLIMIT_AS, resource.RLIM_INFINITY)
@@ -427,7 +437,9 @@
         rows = rest.result().splitlines()
     numbers = [int(row) for row in rows if row.isdigit()]
     lost = sum(int(row.split()[-1][:-1]) for row in rows if b"logs-lost" in row)
-    assert numbers == sorted(set(numbers)) and len(numbers) + lost >= 100_000 and lost > 0
+    assert numbers == sorted(set(numbers))
+    assert len(numbers) + lost >= 100_000
+    assert lost > 0
 
 
 # The list service, its cache, and clocks
@@ -447,8 +459,10 @@
         await rig.tell(rig.servers["s0"].row())  # kept once more, by the wrong clock
         if kept == "after":
             rows = {row.server: row for row in await again.cached()}
-        assert rows["s1"].age is not None and rows["s1"].age < SECOND
-        assert rows["s0"].age is not None and rows["s0"].age >= 10**15
+        assert rows["s1"].age is not None
+        assert rows["s1"].age < SECOND
+        assert rows["s0"].age is not None
+        assert rows["s0"].age >= 10**15
 
 
 async def test_a_disk_that_hangs_holds_up_neither_the_lists_word_nor_the_stop(
@@ -577,7 +591,8 @@
             await trio.sleep(1)
             await rig.tell(fresh.row("gone"))  # and its machine closes nothing
         await trio.sleep(5)
-        assert list(rig.edge._links) == ["s0"] and not rig.edge._leaving
+        assert list(rig.edge._links) == ["s0"]
+        assert not rig.edge._leaving
         assert all(rig.servers[f"s{number}"].link.ended for number in range(1, 20))
 
 
@@ -635,12 +650,14 @@
                     await other.send(Stands(asked.dialog, asked.leg))
         await trio.sleep(3)
         assert len(finals := caller.all(Stands | Declined | Aborted)) == 40 == len({m.dialog for m in finals})
-        assert caller.all(Stands) and times <= 60  # in 33 s; the wait doubles up to 2 s, drawn in full
+        assert caller.all(Stands)
+        assert times <= 60  # in 33 s; the wait doubles up to 2 s, drawn in full
         if how in ("resets-at-legs", "half-a-frame"):  # may have run: the release time lies between
             again = [
                 at - reset[m.dialog] for at, m in other.heard if isinstance(m, Setup) and m.dialog in reset
             ]
-            assert again and min(again) >= 0.3 - 1e-6
+            assert again
+            assert min(again) >= 0.3 - 1e-6
 
 
 async def test_a_leg_let_go_on_a_link_that_is_down_already_ends_once(autojump_clock: MockClock) -> None:
@@ -652,7 +669,8 @@
         rig.edge._links["s0"]._went_down("reset")
         rig.edge._guarded("d1", rig.edge._do, Order("d1", CancelLeg(0)))
         await trio.sleep(3)
-        assert len(caller.all(Stands | Declined | Aborted)) == 1 and not rig.edge._dialogs
+        assert len(caller.all(Stands | Declined | Aborted)) == 1
+        assert not rig.edge._dialogs
 
 
 def test_a_failure_after_a_quiet_half_hour_does_not_shut_a_server_out_for_good() -> None:
@@ -692,8 +710,10 @@
         edge = rig.edge
         assert len(caller.all(Stands | Declined)) == 3_000
         assert len(edge._alarms) <= 1_100  # an hour's time-outs of legs long ended
-        assert len(edge._guard.before) <= 3 and len(edge.tally.answers) <= 6
-        assert not edge._dialogs and not edge._links["s0"].legs
+        assert len(edge._guard.before) <= 3
+        assert len(edge.tally.answers) <= 6
+        assert not edge._dialogs
+        assert not edge._links["s0"].legs
 
 
 @pytest.mark.parametrize("how", ["no-thread", "hangs"])
@@ -782,6 +802,7 @@
         assert rig.list is not None
         first = rig.list
         await trio.sleep(600)
-        assert rig.edge._list.is_up and rig.list is first
+        assert rig.edge._list.is_up
+        assert rig.list is first
         asked = [at for at, message in first.heard if isinstance(message, Watch)]
         assert 10 <= len(asked) <= 21, "once for each half minute in which nothing was told"
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -69,7 +69,8 @@
         lost_at = trio.current_time()
         await link.cut()
         if Stands("d1") in said:
-            assert await caller.next(Stands) and (await caller.next(Ended)).reason == "cut"
+            assert await caller.next(Stands)
+            assert (await caller.next(Ended)).reason == "cut"
             return
         again = await rig.servers["s1"].link.next(Setup)
         assert again.leg == 1
@@ -79,7 +80,7 @@
         assert len(finals(caller)) == 1
 
 
-@pytest.mark.parametrize("late_ns, may", [(-MS, [Stands]), (0, [Stands, Aborted]), (50 * MS, [Aborted])])
+@pytest.mark.parametrize(("late_ns", "may"), [(-MS, [Stands]), (0, [Stands, Aborted]), (50 * MS, [Aborted])])
 async def test_stands_at_the_no_answer_time(autojump_clock: MockClock, late_ns: int, may: list[type]) -> None:
     # The decisions' time ends 50 ms, the answer margin, before the caller's. At the very instant either may
     # come first; whichever does is the one answer, and a leg that was given up is cancelled.
@@ -93,7 +94,8 @@
         await link.send(Stands("d1"))
         await trio.sleep(1)
         (answer,) = finals(caller)
-        assert type(answer) in may and caller.at(type(answer)) < dialled + 2
+        assert type(answer) in may
+        assert caller.at(type(answer)) < dialled + 2
         assert bool(link.all(Cancel)) == isinstance(answer, Aborted)
 
 
@@ -111,7 +113,8 @@
         await trio.sleep(0.1)
         kinds = [type(message) for message in finals(caller)]
         assert kinds in ([Aborted], [Stands])
-        assert rig.edge.open_dialogs == 0 and link.ended is None
+        assert rig.edge.open_dialogs == 0
+        assert link.ended is None
 
 
 @pytest.mark.parametrize("when", ["before", "during", "stands"])
@@ -158,9 +161,11 @@
         again = await rig.servers["s1"].link.next(Setup)
         await rig.servers["s1"].link.send(Stands("d1", again.leg))
         await caller.next(Stands)
-        assert len(finals(caller)) == 1 and rig.servers["s1"].link.ended is None
+        assert len(finals(caller)) == 1
+        assert rig.servers["s1"].link.ended is None
         await trio.sleep(5)
-        assert link.ended is not None and len(rig.servers["s0"].links) == 2, "it is connected again"
+        assert link.ended is not None, "it is connected again"
+        assert len(rig.servers["s0"].links) == 2, "it is connected again"
 
 
 async def test_a_late_stands_after_a_cancel_is_not_used(autojump_clock: MockClock) -> None:
@@ -177,7 +182,8 @@
         await link.send(Stands("d1"))
         await link.send(Ended("d1", reason="released"))
         again = await other.next(Setup)
-        assert (again.dialog, again.leg) == ("d1", 1) and other.at(Setup) >= link.at(Cancel) + 0.3
+        assert (again.dialog, again.leg) == ("d1", 1)
+        assert other.at(Setup) >= link.at(Cancel) + 0.3
         assert [message.dialog for message in finals(caller)] == ["d2"]
         await other.send(Stands("d1", 1))
         await trio.sleep(0.01)
@@ -214,12 +220,14 @@
         waits, held._waits = held._waits, trio.Event()  # the writer sleeps on
         await caller.send(dial())
         await trio.sleep(0.01)
-        assert held.holds(("d1", 0)) and not server.link.all(Setup)
+        assert held.holds(("d1", 0))
+        assert not server.link.all(Setup)
         await rig.tell(server.row("draining"))
         assert waits is not None
         waits.set()
         again = await rig.servers["s1"].link.next(Setup)
-        assert again.leg == 1 and not server.link.all(Setup)
+        assert again.leg == 1
+        assert not server.link.all(Setup)
         await rig.servers["s1"].link.send(Stands("d1", 1))
         await caller.next(Stands)
 
@@ -233,13 +241,15 @@
         link._outbox.put(bytes(3 * ROOM), key="filler")  # more than the stream takes: the writer blocks
         await caller.send(dial())
         await trio.sleep(0.01)
-        assert link.half_out("filler") and link._outbox.holds(("d1", 0))  # type: ignore[arg-type]
+        assert link.half_out("filler")  # type: ignore[arg-type]
+        assert link._outbox.holds(("d1", 0))
         link.legs["d0", 0] = False
         link._outbox.in_hand = {**link._outbox.in_hand, ("d0", 0): (b"", None)}
         former = server.link
         await rig.tell(server.row("draining"))
         assert (await rig.servers["s1"].link.next(Setup)).dialog == "d1"
-        assert rig.edge._links.get("s0") is None and not former.all(Setup)
+        assert rig.edge._links.get("s0") is None
+        assert not former.all(Setup)
 
 
 async def test_the_answer_leaves_in_time_though_a_link_write_blocks(autojump_clock: MockClock) -> None:
@@ -273,7 +283,8 @@
         assert all(isinstance(message, Declined) and message.come_back for message in finals(caller))
         await caller.send(dial("d9"))
         answer = await caller.next(Declined)
-        assert answer.dialog in ("d0", "d1", "d2", "d9") and trio.current_time() > lost_at
+        assert answer.dialog in ("d0", "d1", "d2", "d9")
+        assert trio.current_time() > lost_at
 
 
 async def test_what_came_during_a_stop_has_no_more_time_than_its_caller_may_have_left(
@@ -316,7 +327,8 @@
         await trio.sleep(0.5)
         await rig.servers["s0"].link.send(Stands("d1"))
         await trio.sleep(4)
-        assert finals(caller) == [] and rig.edge.tally.withheld == 1
+        assert finals(caller) == []
+        assert rig.edge.tally.withheld == 1
         assert await rig.servers["s0"].link.next(Release)
         assert rig.edge.open_dialogs == rig.edge.standing == 0
 
@@ -345,7 +357,8 @@
                 "odd3": Aborted,
                 "d1": Stands,
             }
-            assert rig.edge.tally.failures == 3 and rig.edge._failures_alike == 2
+            assert rig.edge.tally.failures == 3
+            assert rig.edge._failures_alike == 2
     failed = [entry for entry in logged if entry["event"] == "decision-failed"]
     assert [(entry["dialog"], entry["again"]) for entry in failed] == [("odd1", 0), ("odd2", 1), ("odd3", 2)]
 
@@ -420,7 +433,7 @@
 ]
 
 
-@pytest.mark.parametrize("data, code", BAD)
+@pytest.mark.parametrize(("data", "code"), BAD)
 async def test_bad_input_gets_one_clear_error_and_costs_that_connection_alone(
     autojump_clock: MockClock, data: bytes, code: str
 ) -> None:
@@ -440,7 +453,8 @@
         await link.send(Stands("d1"))
         assert await good.next(Stands)
         await trio.sleep(0.1)
-        assert rig.edge.open_dialogs == 0 and rig.edge.standing == 1
+        assert rig.edge.open_dialogs == 0
+        assert rig.edge.standing == 1
 
 
 async def test_unknown_messages_are_answered_and_unknown_fields_ignored(autojump_clock: MockClock) -> None:
@@ -465,7 +479,8 @@
         await trio.sleep(0.01)
         await caller.send(dial("d2"))
         declined = await caller.next(Declined)
-        assert declined.dialog == "d2" and declined.come_back > 0
+        assert declined.dialog == "d2"
+        assert declined.come_back > 0
         await link.send(Stands("d1"))
         assert await caller.next(Stands)
         assert (await caller.next(Ended)).reason == "released"
@@ -501,7 +516,9 @@
         await link.send(Cancelled("d1"))
         await trio.sleep(0.1)
         edge_link = rig.edge._links["s0"]
-        assert not edge_link.legs and edge_link._session is not None and not edge_link._session.legs
+        assert not edge_link.legs
+        assert edge_link._session is not None
+        assert not edge_link._session.legs
 
 
 async def test_an_id_used_again_while_its_former_leg_is_let_go(autojump_clock: MockClock) -> None:
@@ -516,7 +533,8 @@
         await second.send(dial())
         asked = await rig.servers["s1"].link.next(Setup)
         await rig.servers["s1"].link.send(Stands("d1", asked.leg))
-        assert await second.next(Stands) and rig.edge.tally.failures == 0
+        assert await second.next(Stands)
+        assert rig.edge.tally.failures == 0
 
 
 async def test_a_setup_that_trickles_in_is_taken_when_it_is_whole(autojump_clock: MockClock) -> None:
@@ -581,14 +599,18 @@
         outbox.put(b"first", key="a")
         outbox.put(b"taken back", key="b")
         outbox.put(b"second", left=lambda: left.append(1))
-        assert outbox.withdraw("b") and not left and not stream.got
+        assert outbox.withdraw("b")
+        assert not left
+        assert not stream.got
         departures.end()
         assert bool(left) == (room == 100)
         assert outbox.holds("a") == (room == 0)  # of what the stream took nothing of, all may be withdrawn
         outbox.put(b"third")
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert stream.got == b"firstsecondthird" and left == [1] and not outbox.in_hand
+    assert stream.got == b"firstsecondthird"
+    assert left == [1]
+    assert not outbox.in_hand
 
 
 async def test_a_plain_stream_carries_bytes_both_ways_and_tells_its_end_as_trio_does() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -62,7 +62,7 @@
 FREE: dict[str, Any] = {"answer_work": 0, "release_work": 0, "most_wait": 1 << 60, "lines": 10**9}
 
 
-@pytest.mark.parametrize("spread, name", [(0.0, "M/D/1"), (1.0, "M/M/1")])
+@pytest.mark.parametrize(("spread", "name"), [(0.0, "M/D/1"), (1.0, "M/M/1")])
 @pytest.mark.parametrize("rho", [0.5, 0.8])
 def test_waits_at_the_processor_are_those_of_the_closed_form(spread: float, name: str, rho: float) -> None:
     make = Make(setup_work=10 * MS, spread=spread, **FREE)
@@ -76,7 +76,7 @@
     assert abs(waiting - rho) <= max(error, 0.01), "Erlang C of one server is its load"
 
 
-@pytest.mark.parametrize("lines, load", [(8, 6.0), (20, 20.0), (3, 1.0)])
+@pytest.mark.parametrize(("lines", "load"), [(8, 6.0), (20, 20.0), (3, 1.0)])
 def test_losses_for_want_of_a_line_are_erlang_b(lines: int, load: float) -> None:
     make = Make(setup_work=1, answer_work=0, release_work=0, most_wait=1 << 60, lines=lines)
     runs = [served(make, load, 1.0, 4_000, seed) for seed in range(12)]
@@ -84,7 +84,8 @@
     blocked = 1.0
     for at in range(1, lines + 1):
         blocked = load * blocked / (at + load * blocked)
-    assert abs(mean - blocked) <= error and error < 0.25 * blocked
+    assert abs(mean - blocked) <= error
+    assert error < 0.25 * blocked
 
 
 # Arrivals
@@ -107,7 +108,8 @@
         mean = sum(found) / len(found)
         assert mean == pytest.approx(20 * MS, rel=0.06)
         variation.append(sum((gap - mean) ** 2 for gap in found) / len(found) / mean**2)
-    assert variation[0] == pytest.approx(1, abs=0.1) and variation[1] > 3
+    assert variation[0] == pytest.approx(1, abs=0.1)
+    assert variation[1] > 3
 
 
 def test_a_drift_is_reached_at_the_end() -> None:
@@ -115,7 +117,7 @@
     assert [pattern.rate(10, at * SECOND) for at in (0, 5, 10, 20)] == [10, 20, 30, 30]
 
 
-@pytest.mark.parametrize("times, least, most", [(0.25, 0, 1), (1.0, 1, 1), (2.5, 2, 3)])
+@pytest.mark.parametrize(("times", "least", "most"), [(0.25, 0, 1), (1.0, 1, 1), (2.5, 2, 3)])
 def test_a_call_on_record_is_dialled_so_often_on_average(times: float, least: int, most: int) -> None:
     chance = Chance(5, "copies")
     found = [copies(times, chance.random) for _ in range(4_000)]
@@ -134,7 +136,8 @@
 def test_the_same_day_gives_the_same_rows_and_another_seed_others() -> None:
     played = short("bad-day.ini")
     first, second = run_emulated(played).rows, run_emulated(played).rows
-    assert first == second and len(first) > 1_000
+    assert first == second
+    assert len(first) > 1_000
     other = msgspec.structs.replace(played, terms=msgspec.structs.replace(played.terms, seed=8))
     assert run_emulated(other).rows != first
 
@@ -180,7 +183,8 @@
     played = day(IniFile(text + EVERY.format(kind=kind, size=SIZES.get(kind, 1)), kind), kind)
     verdict = audit(run_emulated(played).rows)
     assert verdict.kept, verdict.breaches[:3]
-    assert verdict.checked[1] > 100 and verdict.checked[2] > 80
+    assert verdict.checked[1] > 100
+    assert verdict.checked[2] > 80
 
 
 def test_the_emulator_and_the_edge_proxy_agree_on_a_day() -> None:
@@ -192,14 +196,18 @@
     got = [
         service(account(rows), played.importance) for rows in (run_emulated(played).rows, run_virtual(played))
     ]
-    assert abs(got[0] - got[1]) < 0.08 and min(got) > 0.8
+    assert abs(got[0] - got[1]) < 0.08
+    assert min(got) > 0.8
 
 
 def test_attempt_terms_and_crossing_act_in_the_emulator_too() -> None:
     rows = run_emulated(load_day(DAYS / "attempts.ini")).rows
     booking = seen(rows)["booking"]
-    assert booking.legs_most <= 2 and booking.gap is not None and booking.gap >= 450 * MS
-    assert booking.cancelled_after is not None and booking.cancelled_after[1] <= 701 * MS
+    assert booking.legs_most <= 2
+    assert booking.gap is not None
+    assert booking.gap >= 450 * MS
+    assert booking.cancelled_after is not None
+    assert booking.cancelled_after[1] <= 701 * MS
     fleet = Fleet(played := load_day(DAYS / "four-regions.ini"), plans(played))
     assert all(edge.plan.crossing(EPOCH) is not None for edge in fleet.edges)
 
@@ -210,7 +218,8 @@
     fleet.run()
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)  # the longest dialogs end
     for edge in fleet.edges:
-        assert not edge._dialogs and not any(link.legs for link in edge._links.values())
+        assert not edge._dialogs
+        assert not any(link.legs for link in edge._links.values())
         assert edge.driver.open_dialogs == 0
 
 
@@ -235,5 +244,8 @@
     assert all(0 <= one.tokens <= 1 and one.window > 0 and one.wait >= 0 for one in emulated.samples)
     assert run_emulated(short("bad-day.ini")).rows == emulated.rows, "looking changes nothing"
     page = day_page("bad <day>", emulated)
-    assert page.count("<polyline") > 10 and "bad &lt;day&gt;" in page and "s3, second" in page
-    assert "http" not in page and "<script" not in page
+    assert page.count("<polyline") > 10
+    assert "bad &lt;day&gt;" in page
+    assert "s3, second" in page
+    assert "http" not in page
+    assert "<script" not in page
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -51,7 +51,8 @@
 
 def test_a_plan_stands_for_every_combination_and_seed(small: Path) -> None:
     runs = list(plan(small).runs())
-    assert len(runs) == 12 and len({run.key for run in runs}) == 12
+    assert len(runs) == 12
+    assert len({run.key for run in runs}) == 12
     assert [run.levels for run in runs[::3]] == [
         {"edges": edges, "decisions": decisions} for edges in "12" for decisions in ("module", "any-server")
     ]
@@ -60,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    ("old", "new", "said"),
     [
         ("day = day.ini", "day = none.ini", "No such file"),
         ("levels = module, any-server", "levels = module, best", "'best': known are module"),
@@ -84,7 +85,8 @@
     first = [run for run in made.runs() if run.seed == 1]
     assert run_all(first, tmp_path / "runs.db", 2) == 4
     assert run_all(made.runs(), tmp_path / "runs.db", 2, lambda *counts: told.append(counts)) == 8
-    assert told[0] == (4, 12) and told[-1] == (12, 12), "cut off, it goes on where it was"
+    assert told[0] == (4, 12), "cut off, it goes on where it was"
+    assert told[-1] == (12, 12), "cut off, it goes on where it was"
     assert run_all(made.runs(), tmp_path / "runs.db", 2) == 0
     with closing(Store(tmp_path / "runs.db")) as store:
         cells = gathered(made, store)
@@ -94,11 +96,15 @@
     assert {key: value for key, value in kept.items() if key != "cpu"} == {
         key: value for key, value in again.items() if key != "cpu"
     }, "the same run gives the same figures in any process"
-    assert len(cells) == 4 and all(len(cell.by_seed) == 3 for cell in cells.values())
+    assert len(cells) == 4
+    assert all(len(cell.by_seed) == 3 for cell in cells.values())
     html = page(made, cells, "service")
-    assert "<svg" in html and "any-server" in html and "src=" not in html
+    assert "<svg" in html
+    assert "any-server" in html
+    assert "src=" not in html
     shown = valverouter("experiment", "report", str(small), "--store", str(tmp_path / "runs.db"))
-    assert shown.returncode == 0 and "any-server" in shown.stdout
+    assert shown.returncode == 0
+    assert "any-server" in shown.stdout
 
 
 def test_differences_are_by_pairs_and_say_what_could_be_told() -> None:
@@ -106,7 +112,9 @@
     base = {seed: chance.gauss(0.8, 0.1) for seed in range(12)}  # the days differ far more than the variants
     better = {seed: value + chance.gauss(0.02, 0.01) for seed, value in base.items()}
     found = paired(base, better)
-    assert found.shown and found.mean == pytest.approx(0.02, abs=0.01) and found.pairs == 12
+    assert found.shown
+    assert found.mean == pytest.approx(0.02, abs=0.01)
+    assert found.pairs == 12
     assert found.half < found.least < 0.02 < interval(list(base.values()))[1]
     assert not paired(base, {seed: value + chance.gauss(0, 0.05) for seed, value in base.items()}).shown
     with pytest.raises(ValueError, match="1 pairs"):
@@ -138,7 +146,8 @@
     made = plan(small)
     run = made.run({"edges": "2", "decisions": "module"}, 1)
     found = play(type(run)({"decisions": name}, run.seed, run.text))
-    assert 0 < found["service"] <= 1 and found["legs"] > 0.3
+    assert 0 < found["service"] <= 1
+    assert found["legs"] > 0.3
     if name in BASELINES:
         assert found != play(run) | {"cpu": found["cpu"]}
 
@@ -158,13 +167,15 @@
     terms = rows[0]
     assert isinstance(terms, Terms)
     assert worst(rows, terms) == pytest.approx(0.5)
-    assert by_second(rows, terms)[10] == (10, 0) and by_second(rows, terms)[3] == (10, 10)
+    assert by_second(rows, terms)[10] == (10, 0)
+    assert by_second(rows, terms)[3] == (10, 10)
     assert figures(rows)["tries"] == pytest.approx(301 / 300)
 
 
 def test_a_changed_day_keeps_what_was_not_named() -> None:
     text = changed("[day]\nlength = 3s\n[fleet]\nedge_proxies = 1\n", [("fleet", "edge_proxies", "4")])
-    assert "edge_proxies = 4" in text and "length = 3s" in text
+    assert "edge_proxies = 4" in text
+    assert "length = 3s" in text
     assert "[list]\nnotice = 1s" in changed(text, [("list", "notice", "1s")])
 
 
@@ -177,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    "level, said",
+    ("level", "said"),
     [
         ("best", "known are"),
         ("module NEWS=2", "no figure"),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -106,7 +106,8 @@
     head = bytes((VERSION + 1,)) + seal._mark
     for _ in range(3):
         assert opener.open(head + _digest(KEY, head, body) + body) is None
-    assert opener.strange == [VERSION + 1] and opener.dropped == {"version": 3}
+    assert opener.strange == [VERSION + 1]
+    assert opener.dropped == {"version": 3}
 
 
 def test_the_longest_messages_fit_a_datagram_and_longer_ones_are_told() -> None:
@@ -163,8 +164,10 @@
     key_file(tmp_path)
     ini = IniFile(EDGE + SOUND.replace("KEY", "key"), "e.ini", tmp_path)
     between = edge_terms(ini).between
-    assert between is not None and between.keys == (KEY,)
-    assert between.seeds == ("127.0.0.1:7001", "[::1]:7002") and between.period == SECOND
+    assert between is not None
+    assert between.keys == (KEY,)
+    assert between.seeds == ("127.0.0.1:7001", "[::1]:7002")
+    assert between.period == SECOND
     assert edge_terms(IniFile(EDGE, "e.ini")).between is None, "without the section there is no view"
 
 
@@ -193,7 +196,9 @@
     with pytest.raises(FlawedTermsError) as error:
         edge_terms(IniFile(text, "e.ini", tmp_path))
     flaw = str(error.value)
-    assert said in flaw and flaw.startswith("e.ini:1") and "\n" not in flaw
+    assert said in flaw
+    assert flaw.startswith("e.ini:1")
+    assert "\n" not in flaw
 
 
 @pytest.mark.parametrize(
@@ -222,7 +227,9 @@
     file.write_text(EDGE + SOUND.replace("KEY", "key"))
     command = [sys.executable, "-m", "valverouter.cli", "edge", str(file)]
     ended = await trio.run_process(command, capture_stderr=True, check=False)
-    assert ended.returncode == 2 and ended.stderr.count(b"\n") == 1 and b"[between] key" in ended.stderr
+    assert ended.returncode == 2
+    assert ended.stderr.count(b"\n") == 1
+    assert b"[between] key" in ended.stderr
     key_file(tmp_path)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
@@ -232,7 +239,8 @@
             )
         )
         ended = await trio.run_process(command, capture_stderr=True, check=False)
-    assert ended.returncode == 3 and b"could-not-run" in ended.stderr
+    assert ended.returncode == 3
+    assert b"could-not-run" in ended.stderr
 
 
 # The task, on sockets
@@ -288,7 +296,8 @@
         second.leave()
         await second.ended.wait()
         await until(lambda: living(first) == {"e0"})
-        assert first.counts["left"] == 1 and first.counts["gone"] == 0
+        assert first.counts["left"] == 1
+        assert first.counts["gone"] == 0
 
 
 async def test_two_processes_with_one_name_both_tell_it_on_sockets() -> None:
@@ -303,7 +312,8 @@
         await until(lambda: first.core is not None and first.core.view.records["e1"].twin)
         restarts = first.counts["restarted"]
         await trio.sleep(1.5)
-        assert first.counts["restarted"] == restarts <= 1 and first.counts["gone"] == 0
+        assert first.counts["restarted"] == restarts <= 1
+        assert first.counts["gone"] == 0
 
 
 async def test_a_member_with_an_old_key_is_dropped_and_counted_and_comes_in_with_both() -> None:
@@ -312,7 +322,8 @@
         old = task("e1", (at(first),), (OTHER,))
         await nursery.start(old.run)
         await until(lambda: first._opener.dropped["stranger"] > 2)
-        assert living(first) == {"e0"} and living(old) == {"e1"}
+        assert living(first) == {"e0"}
+        assert living(old) == {"e1"}
         both = task("e2", (at(first),), (KEY, OTHER))
         await nursery.start(both.run)
         await until(lambda: living(first) == {"e0", "e2"})
@@ -342,8 +353,10 @@
         with pytest.raises(BlockingIOError):
             flood.recvfrom(100)
         flood.close()
-        assert first._opener.dropped["stranger"] > 1_000 and set(first._opener.dropped) == {"stranger"}
-        assert living(first) == living(second) == {"e0", "e1"} and first.counts["gone"] == 0
+        assert first._opener.dropped["stranger"] > 1_000
+        assert set(first._opener.dropped) == {"stranger"}
+        assert living(first) == living(second) == {"e0", "e1"}
+        assert first.counts["gone"] == 0
 
 
 async def test_a_question_is_answered_page_by_page_and_a_tool_is_no_member() -> None:
@@ -356,12 +369,15 @@
         asker = Asker((KEY,), Sockets().datagrams("127.0.0.1:0"), random.Random(1))
         first.core.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
         heard, silent = await asker.ask([at(first), "127.0.0.1:9"])
-        assert heard.missing is None and heard.wanted > 3 and silent.missing == 0
+        assert heard.missing is None
+        assert heard.wanted > 3
+        assert silent.missing == 0
         assert [row.name for row in heard.rows if row.state != State.UNKNOWN] == sorted(
             f"e{number}" for number in range(60)
         )
         assert [row.address for row in heard.rows if row.state == State.UNKNOWN] == ["127.0.0.1:9"]
-        assert first.core.view.living == 60 and heard.digest == first.core.view.digest
+        assert first.core.view.living == 60
+        assert heard.digest == first.core.view.digest
 
 
 def heard(name: str, digest: int, rows: list[Row], trust: str = "settled") -> Heard:
@@ -380,7 +396,9 @@
     }
     assert not is_settled([one, two])
     same = heard("e1", 5, [row("e0"), row("e1")])
-    assert is_settled([one, same]) and not is_settled([one, same, Heard("e2:1")]) and not is_settled([])
+    assert is_settled([one, same])
+    assert not is_settled([one, same, Heard("e2:1")])
+    assert not is_settled([])
     assert not is_settled([one, heard("e1", 5, [row("e0"), row("e1")], trust="cut off")])
 
 
@@ -388,7 +406,8 @@
     file = tmp_path / "e.ini"
     file.write_text(EDGE)
     told = CliRunner().invoke(main, ["fleet", "view", str(file)])
-    assert isinstance(told.exception, ValueError) and "keeps no view" in str(told.exception)
+    assert isinstance(told.exception, ValueError)
+    assert "keeps no view" in str(told.exception)
     key_file(tmp_path)
     file.write_text(EDGE + SOUND.replace("KEY", "key"))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nobody:
@@ -396,7 +415,8 @@
         told = CliRunner().invoke(
             main, ["fleet", "view", str(file), "--at", f"127.0.0.1:{nobody.getsockname()[1]}"]
         )
-    assert told.exit_code == 2 and "nobody was reached" in told.output
+    assert told.exit_code == 2
+    assert "nobody was reached" in told.output
 
 
 async def test_fleet_view_asks_whom_the_answers_name(tmp_path: Path) -> None:
@@ -413,11 +433,13 @@
             return CliRunner().invoke(main, ["fleet", "view", str(file), *words])
 
         told = await trio.to_thread.run_sync(ask)
-        assert told.exit_code == 0 and "settled: 2 asked, one view" in told.output
+        assert told.exit_code == 0
+        assert "settled: 2 asked, one view" in told.output
         assert max(map(len, told.output.splitlines())) <= 80
         told = await trio.to_thread.run_sync(ask, "--json")
         page = msgspec.json.decode(told.output)
-        assert page["settled"] and {one["name"] for one in page["answers"]} == {"e0", "e1"}
+        assert page["settled"]
+        assert {one["name"] for one in page["answers"]} == {"e0", "e1"}
         told = await trio.to_thread.run_sync(ask, "--metrics")
         assert 'valverouter_fleet_members{instance="e0",state="alive"} 2' in told.output
         alone = f"{at(first).rpartition(':')[0]}:1"
@@ -436,8 +458,10 @@
 def test_a_day_of_faults_between_them_in_virtual_time() -> None:
     rows = run_virtual(load_day(DAY))
     views = judge_views(rows)
-    assert views is not None and views.kept, views
-    assert not views.false_deaths and audit(rows).kept
+    assert views is not None, views
+    assert views.kept, views
+    assert not views.false_deaths
+    assert audit(rows).kept
     assert {row.what for row in rows if isinstance(row, Found)} >= {
         "joined",
         "suspect",
@@ -453,7 +477,8 @@
     stop, a late join."""
     rows = run_loopback(load_day(DAY), tmp_path)
     views = judge_views(rows)
-    assert views is not None and views.kept, views
+    assert views is not None, views
+    assert views.kept, views
     assert audit(rows).kept
     found = {row.what for row in rows if isinstance(row, Found)}
     assert found >= {"joined", "suspect", "gone", "refuted", "restarted", "stalled", "settled"}
@@ -462,7 +487,9 @@
 @pytest.mark.parametrize("members", ["6", "60"])
 def test_the_same_file_on_the_emulator(members: str) -> None:
     told = CliRunner().invoke(main, ["fleet", "emulate", str(DAY), "--members", members])
-    assert told.exit_code == 0 and f"{members} members" in told.output and "one view" in told.output
+    assert told.exit_code == 0
+    assert f"{members} members" in told.output
+    assert "one view" in told.output
     if members == "6":
         assert CliRunner().invoke(main, ["fleet", "emulate", str(DAY)]).output == told.output
 
@@ -486,7 +513,8 @@
         )
 
     with_view = passed(script)
-    assert len(with_view) > 1_500 and with_view == passed(without)
+    assert len(with_view) > 1_500
+    assert with_view == passed(without)
 
 
 def test_without_the_section_an_edge_proxy_opens_no_socket_and_starts_no_task(
@@ -508,7 +536,8 @@
 
     rows = run_virtual(script, prepare)
     views = judge_views(rows)
-    assert views is not None and views.kept, views
+    assert views is not None, views
+    assert views.kept, views
 
 
 def test_asked_to_end_it_leaves_and_nobody_has_to_find_out() -> None:
@@ -517,9 +546,11 @@
     script = msgspec.structs.replace(script, troubles={"back": script.troubles["back"]})
     rows = run_virtual(script)
     views = judge_views(rows)
-    assert views is not None and views.kept
+    assert views is not None
+    assert views.kept
     words = {row.what for row in rows if isinstance(row, Found) and row.member == "e4"}
-    assert "left" in words and "gone" not in words
+    assert "left" in words
+    assert "gone" not in words
 
 
 async def test_held_up_by_a_stop_it_reads_first_and_accuses_nobody(autojump_clock: MockClock) -> None:
@@ -540,7 +571,8 @@
             await held.hold(8 * SECOND)
             await trio.sleep(2)
         await trio.sleep(10)
-        assert tasks[0].counts["gone"] == 0 and tasks[0].counts["stalled"] >= 4
+        assert tasks[0].counts["gone"] == 0
+        assert tasks[0].counts["stalled"] >= 4
         assert all(living(one) == {"e0", "e1", "e2", "e3"} for one in tasks)
         nursery.cancel_scope.cancel()
 
--- a/tests/test_gone_callers.py
+++ b/tests/test_gone_callers.py
@@ -74,7 +74,8 @@
     await client.ask(B)
     await client.stream.aclose()
     await rig.until(lambda: getattr(caller._stream, "has_left"))  # noqa: B009 - the seam names no such stream
-    assert not caller.is_lost and B not in caller.waiting
+    assert not caller.is_lost
+    assert B not in caller.waiting
 
 
 @pytest.mark.parametrize("how", GOES)
@@ -88,7 +89,9 @@
         await rig.until(lambda: len(rig.edge._inbox) == len(CROWD) + 2)
         place.go()
         await last_of_all(rig)
-        assert A not in set_ups(rig) and A not in rig.edge._dialogs and not client.said
+        assert A not in set_ups(rig)
+        assert A not in rig.edge._dialogs
+        assert not client.said
 
 
 async def test_a_close_that_nobody_has_read_is_seen_before_the_first_attempt() -> None:
@@ -100,7 +103,8 @@
         await unread(rig, client)
         place.go()
         await last_of_all(rig)
-        assert set_ups(rig) == [LAST] and set(rig.edge._dialogs) == {LAST}
+        assert set_ups(rig) == [LAST]
+        assert set(rig.edge._dialogs) == {LAST}
 
 
 async def test_a_close_that_nobody_has_read_is_seen_before_a_further_attempt() -> None:
@@ -113,7 +117,8 @@
         await trio.sleep(0.25)  # past the longest first retry wait
         place.go()
         await last_of_all(rig)
-        assert set_ups(rig) == [A, LAST] and set(rig.edge._dialogs) == {LAST}
+        assert set_ups(rig) == [A, LAST]
+        assert set(rig.edge._dialogs) == {LAST}
 
 
 @pytest.mark.parametrize("how", GOES)
@@ -130,7 +135,8 @@
         await trio.sleep(0.25)  # past the longest first retry wait
         place.go()
         await last_of_all(rig)
-        assert set_ups(rig).count(A) == 1 and A not in rig.edge._dialogs
+        assert set_ups(rig).count(A) == 1
+        assert A not in rig.edge._dialogs
 
 
 @pytest.mark.parametrize("how", GOES)
@@ -179,4 +185,6 @@
         await rig.until(lambda: len(rig.edge._inbox) == 2)
         place.go()
         await rig.until(lambda: server.of("release") == [A])
-        assert not rig.edge._dialogs and not client.said and not rig.edge._links["s0"].legs
+        assert not rig.edge._dialogs
+        assert not client.said
+        assert not rig.edge._links["s0"].legs
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -145,7 +145,8 @@
         assert resumed == setup.Resume("d1", first.leg)
         await link.send(setup.Unknown("d1", first.leg))
         link, second = await leg_at(rig)
-        assert second.leg == first.leg + 1 and trio.current_time() - asked_at >= 0.3
+        assert second.leg == first.leg + 1
+        assert trio.current_time() - asked_at >= 0.3
         await link.send(setup.Stands("d1", second.leg))
         stands = await back.next(setup.Stands)
         assert (stands.dialog, stands.leg) == ("d1", 0)
@@ -167,7 +168,8 @@
         await link.send(setup.Ended("d1", resumed.leg, "over"))
         assert (await back.next(setup.Ended)).reason == "over"
         await trio.sleep(0.1)
-        assert not rig.store.kept and not rig.edge._dialogs
+        assert not rig.store.kept
+        assert not rig.edge._dialogs
 
 
 @pytest.mark.parametrize("how", ["unknown", "older version", "another process"])
@@ -202,7 +204,8 @@
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
         link, second = await leg_at(rig)
-        assert second.leg == 1 and trio.current_time() - began >= 0.3
+        assert second.leg == 1
+        assert trio.current_time() - began >= 0.3
         if how == "silent":
             assert link.at(setup.Cancel) - link.at(setup.Resume) >= 0.85
             assert link.at(setup.Setup) - link.at(setup.Cancel) >= 0.3
@@ -305,7 +308,9 @@
             assert (await caller.next(setup.Ended)).reason == "cut"
             assert trio.current_time() - began < 1, "told at once, so that its caller may dial again"
         await trio.sleep(0.1)
-        assert not rig.store.kept and not rig.edge._dialogs and rig.edge.tally.failures == 0
+        assert not rig.store.kept
+        assert not rig.edge._dialogs
+        assert rig.edge.tally.failures == 0
 
 
 def test_more_stands_on_where_links_break_and_servers_live(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -325,7 +330,8 @@
         accounted(rows)
         cut.append(sum(one.answers["cut"] for one in account(rows).values()))
     # What stood within the way to its server and back before a break is not on record there yet.
-    assert cut[0] < cut[1] / 20 and cut[1] > 50
+    assert cut[0] < cut[1] / 20
+    assert cut[1] > 50
 
 
 @pytest.mark.parametrize("reason", ["over", "cut"])
@@ -343,11 +349,12 @@
         await back.next(setup.Stands)
         assert (await back.next(setup.Ended)).reason == reason
         await trio.sleep(0.1)
-        assert not rig.store.kept and not rig.edge._dialogs
+        assert not rig.store.kept
+        assert not rig.edge._dialogs
 
 
 @pytest.mark.parametrize(
-    "moved, boot, known",
+    ("moved", "boot", "known"),
     [(0, "memory", True), (-60 * SECOND, "memory", True), (-60 * SECOND, "other", False), (0, "other", True)],
 )
 async def test_clocks_over_a_restart(moved: int, boot: str, known: bool, autojump_clock: MockClock) -> None:
@@ -385,7 +392,9 @@
         assert (await caller.next(setup.Declined)).come_back > 0
 
 
-@pytest.mark.parametrize("used, left", [(0, (3, 0)), (1, (2, 5)), (2, (1, 4)), (3, None), (6, None)], ids=str)
+@pytest.mark.parametrize(
+    ("used", "left"), [(0, (3, 0)), (1, (2, 5)), (2, (1, 4)), (3, None), (6, None)], ids=str
+)
 def test_attempts_that_are_left(used: int, left: tuple[int, int] | None) -> None:
     terms = AttemptTerms(3, SECOND, 0, 300 * MS, 200 * MS, 2 * SECOND)
     found = attempts_left(terms, used, 6)
@@ -423,7 +432,8 @@
 
         monkeypatch.setattr(rig.edge._departures, "end", end)
         await stood(rig)
-        assert seen and not any(pending for _, pending in seen)
+        assert seen
+        assert not any(pending for _, pending in seen)
 
 
 @pytest.mark.parametrize("closing", [setup.Full, setup.Fault], ids=["full", "fault"])
@@ -595,7 +605,9 @@
     fleet.run()
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)
     for edge in fleet.edges:
-        assert not edge._dialogs and not edge._left and not len(edge._pace)
+        assert not edge._dialogs
+        assert not edge._left
+        assert not len(edge._pace)
     assert not any(server.kept for server in fleet.servers.values())
 
 
@@ -612,7 +624,8 @@
         store.put(Record("d3", "c0", "plain", 0, 0, moment, SECOND, 1))
         store.commit()
         assert [one.dialog for one in store.records() if isinstance(one, Record)] == ["d3"]
-        assert store.begin_epoch(1_000) == 1_000 and store.begin_epoch(5) == 1_001
+        assert store.begin_epoch(1_000) == 1_000
+        assert store.begin_epoch(5) == 1_001
 
 
 def test_damaged_records_cost_themselves_alone(tmp_path: Path) -> None:
@@ -626,7 +639,8 @@
         assert [record.dialog for record, _ in owed.found(300 * MS)] == ["sound"]
         owed.commit(0)
         assert [one.dialog for one in store.records() if isinstance(one, Record)] == ["sound"]
-        assert not list(store.repair()) and len(owed) == 1
+        assert not list(store.repair())
+        assert len(owed) == 1
 
 
 def test_a_record_of_a_release_time_counts_as_let_go() -> None:
@@ -677,7 +691,9 @@
 def test_two_processes_on_one_store(tmp_path: Path) -> None:
     with Ledger(tmp_path / "store"):
         code, said = starts(tmp_path)
-    assert code == 3 and "held by another process" in said and "Traceback" not in said
+    assert code == 3
+    assert "held by another process" in said
+    assert "Traceback" not in said
 
 
 @pytest.mark.parametrize("how", ["another version", "no store", "cut off", "a page of noughts"])
@@ -699,11 +715,14 @@
         at = next(at for at in range(8_192, len(pages), 4_096) if b"plain" in pages[at : at + 4_096])
         data.write_bytes(pages[:at] + bytes(4_096) + pages[at + 4_096 :])
     code, said = starts(tmp_path)
-    assert code == 0 and "Traceback" not in said, said
+    assert code == 0, said
+    assert "Traceback" not in said, said
     assert '"ledger-set-aside"' in said
     assert any(one.name.startswith("store.aside-") for one in tmp_path.iterdir())
 
 
 def test_an_address_in_use_is_told_with_a_ledger_too(tmp_path: Path) -> None:
     code, said = starts(tmp_path, "192.0.2.1:1")
-    assert code == 3 and "could-not-run" in said and "Traceback" not in said
+    assert code == 3
+    assert "could-not-run" in said
+    assert "Traceback" not in said
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -69,4 +69,5 @@
 def test_a_listed_test_must_fail(project: Path, lines: list[str], code: int, says: str) -> None:
     (project / "KNOWN-RED.txt").write_text("\n".join(lines))
     ended = run(project)
-    assert ended.returncode == code and says in ended.stdout + ended.stderr
+    assert ended.returncode == code
+    assert says in ended.stdout + ended.stderr
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -30,7 +30,8 @@
 
     found = await highest(holds, 20, 10_000)
     if limit < 20:
-        assert found == 0 and asked == [20]
+        assert found == 0
+        assert asked == [20]
     elif limit >= 10_000:
         assert found == 10_000
     else:
@@ -45,17 +46,21 @@
         return rate < 500 or (rate < 1_000 and chance.random() < 0.3)
 
     found = [await highest(holds, 20, 10_000) for _ in range(30)]
-    assert all(400 <= rate < 1_000 for rate in found) and sorted(found)[15] < 700
+    assert all(400 <= rate < 1_000 for rate in found)
+    assert sorted(found)[15] < 700
 
 
 def test_delays_count_from_when_a_dialog_was_due_and_what_never_stood_holds_nothing() -> None:
     sample = Sample(10, offered=100)
     for at in range(99):
         sample.stands(at * 10 * MS, at * 10 * MS + (5 if at < 98 else 900) * MS)
-    assert sample.stood == 99 and sample.at(50) == pytest.approx(5, rel=0.01)
+    assert sample.stood == 99
+    assert sample.at(50) == pytest.approx(5, rel=0.01)
     assert sample.at(99.9) == pytest.approx(900, rel=0.01)
-    assert sample.holds(100 * MS, 0.98) and not sample.holds(100 * MS, 0.99)
-    assert sample.holds(SECOND, 0.99) and not Sample(1).holds(SECOND, 0.5)
+    assert sample.holds(100 * MS, 0.98)
+    assert not sample.holds(100 * MS, 0.99)
+    assert sample.holds(SECOND, 0.99)
+    assert not Sample(1).holds(SECOND, 0.5)
 
 
 def test_types_come_by_their_shares() -> None:
@@ -114,5 +119,6 @@
     kept = tmp_path / "delays.txt"
     ran = valverouter("load", str(LOAD), "--rate", "60", "--seconds", "1", "--histogram", str(kept))
     assert ran.returncode == 0, ran.stderr
-    assert "60/s: 60 offered" in ran.stdout and "0 unanswered" in ran.stdout
+    assert "60/s: 60 offered" in ran.stdout
+    assert "0 unanswered" in ran.stdout
     assert "Percentile" in kept.read_text()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -98,9 +98,11 @@
 
 def test_who_names_a_life_came_after_it_whatever_the_clocks_say() -> None:
     former, fresh = record(900, 1), record(100, 2)
-    assert not supersedes(former, fresh) and not supersedes(fresh, former), "nobody knows yet"
+    assert not supersedes(former, fresh), "nobody knows yet"
+    assert not supersedes(fresh, former), "nobody knows yet"
     raised = above(fresh, former)
-    assert supersedes(raised, former) and not supersedes(former, raised)
+    assert supersedes(raised, former)
+    assert not supersedes(former, raised)
     later = told(dataclasses_seq(former, 50), State.GONE, "x")
     assert not supersedes(later, raised), "nothing of the former self counts any more"
 
@@ -135,11 +137,14 @@
     other.put(record(3, 7, seq=4), 9)
     assert view.digest == other.digest
     view.put(told(record(3, 7), State.SUSPECT, "e0"), 2)
-    assert view.digest == other.digest and view.suspects == 1
+    assert view.digest == other.digest
+    assert view.suspects == 1
     view.put(told(record(3, 7), State.GONE, "e0"), 3)
-    assert view.digest != other.digest and (view.living, view.gone, view.suspects) == (1, 1, 0)
+    assert view.digest != other.digest
+    assert (view.living, view.gone, view.suspects) == (1, 1, 0)
     other.put(told(record(3, 7, seq=4), State.GONE, "e0"), 9)
-    assert view.digest == other.digest and view.buckets == other.buckets
+    assert view.digest == other.digest
+    assert view.buckets == other.buckets
 
 
 def test_the_dead_whom_nobody_knew_are_not_passed_round() -> None:
@@ -148,7 +153,9 @@
     view.put(record(3, 7), 0)
     view.put(told(record(3, 7), State.GONE, "x"), 1)
     view.forget("e1")
-    assert not view.records and list(view.old) == ["e1:1"] and view.digest == 0
+    assert not view.records
+    assert list(view.old) == ["e1:1"]
+    assert view.digest == 0
 
 
 def test_news_leave_after_so_many_sends_and_fit_their_room() -> None:
@@ -158,7 +165,9 @@
     taken = [news.take(3) for _ in range(12)]
     assert all(sum(one.size for one in page) <= 400 for page in taken)
     sent = Counter(one.name for page in taken for one in page)
-    assert set(sent.values()) == {3} and len(sent) == 9 and not len(news)
+    assert set(sent.values()) == {3}
+    assert len(sent) == 9
+    assert not len(news)
 
 
 # Courses
@@ -176,9 +185,11 @@
     rig.views.run(5 * SECOND)
     rig.views.kill("e7")
     assert rig.settles(12) < 11
-    assert rig.count("gone", "e7") == 23 and rig.count("gone") == 23
+    assert rig.count("gone", "e7") == 23
+    assert rig.count("gone") == 23
     rig.views.leave("e9")
-    assert rig.settles(4) < 2 and rig.count("left", "e9") == 22
+    assert rig.settles(4) < 2
+    assert rig.count("left", "e9") == 22
 
 
 def test_all_restarted_at_once() -> None:
@@ -255,13 +266,15 @@
     late = PathFault("late", 0, 120 * SECOND, frozenset({"e5"}), frozenset(), span=300_000_000)
     rig = Rig(24, [late])
     rig.views.run(120 * SECOND)
-    assert rig.count("gone") == 0 and rig.count("suspect") == 0
+    assert rig.count("gone") == 0
+    assert rig.count("suspect") == 0
 
 
 def test_30_percent_loss_everywhere() -> None:
     rig = Rig(24, [PathFault("loss", 0, 60 * SECOND, share=0.3)])
     rig.views.run(60 * SECOND)
-    assert rig.count("gone") == 0 and rig.count("suspect") > 0
+    assert rig.count("gone") == 0
+    assert rig.count("suspect") > 0
     rig.settles(10)
 
 
@@ -298,7 +311,8 @@
         rig.views.kill(name)
         fresh = rig.views.start(name, SEEDS, wall_ms=WALL - 3_600_000)
         rig.views.run(rig.views.now + 3 * SECOND)
-        assert fresh.core.mine.number > former.number and former.life in fresh.core.mine.over
+        assert fresh.core.mine.number > former.number
+        assert former.life in fresh.core.mine.over
         # A word of the former self, late.
         for node in rig.views.live():
             gossip = Gossip("e9", rig.views.nodes["e9"].core.mine.life, 0, (dataclasses_seq(former, 9),))
@@ -332,13 +346,15 @@
     one, two = twins(rig)
     rig.views.run(20 * SECOND)
     assert rig.found["e3", "conflict", "e3"] == 2, "each of the two tells once"
-    assert one.core.twin.life == two.core.mine.life and two.core.twin.life == one.core.mine.life
+    assert one.core.twin.life == two.core.mine.life
+    assert two.core.twin.life == one.core.mine.life
     held = {node.core.view.records["e3"].life for node in rig.views.live() if node.name != "e3"}
     assert len(held) == 1
     assert all(node.core.view.records["e3"].twin for node in rig.views.live() if node.name != "e3")
     before = rig.count("restarted")
     rig.views.run(120 * SECOND)
-    assert rig.count("restarted") == before and rig.count("gone") == 0
+    assert rig.count("restarted") == before
+    assert rig.count("gone") == 0
     # The one that the fleet holds ends: the other takes its place, and no conflict is left.
     ends = one if one.core.mine.life in held else two
     stays = two if ends is one else one
@@ -347,7 +363,8 @@
     rig.views.run(200 * SECOND)
     others = [node for node in rig.views.live() if node.name != "e3"]
     assert {node.core.view.records["e3"].life for node in others} == {stays.core.mine.life}
-    assert stays.core.trust is Trust.SETTLED and not stays.core.mine.twin
+    assert stays.core.trust is Trust.SETTLED
+    assert not stays.core.mine.twin
 
 
 def test_a_late_word_of_a_former_self_is_no_conflict() -> None:
@@ -359,7 +376,8 @@
     rig.views.run(7 * SECOND)
     fresh.core.heard(rig.views.now, "e3:1", Ping("e3", former.life, 0, 5, fresh.core.mine.life))
     rig.views.run(20 * SECOND)
-    assert rig.count("conflict") == 0 and not fresh.core.mine.twin
+    assert rig.count("conflict") == 0
+    assert not fresh.core.mine.twin
 
 
 def test_a_fleet_told_24_that_is_really_40_keeps_a_view_of_40() -> None:
@@ -429,12 +447,14 @@
         0, "e3:1", Sync("e3", one.core.mine.life, 0, tuple(one.core.view.buckets), (one.core.mine,))
     )
     pages = [message for _, message in two.core.out]
-    assert pages and all(
+    assert pages
+    assert all(
         sum(record.size for record in getattr(page, "news", ())) <= two.core.rules.room for page in pages
     )
     rig.views._after(two)
     rig.views.run(SECOND // 2)
-    assert two.core.view.digest == one.core.view.digest and two.core.view.living == 200
+    assert two.core.view.digest == one.core.view.digest
+    assert two.core.view.living == 200
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -63,7 +63,8 @@
 
     def leave(self, order: str, name: str, try_: int = 0) -> int:
         answer = self.says(Ask(f"{order}/{name}/{try_}", name, order))
-        assert isinstance(answer, Answer) and answer.permit is not None, answer
+        assert isinstance(answer, Answer), answer
+        assert answer.permit is not None, answer
         return answer.permit.number
 
     def step(self, order: str, name: str) -> Step:
@@ -77,7 +78,8 @@
     record = Record()
     names = [f"e{at}" for at in range(6)]
     placed = record.place("r", Kind.RELEASE, *names, version="v2")
-    assert [len(wave) for wave in placed.waves] == [1] * 6 and not placed.why
+    assert [len(wave) for wave in placed.waves] == [1] * 6
+    assert not placed.why
     order = record.book.orders["r"]
     first = placed.waves[0][0]
     number = record.leave("r", first)
@@ -144,7 +146,8 @@
     number = record.leave("a", "e0")
     record.says(Back("e0", number))
     again = record.place("a", Kind.RESTART, "e0")
-    assert again.waves == (("e0",),) and record.book.orders["a"].result == "done"
+    assert again.waves == (("e0",),)
+    assert record.book.orders["a"].result == "done"
     assert record.book.going is None
 
 
@@ -165,7 +168,8 @@
     late = record.says(Ask("r/e5/0", "e5", "r"))
     assert late.permit is None, "nothing further goes out"
     twice = record.says(Ask(f"r/{first}/0", first, "r"))
-    assert twice.permit.number == one and record.step("r", first) is Step.TO_RETURN, "told again"
+    assert twice.permit.number == one, "told again"
+    assert record.step("r", first) is Step.TO_RETURN, "told again"
     three = record.leave("r", first, 1)
     assert record.book.wants[first] == Want("v1", True, three, 1, "r")
     record.says(Back(second, two))
@@ -198,7 +202,8 @@
     record.place("u", Kind.UNDRAIN, "e0")
     assert record.book.wants["e0"] == Want("v1", True, number, 1, "u")
     record.says(Back("e0", number))
-    assert record.book.orders["u"].result == "done" and "e0" not in record.book.register.out
+    assert record.book.orders["u"].result == "done"
+    assert "e0" not in record.book.register.out
 
 
 def test_one_not_reached_is_left_out_and_one_retired_holds_nothing_up() -> None:
@@ -314,7 +319,8 @@
             for name, member in order.members.items():
                 held = book.register.out.get(name)
                 if order.phase is not Phase.ENDED and member.step in (Step.OUT, Step.FAILED):
-                    assert held is not None and held.number == member.number, (order.id, name, member)
+                    assert held is not None, (order.id, name, member)
+                    assert held.number == member.number, (order.id, name, member)
             if order.phase is Phase.ENDED:
                 assert order.result in ("done", "in part", "halted")
                 assert not {m.step for m in order.members.values()} & {Step.OUT, Step.TO_RETURN, Step.WAITING}
@@ -355,7 +361,8 @@
     assert does(one) == [Do.SAVE, Do.STOP]
     assert (one.report().turn, one.report().outcome, one.report().runs) == ((7, 0), "", False)
     one.ended(SECOND)
-    assert does(one, SECOND) == [Do.START, Do.SAVE] and one.running == "v2"
+    assert does(one, SECOND) == [Do.START, Do.SAVE]
+    assert one.running == "v2"
     one.told(serving())
     assert one.report().outcome == "", "done is told once it is on disk"
     assert does(one, SECOND) == [Do.SAVE]
@@ -372,14 +379,16 @@
     again.resumes(runs=True)
     assert does(again) == [Do.STOP], "whether it was stopped already nobody knows"
     again.ended(SECOND)
-    assert does(again, SECOND) == [Do.START, Do.SAVE] and again.running == "v2"
+    assert does(again, SECOND) == [Do.START, Do.SAVE]
+    assert again.running == "v2"
 
 
 def test_a_keeper_that_lost_its_disk_does_not_repeat_a_turn_whose_permit_is_over() -> None:
     one = keeper()
     does(one)
     assert not one.wanted(0, Want("v2", True, 7, 0, "r"), is_open=False)
-    assert does(one) == [Do.SAVE] and one.runs, "it goes on running: it has no leave to go out"
+    assert does(one) == [Do.SAVE], "it goes on running: it has no leave to go out"
+    assert one.runs, "it goes on running: it has no leave to go out"
     assert one.report().turn == (7, 0)
 
 
@@ -396,7 +405,8 @@
         one.ended(now + SECOND // 10)
     assert one.report().outcome == ""
     does(one, now)
-    assert one.report().outcome == "failed" and "v2 ended 3 times" in one.report().why
+    assert one.report().outcome == "failed"
+    assert "v2 ended 3 times" in one.report().why
     assert does(one, one.due) == [Do.START, Do.SAVE], "its wait over, once more"
     one.told(serving())
     does(one, one.due)
@@ -411,7 +421,8 @@
         one.ended(now)
         waits.append(one.due - now)
         now = one.due
-    assert waits[:3] == [SECOND // 4, SECOND // 2, SECOND] and waits[-1] == 15 * SECOND
+    assert waits[:3] == [SECOND // 4, SECOND // 2, SECOND]
+    assert waits[-1] == 15 * SECOND
 
 
 def test_the_machine_s_wish_is_obeyed_in_any_turn_and_told() -> None:
@@ -421,7 +432,8 @@
     one.leave()
     assert does(one) == [Do.SAVE, Do.STOP]
     one.ended(0)
-    assert does(one, 20 * SECOND) == [] and one.report().leaving
+    assert does(one, 20 * SECOND) == []
+    assert one.report().leaving
     assert not one.wanted(0, Want("v1", True, 8, 0), True)
 
 
@@ -443,8 +455,10 @@
     one = keeper()
     does(one)
     one.wanted(0, Want("v9", True, 7, 0, "r"), True)
-    assert does(one) == [Do.SAVE] and one.runs
-    assert one.report().outcome == "failed" and "v9" in one.report().why
+    assert does(one) == [Do.SAVE]
+    assert one.runs
+    assert one.report().outcome == "failed"
+    assert "v9" in one.report().why
 
 
 # Evidence that somebody is in
@@ -533,7 +547,8 @@
     record.place("a", Kind.RESTART, "e0", "e1")
     all_report(one, record, SECOND, trust="cut off")
     (stop,) = one.step(SECOND, record.book)
-    assert isinstance(stop, Stop) and "cut off" in stop.why
+    assert isinstance(stop, Stop)
+    assert "cut off" in stop.why
 
 
 def test_too_few_dialogs_are_no_leave_to_go_on() -> None:
@@ -582,9 +597,11 @@
     assert course.leader is not None
     order = course.leader.book.orders["r"]
     if version == "v2":
-        assert order.result == "done" and {one.version for one in course.fleet.values()} == {version}
+        assert order.result == "done"
+        assert {one.version for one in course.fleet.values()} == {version}
     else:
-        assert order.result == "halted" and order.why
+        assert order.result == "halted"
+        assert order.why
         assert {one.version for one in course.fleet.values()} == {"v1"}
 
 
@@ -613,7 +630,8 @@
     record.says(Went("d", "e0", number, Step.DRAINED))
     record.place("a", Kind.RESTART, "e2")
     refused = record.says(Ask("a/e2/0", "e2", "a"))
-    assert refused.permit is None and "of d" in refused.why
+    assert refused.permit is None
+    assert "of d" in refused.why
     record.place("u", Kind.UNDRAIN, "e0")
     assert record.book.wants["e0"].turn == (number, 1)
     record.says(Back("e0", number))
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -69,7 +69,8 @@
         for at, piece in enumerate(pieces):
             if (at + sendings) % 7:  # one in seven is lost
                 whole = there.take(piece) or whole
-    assert whole == body and sendings <= 9
+    assert whole == body
+    assert sendings <= 9
 
 
 def test_what_is_half_there_is_bounded_and_nonsense_makes_nothing() -> None:
@@ -99,7 +100,8 @@
             while (came := ours.take()) is not None:
                 heard.append(came)
     assert [word for word, _ in heard] == [Here("c1", 7)]
-    assert two.take() is None and stranger.take() is None, "and nobody is answered"
+    assert two.take() is None, "and nobody is answered"
+    assert stranger.take() is None, "and nobody is answered"
     for each in (one, two, stranger):
         each.close()
 
@@ -109,7 +111,8 @@
     data = seal.seal(Piece("n" * 60, 2**64 - 1, 2**64 - 1, 2_047, 2_048, bytes(PIECE)))
     assert len(data) <= MOST
     opener = Opener(Seal(KEY), Posted)
-    assert opener.open(data) is not None and opener.open(data) is None
+    assert opener.open(data) is not None
+    assert opener.open(data) is None
     assert opener.dropped["replay"] == 1
 
 
@@ -157,10 +160,12 @@
 
 def test_sound_files_of_a_seat_a_keeper_and_a_tool(tmp_path: Path) -> None:
     seat = load_seat(written(tmp_path, SEAT))
-    assert seat.limits["edge proxies"].most == 4 and list(seat.council) == ["c0", "c1", "c2"]
+    assert seat.limits["edge proxies"].most == 4
+    assert list(seat.council) == ["c0", "c1", "c2"]
     assert load_tool(tmp_path / "file.ini").council == seat.council
     keeper = load_keeper(written(tmp_path, KEEPER))
-    assert keeper.commands == {"v1": ("true", "--yes")} and not keeper.is_server
+    assert keeper.commands == {"v1": ("true", "--yes")}
+    assert not keeper.is_server
     assert load_tool(tmp_path / "file.ini").keys == keeper.keys
 
 
@@ -221,7 +226,8 @@
         check=False,
     )
     taken.close()
-    assert done.returncode == 3 and b"in use" in done.stderr, done.stderr
+    assert done.returncode == 3, done.stderr
+    assert b"in use" in done.stderr, done.stderr
 
 
 async def test_a_tool_is_shown_a_fleet_that_no_burst_of_pieces_holds(tmp_path: Path) -> None:
@@ -243,10 +249,12 @@
         socket = Sockets().datagrams("127.0.0.1:0")
         asker = CouncilAsker(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
         shown = await asker.ask("show", None, Shown, 15)
-        assert shown is not None and [unit.name for unit in shown.units] == sorted(names)
+        assert shown is not None
+        assert [unit.name for unit in shown.units] == sorted(names)
         assert len(msgspec.msgpack.encode(shown)) > BURST * PIECE
         refused = await asker.ask("plan", Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
-        assert refused is not None and refused.why == "nobody is not enrolled"
+        assert refused is not None
+        assert refused.why == "nobody is not enrolled"
         nursery.cancel_scope.cancel()
     socket.close()
     store.close()
@@ -265,12 +273,14 @@
         KeeperStore(path)
     store.close()
     store, found, aside = opened(path)
-    assert found == memory and not aside
+    assert found == memory
+    assert not aside
     store.close()
     data = (path / "data.mdb").read_bytes()
     (path / "data.mdb").write_bytes(data.replace(b"12 34", b"12 35"))
     store, found, aside = opened(path)
-    assert found is None and "damaged" in aside
+    assert found is None
+    assert "damaged" in aside
     store.close()
 
 
@@ -278,9 +288,11 @@
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
     first = Running(child.pid)
     again = Running.again(first.mark)
-    assert again is not None and again.pid == child.pid
+    assert again is not None
+    assert again.pid == child.pid
     assert Running.again(f"{child.pid} 1") is None, "another process with its number"
-    assert Running.again("") is None and Running.again("x y") is None
+    assert Running.again("") is None
+    assert Running.again("x y") is None
     child.kill()
     with trio.fail_after(5):
         await again.wait()
@@ -318,7 +330,8 @@
 
 def test_a_server_s_program_goes_once_the_list_has_let_it() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE and one.act(0) is None, "asked once, and waited for"
+    assert one.act(0) is Do.LEAVE, "asked once, and waited for"
+    assert one.act(0) is None, "asked once, and waited for"
     one.told(Counts(1, True, True))
     assert one.report().outcome == "", "it serves until it goes, and that is not the turn done"
     one.left_list(True)
@@ -331,7 +344,8 @@
     one.told(Counts(2, True, True))
     one.saved()
     assert one.report().outcome == "done"
-    assert one.act(0) is Do.RETURN and one.act(0) is None
+    assert one.act(0) is Do.RETURN
+    assert one.act(0) is None
 
 
 def test_a_server_that_the_list_does_not_let_go_serves_on_and_its_turn_has_failed() -> None:
@@ -341,7 +355,8 @@
     assert one.act(0) is Do.SAVE
     one.saved()
     one.told(Counts(1, True, True))
-    assert one.act(0) is None and one.runs
+    assert one.act(0) is None
+    assert one.runs
     assert (one.report().outcome, one.report().why) == ("failed", "the list refuses: permit 7 is over")
     one.wanted(0, Want("v1", True, 7, 1, "r"), True)
     one.saved()
@@ -380,7 +395,10 @@
         Ordered(9, 9, "r", "release", "v2", "ended", "done", {"e0": ("done", 7, "v1")}),
     )
     judged = judge_orders(sound)
-    assert judged is not None and judged.kept and judged.turns == 2 and judged.most_out == 1
+    assert judged is not None
+    assert judged.kept
+    assert judged.turns == 2
+    assert judged.most_out == 1
     assert judge_orders([]) is None
     for bad, word in (
         (rows(turned(1, "e0", 7), turned(2, "e1", 9)), "limits"),
@@ -395,14 +413,16 @@
         ),
     ):
         judged = judge_orders(bad)
-        assert judged is not None and any(one.startswith(word) for one in judged.broken), (word, judged)
+        assert judged is not None, (word, judged)
+        assert any(one.startswith(word) for one in judged.broken), (word, judged)
 
 
 def test_a_drained_one_stays_out_in_the_check() -> None:
     judged = judge_orders(
         rows(turned(1, "e0", 7, up=False), turned(2, "e0", 7, "done", up=False), turned(3, "e1", 9))
     )
-    assert judged is not None and not judged.kept
+    assert judged is not None
+    assert not judged.kept
 
 
 def test_a_tool_s_words_are_read_as_they_were_written() -> None:
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -41,7 +41,8 @@
     troubles = str(more.pop("troubles", ""))
     rows = run_orders(scripted(length, troubles=troubles), tmp_path, script, **more)  # type: ignore[arg-type]
     judged, rules = judge_orders(rows), audit(rows)
-    assert judged is not None and judged.broken == (), judged
+    assert judged is not None, judged
+    assert judged.broken == (), judged
     assert rules.kept, rules
     return judged
 
@@ -83,12 +84,14 @@
             rig.start("k2")
         assert result(await rig.settled(60), "all") == "done"
         code, said = await rig.tool("release", "--all", "--to", "dies-late", "--id", "r")
-        assert code == 1 and "halted" in said
+        assert code == 1
+        assert "halted" in said
         shown = await rig.settled(60)
         assert {unit.version for unit in shown.units} == {"v1"}
 
     judged = played(tmp_path, script, 30)
-    assert judged.turns >= 8 and judged.most_out <= 2
+    assert judged.turns >= 8
+    assert judged.most_out <= 2
 
 
 @processes
@@ -97,7 +100,8 @@
         for name in ("e0", "e2", "e4"):
             rig.kill(name)
         code, _ = await rig.tool("restart", "--all", "--id", "all")
-        assert code == 0 and result(await rig.settled(30), "all") == "done"
+        assert code == 0
+        assert result(await rig.settled(30), "all") == "done"
 
     assert played(tmp_path, script, 30).turns == 6
 
@@ -125,7 +129,8 @@
         for within in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
             await rig.tool("restart", "e0", "e1", "--id", "one", within=within)
         code, _ = await rig.tool("restart", "e0", "e1", "--id", "one")
-        assert code == 0 and result(await rig.settled(30), "one") == "done"
+        assert code == 0
+        assert result(await rig.settled(30), "one") == "done"
 
     assert played(tmp_path, script, 25).turns == 2
 
@@ -173,10 +178,11 @@
 def test_a_whole_region_is_refused_for_capacity(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         code, said = await rig.tool("drain", "--region", "north", "--id", "d")
-        assert code == 2 and "least capacity of north" in said
+        assert code == 2
+        assert "least capacity of north" in said
         code, said = await rig.tool("drain", "--region", "north", "--dry-run")
         assert code == 2
-        assert (await rig.status() or pytest.fail()).orders == ()
+        assert (await rig.status() or pytest.fail("nobody tells the status")).orders == ()
 
     assert played(tmp_path, script, 10, most=4, in_region=2, least=0.5).turns == 0
 
@@ -192,7 +198,8 @@
             nursery.start_soon(rig.tool, "restart", "e4", "--id", "one")
             await trio.sleep(5)
             shown = await rig.status()
-            assert shown is not None and not any(unit.order == "one" for unit in shown.units)
+            assert shown is not None
+            assert not any(unit.order == "one" for unit in shown.units)
             assert sum(unit.state == "away" for unit in shown.units) == 3
             for name in ("k1", "k3", "k5"):
                 rig.start(name)
@@ -209,7 +216,8 @@
 def test_a_harmful_release_is_halted_and_goes_back(tmp_path: Path, version: str) -> None:
     async def script(rig: OrderRig) -> None:
         code, said = await rig.tool("release", "--all", "--to", version, "--id", "r", within=90)
-        assert code == 1 and "halted" in said
+        assert code == 1
+        assert "halted" in said
         shown = await rig.settled(60)
         assert {unit.version for unit in shown.units} == {"v1"}
 
@@ -239,7 +247,8 @@
             await trio.sleep(1)
             assert (await rig.tool("halt", "r"))[0] == 0
         shown = await rig.settled(60)
-        assert result(shown, "r") == "halted" and {unit.version for unit in shown.units} == {"v1"}
+        assert result(shown, "r") == "halted"
+        assert {unit.version for unit in shown.units} == {"v1"}
 
     played(tmp_path, script, 40)
 
@@ -316,7 +325,8 @@
             assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
             await trio.sleep(1)
         code, said = await rig.tool("history", "one")
-        assert code == 0 and "done" in said
+        assert code == 0
+        assert "done" in said
 
     assert played(tmp_path, script).turns == 1
 
@@ -329,8 +339,12 @@
 
     rows = run_orders(msgspec.structs.replace(scripted(60)), tmp_path, script, servers=True)
     judged, rules = judge_orders(rows), audit(rows)
-    assert judged is not None and judged.kept and judged.most_out == 1, judged
-    assert rules.kept and rules.checked[3] > 0 and rules.checked[4] > 0
+    assert judged is not None, judged
+    assert judged.kept, judged
+    assert judged.most_out == 1, judged
+    assert rules.kept
+    assert rules.checked[3] > 0
+    assert rules.checked[4] > 0
 
 
 @processes
@@ -345,7 +359,8 @@
                 await trio.sleep(0.1)
         # The last of the signals may meet one that has done all and is on its way out.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
-        assert rig._pid("e1") is None and b'"ended"' in (rig.folder / "k1.log").read_bytes()
+        assert rig._pid("e1") is None
+        assert b'"ended"' in (rig.folder / "k1.log").read_bytes()
         rig.start("k1")
         assert {unit.state for unit in (await rig.settled(20)).units} == {"in"}
 
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -83,7 +83,8 @@
         rig.edge.stop()
         await rig.until(rig.edge.ended.is_set)
         # SIGKILL: the longest no-answer time, counted as 3 s where it is longer, and 0.7 s.
-        assert client.said == [(isup.REL, A, 41)] and trio.current_time() - signalled < 3.7
+        assert client.said == [(isup.REL, A, 41)]
+        assert trio.current_time() - signalled < 3.7
         assert platform.GOES_ON < platform.KILLED_AFTER
 
 
@@ -107,7 +108,8 @@
         await s0.say(first, release(A, 34, note="no_path"))
         await s0.say(first, {"type": "ping", "id": B, "fields": {}, "cause": 0}, {"type": "state", "id": B})
         await trio.sleep(0.05)
-        assert rig.edge._dialogs[A].leg == 2 and s1.of("setup") == [A]
+        assert rig.edge._dialogs[A].leg == 2
+        assert s1.of("setup") == [A]
         await s0.say(s0.at[A], {"type": "answer", "id": A, "fields": {}, "sdp": "v=0"})
         await rig.until(lambda: client.said == [(isup.ANM, A, -1)])
 
@@ -140,7 +142,9 @@
         await rig.until(lambda: client.said == [(isup.ANM, A, -1)])
         waited = time.monotonic() - began
         await rig.until(lambda: s0.of("release") == [A])
-        assert s1.of("setup") == [A] and s0.of("setup") == [] and waited >= 0.3
+        assert s1.of("setup") == [A]
+        assert s0.of("setup") == []
+        assert waited >= 0.3
 
 
 def ends_of(link: RelayLink, server: Server) -> list[Any]:
@@ -175,7 +179,8 @@
         client = await rig.client()
         await client.ask(A, "dest:1")
         await rig.until(lambda: client.said == [(isup.ANM, A, -1)])
-        assert rig.servers["s1"].of("setup") == [] and rig.edge._list.number == 2  # type: ignore[attr-defined]
+        assert rig.servers["s1"].of("setup") == []
+        assert rig.edge._list.number == 2  # type: ignore[attr-defined]
 
 
 async def test_ends_that_find_nobody_are_kept_for_a_while_only(autojump_clock: MockClock) -> None:
@@ -288,7 +293,8 @@
         await good.send_all(set_up(B))
         with trio.fail_after(20):
             (answer,) = isup.MessageReader().feed(await good.receive_some())
-        assert (answer.type, answer.id) == (isup.ANM, B) and one.holds()["descriptors"] < sockets
+        assert (answer.type, answer.id) == (isup.ANM, B)
+        assert one.holds()["descriptors"] < sockets
 
 
 async def piped(path: Path, data: bytes) -> int:
@@ -340,7 +346,8 @@
         with trio.fail_after(20):
             while not one.other_lines:
                 await trio.sleep(0.01)
-        assert len(one.other_lines) == 1 and f"{path}: {named}:" in one.other_lines[0].decode()
+        assert len(one.other_lines) == 1
+        assert f"{path}: {named}:" in one.other_lines[0].decode()
 
 
 async def refused(one: Drill, contents: list[bytes]) -> None:
@@ -409,4 +416,5 @@
         capture_output=True, text=True, timeout=60, check=True,
     )  # fmt: skip
     loaded = set(told.stdout.split())
-    assert "valverouter.relayedge.proxy" in loaded and not loaded & set(HEAVY)
+    assert "valverouter.relayedge.proxy" in loaded
+    assert not loaded & set(HEAVY)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    "then, now, least, most",
+    ("then", "now", "least", "most"),
     [
         (at(100), at(350), 250 * MS, 250 * MS),
         (at(100), at(350, wall=0), 250 * MS, 250 * MS),  # one boot: a clock that is set changes nothing
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "phase, ms, need",
+    ("phase", "ms", "need"),
     [
         (Phase.WAITING, 100, Need.GO_ON),
         (Phase.WAITING, 9_000, Need.FORGET),
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    "phase, word, same, left, decision",
+    ("phase", "word", "same", "left", "decision"),
     [
         (Phase.OUT, Word.STANDS, True, SECOND, Decision(Need.ANSWER, SECOND)),
         (Phase.OUT, Word.UNDER_WAY, True, SECOND, Decision(Need.ASK, SECOND)),
@@ -165,13 +165,15 @@
 
 def test_no_course_with_a_crash_anywhere_breaks_a_rule() -> None:
     broken, states = check(Model(crashes=1))
-    assert broken == [] and states > 20_000
+    assert broken == []
+    assert states > 20_000
 
 
 @pytest.mark.parametrize("name", LEAVABLE)
 def test_leaving_out_any_write_or_fence_breaks_one(name: str) -> None:
     broken, _ = check(Model(name))
-    assert broken and broken[-1].startswith("rule"), "\n".join(broken)
+    assert broken, "\n".join(broken)
+    assert broken[-1].startswith("rule"), "\n".join(broken)
 
 
 def test_the_model_finds_what_it_found_in_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -218,7 +220,8 @@
             else:
                 pace.answered(server)
         now += 10 * MS
-    assert asked["s1"] == 1_500 and len(pace) == 1_500 - asked["s0"]
+    assert asked["s1"] == 1_500
+    assert len(pace) == 1_500 - asked["s0"]
     assert asked["s0"] <= 60, "eight at first, then one for each rest"
     assert pace._servers["s0"].window == LEAST
 
@@ -229,7 +232,9 @@
     pace.add("b", "s0", SECOND, 1)
     pace.drop("a")
     pace.drop("never there")
-    assert len(pace) == 1 and pace.next(0) == [("b", "s0")] and len(pace) == 0
+    assert len(pace) == 1
+    assert pace.next(0) == [("b", "s0")]
+    assert len(pace) == 0
 
 
 # What was learnt
@@ -238,12 +243,16 @@
 def test_an_old_token_count_does_not_throttle_and_a_fresh_one_does() -> None:
     spent = Learnt("s0", 5, 4_000, 10_000, 800 * MS, 3 * SECOND)
     fresh = after(spent, 5, 100 * MS, 100 * MS)
-    assert fresh is not None and fresh.tokens * 2 <= fresh.full and fresh.shunned_for == 2_900 * MS
+    assert fresh is not None
+    assert fresh.tokens * 2 <= fresh.full
+    assert fresh.shunned_for == 2_900 * MS
     assert 700 * MS < fresh.wait < 800 * MS
     hour = after(spent, 5, 3_600 * SECOND, 3_600 * SECOND)
     assert hour is None
     in_doubt = after(spent, 5, 0, 1 << 62)
-    assert in_doubt is not None and in_doubt.tokens == 10_000 and in_doubt.wait == 800 * MS
+    assert in_doubt is not None
+    assert in_doubt.tokens == 10_000
+    assert in_doubt.wait == 800 * MS
     assert after(spent, 6, 0, 0) is None, "another process of that server owes nothing"
 
 
@@ -255,7 +264,9 @@
         assert ledger.begin_epoch() == 1
         for dialog in "abc":
             ledger.put(record(dialog))
-        assert ledger.pending == 3 and ledger.commit() == 3 and ledger.commit() == 0
+        assert ledger.pending == 3
+        assert ledger.commit() == 3
+        assert ledger.commit() == 0
         ledger.drop("b")
         ledger.put(course.leg_out(record("a"), 0, "s0", 1, at(5)))
         ledger.put_learnt(Learnt("s0", 5, 1, 2, 3, 4))
@@ -263,7 +274,9 @@
         ledger.put(record("never"))
     with Ledger(tmp_path) as ledger:
         found = {one.dialog: one for one in ledger.records() if isinstance(one, Record)}
-        assert set(found) == {"a", "c"} and found["a"].phase is Phase.OUT and found["c"] == record("c")
+        assert set(found) == {"a", "c"}
+        assert found["a"].phase is Phase.OUT
+        assert found["c"] == record("c")
         assert list(ledger.learnt()) == [Learnt("s0", 5, 1, 2, 3, 4)]
         assert ledger.begin_epoch() == 2
 
@@ -325,7 +338,8 @@
                     ledger.put(record(f"d{kept + number}"))
                 ledger.commit()
                 kept += 20
-        assert sum(1 for _ in ledger.records()) == kept > 500 and ledger.pending == 0
+        assert sum(1 for _ in ledger.records()) == kept > 500
+        assert ledger.pending == 0
         for name in sorted(f"d{number}" for number in range(kept))[: kept // 2]:
             ledger.drop(name)
         ledger.commit()
@@ -406,7 +420,8 @@
         with pytest.raises(LedgerFullError, match="No space left"):
             ledger.commit()
         monkeypatch.setattr(ledger, "_env", env)
-        assert ledger.commit() == 0 and list(ledger.records()) == []
+        assert ledger.commit() == 0
+        assert list(ledger.records()) == []
 
 
 def test_records_are_as_small_as_they_are_said_to_be() -> None:
@@ -422,13 +437,17 @@
         with ledger._env.begin(write=True, db=ledger._dialogs) as txn:
             txn.put(b"c", b"nonsense")
         held = valverouter("ledger", "inspect", str(store))
-    assert held.returncode == 2 and "held by another process" in held.stderr
+    assert held.returncode == 2
+    assert "held by another process" in held.stderr
     shown = valverouter("ledger", "inspect", str(store))
-    assert "2 dialogs" in shown.stdout and "out: 1" in shown.stdout
+    assert "2 dialogs" in shown.stdout
+    assert "out: 1" in shown.stdout
     assert valverouter("ledger", "verify", str(store)).returncode == 1
     assert "lost: dialogs 'c'" in valverouter("ledger", "repair", str(store)).stdout
     assert valverouter("ledger", "verify", str(store)).returncode == 0
     lines = valverouter("ledger", "export", str(store)).stdout.splitlines()
     assert [msgspec.json.decode(line)["dialog"] for line in lines] == ["a", "b"]
     none = valverouter("ledger", "inspect", str(tmp_path / "nowhere"))
-    assert none.returncode == 2 and "no store" in none.stderr and not (tmp_path / "nowhere").exists()
+    assert none.returncode == 2
+    assert "no store" in none.stderr
+    assert not (tmp_path / "nowhere").exists()
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -113,7 +113,7 @@
     assert 0.97 < sent / 60 / pace(budget) < 1.03
 
 
-@pytest.mark.parametrize("edges, least", [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
+@pytest.mark.parametrize(("edges", "least"), [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
 def test_the_burst_that_is_reckoned_uses_most(edges: int, least: float) -> None:
     budget = settled(CrossingBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
     wished = 12 / edges
@@ -122,7 +122,8 @@
         return pace(one) * usable(one, 50 * MS, wished)
 
     others = [dataclasses.replace(budget, burst=burst) for burst in (2, 5, 30, 60, 90, 119)]
-    assert used(budget) >= max(map(used, others)) and used(budget) >= least * 12
+    assert used(budget) >= max(map(used, others))
+    assert used(budget) >= least * 12
 
 
 def test_what_of_the_slots_is_used_where_little_is_wished() -> None:
@@ -139,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    "budget, said",
+    ("budget", "said"),
     [
         (CrossingBudget(10, SECOND, 1, 3, 0), "lapse"),
         (CrossingBudget(10, SECOND, 11, 3, 0), "must lie"),
@@ -180,7 +181,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, more, may",
+    ("kind", "more", "may"),
     [
         ("routine", {}, True),
         ("routine", {"wait": 0.6}, False),
@@ -199,7 +200,8 @@
 
 def test_routine_dialogs_wait_for_evidence_and_urgent_ones_do_not() -> None:
     rule = crossing(routine=ROUTINE, urgent=URGENT)
-    assert not asks(rule, "routine") and asks(rule, "urgent")
+    assert not asks(rule, "routine")
+    assert asks(rule, "urgent")
     assert asks(lacking(rule), "routine")
 
 
@@ -208,7 +210,8 @@
     while asks(rule, "routine"):
         rule.sent(OPEN, "routine", "varna", (f"d{sent}", 0))
         sent += 1
-    assert 1 <= sent <= 2 and rule.accounts.whole["routine", "sofia", "varna"] == Tally(legs=sent)
+    assert 1 <= sent <= 2
+    assert rule.accounts.whole["routine", "sofia", "varna"] == Tally(legs=sent)
 
 
 def test_urgent_pays_its_own_then_the_reserve_then_overdraws() -> None:
@@ -218,11 +221,12 @@
         rule.sent(OPEN, "urgent", "varna", (f"d{at}", 0))
     tally = rule.accounts.whole["urgent", "sofia", "varna"]
     own = 8 - tally.reserve - tally.overdraft
-    assert (tally.legs, own >= 1, tally.reserve >= 1) == (8, True, True) and tally.overdraft >= 4
+    assert (tally.legs, own >= 1, tally.reserve >= 1) == (8, True, True)
+    assert tally.overdraft >= 4
 
 
 @pytest.mark.parametrize(
-    "outcome, back, legs",
+    ("outcome", "back", "legs"),
     [
         (Outcome.UNREACHABLE, True, 0),
         (Outcome.NOT_SENT, True, 0),
@@ -242,7 +246,8 @@
     rule.heard(OPEN, LegResult("d", 0, "s", outcome))
     assert asks(rule, "routine") == back, "nothing is given back twice"
     assert rule.accounts.whole["routine", "sofia", "varna"].legs == before
-    assert not rule._out and before >= legs
+    assert not rule._out
+    assert before >= legs
 
 
 def test_a_dialog_that_stands_is_accounted_until_its_end() -> None:
@@ -258,7 +263,8 @@
 def test_a_leg_at_home_costs_nothing() -> None:
     rule = crossing(routine=ROUTINE)
     rule.sent(OPEN, "routine", "sofia", ("d", 0))
-    assert not rule.accounts.whole and not rule._out
+    assert not rule.accounts.whole
+    assert not rule._out
 
 
 def test_the_narrowest_budget_is_the_one_that_pays() -> None:
@@ -281,7 +287,8 @@
         assert not (asks(rule, "routine", now=OPEN + at) and at < window), "a window passes first"
     assert any(asks(rule, "routine", now=OPEN + at) for at in range(window, 3 * window, SECOND))
     rule.heard(OPEN, LegResult("d", 0, "s", Outcome.UNREACHABLE))
-    assert rule.accounts.whole["urgent", "sofia", "varna"] == Tally(unsent=1) and not rule._out
+    assert rule.accounts.whole["urgent", "sofia", "varna"] == Tally(unsent=1)
+    assert not rule._out
     never = CrossingTerms("sofia", {"urgent": CrossingClass(CrossingBudget(10, SECOND, 1, 3, 0))}, None, 0, 0)
     with pytest.raises(ValueError, match="lapse"):
         rule.change(never, OPEN)
@@ -330,7 +337,8 @@
         for number in range(50):
             books.count(START + minute * accounts.MINUTE, ("t", "a", "b"), legs=1)
             assert number >= 0
-    assert len(books.minutes) <= accounts.MINUTES and books.whole["t", "a", "b"].legs == 25_000
+    assert len(books.minutes) <= accounts.MINUTES
+    assert books.whole["t", "a", "b"].legs == 25_000
     assert sum(rows["t", "a", "b"].legs for rows in books.minutes.values()) == 50 * accounts.MINUTES
 
 
@@ -341,7 +349,8 @@
     two.count(START, ("u", "a", "c"), overdraft=1)
     books = [one.rows("e0", START, START), two.rows("e1", START, START)]
     assert merged(books) == {("t", "a", "b"): Tally(legs=5, stands=1), ("u", "a", "c"): Tally(overdraft=1)}
-    assert missing(books, 2) == [] and missing(books, 4) == ["2 of 4 edge proxies left no record"]
+    assert missing(books, 2) == []
+    assert missing(books, 4) == ["2 of 4 edge proxies left no record"]
 
 
 # The server rule's seam
@@ -405,7 +414,8 @@
 
 def test_least_crossing_that_carries_the_load() -> None:
     found = plan([Demand("t", "a", 15, 1), Demand("t", "b", 5, 1)], CAPACITY, [])
-    assert found.crossing == {("t", "a", "b"): pytest.approx(5)} and not found.short
+    assert found.crossing == {("t", "a", "b"): pytest.approx(5)}
+    assert not found.short
     assert found.binds == ["processors of a"]
 
 
@@ -419,10 +429,11 @@
 
 def test_lines_bind_by_how_long_dialogs_last() -> None:
     found = plan([Demand("t", "a", 4, 5)], [Capacity("a", 100, 10)], [])
-    assert found.short == {("t", "a"): pytest.approx(2)} and found.binds == ["lines of a"]
+    assert found.short == {("t", "a"): pytest.approx(2)}
+    assert found.binds == ["lines of a"]
 
 
-@pytest.mark.parametrize("pair, crosses", [(("a", "b"), 1.0), (("a", "*"), 1.0), (("b", "a"), 5.0)])
+@pytest.mark.parametrize(("pair", "crosses"), [(("a", "b"), 1.0), (("a", "*"), 1.0), (("b", "a"), 5.0)])
 def test_pairs(pair: tuple[str, str], crosses: float) -> None:
     found = plan([Demand("t", "a", 15, 1)], CAPACITY, [Limit("t", 1, pair)])
     assert sum(found.crossing.values()) == pytest.approx(crosses)
@@ -460,14 +471,16 @@
 
 def test_terms_are_shared_by_fleet_and_by_region() -> None:
     crossing = edge_terms(IniFile(GOOD, "e.ini")).crossing
-    assert crossing is not None and crossing.reserve is not None
+    assert crossing is not None
+    assert crossing.reserve is not None
     kind = crossing.classes["plain"]
-    assert kind.urgent and kind.budget == CrossingBudget(10, 10 * SECOND, 0, 3, 0)
+    assert kind.urgent
+    assert kind.budget == CrossingBudget(10, 10 * SECOND, 0, 3, 0)
     assert kind.pairs == {("a", "b"): CrossingBudget(4, 10 * SECOND, 0, 2, 0)}
 
 
 @pytest.mark.parametrize(
-    "old, new, line, said",
+    ("old", "new", "line", "said"),
     [
         ("region = a", "region = c", 5, "no [region c]"),
         ("region = a", "region = a\nregion_place = 2", 6, "less than the 2 edges"),
@@ -523,7 +536,8 @@
     found = crossings(rows)
     assert audit(rows).kept
     routine = [one.at for one in found if one.traffic_type == "booking"]
-    assert len(routine) > 20 and most_in_window(routine, 2 * SECOND) <= 24
+    assert len(routine) > 20
+    assert most_in_window(routine, 2 * SECOND) <= 24
     assert books == dict(lines(found)), "accounts equal the servers' counts"
     accounts_ = account(rows)
     assert accounts_["urgent-referral"].service > 0.95
@@ -570,7 +584,8 @@
     assert ran.returncode == 0, ran.stdout + ran.stderr
     found = crossings(tap.read(records))
     routine = [one.at for one in found if one.traffic_type == "booking"]
-    assert routine and most_in_window(routine, 2 * SECOND) <= 24
+    assert routine
+    assert most_in_window(routine, 2 * SECOND) <= 24
     files = [str(path) for path in sorted(logs.glob("*.accounts"))]
     told = valverouter("regions", "report", "--json", "--edges", "7", *files)
     books = msgspec.json.decode(told.stdout)
@@ -588,7 +603,8 @@
             more = edge_terms(IniFile(ini.replace("legs = 10", "legs = 20"), "e.ini"))
             rig.edge.reload(more)
             await trio.sleep(0.1)
-            assert rig.edge.crossing is not None and rig.edge.crossing.terms == more.crossing
+            assert rig.edge.crossing is not None
+            assert rig.edge.crossing.terms == more.crossing
             late = msgspec.structs.replace(more, answer_margin=1)
             rig.edge.reload(late)
             await trio.sleep(0.1)
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -43,7 +43,9 @@
         await server.say(server.streams[0], release(A, 16), release(A, 16))
         await rig.until(lambda: client.said == [ANSWERED, OVER])
         await trio.sleep(10)
-        assert client.said == [ANSWERED, OVER] and not rig.edge._dialogs and client.ended is None
+        assert client.said == [ANSWERED, OVER]
+        assert not rig.edge._dialogs
+        assert client.ended is None
 
 
 @pytest.mark.parametrize("others", [True, False])
@@ -72,7 +74,8 @@
         other = await rig.client()
         await other.release(A)
         await rig.until(lambda: server.of("release") == [A], 1)
-        assert client.said == [ANSWERED] and not rig.edge._dialogs
+        assert client.said == [ANSWERED]
+        assert not rig.edge._dialogs
 
 
 async def test_what_stands_outlives_a_reset_and_ends_on_the_next_connection(
@@ -141,7 +144,8 @@
         await trio.sleep(0.5)
         await client.ask(B)
         await rig.until(lambda: (isup.ANM, B, -1) in client.said)
-        assert s0.of("setup") == [A] and s1.of("setup") == [B]
+        assert s0.of("setup") == [A]
+        assert s1.of("setup") == [B]
         assert (CUT in client.said) is (health == "Gone")
         assert bool(s0.streams) is (health != "Gone")
 
@@ -156,11 +160,9 @@
         await rig.until(lambda: server.of("release") == [A], 1)
         await server.say(server.at[A], answer(A))
         await trio.sleep(10)
-        assert (
-            not client.said
-            and not rig.edge._dialogs
-            and not any(link.legs for link in rig.edge._links.values())
-        )
+        assert not client.said
+        assert not rig.edge._dialogs
+        assert not any(link.legs for link in rig.edge._links.values())
 
 
 async def test_a_dialog_with_no_answer_is_given_up_in_its_time(autojump_clock: MockClock) -> None:
@@ -170,7 +172,8 @@
         began = trio.current_time()
         await client.ask(A, left=1_000)
         await rig.until(lambda: bool(client.said))
-        assert client.said == [CUT] and 0.9 < client.heard[0][0] - began <= 1.0
+        assert client.said == [CUT]
+        assert 0.9 < client.heard[0][0] - began <= 1.0
         assert server.of("release") == [A]
 
 
@@ -188,7 +191,9 @@
         await (stream.send_all(spoilt) if spoilt else stream.aclose())
         await rig.until(lambda: ANSWERED in client.said)
         # The release time holds, and should the spoilt answer have been a good one, nothing stands unowned.
-        assert trio.current_time() - broke >= 0.3 and s1.of("setup") == [A] and s0.of("release") == [A]
+        assert trio.current_time() - broke >= 0.3
+        assert s1.of("setup") == [A]
+        assert s0.of("release") == [A]
 
 
 async def test_more_than_belongs_to_an_answer_is_ignored(autojump_clock: MockClock) -> None:
@@ -200,7 +205,8 @@
         lines = len(server.streams)
         await server.say(server.at[A], answer(B), answer(A), answer(A), {"type": "news", "id": A})
         await trio.sleep(3)
-        assert client.said == [ANSWERED] and len(server.streams) == lines
+        assert client.said == [ANSWERED]
+        assert len(server.streams) == lines
 
 
 async def test_an_id_that_is_open_elsewhere_leaves_the_first_alone(autojump_clock: MockClock) -> None:
@@ -215,7 +221,8 @@
         await rig.until(lambda: bad.ended is not None, 3)
         await server.say(server.at[A], answer(A))
         await rig.until(lambda: client.said == [ANSWERED], 1)
-        assert server.of("setup") == [A] and not bad.said
+        assert server.of("setup") == [A]
+        assert not bad.said
 
 
 async def test_an_id_that_had_its_answer_is_no_new_dialog(autojump_clock: MockClock) -> None:
@@ -243,7 +250,8 @@
         client = await rig.client()
         await client.ask(A)
         await rig.until(lambda: client.said == [ANSWERED], 1)
-        assert set(server.of("setup")) == {A} and not rig.edge._driver.control._fars["s0"].failures
+        assert set(server.of("setup")) == {A}
+        assert not rig.edge._driver.control._fars["s0"].failures
 
 
 @pytest.mark.parametrize(
@@ -268,7 +276,8 @@
             await client.stream.send_all(sent)
         await rig.until(lambda: client.ended is not None or bool(client.said), 3)
         await trio.sleep(60)
-        assert good.ended is None and client.ended is not None
+        assert good.ended is None
+        assert client.ended is not None
 
 
 async def test_room_is_made_by_no_connection_whose_set_up_waits(autojump_clock: MockClock) -> None:
@@ -287,7 +296,8 @@
         for _ in range(3):  # its own turn has not come yet
             await rig.edge._refuse(await rig.network.connect("s1:1"))
         await rig.until(lambda: (isup.ANM, "d" * 16, -1) in asking.said, 2)
-        assert idle.ended is not None and asking.ended is None
+        assert idle.ended is not None
+        assert asking.ended is None
 
 
 async def test_tests_pass_until_it_stops(autojump_clock: MockClock) -> None:
@@ -303,7 +313,8 @@
         await client.ask(A, "dest:0;width:1;at:s0")
         await client.ask(A, "dest:0;width:1;at:s0")
         await trio.sleep(0.5)
-        assert not client.said and not server.of("setup")
+        assert not client.said
+        assert not server.of("setup")
         await server.say(server.streams[0], release(A, 16))
         await rig.until(lambda: client.said == [OVER], 1)
 
@@ -330,7 +341,8 @@
         rig.bus.silent = True
         await trio.sleep(10)
         asked = rig.bus.asked
-        assert max(b[0] - a[0] for a, b in pairwise(asked)) <= 3 and asked[-1][1] == 2
+        assert max(b[0] - a[0] for a, b in pairwise(asked)) <= 3
+        assert asked[-1][1] == 2
         rig.bus.silent = False
         await rig.nursery.start(rig.network.serve, "bus:2", rig.bus.serve)
         before = len(asked)
@@ -368,7 +380,8 @@
     missing = subprocess.run(
         command, env=environment, capture_output=True, text=True, timeout=30, check=False
     )
-    assert missing.returncode == 2 and len(missing.stderr.splitlines()) == 1
+    assert missing.returncode == 2
+    assert len(missing.stderr.splitlines()) == 1
     path.write_text(json.dumps(configuration([], listen, "127.0.0.1:1")))
     with subprocess.Popen(command, env=environment, stderr=subprocess.PIPE, text=True) as process:
         assert process.stderr is not None
--- a/tests/test_relaywire.py
+++ b/tests/test_relaywire.py
@@ -41,7 +41,8 @@
     reader = isup.MessageReader()
     try:
         for message in reader.feed(data):
-            assert message.type in isup.KNOWN and len(message.id) == 16
+            assert message.type in isup.KNOWN
+            assert len(message.id) == 16
     except ProtocolError:
         return
     assert len(reader._held) <= isup.MOST
@@ -70,7 +71,8 @@
 ) -> None:
     data = lines.setup(id_, "booking", "0" * 16, left, text)
     (line,) = lines.LineReader().feed(data)
-    assert data.count(b"\n") == 1 and (line.type, line.id, line.sdp) == ("setup", id_, text)
+    assert data.count(b"\n") == 1
+    assert (line.type, line.id, line.sdp) == ("setup", id_, text)
     assert line.fields == {"class": "booking", "key": "0" * 16, "left": str(left)}
 
 
@@ -104,7 +106,8 @@
 )
 def test_reports_are_read_by_either_name(text: str, told: tuple[int | None, ...]) -> None:
     load = words.load(lines.Line("state", fields={"load": text}))
-    assert load is not None and (load.free_lines, load.lines, load.queue) == told
+    assert load is not None
+    assert (load.free_lines, load.lines, load.queue) == told
 
 
 @pytest.mark.parametrize(
@@ -149,7 +152,8 @@
     assert made.called_number == int("7f3a9c21e0b4d655", 16)
     assert b"7f3a9c21e0b4d655" in words.to_server(made)
     stood = asked(p139=b"dest:1;width:1;at:s-00c41f7a")
-    assert isinstance(stood, words.Stood) and stood.server == "s-00c41f7a"
+    assert isinstance(stood, words.Stood)
+    assert stood.server == "s-00c41f7a"
 
 
 @pytest.mark.parametrize(
@@ -226,7 +230,8 @@
         with pytest.raises(ProtocolError):
             session.receive(b"")
     else:
-        assert early == msgspec.json.decode(BODY, type=Batch) and session.may_ask_again
+        assert early == msgspec.json.decode(BODY, type=Batch)
+        assert session.may_ask_again
         session.ask(41, 2000)
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -126,10 +126,13 @@
     one = register()
     one.apply(2, Away("e0"))
     answer = one.apply(3, Ask("a", "e2"))
-    assert answer is not None and answer.permit is None and "used by e0" in answer.why
+    assert answer is not None
+    assert answer.permit is None
+    assert "used by e0" in answer.why
     one.apply(4, Back("e0"))
     answer = one.apply(5, Ask("b", "e2"))
-    assert answer is not None and answer.permit == Permit(5, "e2", "")
+    assert answer is not None
+    assert answer.permit == Permit(5, "e2", "")
 
 
 def test_out_becomes_in_by_the_number_it_went_out_by_and_no_other() -> None:
@@ -149,7 +152,8 @@
     one = register()
     first = one.apply(2, Ask("a", "e0", "roll"))
     one.apply(3, Back("e0", 2))
-    assert one.apply(9, Ask("a", "e0", "roll")) == first and not one.out, "not carried out twice"
+    assert one.apply(9, Ask("a", "e0", "roll")) == first, "not carried out twice"
+    assert not one.out, "not carried out twice"
 
 
 def test_what_is_refused_says_why() -> None:
@@ -168,8 +172,10 @@
 
 def test_a_fence_lets_no_lower_number_through() -> None:
     fence = Fence()
-    assert fence.accepts(Permit(5, "e0", "")) and fence.accepts(Permit(5, "e0", ""))
-    assert fence.accepts(Permit(8, "e0", "")) and not fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(8, "e0", ""))
+    assert not fence.accepts(Permit(5, "e0", ""))
     assert fence.accepts(Permit(2, "e1", ""))
     fence.over(Permit(8, "e0", ""))
     assert not fence.accepts(Permit(8, "e0", "")), "a copy that comes late"
@@ -324,7 +330,8 @@
     one.tick(5 * SECOND)
     one.heard(5 * SECOND, Voted(4, "c1", 2, True, ahead=True))
     one.heard(5 * SECOND, Voted(4, "c1", 2, True))
-    assert one.part is Part.LEADER and one.last == 3
+    assert one.part is Part.LEADER
+    assert one.last == 3
     one.heard(5 * SECOND, Appended(4, "c1", 2, True, 2))
     assert one.agreed == 0
     one.heard(5 * SECOND, Appended(4, "c1", 2, True, 3))
@@ -338,7 +345,8 @@
     one.heard(SECOND, Append(2, "c0", 1, 1, (Entry(1, "a"),), 2))
     assert [entry.what for entry in one.durable.entries[1:]] == ["a", "b"], "a repeat takes nothing away"
     one.heard(SECOND, Append(2, "c0", 2, 1, (Entry(2, "c"),), 3))
-    assert [entry.what for entry in one.durable.entries[1:]] == ["a", "c"] and one.agreed == 3
+    assert [entry.what for entry in one.durable.entries[1:]] == ["a", "c"]
+    assert one.agreed == 3
     one.heard(SECOND, Append(2, "c0", 9, 2, (), 3))
     assert one.out[-1][1] == Appended(2, "c1", 2, False, 3)
     one.heard(SECOND, Append(1, "c2", 1, 1, (Entry(1, "z"),), 2))
@@ -365,12 +373,14 @@
                 one.compact()
     table.run(2)
     leader = table.leader
-    assert leader.durable.snapshot is not None and len(leader.durable.entries) < KEPT
+    assert leader.durable.snapshot is not None
+    assert len(leader.durable.entries) < KEPT
     table.cut = set()
     table.run(3)
     one = table.ones[away]
     total = states[away] + sum(isinstance(what, int) for _, what in one.decided)
-    assert total == KEPT + 60 and one.agreed == leader.agreed
+    assert total == KEPT + 60
+    assert one.agreed == leader.agreed
     assert one.members == leader.members
 
 
@@ -389,7 +399,8 @@
     table.run(2)
     leader.replace(table.now, "", (lost, 77))
     table.run(3)
-    assert table.ones[lost].is_member and table.ones[lost].agreed == leader.agreed
+    assert table.ones[lost].is_member
+    assert table.ones[lost].agreed == leader.agreed
     assert leader.replace(table.now, "nobody", None) == "that changes nothing"
 
 
@@ -455,7 +466,8 @@
 def test_harm_halts_and_no_harm_goes_on_with_the_chances_stated() -> None:
     rule = Rule(false_halt=0.01, missed=0.05, odds=2.0)
     harmless = [released(rule, 0.05, 0.05, seed).verdict for seed in range(200)]
-    assert harmless.count(Verdict.HALT) <= 6 and harmless.count(Verdict.GO) > 150
+    assert harmless.count(Verdict.HALT) <= 6
+    assert harmless.count(Verdict.GO) > 150
     harmful = [released(rule, 0.15, 0.05, seed) for seed in range(60)]
     assert sum(one.verdict is Verdict.HALT for one in harmful) >= 55
     halted = next(one for one in harmful if one.verdict is Verdict.HALT)
@@ -466,7 +478,8 @@
     assert released(Rule(), 0.05, 0.05, 1, spans=100, night=True).verdict is Verdict.WAIT
     nobody = Evidence(("declined",), Rule(), random.random)
     nobody.span({"north": Tally(0, 50)}, {"south": Tally(0, 50)}, "declined")
-    assert nobody.verdict is Verdict.WAIT and not nobody.comparisons["declined"].pairs, "no region in common"
+    assert nobody.verdict is Verdict.WAIT, "no region in common"
+    assert not nobody.comparisons["declined"].pairs, "no region in common"
 
 
 def test_a_slow_server_strikes_both_and_halts_nothing() -> None:
@@ -565,7 +578,8 @@
     chance = random.Random(5)
     for _ in range(6):
         process = subprocess.Popen([sys.executable, "-c", script, str(tmp_path)], stdout=subprocess.PIPE)
-        assert process.stdout is not None and process.stdout.readline() == b"on\n"
+        assert process.stdout is not None
+        assert process.stdout.readline() == b"on\n"
         time.sleep(chance.uniform(0.0, 0.05))
         process.kill()
         process.wait()
@@ -594,5 +608,6 @@
         patch.setattr(Durable, "apply", both)
         course._fault = lambda: None  # type: ignore[method-assign]
         course.run(12)
-    assert seat.durable.entries and store.load() == seat.durable
+    assert seat.durable.entries
+    assert store.load() == seat.durable
     store.close()
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -52,11 +52,14 @@
 def test_a_planted_worst_day_is_found_and_cut_down_to_what_shows_it() -> None:
     terms = Search(day="-", budget=600, troubles=2, kinds=("crash", "slow", "hang", "burst"))
     found, score, judged = search(terms, BASE, planted)
-    assert score > 0.9 * 1.5 * 4 * 3 and judged <= 700
+    assert score > 0.9 * 1.5 * 4 * 3
+    assert judged <= 700
     assert search(terms, BASE, planted)[0] == found, "the same seed finds the same day"
     least, kept = cut_down(found, planted, 0.5 * score, 300)
-    assert [trouble.kind for trouble in least.troubles] == ["slow"] and kept >= 0.5 * score
-    assert least.length < found.length and least.troubles[0].start <= SECOND
+    assert [trouble.kind for trouble in least.troubles] == ["slow"]
+    assert kept >= 0.5 * score
+    assert least.length < found.length
+    assert least.troubles[0].start <= SECOND
     assert all(planted(one) < 0.5 * score for one in smaller(least)), "nothing simpler shows it"
 
 
@@ -80,7 +83,8 @@
     path = tmp_path / "found.ini"
     path.write_text(found_file(one, small, 100.0, "Found: +0.100"))
     played = day(IniFile.load(path), "found")
-    assert path.read_text().startswith("# Found") and audit(run_emulated(played).rows).kept
+    assert path.read_text().startswith("# Found")
+    assert audit(run_emulated(played).rows).kept
     judge = Judge(Search(day="-", against=("any-server",)), small, 100.0)
     assert -1 <= judge(one) <= 1
     rules = Judge(Search(day="-", seeks="rules"), small, 100.0)
@@ -88,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    ("old", "new", "said"),
     [
         ("seeks = loss", "seeks = gain", "seeks"),
         ("kinds = crash", "kinds = cash", "'cash' is not known"),
--- a/tests/test_servermodel.py
+++ b/tests/test_servermodel.py
@@ -32,7 +32,8 @@
     model = server()
     model.setup(0, key(0), 7, SECOND)
     model.setup(0, key(1), 7, SECOND)
-    assert model.wait(0) == 20 * MS and model.queue == 1
+    assert model.wait(0) == 20 * MS
+    assert model.queue == 1
     course = told(model, 5 * SECOND)
     # The second set-up goes ahead of the first one's answer, which waits behind new set-ups.
     assert course[:4] == [
@@ -42,7 +43,9 @@
         ("d1", "STANDS", 24),
     ]
     assert course[4:] == [("d0", "ENDED", 1024), ("d1", "ENDED", 1026)]
-    assert model.free_lines == 3 and not model.legs and model.due() is None
+    assert model.free_lines == 3
+    assert not model.legs
+    assert model.due() is None
 
 
 def test_refused_when_the_wait_is_too_long_and_that_costs_work_too() -> None:
@@ -54,12 +57,13 @@
     assert model.wait(0) == 31 * MS
 
 
-@pytest.mark.parametrize("slow, share", [(1.0, 1.0), (2.5, 0.4)])
+@pytest.mark.parametrize(("slow", "share"), [(1.0, 1.0), (2.5, 0.4)])
 def test_slow(slow: float, share: float) -> None:
     model = server()
     model.slow(0, slow)
     model.setup(0, key(0), 7, SECOND)
-    assert model.share(0) == share and model.due() == int(10 * MS / share)
+    assert model.share(0) == share
+    assert model.due() == int(10 * MS / share)
 
 
 def test_ageing_grows_and_ends() -> None:
@@ -75,7 +79,8 @@
     model.setup(0, key(0), 7, SECOND)
     model.hang(4 * MS, True)
     model.setup(5 * MS, key(1), 7, SECOND)
-    assert told(model, SECOND) == [] and model.due() is None
+    assert told(model, SECOND) == []
+    assert model.due() is None
     model.hang(SECOND, False)
     assert told(model, SECOND + 16 * MS) == [("d0", "PROVISIONAL", 1006), ("d1", "PROVISIONAL", 1016)]
 
@@ -111,7 +116,7 @@
     assert model.counts.repeats == 2 + 1  # d0 at 500 ms; d1 at 500 and 1500 ms
 
 
-@pytest.mark.parametrize("drops, due", [(True, 10 * MS + 2 * MS), (False, 20 * MS)])
+@pytest.mark.parametrize(("drops", "due"), [(True, 10 * MS + 2 * MS), (False, 20 * MS)])
 def test_a_cancelled_set_up_may_still_be_worked_on(drops: bool, due: int) -> None:
     model = server(Make(setup_work=10 * MS, release_work=2 * MS, drops_cancelled=drops, ring=SECOND))
     model.setup(0, key(0), 7, SECOND)
@@ -140,14 +145,16 @@
     model.setup(0, key(1, "e1"), 7, 60 * SECOND)
     model.advance(SECOND)
     model.peer_lost(SECOND, "e0")
-    assert told(model, 2 * SECOND) == [] and list(model.legs) == [key(1, "e1")] and model.free_lines == 2
+    assert told(model, 2 * SECOND) == []
+    assert list(model.legs) == [key(1, "e1")]
+    assert model.free_lines == 2
 
 
 COLD = Make(setup_work=100 * MS, cold_share=0.5, warm_after=10 * SECOND, tip_multiple=2.0, tip_span=SECOND)
 
 
 @pytest.mark.parametrize(
-    "count, at, fell",
+    ("count", "at", "fell"),
     [
         (10, 0, False),
         (11, 0, True),
@@ -161,7 +168,8 @@
     model.start(0)
     for number in range(count):
         model.setup(at, key(number), 7, SECOND)
-    assert model.fell == fell and model.runs != fell
+    assert model.fell == fell
+    assert model.runs != fell
     if fell:
         model.start(SECOND)
         assert not model.runs
@@ -179,9 +187,12 @@
     for at in range(5):
         model.start(at * SECOND)
         model.setup(at * SECOND, key(0), 7, 60 * SECOND)
-        assert model.legs and told(model, at * SECOND + 20 * MS)[-1][1] == "STANDS"
+        assert model.legs
+        assert told(model, at * SECOND + 20 * MS)[-1][1] == "STANDS"
         model.crash(at * SECOND + 30 * MS)
-        assert not model.legs and model.due() is None and model.advance(at * SECOND + 40 * MS) == []
+        assert not model.legs
+        assert model.due() is None
+        assert model.advance(at * SECOND + 40 * MS) == []
 
 
 def test_answers_lost() -> None:
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -109,11 +109,12 @@
     list(session.receive(frame(HELLO)[:-1]))
     with pytest.raises(ProtocolError) as caught:
         list(session.receive(b""))
-    assert caught.value.code == "half-sent" and not session.farewell(caught.value)
+    assert caught.value.code == "half-sent"
+    assert not session.farewell(caught.value)
 
 
 @pytest.mark.parametrize(
-    "speaks, version",
+    ("speaks", "version"),
     [((1, 1), 1), ((1, 9), 2), ((0, 1), 1), ((2, 9), 2), ((3, 9), None), ((0, 0), None), ((5, 1), None)],
 )
 def test_versions(speaks: tuple[int, int], version: int | None) -> None:
@@ -126,7 +127,8 @@
             msgspec.msgpack.decode(body, type=Error)
             for body in FrameReader().feed(session.farewell(caught.value))
         )
-        assert error.code == "version" and "1 to 2" in error.text
+        assert error.code == "version"
+        assert "1 to 2" in error.text
     else:
         list(session.receive(frame(Hello(speaks, "edge", "e0"))))
         assert session.version == version
@@ -165,7 +167,7 @@
 ]
 
 
-@pytest.mark.parametrize("role, before, late", OUT_OF_STATE)
+@pytest.mark.parametrize(("role", "before", "late"), OUT_OF_STATE)
 def test_out_of_state_is_refused_at_both_ends(role: str, before: list[Any], late: tuple[str, Any]) -> None:
     sides = dict(zip("as", pair(role), strict=True))
     other = {"a": "s", "s": "a"}
@@ -192,7 +194,8 @@
     if isinstance(answer, setup.Stands | setup.Provisional):
         closing = setup.Ended(*D) if isinstance(answer, setup.Stands) else setup.Cancelled(*D)
         passes(serves, asks, closing)
-    assert not asks.legs and not serves.legs
+    assert not asks.legs
+    assert not serves.legs
 
 
 def test_legs_open_on_one_connection_are_bounded() -> None:
@@ -243,7 +246,8 @@
     assert replica.heard(first) == (None, None)
     change = register.change(rows("s2", phase="gone"))
     assert replica.heard(change) == (rows("s2", phase="gone"), None)
-    assert replica.heard(change) == (None, None) and set(replica.rows) == {"s1"}
+    assert replica.heard(change) == (None, None)
+    assert set(replica.rows) == {"s1"}
 
 
 def test_a_gap_asks_once_and_heeds_only_what_leaves() -> None:
@@ -252,10 +256,12 @@
     register.change(rows("s1"))
     for at in range(3):
         told, answer = replica.heard(register.change([*rows(f"s{at + 5}"), *rows("s2", phase="draining")]))
-        assert told == rows("s2", phase="draining") and (answer == Watch()) == (at == 0)
+        assert told == rows("s2", phase="draining")
+        assert (answer == Watch()) == (at == 0)
     (snapshot,) = register.answer(Watch())
     replica.heard(snapshot)
-    assert replica.rows == register.rows and replica.gaps == 1
+    assert replica.rows == register.rows
+    assert replica.gaps == 1
 
 
 def test_who_comes_back_gets_what_was_missed_or_all() -> None:
@@ -265,7 +271,8 @@
     assert len(register.answer(Watch("e", register.number - 5))) == 5
     for stale in (Watch("e", 3), Watch("former", register.number), Watch("e", register.number + 1), Watch()):
         (answer,) = register.answer(stale)
-        assert isinstance(answer, Snapshot) and answer.number == register.number
+        assert isinstance(answer, Snapshot)
+        assert answer.number == register.number
 
 
 @given(
--- a/tests/test_slowmodel.py
+++ b/tests/test_slowmodel.py
@@ -275,7 +275,8 @@
         fleet.run(40 * SECOND)
         assert not fleet.rules.broken, f"seed {seed}: {fleet.rules.broken[:3]}\n{fleet.rules.last()}"
         seen += fleet.rules.counts()
-    assert set(seen) - {"passing"} == SEEN and min(seen[kind] for kind in SEEN) >= 10, seen
+    assert set(seen) - {"passing"} == SEEN, seen
+    assert min(seen[kind] for kind in SEEN) >= 10, seen
     assert seen["taken"] > 3_000
 
 
@@ -335,7 +336,8 @@
         fleet = Fleet(seed, tamper)
         fleet.run(32 * SECOND)
         found, step, why = fleet.rules.broken[0]
-        assert fleet.tampered and (found, step) == (rule, fleet.tampered[0] + steps_later), (seed, why)
+        assert fleet.tampered, (seed, why)
+        assert (found, step) == (rule, fleet.tampered[0] + steps_later), (seed, why)
 
 
 def test_an_answer_left_out_is_caught_at_the_first_step_past_its_time() -> None:
@@ -344,7 +346,8 @@
     found, step, why = fleet.rules.broken[0]
     history = fleet.rules.history
     until = {taken.dialog: taken.until for taken in history if taken.kind == "taken"}[why.split()[0]]
-    assert found == 1 and history[step - 1].at <= until < history[step].at
+    assert found == 1
+    assert history[step - 1].at <= until < history[step].at
 
 
 @pytest.mark.parametrize("planted", [False, True])
@@ -500,16 +503,20 @@
     script = small(*((kind, HOW[kind]) for kind in kinds), length=6)
     script = msgspec.structs.replace(script, terms=msgspec.structs.replace(script.terms, seed=seed))
     beside, audited = both(script, reloads)
-    assert not beside.rules.broken and not audited, (beside.rules.broken[:3], audited, beside.rules.last())
+    assert not beside.rules.broken, (beside.rules.broken[:3], audited, beside.rules.last())
+    assert not audited, (beside.rules.broken[:3], audited, beside.rules.last())
     counts = beside.rules.counts()
-    assert counts["taken"] > 100 and counts["sent"] > 60 and counts["answered stands"] > 30, counts
+    assert counts["taken"] > 100, counts
+    assert counts["sent"] > 60, counts
+    assert counts["answered stands"] > 30, counts
     once = {
         "crash": "began",
         "balancer_crash": "restarted",
         "balancer_stall": "held",
         "deploy": "told draining",
     }
-    assert all(counts[once[kind]] for kind in kinds if kind in once) and counts["told gone"] + counts["reset"]
+    assert all(counts[once[kind]] for kind in kinds if kind in once)
+    assert counts["told gone"] + counts["reset"]
 
 
 def plant(monkeypatch: pytest.MonkeyPatch, rule: int) -> Any:
@@ -568,4 +575,5 @@
         crash = ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6})
         script = small(burst, crash, length=8, tip_multiple=0.8)
     beside, audited = both(script, prepare)
-    assert rule in audited and {found for found, _, _ in beside.rules.broken} == audited
+    assert rule in audited
+    assert {found for found, _, _ in beside.rules.broken} == audited
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -59,7 +59,7 @@
 ]
 
 
-@pytest.mark.parametrize("old, new, expected", FLAWS)
+@pytest.mark.parametrize(("old", "new", "expected"), FLAWS)
 def test_flaws(old: str, new: str, expected: list[tuple[int, str]]) -> None:
     assert old in GOOD
     with pytest.raises(FlawedTermsError) as caught:
@@ -67,7 +67,8 @@
     flaws = caught.value.flaws
     assert [flaw.line for flaw in flaws] == [line for line, _ in expected], caught.value
     for flaw, (_, text) in zip(flaws, expected, strict=True):
-        assert text in str(flaw) and str(flaw).startswith("e.ini")
+        assert text in str(flaw)
+        assert str(flaw).startswith("e.ini")
 
 
 def test_a_sound_file_and_its_defaults() -> None:
@@ -89,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, ns",
+    ("text", "ns"),
     [
         ("300ms", 3 * 10**8),
         ("1.5 s", 15 * 10**8),
@@ -119,7 +120,8 @@
 @pytest.mark.parametrize("path", sorted((DEPLOY / "samples").glob("*.ini")), ids=lambda path: path.stem)
 def test_samples_are_sound(path: Path) -> None:
     terms = load_edge_terms(path)
-    assert len(terms.deployment.traffic_types) >= 1 and terms.deployment.warm_after
+    assert len(terms.deployment.traffic_types) >= 1
+    assert terms.deployment.warm_after
 
 
 @pytest.mark.parametrize("path", sorted((DEPLOY / "days").glob("*.ini")), ids=lambda path: path.stem)
@@ -134,5 +136,7 @@
     with pytest.raises(FlawedTermsError) as caught:
         day(IniFile(text, "day.ini"), "day")
     said = str(caught.value)
-    assert "krash" in said and "no [traffic bookings]" in said and "sum of `edges`" in said
+    assert "krash" in said
+    assert "no [traffic bookings]" in said
+    assert "sum of `edges`" in said
     assert len(caught.value.flaws) == 3
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -46,7 +46,8 @@
 
 def test_variants_differ_from_the_site_where_they_say(tmp_path: Path) -> None:
     found_at = importlib.util.spec_from_file_location("variants", SCRIPT)
-    assert found_at is not None and found_at.loader is not None
+    assert found_at is not None
+    assert found_at.loader is not None
     variants: Any = importlib.util.module_from_spec(found_at)
     found_at.loader.exec_module(variants)
     folder, to = tmp_path / "kit", tmp_path / "to"
@@ -59,12 +60,16 @@
     site = tomllib.loads(SITE)
     for name, changes in variants.VARIANTS.items():
         found = tomllib.loads((to / f"{name}.toml").read_text())
-        assert found == variants.changed(site, name) and found["name"] == name
+        assert found == variants.changed(site, name)
+        assert found["name"] == name
         kept = [key for key in site if key not in ("name", *(path.split(".")[0] for path in changes))]
-        assert {"day", "trouble"} <= set(kept) and all(found[key] == site[key] for key in kept)
+        assert {"day", "trouble"} <= set(kept)
+        assert all(found[key] == site[key] for key in kept)
         names = [one["name"] for one in found["class"]]
-        assert "only" not in names and len(names) == len(found["fam"]["class"])
-        assert found["fam"]["release_ms"] != 300 and found["tier"][0]["report"] == site["tier"][0]["report"]
+        assert "only" not in names
+        assert len(names) == len(found["fam"]["class"])
+        assert found["fam"]["release_ms"] != 300
+        assert found["tier"][0]["report"] == site["tier"][0]["report"]
         assert all((to / beside).read_text() == beside for beside in variants.BESIDE)
 
 
@@ -72,7 +77,9 @@
     ended = subprocess.run(
         [sys.executable, SCRIPT, tmp_path], capture_output=True, text=True, timeout=60, check=False
     )
-    assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1 and str(tmp_path) in ended.stderr
+    assert ended.returncode == 2
+    assert len(ended.stderr.splitlines()) == 1
+    assert str(tmp_path) in ended.stderr
 
 
 def test_nothing_in_the_program_knows_a_variant_s_names() -> None:
--- a/valverouter/edge/links.py
+++ b/valverouter/edge/links.py
@@ -155,7 +155,8 @@
 
     def send(self, message: Any, key: Hashable | None = None, left: Callable[[], None] | None = None) -> None:
         """Queues a message. A peer that lets too much wait loses its connection, told as LinkDown."""
-        assert self._session is not None and self._outbox is not None
+        assert self._session is not None
+        assert self._outbox is not None
         try:
             self._outbox.put(self._session.send(message), key, left)
         except Overfull as error:
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -595,7 +595,8 @@
         peer that reads slowly the two lie apart. Should the link go first, LinkDown ends the leg.
         """
         link, leg, dialog_id = taken.link, taken.leg, taken.setup.dialog
-        assert link is not None and leg is not None
+        assert link is not None
+        assert leg is not None
         key = (dialog_id, leg)
         if key not in link.legs:
             return  # the link went down, or never took it: its end is in the inbox, and was not heard yet
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -484,7 +484,8 @@
 
     def _let_go(self, one: _Open, outcome: Outcome) -> None:
         link, leg, dialog = one.link, one.leg, one.asked.dialog
-        assert link is not None and leg is not None
+        assert link is not None
+        assert leg is not None
         if link.wire is None:
             link.legs.pop((dialog, leg), None)
             outcome = Outcome.UNREACHABLE
--- a/valverouter/terms/day.py
+++ b/valverouter/terms/day.py
@@ -330,7 +330,13 @@
     if callers and fleet and terms:
         recorded = _recorded(ini, callers, fleet.edge_proxies, terms.seed, mix, _servers(regions))
     ini.done()
-    assert terms and fleet and links and delays and servers and callers and list_terms
+    assert terms
+    assert fleet
+    assert links
+    assert delays
+    assert servers
+    assert callers
+    assert list_terms
     return Day(
         name=name,
         terms=terms,
--- a/valverouter/terms/edge.py
+++ b/valverouter/terms/edge.py
@@ -169,7 +169,11 @@
             if not is_address(getattr(edge, key)):
                 ini.flaw("edge", key, f"{getattr(edge, key)!r} is no HOST:PORT")
     ini.done()
-    assert edge and fleet and links and log and ledger
+    assert edge
+    assert fleet
+    assert links
+    assert log
+    assert ledger
     return EdgeTerms(
         name=edge.name,
         listen=edge.listen,
--- a/valverouter/terms/rollout.py
+++ b/valverouter/terms/rollout.py
@@ -159,7 +159,9 @@
         if council and len(council) not in SEATS:
             ini.flaw("seat", "council", f"{len(council)} seats; wanted are 3 or 5, or 1 to try it")
     ini.done()
-    assert seat and evidence and log
+    assert seat
+    assert evidence
+    assert log
     return SeatTerms(
         name=seat.name,
         listen=seat.listen,
@@ -213,7 +215,8 @@
         if keeper.version not in commands:
             ini.flaw("keeper", "version", f"there is no [version {keeper.version}]")
     ini.done()
-    assert keeper and log
+    assert keeper
+    assert log
     return KeeperTerms(
         name=keeper.name,
         listen=keeper.listen,
