--- /dev/null
+++ b/tests/test_code_size.py
@@ -0,0 +1,164 @@
+"""Files and functions stay short; what is over the bounds is listed with its size and may only shrink.
+
+An entry that is needed no more fails: whoever shortens or moves code takes it out, or lowers its ceiling. The
+same holds of the lints that pyproject.toml leaves out of packages that are not clean yet.
+"""
+
+from __future__ import annotations
+
+import ast
+import json
+import subprocess
+import sys
+import tomllib
+from collections.abc import Iterator
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "valverouter"
+FILE_LINES = 450
+FUNCTION_LINES = 40
+
+FILE_CEILINGS: dict[str, int] = {
+    "valverouter/control.py": 634,
+    "valverouter/days/ordering.py": 452,
+    "valverouter/edge/proxy.py": 815,
+    "valverouter/emulator/edges.py": 675,
+    "valverouter/emulator/fleet.py": 476,
+    "valverouter/emulator/rollouts.py": 580,
+    "valverouter/membership/core.py": 458,
+    "valverouter/rollout/council.py": 564,
+    "valverouter/rollout/orders.py": 569,
+    "valverouter/servermodel/server.py": 512,
+}
+
+FUNCTION_CEILINGS: dict[str, int] = {
+    "valverouter/audit/account.py::account": 45,
+    "valverouter/audit/orders.py::judge_orders": 47,
+    "valverouter/audit/rules.py::_one_answer": 80,
+    "valverouter/audit/rules.py::_one_leg_and_release": 42,
+    "valverouter/control.py::Control.learn": 47,
+    "valverouter/control.py::Control.dialog": 56,
+    "valverouter/days/ordering.py::OrderRig._write_files": 54,
+    "valverouter/days/world.py::World._dials": 44,
+    "valverouter/edge/proxy.py::EdgeProxy.__init__": 44,
+    "valverouter/edge/proxy.py::EdgeProxy._turns": 55,
+    "valverouter/emulator/fleet.py::Fleet._source": 55,
+    "valverouter/experiments/daypage.py::day_page": 68,
+    "valverouter/load/drive.py::drive": 83,
+    "valverouter/regions/planner.py::plan": 67,
+    "valverouter/relayedge/words.py::asked": 43,
+    "valverouter/signalling/setup.py::SetupSession._pass": 50,
+    "valverouter/standins/server.py::ServerStandIn.__init__": 45,
+    "valverouter/terms/attempts.py::attempt_sections": 45,
+    "valverouter/terms/crossing.py::crossing_terms": 64,
+    "valverouter/terms/day.py::day": 68,
+    "valverouter/terms/edge.py::edge_terms": 51,
+    "valverouter/terms/options.py::deployment": 51,
+    "valverouter/terms/rollout.py::seat_terms": 42,
+    "valverouter/terms/rollout.py::keeper_terms": 46,
+}
+
+# The lints of pyproject.toml that are switched on while code that is not clean yet is left out of them.
+SWITCHED_ON = ("D1", "C901", "PT")
+
+
+def file_sizes() -> dict[str, int]:
+    """Lines of each file, by its path from the root."""
+    return {
+        str(path.relative_to(ROOT)): len(path.read_text("utf-8").splitlines())
+        for path in sorted(PACKAGE.rglob("*.py"))
+    }
+
+
+def functions_in(node: ast.AST, inside: str) -> Iterator[tuple[str, int]]:
+    """Each function with its lines, the signature and the doc comment included, decorators not."""
+    for child in ast.iter_child_nodes(node):
+        if isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
+            name = f"{inside}.{child.name}" if inside else child.name
+            if not isinstance(child, ast.ClassDef):
+                assert child.end_lineno is not None
+                yield name, child.end_lineno - child.lineno + 1
+            yield from functions_in(child, name)
+        else:
+            yield from functions_in(child, inside)
+
+
+def function_sizes() -> dict[str, int]:
+    """Lines of each function, as path::Class.function; of several of a name in one file the longest."""
+    sizes: dict[str, int] = {}
+    for path in sorted(PACKAGE.rglob("*.py")):
+        for name, lines in functions_in(ast.parse(path.read_text("utf-8")), ""):
+            key = f"{path.relative_to(ROOT)}::{name}"
+            sizes[key] = max(lines, sizes.get(key, 0))
+    return sizes
+
+
+def too_long(sizes: dict[str, int], bound: int, ceilings: dict[str, int]) -> dict[str, int]:
+    return {name: lines for name, lines in sizes.items() if lines > max(bound, ceilings.get(name, 0))}
+
+
+def not_needed(sizes: dict[str, int], bound: int, ceilings: dict[str, int]) -> set[str]:
+    return {name for name in ceilings if sizes.get(name, 0) <= bound}
+
+
+BOUNDS = pytest.mark.parametrize(
+    ("sizes", "bound", "ceilings"),
+    [(file_sizes(), FILE_LINES, FILE_CEILINGS), (function_sizes(), FUNCTION_LINES, FUNCTION_CEILINGS)],
+    ids=["files", "functions"],
+)
+
+
+@BOUNDS
+def test_nothing_is_longer_than_its_bound_or_ceiling(
+    sizes: dict[str, int], bound: int, ceilings: dict[str, int]
+) -> None:
+    assert too_long(sizes, bound, ceilings) == {}
+
+
+@BOUNDS
+def test_every_ceiling_is_still_needed(sizes: dict[str, int], bound: int, ceilings: dict[str, int]) -> None:
+    assert not_needed(sizes, bound, ceilings) == set()
+
+
+def test_what_is_over_its_ceiling_or_listed_for_nothing_is_found() -> None:
+    sizes = {"short": 40, "long": 41, "listed": 50, "grown": 51}
+    ceilings = {"short": 45, "listed": 50, "grown": 50, "gone": 60}
+    assert too_long(sizes, 40, ceilings) == {"long": 41, "grown": 51}
+    assert not_needed(sizes, 40, ceilings) == {"short", "gone"}
+
+
+def exceptions() -> list[tuple[str, str]]:
+    """Glob and code of what pyproject.toml leaves out of the lints that are switched on file by file."""
+    config = tomllib.loads((ROOT / "pyproject.toml").read_text("utf-8"))
+    entries = config["tool"]["ruff"]["lint"]["per-file-ignores"]
+    return [
+        (glob, code)
+        for glob, codes in entries.items()
+        for code in codes
+        if code.startswith(SWITCHED_ON) and code != "D1"
+    ]
+
+
+@cache
+def violations() -> set[tuple[Path, str]]:
+    """File and code of all that the switched-on lints find where nothing is left out."""
+    command = [sys.executable, "-m", "ruff", "check", "--no-cache", "--output-format", "json"]
+    command += ["--select", ",".join(SWITCHED_ON), "--config", "lint.per-file-ignores = {}", "."]
+    found = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
+    assert found.returncode in (0, 1), found.stderr.decode()
+    return {(Path(one["filename"]).relative_to(ROOT), one["code"]) for one in json.loads(found.stdout)}
+
+
+@pytest.mark.parametrize(("glob", "code"), exceptions())
+def test_what_is_left_out_of_a_lint_needs_it_still(glob: str, code: str) -> None:
+    covered = set(ROOT.glob(f"{glob}/*.py" if glob.endswith("**") else glob))
+    assert any(ROOT / path in covered for path, found in violations() if found == code)
+
+
+def test_the_functions_of_a_file_are_found_wherever_they_stand() -> None:
+    tree = ast.parse("class A:\n  def f(self):\n    def g():\n      pass\nif True:\n  async def h(): pass\n")
+    assert dict(functions_in(tree, "")) == {"A.f": 3, "A.f.g": 2, "h": 1}
