--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_files.py
@@ -22,8 +22,9 @@
 from valverouter.edge.attempting import AttemptBook
 from valverouter.interface import Alarm, AttemptTerms, BudgetTerms, Decline, Dialog, Leg, Order, Outcome
 from valverouter.terms.edge import load_settled
-from valverouter.terms.grammar import matches_peer, reader
+from valverouter.terms.grammar import matches_peer
 from valverouter.terms.ini import END, FlawedTermsError
+from valverouter.terms.reader import reader
 
 SETS = "[server-set near]\nservers = 0, 1\n[server-set far]\nservers = 2-4\n[trunk-group gw]\npeers = gw-*\n"
 
--- a/valverouter/terms/grammar.py
+++ b/valverouter/terms/grammar.py
@@ -10,9 +10,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
 UNITS = {"ns": 1, "us": 1_000, "ms": 10**6, "s": 10**9, "min": 60 * 10**9, "h": 3_600 * 10**9}
 GRAMMAR = r"""
 span: NUMBER UNIT?
@@ -42,18 +39,5 @@
 }
 
 
-def reader(start: str) -> Callable[[str], Any]:
-    """Reads texts of one kind; ValueError says what would be accepted."""
-
-    def read(text: str) -> Any:
-        # Only when there is something to read: an edge proxy that has its terms from elsewhere can't spare
-        # the memory of a parser.
-        from valverouter.terms.meaning import meaning
-
-        return meaning(start, text)
-
-    return read
-
-
 def matches_peer(pattern: str, name: str) -> bool:
     return name.startswith(pattern[:-1]) if pattern.endswith("*") else name == pattern
--- a/valverouter/terms/ini.py
+++ b/valverouter/terms/ini.py
@@ -17,7 +17,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from valverouter.terms.grammar import SHOWN, UNITS, reader
+from valverouter.terms.grammar import SHOWN, UNITS
+from valverouter.terms.reader import reader
 
 READERS = {start: reader(start) for start in SHOWN}
 # The last line of a file that says where it ends: what is read without it was cut off.
