--- /dev/null
+++ b/tests/test_documentation.py
@@ -0,0 +1,154 @@
+"""Paths and module names in the pages, the deploy files and the doc comments name what is there.
+
+Looked at: words in backticks, links, and any word that begins with one of the repository's folders. A path
+may be given from the root, from valverouter/ or from its page's folder; a bare name of a Python file may be
+that of any file. In sources every word that ends with .py is looked at.
+"""
+
+from __future__ import annotations
+
+import importlib.util
+import re
+import tomllib
+from collections.abc import Iterator
+from functools import cache
+from importlib import import_module
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "valverouter"
+FOLDERS = ("valverouter", "tests", "docs", "deploy", "benchmarks", "journal", ".ci")
+PAGES = [
+    ROOT / "README.md",
+    ROOT / "pyproject.toml",
+    *sorted((ROOT / "docs").rglob("*.md")),
+    *(path for kind in ("*.toml", "*.ini", "*.py") for path in sorted((ROOT / "deploy").rglob(kind))),
+]
+SOURCES = [path for folder in ("valverouter", "benchmarks") for path in sorted((ROOT / folder).rglob("*.py"))]
+
+IN_BACKTICKS = re.compile(r"`([^`\n]+)`")
+LINKED = re.compile(r"\]\(([^)#\s]+)[^)]*\)")
+FROM_A_FOLDER = re.compile(rf"(?<![\w./-])(?:{'|'.join(map(re.escape, FOLDERS))})/[\w./*-]*\w[\w*/]*")
+PYTHON_FILE = re.compile(r"(?<![\w./*-])[\w-]+(?:/[\w-]+)*\.py\b")
+DOTTED = re.compile(r"(?<![\w./-])valverouter(?:\.[A-Za-z_]\w*)+")
+PATH = re.compile(r"[\w.-]+(?:/[\w.*-]+)*/?")
+# Files of users and of runs, which no commit holds.
+OF_USERS = ("deploy/sites/",)
+
+
+def is_path(word: str) -> bool:
+    """Whether a word in backticks is one: a Python file, a page, a folder, or what stands in one of ours."""
+    if not PATH.fullmatch(word) or word.startswith(OF_USERS):
+        return False
+    return word.endswith((".py", ".md", "/")) or ("/" in word and is_folder(word.split("/")[0]))
+
+
+def is_folder(name: str) -> bool:
+    return name in FOLDERS or (PACKAGE / name).is_dir()
+
+
+@cache
+def python_files() -> frozenset[str]:
+    return frozenset(path.name for folder in FOLDERS for path in (ROOT / folder).rglob("*.py"))
+
+
+def is_there(word: str, page: Path) -> bool:
+    if "/" not in word and word.endswith(".py"):
+        return word in python_files()
+    return any(any(folder.glob(word.rstrip("/"))) for folder in (ROOT, PACKAGE, page.parent))
+
+
+def is_module_or_part_of_one(name: str) -> bool:
+    if is_module(name):
+        return True
+    module, _, part = name.rpartition(".")
+    return is_module(module) and hasattr(import_module(module), part)
+
+
+def is_module(name: str) -> bool:
+    try:
+        return importlib.util.find_spec(name) is not None
+    except ModuleNotFoundError:  # what stands before the last dot is none, or no package
+        return False
+
+
+def paths_of_page(line: str) -> Iterator[str]:
+    for quoted in IN_BACKTICKS.findall(line):
+        yield from filter(is_path, re.split(r"[\s,;]+", quoted))
+    yield from (link for link in LINKED.findall(line) if "://" not in link)
+    yield from (word for word in FROM_A_FOLDER.findall(line) if not word.startswith(OF_USERS))
+
+
+def dead(page: Path, text: str, is_source: bool = False) -> list[str]:
+    """File, line and name of each path and module that is not there."""
+    found = []
+    for number, line in enumerate(text.splitlines(), 1):
+        paths = PYTHON_FILE.findall(line) if is_source else paths_of_page(line)
+        wrong = {path for path in paths if not is_there(path, page)}
+        wrong |= {name for name in DOTTED.findall(line) if not is_module_or_part_of_one(name)}
+        found += [f"{page.relative_to(ROOT)}:{number}: {name}" for name in sorted(wrong)]
+    return found
+
+
+def name_of(path: Path) -> str:
+    return str(path.relative_to(ROOT))
+
+
+@pytest.mark.parametrize("page", PAGES, ids=name_of)
+def test_a_page_names_nothing_that_is_not_there(page: Path) -> None:
+    found = dead(page, page.read_text("utf-8"))
+    assert not found, "\n".join(found)
+
+
+@pytest.mark.parametrize("source", SOURCES, ids=name_of)
+def test_a_source_names_no_file_that_is_not_there(source: Path) -> None:
+    found = dead(source, source.read_text("utf-8"), is_source=True)
+    assert not found, "\n".join(found)
+
+
+def balancer() -> dict[str, object]:
+    return tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text("utf-8"))
+
+
+@pytest.mark.parametrize("key", ["policy", "node"])
+def test_the_balancer_file_lists_paths_that_exist(key: str) -> None:
+    paths = balancer()[key]
+    assert isinstance(paths, list)
+    assert paths
+    assert [path for path in paths if not (ROOT / path).exists()] == []
+
+
+@pytest.mark.parametrize("key", ["run", "sim"])
+def test_the_balancer_file_starts_modules_that_can_be_run(key: str) -> None:
+    started = re.findall(r"-m ([\w.]+)", str(balancer()[key]))
+    assert started
+    assert [name for name in started if importlib.util.find_spec(f"{name}.__main__") is None] == []
+
+
+@pytest.mark.parametrize(
+    ("line", "is_source", "names"),
+    [
+        ("see `valverouter/nowhere.py`", False, ["valverouter/nowhere.py"]),
+        ("see `edge/nowhere.py` and `edge/`", False, ["edge/nowhere.py"]),
+        ("`nowhere.py`, `proxy.py`", False, ["nowhere.py"]),
+        (
+            "| `nowhere/` | `deploy/days/*.ini`, `deploy/days/*.nothing` |",
+            False,
+            ["deploy/days/*.nothing", "nowhere/"],
+        ),
+        ("[a page](docs/nowhere.md#part), [another](https://example.com/no.md)", False, ["docs/nowhere.md"]),
+        ("    valverouter day deploy/days/nowhere.ini", False, ["deploy/days/nowhere.ini"]),
+        ("`python -m valverouter.edge.nowhere`, valverouter.edge.proxy", False, ["valverouter.edge.nowhere"]),
+        (
+            "valverouter.edge.proxy.EdgeProxy, valverouter.edge.proxy.Nobody",
+            False,
+            ["valverouter.edge.proxy.Nobody"],
+        ),
+        ("your own `roll.ini`, `and/or`, `deploy/sites/mine.toml`", False, []),
+        ("# fleet/nowhere.py knows; `proxy.py` too", True, ["fleet/nowhere.py"]),
+    ],
+)
+def test_what_is_not_there_is_found(line: str, is_source: bool, names: list[str]) -> None:
+    assert dead(ROOT / "README.md", line, is_source) == [f"README.md:1: {name}" for name in names]
