--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -17,15 +17,18 @@
 import sys
 import tempfile
 from collections.abc import Callable, Iterator
-from contextlib import closing
+from contextlib import closing, redirect_stdout
 from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
 from typing import Any
 
+import click
 import lmdb
 import msgspec
+from click.testing import CliRunner
 
+from valverouter.cli import crossings, fleeting, ledgers
 from valverouter.edge import listing
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
@@ -488,12 +491,7 @@
         "ledger.learnt": LEARNT,
         "ledger.damaged": store.Damaged("dialogs", "d9", "its checksum does not fit"),
     }
-    told = {
-        "orders.json-placed": PLACED,
-        "orders.json-shown": TOOL_PAGE,
-        "ledger.json-exported": msgspec.to_builtins(msgspec.structs.asdict(dialog_record())),
-        "list.cache": LIST_CACHE,
-    }
+    told = {"orders.json-placed": PLACED, "orders.json-shown": TOOL_PAGE, "list.cache": LIST_CACHE}
     return (
         {key: Sample(value) for key, value in plain.items()}
         | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
@@ -705,7 +703,7 @@
         return found
 
 
-# Text files
+# Text files, and what commands print as text
 
 
 def write_accounts(file: Path) -> None:
@@ -724,7 +722,48 @@
     file.write_bytes(msgspec.json.encode(LIST_CACHE))
 
 
+# What commands print as JSON, for programs of the operators
+
+
+def heard() -> list[asking.Heard]:
+    """Two answers that differ, of whole views, and one that is not whole."""
+    first = asking.Heard("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
+    second = asking.Heard("127.0.0.2:7102", "e2", 107, 109, "doubting", {"stranger": 21}, {0: VIEW[:1]})
+    return [first, second, asking.Heard("127.0.0.3:7103")]
+
+
+def print_view(file: Path) -> None:
+    with file.open("w") as out, redirect_stdout(out):
+        fleeting._json(heard())
+
+
+def print_view_metrics(file: Path) -> None:
+    with file.open("w") as out, redirect_stdout(out):
+        fleeting._metrics(heard())
+
+
+def print_regions(file: Path) -> None:
+    with tempfile.TemporaryDirectory() as scratch:
+        rows = Path(scratch, "accounts.jsonl")
+        write_accounts(rows)
+        _run(crossings.regions, ["report", "--json", "--edges", "2", str(rows)], file)
+
+
+def print_ledger(file: Path) -> None:
+    with tempfile.TemporaryDirectory() as scratch:
+        write_ledger(Path(scratch, "ledger"))
+        _run(ledgers.ledger, ["export", str(Path(scratch, "ledger"))], file)
+
+
+def _run(command: click.Command, arguments: list[str], file: Path) -> None:
+    file.write_bytes(CliRunner().invoke(command, arguments, catch_exceptions=False).stdout_bytes)
+
+
 TEXTS: dict[str, Callable[[Path], None]] = {
+    "fleet-view.json": print_view,
+    "fleet-view-metrics.txt": print_view_metrics,
+    "regions-report.json": print_regions,
+    "ledger-export.jsonl": print_ledger,
     "accounts.jsonl": write_accounts,
     "record.jsonl": write_record,
     "calls.csv": write_calls,
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("name", stored_values.TEXTS)
-def test_a_text_file_is_written_as_before(name: str, tmp_path: Path) -> None:
+def test_a_file_or_print_is_written_as_before(name: str, tmp_path: Path) -> None:
     stored_values.TEXTS[name](tmp_path / name)
     assert (tmp_path / name).read_bytes() == (KEPT / name).read_bytes()
 
