--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -79,7 +79,8 @@
 
     def leave(self, order: str, name: str, try_: int = 0) -> int:
         answer = self.says(RequestPermit(f"{order}/{name}/{try_}", name, order))
-        assert isinstance(answer, PermitDecision) and answer.permit is not None, answer
+        assert isinstance(answer, PermitDecision), answer
+        assert answer.permit is not None, answer
         return answer.permit.number
 
     def step(self, order: str, name: str) -> StepStatus:
@@ -93,7 +94,8 @@
     record = Record()
     names = [f"e{at}" for at in range(6)]
     placed = record.place("r", OperationKind.RELEASE, *names, version="v2")
-    assert [len(wave) for wave in placed.waves] == [1] * 6 and not placed.rejection
+    assert [len(wave) for wave in placed.waves] == [1] * 6
+    assert not placed.rejection
     order = record.book.operations["r"]
     first = placed.waves[0][0]
     number = record.leave("r", first)
@@ -160,7 +162,8 @@
     number = record.leave("a", "e0")
     record.says(InstanceReturned("e0", number))
     again = record.place("a", OperationKind.RESTART, "e0")
-    assert again.waves == (("e0",),) and record.book.operations["a"].result == "done"
+    assert again.waves == (("e0",),)
+    assert record.book.operations["a"].result == "done"
     assert record.book.active_operation is None
 
 
@@ -181,7 +184,8 @@
     late = record.says(RequestPermit("r/e5/0", "e5", "r"))
     assert late.permit is None, "nothing further goes out"
     twice = record.says(RequestPermit(f"r/{first}/0", first, "r"))
-    assert twice.permit.number == one and record.step("r", first) is StepStatus.ROLLBACK_PENDING, "told again"
+    assert twice.permit.number == one, "told again"
+    assert record.step("r", first) is StepStatus.ROLLBACK_PENDING, "told again"
     three = record.leave("r", first, 1)
     assert record.book.desired[first] == DesiredState("v1", True, three, 1, "r")
     record.says(InstanceReturned(second, two))
@@ -217,7 +221,8 @@
     record.place("u", OperationKind.UNDRAIN, "e0")
     assert record.book.desired["e0"] == DesiredState("v1", True, number, 1, "u")
     record.says(InstanceReturned("e0", number))
-    assert record.book.operations["u"].result == "done" and "e0" not in record.book.permits.unavailable
+    assert record.book.operations["u"].result == "done"
+    assert "e0" not in record.book.permits.unavailable
 
 
 def test_one_not_reached_is_left_out_and_one_retired_holds_nothing_up() -> None:
@@ -344,7 +349,8 @@
                     StepStatus.OUT,
                     StepStatus.FAILED,
                 ):
-                    assert held is not None and held.number == member.fencing_token, (order.id, name, member)
+                    assert held is not None, (order.id, name, member)
+                    assert held.number == member.fencing_token, (order.id, name, member)
             if order.phase is OperationPhase.ENDED:
                 assert order.result in ("done", "in part", "halted")
                 assert not {m.status for m in order.participants.values()} & {
@@ -389,9 +395,8 @@
     assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
     assert (one.report().step_id, one.report().outcome, one.report().is_running) == ((7, 0), "", False)
     one.on_exited(SECOND)
-    assert (
-        does(one, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE] and one.running_version == "v2"
-    )
+    assert does(one, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE]
+    assert one.running_version == "v2"
     one.on_counters(serving())
     assert one.report().outcome == "", "done is told once it is on disk"
     assert does(one, SECOND) == [SupervisorAction.SAVE]
@@ -408,19 +413,16 @@
     again.resume(is_running=True)
     assert does(again) == [SupervisorAction.STOP], "whether it was stopped already nobody knows"
     again.on_exited(SECOND)
-    assert (
-        does(again, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE]
-        and again.running_version == "v2"
-    )
+    assert does(again, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE]
+    assert again.running_version == "v2"
 
 
 def test_a_keeper_that_lost_its_disk_does_not_repeat_a_turn_whose_permit_is_over() -> None:
     one = keeper()
     does(one)
     assert not one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), is_open=False)
-    assert does(one) == [SupervisorAction.SAVE] and one.is_running, (
-        "it goes on running: it has no leave to go out"
-    )
+    assert does(one) == [SupervisorAction.SAVE], "it goes on running: it has no leave to go out"
+    assert one.is_running, "it goes on running: it has no leave to go out"
     assert one.report().step_id == (7, 0)
 
 
@@ -437,7 +439,8 @@
         one.on_exited(now + SECOND // 10)
     assert one.report().outcome == ""
     does(one, now)
-    assert one.report().outcome == "failed" and "v2 ended 3 times" in one.report().reason
+    assert one.report().outcome == "failed"
+    assert "v2 ended 3 times" in one.report().reason
     assert does(one, one.next_start_at) == [SupervisorAction.START, SupervisorAction.SAVE], (
         "its wait over, once more"
     )
@@ -454,7 +457,8 @@
         one.on_exited(now)
         waits.append(one.next_start_at - now)
         now = one.next_start_at
-    assert waits[:3] == [SECOND // 4, SECOND // 2, SECOND] and waits[-1] == 15 * SECOND
+    assert waits[:3] == [SECOND // 4, SECOND // 2, SECOND]
+    assert waits[-1] == 15 * SECOND
 
 
 def test_the_machine_s_wish_is_obeyed_in_any_turn_and_told() -> None:
@@ -464,7 +468,8 @@
     one.shut_down()
     assert does(one) == [SupervisorAction.SAVE, SupervisorAction.STOP]
     one.on_exited(0)
-    assert does(one, 20 * SECOND) == [] and one.report().is_leaving
+    assert does(one, 20 * SECOND) == []
+    assert one.report().is_leaving
     assert not one.on_desired_state(0, DesiredState("v1", True, 8, 0), True)
 
 
@@ -486,8 +491,10 @@
     one = keeper()
     does(one)
     one.on_desired_state(0, DesiredState("v9", True, 7, 0, "r"), True)
-    assert does(one) == [SupervisorAction.SAVE] and one.is_running
-    assert one.report().outcome == "failed" and "v9" in one.report().reason
+    assert does(one) == [SupervisorAction.SAVE]
+    assert one.is_running
+    assert one.report().outcome == "failed"
+    assert "v9" in one.report().reason
 
 
 # Evidence that somebody is in
@@ -584,7 +591,8 @@
     record.place("a", OperationKind.RESTART, "e0", "e1")
     all_report(one, record, SECOND, trust="cut off")
     (stop,) = one.next_commands(SECOND, record.book)
-    assert isinstance(stop, Cancel) and "cut off" in stop.reason
+    assert isinstance(stop, Cancel)
+    assert "cut off" in stop.reason
 
 
 def test_too_few_dialogs_are_no_leave_to_go_on() -> None:
@@ -634,9 +642,11 @@
     assert course.leader is not None
     order = course.leader.operation_log.operations["r"]
     if version == "v2":
-        assert order.result == "done" and {one.version for one in course.fleet.values()} == {version}
+        assert order.result == "done"
+        assert {one.version for one in course.fleet.values()} == {version}
     else:
-        assert order.result == "halted" and order.halt_reason
+        assert order.result == "halted"
+        assert order.halt_reason
         assert {one.version for one in course.fleet.values()} == {"v1"}
 
 
@@ -667,7 +677,8 @@
     record.says(StepReported("d", "e0", number, StepStatus.DRAINED))
     record.place("a", OperationKind.RESTART, "e2")
     refused = record.says(RequestPermit("a/e2/0", "e2", "a"))
-    assert refused.permit is None and "of d" in refused.rejection
+    assert refused.permit is None
+    assert "of d" in refused.rejection
     record.place("u", OperationKind.UNDRAIN, "e0")
     assert record.book.desired["e0"].step_id == (number, 1)
     record.says(InstanceReturned("e0", number))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -152,10 +152,13 @@
     one = register()
     one.apply(2, InstanceLost("e0"))
     answer = one.apply(3, RequestPermit("a", "e2"))
-    assert answer is not None and answer.permit is None and "used by e0" in answer.rejection
+    assert answer is not None
+    assert answer.permit is None
+    assert "used by e0" in answer.rejection
     one.apply(4, InstanceReturned("e0"))
     answer = one.apply(5, RequestPermit("b", "e2"))
-    assert answer is not None and answer.permit == Permit(5, "e2", "")
+    assert answer is not None
+    assert answer.permit == Permit(5, "e2", "")
 
 
 def test_out_becomes_in_by_the_number_it_went_out_by_and_no_other() -> None:
@@ -175,9 +178,8 @@
     one = register()
     first = one.apply(2, RequestPermit("a", "e0", "roll"))
     one.apply(3, InstanceReturned("e0", 2))
-    assert one.apply(9, RequestPermit("a", "e0", "roll")) == first and not one.unavailable, (
-        "not carried out twice"
-    )
+    assert one.apply(9, RequestPermit("a", "e0", "roll")) == first, "not carried out twice"
+    assert not one.unavailable, "not carried out twice"
 
 
 def test_what_is_refused_says_why() -> None:
@@ -196,8 +198,10 @@
 
 def test_a_fence_lets_no_lower_number_through() -> None:
     fence = Fence()
-    assert fence.accepts(Permit(5, "e0", "")) and fence.accepts(Permit(5, "e0", ""))
-    assert fence.accepts(Permit(8, "e0", "")) and not fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(8, "e0", ""))
+    assert not fence.accepts(Permit(5, "e0", ""))
     assert fence.accepts(Permit(2, "e1", ""))
     fence.end(Permit(8, "e0", ""))
     assert not fence.accepts(Permit(8, "e0", "")), "a copy that comes late"
@@ -354,7 +358,8 @@
     one.tick(5 * SECOND)
     one.receive(5 * SECOND, RequestVoteResponse(4, "c1", 2, True, pre_vote=True))
     one.receive(5 * SECOND, RequestVoteResponse(4, "c1", 2, True))
-    assert one.role is Role.LEADER and one.last_log_index == 3
+    assert one.role is Role.LEADER
+    assert one.last_log_index == 3
     one.receive(5 * SECOND, AppendEntriesResponse(4, "c1", 2, True, 2))
     assert one.commit_index == 0
     one.receive(5 * SECOND, AppendEntriesResponse(4, "c1", 2, True, 3))
@@ -370,7 +375,8 @@
         "a repeat takes nothing away"
     )
     one.receive(SECOND, AppendEntries(2, "c0", 2, 1, (LogEntry(2, "c"),), 3))
-    assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "c"] and one.commit_index == 3
+    assert [entry.command for entry in one.persistent.entries[1:]] == ["a", "c"]
+    assert one.commit_index == 3
     one.receive(SECOND, AppendEntries(2, "c0", 9, 2, (), 3))
     assert one.outgoing[-1][1] == AppendEntriesResponse(2, "c1", 2, False, 3)
     one.receive(SECOND, AppendEntries(1, "c2", 1, 1, (LogEntry(1, "z"),), 2))
@@ -397,12 +403,14 @@
                 one.compact_log()
     table.run(2)
     leader = table.leader
-    assert leader.persistent.snapshot is not None and len(leader.persistent.entries) < COMPACTION_THRESHOLD
+    assert leader.persistent.snapshot is not None
+    assert len(leader.persistent.entries) < COMPACTION_THRESHOLD
     table.cut = set()
     table.run(3)
     one = table.ones[away]
     total = states[away] + sum(isinstance(what, int) for _, what in one.committed)
-    assert total == COMPACTION_THRESHOLD + 60 and one.commit_index == leader.commit_index
+    assert total == COMPACTION_THRESHOLD + 60
+    assert one.commit_index == leader.commit_index
     assert one.configuration == leader.configuration
 
 
@@ -430,7 +438,8 @@
     table.run(2)
     rejection(leader, table.now, "", (lost, 77))
     table.run(3)
-    assert table.ones[lost].is_member and table.ones[lost].commit_index == leader.commit_index
+    assert table.ones[lost].is_member
+    assert table.ones[lost].commit_index == leader.commit_index
     assert rejection(leader, table.now, "nobody", None) == "that changes nothing"
 
 
@@ -506,7 +515,8 @@
 def test_harm_halts_and_no_harm_goes_on_with_the_chances_stated() -> None:
     rule = SequentialTestConfig(false_halt_probability=0.01, missed_harm_probability=0.05, odds_ratio=2.0)
     harmless = [released(rule, 0.05, 0.05, seed).verdict for seed in range(200)]
-    assert harmless.count(Verdict.HALT) <= 6 and harmless.count(Verdict.PASS) > 150
+    assert harmless.count(Verdict.HALT) <= 6
+    assert harmless.count(Verdict.PASS) > 150
     harmful = [released(rule, 0.15, 0.05, seed) for seed in range(60)]
     assert sum(one.verdict is Verdict.HALT for one in harmful) >= 55
     halted = next(one for one in harmful if one.verdict is Verdict.HALT)
@@ -517,7 +527,8 @@
     assert released(SequentialTestConfig(), 0.05, 0.05, 1, spans=100, night=True).verdict is Verdict.UNDECIDED
     nobody = CanaryEvidence(("declined",), SequentialTestConfig(), random.random)
     nobody.add_interval({"north": OutcomeCount(0, 50)}, {"south": OutcomeCount(0, 50)}, "declined")
-    assert nobody.verdict is Verdict.UNDECIDED and not nobody.tests["declined"].pairs, "no region in common"
+    assert nobody.verdict is Verdict.UNDECIDED, "no region in common"
+    assert not nobody.tests["declined"].pairs, "no region in common"
 
 
 def test_a_slow_server_strikes_both_and_halts_nothing() -> None:
@@ -631,7 +642,8 @@
     chance = random.Random(5)
     for _ in range(6):
         process = subprocess.Popen([sys.executable, "-c", script, str(tmp_path)], stdout=subprocess.PIPE)
-        assert process.stdout is not None and process.stdout.readline() == b"on\n"
+        assert process.stdout is not None
+        assert process.stdout.readline() == b"on\n"
         time.sleep(chance.uniform(0.0, 0.05))
         process.kill()
         process.wait()
@@ -662,5 +674,6 @@
         patch.setattr(PersistentState, "apply", both)
         course._fault = lambda: None  # type: ignore[method-assign]
         course.run(12)
-    assert seat.durable.entries and store.load() == seat.durable
+    assert seat.durable.entries
+    assert store.load() == seat.durable
     store.close()
