--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_files.py
@@ -16,11 +16,20 @@
 from tests.helpers import Rig
 from tests.rig import INI, MS, SECOND, terms
 from tests.test_days import valverouter
-from valverouter import control
 from valverouter.attempts.courses import broken, courses
-from valverouter.control import LEGS
 from valverouter.edge.attempting import AttemptBook
-from valverouter.interface import Alarm, AttemptTerms, BudgetTerms, Decline, Dialog, Leg, Order, Outcome
+from valverouter.interface import (
+    AttemptPolicy,
+    Dialog,
+    DialogAction,
+    Outcome,
+    Reject,
+    RetryBudgetConfig,
+    StartAttempt,
+    Timer,
+)
+from valverouter.policy import tuning
+from valverouter.policy.tuning import MAX_ATTEMPTS
 from valverouter.terms.edge import load_settled
 from valverouter.terms.grammar import matches_peer, reader
 from valverouter.terms.ini import END, FlawedTermsError
@@ -142,9 +151,9 @@
     ("tokens = 2.001\nfraction = 0.499", {"tokens": 2.001, "fraction": 0.499}),
     ("fraction = 1/10\njitter = full\nthreshold = half\nfirst_attempts = free", {"fraction": 0.1}),
     ("legs = 2\nprefix = 1, 20-21", {"legs": 2}),
-    ("legs = 2\nprefix = 22", {"legs": LEGS}),
+    ("legs = 2\nprefix = 22", {"legs": MAX_ATTEMPTS}),
     ("legs = 2\ntype = plain\nregion = ", {"legs": 2}),
-    ("legs = 2\nregion = elsewhere", {"legs": LEGS}),
+    ("legs = 2\nregion = elsewhere", {"legs": MAX_ATTEMPTS}),
     ("[attempts a]\nlegs = 2\n[attempts b]\nprefix = 2\nlegs = 4", {"legs": 4}),
     (
         "[attempts a]\ntype = plain\nlegs = 2\n[attempts b]\nprefix = 2\nlegs = 3\n"
@@ -153,7 +162,7 @@
     ),
     ("[attempts a]\ntrunk_group = gw\nlegs = 5\n" + SETS, {"legs": 5}),
     ("[attempts a]\nserver_set = near\nlegs = 5\n" + SETS, {"legs": 5}),
-    ("[attempts a]\nserver_set = far\nlegs = 5\n" + SETS, {"legs": LEGS}),
+    ("[attempts a]\nserver_set = far\nlegs = 5\n" + SETS, {"legs": MAX_ATTEMPTS}),
     ("[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\n" + SETS, {"tokens": 6}),
 ]
 
@@ -185,11 +194,11 @@
         "[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\nfraction = 0.2\n" + SETS
     )
     assert found.budgets() == {
-        0: BudgetTerms(6_000, 200),
-        1: BudgetTerms(6_000, 200),
-        **{number: BudgetTerms(4_000, 100) for number in (2, 3, 4)},
+        0: RetryBudgetConfig(6_000, 200),
+        1: RetryBudgetConfig(6_000, 200),
+        **{number: RetryBudgetConfig(4_000, 100) for number in (2, 3, 4)},
     }
-    assert found.budget_elsewhere() == BudgetTerms(4_000, 100)
+    assert found.budget_elsewhere() == RetryBudgetConfig(4_000, 100)
     assert book("[attempts a]\nlegs = 2").budgets() == {}
 
 
@@ -243,8 +252,10 @@
         assert error.flaws
         return
     if found is not None:
-        assert found.legs <= 6 and found.release_wait >= 300 * MS
-        assert broken(replace(found, no_answer=found.no_answer or 9 * SECOND), 300 * MS, 6) == []
+        assert found.max_attempts <= 6 and found.release_delay >= 300 * MS
+        assert (
+            broken(replace(found, no_answer_timeout=found.no_answer_timeout or 9 * SECOND), 300 * MS, 6) == []
+        )
 
 
 @given(st.text(max_size=60))
@@ -277,18 +288,18 @@
     chance = random.Random(seed)
     for at, found in enumerate(random_files(chance, 25)):
         rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # the same file in small fleets and large
-        rig.driver.budgets(found.budgets(), found.budget_elsewhere())
+        rig.driver.set_retry_budgets(found.budgets(), found.budget_elsewhere())
         for dialog in range(50):
             number, peer, first = chance.choice([7, 21]), chance.choice(["", "gw-1"]), chance.randint(-1, 4)
             no_answer = chance.choice([1, 3, 9]) * SECOND
             terms_ = found.of("plain", number, peer, first)
-            if terms_ is not None and terms_.no_answer:
-                no_answer = min(no_answer, terms_.no_answer)
+            if terms_ is not None and terms_.no_answer_timeout:
+                no_answer = min(no_answer, terms_.no_answer_timeout)
             one_course(rig, chance, found, f"d{dialog}", (number, peer, first), no_answer)
 
 
 @functools.lru_cache
-def ends_of(reckoned: AttemptTerms) -> tuple[int, int]:
+def ends_of(reckoned: AttemptPolicy) -> tuple[int, int]:
     every = list(courses(reckoned))
     return max(course.answered_at for course in every), max(course.legs for course in every)
 
@@ -306,36 +317,40 @@
     latest, legs_most = ends_of(reckoned)
     began, legs, released_at, no_agents = rig.now, 0, 0, False
     attempts = found.of("plain", *route)
-    rig.driver.dialog(Dialog(name, "plain", began + no_answer, route[2], route[0], attempts=attempts))
+    rig.driver.start_dialog(
+        Dialog(name, "plain", began + no_answer, route[2], route[0], attempt_policy=attempts)
+    )
     while True:
-        wish = next(c for c in rig.take() if (isinstance(c, Order) and c.dialog_id == name) or is_retry(c))
-        if isinstance(wish, Alarm):
-            passes(rig, wish.span)
-            rig.driver.alarm(wish.ref)
+        wish = next(
+            c for c in rig.take() if (isinstance(c, DialogAction) and c.dialog_id == name) or is_retry(c)
+        )
+        if isinstance(wish, Timer):
+            passes(rig, wish.duration)
+            rig.driver.on_timer(wish.timer_id)
             continue
-        assert isinstance(wish, Order)
-        if not isinstance(leg := wish.wish, Leg):
+        assert isinstance(wish, DialogAction)
+        if not isinstance(leg := wish.action, StartAttempt):
             break
         assert rig.now >= released_at, "a resend within the release time"
-        assert rig.now < leg.until <= began + no_answer
+        assert rig.now < leg.deadline <= began + no_answer
         legs += 1
-        outcome, rest = chance.choice(FATES), leg.until - rig.now
+        outcome, rest = chance.choice(FATES), leg.deadline - rig.now
         passes(rig, rest if outcome is Outcome.TIMED_OUT else chance.randint(0, rest))
         if outcome in (Outcome.RESET, Outcome.TIMED_OUT):
             released_at = rig.now + 300 * MS
         no_agents |= outcome is Outcome.NO_AGENT
         asked_wait = chance.randint(0, 2 * SECOND) if outcome is Outcome.FULL else 0
-        rig.result(name, leg.server, outcome, legs - 1, asked_wait=asked_wait)
+        rig.result(name, leg.server, outcome, legs - 1, retry_after=asked_wait)
     assert rig.now - began <= latest <= no_answer
     # A reply of no free agent goes on at once, as an attempt that has not failed: up to the fleet's legs.
-    assert legs <= (reckoned.legs_in_all if no_agents else reckoned.legs)
+    assert legs <= (reckoned.max_total_attempts if no_agents else reckoned.max_attempts)
     assert legs <= legs_most
-    if isinstance(leg, Decline):
-        assert leg.come_back <= 2 * SECOND
+    if isinstance(leg, Reject):
+        assert leg.retry_after <= 2 * SECOND
 
 
 def is_retry(command: object) -> bool:
-    return isinstance(command, Alarm) and command.span != control.HEARTBEAT
+    return isinstance(command, Timer) and command.duration != tuning.HEARTBEAT_INTERVAL
 
 
 def passes(rig: Rig, span: int) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -19,7 +19,7 @@
 from tests.helpers import Rig
 from tests.rig import INI, dial, rigged, terms
 from tests.test_days import valverouter
-from valverouter import control, interface
+from valverouter import interface
 from valverouter.attempts.courses import broken, courses, longest, retry_span
 from valverouter.attempts.guard import Guard, Harm
 from valverouter.attempts.rules import Asked, Effective, Rule, TieError, When, resolve, ties
@@ -27,7 +27,9 @@
 from valverouter.audit.rules import audit
 from valverouter.days.virtual import run_virtual
 from valverouter.edge.attempting import AttemptBook
-from valverouter.interface import AttemptTerms, BudgetTerms, Outcome
+from valverouter.interface import AttemptPolicy, Outcome, RetryBudgetConfig
+from valverouter.policy import tuning
+from valverouter.policy.retry import retry_delay
 from valverouter.signalling import setup
 from valverouter.terms.day import load_day
 from valverouter.terms.ini import END
@@ -107,7 +109,7 @@
     assert tied <= bool(ties(rules))
 
 
-TERMS = AttemptTerms(3, 1500 * MS, 9 * SECOND, 300 * MS, 200 * MS, 2 * SECOND)
+TERMS = AttemptPolicy(3, 1500 * MS, 9 * SECOND, 300 * MS, 200 * MS, 2 * SECOND)
 
 
 def test_the_longest_course_ends_at_the_no_answer_time_and_shows_its_steps() -> None:
@@ -119,31 +121,35 @@
 
 @given(
     st.builds(
-        AttemptTerms,
-        legs=st.integers(1, 6),
-        objective=st.just(SECOND),
-        no_answer=st.integers(1, 12 * SECOND),
-        release_wait=st.integers(0, SECOND),
-        retry_base=st.integers(1, SECOND),
-        retry_cap=st.integers(1, 4 * SECOND),
-        leg_time_out=st.just(0) | st.integers(1, 4 * SECOND),
-        asked_wait_most=st.just(0) | st.integers(1, 4 * SECOND),
+        AttemptPolicy,
+        max_attempts=st.integers(1, 6),
+        latency_objective=st.just(SECOND),
+        no_answer_timeout=st.integers(1, 12 * SECOND),
+        release_delay=st.integers(0, SECOND),
+        backoff_base=st.integers(1, SECOND),
+        backoff_cap=st.integers(1, 4 * SECOND),
+        attempt_timeout=st.just(0) | st.integers(1, 4 * SECOND),
+        max_server_retry_after=st.just(0) | st.integers(1, 4 * SECOND),
     ),
     st.builds(random.Random, st.integers(0, 2**32)),
 )
-def test_no_random_course_passes_the_reckoned_one(terms: AttemptTerms, chance: random.Random) -> None:
+def test_no_random_course_passes_the_reckoned_one(terms: AttemptPolicy, chance: random.Random) -> None:
     at, leg, most = 0, 1, longest(terms)
     while True:
-        until = min(terms.no_answer, at + terms.leg_time_out) if terms.leg_time_out else terms.no_answer
+        until = (
+            min(terms.no_answer_timeout, at + terms.attempt_timeout)
+            if terms.attempt_timeout
+            else terms.no_answer_timeout
+        )
         at = chance.randint(at, until)
-        if at >= terms.no_answer or leg >= terms.legs:
+        if at >= terms.no_answer_timeout or leg >= terms.max_attempts:
             break
-        least = chance.choice([terms.release_wait, chance.randint(0, terms.asked_wait_most)])
+        least = chance.choice([terms.release_delay, chance.randint(0, terms.max_server_retry_after)])
         wait = retry_span(terms, leg, chance.random(), least)
-        if at + wait >= terms.no_answer:
+        if at + wait >= terms.no_answer_timeout:
             break
         at, leg = at + wait, leg + 1
-    assert at <= most.answered_at <= terms.no_answer
+    assert at <= most.answered_at <= terms.no_answer_timeout
     assert leg <= max(course.legs for course in courses(terms))
 
 
@@ -152,14 +158,19 @@
     chance = random.Random(seed)
     for retry in range(1, 6):
         draw, least = chance.random(), chance.randint(0, SECOND)
-        assert retry_span(TERMS, retry, draw, least) == control.retry_wait(retry, draw, least)
+        assert retry_span(TERMS, retry, draw, least) == retry_delay(retry, draw, least)
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_courses_of_the_driver_keep_within_the_reckoned_one(seed: int) -> None:
     chance, rig = random.Random(seed), Rig(servers=4)
     no_answer = chance.choice([2, 3, 9]) * SECOND
-    terms = replace(TERMS, no_answer=no_answer, legs=control.LEGS, asked_wait_most=2 * SECOND)
+    terms = replace(
+        TERMS,
+        no_answer_timeout=no_answer,
+        max_attempts=tuning.MAX_ATTEMPTS,
+        max_server_retry_after=2 * SECOND,
+    )
     began, dialog, leg = rig.now, rig.dialog(0, no_answer=no_answer), 0
     fates = [
         interface.Outcome.RESET,
@@ -168,16 +179,16 @@
         interface.Outcome.FAULT,
     ]
     while True:
-        orders = [c for c in rig.driver.commands if isinstance(c, interface.Order)]
-        if any(isinstance(order.wish, interface.Decline | interface.Abort) for order in orders):
+        orders = [c for c in rig.driver.commands if isinstance(c, interface.DialogAction)]
+        if any(isinstance(order.action, interface.Reject | interface.Fail) for order in orders):
             break
         if orders:
             rig.take()
             outcome = chance.choice(fates)
             rest = began + no_answer - rig.now
             rig.ahead(rest if outcome is Outcome.TIMED_OUT else chance.randint(0, rest))
-            server = getattr(orders[0].wish, "server", "")
-            rig.result(dialog, server, outcome, leg, asked_wait=chance.randint(0, 2 * SECOND))
+            server = getattr(orders[0].action, "server", "")
+            rig.result(dialog, server, outcome, leg, retry_after=chance.randint(0, 2 * SECOND))
             leg += 1
         else:
             rig.wake()
@@ -188,12 +199,12 @@
 @pytest.mark.parametrize(
     "change, key",
     [
-        ({"legs": 7}, "legs"),
-        ({"legs": 0}, "legs"),
-        ({"release_wait": 300 * MS - 1}, "release_wait"),
-        ({"objective": 9 * SECOND + 1}, "objective"),
-        ({"retry_base": 3 * SECOND}, "retry_base"),
-        ({"leg_time_out": 9 * SECOND}, "leg_time_out"),
+        ({"max_attempts": 7}, "legs"),
+        ({"max_attempts": 0}, "legs"),
+        ({"release_delay": 300 * MS - 1}, "release_wait"),
+        ({"latency_objective": 9 * SECOND + 1}, "objective"),
+        ({"backoff_base": 3 * SECOND}, "retry_base"),
+        ({"attempt_timeout": 9 * SECOND}, "leg_time_out"),
     ],
 )
 def test_terms_that_break_a_rule_or_never_act(change: dict[str, Any], key: str) -> None:
@@ -218,7 +229,7 @@
     line = text.splitlines().index("leg_time_out = 700ms") + 1
     assert found["leg_time_out"] == Effective(700 * MS, f"rig.ini:{line} [attempts b]")
     assert found["retry_cap"].rule == "the decisions' own"
-    assert book(text).of("plain", 3) == replace(TERMS, legs=2, no_answer=0)
+    assert book(text).of("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
     assert book(ini("[attempts a]\nprefix = 9\nlegs = 2")).of("plain", 3) is None
 
 
@@ -479,20 +490,22 @@
 
 def test_budgets_change_by_server_and_keep_what_was_learnt() -> None:
     rig = Rig(servers=2)
-    far = rig.control._fars["s0"].budget
-    far.failed()
-    rig.driver.budgets({0: BudgetTerms(5_000, 200)}, BudgetTerms(10_000, 100))
-    assert (far.tokens, far.terms.adds) == (4_500, 200), "the share that was left is left"
-    assert rig.control._fars["s1"].budget.tokens == 10_000
-    far.failed()
-    far.failed()
+    far = rig.policy.table.servers["s0"].budget
+    far.on_failure()
+    rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
+    assert (far.tokens, far.config.token_ratio) == (4_500, 200), "the share that was left is left"
+    assert rig.policy.table.servers["s1"].budget.tokens == 10_000
+    far.on_failure()
+    far.on_failure()
     assert far.tokens == 2_500 and not far.allows_retry, "exactly half is not more than half"
-    far.stood()
+    far.on_success()
     assert far.tokens == 2_700 and far.allows_retry
-    rig.driver.budgets({0: BudgetTerms(5_000, 200)}, BudgetTerms(10_000, 100))
+    rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
     assert far.tokens == 2_700, "a change that does not concern it changes nothing"
-    rig.listed([interface.ServerEntry("s0b", 0, True, started_at=rig.now)])
-    assert rig.control._fars["s0b"].budget.tokens == 5_000, "a fresh start begins full, on its own terms"
+    rig.listed([interface.Endpoint("s0b", 0, True, started_at=rig.now)])
+    assert rig.policy.table.servers["s0b"].budget.tokens == 5_000, (
+        "a fresh start begins full, on its own terms"
+    )
 
 
 def test_no_leg_goes_out_at_the_no_answer_time_after_no_free_agent() -> None:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -16,23 +16,23 @@
 import pytest
 
 from tests.helpers import MS, SECOND
-from valverouter import control
 from valverouter.driver import Driver
 from valverouter.interface import (
-    Alarm,
+    AttemptResult,
     Deployment,
     Dialog,
-    Leg,
-    LegResult,
-    ListScope,
-    Order,
+    DialogAction,
+    Endpoint,
+    EndpointUpdateKind,
+    LoadReport,
     Outcome,
-    Report,
-    ServerEntry,
+    StartAttempt,
+    Timer,
     TrafficType,
 )
+from valverouter.policy.capacity import SlowStart
 
-COLD = ServerEntry("s0", 0, True)
+COLD = Endpoint("s0", 0, True)
 SPAN, WARM, RAMP = SECOND, 12 * SECOND, 14 * SECOND
 TIP, COLD_SHARE = 2.5, 0.35
 BEFORE = 3 * SECOND  # time to learn what servers carry
@@ -55,7 +55,7 @@
 
     def run(self) -> None:
         self.random = random.Random(self.seed)
-        self.entries = [ServerEntry(f"s{n}", n, True) for n in range(4)]
+        self.entries = [Endpoint(f"s{n}", n, True) for n in range(4)]
         self.busy = dict.fromkeys((entry.id for entry in self.entries), self.usual)
         self.legs: dict[tuple[int, str], int] = {}
         # Each place's processes, the present one last; none of them ever goes, so that ids stay apart.
@@ -92,16 +92,16 @@
             kinds, self.instances, place, -1, True, 6, True, 2 * SECOND, 300 * MS, COLD_SHARE, TIP, SPAN, WARM
         )
         driver = Driver(terms, self.random.randrange(2**32), self.now)
-        driver.server_list(ListScope.WHOLE, self.entries)
+        driver.update_endpoints(EndpointUpdateKind.COMPLETE, self.entries)
         return driver
 
     def _carry_out(self, driver: Driver) -> None:
         while driver.commands:
-            for command in driver.drain():
-                if isinstance(command, Alarm):
-                    self._at(self.now + command.span, self._rings, driver, command.ref)
-                elif isinstance(command, Order) and isinstance(command.wish, Leg):
-                    server, id_ = command.wish.server, command.dialog_id
+            for command in driver.take_commands():
+                if isinstance(command, Timer):
+                    self._at(self.now + command.duration, self._rings, driver, command.timer_id)
+                elif isinstance(command, DialogAction) and isinstance(command.action, StartAttempt):
+                    server, id_ = command.action.server, command.dialog_id
                     if server == COLD.id and self.now >= self.start:
                         self.sent.append(self.now)
                     self.busy[server] += 1
@@ -113,7 +113,7 @@
         return driver
 
     def _rings(self, driver: Driver, ref: int) -> None:
-        self._with(driver).alarm(ref)
+        self._with(driver).on_timer(ref)
         self._carry_out(driver)
 
     def _call(self, place: int) -> None:
@@ -122,36 +122,36 @@
         driver = processes[-1 - (both and self.random.random() < 0.5)]
         self._serial += 1
         kind = "b" if self.random.random() < 0.2 else "a"
-        self._with(driver).dialog(Dialog(f"d{self._serial}", kind, self.now + 9 * SECOND, COLD.number))
+        self._with(driver).start_dialog(Dialog(f"d{self._serial}", kind, self.now + 9 * SECOND, COLD.number))
         self._carry_out(driver)
 
     def _stands(self, driver: Driver, id_: str, leg: int, server: str) -> None:
-        result = LegResult(id_, leg, server, Outcome.STANDS, report=self._report(server))
-        self._with(driver).leg_result(result)
+        result = AttemptResult(id_, leg, server, Outcome.ESTABLISHED, load_report=self._report(server))
+        self._with(driver).on_attempt_result(result)
         self._carry_out(driver)
-        over = LegResult(id_, leg, server, Outcome.ENDED, dialog_closed=True)
+        over = AttemptResult(id_, leg, server, Outcome.ENDED, dialog_closed=True)
         self._at(self.now + int(self.length * (0.5 + self.random.random())), self._free, server, driver, over)
 
-    def _free(self, server: str, driver: Driver | None = None, over: LegResult | None = None) -> None:
+    def _free(self, server: str, driver: Driver | None = None, over: AttemptResult | None = None) -> None:
         self.busy[server] = max(0, self.busy[server] - 1)
         if driver is not None and over is not None:
-            self._with(driver).leg_result(over)
+            self._with(driver).on_attempt_result(over)
 
-    def _report(self, server: str) -> Report:
+    def _report(self, server: str) -> LoadReport:
         lines = self.usual * 4 // 3
         told = self.busy[server] * (1 + 0.1 * (2 * self.random.random() - 1))
-        return Report(free_lines=max(0.0, lines - told), lines=lines)
+        return LoadReport(free_lines=max(0.0, lines - told), lines=lines)
 
     def _tells(self) -> None:
         for processes in self.places:
             for entry in self.entries:
-                self._with(processes[-1]).report(entry.id, self._report(entry.id))
+                self._with(processes[-1]).update_load(entry.id, self._report(entry.id))
 
     def _cold_start(self) -> None:
         self.busy[COLD.id] = 0
-        self.entries[0] = ServerEntry(COLD.id, COLD.number, True, self.now)
+        self.entries[0] = Endpoint(COLD.id, COLD.number, True, self.now)
         for processes in self.places:
-            self._with(processes[-1]).server_list(ListScope.CHANGES, self.entries[:1])
+            self._with(processes[-1]).update_endpoints(EndpointUpdateKind.INCREMENTAL, self.entries[:1])
 
     def _restart(self, place: int) -> None:
         self.places[place].append(self._starts(place))
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("instances", [20, 200])
 def test_without_turns_a_cold_server_would_fall(instances: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control.Control, "_cold_turn", lambda self, far: True)
+    monkeypatch.setattr(SlowStart, "has_slot", lambda *_: True)
     world = World(instances, 36, *DIALOGS[1], at_once=False)
     world.run()
     assert world.over()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -11,9 +11,9 @@
 import pytest
 
 from tests.helpers import MS, SECOND, TYPES, Rig
-from valverouter import control
-from valverouter.control import RetryBudget, Verdict, decide, retry_wait
-from valverouter.interface import ListScope, Outcome, Report, ServerEntry, TrafficType
+from valverouter.interface import Endpoint, EndpointUpdateKind, LoadReport, Outcome, TrafficType
+from valverouter.policy import tuning
+from valverouter.policy.retry import RetryBudget, RetryDecision, decide_retry, retry_delay
 
 
 @pytest.mark.parametrize(("failures", "stands", "tokens", "allows"), [
@@ -23,21 +23,22 @@
 def test_budget(failures: int, stands: int, tokens: int, allows: bool) -> None:
     budget = RetryBudget()
     for _ in range(failures):
-        budget.failed()
+        budget.on_failure()
     for _ in range(stands):
-        budget.stood()
+        budget.on_success()
     assert (budget.tokens, budget.allows_retry) == (tokens, allows)
 
 
 @pytest.mark.parametrize(("tokens", "legs", "again_at", "verdict"), [
-        (10_000, 1, 99, Verdict.AGAIN), (6_000, 1, 99, Verdict.THROTTLED), (6_001, 1, 99, Verdict.AGAIN),
-        (6_000, 3, 100, Verdict.EXHAUSTED), (6_000, 1, 100, Verdict.THROTTLED),
-        (10_000, 1, 100, Verdict.EXPIRED),
+        (10_000, 1, 99, RetryDecision.RETRY), (6_000, 1, 99, RetryDecision.THROTTLED),
+        (6_001, 1, 99, RetryDecision.RETRY),
+        (6_000, 3, 100, RetryDecision.EXHAUSTED), (6_000, 1, 100, RetryDecision.THROTTLED),
+        (10_000, 1, 100, RetryDecision.EXPIRED),
 ])
-def test_order_of_reasons(tokens: int, legs: int, again_at: int, verdict: Verdict) -> None:
+def test_order_of_reasons(tokens: int, legs: int, again_at: int, verdict: RetryDecision) -> None:
     budget = RetryBudget()
     budget.tokens = tokens
-    assert decide(budget, legs, 3, again_at, 100) is verdict
+    assert decide_retry(budget, legs, 3, again_at, 100) is verdict
     assert budget.tokens == tokens - 1_000
 
 
@@ -46,13 +47,13 @@
         (99, 0.999, 0, 1998 * MS), (1, 0.5, 300 * MS, 300 * MS),
 ])
 def test_retry_wait(retry: int, draw: float, least: int, wait: int) -> None:
-    assert retry_wait(retry, draw, least) == wait
+    assert retry_delay(retry, draw, least) == wait
 
 
 @pytest.mark.parametrize(("terms", "kind", "first", "said"), [
         ({}, "plain", 2, "s2"), ({"servers": 0}, "plain", 0, "declined"),
         ({"servers": 1}, "plain", 5, "s0"), ({"servers": 1}, "only-1", 0, "declined"),
-        ({"servers": 2}, "only-1", 0, "s1"), ({"servers": 2, "own_number": 0}, "plain", 0, "s1"),
+        ({"servers": 2}, "only-1", 0, "s1"), ({"servers": 2, "own_server_number": 0}, "plain", 0, "s1"),
         ({}, "unknown", 0, "declined"), ({"servers": 2}, "transit", 9, "declined"),
 ])
 def test_first_choice(terms: dict[str, int], kind: str, first: int, said: str) -> None:
@@ -63,11 +64,11 @@
 
 @pytest.mark.parametrize(("outcome", "more", "said"), [
         (Outcome.LINE_BUSY, {}, "aborted"), (Outcome.NOT_SENT, {}, "aborted"), (Outcome.FULL, {}, "waits"),
-        (Outcome.FULL, {"asked_wait": 3 * SECOND}, "declined"), (Outcome.TIMED_OUT, {}, "waits"),
+        (Outcome.FULL, {"retry_after": 3 * SECOND}, "declined"), (Outcome.TIMED_OUT, {}, "waits"),
         (Outcome.RESET, {}, "waits"), (Outcome.UNREACHABLE, {}, "waits"), (Outcome.NO_AGENT, {}, "s1"),
-        (Outcome.STANDS, {}, ""), (Outcome.TIMED_OUT, {"kind": "once"}, "aborted"),
+        (Outcome.ESTABLISHED, {}, ""), (Outcome.TIMED_OUT, {"kind": "once"}, "aborted"),
         (Outcome.FULL, {"kind": "once"}, "waits"),
-        (Outcome.FULL, {"terms": {"legs_allowed": 1}}, "declined"),
+        (Outcome.FULL, {"terms": {"max_attempts": 1}}, "declined"),
 ])
 def test_what_follows_a_leg(outcome: Outcome, more: dict[str, Any], said: str) -> None:
     rig = Rig(servers=2, **more.pop("terms", {}))
@@ -80,7 +81,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED])
 @pytest.mark.parametrize("release", [0, 300 * MS, 900 * MS])
 def test_release_is_awaited_and_one_leg_is_out(outcome: Outcome, release: int) -> None:
-    rig = Rig(servers=2, release_wait=release)
+    rig = Rig(servers=2, release_delay=release)
     id_ = rig.dialog(0)
     rig.result(id_, "s0", outcome)
     told = rig.now
@@ -100,26 +101,26 @@
     rig.result(id_, "s0", Outcome.TIMED_OUT)
     assert rig.said() == said
     assert rig.driver.open_dialogs == 0
-    tokens = next(iter(rig.control._fars.values())).budget.tokens
+    tokens = next(iter(rig.policy.table.servers.values())).budget.tokens
     assert tokens == (9_000 if said == "declined" else 10_000)
 
 
 def test_nothing_after_the_caller_is_gone_but_the_server_is_learnt() -> None:
     rig = Rig()
     id_ = rig.dialog(0)
-    rig.driver.caller_gone(id_)
+    rig.driver.on_caller_gone(id_)
     rig.take()
     rig.ahead(700 * MS)
-    rig.result(id_, "s0", Outcome.STANDS, dialog_closed=True)
+    rig.result(id_, "s0", Outcome.ESTABLISHED, dialog_closed=True)
     assert rig.said() == ""
-    assert rig.control._fars["s0"].delay == 700 * MS
+    assert rig.policy.table.servers["s0"].mean_latency == 700 * MS
 
 
-@pytest.mark.parametrize("scope", [ListScope.CHANGES, ListScope.WHOLE])
-def test_nothing_new_to_a_server_told_gone(scope: ListScope) -> None:
+@pytest.mark.parametrize("scope", [EndpointUpdateKind.INCREMENTAL, EndpointUpdateKind.COMPLETE])
+def test_nothing_new_to_a_server_told_gone(scope: EndpointUpdateKind) -> None:
     rig = Rig(servers=2)
     id_ = rig.dialog(0)
-    rig.listed([ServerEntry("s0", 0, False), ServerEntry("s1", 1, True)], scope)
+    rig.listed([Endpoint("s0", 0, False), Endpoint("s1", 1, True)], scope)
     rig.result(id_, "s0", Outcome.FULL)
     rig.wake()
     rig.dialog(0)
@@ -129,24 +130,24 @@
 @pytest.mark.parametrize(("age", "most"), [(0, 2), (20 * SECOND, 1000)])
 def test_cold_server_gets_a_share_also_with_no_history(age: int, most: int) -> None:
     rig = Rig(servers=1)
-    rig.listed([ServerEntry("s0", 0, True, rig.now - age)])
+    rig.listed([Endpoint("s0", 0, True, rig.now - age)])
     sent = 0
     for _ in range(40):
         rig.ahead(100 * MS)
         id_ = rig.dialog(0)
         if rig.said() == "s0":
             sent += 1
-            rig.result(id_, "s0", Outcome.STANDS)
+            rig.result(id_, "s0", Outcome.ESTABLISHED)
     assert sent <= most
     assert sent or age == 0
 
 
 @pytest.mark.parametrize(("proxies", "every", "least"), [(2, 100, 0.8), (40, 900, 0.5), (40, 50, 0.9)])
 def test_turns_at_a_cold_server_keep_any_window_under_the_tip(proxies: int, every: int, least: float) -> None:
-    fleet = [Rig(servers=1, edge_proxies=proxies, place=n) for n in range(proxies)]
+    fleet = [Rig(servers=1, edge_proxies=proxies, fleet_index=n) for n in range(proxies)]
     for rig in fleet:
-        rig.control.report("s0", Report(free_lines=100, lines=400))
-        rig.listed([ServerEntry("s0", 0, True, rig.now)])
+        rig.driver.update_load("s0", LoadReport(free_lines=100, lines=400))
+        rig.listed([Endpoint("s0", 0, True, rig.now)])
         rig.ahead(4 * SECOND)  # quiet at first: nothing may be saved up
     sent: list[int] = []
     for at in range(0, 6_000, 50):
@@ -156,7 +157,7 @@
                 id_ = rig.dialog(0)
                 if rig.said() == "s0":
                     sent.append(at)
-                    rig.result(id_, "s0", Outcome.STANDS)
+                    rig.result(id_, "s0", Outcome.ESTABLISHED)
     # 300 busy lines at 10 s a dialog are 30 set-ups a second when warm.
     for start in sent:
         now = 0.35 + 0.65 * (4 + start / 1000) / 15
@@ -169,9 +170,9 @@
     for _ in range(2):
         rig.result(rig.dialog(0), "s0", Outcome.TIMED_OUT)
         rig.ahead(5 * SECOND)
-    assert rig.control._fars["s0"].budget.tokens < 10_000
-    rig.listed([ServerEntry("s0", 0, True, rig.now)])
-    assert rig.control._fars["s0"].budget.tokens == 10_000
+    assert rig.policy.table.servers["s0"].budget.tokens < 10_000
+    rig.listed([Endpoint("s0", 0, True, rig.now)])
+    assert rig.policy.table.servers["s0"].budget.tokens == 10_000
 
 
 @pytest.mark.parametrize(("quiet", "said"), [(100 * MS, "s0"), (1400 * MS, "s1")])
@@ -194,15 +195,15 @@
             sent_at.append(rig.now)
             rig.result(id_, "s0", Outcome.RESET)
     gaps = [b - a for a, b in pairwise(sent_at)]
-    assert gaps[0] < gaps[-1] <= control.SHUN_CAP + 3 * SECOND
+    assert gaps[0] < gaps[-1] <= tuning.EJECTION_CAP + 3 * SECOND
 
 
 @pytest.mark.parametrize(("gap", "outcome", "may", "said"), [
-        (300 * MS, Outcome.STANDS, True, "cancels"), (300 * MS, Outcome.STANDS, False, ""),
-        (50 * MS, Outcome.STANDS, True, ""), (300 * MS, Outcome.LINE_BUSY, True, "aborted"),
+        (300 * MS, Outcome.ESTABLISHED, True, "cancels"), (300 * MS, Outcome.ESTABLISHED, False, ""),
+        (50 * MS, Outcome.ESTABLISHED, True, ""), (300 * MS, Outcome.LINE_BUSY, True, "aborted"),
 ])
 def test_leg_overtaken_by_a_stand(gap: int, outcome: Outcome, may: bool, said: str) -> None:
-    rig = Rig(servers=1, may_cancel=may)
+    rig = Rig(servers=1, can_cancel=may)
     lost = rig.dialog(0)
     rig.ahead(gap)
     later = rig.dialog(0, called_number=9)
@@ -211,7 +212,7 @@
     assert rig.said() == said
     if said == "cancels":
         rig.result(lost, "s0", Outcome.CANCELLED)
-        assert rig.control._fars["s0"].failures == 0
+        assert rig.policy.table.servers["s0"].consecutive_failures == 0
         assert rig.said() == "waits"
 
 
@@ -222,9 +223,9 @@
     rig.take()
     rig.driver.tick(rig.now + stall)
     rig.dialog(0, no_answer=9 * SECOND)
-    rig.result(id_, "s0", Outcome.STANDS)
+    rig.result(id_, "s0", Outcome.ESTABLISHED)
     assert rig.said() == "s0"
-    assert rig.control._fars["s0"].delay <= control.HEARTBEAT
+    assert rig.policy.table.servers["s0"].mean_latency <= tuning.HEARTBEAT_INTERVAL
 
 
 @pytest.mark.parametrize(("delay", "grows"), [(50 * MS, True), (1400 * MS, False)])
@@ -232,8 +233,8 @@
     rig = Rig(servers=1)
     id_ = rig.dialog(0)
     rig.ahead(delay)
-    rig.result(id_, "s0", Outcome.STANDS)
-    assert (rig.control._fars["s0"].window > control.WINDOW_FIRST) is grows
+    rig.result(id_, "s0", Outcome.ESTABLISHED)
+    assert (rig.policy.table.servers["s0"].window > tuning.WINDOW_INITIAL) is grows
 
 
 @pytest.mark.parametrize(("waits", "grows"), [
@@ -245,12 +246,12 @@
 def test_a_far_region_is_not_a_late_one(waits: list[int], grows: bool) -> None:
     rig = Rig(servers=1)
     for wait in waits:
-        before = rig.control._fars["s0"].window
+        before = rig.policy.table.servers["s0"].window
         id_ = rig.dialog(0)
         rig.ahead(abs(wait) * MS)
-        rig.result(id_, "s0", Outcome.STANDS if wait > 0 else Outcome.FAULT)
+        rig.result(id_, "s0", Outcome.ESTABLISHED if wait > 0 else Outcome.FAULT)
         rig.ahead(SECOND)
-    assert (rig.control._fars["s0"].window > before) is grows
+    assert (rig.policy.table.servers["s0"].window > before) is grows
 
 
 @pytest.mark.parametrize(("busy", "prompt", "said"), [
@@ -260,10 +261,10 @@
 def test_second_choices_go_only_where_lines_leave_room(busy: list[int], prompt: bool, said: str) -> None:
     rig = Rig(servers=2)
     for lines in busy:
-        rig.control.report("s1", Report(free_lines=400 - lines, lines=400))
+        rig.driver.update_load("s1", LoadReport(free_lines=400 - lines, lines=400))
     if prompt:
-        rig.result(rig.dialog(1), "s1", Outcome.STANDS)
-    rig.control.report("s0", Report(free_lines=0, lines=9))
+        rig.result(rig.dialog(1), "s1", Outcome.ESTABLISHED)
+    rig.driver.update_load("s0", LoadReport(free_lines=0, lines=9))
     rig.take()
     rig.dialog(0)
     assert rig.said() == said
@@ -272,7 +273,7 @@
 def test_second_choices_are_drawn_by_room() -> None:
     rig = Rig(servers=4)
     for name, lines in (("s0", 1), ("s1", 10), ("s2", 1000), ("s3", 10)):
-        rig.control.report(name, Report(free_lines=0 if name == "s0" else 999, lines=999 + lines))
+        rig.driver.update_load(name, LoadReport(free_lines=0 if name == "s0" else 999, lines=999 + lines))
     sent = []
     for _ in range(99):
         id_ = rig.dialog(0)
@@ -282,7 +283,7 @@
 
 
 @pytest.mark.parametrize(("passed_by", "more", "least", "most"), [
-        (1, {}, 99, 99), (4, {}, 30, 70), (16, {}, 3, 25), (16, {"was_cut": True}, 99, 99),
+        (1, {}, 99, 99), (4, {}, 30, 70), (16, {}, 3, 25), (16, {"was_interrupted": True}, 99, 99),
         (16, {"kind": "worthy"}, 99, 99),
 ])
 def test_second_choices_are_thinned_to_the_room_left(
@@ -290,9 +291,9 @@
 ) -> None:
     rig = Rig(servers=passed_by + 1)
     for n in range(passed_by + 1):
-        rig.control.report(f"s{n}", Report(free_lines=600, lines=1000))
+        rig.driver.update_load(f"s{n}", LoadReport(free_lines=600, lines=1000))
     for n in range(passed_by):
-        rig.control.report(f"s{n}", Report(free_lines=0, lines=400))
+        rig.driver.update_load(f"s{n}", LoadReport(free_lines=0, lines=400))
     sent = 0
     for _ in range(99):
         id_ = rig.dialog(0, **more)
@@ -305,14 +306,14 @@
 @pytest.mark.parametrize(("proxies", "after", "said"), [
         (4, 1400 * MS, "s1"), (4, 2100 * MS, "s0"), (400, 30 * SECOND, "s1"), (400, 200 * SECOND, "s0"),
 ])
-@pytest.mark.parametrize("outcome", [Outcome.STANDS, Outcome.FULL])
+@pytest.mark.parametrize("outcome", [Outcome.ESTABLISHED, Outcome.FULL])
 def test_bad_news_holds_for_turns(proxies: int, after: int, said: str, outcome: Outcome) -> None:
     rig = Rig(servers=2, edge_proxies=proxies)
     for name in ("s0", "s1"):
-        rig.control.report(name, Report(free_lines=300, lines=400))
+        rig.driver.update_load(name, LoadReport(free_lines=300, lines=400))
     id_ = rig.dialog(0, no_answer=9 * SECOND)
     rig.ahead(4 * SECOND)
-    rig.result(id_, "s0", outcome, asked_wait=9 * SECOND)
+    rig.result(id_, "s0", outcome, retry_after=9 * SECOND)
     rig.take()
     rig.ahead(after)
     rig.dialog(0)
@@ -321,8 +322,8 @@
 
 def test_asked_wait_binds_its_dialog_but_not_the_server() -> None:
     rig = Rig(servers=1)
-    rig.result(rig.dialog(0), "s0", Outcome.FULL, asked_wait=5 * SECOND)
-    rig.ahead(control.SHUN_BASE)
+    rig.result(rig.dialog(0), "s0", Outcome.FULL, retry_after=5 * SECOND)
+    rig.ahead(tuning.EJECTION_BASE)
     rig.dialog(0)
     assert rig.said() == "s0 declined s0"
 
@@ -330,10 +331,10 @@
 def test_no_agent_is_not_held_against_the_processor() -> None:
     rig = Rig(servers=1)
     rig.result(rig.dialog(0), "s0", Outcome.NO_AGENT)
-    far = rig.control._fars["s0"]
-    assert (far.failures, far.window, far.budget.tokens) == (0, control.WINDOW_FIRST, 10_000)
+    far = rig.policy.table.servers["s0"]
+    assert (far.consecutive_failures, far.window, far.budget.tokens) == (0, tuning.WINDOW_INITIAL, 10_000)
     assert rig.said() == "s0 declined"
-    rig.control.report("s0", Report(free_lines=4, lines=9))
+    rig.driver.update_load("s0", LoadReport(free_lines=4, lines=9))
     rig.dialog(0)
     assert rig.said() == "s0"
 
@@ -343,12 +344,12 @@
 ])
 def test_free_agents_must_do_for_the_fleet(proxies: int, free: int, said: str) -> None:
     rig = Rig(servers=1, edge_proxies=proxies)
-    rig.control.report("s0", Report(free_lines=0, lines=400 if proxies > 4 else 40))
-    rig.control.report("s0", Report(free_lines=100, lines=500))
+    rig.driver.update_load("s0", LoadReport(free_lines=0, lines=400 if proxies > 4 else 40))
+    rig.driver.update_load("s0", LoadReport(free_lines=100, lines=500))
     rig.result(rig.dialog(0), "s0", Outcome.NO_AGENT)
     rig.take()
     rig.ahead(1100 * MS)
-    rig.control.report("s0", Report(free_lines=free, lines=400))
+    rig.driver.update_load("s0", LoadReport(free_lines=free, lines=400))
     rig.dialog(0)
     assert rig.said() == said
 
@@ -358,28 +359,28 @@
     rig.result(rig.dialog(0, called_number=5), "s0", Outcome.LINE_BUSY)
     rig.dialog(0, called_number=5)
     rig.dialog(0, called_number=6)
-    rig.ahead(control.BUSY_NUMBER)
+    rig.ahead(tuning.BUSY_NUMBER_DURATION)
     rig.dialog(0, called_number=5)
     assert rig.said() == "s0 aborted declined s0 s1"
-    assert not rig.control._busy_numbers
+    assert not rig.policy._busy_numbers
 
 
 def test_list_is_asked_for_until_it_comes() -> None:
-    rig = Rig(list_is_pushed=False)
+    rig = Rig(endpoint_list_is_pushed=False)
     assert rig.said() == "asks"
-    rig.listed([], ListScope.FAILED)
+    rig.listed([], EndpointUpdateKind.FAILED)
     rig.wake()
     assert rig.said() == "asks"
-    rig.listed([], ListScope.CHANGES)
+    rig.listed([], EndpointUpdateKind.INCREMENTAL)
     assert rig.said() == ""
 
 
 @pytest.mark.parametrize("limit", [0, 400 * MS])
 def test_come_back_keeps_to_what_callers_heed(limit: int) -> None:
-    assert Rig(come_back_limit=limit).control._come_back(None) <= limit
+    assert Rig(max_retry_after=limit).policy._reject(None).retry_after <= limit
 
 
-SHORT = {name: replace(kind, length=SECOND) for name, kind in TYPES.items()}
+SHORT = {name: replace(kind, mean_duration=SECOND) for name, kind in TYPES.items()}
 
 
 @pytest.mark.parametrize(("kinds", "after", "said"), [
@@ -391,7 +392,7 @@
 ) -> None:
     # Dialogs of one second on a server that told once of no free line: a whole second of news left it idle.
     rig = Rig(servers=1, traffic_types=kinds)
-    rig.control.report("s0", Report(free_lines=0, lines=100))
+    rig.driver.update_load("s0", LoadReport(free_lines=0, lines=100))
     rig.take()
     rig.ahead(after * MS)
     rig.dialog(0)
@@ -404,14 +405,14 @@
 ) -> None:
     rig = Rig(servers=2, traffic_types=kinds)
     for server, busy in (("s0", 200), ("s1", 100)):
-        rig.control.report(server, Report(free_lines=400 - busy, lines=400))
-    rig.control.report("s0", Report(free_lines=0, lines=400))
+        rig.driver.update_load(server, LoadReport(free_lines=400 - busy, lines=400))
+    rig.driver.update_load("s0", LoadReport(free_lines=0, lines=400))
     rig.take()
     stood = 0
     for _ in range(200):
         id_ = rig.dialog(0)
         stood += (said := rig.said()) == "s1"
         if said == "s1":
-            rig.result(id_, "s1", Outcome.STANDS)
+            rig.result(id_, "s1", Outcome.ESTABLISHED)
     # A tenth of a dialog's length must find room: twenty of two hundred lines, and two sigmas are twenty.
     assert stood == 200
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -16,13 +16,13 @@
 import structlog
 import trio
 
-from valverouter import control
 from valverouter.audit.account import account
 from valverouter.audit.rules import Verdict, audit
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.edge.proxy import OUTCOMES, EdgeProxy
 from valverouter.interface import Outcome
+from valverouter.policy import tuning
 from valverouter.signalling import setup, tap
 from valverouter.terms.day import COMING_KINDS, KINDS, Day, Trouble, day, load_day
 from valverouter.terms.ini import IniFile
@@ -177,8 +177,8 @@
     def hasty(world: World, edges: list[MemoryEdge]) -> None:
         for edge in edges:
             assert edge.proxy is not None
-            terms = edge.proxy._driver.control.terms
-            edge.proxy._driver.control.terms = _with(terms, release_wait=terms.release_wait - cut)
+            terms = edge.proxy._driver.policy.deployment
+            edge.proxy._driver.policy.deployment = _with(terms, release_delay=terms.release_delay - cut)
 
     verdict = verdict_of(small(("answer_lost", HOW["answer_lost"])), hasty)
     assert verdict.checked[5] > 3 and verdict.broken() == broken
@@ -194,7 +194,7 @@
 ) -> None:
     # Two of three servers come back cold under far more than they can take, and what tips them is under
     # what they can do: nothing but the budget itself holds the edge proxies back.
-    monkeypatch.setattr(control, "COLD_MARGIN", control.COLD_MARGIN * times)
+    monkeypatch.setattr(tuning, "SLOW_START_MARGIN", tuning.SLOW_START_MARGIN * times)
     troubles = (
         ("burst", {"start": 0, "length": 20 * SECOND, "size": 3}),
         ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6}),
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -33,7 +33,7 @@
 from valverouter.edge.mail import Inbox
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import PlainStream, Sockets
-from valverouter.interface import CancelLeg, Order, Outcome, Report
+from valverouter.interface import CancelAttempt, DialogAction, LoadReport, Outcome
 from valverouter.regions import crossing
 from valverouter.regions.slots import Slots
 from valverouter.signalling.framing import ProtocolError, frame
@@ -533,8 +533,8 @@
         rig.edge = EdgeProxy(rig.terms, rig.surroundings)
         await rig.nursery.start(rig.run_edge)
         await trio.sleep(0.1)
-        far = rig.edge._driver.control._fars["s1"]
-        assert rig.edge._clock.now() - far.entry.started_at > 99 * SECOND
+        far = rig.edge._driver.policy.table.servers["s1"]
+        assert rig.edge._clock.now() - far.endpoint.started_at > 99 * SECOND
 
 
 # Links that look up and are not
@@ -650,7 +650,7 @@
         await rig.servers["s0"].link.next(Setup)
         # The link has gone down and the instance has not heard so yet, when the decisions cancel its leg.
         rig.edge._links["s0"]._went_down("reset")
-        rig.edge._guarded("d1", rig.edge._do, Order("d1", CancelLeg(0)))
+        rig.edge._guarded("d1", rig.edge._do, DialogAction("d1", CancelAttempt(0)))
         await trio.sleep(3)
         assert len(caller.all(Stands | Declined | Aborted)) == 1 and not rig.edge._dialogs
 
@@ -658,14 +658,14 @@
 def test_a_failure_after_a_quiet_half_hour_does_not_shut_a_server_out_for_good() -> None:
     rig = Quiet(2)
     for server in ("s0", "s1"):
-        rig.driver.report(server, Report(free_lines=390, lines=400))
+        rig.driver.update_load(server, LoadReport(free_lines=390, lines=400))
     first = rig.dialog()
-    rig.result(first, "s0", Outcome.STANDS)
+    rig.result(first, "s0", Outcome.ESTABLISHED)
     rig.result(first, "s0", Outcome.ENDED, dialog_closed=True)
     rig.now += 1_800 * SECOND
     rig.driver.tick(rig.now)
-    none_busy = Report(free_lines=400, lines=400)
-    rig.driver.report("s0", none_busy)
+    none_busy = LoadReport(free_lines=400, lines=400)
+    rig.driver.update_load("s0", none_busy)
     rig.result(rig.dialog(called_number=5), "s0", Outcome.LINE_BUSY, report=none_busy)
     rig.result(rig.dialog(called_number=6), "s0", Outcome.RESET)
     rig.now += 600 * SECOND
@@ -744,15 +744,15 @@
 def test_a_failure_at_night_does_not_keep_a_server_away_in_the_morning() -> None:
     rig = Quiet(2, edge_proxies=200)
     for server in ("s0", "s1"):
-        rig.driver.report(server, Report(free_lines=399, lines=400))
+        rig.driver.update_load(server, LoadReport(free_lines=399, lines=400))
     first = rig.dialog()
-    rig.result(first, "s0", Outcome.STANDS)
+    rig.result(first, "s0", Outcome.ESTABLISHED)
     rig.result(first, "s0", Outcome.ENDED, dialog_closed=True)
     rig.result(rig.dialog(), "s0", Outcome.RESET)
     rig.now += 600 * SECOND
     rig.driver.tick(rig.now)
     for server in ("s0", "s1"):
-        rig.driver.report(server, Report(free_lines=100, lines=400))
+        rig.driver.update_load(server, LoadReport(free_lines=100, lines=400))
     rig.take()
     rig.dialog()
     assert rig.said() == "s0"
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -12,12 +12,12 @@
 from trio.testing import MockClock
 
 from tests.rig import INI, MS, SECOND, Rig, dial, rigged, terms
-from valverouter.control import Control
 from valverouter.days.virtual import ROOM
 from valverouter.edge.mail import Departures, Outbox
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import PlainStream, Sockets, split
-from valverouter.interface import Leg, Order
+from valverouter.interface import DialogAction, StartAttempt
+from valverouter.policy.routing import RoutingPolicy
 from valverouter.signalling import setup
 from valverouter.signalling.framing import FrameReader, frame
 from valverouter.signalling.greeting import Hello, NotUnderstood
@@ -140,7 +140,7 @@
             assert len(link.all(Release)) == (when == "stands"), "let go once"
         await trio.sleep(1)
         assert rig.edge.open_dialogs == rig.edge.standing == 0
-        assert not any(far.out for far in rig.edge._driver.control._fars.values())
+        assert not any(far.in_flight for far in rig.edge._driver.policy.table.servers.values())
 
 
 async def test_an_answer_for_a_leg_already_ended_costs_only_that_connection(
@@ -189,17 +189,17 @@
 ) -> None:
     async with rigged(1) as rig:
         server = rig.servers["s0"]
-        far = rig.edge._driver.control._fars["s0"]
-        assert rig.edge._driver.control._cold_share(far) == 1.0
+        far = rig.edge._driver.policy.table.servers["s0"]
+        assert rig.edge._driver.policy.table.slow_start.fraction(far, rig.edge._driver.policy.now) == 1.0
         server.incarnation, server.age = 2, 100 * MS
         await server.link.cut()
         await trio.sleep(3)
         assert len(server.links) == 2
-        far = rig.edge._driver.control._fars["s0"]
-        share = rig.edge._driver.control._cold_share(far)
+        far = rig.edge._driver.policy.table.servers["s0"]
+        share = rig.edge._driver.policy.table.slow_start.fraction(far, rig.edge._driver.policy.now)
         assert 0.35 < share < 0.6
         await rig.tell(server.row())  # the list's own word of that start, late: no second fresh start
-        assert rig.edge._driver.control._fars["s0"] is far
+        assert rig.edge._driver.policy.table.servers["s0"] is far
 
 
 async def test_a_leg_in_the_write_buffer_does_not_leave_once_its_server_drains(
@@ -324,14 +324,14 @@
 async def test_an_exception_in_the_decisions_ends_that_dialog_alone(
     autojump_clock: MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sound = Control.dialog
+    sound = RoutingPolicy.dialog_flow
 
-    def faulty(self: Control, dialog: Any) -> Any:
+    def faulty(self: RoutingPolicy, dialog: Any) -> Any:
         if dialog.id.startswith("odd"):
             raise ZeroDivisionError("odd")
         return sound(self, dialog)
 
-    monkeypatch.setattr(Control, "dialog", faulty)
+    monkeypatch.setattr(RoutingPolicy, "dialog_flow", faulty)
     with capture_logs() as logged:
         async with rigged() as rig:
             caller = await rig.caller()
@@ -355,7 +355,7 @@
         caller = await rig.caller()
         await caller.send(dial())
         await rig.servers["s0"].link.next(Setup)
-        rig.edge._driver.commands.append(Order("d1", Leg("s1", 10**19)))
+        rig.edge._driver.commands.append(DialogAction("d1", StartAttempt("s1", 10**19)))
         await trio.sleep(0.2)
         assert not rig.servers["s1"].link.all(Setup)
         assert [type(message) for message in finals(caller)] == [Aborted]
@@ -372,7 +372,9 @@
         rig.network.serving.pop("list:1")
         await rig.restart()
         await trio.sleep(0.1)
-        assert set(rig.edge._driver.control._fars) == {"s1"}, "a draining server is not sent to after a start"
+        assert set(rig.edge._driver.policy.table.servers) == {"s1"}, (
+            "a draining server is not sent to after a start"
+        )
         caller = await rig.caller()
         await caller.send(dial())
         assert await rig.servers["s1"].link.next(Setup)
@@ -386,7 +388,7 @@
         assert rig.list is not None
         await rig.list.send(change)
         await trio.sleep(0.05)
-        fars = rig.edge._driver.control._fars
+        fars = rig.edge._driver.policy.table.servers
         assert set(fars) == {"s0"}, "the gap is healed by a snapshot; s2 left at once"
         assert rig.edge._list.replica.gaps == 1
 
@@ -485,7 +487,7 @@
         rig.register.change([rig.servers["s0"].row()])
         await nursery.start(rig.network.serve, "list:1", rig.serve_list)
         await trio.sleep(5)
-        assert set(rig.edge._driver.control._fars) == {"s0"}
+        assert set(rig.edge._driver.policy.table.servers) == {"s0"}
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -10,13 +10,13 @@
 import pytest
 
 from tests.test_days import valverouter
-from valverouter import control
 from valverouter.experiments.compare import interval, paired
 from valverouter.experiments.figures import by_second, figures, worst
 from valverouter.experiments.plan import changed, plan
 from valverouter.experiments.report import gathered, page
 from valverouter.experiments.runner import Store, play, run_all
 from valverouter.experiments.variants import BASELINES, VARIANTS, variant
+from valverouter.policy import routing, tuning
 from valverouter.signalling.tap import Passed, Row, Terms
 from valverouter.terms.ini import FlawedTermsError
 
@@ -123,14 +123,14 @@
 
 
 def test_variants_act_for_a_run_and_leave_the_module_as_it_was(small: Path) -> None:
-    before = {name: getattr(control, name) for name in dir(control) if name.isupper()}
-    waits = control.retry_wait
+    before = {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()}
+    waits = vars(routing)["retry_delay"]
     with VARIANTS["fixed-waits"].acts():
-        assert control.retry_wait(3, 0.0, 0) == control.RETRY_BASE
+        assert vars(routing)["retry_delay"](3, 0.0, 0) == tuning.BACKOFF_BASE
     with VARIANTS["without-window"].acts():
-        assert control.WINDOW_FIRST > 1e6
-    assert {name: getattr(control, name) for name in dir(control) if name.isupper()} == before
-    assert control.retry_wait is waits
+        assert tuning.WINDOW_INITIAL > 1e6
+    assert {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()} == before
+    assert vars(routing)["retry_delay"] is waits
 
 
 @pytest.mark.parametrize("name", VARIANTS)
@@ -170,10 +170,10 @@
 
 def test_a_level_may_set_figures_of_the_decisions() -> None:
     made = variant("without-room NEWS_FADES_TURNS=2 WINDOW_LEAST=0.5")
-    assert made.rule is VARIANTS["without-room"].rule
+    assert (made.selector, made.table) == (VARIANTS["without-room"].selector, VARIANTS["without-room"].table)
     with made.acts():
-        assert (control.NEWS_FADES_TURNS, control.WINDOW_LEAST) == (2, 0.5)
-    assert control.NEWS_FADES_TURNS == 4
+        assert (tuning.LATENCY_SAMPLE_INTERVALS, tuning.WINDOW_MIN) == (2, 0.5)
+    assert tuning.LATENCY_SAMPLE_INTERVALS == 4
 
 
 @pytest.mark.parametrize(
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -28,7 +28,7 @@
 from valverouter.edge.owed import Owed
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.emulator.fleet import Fleet
-from valverouter.interface import AttemptTerms, Outcome
+from valverouter.interface import AttemptPolicy, Outcome
 from valverouter.ledger.store import Ledger
 from valverouter.recovery.course import Moment, Phase, Record
 from valverouter.recovery.decide import attempts_left
@@ -151,7 +151,7 @@
         assert (stands.dialog, stands.leg) == ("d1", 0)
         assert (await leg_at(rig, setup.Kept))[1] == setup.Kept("d1", second.leg)
         assert rig.edge._driver.open_dialogs == 0
-        assert not any(far.out for far in rig.edge._driver.control._fars.values())
+        assert not any(far.in_flight for far in rig.edge._driver.policy.table.servers.values())
 
 
 async def test_what_stands_outlives_the_kill_and_its_end_is_told(autojump_clock: MockClock) -> None:
@@ -387,9 +387,9 @@
 
 @pytest.mark.parametrize("used, left", [(0, (3, 0)), (1, (2, 5)), (2, (1, 4)), (3, None), (6, None)], ids=str)
 def test_attempts_that_are_left(used: int, left: tuple[int, int] | None) -> None:
-    terms = AttemptTerms(3, SECOND, 0, 300 * MS, 200 * MS, 2 * SECOND)
+    terms = AttemptPolicy(3, SECOND, 0, 300 * MS, 200 * MS, 2 * SECOND)
     found = attempts_left(terms, used, 6)
-    assert (None if found is None else (found.legs, found.legs_in_all)) == left
+    assert (None if found is None else (found.max_attempts, found.max_total_attempts)) == left
 
 
 async def test_a_store_that_fails_costs_the_records_and_not_the_calls(autojump_clock: MockClock) -> None:
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -28,13 +28,13 @@
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.interface import (
-    CrossingBudget,
-    CrossingClass,
-    CrossingTerms,
-    LegResult,
+    AttemptResult,
+    CrossRegionBudget,
+    CrossRegionConfig,
+    CrossRegionPolicy,
+    Endpoint,
+    LoadReport,
     Outcome,
-    Report,
-    ServerEntry,
 )
 from valverouter.regions import accounts, opening
 from valverouter.regions.accounts import Accounts, Tally, merged, missing
@@ -65,7 +65,7 @@
 
 
 budgets = st.builds(
-    lambda legs, burst, window, edges: CrossingBudget(
+    lambda legs, burst, window, edges: CrossRegionBudget(
         legs, window * MS, burst and 2 + burst % max(1, legs - 1), edges, 0
     ),
     st.integers(2, 40),
@@ -77,7 +77,7 @@
 
 @given(budgets, st.integers(0, 60), st.builds(random.Random, st.integers(0, 2**32)))
 def test_no_window_is_overdrawn_whoever_sends_when(
-    budget: CrossingBudget, skew_ms: int, chance: random.Random
+    budget: CrossRegionBudget, skew_ms: int, chance: random.Random
 ) -> None:
     # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
     # in the middle and forget what they spent.
@@ -85,27 +85,28 @@
     if why_never(budget, skew):
         return
     budget = settled(budget, skew)
-    off = [chance.randint(-skew, skew) for _ in range(budget.edges)]
+    off = [chance.randint(-skew, skew) for _ in range(budget.edge_proxies)]
     sharers = [
-        Slots(dataclasses.replace(budget, place=at), skew, START + off[at]) for at in range(budget.edges)
+        Slots(dataclasses.replace(budget, fleet_index=at), skew, START + off[at])
+        for at in range(budget.edge_proxies)
     ]
     now, sent = START, []
     for _ in range(300):
         now += chance.choice([0, 0, MS, spacing(budget) // 3, life(budget, skew), budget.window])
-        for at in chance.sample(range(budget.edges), min(budget.edges, 12)):
+        for at in chance.sample(range(budget.edge_proxies), min(budget.edge_proxies, 12)):
             if chance.random() < 0.02:
                 off[at] = chance.randint(-skew, skew)
-                sharers[at] = Slots(dataclasses.replace(budget, place=at), skew, now + off[at])
+                sharers[at] = Slots(dataclasses.replace(budget, fleet_index=at), skew, now + off[at])
             while sharers[at].take(now + off[at]) is not None:
                 sent.append(now)
-            assert sharers[at].used <= life(budget, skew) // (spacing(budget) * budget.edges) + 1
-    assert most_in_window(sent, budget.window) <= budget.legs
+            assert sharers[at].used <= life(budget, skew) // (spacing(budget) * budget.edge_proxies) + 1
+    assert most_in_window(sent, budget.window) <= budget.attempts
 
 
 @pytest.mark.parametrize("edges", [1, 4, 281])
 def test_the_same_budget_is_used_up_at_any_fleet_size_when_all_have_some_to_send(edges: int) -> None:
-    budget = CrossingBudget(40, 10 * SECOND, 10, edges, 0)
-    sharers = [Slots(dataclasses.replace(budget, place=at), 0, START) for at in range(edges)]
+    budget = CrossRegionBudget(40, 10 * SECOND, 10, edges, 0)
+    sharers = [Slots(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edges)]
     sent = 0
     for step in range(6_000):
         now = START + step * 10 * MS
@@ -115,10 +116,10 @@
 
 @pytest.mark.parametrize("edges, least", [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
 def test_the_burst_that_is_reckoned_uses_most(edges: int, least: float) -> None:
-    budget = settled(CrossingBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
+    budget = settled(CrossRegionBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
     wished = 12 / edges
 
-    def used(one: CrossingBudget) -> float:
+    def used(one: CrossRegionBudget) -> float:
         return pace(one) * usable(one, 50 * MS, wished)
 
     others = [dataclasses.replace(budget, burst=burst) for burst in (2, 5, 30, 60, 90, 119)]
@@ -126,9 +127,9 @@
 
 
 def test_what_of_the_slots_is_used_where_little_is_wished() -> None:
-    budget = CrossingBudget(40, 10 * SECOND, 10, 200, 0)
+    budget = CrossRegionBudget(40, 10 * SECOND, 10, 200, 0)
     chance = random.Random(5)
-    sharers = [Slots(dataclasses.replace(budget, place=at), 0, START) for at in range(200)]
+    sharers = [Slots(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
     sent = 0
     for step in range(12_000):
         for one in sharers:
@@ -141,13 +142,13 @@
 @pytest.mark.parametrize(
     "budget, said",
     [
-        (CrossingBudget(10, SECOND, 1, 3, 0), "lapse"),
-        (CrossingBudget(10, SECOND, 11, 3, 0), "must lie"),
-        (CrossingBudget(10, SECOND, 2, 3, 3), "not among"),
-        (CrossingBudget(100, SECOND, 2, 3, 0), "skew"),
+        (CrossRegionBudget(10, SECOND, 1, 3, 0), "lapse"),
+        (CrossRegionBudget(10, SECOND, 11, 3, 0), "must lie"),
+        (CrossRegionBudget(10, SECOND, 2, 3, 3), "not among"),
+        (CrossRegionBudget(100, SECOND, 2, 3, 0), "skew"),
     ],
 )
-def test_budgets_that_can_never_send(budget: CrossingBudget, said: str) -> None:
+def test_budgets_that_can_never_send(budget: CrossRegionBudget, said: str) -> None:
     assert said in why_never(budget, 10 * MS)
     with pytest.raises(ValueError, match=said):
         Slots(budget, 10 * MS, START)
@@ -156,12 +157,12 @@
 # Paying and giving back
 
 
-def crossing(**classes: CrossingClass) -> Crossing:
-    reserve = CrossingBudget(2, 10 * SECOND, 2, 1, 0)
-    return Crossing(CrossingTerms("sofia", classes, reserve, 0, 0.1), START)
+def crossing(**classes: CrossRegionPolicy) -> Crossing:
+    reserve = CrossRegionBudget(2, 10 * SECOND, 2, 1, 0)
+    return Crossing(CrossRegionConfig("sofia", classes, reserve, 0, 0.1), START)
 
 
-ROUTINE = CrossingClass(CrossingBudget(4, 10 * SECOND, 2, 1, 0))
+ROUTINE = CrossRegionPolicy(CrossRegionBudget(4, 10 * SECOND, 2, 1, 0))
 URGENT = dataclasses.replace(ROUTINE, urgent=True)
 OPEN = START + 8 * SECOND
 
@@ -169,14 +170,14 @@
 def lacking(rule: Crossing) -> Crossing:
     """Crossing opened by what its dialogs found at home."""
     for at in range(5):
-        rule.looked(OPEN - at * MS, False)
+        rule.on_selection(OPEN - at * MS, False)
     return rule
 
 
 def asks(
     rule: Crossing, kind: str, now: int = OPEN, region: str = "varna", wait: float = 0.0, free: Any = 1.0
 ) -> bool:
-    return rule.may_cross(now, kind, region, wait, free)
+    return rule.allows(now, kind, region, wait, free)
 
 
 @pytest.mark.parametrize(
@@ -206,7 +207,7 @@
 def test_routine_pays_its_own_and_never_the_reserve() -> None:
     rule, sent = lacking(crossing(routine=ROUTINE)), 0
     while asks(rule, "routine"):
-        rule.sent(OPEN, "routine", "varna", (f"d{sent}", 0))
+        rule.on_attempt_started(OPEN, "routine", "varna", (f"d{sent}", 0))
         sent += 1
     assert 1 <= sent <= 2 and rule.accounts.whole["routine", "sofia", "varna"] == Tally(legs=sent)
 
@@ -215,7 +216,7 @@
     rule = crossing(urgent=URGENT)
     for at in range(8):
         assert asks(rule, "urgent")
-        rule.sent(OPEN, "urgent", "varna", (f"d{at}", 0))
+        rule.on_attempt_started(OPEN, "urgent", "varna", (f"d{at}", 0))
     tally = rule.accounts.whole["urgent", "sofia", "varna"]
     own = 8 - tally.reserve - tally.overdraft
     assert (tally.legs, own >= 1, tally.reserve >= 1) == (8, True, True) and tally.overdraft >= 4
@@ -233,13 +234,13 @@
     ],
 )
 def test_a_failed_leg_gives_back_only_what_it_did_not_use(outcome: Outcome, back: bool, legs: int) -> None:
-    rule = lacking(crossing(routine=CrossingClass(CrossingBudget(2, 10 * SECOND, 2, 1, 0))))
+    rule = lacking(crossing(routine=CrossRegionPolicy(CrossRegionBudget(2, 10 * SECOND, 2, 1, 0))))
     while asks(rule, "routine"):
-        rule.sent(OPEN, "routine", "varna", ("d", 0))
-    rule.heard(OPEN, LegResult("d", 0, "s", outcome))
+        rule.on_attempt_started(OPEN, "routine", "varna", ("d", 0))
+    rule.on_attempt_result(OPEN, AttemptResult("d", 0, "s", outcome))
     assert asks(rule, "routine") == back
     before = rule.accounts.whole["routine", "sofia", "varna"].legs
-    rule.heard(OPEN, LegResult("d", 0, "s", outcome))
+    rule.on_attempt_result(OPEN, AttemptResult("d", 0, "s", outcome))
     assert asks(rule, "routine") == back, "nothing is given back twice"
     assert rule.accounts.whole["routine", "sofia", "varna"].legs == before
     assert not rule._out and before >= legs
@@ -247,23 +248,25 @@
 
 def test_a_dialog_that_stands_is_accounted_until_its_end() -> None:
     rule = crossing(urgent=URGENT)
-    rule.sent(OPEN, "urgent", "varna", ("d", 0))
-    rule.heard(OPEN + SECOND, LegResult("d", 0, "s", Outcome.STANDS))
+    rule.on_attempt_started(OPEN, "urgent", "varna", ("d", 0))
+    rule.on_attempt_result(OPEN + SECOND, AttemptResult("d", 0, "s", Outcome.ESTABLISHED))
     assert rule.circuits == 1
-    rule.heard(OPEN + 6 * SECOND, LegResult("d", 0, "s", Outcome.ENDED))
+    rule.on_attempt_result(OPEN + 6 * SECOND, AttemptResult("d", 0, "s", Outcome.ENDED))
     assert rule.circuits == 0
     assert rule.accounts.whole["urgent", "sofia", "varna"] == Tally(legs=1, stands=1, circuit_ns=5 * SECOND)
 
 
 def test_a_leg_at_home_costs_nothing() -> None:
     rule = crossing(routine=ROUTINE)
-    rule.sent(OPEN, "routine", "sofia", ("d", 0))
+    rule.on_attempt_started(OPEN, "routine", "sofia", ("d", 0))
     assert not rule.accounts.whole and not rule._out
 
 
 def test_the_narrowest_budget_is_the_one_that_pays() -> None:
-    tight, wide = CrossingBudget(2, 10 * SECOND, 2, 1, 0), CrossingBudget(20, 10 * SECOND, 20, 1, 0)
-    kind = CrossingClass(wide, {("sofia", "varna"): tight, ("sofia", "*"): wide, ("burgas", "varna"): wide})
+    tight, wide = CrossRegionBudget(2, 10 * SECOND, 2, 1, 0), CrossRegionBudget(20, 10 * SECOND, 20, 1, 0)
+    kind = CrossRegionPolicy(
+        wide, {("sofia", "varna"): tight, ("sofia", "*"): wide, ("burgas", "varna"): wide}
+    )
     rule = crossing(routine=kind)
     assert rule._lane("routine", "varna").budget is tight  # type: ignore[union-attr]
     assert rule._lane("routine", "plovdiv") is rule._lanes["routine", "*"]
@@ -272,17 +275,19 @@
 
 def test_a_change_of_terms_spends_nothing_twice_and_keeps_books_and_legs() -> None:
     rule = lacking(crossing(urgent=URGENT))
-    rule.sent(OPEN, "urgent", "varna", ("d", 0))
-    new = CrossingTerms("sofia", {"urgent": URGENT, "routine": ROUTINE}, None, 0, 0.1)
+    rule.on_attempt_started(OPEN, "urgent", "varna", ("d", 0))
+    new = CrossRegionConfig("sofia", {"urgent": URGENT, "routine": ROUTINE}, None, 0, 0.1)
     rule.change(new, OPEN)
     window = 10 * SECOND
     for at in range(0, 40 * SECOND, SECOND // 4):
-        rule.looked(OPEN + at, False)
+        rule.on_selection(OPEN + at, False)
         assert not (asks(rule, "routine", now=OPEN + at) and at < window), "a window passes first"
     assert any(asks(rule, "routine", now=OPEN + at) for at in range(window, 3 * window, SECOND))
-    rule.heard(OPEN, LegResult("d", 0, "s", Outcome.UNREACHABLE))
+    rule.on_attempt_result(OPEN, AttemptResult("d", 0, "s", Outcome.UNREACHABLE))
     assert rule.accounts.whole["urgent", "sofia", "varna"] == Tally(unsent=1) and not rule._out
-    never = CrossingTerms("sofia", {"urgent": CrossingClass(CrossingBudget(10, SECOND, 1, 3, 0))}, None, 0, 0)
+    never = CrossRegionConfig(
+        "sofia", {"urgent": CrossRegionPolicy(CrossRegionBudget(10, SECOND, 1, 3, 0))}, None, 0, 0
+    )
     with pytest.raises(ValueError, match="lapse"):
         rule.change(never, OPEN)
     assert rule.terms is new
@@ -347,29 +352,30 @@
 # The server rule's seam
 
 
-def seamed(**classes: CrossingClass) -> Rig:
-    rig = Rig(servers=0)
-    rig.control.crossing = Crossing(CrossingTerms("home", classes, None, 0, 0.0), rig.now)
-    entries = [ServerEntry("h0", 0, True, 0, "home"), ServerEntry("h1", 1, True, 0, "home")]
-    rig.listed([*entries, ServerEntry("a2", 2, True, 0, "away"), ServerEntry("u3", 3, True, 0, "")])
+def seamed(**classes: CrossRegionPolicy) -> Rig:
+    rig = Rig(
+        servers=0, cross_region=Crossing(CrossRegionConfig("home", classes, None, 0, 0.0), 100 * SECOND)
+    )
+    entries = [Endpoint("h0", 0, True, 0, "home"), Endpoint("h1", 1, True, 0, "home")]
+    rig.listed([*entries, Endpoint("a2", 2, True, 0, "away"), Endpoint("u3", 3, True, 0, "")])
     return rig
 
 
 def test_first_choice_then_home_then_across() -> None:
-    rig = seamed(plain=CrossingClass())
+    rig = seamed(plain=CrossRegionPolicy())
     rig.dialog(0)
     assert rig.said() == "h0"
-    rig.driver.report("h0", Report(free_lines=0))
+    rig.driver.update_load("h0", LoadReport(free_lines=0))
     rig.dialog(0)
     assert rig.said() == "h1", "home before away"
-    rig.driver.report("h1", Report(free_lines=0))
+    rig.driver.update_load("h1", LoadReport(free_lines=0))
     for _ in range(6):
         rig.dialog(0)
     assert set(rig.said().split()) == {"a2", "u3"}, "a server whose region is not told counts as away"
 
 
 def test_a_first_choice_across_goes_home_where_the_budget_says_so() -> None:
-    rig = seamed(worthy=CrossingClass(urgent=True))
+    rig = seamed(worthy=CrossRegionPolicy(urgent=True))
     rig.dialog(2, kind="plain")
     assert rig.said() in ("h0", "h1")
     rig.dialog(2, kind="worthy")
@@ -379,22 +385,22 @@
 def test_refused_for_the_budget_is_declined_at_once_with_a_come_back_time() -> None:
     rig = seamed()
     for server in ("h0", "h1"):
-        rig.driver.report(server, Report(free_lines=0))
+        rig.driver.update_load(server, LoadReport(free_lines=0))
     rig.dialog(0)
     (order,) = [c for c in rig.take() if hasattr(c, "dialog_id")]
-    assert order.wish.come_back > 0  # type: ignore[union-attr]
-    assert rig.control.crossing.accounts.whole["plain", "home", "?"].refused == 1  # type: ignore[union-attr]
+    assert order.action.retry_after > 0  # type: ignore[union-attr]
+    assert rig.policy.cross_region.accounts.whole["plain", "home", "?"].refused == 1  # type: ignore[union-attr]
 
 
 def test_a_retry_that_crosses_pays_as_the_first_leg_did() -> None:
-    rig = seamed(plain=CrossingClass(urgent=True))
+    rig = seamed(plain=CrossRegionPolicy(urgent=True))
     for server in ("h0", "h1"):
-        rig.driver.report(server, Report(free_lines=0))
+        rig.driver.update_load(server, LoadReport(free_lines=0))
     dialog = rig.dialog(2)
     assert rig.said() == "a2"
     rig.result(dialog, "a2", Outcome.NO_AGENT)
     assert rig.said() == "u3"
-    whole = rig.control.crossing.accounts.whole  # type: ignore[union-attr]
+    whole = rig.policy.cross_region.accounts.whole  # type: ignore[union-attr]
     assert whole["plain", "home", "away"].legs == whole["plain", "home", "?"].legs == 1
 
 
@@ -461,9 +467,9 @@
 def test_terms_are_shared_by_fleet_and_by_region() -> None:
     crossing = edge_terms(IniFile(GOOD, "e.ini")).crossing
     assert crossing is not None and crossing.reserve is not None
-    kind = crossing.classes["plain"]
-    assert kind.urgent and kind.budget == CrossingBudget(10, 10 * SECOND, 0, 3, 0)
-    assert kind.pairs == {("a", "b"): CrossingBudget(4, 10 * SECOND, 0, 2, 0)}
+    kind = crossing.policies["plain"]
+    assert kind.urgent and kind.budget == CrossRegionBudget(10, 10 * SECOND, 0, 3, 0)
+    assert kind.pairs == {("a", "b"): CrossRegionBudget(4, 10 * SECOND, 0, 2, 0)}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -243,7 +243,10 @@
         client = await rig.client()
         await client.ask(A)
         await rig.until(lambda: client.said == [ANSWERED], 1)
-        assert set(server.of("setup")) == {A} and not rig.edge._driver.control._fars["s0"].failures
+        assert (
+            set(server.of("setup")) == {A}
+            and not rig.edge._driver.policy.table.servers["s0"].consecutive_failures
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_slowmodel.py
+++ b/tests/test_slowmodel.py
@@ -17,13 +17,15 @@
 from tests.helpers import MS, SECOND, TYPE
 from tests.slowmodel import Rules, Step
 from tests.test_days import HOW, small
-from valverouter import control, interface
+from valverouter import interface
 from valverouter.audit.rules import audit
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.driver import Driver
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.interface import LegResult, ListScope, Outcome, Report, ServerEntry
+from valverouter.interface import AttemptResult, Endpoint, EndpointUpdateKind, LoadReport, Outcome
+from valverouter.policy import tuning
+from valverouter.policy.capacity import SlowStart
 from valverouter.signalling import setup, tap
 from valverouter.terms.attempts import AttemptKeys, AttemptSection, AttemptSections
 from valverouter.terms.day import Day
@@ -32,15 +34,15 @@
 
 EDGES, PER_SECOND, LENGTH = 3, 20.0, 2 * SECOND
 TERMS: dict[str, Any] = {
-    "edge_proxies": EDGES, "own_number": -1, "list_is_pushed": True, "legs_allowed": 6, "may_cancel": True,
-    "come_back_limit": 2 * SECOND, "release_wait": 300 * MS, "cold_share": 0.35, "tip_multiple": 1.2,
-    "tip_span": SECOND, "warm_after": 5 * SECOND,
+    "edge_proxies": EDGES, "own_server_number": -1, "endpoint_list_is_pushed": True, "max_attempts": 6,
+    "can_cancel": True, "max_retry_after": 2 * SECOND, "release_delay": 300 * MS, "slow_start_fraction": 0.35,
+    "overload_multiple": 1.2, "overload_window": SECOND, "slow_start_duration": 5 * SECOND,
 }  # fmt: skip
 TYPES = {
-    "plain": dataclasses.replace(TYPE, length=LENGTH),
-    "once": dataclasses.replace(TYPE, length=LENGTH, repeatable=False),
+    "plain": dataclasses.replace(TYPE, mean_duration=LENGTH),
+    "once": dataclasses.replace(TYPE, mean_duration=LENGTH, idempotent=False),
 }
-FATES = [Outcome.STANDS] * 14 + [
+FATES = [Outcome.ESTABLISHED] * 14 + [
     Outcome.LINE_BUSY, Outcome.FAULT, Outcome.FULL, Outcome.NO_AGENT, Outcome.RESET, Outcome.UNREACHABLE,
     Outcome.TIMED_OUT, Outcome.TIMED_OUT,
 ]  # fmt: skip
@@ -56,7 +58,7 @@
     def __init__(self, seed: int, tamper: Tamper | None = None, **other: Any) -> None:
         self.chance = random.Random(seed)
         self.now = 1_000 * SECOND
-        self.rules = Rules(TERMS["release_wait"])
+        self.rules = Rules(TERMS["release_delay"])
         self.tamper = tamper
         self.tampered: list[int] = []
         self.terms = TERMS | other
@@ -74,16 +76,16 @@
         self.until: dict[str, int] = {}
 
     def _driver(self, place: int) -> Driver:
-        deployment = interface.Deployment(traffic_types=TYPES, place=place, **self.terms)
+        deployment = interface.Deployment(traffic_types=TYPES, fleet_index=place, **self.terms)
         driver = Driver(deployment, self.chance.randrange(10**6), self.now)
-        driver.server_list(ListScope.WHOLE, [self.entry(server) for server in self.servers])
+        driver.update_endpoints(EndpointUpdateKind.COMPLETE, [self.entry(server) for server in self.servers])
         for server in self.servers:
             self.told(place, server)
         return driver
 
-    def entry(self, server: str) -> ServerEntry:
+    def entry(self, server: str) -> Endpoint:
         in_service = self.phase[server] == "in-service"
-        return ServerEntry(server, self.servers[server], in_service, self.started[server])
+        return Endpoint(server, self.servers[server], in_service, self.started[server])
 
     def told(self, place: int, server: str) -> None:
         self.step("told", server=server, edge=f"e{place}", word=self.phase[server])
@@ -132,7 +134,7 @@
         self.until[dialog] = until
         self.step("taken", dialog=dialog, edge=f"e{place}", until=until)
         asked = interface.Dialog(dialog, kind, until, self.chance.randrange(4), self.chance.randrange(50))
-        self.feed(place, lambda driver: driver.dialog(asked))
+        self.feed(place, lambda driver: driver.start_dialog(asked))
         if self.chance.random() < 0.04:
             self.later(self.chance.randrange(1, 2 * SECOND), lambda: self.caller_gone(dialog, place))
 
@@ -144,7 +146,7 @@
         self.step("caller-gone", dialog=dialog)
         if (out := self.open.pop(dialog, None)) is not None:
             self.step("let-go", dialog=dialog, leg=out[1], server=out[2])
-        self.feed(place, lambda driver: driver.caller_gone(dialog))
+        self.feed(place, lambda driver: driver.on_caller_gone(dialog))
 
     def over(self, dialog: str, place: int, leg: int, server: str, outcome: Outcome, driver: Driver) -> None:
         """A leg's end; told only where that leg is the one out, at the process that sent it."""
@@ -154,7 +156,7 @@
             self.later(held, lambda: self.over(dialog, place, leg, server, outcome, driver))
             return
         del self.open[dialog]
-        if outcome is Outcome.STANDS:
+        if outcome is Outcome.ESTABLISHED:
             self.step("stood", dialog=dialog, leg=leg, server=server)
             self.answer(dialog, place, "stands")
             self.standing[server] += 1
@@ -166,16 +168,16 @@
             self.step(kind, dialog=dialog, leg=leg, server=server)
         asked = self.chance.randrange(SECOND) if outcome is Outcome.FULL else 0
         lines = 400.0
-        report = Report(free_lines=lines - self.standing[server], lines=lines)
-        result = LegResult(dialog, leg, server, outcome, asked_wait=asked, report=report)
-        self.feed(place, lambda driver: driver.leg_result(result), driver)
+        report = LoadReport(free_lines=lines - self.standing[server], lines=lines)
+        result = AttemptResult(dialog, leg, server, outcome, retry_after=asked, load_report=report)
+        self.feed(place, lambda driver: driver.on_attempt_result(result), driver)
 
     def ends(self, dialog: str, place: int, leg: int, server: str) -> None:
         self.standing[server] -= 1
         if any(step.dialog == dialog and step.kind == "answered" for step in self.rules.history):
             self.step("ended", dialog=dialog)
-        result = LegResult(dialog, leg, server, Outcome.ENDED, dialog_closed=True)
-        self.feed(place, lambda driver: driver.leg_result(result))
+        result = AttemptResult(dialog, leg, server, Outcome.ENDED, dialog_closed=True)
+        self.feed(place, lambda driver: driver.on_attempt_result(result))
 
     def trouble(self) -> None:
         self.later(self.chance.randrange(200 * MS, 2 * SECOND), self.trouble)
@@ -186,15 +188,18 @@
                 self.tell(server)
             case "fresh":
                 self.started[server], self.phase[server] = self.now, "in-service"
-                cold = {key: self.terms[key] for key in ("cold_share", "warm_after")}
-                span, times = self.terms["tip_span"], TERMS["tip_multiple"]
+                cold = {
+                    "cold_share": self.terms["slow_start_fraction"],
+                    "warm_after": self.terms["slow_start_duration"],
+                }
+                span, times = self.terms["overload_window"], TERMS["overload_multiple"]
                 self.step("began", server=server, per_second=PER_SECOND, multiple=times, window=span, **cold)
                 self.tell(server)
             case "whole":
                 for name in self.servers:
                     self.told(place, name)
                 entries = [self.entry(name) for name in self.servers]
-                self.feed(place, lambda driver: driver.server_list(ListScope.WHOLE, entries))
+                self.feed(place, lambda driver: driver.update_endpoints(EndpointUpdateKind.COMPLETE, entries))
             case "hold":
                 until = self.now + self.chance.randrange(250 * MS, 2 * SECOND)
                 self.held_until[place] = max(until, self.held_until[place])
@@ -217,14 +222,14 @@
     def _hears(self, driver: Driver, place: int, server: str) -> None:
         # What is told is what holds at the moment of hearing, which a held process reaches late.
         self.told(place, server)
-        driver.server_list(ListScope.CHANGES, [self.entry(server)])
+        driver.update_endpoints(EndpointUpdateKind.INCREMENTAL, [self.entry(server)])
 
     # What the decisions wish
 
     def carry_out(self, place: int) -> None:
         driver = self.drivers[place]
         while driver.commands:
-            for command in driver.drain():
+            for command in driver.take_commands():
                 changed = self.tamper(self, place, command) if self.tamper else [command]
                 if changed != [command]:
                     self.tampered.append(len(self.rules.history))
@@ -232,18 +237,20 @@
                     self.do(driver, place, one)
 
     def do(self, driver: Driver, place: int, command: interface.Command) -> None:
-        if isinstance(command, interface.Alarm):
-            self.later(command.span, lambda: self.feed(place, lambda d: d.alarm(command.ref), driver))
-        elif isinstance(command, interface.Order):
-            dialog, wish = command.dialog_id, command.wish
-            if isinstance(wish, interface.Leg):
+        if isinstance(command, interface.Timer):
+            self.later(
+                command.duration, lambda: self.feed(place, lambda d: d.on_timer(command.timer_id), driver)
+            )
+        elif isinstance(command, interface.DialogAction):
+            dialog, wish = command.dialog_id, command.action
+            if isinstance(wish, interface.StartAttempt):
                 self.send(driver, place, dialog, wish)
-            elif isinstance(wish, interface.CancelLeg):
+            elif isinstance(wish, interface.CancelAttempt):
                 out = self.open.get(dialog)
-                if out is not None and out[1] == wish.leg:
+                if out is not None and out[1] == wish.attempt:
                     self.over(dialog, out[0], out[1], out[2], Outcome.CANCELLED, driver)
             else:
-                word = "declined" if isinstance(wish, interface.Decline) else "aborted"
+                word = "declined" if isinstance(wish, interface.Reject) else "aborted"
                 self.answer(dialog, place, word)
 
     def answer(self, dialog: str, place: int, word: str) -> None:
@@ -251,13 +258,13 @@
         if self.now <= self.until[dialog] or not self.held_until[place] >= self.until[dialog]:
             self.step("answered", dialog=dialog, word=word)
 
-    def send(self, driver: Driver, place: int, dialog: str, wish: interface.Leg) -> None:
+    def send(self, driver: Driver, place: int, dialog: str, wish: interface.StartAttempt) -> None:
         leg = sum(step.kind == "sent" and step.dialog == dialog for step in self.rules.history)
         self.step("sent", dialog=dialog, leg=leg, server=wish.server, edge=f"e{place}")
         self.open[dialog] = (place, leg, wish.server, id(driver))
         fate, span = self.chance.choice(FATES), self.chance.randrange(MS, 120 * MS)
-        if fate is Outcome.TIMED_OUT or self.now + span >= wish.until:
-            fate, span = Outcome.TIMED_OUT, max(0, wish.until - self.now)
+        if fate is Outcome.TIMED_OUT or self.now + span >= wish.deadline:
+            fate, span = Outcome.TIMED_OUT, max(0, wish.deadline - self.now)
         self.later(span, lambda: self.over(dialog, place, leg, wish.server, fate, driver))
 
 
@@ -295,33 +302,37 @@
 
 
 def twice(fleet: Fleet, place: int, command: interface.Command) -> list[interface.Command]:
-    final = isinstance(command, interface.Order) and isinstance(command.wish, interface.Decline)
+    final = isinstance(command, interface.DialogAction) and isinstance(command.action, interface.Reject)
     return [command, command] if final and fleet.dialogs > 20 else [command]
 
 
 def never(fleet: Fleet, place: int, command: interface.Command) -> list[interface.Command]:
-    final = isinstance(command, interface.Order) and isinstance(command.wish, interface.Decline)
+    final = isinstance(command, interface.DialogAction) and isinstance(command.action, interface.Reject)
     return [] if final and fleet.dialogs > 20 else [command]
 
 
 def second_leg(fleet: Fleet, place: int, command: interface.Command) -> list[interface.Command]:
-    if isinstance(command, interface.Order) and isinstance(command.wish, interface.Leg):
-        other = "s0" if command.wish.server != "s0" else "s1"
+    if isinstance(command, interface.DialogAction) and isinstance(command.action, interface.StartAttempt):
+        other = "s0" if command.action.server != "s0" else "s1"
         if fleet.phase[other] == "in-service":
             return [
                 command,
-                interface.Order(command.dialog_id, dataclasses.replace(command.wish, server=other)),
+                interface.DialogAction(command.dialog_id, dataclasses.replace(command.action, server=other)),
             ]
     return [command]
 
 
 def to_one_told_gone(fleet: Fleet, place: int, command: interface.Command) -> list[interface.Command]:
-    if isinstance(command, interface.Order) and isinstance(command.wish, interface.Leg):
+    if isinstance(command, interface.DialogAction) and isinstance(command.action, interface.StartAttempt):
         for server in fleet.servers:
             told = [s for s in fleet.rules.history if s.kind == "told" and s.server == server]
             told = [s for s in told if s.edge == f"e{place}"]
             if told and told[-1].word != "in-service" and told[-1].at < fleet.now:
-                return [interface.Order(command.dialog_id, dataclasses.replace(command.wish, server=server))]
+                return [
+                    interface.DialogAction(
+                        command.dialog_id, dataclasses.replace(command.action, server=server)
+                    )
+                ]
     return [command]
 
 
@@ -350,8 +361,8 @@
 @pytest.mark.parametrize("planted", [False, True])
 def test_a_cold_server_pushed_over_is_caught(monkeypatch: pytest.MonkeyPatch, planted: bool) -> None:
     if planted:
-        monkeypatch.setattr(control.Control, "_cold_turn", lambda self, far: True)
-    fleet = Fleet(4, nothing_done, warm_after=20 * SECOND)
+        monkeypatch.setattr(SlowStart, "has_slot", lambda *_: True)
+    fleet = Fleet(4, nothing_done, slow_start_duration=20 * SECOND)
     fleet.run(40 * SECOND)
     assert {rule for rule, _, _ in fleet.rules.broken} == ({4} if planted else set())
     assert cold_sends(fleet.rules) > 30
@@ -359,7 +370,7 @@
 
 
 def test_a_release_time_left_out_is_caught() -> None:
-    fleet = Fleet(2, nothing_done, release_wait=0)
+    fleet = Fleet(2, nothing_done, release_delay=0)
     fleet.run(40 * SECOND)
     assert {rule for rule, _, _ in fleet.rules.broken} == {5}
 
@@ -543,14 +554,14 @@
 
             monkeypatch.setattr(EdgeProxy, "_listed", deaf)
         case 4:
-            monkeypatch.setattr(control, "COLD_MARGIN", 2 * control.COLD_MARGIN)
+            monkeypatch.setattr(tuning, "SLOW_START_MARGIN", 2 * tuning.SLOW_START_MARGIN)
         case 5:
 
             def hasty(world: World, edges: list[MemoryEdge]) -> None:
                 for edge in edges:
                     assert edge.proxy is not None
-                    decides = edge.proxy._driver.control
-                    decides.terms = dataclasses.replace(decides.terms, release_wait=0)
+                    decides = edge.proxy._driver.policy
+                    decides.deployment = dataclasses.replace(decides.deployment, release_delay=0)
 
             return hasty
     return None
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -72,12 +72,12 @@
 
 def test_a_sound_file_and_its_defaults() -> None:
     terms = edge_terms(IniFile(GOOD, "e.ini"))
-    assert (terms.name, terms.deployment.edge_proxies, terms.deployment.release_wait) == (
+    assert (terms.name, terms.deployment.edge_proxies, terms.deployment.release_delay) == (
         "e0",
         3,
         300_000_000,
     )
-    assert terms.deployment.traffic_types["plain"].objective == 1_500_000_000
+    assert terms.deployment.traffic_types["plain"].latency_objective == 1_500_000_000
 
 
 def test_a_file_that_can_not_be_read(tmp_path: Path) -> None:
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("path", sorted((DEPLOY / "samples").glob("*.ini")), ids=lambda path: path.stem)
 def test_samples_are_sound(path: Path) -> None:
     terms = load_edge_terms(path)
-    assert len(terms.deployment.traffic_types) >= 1 and terms.deployment.warm_after
+    assert len(terms.deployment.traffic_types) >= 1 and terms.deployment.slow_start_duration
 
 
 @pytest.mark.parametrize("path", sorted((DEPLOY / "days").glob("*.ini")), ids=lambda path: path.stem)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from valverouter.control import HEARTBEAT
+from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 from valverouter.wirehost.__main__ import Host
 from valverouter.wirehost.codec import MalformedInputError
 
@@ -38,7 +38,7 @@
 
 def steps(host: Host, *messages: Any) -> list[Any]:
     said = json.loads(host.reply(line(list(messages))))["steps"]
-    return [s for s in said if s.get("setAlarm", {}).get("spanUs") != HEARTBEAT // 1_000]
+    return [s for s in said if s.get("setAlarm", {}).get("spanUs") != HEARTBEAT_INTERVAL // 1_000]
 
 
 SENT = {"forward": {"proxyId": "p/0", "msgId": "id-1", "server": "s.a", "untilUs": 3_000_000}}
@@ -108,5 +108,5 @@
 def test_unexpected_exception_becomes_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
     host = Host()
     steps(host, *START)
-    monkeypatch.setattr("valverouter.control.Control.dialog", lambda *_: 1 / 0)
+    monkeypatch.setattr("valverouter.policy.routing.RoutingPolicy.dialog_flow", lambda *_: 1 / 0)
     assert "ZeroDivisionError" in steps(host, {"knock": KNOCK})[0]["fatal"]["message"]
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -8,11 +8,11 @@
 from valverouter.edge.attempting import AttemptBook, own_terms
 from valverouter.emulator.edges import EdgePlan
 from valverouter.emulator.fleet import Emulated, Fleet
-from valverouter.interface import CrossingRule, Deployment
+from valverouter.interface import CrossRegionRule, Deployment
 from valverouter.regions.crossing import Crossing
 from valverouter.terms.day import Day
 
-Decisions = Callable[[Deployment, int, int, CrossingRule | None], Driver]
+Decisions = Callable[[Deployment, int, int, CrossRegionRule | None], Driver]
 
 
 def plans(day: Day, decisions: Decisions = Driver) -> list[EdgePlan]:
@@ -34,7 +34,7 @@
         attempts=AttemptBook(terms) if terms.attempts else None,
         decisions=decisions,
         ledger=day.ledger,
-        usual=lambda kind: own_terms(deployment, types[kind].objective) if kind in types else None,
+        usual=lambda kind: own_terms(deployment, types[kind].latency_objective) if kind in types else None,
     )
 
 
--- a/valverouter/days/planning.py
+++ b/valverouter/days/planning.py
@@ -53,7 +53,7 @@
             return []
         skew = crossing.clock_skew
         for kind in day.traffic:
-            of_type = crossing.classes.get(kind)
+            of_type = crossing.policies.get(kind)
             if of_type is None or of_type.urgent:
                 rate = None if of_type else 0.0
             else:
--- a/valverouter/driver.py
+++ b/valverouter/driver.py
@@ -1,7 +1,7 @@
-"""Runs the dialogs of one edge proxy: generators, alarms, and which leg belongs to whom.
+"""Runs the dialogs of one edge proxy: their generators, their timers, and which attempt belongs to which.
 
-It decides nothing: the course of each dialog comes from valverouter.control, the commands go to
-whoever owns the wire. The simulator's adapter and the later proxy use it alike.
+It decides nothing: each dialog's flow comes from valverouter.policy, the commands go to whoever owns the
+wire. The simulator's adapter and the edge proxy use it alike.
 """
 
 from __future__ import annotations
@@ -9,142 +9,156 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from valverouter.control import Control
 from valverouter.interface import (
-    Abort,
-    Alarm,
-    Answer,
-    BudgetTerms,
-    CancelLeg,
+    ActionResult,
+    AttemptResult,
+    CancelAttempt,
     Command,
-    Course,
-    CrossingRule,
-    Decline,
+    CrossRegionRule,
+    Delay,
     Deployment,
     Dialog,
-    Leg,
-    LegResult,
-    ListScope,
-    Order,
+    DialogAction,
+    DialogFlow,
+    Endpoint,
+    EndpointUpdateKind,
+    Fail,
+    LoadReport,
     Outcome,
-    Pause,
-    Report,
-    ServerEntry,
+    Reject,
+    RetryBudgetConfig,
+    StartAttempt,
     Subscribe,
+    Timer,
 )
+from valverouter.policy.routing import RoutingPolicy
 
-UPKEEP = ""
+# The key of the policy's own flow among the open dialogs, whose ids are never empty.
+MAINTENANCE = ""
 
 
-class BrokenCourseError(RuntimeError):
-    """A dialog's course ended or wished in a way that would leave its caller without an answer."""
+class UnansweredDialogError(RuntimeError):
+    """A dialog's flow ended in a way that leaves its caller without an answer."""
 
 
 @dataclass(slots=True)
-class _Running:
-    """One open course. `legs` counts those sent; `out` is the one unanswered; `ref` its alarm."""
+class _OpenDialog:
+    """One open flow: how many attempts were sent, the one in flight, and the timer it waits for."""
 
-    course: Course
-    legs: int = 0
-    out: int | None = None
-    ref: int | None = None
+    flow: DialogFlow
+    attempts: int = 0
+    in_flight: int | None = None
+    timer_id: int | None = None
 
 
 class Driver:
-    """The dialogs of one edge proxy. Each table is emptied as its dialogs and alarms end."""
+    """The dialogs of one edge proxy. Each table is emptied as its dialogs and timers end."""
 
     def __init__(
-        self, deployment: Deployment, seed: int, now: int, crossing: CrossingRule | None = None
+        self, deployment: Deployment, seed: int, now: int, cross_region: CrossRegionRule | None = None
     ) -> None:
         self.commands: list[Command] = []
-        self.control = Control(deployment, seed, now, crossing)
-        self._running: dict[str, _Running] = {}
-        self._alarms: dict[int, str] = {}
-        self._refs = 0
-        self._start(UPKEEP, self.control.upkeep())
+        self.policy = RoutingPolicy(deployment, seed, now, cross_region)
+        self._open_dialogs: dict[str, _OpenDialog] = {}
+        self._timers: dict[int, str] = {}
+        self._last_timer_id = 0
+        self._start(MAINTENANCE, self.policy.maintenance_flow())
 
     @property
     def open_dialogs(self) -> int:
-        return len(self._running) - 1
+        """How many dialogs have no final answer yet."""
+        return len(self._open_dialogs) - 1
 
     def tick(self, now: int) -> None:
-        self.control.tick(now)
+        """Sets the clock, in nanoseconds; called before each event."""
+        self.policy.tick(now)
 
-    def drain(self) -> list[Command]:
+    def take_commands(self) -> list[Command]:
+        """The commands since the last call, in their order."""
         commands, self.commands = self.commands, []
         return commands
 
-    def dialog(self, dialog: Dialog) -> None:
-        self._start(dialog.id, self.control.dialog(dialog))
+    def start_dialog(self, dialog: Dialog) -> None:
+        """Begins a dialog; its first command is there when this returns."""
+        self._start(dialog.id, self.policy.dialog_flow(dialog))
 
-    def server_list(self, scope: ListScope, entries: Sequence[ServerEntry]) -> None:
-        self.control.server_list(scope, entries)
-        upkeep = self._running[UPKEEP]
-        if upkeep.ref is None and scope is not ListScope.CACHED:
-            self._resume(UPKEEP, upkeep, scope)
+    def update_endpoints(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        """Takes in an update of the endpoint list, or that it could not be had."""
+        self.policy.table.update_endpoints(self.policy.now, kind, endpoints)
+        maintenance = self._open_dialogs[MAINTENANCE]
+        if maintenance.timer_id is None and kind is not EndpointUpdateKind.CACHED:
+            self._resume(MAINTENANCE, maintenance, kind)
 
-    def budgets(self, by_number: Mapping[int, BudgetTerms], elsewhere: BudgetTerms) -> None:
-        self.control.budgets(by_number, elsewhere)
-
-    def report(self, server: str, report: Report) -> None:
-        self.control.report(server, report)
-
-    def leg_result(self, result: LegResult) -> None:
-        for dialog_id, leg in self.control.learn(result):
-            if (other := self._running.get(dialog_id)) is not None and other.out == leg:
-                self.commands.append(Order(dialog_id, CancelLeg(leg)))
-        running = self._running.get(result.dialog_id)
-        if running is None:
+    def set_retry_budgets(
+        self, by_number: Mapping[int, RetryBudgetConfig], default: RetryBudgetConfig
+    ) -> None:
+        """Sets the retry budgets by server number, and that of all other servers."""
+        self.policy.table.set_retry_budgets(by_number, default)
+
+    def update_load(self, server: str, report: LoadReport) -> None:
+        """Takes in the load report of a server."""
+        self.policy.table.update_load(self.policy.now, server, report)
+
+    def on_attempt_result(self, result: AttemptResult) -> None:
+        """Resumes the dialog that the result is for; cancels attempts that it shows to be lost."""
+        for dialog_id, attempt in self.policy.on_attempt_result(result):
+            other = self._open_dialogs.get(dialog_id)
+            if other is not None and other.in_flight == attempt:
+                self.commands.append(DialogAction(dialog_id, CancelAttempt(attempt)))
+        dialog = self._open_dialogs.get(result.dialog_id)
+        if dialog is None:
             return
         if result.dialog_closed:
-            self._close(result.dialog_id, running)
-        elif running.out == result.leg and result.outcome is not Outcome.ENDED:
-            running.out = None
-            self._resume(result.dialog_id, running, result)
-
-    def caller_gone(self, dialog_id: str) -> None:
-        running = self._running.get(dialog_id)
-        if running is not None:
-            self._close(dialog_id, running)
-
-    def alarm(self, ref: int) -> None:
-        key = self._alarms.pop(ref, None)
-        running = self._running.get(key) if key is not None else None
-        if key is not None and running is not None and running.ref == ref:
-            running.ref = None
-            self._resume(key, running, None)
-
-    def _start(self, key: str, course: Course) -> None:
-        running = self._running[key] = _Running(course)
-        self._resume(key, running, None)
-
-    def _close(self, key: str, running: _Running) -> None:
-        del self._running[key]
-        if running.ref is not None:
-            del self._alarms[running.ref]
-        running.course.close()
-
-    def _resume(self, key: str, running: _Running, answer: Answer) -> None:
+            self._close(result.dialog_id, dialog)
+        elif dialog.in_flight == result.attempt and result.outcome is not Outcome.ENDED:
+            dialog.in_flight = None
+            self._resume(result.dialog_id, dialog, result)
+
+    def on_caller_gone(self, dialog_id: str) -> None:
+        """Closes a dialog whose caller has cancelled it or lost its connection."""
+        dialog = self._open_dialogs.get(dialog_id)
+        if dialog is not None:
+            self._close(dialog_id, dialog)
+
+    def on_timer(self, timer_id: int) -> None:
+        """Resumes the flow that waits for this timer, if it still does."""
+        key = self._timers.pop(timer_id, None)
+        dialog = self._open_dialogs.get(key) if key is not None else None
+        if key is not None and dialog is not None and dialog.timer_id == timer_id:
+            dialog.timer_id = None
+            self._resume(key, dialog, None)
+
+    def _start(self, key: str, flow: DialogFlow) -> None:
+        dialog = self._open_dialogs[key] = _OpenDialog(flow)
+        self._resume(key, dialog, None)
+
+    def _close(self, key: str, dialog: _OpenDialog) -> None:
+        del self._open_dialogs[key]
+        if dialog.timer_id is not None:
+            del self._timers[dialog.timer_id]
+        dialog.flow.close()
+
+    def _resume(self, key: str, dialog: _OpenDialog, result: ActionResult) -> None:
         try:
-            wish = running.course.send(answer)
+            action = dialog.flow.send(result)
         except StopIteration:
-            stands = isinstance(answer, LegResult) and answer.outcome is Outcome.STANDS
-            if not stands:
-                raise BrokenCourseError(f"dialog {key} was left without an answer") from None
-            del self._running[key]
+            is_established = isinstance(result, AttemptResult) and result.outcome is Outcome.ESTABLISHED
+            if not is_established:
+                raise UnansweredDialogError(f"dialog {key} was left without an answer") from None
+            del self._open_dialogs[key]
             return
-        match wish:
-            case Leg():
-                running.out = running.legs
-                running.legs += 1
-                self.commands.append(Order(key, wish))
-            case Pause(span=span):
-                self._refs += 1
-                running.ref = self._refs
-                self._alarms[self._refs] = key
-                self.commands.append(Alarm(span, self._refs))
+        match action:
+            case StartAttempt():
+                dialog.in_flight = dialog.attempts
+                dialog.attempts += 1
+                self.commands.append(DialogAction(key, action))
+            case Delay(duration=duration):
+                self._last_timer_id += 1
+                dialog.timer_id = self._last_timer_id
+                self._timers[self._last_timer_id] = key
+                self.commands.append(Timer(duration, self._last_timer_id))
             case Subscribe():
-                self.commands.append(wish)
-            case Decline() | Abort():
-                self.commands.append(Order(key, wish))
-                self._close(key, running)
+                self.commands.append(action)
+            case Reject() | Fail():
+                self.commands.append(DialogAction(key, action))
+                self._close(key, dialog)
--- a/valverouter/edge/attempting.py
+++ b/valverouter/edge/attempting.py
@@ -7,9 +7,10 @@
 
 from valverouter.attempts.courses import broken
 from valverouter.attempts.rules import Asked, Effective, Rule, When, closure, resolve, ties
-from valverouter.control import LEGS, OWN_BUDGET, RETRY_BASE, RETRY_CAP, TOKEN
-from valverouter.interface import AttemptTerms, BudgetTerms, Deployment
-from valverouter.terms.attempts import BUDGET_SETS, SETS, AttemptSection
+from valverouter.interface import AttemptPolicy, Deployment, RetryBudgetConfig
+from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
+from valverouter.policy.tuning import BACKOFF_BASE, BACKOFF_CAP, MAX_ATTEMPTS, TOKEN
+from valverouter.terms.attempts import BUDGET_SETS, POLICY_FIELDS, SETS, AttemptSection
 from valverouter.terms.edge import EdgeTerms
 from valverouter.terms.grammar import matches_peer
 from valverouter.terms.ini import Flaw, FlawedTermsError
@@ -36,13 +37,13 @@
         self._of_servers = [r for section in terms.attempts.sections for r in _rules(section, BUDGET_SETS)]
         # By type and which rules match, not by number: nearly every dialog's number is new, and resolving
         # costs far more than matching. As many as the file has such combinations, gone with the book.
-        self._known: dict[tuple[str, tuple[bool, ...]], AttemptTerms | None] = {}
+        self._known: dict[tuple[str, tuple[bool, ...]], AttemptPolicy | None] = {}
         if flaws := [*self._ties(), *self._broken()]:
             raise FlawedTermsError(sorted(flaws, key=lambda flaw: flaw.line))
 
     def of(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
-    ) -> AttemptTerms | None:
+    ) -> AttemptPolicy | None:
         """A dialog's terms; None where no section touches it, or its type is unknown: the decisions' own
         hold."""
         asked = self.asked(traffic_type, number, peer, first_choice)
@@ -61,7 +62,7 @@
             traffic_type, str(number), self._region, self._group(peer), self._sets.get(first_choice, "")
         )
 
-    def budgets(self) -> dict[int, BudgetTerms]:
+    def budgets(self) -> dict[int, RetryBudgetConfig]:
         """Retry budgets by server number, where a section of that server's set, or one for all, sets them."""
         return {
             number: _budget(resolve(self._of_servers, Asked("", "", "", "", name)))
@@ -69,7 +70,7 @@
             if self._of_servers
         }
 
-    def budget_elsewhere(self) -> BudgetTerms:
+    def budget_elsewhere(self) -> RetryBudgetConfig:
         """The retry budget of servers in no set."""
         return _budget(resolve(self._of_servers, Asked("")))
 
@@ -82,8 +83,8 @@
         terms = self._terms(traffic_type, found)
         budget = resolve(self._of_servers, Asked("", "", "", "", asked.server_set))
         effective = _budget(budget)
-        values = {key: getattr(terms, key) for key in SETS if key != "server_share"}
-        values |= {"tokens": effective.full / TOKEN, "fraction": effective.adds / TOKEN}
+        values = {key: getattr(terms, field) for key, field in POLICY_FIELDS.items()}
+        values |= {"tokens": effective.max_tokens / TOKEN, "fraction": effective.token_ratio / TOKEN}
         shown = {}
         for key, value in values.items():
             source = DECISIONS
@@ -96,13 +97,15 @@
 
     def reckoned(
         self, traffic_type: str, number: int, no_answer: int, peer: str = "", first_choice: int = -1
-    ) -> AttemptTerms:
+    ) -> AttemptPolicy:
         """A dialog's terms as `courses` reckons with them: its caller's no-answer time, any asked wait."""
         terms = self.of(traffic_type, number, peer, first_choice) or self._terms(traffic_type, {})
-        least = min(no_answer, terms.no_answer or no_answer)
-        allowed = self._deployment.legs_allowed
-        in_all = min(terms.legs_in_all or allowed, allowed)
-        return replace(terms, no_answer=least, asked_wait_most=least, legs_in_all=in_all)
+        least = min(no_answer, terms.no_answer_timeout or no_answer)
+        allowed = self._deployment.max_attempts
+        in_all = min(terms.max_total_attempts or allowed, allowed)
+        return replace(
+            terms, no_answer_timeout=least, max_server_retry_after=least, max_total_attempts=in_all
+        )
 
     def routes(self) -> dict[str, tuple[int, str, int]]:
         """For each section the number, peer and first choice of a dialog on its route, by its name."""
@@ -125,15 +128,15 @@
         ]
         return max(fits, default=(0, ""))[1]
 
-    def _terms(self, traffic_type: str, found: Mapping[str, Effective]) -> AttemptTerms:
+    def _terms(self, traffic_type: str, found: Mapping[str, Effective]) -> AttemptPolicy:
         kind = self._deployment.traffic_types.get(traffic_type)
-        own = own_terms(self._deployment, kind.objective if kind is not None else 0)
-        set_here = {key: one.value for key, one in found.items() if key != "server_share"}
+        own = own_terms(self._deployment, kind.latency_objective if kind is not None else 0)
+        set_here = {POLICY_FIELDS[key]: one.value for key, one in found.items() if key != "server_share"}
         terms = replace(own, **set_here)
         if "server_share" in found:
             # Of two ways to say how long one server may take the shorter acts.
-            by_share = max(1, int(found["server_share"].value * terms.objective))
-            terms = replace(terms, leg_time_out=min(by_share, terms.leg_time_out or by_share))
+            by_share = max(1, int(found["server_share"].value * terms.latency_objective))
+            terms = replace(terms, attempt_timeout=min(by_share, terms.attempt_timeout or by_share))
         return terms
 
     def _ties(self) -> list[Flaw]:
@@ -170,13 +173,13 @@
                     flaws.setdefault((rule, by), self._flaw(rule, by, reason))
         return list(flaws.values())
 
-    def _breaks(self, terms: AttemptTerms) -> list[tuple[str, str]]:
-        whole = replace(terms, no_answer=terms.no_answer or 1 << 62)
-        found = broken(whole, self._deployment.release_wait, self._deployment.legs_allowed)
-        if terms.come_back > self._deployment.come_back_limit:
-            limit = self._deployment.come_back_limit
+    def _breaks(self, terms: AttemptPolicy) -> list[tuple[str, str]]:
+        whole = replace(terms, no_answer_timeout=terms.no_answer_timeout or 1 << 62)
+        found = broken(whole, self._deployment.release_delay, self._deployment.max_attempts)
+        if terms.retry_after > self._deployment.max_retry_after:
+            limit = self._deployment.max_retry_after
             found.append(("come_back", f"past the fleet's come_back_limit of {limit} ns, which would act"))
-        if 0 < terms.no_answer <= self._margin:
+        if 0 < terms.no_answer_timeout <= self._margin:
             found.append(("no_answer", f"within answer_margin, {self._margin} ns: no answer could travel"))
         return found
 
@@ -186,15 +189,15 @@
         return Flaw(section.file, line, f"attempts {section.name}", key, reason)
 
 
-def own_terms(deployment: Deployment, objective: int) -> AttemptTerms:
+def own_terms(deployment: Deployment, objective: int) -> AttemptPolicy:
     """What the decisions do where no file says otherwise."""
-    return AttemptTerms(LEGS, objective, 0, deployment.release_wait, RETRY_BASE, RETRY_CAP)
+    return AttemptPolicy(MAX_ATTEMPTS, objective, 0, deployment.release_delay, BACKOFF_BASE, BACKOFF_CAP)
 
 
-def _budget(found: Mapping[str, Effective]) -> BudgetTerms:
-    tokens = round(found["tokens"].value * TOKEN) if "tokens" in found else OWN_BUDGET.full
-    adds = round(found["fraction"].value * TOKEN) if "fraction" in found else OWN_BUDGET.adds
-    return BudgetTerms(tokens, adds)
+def _budget(found: Mapping[str, Effective]) -> RetryBudgetConfig:
+    tokens = round(found["tokens"].value * TOKEN) if "tokens" in found else DEFAULT_RETRY_BUDGET.max_tokens
+    adds = round(found["fraction"].value * TOKEN) if "fraction" in found else DEFAULT_RETRY_BUDGET.token_ratio
+    return RetryBudgetConfig(tokens, adds)
 
 
 def _by_share(found: Mapping[str, Effective]) -> bool:
--- a/valverouter/edge/books.py
+++ b/valverouter/edge/books.py
@@ -7,14 +7,14 @@
 
 from valverouter.edge.links import Link
 from valverouter.edge.listener import Caller
-from valverouter.interface import LegResult, Outcome, Report
+from valverouter.interface import AttemptResult, LoadReport, Outcome
 from valverouter.signalling import setup
 
 # How a dialog that stood may end; a server's other words are not counted apart.
 ENDS = ("over", "released", "cut")
 
 OUTCOMES: dict[type, Outcome] = {
-    setup.Stands: Outcome.STANDS,
+    setup.Stands: Outcome.ESTABLISHED,
     setup.Ended: Outcome.ENDED,
     setup.LineBusy: Outcome.LINE_BUSY,
     setup.Full: Outcome.FULL,
@@ -62,11 +62,13 @@
     stalls: int = 0
 
 
-def report_of(load: setup.Load | None) -> Report | None:
+def report_of(load: setup.Load | None) -> LoadReport | None:
     if load is None:
         return None
-    return Report(free_lines=load.free_lines, lines=load.lines, wait=load.wait)
+    return LoadReport(free_lines=load.free_lines, lines=load.lines, queue_delay=load.wait)
 
 
-def ended_of(message: setup.Ended, server: str, report: Report | None) -> LegResult:
-    return LegResult(message.dialog, message.leg, server, Outcome.ENDED, dialog_closed=True, report=report)
+def ended_of(message: setup.Ended, server: str, report: LoadReport | None) -> AttemptResult:
+    return AttemptResult(
+        message.dialog, message.leg, server, Outcome.ENDED, dialog_closed=True, load_report=report
+    )
--- a/valverouter/edge/changing.py
+++ b/valverouter/edge/changing.py
@@ -10,12 +10,12 @@
 import structlog
 
 from valverouter.attempts.guard import Guard
-from valverouter.control import OWN_BUDGET
 from valverouter.driver import Driver
 from valverouter.edge.attempting import AttemptBook
 from valverouter.edge.books import Taken
 from valverouter.edge.clock import Clock
 from valverouter.edge.events import Reload
+from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
 from valverouter.regions.crossing import Crossing
 from valverouter.terms.edge import EdgeTerms
 from valverouter.terms.ini import END
@@ -86,9 +86,9 @@
     def _tell_budgets(self) -> None:
         book = self._attempts
         if book is None:
-            self._guarded("", self._driver.budgets, {}, OWN_BUDGET)
+            self._guarded("", self._driver.set_retry_budgets, {}, DEFAULT_RETRY_BUDGET)
         else:
-            self._guarded("", self._driver.budgets, book.budgets(), book.budget_elsewhere())
+            self._guarded("", self._driver.set_retry_budgets, book.budgets(), book.budget_elsewhere())
 
     def _judge(self, taken: Taken, declined: bool) -> None:
         """Tells the guard of a final answer; where a change harms, says so, and goes back if the terms
--- a/valverouter/edge/keeping.py
+++ b/valverouter/edge/keeping.py
@@ -18,7 +18,7 @@
 from valverouter.edge.owed import Keeps, Owed
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Surroundings
-from valverouter.interface import Outcome, Report
+from valverouter.interface import LoadReport, Outcome
 from valverouter.recovery.course import Phase, Record
 from valverouter.recovery.decide import Decision, Need, Word, attempts_left, on_word
 from valverouter.recovery.pace import Pace
@@ -77,10 +77,10 @@
         taken: Taken,
         outcome: Outcome,
         asked_wait: int = 0,
-        report: Report | None = None,
+        report: LoadReport | None = None,
         said: setup.Stands | None = None,
     ) -> None:
-        if outcome is Outcome.STANDS:
+        if outcome is Outcome.ESTABLISHED:
             self._owed.stands(taken.setup.dialog)
             self._tell_kept(taken)
         else:
@@ -135,7 +135,7 @@
 
     def _begins(self) -> None:
         self._now = now = self._clock.now()
-        found = self._owed.found(self.terms.deployment.release_wait)
+        found = self._owed.found(self.terms.deployment.release_delay)
         for record, decision in found:
             if decision.need is Need.ANSWER:
                 self._owed.expires(record.dialog, now + decision.left)
@@ -206,7 +206,9 @@
                 continue
             kind = self.terms.deployment.traffic_types.get(record.traffic_type)
             taken.link = link
-            self._pace.add(dialog_id, link.server, taken.deadline - self._now, kind.importance if kind else 0)
+            self._pace.add(
+                dialog_id, link.server, taken.deadline - self._now, kind.priority_weight if kind else 0
+            )
         self._ask()
 
     def _ask(self) -> None:
@@ -241,7 +243,7 @@
             return
         del self._needs[dialog_id]
         left = max(0, taken.deadline - self._now)
-        decision = on_word(record, word, same_start, left, self.terms.deployment.release_wait)
+        decision = on_word(record, word, same_start, left, self.terms.deployment.release_delay)
         self._log.debug("fate", dialog=dialog_id, word=word.name.lower(), need=decision.need.name.lower())
         if word is Word.SILENT and link is not None:
             self._pace.silent(link.server, self._now)
@@ -282,10 +284,10 @@
         attempts = self._attempts_of(asked, taken.caller.name)
         kind = deployment.traffic_types.get(asked.traffic_type)
         if taken.legs and kind is not None:
-            usual = attempts or own_terms(deployment, kind.objective)
-            attempts = attempts_left(usual, taken.legs, deployment.legs_allowed)
+            usual = attempts or own_terms(deployment, kind.latency_objective)
+            attempts = attempts_left(usual, taken.legs, deployment.max_attempts)
             if attempts is None:
-                self._answer(taken, setup.Declined(asked.dialog, asked.leg, deployment.come_back_limit))
+                self._answer(taken, setup.Declined(asked.dialog, asked.leg, deployment.max_retry_after))
                 return
         no_answer_at = taken.deadline - self.terms.answer_margin
         if no_answer_at <= self._now:
--- a/valverouter/edge/listing.py
+++ b/valverouter/edge/listing.py
@@ -14,7 +14,7 @@
 from valverouter.edge.links import Wait, costs_this_alone, say_farewell
 from valverouter.edge.mail import Inbox
 from valverouter.edge.surroundings import READ, Surroundings
-from valverouter.interface import ListScope, ServerEntry
+from valverouter.interface import Endpoint, EndpointUpdateKind
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
 from valverouter.signalling.serverlist import Change, ListSession, Replica, Row, Snapshot
@@ -27,7 +27,7 @@
 class ListHeard:
     """Word of the server list."""
 
-    scope: ListScope
+    scope: EndpointUpdateKind
     rows: list[Row]
 
 
@@ -100,7 +100,7 @@
         self._formers.pop(server, None)
         self._cached.discard(server)
 
-    def entry(self, row: Row, now: int, cached: bool = False) -> ServerEntry:
+    def entry(self, row: Row, now: int, cached: bool = False) -> Endpoint:
         if cached:
             self._cached.add(row.server)
         elif row.server in self._cached:
@@ -109,7 +109,7 @@
             if warm and row.incarnation == self._known[row.server][0]:
                 del self._known[row.server]
         started_at = self.started_at(row.server, row.incarnation, row.age, now)
-        return ServerEntry(row.server, row.number, row.phase == "in-service", started_at, row.region)
+        return Endpoint(row.server, row.number, row.phase == "in-service", started_at, row.region)
 
 
 class _SilentError(Exception):
@@ -154,7 +154,7 @@
         self._news = trio.Event()
         # When each row was told, by our own clock; follows the replica's rows.
         self._told: dict[str, int] = {}
-        if terms.deployment.list_is_pushed:
+        if terms.deployment.endpoint_list_is_pushed:
             self._asked.set()
 
     def ask(self) -> None:
@@ -189,10 +189,10 @@
             # One that closes after each word must not be asked ten times a second by every edge proxy.
             self.tries = 1 if was_up and trio.current_time() - began >= 1 else self.tries + 1
             log.warning("list-down", service=self._terms.list_service, why=why, tries=self.tries)
-            if not self._terms.deployment.list_is_pushed and not was_up:
+            if not self._terms.deployment.endpoint_list_is_pushed and not was_up:
                 # The decisions say when to ask again; a link that had served is made again at once by us.
                 self._asked = trio.Event()
-                self._inbox.put_first(ListHeard(ListScope.FAILED, []))
+                self._inbox.put_first(ListHeard(EndpointUpdateKind.FAILED, []))
                 continue
             await trio.sleep(self._wait(self.tries) / 1e9)
 
@@ -234,7 +234,7 @@
         """What comes next. A service that is calm says nothing for hours, and so does one that hangs: after
         `silence` it is asked for the last change once more, and after another it is given up."""
         silence = self._terms.links.silence / 1e9
-        if not self.is_up or not self._terms.deployment.list_is_pushed:
+        if not self.is_up or not self._terms.deployment.endpoint_list_is_pushed:
             return await stream.receive_some(READ)
         with trio.move_on_after(silence):
             return await stream.receive_some(READ)
@@ -249,7 +249,11 @@
             now = self._clock.now()
             self._told |= {row.server: now for row in rows}
             self._told = {id_: at for id_, at in self._told.items() if id_ in self.replica.rows}
-            scope = ListScope.WHOLE if isinstance(message, Snapshot) else ListScope.CHANGES
+            scope = (
+                EndpointUpdateKind.COMPLETE
+                if isinstance(message, Snapshot)
+                else EndpointUpdateKind.INCREMENTAL
+            )
             self._inbox.put_first(ListHeard(scope, rows))
         if answer is not None:
             log.warning("list-gap", have=self.replica.number, told=message.number)
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -1,7 +1,7 @@
 """One edge proxy: hosts a Driver, hands it what happens, carries out what it wishes.
 
 All that touches the Driver is in `_turns`, one event at a time: first the server list's word, then the rest
-in the order of arrival, then the alarms that are due. Decisions are valverouter.control's alone; what is
+in the order of arrival, then the alarms that are due. Decisions are valverouter.policy's alone; what is
 here keeps the books of who is owed which answer, and holds the rules where bytes meet time.
 """
 
@@ -17,7 +17,6 @@
 import msgspec
 import trio
 
-from valverouter.control import HEARTBEAT, retry_wait
 from valverouter.edge.attempting import AttemptBook
 from valverouter.edge.books import ENDS, OUTCOMES, LegForbiddenError, Taken, Tally, ended_of, report_of
 from valverouter.edge.changing import TermsInForce
@@ -40,21 +39,23 @@
 from valverouter.edge.mail import Departures, Inbox
 from valverouter.edge.surroundings import READ, Surroundings
 from valverouter.interface import (
-    Abort,
-    Alarm,
-    AttemptTerms,
+    AttemptPolicy,
+    AttemptResult,
     Command,
-    Decline,
     Dialog,
-    Leg,
-    LegResult,
-    ListScope,
-    Order,
+    DialogAction,
+    Endpoint,
+    EndpointUpdateKind,
+    Fail,
+    LoadReport,
     Outcome,
-    Report,
-    ServerEntry,
+    Reject,
+    StartAttempt,
     Subscribe,
+    Timer,
 )
+from valverouter.policy.retry import retry_delay
+from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Welcome
@@ -63,7 +64,7 @@
 from valverouter.terms.ini import show_span
 
 # A turn that comes so much later than the next beat was due shows that this process did not run.
-STALL_SHOWS = HEARTBEAT + 50_000_000
+STALL_SHOWS = HEARTBEAT_INTERVAL + 50_000_000
 # For so long the readers then collect what came meanwhile: the list's word is heard before any leg goes.
 SETTLE_S = 0.005
 # Events handled in one go before alarms are looked at and the streams get their turn.
@@ -107,7 +108,7 @@
         # Links to servers that are gone from the list; each is closed once nothing is open on it.
         self._leaving: set[Link] = set()
         self._alarms_most = ALARMS_LOOKED_AT
-        self._incarnations = Incarnations(terms.deployment.warm_after)
+        self._incarnations = Incarnations(terms.deployment.slow_start_duration)
         self._list = self._make_list()
         self._draws = 0
         self._callers = 0
@@ -160,7 +161,7 @@
             self._nursery = nursery
             rows = await self._list.cached()
             if rows:
-                self._inbox.put_first(ListHeard(ListScope.CACHED, rows))
+                self._inbox.put_first(ListHeard(EndpointUpdateKind.CACHED, rows))
             self._begins()
             nursery.start_soon(self._list.run)
             nursery.start_soon(self._list.keep)
@@ -265,7 +266,7 @@
         if (now := self._clock.now()) - self._refusal_told_at >= REFUSALS_TOLD:
             self._refusal_told_at = now
             self._log.warning("callers-refused", callers=self._callers, refused=self._refused)
-        back = show_span(self.terms.deployment.come_back_limit)
+        back = show_span(self.terms.deployment.max_retry_after)
         error = ProtocolError("too-many", f"no room for another connection; come back after {back}")
         with trio.move_on_after(REFUSAL_S), suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await stream.send_all(SetupSession().farewell(error))
@@ -296,7 +297,7 @@
         """Before connecting again: the decisions' own full-jitter wait, from a stream of draws of its own."""
         self._draws += 1
         draw = zlib.crc32(b"link/%d/%d" % (self.terms.seed, self._draws)) / 2**32
-        return retry_wait(tries, draw, 0)
+        return retry_delay(tries, draw, 0)
 
     # Turns
 
@@ -361,7 +362,7 @@
         taken = self._dialogs.get(alarm.dialog_id)
         return taken is not None and taken.leg == alarm.leg and not taken.stands
 
-    def _safely(self, event: Event | Alarm) -> None:
+    def _safely(self, event: Event | Timer) -> None:
         """Last resort: a fault in what this file does with an event must not end the others' dialogs."""
         try:
             self._turn(event)
@@ -371,8 +372,8 @@
 
     def _turn(self, event: Any) -> None:
         """One event, whole: handed in, and what follows from it carried out."""
-        if type(event) is Alarm:
-            self._guarded("", self._driver.alarm, event.ref)
+        if type(event) is Timer:
+            self._guarded("", self._driver.on_timer, event.timer_id)
         else:
             self._handlers[type(event)](event)
         self._carry_out()
@@ -409,8 +410,8 @@
 
     def _from_server(self, event: FromServer) -> None:
         if isinstance(event.message, setup.Reported):
-            told = report_of(event.message.report) or Report()
-            self._guarded("", self._driver.report, event.link.server, told)
+            told = report_of(event.message.report) or LoadReport()
+            self._guarded("", self._driver.update_load, event.link.server, told)
         else:
             self._answered(event.link, event.message)
 
@@ -448,7 +449,7 @@
             return
         if self._stopping or len(self._dialogs) >= self.terms.links.open_dialogs:
             # Not a choice among dialogs: this instance takes none.
-            caller.send(setup.Declined(asked.dialog, asked.leg, self.terms.deployment.come_back_limit))
+            caller.send(setup.Declined(asked.dialog, asked.leg, self.terms.deployment.max_retry_after))
             self.tally.answers["declined-here"] += 1
             return
         left = asked.no_answer - self.terms.answer_margin
@@ -465,27 +466,27 @@
             self._answer(taken, setup.Aborted(asked.dialog, asked.leg, "no-time"))
             return
         attempts = self._attempts_of(asked, caller.name)
-        if attempts is not None and attempts.no_answer:
-            left = min(left, attempts.no_answer)
+        if attempts is not None and attempts.no_answer_timeout:
+            left = min(left, attempts.no_answer_timeout)
         self._decides(asked, came_at + left, attempts)
 
-    def _attempts_of(self, asked: setup.Setup, caller: str) -> AttemptTerms | None:
+    def _attempts_of(self, asked: setup.Setup, caller: str) -> AttemptPolicy | None:
         if self._attempts is None:
             return None
         return self._attempts.of(asked.traffic_type, asked.called_number, caller, asked.first_choice)
 
-    def _decides(self, asked: setup.Setup, no_answer_at: int, attempts: AttemptTerms | None) -> None:
+    def _decides(self, asked: setup.Setup, no_answer_at: int, attempts: AttemptPolicy | None) -> None:
         """Hands a dialog to the decisions."""
         dialog = Dialog(
             id=asked.dialog,
             traffic_type=asked.traffic_type,
-            no_answer_at=no_answer_at,
-            first_choice=asked.first_choice,
+            deadline=no_answer_at,
+            preferred_server_number=asked.first_choice,
             called_number=asked.called_number,
-            was_cut=asked.was_cut,
-            attempts=attempts,
+            was_interrupted=asked.was_cut,
+            attempt_policy=attempts,
         )
-        self._guarded(asked.dialog, self._driver.dialog, dialog)
+        self._guarded(asked.dialog, self._driver.start_dialog, dialog)
 
     def _leaves(self, caller: Caller, message: setup.OfLeg) -> None:
         """The caller cancels, or releases what stands. Its session drops those that crossed our answer."""
@@ -505,7 +506,7 @@
             self._release(taken)
             self._over(taken, "released")
             return
-        self._driver.caller_gone(dialog_id)
+        self._driver.on_caller_gone(dialog_id)
         if taken.leg is not None and taken.link is not None and (dialog_id, taken.leg) in taken.link.legs:
             self._let_go(taken, Outcome.CANCELLED)
         self._answer(taken, setup.Aborted(dialog_id, taken.setup.leg, reason))
@@ -545,7 +546,7 @@
 
     def _is_late(self, asked: setup.Setup, deadline: int) -> bool:
         kind = self.terms.deployment.traffic_types.get(asked.traffic_type)
-        return kind is not None and self._now - (deadline - asked.no_answer) > kind.objective
+        return kind is not None and self._now - (deadline - asked.no_answer) > kind.latency_objective
 
     def _over(self, taken: Taken, reason: str) -> None:
         """A dialog that stood has ended."""
@@ -559,7 +560,7 @@
 
     # Legs
 
-    def _send_leg(self, dialog_id: str, wish: Leg) -> None:
+    def _send_leg(self, dialog_id: str, wish: StartAttempt) -> None:
         taken = self._dialogs.get(dialog_id)
         if taken is None:
             raise LegForbiddenError(f"a leg for {dialog_id!r}, which is not open here")
@@ -585,7 +586,7 @@
         message = msgspec.structs.replace(asked, leg=leg, no_answer=max(1, taken.deadline - now))
         link.set_up(key, message)
         self._leg_leaves(taken, wish.server)
-        self._alarms.set(wish.until, LegOver(dialog_id, leg, wish.server, Outcome.TIMED_OUT))
+        self._alarms.set(wish.deadline, LegOver(dialog_id, leg, wish.server, Outcome.TIMED_OUT))
         self._log.debug("leg", dialog=dialog_id, leg=leg, server=wish.server)
 
     def _let_go(self, taken: Taken, outcome: Outcome) -> None:
@@ -634,22 +635,22 @@
         self._end_leg(taken, over.outcome)
 
     def _teach(self, dialog_id: str, leg: int, server: str, outcome: Outcome) -> None:
-        result = LegResult(dialog_id, self._number(dialog_id, leg), server, outcome)
-        self._guarded("", self._driver.leg_result, result)
+        result = AttemptResult(dialog_id, self._number(dialog_id, leg), server, outcome)
+        self._guarded("", self._driver.on_attempt_result, result)
 
     def _end_leg(
         self,
         taken: Taken,
         outcome: Outcome,
         asked_wait: int = 0,
-        report: Report | None = None,
+        report: LoadReport | None = None,
         said: setup.Stands | None = None,
     ) -> None:
         """Tells the decisions how the leg of an open dialog fared, and the caller when it stands."""
         asked, leg = taken.setup, taken.leg
         assert leg is not None
         server = taken.link.server if taken.link is not None else ""
-        if outcome is not Outcome.STANDS:
+        if outcome is not Outcome.ESTABLISHED:
             taken.leg = None
             if taken.link is not None and not taken.link.legs.get((asked.dialog, leg)):
                 taken.link.legs.pop((asked.dialog, leg), None)
@@ -657,8 +658,10 @@
         self.tally.legs[word] += 1
         self._log.debug("leg-over", dialog=asked.dialog, leg=leg, server=server, outcome=word)
         number = self._number(asked.dialog, leg)
-        result = LegResult(asked.dialog, number, server, outcome, asked_wait=asked_wait, report=report)
-        heard = self._guarded(asked.dialog, self._driver.leg_result, result)
+        result = AttemptResult(
+            asked.dialog, number, server, outcome, retry_after=asked_wait, load_report=report
+        )
+        heard = self._guarded(asked.dialog, self._driver.on_attempt_result, result)
         if heard and said is not None:
             self._answer(taken, msgspec.structs.replace(said, leg=asked.leg, server=server, report=None))
 
@@ -677,15 +680,15 @@
             if closes and not link.legs.pop(key):
                 self._teach(message.dialog, message.leg, link.server, OUTCOMES[type(message)])
             if report is not None:
-                self._guarded("", self._driver.report, link.server, report)
+                self._guarded("", self._driver.update_load, link.server, report)
         elif isinstance(message, setup.Ended):
             del link.legs[key]
-            self._guarded("", self._driver.leg_result, ended_of(message, link.server, report))
+            self._guarded("", self._driver.on_attempt_result, ended_of(message, link.server, report))
             self._over(taken, message.reason)
         else:
             asked_wait = message.asked_wait if isinstance(message, setup.Full) else 0
             said = message if isinstance(message, setup.Stands) else None
-            outcome = Outcome.STANDS if said else OUTCOMES[type(message)]
+            outcome = Outcome.ESTABLISHED if said else OUTCOMES[type(message)]
             self._end_leg(taken, outcome, asked_wait, report, said)
 
     # Links and the list
@@ -710,9 +713,9 @@
         started_at = self._incarnations.started_at(link.server, welcome.incarnation, welcome.age, now)
         self._log.info("link-up", server=link.server, address=link.address, incarnation=welcome.incarnation)
         if started_at != before and row is not None:
-            entry = ServerEntry(link.server, row.number, row.phase == "in-service", started_at, row.region)
+            entry = Endpoint(link.server, row.number, row.phase == "in-service", started_at, row.region)
             self._log.info("server-restarted", server=link.server, age_ms=welcome.age // 1_000_000)
-            self._guarded("", self._driver.server_list, ListScope.CHANGES, [entry])
+            self._guarded("", self._driver.update_endpoints, EndpointUpdateKind.INCREMENTAL, [entry])
             self._withdraw_all(link)
         link.let_go()
 
@@ -743,12 +746,12 @@
 
     def _listed(self, heard: ListHeard) -> None:
         now = self._now
-        whole = heard.scope in (ListScope.WHOLE, ListScope.CACHED)
+        whole = heard.scope in (EndpointUpdateKind.COMPLETE, EndpointUpdateKind.CACHED)
         if whole:
             self._incarnations.keep({row.server for row in heard.rows})
-        cached = heard.scope is ListScope.CACHED
+        cached = heard.scope is EndpointUpdateKind.CACHED
         entries = [self._incarnations.entry(row, now, cached) for row in heard.rows]
-        self._guarded("", self._driver.server_list, heard.scope, entries)
+        self._guarded("", self._driver.update_endpoints, heard.scope, entries)
         listed = {row.server for row in heard.rows}
         for row in heard.rows:
             self._log.info("listed", server=row.server, phase=row.phase, scope=heard.scope.name.lower())
@@ -788,27 +791,27 @@
 
     def _carry_out(self) -> None:
         while self._driver.commands:
-            for command in self._driver.drain():
-                dialog_id = command.dialog_id if isinstance(command, Order) else ""
+            for command in self._driver.take_commands():
+                dialog_id = command.dialog_id if isinstance(command, DialogAction) else ""
                 self._guarded(dialog_id, self._do, command)
 
     def _do(self, command: Command) -> None:
-        if isinstance(command, Alarm):
-            self._alarms.set(self._now + command.span, command)
+        if isinstance(command, Timer):
+            self._alarms.set(self._now + command.duration, command)
             return
         if isinstance(command, Subscribe):
             self._list.ask()
             return
-        dialog_id, wish = command.dialog_id, command.wish
-        if isinstance(wish, Leg):
+        dialog_id, wish = command.dialog_id, command.action
+        if isinstance(wish, StartAttempt):
             self._send_leg(dialog_id, wish)
             return
         taken = self._dialogs[dialog_id]
-        if isinstance(wish, Decline):
-            self._answer(taken, setup.Declined(dialog_id, taken.setup.leg, wish.come_back))
-        elif isinstance(wish, Abort):
+        if isinstance(wish, Reject):
+            self._answer(taken, setup.Declined(dialog_id, taken.setup.leg, wish.retry_after))
+        elif isinstance(wish, Fail):
             self._answer(taken, setup.Aborted(dialog_id, taken.setup.leg, "failed"))
         elif taken.leg is not None and not taken.stands and taken.link is not None:
-            if self._number(dialog_id, taken.leg) != wish.leg:
+            if self._number(dialog_id, taken.leg) != wish.attempt:
                 return
             self._let_go(taken, Outcome.CANCELLED)
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -8,27 +8,28 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from valverouter.control import HEARTBEAT, retry_wait
 from valverouter.driver import Driver
 from valverouter.emulator.servers import EmulatedServer, Wire
 from valverouter.emulator.simulated import Simulated
 from valverouter.interface import (
-    Abort,
-    Alarm,
-    AttemptTerms,
-    CancelLeg,
-    CrossingRule,
-    Decline,
+    AttemptPolicy,
+    AttemptResult,
+    CancelAttempt,
+    CrossRegionRule,
     Deployment,
     Dialog,
-    Leg,
-    LegResult,
-    ListScope,
-    Order,
+    DialogAction,
+    Endpoint,
+    EndpointUpdateKind,
+    Fail,
+    LoadReport,
     Outcome,
-    Report,
-    ServerEntry,
+    Reject,
+    StartAttempt,
+    Timer,
 )
+from valverouter.policy.retry import retry_delay
+from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 from valverouter.recovery.decide import Need, attempts_left
 from valverouter.recovery.pace import Pace
 from valverouter.servermodel.server import Key
@@ -46,7 +47,7 @@
 
     def of(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
-    ) -> AttemptTerms | None: ...
+    ) -> AttemptPolicy | None: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,12 +59,12 @@
     deployment: Deployment
     seed: int
     answer_margin: int
-    crossing: Callable[[int], CrossingRule | None] = lambda now: None
+    crossing: Callable[[int], CrossRegionRule | None] = lambda now: None
     attempts: AttemptsOf | None = None
-    decisions: Callable[[Deployment, int, int, CrossingRule | None], Driver] = Driver
+    decisions: Callable[[Deployment, int, int, CrossRegionRule | None], Driver] = Driver
     ledger: bool = False
     # The decisions' own terms of a traffic type, for what a former self's legs leave of them.
-    usual: Callable[[str], AttemptTerms | None] = lambda kind: None
+    usual: Callable[[str], AttemptPolicy | None] = lambda kind: None
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,7 +130,7 @@
         sim: Simulated,
         find: Callable[[str], EmulatedServer],
         delay: Callable[[EmulatedServer], int],
-        reports: list[tuple[int, str, Report]],
+        reports: list[tuple[int, str, LoadReport]],
     ) -> None:
         self.plan = plan
         self.name = f"e{plan.place}"
@@ -152,7 +153,7 @@
         self.leaves = False
         self._pace = Pace()
 
-    def start(self, rows: Sequence[tuple[ServerEntry, int, int | None]]) -> None:
+    def start(self, rows: Sequence[tuple[Endpoint, int, int | None]]) -> None:
         """A fresh process that hears the whole list at once; links come up as they connect."""
         now = self._sim.now()
         plan = self.plan
@@ -170,7 +171,7 @@
         left, self._left = self._left, []
         for one in left:
             self._take_over(one, now)
-        self.listed(ListScope.WHOLE, rows)
+        self.listed(EndpointUpdateKind.COMPLETE, rows)
 
     # What a former self left, as valverouter.edge.keeping does
 
@@ -179,7 +180,7 @@
         one.used, one.legs, one.leg, one.link = one.used + one.legs, 0, None, None
         one.back, one.need = False, Need.ASK if one.stands else Need.WAIT
         # Its server gave up what did not stand with the connection: the release time, counted from here.
-        wait = ASKED_WITHIN if one.stands else self.plan.deployment.release_wait
+        wait = ASKED_WITHIN if one.stands else self.plan.deployment.release_delay
         self._sim.after(wait, self.turn, self._waited, self._life, one)
 
     def _waited(self, life: int, one: _Open) -> None:
@@ -197,9 +198,9 @@
         plan, asked, now = self.plan, one.asked, self._sim.now()
         attempts = self._attempts_of(asked)
         if one.used and (usual := attempts or plan.usual(asked.traffic_type)) is not None:
-            attempts = attempts_left(usual, one.used, plan.deployment.legs_allowed)
+            attempts = attempts_left(usual, one.used, plan.deployment.max_attempts)
             if attempts is None:
-                self._answer(one, "declined", plan.deployment.come_back_limit)
+                self._answer(one, "declined", plan.deployment.max_retry_after)
                 return
         if one.deadline - plan.answer_margin <= now:
             self._answer(one, "aborted", 0, "no-time")
@@ -213,7 +214,7 @@
                 one.link = link
                 kind = self.plan.deployment.traffic_types.get(one.asked.traffic_type)
                 left = one.deadline - self._sim.now()
-                self._pace.add(dialog, one.at, left, kind.importance if kind else 0.0)
+                self._pace.add(dialog, one.at, left, kind.priority_weight if kind else 0.0)
         self._ask_next()
 
     def _ask_next(self) -> None:
@@ -330,10 +331,14 @@
 
     def known(self) -> dict[str, tuple[int, float, float]]:
         """Of each server its wait, our window and the share of tokens left, as the decisions have them."""
-        control = self.driver.control
+        policy = self.driver.policy
         return {
-            name: (far.wait(control.now), far.window, far.budget.tokens / far.budget.terms.full)
-            for name, far in control._fars.items()
+            name: (
+                server.queue_delay(policy.now),
+                server.window,
+                server.budget.tokens / server.budget.config.max_tokens,
+            )
+            for name, server in policy.table.servers.items()
         }
 
     def catch_up(self) -> None:
@@ -355,50 +360,50 @@
                 self._reported += 1
                 link = self._links.get(server)
                 if link is not None and link.wire is not None:
-                    driver.tick(max(at, driver.control.now))
-                    driver.report(server, report)
+                    driver.tick(max(at, driver.policy.now))
+                    driver.update_load(server, report)
             else:
                 self._beat = None
                 driver.tick(beat)
-                driver.alarm(self._beat_ref)
+                driver.on_timer(self._beat_ref)
                 self._take_beat(beat)
         driver.tick(now)
 
     def _take_beat(self, at: int) -> None:
-        for command in self.driver.drain():
-            if isinstance(command, Alarm):
-                self._beat, self._beat_ref = at + command.span, command.ref
+        for command in self.driver.take_commands():
+            if isinstance(command, Timer):
+                self._beat, self._beat_ref = at + command.duration, command.timer_id
 
     # Commands
 
     def _carry_out(self) -> None:
-        while commands := self.driver.drain():
+        while commands := self.driver.take_commands():
             for command in commands:
-                if isinstance(command, Alarm):
-                    if command.span == HEARTBEAT and self._beat is None:
-                        self._beat, self._beat_ref = self._sim.now() + command.span, command.ref
+                if isinstance(command, Timer):
+                    if command.duration == HEARTBEAT_INTERVAL and self._beat is None:
+                        self._beat, self._beat_ref = self._sim.now() + command.duration, command.timer_id
                     else:
-                        self._sim.after(command.span, self._alarm, self._life, command.ref)
-                elif isinstance(command, Order):
+                        self._sim.after(command.duration, self._alarm, self._life, command.timer_id)
+                elif isinstance(command, DialogAction):
                     self._do(command)
 
     def _alarm(self, life: int, ref: int) -> None:
         if life == self._life:
-            self.turn(self.driver.alarm, ref)
+            self.turn(self.driver.on_timer, ref)
 
-    def _do(self, order: Order) -> None:
+    def _do(self, order: DialogAction) -> None:
         one = self._dialogs.get(order.dialog_id)
         if one is None:
             return
-        wish = order.wish
-        if isinstance(wish, Leg):
+        wish = order.action
+        if isinstance(wish, StartAttempt):
             self._send(one, wish)
-        elif isinstance(wish, CancelLeg):
-            if one.leg == wish.leg and not one.stands:
+        elif isinstance(wish, CancelAttempt):
+            if one.leg == wish.attempt and not one.stands:
                 self._let_go(one, Outcome.CANCELLED)
-        elif isinstance(wish, Decline):
-            self._answer(one, "declined", wish.come_back)
-        elif isinstance(wish, Abort):
+        elif isinstance(wish, Reject):
+            self._answer(one, "declined", wish.retry_after)
+        elif isinstance(wish, Fail):
             self._answer(one, "aborted", 0, "failed")
 
     # Dialogs
@@ -407,7 +412,7 @@
         now, plan = self._sim.now(), self.plan
         if self.leaves:
             if self.caller is not None:
-                self.caller.heard("declined", asked.dialog, plan.deployment.come_back_limit)
+                self.caller.heard("declined", asked.dialog, plan.deployment.max_retry_after)
             return
         self._dialogs[asked.dialog] = one = _Open(asked, now + asked.no_answer)
         left = asked.no_answer - plan.answer_margin
@@ -415,18 +420,18 @@
             self._answer(one, "aborted", 0, "no-time")
             return
         attempts = self._attempts_of(asked)
-        if attempts is not None and attempts.no_answer:
-            left = min(left, attempts.no_answer)
+        if attempts is not None and attempts.no_answer_timeout:
+            left = min(left, attempts.no_answer_timeout)
         self._hand_in(asked, now + left, attempts)
 
-    def _attempts_of(self, asked: Asked) -> AttemptTerms | None:
+    def _attempts_of(self, asked: Asked) -> AttemptPolicy | None:
         plan = self.plan
         if plan.attempts is None:
             return None
         return plan.attempts.of(asked.traffic_type, asked.called_number, f"c{plan.place}", asked.first_choice)
 
-    def _hand_in(self, asked: Asked, no_answer_at: int, attempts: AttemptTerms | None) -> None:
-        self.driver.dialog(
+    def _hand_in(self, asked: Asked, no_answer_at: int, attempts: AttemptPolicy | None) -> None:
+        self.driver.start_dialog(
             Dialog(
                 asked.dialog,
                 asked.traffic_type,
@@ -434,7 +439,7 @@
                 asked.first_choice,
                 asked.called_number,
                 asked.was_cut,
-                attempts=attempts,
+                attempt_policy=attempts,
             )
         )
 
@@ -443,7 +448,7 @@
         one = self._dialogs.get(dialog)
         if one is None or one.stands:
             return
-        self.driver.caller_gone(dialog)
+        self.driver.on_caller_gone(dialog)
         if one.leg is not None and one.link is not None and (dialog, one.leg) in one.link.legs:
             self._let_go(one, Outcome.CANCELLED)
         self._answer(one, "aborted", 0, "cancelled")
@@ -462,7 +467,7 @@
 
     # Legs
 
-    def _send(self, one: _Open, wish: Leg) -> None:
+    def _send(self, one: _Open, wish: StartAttempt) -> None:
         dialog, leg = one.asked.dialog, one.legs
         one.leg, one.legs = leg, one.legs + 1
         one.link = link = self._links.get(wish.server)
@@ -474,7 +479,7 @@
             self._ask(link, one, leg)
         else:
             link.early.append(lambda: self._ask(link, one, leg))
-        self._sim.at(wish.until, self._over, self._life, dialog, leg, wish.server, Outcome.TIMED_OUT)
+        self._sim.at(wish.deadline, self._over, self._life, dialog, leg, wish.server, Outcome.TIMED_OUT)
 
     def _ask(self, link: _Link, one: _Open, leg: int) -> None:
         asked = one.asked
@@ -505,7 +510,7 @@
         one, link = self._dialogs.get(dialog), self._links.get(server)
         if one is None or one.leg != leg or one.stands:
             if outcome is not Outcome.TIMED_OUT:
-                self.driver.leg_result(LegResult(dialog, leg, server, outcome))
+                self.driver.on_attempt_result(AttemptResult(dialog, leg, server, outcome))
             return
         if outcome is Outcome.TIMED_OUT and link is not None and link.legs.get((dialog, leg)) is False:
             self._let_go(one, outcome)
@@ -514,38 +519,56 @@
         self._end_leg(one, outcome)
 
     def _end_leg(
-        self, one: _Open, outcome: Outcome, asked_wait: int = 0, report: Report | None = None
+        self, one: _Open, outcome: Outcome, asked_wait: int = 0, report: LoadReport | None = None
     ) -> None:
         dialog, leg, link = one.asked.dialog, one.leg, one.link
         assert leg is not None
         server = link.server.name if link is not None else ""
-        if outcome is not Outcome.STANDS:
+        if outcome is not Outcome.ESTABLISHED:
             one.leg = None
             if link is not None and not link.legs.get((dialog, leg)):
                 link.legs.pop((dialog, leg), None)
-        self.driver.leg_result(LegResult(dialog, leg, server, outcome, asked_wait=asked_wait, report=report))
-        if outcome is Outcome.STANDS:
+        self.driver.on_attempt_result(
+            AttemptResult(dialog, leg, server, outcome, retry_after=asked_wait, load_report=report)
+        )
+        if outcome is Outcome.ESTABLISHED:
             self._answer(one, "stands", 0, server)
 
     def answered(
-        self, wire: Wire, dialog: str, leg: int, outcome: Outcome, asked_wait: int, report: Report, word: str
+        self,
+        wire: Wire,
+        dialog: str,
+        leg: int,
+        outcome: Outcome,
+        asked_wait: int,
+        report: LoadReport,
+        word: str,
     ) -> None:
         self.turn(self._answered, wire, dialog, leg, outcome, asked_wait, report, word)
 
     def _answered(
-        self, wire: Wire, dialog: str, leg: int, outcome: Outcome, asked_wait: int, report: Report, word: str
+        self,
+        wire: Wire,
+        dialog: str,
+        leg: int,
+        outcome: Outcome,
+        asked_wait: int,
+        report: LoadReport,
+        word: str,
     ) -> None:
         link, key, server = self._links.get(wire.server.name), (dialog, leg), wire.server.name
         if link is None or link.wire is not wire or key not in link.legs:
             return
         one = self._dialogs.get(dialog)
         if link.legs[key] or one is None or one.link is not link or one.leg != leg:
-            if outcome is not Outcome.STANDS and not link.legs.pop(key):
-                self.driver.leg_result(LegResult(dialog, leg, server, outcome))
-            self.driver.report(server, report)
+            if outcome is not Outcome.ESTABLISHED and not link.legs.pop(key):
+                self.driver.on_attempt_result(AttemptResult(dialog, leg, server, outcome))
+            self.driver.update_load(server, report)
         elif outcome is Outcome.ENDED:
             del link.legs[key]
-            self.driver.leg_result(LegResult(dialog, leg, server, outcome, dialog_closed=True, report=report))
+            self.driver.on_attempt_result(
+                AttemptResult(dialog, leg, server, outcome, dialog_closed=True, load_report=report)
+            )
             self._ended(one, word)
         else:
             self._end_leg(one, outcome, asked_wait, report)
@@ -575,7 +598,7 @@
             if one is not None and ours and not one.stands:
                 self._end_leg(one, Outcome.RESET)
                 continue
-            self.driver.leg_result(LegResult(dialog, leg, wire.server.name, Outcome.RESET))
+            self.driver.on_attempt_result(AttemptResult(dialog, leg, wire.server.name, Outcome.RESET))
             if one is not None and ours:
                 self._ended(one, "cut")
         if link.wanted:
@@ -586,7 +609,7 @@
     def _try_again(self, link: _Link) -> None:
         self._draws += 1
         draw = zlib.crc32(b"link/%d/%d" % (self.plan.seed, self._draws)) / 2**32
-        self._sim.after(retry_wait(link.tries, draw, 0), self._connect, self._life, link)
+        self._sim.after(retry_delay(link.tries, draw, 0), self._connect, self._life, link)
 
     def _connect(self, life: int, link: _Link) -> None:
         if life != self._life or not self.runs or not link.wanted or link.wire is not None:
@@ -629,8 +652,8 @@
         age = self._sim.now() - server.model.started_at
         started_at = self._started_at(server.name, server.incarnation, age)
         if before is not None and before[1] != started_at:
-            entry = ServerEntry(server.name, server.number, True, started_at, server.region)
-            self.driver.server_list(ListScope.CHANGES, [entry])
+            entry = Endpoint(server.name, server.number, True, started_at, server.region)
+            self.driver.update_endpoints(EndpointUpdateKind.INCREMENTAL, [entry])
             for dialog, leg in sorted(link.legs):
                 self._sim.after(0, self._over, self._life, dialog, leg, server.name, Outcome.UNREACHABLE)
             link.legs = {}
@@ -647,13 +670,13 @@
             self._started[server] = known
         return known[1]
 
-    def listed(self, scope: ListScope, rows: Sequence[tuple[ServerEntry, int, int | None]]) -> None:
+    def listed(self, scope: EndpointUpdateKind, rows: Sequence[tuple[Endpoint, int, int | None]]) -> None:
         """Word of the list: entries with their incarnation and age."""
         self.turn(self._listed, scope, rows, lists=True)
 
-    def _listed(self, scope: ListScope, rows: Sequence[tuple[ServerEntry, int, int | None]]) -> None:
+    def _listed(self, scope: EndpointUpdateKind, rows: Sequence[tuple[Endpoint, int, int | None]]) -> None:
         entries = [
-            ServerEntry(
+            Endpoint(
                 entry.id,
                 entry.number,
                 entry.in_service,
@@ -662,7 +685,7 @@
             )
             for entry, incarnation, age in rows
         ]
-        self.driver.server_list(scope, entries)
+        self.driver.update_endpoints(scope, entries)
         for entry in entries:
             link = self._links.get(entry.id)
             if entry.in_service and link is None:
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -12,7 +12,7 @@
 from valverouter.emulator.edges import Asked, EdgePlan, EmulatedEdge
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulated import Chance, Simulated
-from valverouter.interface import ListScope, Report, ServerEntry
+from valverouter.interface import Endpoint, EndpointUpdateKind, LoadReport
 from valverouter.servermodel.arrivals import Pattern, Source, copies
 from valverouter.servermodel.server import CalledNumbers, Make, SetupServer
 from valverouter.signalling.tap import Fault, Opened, Placed, Row, Tap, Terms, Told
@@ -84,7 +84,7 @@
         self._numbers = CalledNumbers()
         self._phases: dict[str, str] = {}
         self._born: dict[str, int] = {}
-        self._reports: list[tuple[int, str, Report]] = []
+        self._reports: list[tuple[int, str, LoadReport]] = []
         self._network = self.chance("network")
         self._make = make_of(day)
         self._ends = self.sim.now() + day.terms.length
@@ -246,14 +246,14 @@
 
     # The list
 
-    def _entry(self, name: str) -> tuple[ServerEntry, int, int | None]:
+    def _entry(self, name: str) -> tuple[Endpoint, int, int | None]:
         server = self.servers[name]
         age = self.sim.now() - self._born[name] if name in self._born else None
         in_service = self._phases[name] == "in-service"
-        entry = ServerEntry(name, server.number, in_service, 0, server.region)
+        entry = Endpoint(name, server.number, in_service, 0, server.region)
         return entry, server.incarnation, age
 
-    def whole(self) -> list[tuple[ServerEntry, int, int | None]]:
+    def whole(self) -> list[tuple[Endpoint, int, int | None]]:
         return [self._entry(name) for name, phase in self._phases.items() if phase != "gone"]
 
     def tell(self, names: Sequence[str], phase: str) -> None:
@@ -264,7 +264,7 @@
             if edge.runs:
                 for name in names:
                     self.tap.row(Told, edge=edge.name, server=name, phase=phase)
-                edge.listed(ListScope.CHANGES, rows)
+                edge.listed(EndpointUpdateKind.INCREMENTAL, rows)
 
     # Troubles
 
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from valverouter.emulator.simulated import Chance, Simulated
-from valverouter.interface import Outcome, Report
+from valverouter.interface import LoadReport, Outcome
 from valverouter.servermodel.server import Happening, Happens, Key, SetupServer
 from valverouter.signalling.tap import Began, Lost, Passed, Tap
 
@@ -14,7 +14,7 @@
 KEEPS = 10_000_000_000
 
 OUTCOMES = {
-    Happens.STANDS: (Outcome.STANDS, "stands"),
+    Happens.STANDS: (Outcome.ESTABLISHED, "stands"),
     Happens.ENDED: (Outcome.ENDED, "ended"),
     Happens.CUT: (Outcome.ENDED, "ended"),
     Happens.LINE_BUSY: (Outcome.LINE_BUSY, "line-busy"),
@@ -31,7 +31,14 @@
     name: str
 
     def answered(
-        self, wire: Wire, dialog: str, leg: int, outcome: Outcome, asked_wait: int, report: Report, word: str
+        self,
+        wire: Wire,
+        dialog: str,
+        leg: int,
+        outcome: Outcome,
+        asked_wait: int,
+        report: LoadReport,
+        word: str,
     ) -> None: ...
 
     def wire_down(self, wire: Wire) -> None: ...
@@ -71,7 +78,7 @@
         self._out = max(self._out, sim.now() + self._delay())
         sim.at(self._out, self._heard, happening, self.server.load())
 
-    def _heard(self, happening: Happening, report: Report) -> None:
+    def _heard(self, happening: Happening, report: LoadReport) -> None:
         if not self.up:
             return
         _, dialog, leg = happening.key
@@ -143,10 +150,10 @@
 
         return act
 
-    def load(self) -> Report:
+    def load(self) -> LoadReport:
         if not self._tells_lines:
-            return Report()
-        return Report(free_lines=self.model.free_lines, lines=self.model.lines)
+            return LoadReport()
+        return LoadReport(free_lines=self.model.free_lines, lines=self.model.lines)
 
     def stirred(self) -> None:
         """Tells what happened by now, and comes back when the model next has something to do."""
--- a/valverouter/experiments/plan.py
+++ b/valverouter/experiments/plan.py
@@ -21,7 +21,8 @@
 DECISIONS = "decisions"
 # What a run's figures hang on beside its day: kept runs of another version are not taken for this one's.
 SOURCES = (
-    "control.py",
+    "policy",
+    "randomness.py",
     "driver.py",
     "interface.py",
     "regions",
--- a/valverouter/experiments/variants.py
+++ b/valverouter/experiments/variants.py
@@ -1,138 +1,177 @@
-"""Baselines and ablations of the decisions, for experiments alone: the product never imports this.
+"""Baselines and ablations of the routing policy, for experiments alone: the program never imports this.
 
-A baseline stands in for the server rule or the retries of the module; an ablation takes one of its exceptions
-away. Both change the module from outside, for the length of a run, and never by a switch in it.
+A baseline stands in for the server selection or the retries; an ablation takes one exception to the source
+away. Both change the policy from outside, for the length of a run, and never by a switch in it.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping, Sequence
+from collections.abc import Callable, Iterator, Mapping, Sequence
 from contextlib import ExitStack, contextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from typing import Any
 from unittest.mock import patch
 
-from valverouter import control
-from valverouter.control import Control, Far, RetryBudget
 from valverouter.driver import Driver
-from valverouter.interface import CrossingRule, Deployment, Dialog, ListScope, ServerEntry, TrafficType
-
-
-class _Baseline(Control):
-    """Chooses among all servers that are in service and may take the type, by one figure alone."""
-
-    def _open(self, kind: TrafficType) -> list[Far]:
+from valverouter.interface import (
+    CrossRegionRule,
+    Deployment,
+    Dialog,
+    Endpoint,
+    EndpointUpdateKind,
+    TrafficType,
+)
+from valverouter.policy import routing, tuning
+from valverouter.policy.capacity import CapacityTracker, SlowStart
+from valverouter.policy.retry import RetryBudget, retry_delay
+from valverouter.policy.routing import RoutingPolicy
+from valverouter.policy.selection import ServerSelector
+from valverouter.policy.server_state import ServerState
+from valverouter.policy.server_table import ServerTable
+
+
+class _Baseline(ServerSelector):
+    """Selects among all servers that are in service and may take the type, by one figure alone."""
+
+    def _open(self, kind: TrafficType) -> list[ServerState]:
         return [
-            far
-            for far in self._fars.values()
-            if far.entry.in_service
-            and (kind.server_numbers is None or far.entry.number in kind.server_numbers)
+            server
+            for server in self.table.servers.values()
+            if server.endpoint.in_service
+            and (kind.server_numbers is None or server.endpoint.number in kind.server_numbers)
         ]
 
 
 class AnyServer(_Baseline):
     """One drawn at random, whatever is known of it."""
 
-    def _choose(self, dialog: Dialog, kind: TrafficType, tried: set[str]) -> Far | None:
-        fars = self._open(kind)
-        return fars[int(self._draw() * len(fars))] if fars else None
+    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+        """Any server that is open."""
+        servers = self._open(kind)
+        return servers[int(self._random.draw() * len(servers))] if servers else None
 
 
 class FirstOnly(_Baseline):
-    """The first choice, at every attempt."""
+    """The preferred server, at every attempt."""
 
-    def _choose(self, dialog: Dialog, kind: TrafficType, tried: set[str]) -> Far | None:
-        return next((far for far in self._open(kind) if far.entry.number == dialog.first_choice), None)
+    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+        """The preferred server, if it is open."""
+        number = dialog.preferred_server_number
+        return next((server for server in self._open(kind) if server.endpoint.number == number), None)
 
 
 class LeastWait(_Baseline):
-    """The least wait known; of equal ones the first choice, else drawn."""
+    """The shortest queue delay known; of equal ones the preferred server, else drawn."""
+
+    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+        """The open server with the shortest queue."""
+
+        def order(server: ServerState) -> tuple[int, bool, float]:
+            is_other = server.endpoint.number != dialog.preferred_server_number
+            return server.queue_delay(now), is_other, self._random.draw()
 
-    def _choose(self, dialog: Dialog, kind: TrafficType, tried: set[str]) -> Far | None:
-        return min(
-            self._open(kind),
-            key=lambda far: (far.wait(self.now), far.entry.number != dialog.first_choice, self._draw()),
-            default=None,
-        )
+        return min(self._open(kind), key=order, default=None)
 
 
 class TwoDrawn(_Baseline):
-    """The first choice, and after it the lower wait of two drawn; nothing else is looked at."""
-
-    def _choose(self, dialog: Dialog, kind: TrafficType, tried: set[str]) -> Far | None:
-        fars = self._open(kind)
-        first = next((far for far in fars if far.entry.number == dialog.first_choice), None)
-        if first is not None and first.entry.id not in tried:
-            return first
-        if not fars:
+    """The preferred server, and after it the shorter queue of two drawn; nothing else is looked at."""
+
+    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+        """The preferred server, else the better of two drawn."""
+        servers, number = self._open(kind), dialog.preferred_server_number
+        preferred = next((server for server in servers if server.endpoint.number == number), None)
+        if preferred is not None and preferred.endpoint.id not in tried:
+            return preferred
+        if not servers:
             return None
-        two = [fars[int(self._draw() * len(fars))] for _ in range(2)]
-        return min(two, key=lambda far: far.wait(self.now))
+        two = [servers[int(self._random.draw() * len(servers))] for _ in range(2)]
+        return min(two, key=lambda server: server.queue_delay(now))
 
 
-class _Endless(RetryBudget):
+class _WithoutSpillover(ServerSelector):
+    def _admits_spillover(self, *args: Any) -> bool:
+        return True
+
+
+class _UnlimitedBudget(RetryBudget):
     @property
     def allows_retry(self) -> bool:
         return True
 
 
-class WithoutBudget(Control):
-    """The module, its retries never throttled."""
+class _AlwaysSpare(CapacityTracker):
+    def spare(self, server: ServerState) -> float:
+        return 1.0
+
 
-    def server_list(self, scope: ListScope, entries: Sequence[ServerEntry]) -> None:
-        super().server_list(scope, entries)
-        for far in self._fars.values():
-            if not isinstance(far.budget, _Endless):
-                far.budget = _Endless()
+class _AlwaysOpen(SlowStart):
+    def has_slot(self, server: ServerState, now: int) -> bool:
+        return True
 
 
-class WithoutColdTurns(Control):
-    """The module, without turns at cold servers: it may break rule 4."""
+class _TableWithoutBudget(ServerTable):
+    """Servers whose retries are never throttled."""
 
-    def _cold_turn(self, far: Far) -> bool:
-        return True
+    def update_endpoints(self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        super().update_endpoints(now, kind, endpoints)
+        for server in self.servers.values():
+            if not isinstance(server.budget, _UnlimitedBudget):
+                server.budget = _UnlimitedBudget()
 
 
-class WithoutRoom(Control):
-    """The module, sending on all that it passes by."""
+class _TableWithoutSlowStart(ServerTable):
+    """Servers without slow start: rule 4 may be broken."""
 
-    def _finds_room(self, *args: Any) -> bool:
-        return True
+    def __init__(self, deployment: Deployment) -> None:
+        super().__init__(deployment)
+        self.slow_start = _AlwaysOpen(deployment, self.capacity)
 
-    def _room(self, far: Far) -> float:
-        return 1.0
+
+class _TableWithoutCapacity(ServerTable):
+    """Servers that always have spare capacity."""
+
+    def __init__(self, deployment: Deployment) -> None:
+        super().__init__(deployment)
+        self.capacity = _AlwaysSpare(deployment, self.servers)
+        self.slow_start = SlowStart(deployment, self.capacity)
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One form of the decisions: what runs, and what of the module's values is other than it is."""
+    """One form of the decisions: which parts stand in for the policy's own, and which tuned values differ."""
 
     name: str
-    rule: type[Control] = Control
-    values: Mapping[str, Any] = field(default_factory=dict)
+    selector: type[ServerSelector] = ServerSelector
+    table: type[ServerTable] = ServerTable
+    values: Mapping[str, int | float] = field(default_factory=dict)
+    retry_delay: Callable[..., int] = retry_delay
 
     @contextmanager
     def acts(self) -> Iterator[None]:
-        """The module's values, for the length of a run."""
+        """Sets the tuned values for the length of a run."""
         with ExitStack() as stack:
+            stack.enter_context(patch.object(routing, "retry_delay", self.retry_delay))
             for name, value in self.values.items():
-                stack.enter_context(patch.object(control, name, value))
+                stack.enter_context(patch.object(tuning, name, value))
             yield
 
     def build(
-        self, deployment: Deployment, seed: int, now: int, crossing: CrossingRule | None = None
+        self, deployment: Deployment, seed: int, now: int, cross_region: CrossRegionRule | None = None
     ) -> Driver:
-        driver = Driver(deployment, seed, now, crossing)
-        if self.rule is not Control:
-            driver.control = self.rule(deployment, seed, now, crossing)
+        """A driver whose policy is made of this variant's parts."""
+        driver = Driver(deployment, seed, now, cross_region)
+        policy = RoutingPolicy(deployment, seed, now, cross_region)
+        policy.table = self.table(deployment)
+        policy.selector = self.selector(deployment, policy.table, policy.random, cross_region)
+        driver.policy = policy
         return driver
 
 
-def _fixed_wait(retry: int, draw: float, least: int, base: int = 0, cap: int = 0) -> int:
-    return max(least, control.RETRY_BASE)
+def _fixed_delay(retry: int, draw: float, minimum: int, base: int = 0, cap: int = 0) -> int:
+    return max(minimum, tuning.BACKOFF_BASE)
 
 
-ENDLESS = 1e9
+UNLIMITED = 1e9
 VARIANTS = {
     variant.name: variant
     for variant in (
@@ -141,28 +180,68 @@
         Variant("first-only", FirstOnly),
         Variant("least-wait", LeastWait),
         Variant("two-drawn", TwoDrawn),
-        Variant("without-budget", WithoutBudget),
-        Variant("fixed-waits", values={"retry_wait": _fixed_wait}),
-        Variant("without-cold-turns", WithoutColdTurns),
-        Variant("without-room", WithoutRoom),
+        Variant("without-budget", table=_TableWithoutBudget),
+        Variant("fixed-waits", retry_delay=_fixed_delay),
+        Variant("without-cold-turns", table=_TableWithoutSlowStart),
+        Variant("without-room", _WithoutSpillover, _TableWithoutCapacity),
         Variant(
             "without-window",
-            values={"WINDOW_FIRST": ENDLESS, "WINDOW_LEAST": ENDLESS, "WINDOW_MOST": ENDLESS},
+            values={"WINDOW_INITIAL": UNLIMITED, "WINDOW_MIN": UNLIMITED, "WINDOW_MAX": UNLIMITED},
         ),
-        Variant("without-turns-in-news", values={"NEWS_FADES_TURNS": 0, "NO_AGENT_HOLDS_TURNS": 0}),
-        Variant("without-shunning", values={"SHUN_BASE": 0, "SHUN_BASE_TURNS": 0}),
-        Variant("without-overtaken", values={"OVERTAKEN_BY": 1 << 62}),
-        Variant("late-come-back", values={"COME_BACK": control.SECOND}),
-        Variant("never-told-back", values={"COME_BACK": 0}),
+        Variant("without-turns-in-news", values={"LATENCY_SAMPLE_INTERVALS": 0, "NO_AGENT_INTERVALS": 0}),
+        Variant("without-shunning", values={"EJECTION_BASE": 0, "EJECTION_BASE_INTERVALS": 0}),
+        Variant("without-overtaken", values={"OVERTAKEN_MARGIN": 1 << 62}),
+        Variant("late-come-back", values={"RETRY_AFTER": tuning.SECOND}),
+        Variant("never-told-back", values={"RETRY_AFTER": 0}),
     )
 }
 BASELINES = ("any-server", "first-only", "least-wait", "two-drawn")
 
+# The names that experiment files use for tuned values; files written before the constants were renamed stay
+# valid.
+FORMER_NAMES = {
+    "FULL_COUNT": "MAX_TOKENS",
+    "STAND_ADDS": "TOKEN_RATIO",
+    "RETRY_BASE": "BACKOFF_BASE",
+    "RETRY_CAP": "BACKOFF_CAP",
+    "LEGS": "MAX_ATTEMPTS",
+    "NEW_DELAY_WEIGHT": "LATENCY_SAMPLE_WEIGHT",
+    "NEWS_FADES": "LATENCY_SAMPLE_LIFETIME",
+    "NEWS_FADES_TURNS": "LATENCY_SAMPLE_INTERVALS",
+    "SHUN_BASE": "EJECTION_BASE",
+    "SHUN_BASE_TURNS": "EJECTION_BASE_INTERVALS",
+    "SHUN_CAP": "EJECTION_CAP",
+    "SHUN_CAP_TURNS": "EJECTION_CAP_INTERVALS",
+    "LEAST_WAIT_SHARE": "MIN_DELAY_FRACTION",
+    "WAIT_SHARE_SPAN": "DELAY_FRACTION_RANGE",
+    "IMPORTANT_WAIT_SHARE": "PRIORITY_DELAY_FRACTION",
+    "WINDOW_FIRST": "WINDOW_INITIAL",
+    "WINDOW_MOST": "WINDOW_MAX",
+    "WINDOW_LEAST": "WINDOW_MIN",
+    "WINDOW_GROWS": "WINDOW_INCREASE",
+    "WINDOW_KEEPS": "WINDOW_DECREASE_FACTOR",
+    "PROMPT_SHARE": "PROMPT_FRACTION",
+    "PROMPT_MOST_SHARE": "PROMPT_MAX_FRACTION",
+    "PROMPT_LEASTS": "PROMPT_MIN_LATENCY_MULTIPLE",
+    "NO_AGENT_HOLDS": "NO_AGENT_DURATION",
+    "NO_AGENT_HOLDS_TURNS": "NO_AGENT_INTERVALS",
+    "AGENTS_LAST": "NO_AGENT_RECOVERY_FRACTION",
+    "BUSY_NUMBER": "BUSY_NUMBER_DURATION",
+    "COLD_MARGIN": "SLOW_START_MARGIN",
+    "CARRIED_KEEPS": "CAPACITY_DECAY_PER_SECOND",
+    "COLD_TRICKLE": "MIN_PROBE_INTERVAL",
+    "ROOM_SIGMAS": "SPARE_CAPACITY_SIGMAS",
+    "ROOM_SHARE": "SPILLOVER_FRACTION",
+    "OVERTAKEN_BY": "OVERTAKEN_MARGIN",
+    "HEARTBEAT": "HEARTBEAT_INTERVAL",
+    "COME_BACK": "RETRY_AFTER",
+}
+
 
 def variant(level: str) -> Variant:
-    """A variant by its name, and after it values of the module that are other: `module NEWS_FADES_TURNS=2`.
+    """A variant by its name, and after it other tuned values: `module LATENCY_SAMPLE_INTERVALS=2`.
 
-    ValueError names what is not known; a value must be a number where the module has one.
+    ValueError names what is not known; a value must be a number where `policy/tuning.py` has one.
     """
     name, *changes = level.split()
     if name not in VARIANTS:
@@ -170,11 +249,13 @@
     values = dict(VARIANTS[name].values)
     for change in changes:
         key, _, text = change.partition("=")
-        was = getattr(control, key, None)
-        if not key.isupper() or not isinstance(was, int | float):
+        constant = FORMER_NAMES.get(key, key)
+        default = getattr(tuning, constant, None)
+        if not key.isupper() or not isinstance(default, int | float):
             raise ValueError(f"{key!r} is no figure of the decisions")
         try:
-            values[key] = type(was)(text)
+            values[constant] = type(default)(text)
         except ValueError:
-            raise ValueError(f"{change!r}: {key} is {type(was).__name__}, now {was}") from None
-    return Variant(level, VARIANTS[name].rule, values)
+            kind = type(default).__name__
+            raise ValueError(f"{change!r}: {key} is {kind}, now {default}") from None
+    return replace(VARIANTS[name], name=level, values=values)
--- a/valverouter/interface.py
+++ b/valverouter/interface.py
@@ -1,4 +1,4 @@
-"""What passes between the decisions and whoever runs them: events in, wishes out.
+"""The types between the routing policy and whoever runs it: events in, actions out.
 
 Times are whole nanoseconds of the caller's clock. Ids are opaque and handed back as they came.
 """
@@ -12,9 +12,9 @@
 
 
 class Outcome(Enum):
-    """How a leg fared, as told by its server or by the signalling stack."""
+    """How an attempt went, as answered by its server or as the signalling stack found."""
 
-    STANDS = auto()
+    ESTABLISHED = auto()
     ENDED = auto()
     LINE_BUSY = auto()
     FAULT = auto()
@@ -27,117 +27,138 @@
     NOT_SENT = auto()
 
 
-class ListScope(Enum):
-    """What a word from the server list covers."""
+class EndpointUpdateKind(Enum):
+    """What an update of the endpoint list covers.
 
-    CHANGES = auto()
-    WHOLE = auto()
+    Some entries, all, all from a cache, or that it could not be had.
+    """
+
+    INCREMENTAL = auto()
+    COMPLETE = auto()
     CACHED = auto()
     FAILED = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficType:
-    """One traffic type: what its dialogs are worth, how soon, and which servers may take them."""
+    """One traffic type.
+
+    Its latency objective, its priority, and the numbers of servers that may take it (None: all).
+    """
 
-    objective: int
-    importance: float
-    length: int
-    repeatable: bool
+    latency_objective: int
+    priority_weight: float
+    mean_duration: int
+    idempotent: bool
     server_numbers: frozenset[int] | None
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The terms under which one edge proxy works, as handed over at its start."""
+    """The configuration of one edge proxy, as handed over at its start.
+
+    `fleet_index` is this one's place among `edge_proxies`. `own_server_number`: the server that is itself
+    (-1: none). `slow_start_fraction` of its warm capacity is what a server bears at its start, growing evenly
+    over `slow_start_duration`; it is overloaded by `overload_multiple` of that within `overload_window`.
+    """
 
     traffic_types: dict[str, TrafficType]
     edge_proxies: int
-    place: int
-    own_number: int
-    list_is_pushed: bool
-    legs_allowed: int
-    may_cancel: bool
-    come_back_limit: int
-    release_wait: int
-    cold_share: float
-    tip_multiple: float
-    tip_span: int
-    warm_after: int
+    fleet_index: int
+    own_server_number: int
+    endpoint_list_is_pushed: bool
+    max_attempts: int
+    can_cancel: bool
+    max_retry_after: int
+    release_delay: int
+    slow_start_fraction: float
+    overload_multiple: float
+    overload_window: int
+    slow_start_duration: int
 
 
 @dataclass(frozen=True, slots=True)
-class AttemptTerms:
-    """One dialog's terms for its legs and waits; spans in whole nanoseconds.
+class AttemptPolicy:
+    """How the attempts of one dialog are made; spans in whole nanoseconds.
 
-    `no_answer`, `leg_time_out`, `come_back` and `legs_in_all` 0: the caller's own, to the no-answer time, the
-    decisions' own, the fleet's. `legs` are attempts, the first among them; `legs_in_all` counts also those
-    that went on at once from a server without a free agent. `asked_wait_most` only bounds what is reckoned.
+    0 stands for: the caller's own `no_answer_timeout`; no `attempt_timeout` but the deadline; the policy's
+    own `retry_after`; the fleet's `max_total_attempts`. `max_attempts` counts the first one too;
+    `max_total_attempts` also those that went on at once from a server without a free agent.
+    `max_server_retry_after` only bounds what is computed of the longest course.
     """
 
-    legs: int
-    objective: int
-    no_answer: int
-    release_wait: int
-    retry_base: int
-    retry_cap: int
-    leg_time_out: int = 0
-    asked_wait_most: int = 0
-    come_back: int = 0
-    legs_in_all: int = 0
+    max_attempts: int
+    latency_objective: int
+    no_answer_timeout: int
+    release_delay: int
+    backoff_base: int
+    backoff_cap: int
+    attempt_timeout: int = 0
+    max_server_retry_after: int = 0
+    retry_after: int = 0
+    max_total_attempts: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetTerms:
-    """A far server's retry budget in thousandths of a token: its full count, and what a stand adds.
+class RetryBudgetConfig:
+    """A server's retry budget in thousandths of a token: its full count, and what an established dialog adds.
 
-    The source bounds both: 10 tokens or fewer, a fraction under a half. The threshold is no term.
+    The source (gRFC A6) bounds both: 10 tokens or fewer, a ratio under a half. The threshold is not
+    configurable.
     """
 
-    full: int
-    adds: int
+    max_tokens: int
+    token_ratio: int
 
 
 @dataclass(frozen=True, slots=True)
 class Dialog:
-    """A dialog handed to this edge proxy, which now owes it one final answer."""
+    """A dialog handed to this edge proxy, which must give it exactly one final answer by its deadline.
+
+    `was_interrupted`: it was established before and lost its server. `in_transit`: only the preferred server
+    will do.
+    """
 
     id: str
     traffic_type: str
-    no_answer_at: int
-    first_choice: int
+    deadline: int
+    preferred_server_number: int
     called_number: int = 0
-    was_cut: bool = False
+    was_interrupted: bool = False
     in_transit: bool = False
-    attempts: AttemptTerms | None = None
+    attempt_policy: AttemptPolicy | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """A server's state as last told; None where the deployment or the moment gives no figure."""
+class LoadReport:
+    """The load that a server reported; None where it gives no figure. `queue_delay` in nanoseconds."""
 
     free_lines: float | None = None
     lines: float | None = None
-    wait: int | None = None
+    queue_delay: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class LegResult:
-    """News of one leg; a leg that stands brings a second one when it ends."""
+class AttemptResult:
+    """The result of an attempt; an established one brings a second result when the dialog ends."""
 
     dialog_id: str
-    leg: int
+    attempt: int
     server: str
     outcome: Outcome
     delay: int = 0
-    asked_wait: int = 0
+    retry_after: int = 0
     dialog_closed: bool = False
-    report: Report | None = None
+    load_report: LoadReport | None = None
+
+
+# An attempt as (dialog id, number of the attempt from 0).
+AttemptKey = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
-    """One line of the server list; started_at 0 stands for long ago."""
+class Endpoint:
+    """One entry of the endpoint list; `started_at` 0 stands for long ago."""
 
     id: str
     number: int
@@ -147,135 +168,136 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leg:
-    """Send the dialog to a server; resumed with the LegResult."""
+class StartAttempt:
+    """Forward the dialog to a server; resumed with the AttemptResult, by the deadline at the latest."""
 
     server: str
-    until: int
+    deadline: int
 
 
 @dataclass(frozen=True, slots=True)
-class Pause:
-    """Wait; resumed with None once the span has passed."""
+class Delay:
+    """Wait; resumed with None once the duration has passed."""
 
-    span: int
+    duration: int
 
 
 @dataclass(frozen=True, slots=True)
-class Decline:
-    """Final answer: turned away, to come back after the span (0: no advice)."""
+class Reject:
+    """Final answer: rejected, with the duration after which to retry (0: no advice)."""
 
-    come_back: int = 0
+    retry_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Abort:
-    """Final answer: given up."""
+class Fail:
+    """Final answer: failed."""
 
 
 @dataclass(frozen=True, slots=True)
-class CancelLeg:
-    """Stop waiting for a leg of the dialog; its result still comes."""
+class CancelAttempt:
+    """Cancel an attempt of the dialog; its result still comes."""
 
-    leg: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the server list and its changes; resumed with the ListScope of the answer."""
+    """Ask for the endpoint list and its watch events; resumed with the EndpointUpdateKind of the answer."""
 
 
-Wish = Leg | Pause | Decline | Abort | Subscribe
-Answer = LegResult | ListScope | None
-Course = Generator[Wish, Answer, None]
+Action = StartAttempt | Delay | Reject | Fail | Subscribe
+ActionResult = AttemptResult | EndpointUpdateKind | None
+DialogFlow = Generator[Action, ActionResult, None]
 
 
 @dataclass(frozen=True, slots=True)
-class Alarm:
-    """Wake the driver after the span, naming the ref."""
+class Timer:
+    """Call the driver's `on_timer` with the id after the duration."""
 
-    span: int
-    ref: int
+    duration: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
-    """A wish made out to the dialog it is for, ready for the stack."""
+class DialogAction:
+    """An action with the dialog that it is for, ready for the signalling stack."""
 
     dialog_id: str
-    wish: Leg | CancelLeg | Decline | Abort
+    action: StartAttempt | CancelAttempt | Reject | Fail
 
 
-Command = Order | Alarm | Subscribe
+Command = DialogAction | Timer | Subscribe
 
 
 # Traffic across regions
 
 
 @dataclass(frozen=True, slots=True)
-class CrossingBudget:
-    """At most `legs` crossing legs of the whole fleet in any `window`, and `burst` at one moment.
+class CrossRegionBudget:
+    """At most `attempts` cross-region attempts of the whole fleet in any `window`, and `burst` at one moment.
 
-    `edges` share it, this one as number `place` of them; they tell each other nothing.
+    `edge_proxies` share it, this one with `fleet_index`; they exchange nothing.
     """
 
-    legs: int
+    attempts: int
     window: int
     burst: int
-    edges: int
-    place: int
+    edge_proxies: int
+    fleet_index: int
 
 
 @dataclass(frozen=True, slots=True)
-class CrossingClass:
-    """How one traffic type may cross. `budget` None: no limit; `pairs` have budgets of their own.
+class CrossRegionPolicy:
+    """How one traffic type may cross regions.
 
-    `urgent`: crosses at the first lack at home, may use the reserve, and past it goes on, as an overdraft.
+    `budget` None: no limit; `pairs` of regions have budgets of their own.
+    `urgent`: crosses as soon as the home region lacks capacity, may use the reserve, and beyond it overdraws.
     """
 
-    budget: CrossingBudget | None = None
-    pairs: dict[tuple[str, str], CrossingBudget] | None = None
+    budget: CrossRegionBudget | None = None
+    pairs: dict[tuple[str, str], CrossRegionBudget] | None = None
     urgent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class CrossingTerms:
-    """What may cross from this edge proxy's `home`, and how loosely the fleet's clocks agree.
+class CrossRegionConfig:
+    """What may cross from this edge proxy's `home_region`, and how far the fleet's clocks may differ.
 
-    A type that is not in `classes` never crosses. `keep_free`: the share of a server's lines that comers from
-    other regions leave to its own callers.
+    A type that is not in `policies` never crosses. `reserved_fraction` of a server's lines is left to callers
+    of its own region.
     """
 
-    home: str
-    classes: dict[str, CrossingClass]
-    reserve: CrossingBudget | None = None
+    home_region: str
+    policies: dict[str, CrossRegionPolicy]
+    reserve: CrossRegionBudget | None = None
     clock_skew: int = 0
-    keep_free: float = 0.0
+    reserved_fraction: float = 0.0
 
 
-class CrossingRule(Protocol):
-    """What the server rule asks before it sends a leg to another region, and tells after."""
+class CrossRegionRule(Protocol):
+    """What the server selection asks before an attempt goes to another region, and reports after."""
 
-    def is_away(self, region: str) -> bool:
-        """Whether a server of that region is across a border."""
+    def is_remote(self, region: str) -> bool:
+        """Whether the region is another one than the home region."""
 
-    def may_cross(
-        self, now: int, traffic_type: str, region: str, wait_share: float, free_share: float | None
+    def allows(
+        self, now: int, traffic_type: str, region: str, delay_fraction: float, free_fraction: float | None
     ) -> bool:
-        """Whether a leg of the type may go there now. Asking pays nothing.
+        """Whether an attempt of the type may go there now; asking costs nothing.
 
-        `wait_share`: the server's wait, against what this dialog may find; `free_share`: of its lines, if
-        told.
+        `delay_fraction`: the server's queue delay, of the longest accepted; `free_fraction`: of its lines, if
+        known.
         """
 
-    def looked(self, now: int, home_takes: bool) -> None:
-        """A dialog looked for a server: whether one at home could take it."""
+    def on_selection(self, now: int, home_available: bool) -> None:
+        """A server was selected for a dialog: whether one of the home region admits it."""
 
-    def sent(self, now: int, traffic_type: str, region: str, key: tuple[str, int]) -> None:
-        """A leg goes to that region, crossing or not; what it costs is paid here."""
+    def on_attempt_started(self, now: int, traffic_type: str, region: str, key: tuple[str, int]) -> None:
+        """An attempt goes to that region, crossing or not; what it costs is paid here."""
 
-    def refused(self, now: int, traffic_type: str) -> None:
-        """A dialog is declined though a server in another region would have taken it."""
+    def on_rejected(self, now: int, traffic_type: str) -> None:
+        """A dialog is rejected though a server in another region would have admitted it."""
 
-    def heard(self, now: int, result: LegResult) -> None:
-        """News of any leg; gives back what a leg that never left did not use."""
+    def on_attempt_result(self, now: int, result: AttemptResult) -> None:
+        """The result of any attempt; gives back what an attempt that was never sent did not use."""
--- /dev/null
+++ b/valverouter/policy/selection.py
@@ -0,0 +1,144 @@
+"""Selects the server of an attempt: the preferred one, else the shorter queue of two drawn by capacity."""
+
+from dataclasses import dataclass
+
+from valverouter.interface import CrossRegionRule, Deployment, Dialog, TrafficType
+from valverouter.policy import tuning
+from valverouter.policy.server_state import ServerState
+from valverouter.policy.server_table import ServerTable
+from valverouter.randomness import CounterRandom
+
+MIN_WEIGHT = 1e-9
+Rule = CrossRegionRule | None
+Servers = list[ServerState]
+
+
+@dataclass(slots=True)
+class Request:
+    """What a server is selected for, when, and the longest queue delay accepted."""
+
+    dialog: Dialog
+    traffic_type: TrafficType
+    now: int
+    is_priority: bool
+    max_queue_delay: int
+
+
+class ServerSelector:
+    """The server rule; `region_blocked`: the cross-region rule kept the last dialog from a server."""
+
+    def __init__(self, deployment: Deployment, table: ServerTable, random: CounterRandom, rule: Rule) -> None:
+        self.region_blocked = False
+        self.table = table
+        self._own_server_number = deployment.own_server_number
+        self._capacity = table.capacity
+        self._random = random
+        self._cross_region = rule
+        types = deployment.traffic_types
+        lowest = min(traffic_type.priority_weight for traffic_type in types.values())
+        self._priority_types = {name for name, kind in types.items() if kind.priority_weight > lowest}
+
+    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+        """A server that admits an attempt of the dialog, none of `tried` while another does; None: none."""
+        eligible = [
+            server
+            for server in self.table.servers.values()
+            if server.endpoint.in_service
+            and server.endpoint.number != self._own_server_number
+            and (kind.server_numbers is None or server.endpoint.number in kind.server_numbers)
+            and (not dialog.in_transit or server.endpoint.number == dialog.preferred_server_number)
+        ]
+        self.region_blocked = False
+        request = self._request(now, dialog, kind)
+        number = dialog.preferred_server_number
+        preferred = next((server for server in eligible if server.endpoint.number == number), None)
+        if preferred and preferred.endpoint.id not in tried and self._admits_in_region(preferred, request):
+            return self._take(preferred)
+        admitting = [server for server in eligible if self._admits(server, request)]
+        others = self._prefer_home([server for server in admitting if server is not preferred], request)
+        untried = [server for server in others if server.endpoint.id not in tried] or others
+        if preferred in admitting and not untried and preferred and self._region_allows(preferred, request):
+            # Tried by this dialog before, but the only one left.
+            untried = [preferred]
+        if not untried or not self._admits_spillover(admitting, others, request):
+            return None
+        return self._take(self._shorter_queue(untried, now))
+
+    def _request(self, now: int, dialog: Dialog, kind: TrafficType) -> Request:
+        policy = dialog.attempt_policy
+        objective = policy.latency_objective if policy else kind.latency_objective
+        is_priority = dialog.traffic_type in self._priority_types or dialog.was_interrupted
+        fraction = tuning.PRIORITY_DELAY_FRACTION
+        if not is_priority:
+            # Drawn per dialog so that a growing queue rejects a growing fraction, not all at one moment.
+            fraction = tuning.MIN_DELAY_FRACTION + tuning.DELAY_FRACTION_RANGE * self._random.draw()
+        return Request(dialog, kind, now, is_priority, int(objective * fraction))
+
+    def _admits(self, server: ServerState, request: Request) -> bool:
+        now = request.now
+        if now < server.no_agent_until or len(server.in_flight) >= server.window:
+            return False
+        if server.consecutive_failures and server.is_ejected(now, self._capacity.quota_interval(server)):
+            return False
+        return server.queue_delay(now) <= request.max_queue_delay and self.table.slow_start.has_slot(
+            server, now
+        )
+
+    def _admits_in_region(self, server: ServerState, request: Request) -> bool:
+        return self._admits(server, request) and self._region_allows(server, request)
+
+    def _take(self, server: ServerState) -> ServerState:
+        server.slot_used = int(server.slow_start_slots)
+        return server
+
+    def _prefer_home(self, admitting: Servers, request: Request) -> Servers:
+        rule, with_capacity = self._cross_region, [one for one in admitting if self._capacity.spare(one) > 0]
+        if rule is None:
+            return with_capacity
+        # Crossing costs time and the other region's lines. We know too little there to judge spare capacity.
+        home = [server for server in with_capacity if not rule.is_remote(server.endpoint.region)]
+        rule.on_selection(request.now, bool(home))
+        if home:
+            return home
+        remote = [server for server in admitting if rule.is_remote(server.endpoint.region)]
+        return [server for server in remote if self._region_allows(server, request)]
+
+    def _region_allows(self, server: ServerState, request: Request) -> bool:
+        rule, region, now = self._cross_region, server.endpoint.region, request.now
+        if rule is None:
+            return True
+        if not rule.is_remote(region):
+            rule.on_selection(now, True)
+            return True
+        free_fraction = 1 - server.busy_lines / server.lines if server.lines else None
+        delay_fraction = server.queue_delay(now) / max(1, request.max_queue_delay)
+        allowed = rule.allows(now, request.dialog.traffic_type, region, delay_fraction, free_fraction)
+        self.region_blocked |= not allowed
+        return allowed
+
+    def _admits_spillover(self, admitting: Servers, others: Servers, request: Request) -> bool:
+        # What many servers can't take overloads the few that can: only what fits spare capacity goes on.
+        if request.is_priority:
+            return True
+        rule = self._cross_region
+        if rule is not None and others and rule.is_remote(others[0].endpoint.region):
+            return True
+        numbers = {server.endpoint.number for server in admitting}
+        passed_over = self._capacity.load_elsewhere(numbers, request.traffic_type.server_numbers)
+        spare = sum(self._capacity.spare(server) for server in others)
+        return self._random.draw() * passed_over * tuning.SPILLOVER_FRACTION < spare
+
+    def _shorter_queue(self, servers: Servers, now: int) -> ServerState:
+        first = self._weighted_choice(servers)
+        second = self._weighted_choice([server for server in servers if server is not first] or servers)
+        return first if first.queue_delay(now) <= second.queue_delay(now) else second
+
+    def _weighted_choice(self, servers: Servers) -> ServerState:
+        # By spare capacity: drawn evenly, what large servers can't take would overload the small ones.
+        weights = [max(MIN_WEIGHT, self._capacity.spare(server)) for server in servers]
+        left = self._random.draw() * sum(weights)
+        for server, weight in zip(servers, weights, strict=True):
+            left -= weight
+            if left < 0:
+                return server
+        return servers[-1]
