--- /dev/null
+++ b/valverouter/policy/server_table.py
@@ -0,0 +1,158 @@
+"""The table of servers: takes endpoint updates, load reports and results into each server's state."""
+
+from collections.abc import Mapping, Sequence
+
+from valverouter.interface import AttemptKey, AttemptResult, Deployment, Endpoint, LoadReport, Outcome
+from valverouter.interface import EndpointUpdateKind as UpdateKind
+from valverouter.interface import RetryBudgetConfig as BudgetConfig
+from valverouter.policy import tuning
+from valverouter.policy.capacity import CapacityTracker, SlowStart
+from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
+from valverouter.policy.server_state import ServerState
+
+ANSWERED = (Outcome.ESTABLISHED, Outcome.ENDED, Outcome.LINE_BUSY, Outcome.FAULT)
+UNINFORMATIVE = (Outcome.NOT_SENT, Outcome.CANCELLED)
+DEFAULT_DURATION = 10 * tuning.SECOND
+
+
+class ServerTable:
+    """All listed servers by id; an entry is removed when the endpoint list drops it."""
+
+    def __init__(self, deployment: Deployment) -> None:
+        self._deployment = deployment
+        self.servers: dict[str, ServerState] = {}
+        self.capacity = CapacityTracker(deployment, self.servers)
+        self.slow_start = SlowStart(deployment, self.capacity)
+        # Retry budgets by server number where they are not the default; replaced as a whole.
+        self._budgets: Mapping[int, BudgetConfig] = {}
+        self._default_budget = DEFAULT_RETRY_BUDGET
+        self._no_agent_duration = tuning.NO_AGENT_DURATION * (self.capacity.mean_duration or DEFAULT_DURATION)
+        shortest = min(kind.latency_objective for kind in deployment.traffic_types.values())
+        self._prompt_latency = int(tuning.PROMPT_FRACTION * shortest)
+        self._max_prompt_latency = int(tuning.PROMPT_MAX_FRACTION * shortest)
+
+    def exclude_stall(self, stalled: int) -> None:
+        """Takes a stall of this process out of every age: it says nothing of the servers."""
+        for server in self.servers.values():
+            server.in_flight = {key: sent_at + stalled for key, sent_at in server.in_flight.items()}
+            server.latency_sampled_at += stalled
+            server.newest_established_sent_at += stalled
+
+    def update_endpoints(self, now: int, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
+        """Takes in endpoints; an update that is not incremental removes the servers that it leaves out."""
+        if kind is UpdateKind.FAILED:
+            return
+        if kind is not UpdateKind.INCREMENTAL:
+            listed = {endpoint.id for endpoint in endpoints}
+            for id_ in [id_ for id_ in self.servers if id_ not in listed]:
+                del self.servers[id_]
+        for endpoint in endpoints:
+            self._update_endpoint(now, endpoint)
+        for server in [
+            one for one in self.servers.values() if not one.endpoint.in_service and not one.in_flight
+        ]:
+            del self.servers[server.endpoint.id]
+        if kind is not UpdateKind.INCREMENTAL:
+            self.capacity.keep_only({server.endpoint.number for server in self.servers.values()})
+
+    def _update_endpoint(self, now: int, endpoint: Endpoint) -> None:
+        known = self.servers.get(endpoint.id)
+        if known and not (endpoint.in_service and endpoint.started_at != known.endpoint.started_at):
+            known.endpoint = endpoint
+            return
+        # A fresh start owes nothing to the process before it, its attempts included.
+        self.servers[endpoint.id] = server = ServerState(endpoint, now, self._budget_of(endpoint))
+        server.slow_start_slots = self._deployment.fleet_index / self._deployment.edge_proxies
+
+    def set_retry_budgets(self, by_number: Mapping[int, BudgetConfig], default: BudgetConfig) -> None:
+        """Sets the retry budgets by server number, and that of all other servers."""
+        self._budgets, self._default_budget = by_number, default
+        for server in self.servers.values():
+            server.budget.reconfigure(self._budget_of(server.endpoint))
+
+    def _budget_of(self, endpoint: Endpoint) -> BudgetConfig:
+        return self._budgets.get(endpoint.number, self._default_budget)
+
+    def update_load(self, now: int, server_id: str, report: LoadReport) -> None:
+        """Takes in a server's load report."""
+        server = self.servers.get(server_id)
+        if server is None:
+            return
+        if report.free_lines is not None:
+            self._update_free_agents(now, server, report.free_lines)
+        if report.lines and report.free_lines is not None:
+            server.lines = report.lines
+            server.busy_lines = report.lines - report.free_lines
+            if self.capacity.decayed_peak(server, now) < 1:
+                # Nothing is known, or no more than at the start.
+                self._record_peak(now, server)
+        if report.queue_delay is not None:
+            server.reported_queue_delay = report.queue_delay
+
+    def _update_free_agents(self, now: int, server: ServerState, free_lines: float) -> None:
+        if free_lines < 1:
+            server.no_agent_until = max(server.no_agent_until, now + int(self._no_agent_duration))
+            return
+        # One free line, reported to hundreds of edge proxies, brings that server hundreds of vain attempts.
+        interval = self.capacity.quota_interval(server)
+        recovery = (
+            self.capacity.line_sharers * tuning.NO_AGENT_RECOVERY_FRACTION * self.capacity.mean_duration
+        )
+        if not interval or free_lines >= recovery / interval:
+            server.no_agent_until = 0
+
+    def _record_peak(self, now: int, server: ServerState) -> None:
+        if self.slow_start.fraction(server, now) >= 1:
+            self.capacity.record_peak(server, now)
+
+    def on_attempt_result(self, now: int, result: AttemptResult) -> list[AttemptKey]:
+        """Learns from a result, also of an ended dialog; gives lost attempts, which are to cancel."""
+        server = self.servers.get(result.server)
+        if server is None:
+            return []
+        if result.load_report is not None:
+            self.update_load(now, result.server, result.load_report)
+        sent_at = server.in_flight.pop((result.dialog_id, result.attempt), None)
+        if sent_at is None or result.outcome in UNINFORMATIVE:
+            return []
+        if result.outcome is Outcome.NO_AGENT:
+            # About the lines, not the processor: the server is neither slow nor failing.
+            interval = tuning.NO_AGENT_INTERVALS * self.capacity.quota_interval(server)
+            server.no_agent_until = now + int(max(self._no_agent_duration, interval))
+        elif result.outcome in ANSWERED:
+            self._on_answer(now, server, result.outcome, sent_at)
+            return self._take_overtaken(server, sent_at) if result.outcome is Outcome.ESTABLISHED else []
+        elif result.outcome is not Outcome.TIMED_OUT or sent_at > server.newest_established_sent_at:
+            self._on_failure(now, server, sent_at)
+        return []
+
+    def _on_answer(self, now: int, server: ServerState, outcome: Outcome, sent_at: int) -> None:
+        latency = now - sent_at
+        server.consecutive_failures = 0
+        server.record_latency(latency, now, self.capacity.quota_interval(server))
+        if outcome is Outcome.ESTABLISHED:
+            server.min_latency = min(server.min_latency or latency, latency)
+            server.newest_established_sent_at = max(server.newest_established_sent_at, sent_at)
+        # A far region's answers are never prompt against a short objective, however idle its server, hence
+        # the least latency; a server that began congested shows a congested one, hence the limit on that.
+        multiple = tuning.PROMPT_MIN_LATENCY_MULTIPLE * server.min_latency
+        limit = max(self._prompt_latency, min(multiple, self._max_prompt_latency))
+        server.adjust_window(latency <= limit, sent_at, now)
+        if latency <= self._prompt_latency:
+            self._record_peak(now, server)
+
+    def _on_failure(self, now: int, server: ServerState, sent_at: int) -> None:
+        # The Retry-After of a full server binds the dialog that got it; for others our own latencies decide.
+        interval = self.capacity.quota_interval(server)
+        server.adjust_window(False, sent_at, now)
+        server.record_latency(max(now - sent_at, server.mean_latency), now, interval)
+        server.eject(now, interval)
+
+    def _take_overtaken(self, server: ServerState, sent_at: int) -> list[AttemptKey]:
+        # A server takes set-ups in order: an attempt sent well before one established now is lost.
+        if not self._deployment.can_cancel:
+            return []
+        lost = [key for key, at in server.in_flight.items() if at < sent_at - tuning.OVERTAKEN_MARGIN]
+        for key in lost:
+            del server.in_flight[key]
+        return lost
--- a/valverouter/recovery/decide.py
+++ b/valverouter/recovery/decide.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum, auto
 
-from valverouter.interface import AttemptTerms
+from valverouter.interface import AttemptPolicy
 from valverouter.recovery.course import Moment, Phase, Record, passed
 
 
@@ -97,14 +97,14 @@
             return Decision(Need.LET_GO, left, release_wait)
 
 
-def attempts_left(terms: AttemptTerms, used: int, allowed: int) -> AttemptTerms | None:
+def attempts_left(terms: AttemptPolicy, used: int, allowed: int) -> AttemptPolicy | None:
     """The terms of a dialog that goes on after `used` legs of a former self; None: none is left to it.
 
     Which of those were attempts and which went on from a server without a free agent is not on record: each
     counts as both, so that no restart lets out more legs than the fleet allows a dialog.
     """
-    legs = terms.legs - used
-    in_all = min(terms.legs_in_all or allowed, allowed) - used
+    legs = terms.max_attempts - used
+    in_all = min(terms.max_total_attempts or allowed, allowed) - used
     if legs <= 0 or in_all <= 0:
         return None
-    return replace(terms, legs=legs, legs_in_all=in_all) if used else terms
+    return replace(terms, max_attempts=legs, max_total_attempts=in_all) if used else terms
--- a/valverouter/regions/slots.py
+++ b/valverouter/regions/slots.py
@@ -14,13 +14,13 @@
 import math
 from dataclasses import replace
 
-from valverouter.interface import CrossingBudget
+from valverouter.interface import CrossRegionBudget
 
 
 class Slots:
     """One edge proxy's part of a budget. `_used` holds slots that are still open, and no others."""
 
-    def __init__(self, budget: CrossingBudget, skew: int, now: int) -> None:
+    def __init__(self, budget: CrossRegionBudget, skew: int, now: int) -> None:
         """Raises ValueError for a budget that can never send a leg; `why_never` says why. Burst 0: the
         best."""
         budget = settled(budget, skew)
@@ -36,9 +36,9 @@
 
     def open(self, now: int) -> int | None:
         """The oldest of our slots that is open and not used: it lapses first."""
-        found, step = None, self.budget.edges
+        found, step = None, self.budget.edge_proxies
         slot = now // self.spacing
-        slot -= (slot - self.budget.place) % step
+        slot -= (slot - self.budget.fleet_index) % step
         while slot * self.spacing > now - self.life and slot * self.spacing >= self._from:
             if slot not in self._used:
                 found = slot
@@ -62,29 +62,29 @@
         return len(self._used)
 
 
-def spacing(budget: CrossingBudget) -> int:
+def spacing(budget: CrossRegionBudget) -> int:
     """Nanoseconds from one slot of the fleet to the next; rounded up, so that no window gets one more."""
-    return -(-budget.window // (budget.legs - budget.burst + 1))
+    return -(-budget.window // (budget.attempts - budget.burst + 1))
 
 
-def life(budget: CrossingBudget, skew: int) -> int:
+def life(budget: CrossRegionBudget, skew: int) -> int:
     """How long a slot stays open, in nanoseconds."""
     return (budget.burst - 1) * spacing(budget) - 2 * skew
 
 
-def pace(budget: CrossingBudget) -> float:
+def pace(budget: CrossRegionBudget) -> float:
     """Legs a second that the whole fleet can send in the long run, when all have some to send."""
     return 1e9 / spacing(budget)
 
 
-def usable(budget: CrossingBudget, skew: int, wished: float) -> float:
+def usable(budget: CrossRegionBudget, skew: int, wished: float) -> float:
     """Of the slots, the share that finds a leg to send where each sharer wishes for `wished` a second, at
     random.
 
     A sharer whose slots overlap has them nearly always in hand; one whose turn comes seldom uses it only when
     something comes while it is open.
     """
-    own_turn = budget.edges * spacing(budget) / 1e9
+    own_turn = budget.edge_proxies * spacing(budget) / 1e9
     open_for = life(budget, skew) / 1e9
     if open_for <= 0 or wished <= 0:
         return 0.0
@@ -99,27 +99,27 @@
     return max(by_turn, 1 - full)
 
 
-def settled(budget: CrossingBudget, skew: int) -> CrossingBudget:
+def settled(budget: CrossRegionBudget, skew: int) -> CrossRegionBudget:
     """The budget with its burst, where none is given the one that uses most of it.
 
     A small burst paces many slots that lapse soon, a large one few that wait long for a leg. Reckoned for a
     fleet that wishes for just the budget, evenly; from the terms alone, so that all who share it reckon
     alike.
     """
-    if budget.burst or budget.legs < 2:
+    if budget.burst or budget.attempts < 2:
         return budget
-    wished = budget.legs * 1e9 / budget.window / budget.edges
-    tried = [replace(budget, burst=burst) for burst in range(2, budget.legs + 1)]
+    wished = budget.attempts * 1e9 / budget.window / budget.edge_proxies
+    tried = [replace(budget, burst=burst) for burst in range(2, budget.attempts + 1)]
     return max(tried, key=lambda one: pace(one) * usable(one, skew, wished))
 
 
-def why_never(budget: CrossingBudget, skew: int) -> str:
+def why_never(budget: CrossRegionBudget, skew: int) -> str:
     """Why a budget could never send one leg, or nothing."""
     budget = settled(budget, skew)
-    if not 1 <= budget.burst <= budget.legs:
-        return f"burst is {budget.burst}, must lie from 1 to the {budget.legs} legs of a window"
-    if not 0 <= budget.place < budget.edges:
-        return f"place {budget.place} is not among the {budget.edges} that share it"
+    if not 1 <= budget.burst <= budget.attempts:
+        return f"burst is {budget.burst}, must lie from 1 to the {budget.attempts} legs of a window"
+    if not 0 <= budget.fleet_index < budget.edge_proxies:
+        return f"place {budget.fleet_index} is not among the {budget.edge_proxies} that share it"
     if budget.burst < 2:
         return "burst is 1: a slot would lapse the moment it opens; 2 is the least"
     if life(budget, skew) <= 0:
--- a/valverouter/relayedge/buslink.py
+++ b/valverouter/relayedge/buslink.py
@@ -9,7 +9,7 @@
 from valverouter.edge.links import costs_this_alone
 from valverouter.edge.mail import Inbox
 from valverouter.edge.surroundings import READ, Surroundings
-from valverouter.interface import ListScope
+from valverouter.interface import EndpointUpdateKind
 from valverouter.relayedge import words
 from valverouter.relaywire.bus import Batch, BusSession, batch
 from valverouter.signalling.framing import ProtocolError
@@ -113,6 +113,6 @@
                 continue
             now = self._surroundings.wall()
             rows = [words.row(host, now) for host in event.topology.hosts]
-            scope = ListScope.WHOLE if event.topology.whole else ListScope.CHANGES
+            scope = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
             self._inbox.put_first(ListHeard(scope, rows))
         self.number = max(self.number, heard.offset)
--- a/valverouter/terms/attempts.py
+++ b/valverouter/terms/attempts.py
@@ -60,6 +60,19 @@
     name for name in AttemptKeys.__struct_fields__ if name not in (*ASKS, *BUDGET_SETS) and name not in FIXED
 )
 
+# The field of interface.AttemptPolicy that each setting gives; `server_share` is a fraction of the objective.
+POLICY_FIELDS = {
+    "legs": "max_attempts",
+    "legs_in_all": "max_total_attempts",
+    "objective": "latency_objective",
+    "no_answer": "no_answer_timeout",
+    "leg_time_out": "attempt_timeout",
+    "release_wait": "release_delay",
+    "retry_base": "backoff_base",
+    "retry_cap": "backoff_cap",
+    "come_back": "retry_after",
+}
+
 
 class AttemptSection(Struct, frozen=True):
     """One section with its place in the file; `lines` of its keys."""
--- a/valverouter/terms/crossing.py
+++ b/valverouter/terms/crossing.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.interface import CrossingBudget, CrossingClass, CrossingTerms
+from valverouter.interface import CrossRegionBudget, CrossRegionConfig, CrossRegionPolicy
 from valverouter.terms.ini import IniFile, LongSpan, Share, Span, Whole
 
 MS, SECOND = 10**6, 10**9
@@ -41,7 +41,7 @@
 
 def crossing_terms(
     ini: IniFile, home: str, place: int, edges: int, region_place: int, types: set[str]
-) -> CrossingTerms | None:
+) -> CrossRegionConfig | None:
     """What may cross from `home`; None where the file has no regions. Notes each flaw in the file."""
     regions = {name: ini.read(f"region {name}", Region) for name in ini.named("region")}
     names = [name.split() for name in ini.named("crossing")]
@@ -54,8 +54,8 @@
     here = at_home.edges if at_home else 0
     if at_home and not region_place < max(1, here):
         ini.flaw("edge", "region_place", f"{region_place} must be less than the {here} edges of {home}")
-    classes: dict[str, CrossingClass] = {}
-    pairs: dict[str, dict[tuple[str, str], CrossingBudget]] = {}
+    classes: dict[str, CrossRegionPolicy] = {}
+    pairs: dict[str, dict[tuple[str, str], CrossRegionBudget]] = {}
     skew = whole.clock_skew if whole else 0
     for words in names:
         section = f"crossing {' '.join(words)}"
@@ -89,12 +89,12 @@
             if one.legs == 0 and one.urgent:
                 ini.flaw(section, "legs", "0 and urgent contradict each other")
             if one.legs != 0:
-                classes[words[0]] = CrossingClass(budget, None, one.urgent)
+                classes[words[0]] = CrossRegionPolicy(budget, None, one.urgent)
     for name, of_type in pairs.items():
         if name not in classes:
             ini.flaw(f"crossing {name}", "", "missing: its pairs have budgets, the type has none", 0)
         else:
-            classes[name] = CrossingClass(classes[name].budget, of_type, classes[name].urgent)
+            classes[name] = CrossRegionPolicy(classes[name].budget, of_type, classes[name].urgent)
     urgent = [name for name, kind in classes.items() if kind.urgent]
     reserve = None
     if whole is not None:
@@ -102,16 +102,16 @@
             ini.flaw("crossing", "reserve", f"{', '.join(urgent)} is urgent, and there is no reserve for it")
         if whole.reserve:
             reserve = _budget(ini, "crossing", whole.reserve, whole.window, whole.burst, edges, place, skew)
-    return CrossingTerms(home, classes, reserve, skew, whole.keep_free if whole else 0.0)
+    return CrossRegionConfig(home, classes, reserve, skew, whole.keep_free if whole else 0.0)
 
 
 def _budget(
     ini: IniFile, section: str, legs: int | None, window: int, burst: int, edges: int, place: int, skew: int
-) -> CrossingBudget | None:
+) -> CrossRegionBudget | None:
     """A budget as it is shared here; notes one that could never send a leg at this fleet size."""
     if not legs:
         return None
-    budget = CrossingBudget(legs, window, burst, edges, place)
+    budget = CrossRegionBudget(legs, window, burst, edges, place)
     most = burst or legs
     if most > legs or most < 2:
         ini.flaw(section, "burst", f"{most} must lie from 2 to the {legs} legs of a window")
--- a/valverouter/terms/edge.py
+++ b/valverouter/terms/edge.py
@@ -9,7 +9,7 @@
 import trio
 from msgspec import Meta, Struct
 
-from valverouter.interface import CrossingTerms, Deployment, TrafficType
+from valverouter.interface import CrossRegionConfig, Deployment, TrafficType
 from valverouter.terms.attempts import AttemptSections, attempt_sections
 from valverouter.terms.between import Between, between_terms
 from valverouter.terms.crossing import crossing_terms
@@ -133,7 +133,7 @@
     deployment: Deployment
     links: Links
     log: Log
-    crossing: CrossingTerms | None = None
+    crossing: CrossRegionConfig | None = None
     accounts: str = ""
     attempts: AttemptSections = AttemptSections()
     ends: bool = False
@@ -216,26 +216,26 @@
     return Deployment(
         traffic_types={
             name: TrafficType(
-                objective=kind.objective,
-                importance=kind.importance,
-                length=kind.length,
-                repeatable=kind.repeatable,
+                latency_objective=kind.objective,
+                priority_weight=kind.importance,
+                mean_duration=kind.length,
+                idempotent=kind.repeatable,
                 server_numbers=frozenset(kind.servers) if kind.servers else None,
             )
             for name, kind in traffic.items()
         },
         edge_proxies=fleet.edge_proxies,
-        place=place,
-        own_number=-1,
-        list_is_pushed=fleet.list_is_pushed,
-        legs_allowed=fleet.legs_allowed,
-        may_cancel=fleet.may_cancel,
-        come_back_limit=fleet.come_back_limit,
-        release_wait=fleet.release_wait,
-        cold_share=fleet.cold_share,
-        tip_multiple=fleet.tip_multiple,
-        tip_span=fleet.tip_span,
-        warm_after=fleet.warm_after,
+        fleet_index=place,
+        own_server_number=-1,
+        endpoint_list_is_pushed=fleet.list_is_pushed,
+        max_attempts=fleet.legs_allowed,
+        can_cancel=fleet.may_cancel,
+        max_retry_after=fleet.come_back_limit,
+        release_delay=fleet.release_wait,
+        slow_start_fraction=fleet.cold_share,
+        overload_multiple=fleet.tip_multiple,
+        overload_window=fleet.tip_span,
+        slow_start_duration=fleet.warm_after,
     )
 
 
--- a/valverouter/wirehost/__main__.py
+++ b/valverouter/wirehost/__main__.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO
 
 from valverouter.driver import Driver
-from valverouter.interface import ServerEntry
+from valverouter.interface import Endpoint
 from valverouter.wirehost import codec
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self) -> None:
         self._proxies: dict[str, tuple[Driver, list[str]]] = {}
-        self._pages: dict[int, list[ServerEntry]] = {}
+        self._pages: dict[int, list[Endpoint]] = {}
 
     def reply(self, line: bytes) -> bytes:
         now, messages = codec.read_batch(line)
@@ -27,7 +27,7 @@
             try:
                 self._deliver(now, name, message)
                 known = self._proxies.get(message.proxyId)
-                commands = known[0].drain() if known else []
+                commands = known[0].take_commands() if known else []
             except codec.MalformedInputError:
                 raise
             except Exception as error:  # the wire asks for a fault by name, whatever the decisions raised
@@ -54,19 +54,19 @@
                 scope = codec.scope(message)
                 if message.scope != "X" and message.page not in self._pages:
                     raise codec.MalformedInputError(f"sync: page {message.page} was never sent")
-                driver.server_list(scope, self._pages[message.page] if message.scope != "X" else [])
+                driver.update_endpoints(scope, self._pages[message.page] if message.scope != "X" else [])
             case codec.Knock():
-                driver.dialog(codec.dialog(message))
+                driver.start_dialog(codec.dialog(message))
             case codec.Accepted():
-                driver.leg_result(codec.standing(message))
+                driver.on_attempt_result(codec.standing(message))
             case codec.AttemptEnd():
-                driver.leg_result(codec.leg_end(message, fields))
+                driver.on_attempt_result(codec.leg_end(message, fields))
             case codec.ClientGone():
-                driver.caller_gone(message.msgId)
+                driver.on_caller_gone(message.msgId)
             case codec.Fired():
-                driver.alarm(message.ref)
+                driver.on_timer(message.ref)
             case codec.HealthResult():
-                driver.report(message.server, codec.report(message.feedback, fields))
+                driver.update_load(message.server, codec.report(message.feedback, fields))
 
 
 def main(source: BinaryIO, sink: BinaryIO) -> int:
--- a/valverouter/wirehost/codec.py
+++ b/valverouter/wirehost/codec.py
@@ -9,20 +9,20 @@
 from msgspec import UNSET, Struct, UnsetType
 
 from valverouter.interface import (
-    Abort,
-    Alarm,
-    CancelLeg,
+    AttemptResult,
+    CancelAttempt,
     Command,
-    Decline,
     Dialog,
-    Leg,
-    LegResult,
-    ListScope,
-    Order,
+    DialogAction,
+    Endpoint,
+    EndpointUpdateKind,
+    Fail,
+    LoadReport,
     Outcome,
-    Report,
-    ServerEntry,
+    Reject,
+    StartAttempt,
     Subscribe,
+    Timer,
 )
 from valverouter.terms.options import MalformedInputError, Options, deployment
 
@@ -32,7 +32,12 @@
 MS = 1_000_000
 IN_TRANSIT, WAS_CUT = 8, 16
 NOTE_NO_AGENT, NOTE_LINE_BUSY = 1, 4
-SCOPES = {"D": ListScope.CHANGES, "F": ListScope.WHOLE, "C": ListScope.CACHED, "X": ListScope.FAILED}
+SCOPES = {
+    "D": EndpointUpdateKind.INCREMENTAL,
+    "F": EndpointUpdateKind.COMPLETE,
+    "C": EndpointUpdateKind.CACHED,
+    "X": EndpointUpdateKind.FAILED,
+}
 OUTCOMES = (
     Outcome.FAULT,
     Outcome.ENDED,
@@ -171,34 +176,36 @@
         yield held[0]
 
 
-def scope(message: Sync) -> ListScope:
+def scope(message: Sync) -> EndpointUpdateKind:
     try:
         return SCOPES[message.scope]
     except KeyError:
         raise MalformedInputError(f"sync: scope is {message.scope!r}") from None
 
 
-def entries(rows: list[Row]) -> list[ServerEntry]:
-    return [ServerEntry(r.server, r.number, r.phase == "in_service", r.readyAtUs * US) for r in rows]
+def entries(rows: list[Row]) -> list[Endpoint]:
+    return [Endpoint(r.server, r.number, r.phase == "in_service", r.readyAtUs * US) for r in rows]
 
 
 def dialog(message: Knock) -> Dialog:
     return Dialog(
         id=message.msgId,
         traffic_type=message.priority,
-        no_answer_at=message.dropDeadUs * US,
-        first_choice=message.dest,
+        deadline=message.dropDeadUs * US,
+        preferred_server_number=message.dest,
         called_number=message.nameKey,
-        was_cut=bool(message.flags & WAS_CUT),
+        was_interrupted=bool(message.flags & WAS_CUT),
         in_transit=bool(message.flags & IN_TRANSIT),
     )
 
 
-def standing(message: Accepted) -> LegResult:
-    return LegResult(message.msgId, message.n, message.server, Outcome.STANDS, message.durationUs * US)
+def standing(message: Accepted) -> AttemptResult:
+    return AttemptResult(
+        message.msgId, message.n, message.server, Outcome.ESTABLISHED, message.durationUs * US
+    )
 
 
-def leg_end(message: AttemptEnd, fields: list[str]) -> LegResult:
+def leg_end(message: AttemptEnd, fields: list[str]) -> AttemptResult:
     if not 0 <= message.result < len(OUTCOMES):
         raise MalformedInputError(f"attemptEnd: result is {message.result}")
     outcome = OUTCOMES[message.result]
@@ -206,41 +213,41 @@
         outcome = Outcome.LINE_BUSY
     if outcome is Outcome.FULL and message.why % 16 == NOTE_NO_AGENT:
         outcome = Outcome.NO_AGENT
-    return LegResult(
+    return AttemptResult(
         dialog_id=message.msgId,
-        leg=message.n,
+        attempt=message.n,
         server=message.server,
         outcome=outcome,
         delay=message.durationUs * US,
-        asked_wait=message.why // 16 * MS if outcome is Outcome.FULL and message.why % 16 == 3 else 0,
+        retry_after=message.why // 16 * MS if outcome is Outcome.FULL and message.why % 16 == 3 else 0,
         dialog_closed=message.closed,
-        report=report(message.feedback, fields),
+        load_report=report(message.feedback, fields),
     )
 
 
-def report(row: list[float], fields: list[str]) -> Report:
+def report(row: list[float], fields: list[str]) -> LoadReport:
     told = {name: value for name, value in zip(fields, row, strict=False) if value >= 0}
     wait = told.get("recent_ms")
-    return Report(
+    return LoadReport(
         free_lines=told.get("idle"),
         lines=told.get("circuits"),
-        wait=None if wait is None else round(wait * MS),
+        queue_delay=None if wait is None else round(wait * MS),
     )
 
 
 def step(proxy: str, command: Command) -> dict[str, Any]:
     """One command as an action of the wire; microseconds are rounded so that no wait gets shorter."""
     match command:
-        case Order(dialog_id=id_, wish=Leg(server=server, until=until)):
+        case DialogAction(dialog_id=id_, action=StartAttempt(server=server, deadline=until)):
             body = {"proxyId": proxy, "msgId": id_, "server": server, "untilUs": until // US}
             return {"forward": body}
-        case Order(dialog_id=id_, wish=Decline(come_back=come_back)):
+        case DialogAction(dialog_id=id_, action=Reject(retry_after=come_back)):
             return {"notNow": {"proxyId": proxy, "msgId": id_, "coolDownUs": come_back // US}}
-        case Order(dialog_id=id_, wish=CancelLeg(leg=leg)):
+        case DialogAction(dialog_id=id_, action=CancelAttempt(attempt=leg)):
             return {"dropAttempt": {"proxyId": proxy, "msgId": id_, "n": leg}}
-        case Order(dialog_id=id_, wish=Abort()):
+        case DialogAction(dialog_id=id_, action=Fail()):
             return {"surrender": {"proxyId": proxy, "msgId": id_}}
-        case Alarm(span=span, ref=ref):
+        case Timer(duration=span, timer_id=ref):
             return {"setAlarm": {"proxyId": proxy, "spanUs": -(-span // US), "ref": ref}}
         case Subscribe():
             return {"watch": {"proxyId": proxy, "enable": True}}
