--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -457,7 +457,8 @@
         out = [one for one in self.fleet.values() if one.turn is not None]
         if len(out) > self.limits.max_unavailable:
             raise Broken(
-                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, {self.limits.max_unavailable} may be"
+                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, "
+                f"{self.limits.max_unavailable} may be"
             )
         for region in {one.facts.region for one in out}:
             here = sum(one.facts.region == region for one in out)
