--- a/valverouter/fleet/raft_membership.py
+++ b/valverouter/fleet/raft_membership.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from valverouter.rollout.control_plane_node import ControlPlaneNode
+from valverouter.rollout.raft_membership import MembershipChangeError
 
 
 class RaftMembershipReconciler:
@@ -39,10 +40,11 @@
 
     def _propose_change(self, now: int, name: str, disk_id: int, is_member: bool) -> None:
         raft = self._node.raft
-        rejection = (
-            raft.change_membership(now, name, None)
-            if is_member
-            else raft.change_membership(now, "", (name, disk_id))
-        )
-        if not rejection:
-            self._log.warning("raft-membership-changed", seat_named=name, disk=f"{disk_id:016x}")
+        try:
+            if is_member:
+                raft.change_membership(now, name, None)
+            else:
+                raft.change_membership(now, "", (name, disk_id))
+        except MembershipChangeError:
+            return
+        self._log.warning("raft-membership-changed", seat_named=name, disk=f"{disk_id:016x}")
