--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -350,7 +350,7 @@
                     StepStatus.FAILED,
                 ):
                     assert held is not None, (order.id, name, member)
-                    assert held.number == member.fencing_token, (order.id, name, member)
+                    assert held.number == member.permit_number, (order.id, name, member)
             if order.phase is OperationPhase.ENDED:
                 assert order.result in ("done", "in part", "halted")
                 assert not {m.status for m in order.participants.values()} & {
@@ -531,7 +531,7 @@
     want = DesiredState("v1", True, 7, 0)
     for told, expected in ((("", (7, 0)), False), (("done", (6, 0)), False), (("done", (7, 0)), True)):
         outcome, (number, step) = told
-        watch.record_report(0, report("e0", fencing_token=number, step_index=step, outcome=outcome), 0)
+        watch.record_report(0, report("e0", permit_number=number, step_index=step, outcome=outcome), 0)
         assert watch.is_ready("e0", want, 0, lambda name: False) is expected
 
 
@@ -549,11 +549,11 @@
             incarnation=1, serving=True, ready=True, view_health=counts.get("trust", "settled")
         )
         facts = InstanceInfo(name, unit.kind, unit.region, unit.capacity, 0.0, ("v1", "v2"))
-        done = "done" if want.fencing_token else ""
+        done = "done" if want.permit_number else ""
         one.record_report(
             now,
             SupervisorReport(
-                facts, want.version, True, want.fencing_token, want.step_index, done, counters=told
+                facts, want.version, True, want.permit_number, want.step_index, done, counters=told
             ),
             now,
         )
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -56,7 +56,7 @@
     with trio.fail_after(20):
         while True:
             shown = await rig.status()
-            if shown is not None and any(unit.operation_id == order for unit in shown.instances):
+            if shown is not None and any(unit.operation == order for unit in shown.instances):
                 return shown
             await trio.sleep(0.05)
 
@@ -199,7 +199,7 @@
             await trio.sleep(5)
             shown = await rig.status()
             assert shown is not None
-            assert not any(unit.operation_id == "one" for unit in shown.instances)
+            assert not any(unit.operation == "one" for unit in shown.instances)
             assert sum(unit.state == "away" for unit in shown.instances) == 3
             for name in ("k1", "k3", "k5"):
                 rig.start(name)
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -93,17 +93,17 @@
         return
     if told["no_wait"]:
         return
-    _follow(told["file"], place.operation_id, told["as_json"])
+    _follow(told["file"], place.id, told["as_json"])
 
 
 def _place(file: Path, place: Submit, dry_run: bool = False) -> SubmitResult:
     """Placed, or planned alone; ends with REFUSED or UNKNOWN where it was not. Its id is told before it is
     sent, so that it can be taken up whatever becomes of this tool."""
     if not dry_run:
-        console.print(f"order {place.operation_id}", highlight=False)
+        console.print(f"order {place.id}", highlight=False)
     placed = _ask(file, RequestKind.PLAN if dry_run else RequestKind.EXECUTE, place, SubmitResult)
     if placed is None:
-        _unknown(place.operation_id)
+        _unknown(place.id)
     if placed.rejection:
         console.print(f"refused: {placed.rejection}", highlight=False, soft_wrap=True)
         sys.exit(REFUSED)
@@ -233,7 +233,7 @@
     place = Submit(f"{order}-back", OperationKind.RELEASE, names, former.pop(), _wall(), "tool")
     _place(file, place)
     if not no_wait:
-        _follow(file, place.operation_id, as_json)
+        _follow(file, place.id, as_json)
 
 
 @click.command("retire")
@@ -373,7 +373,7 @@
 def _members(order: OperationStatus) -> None:
     table = _table("instance", "step", "permit", "why")
     for member in order.participants:
-        table.add_row(member.name, member.status, str(member.fencing_token or ""), member.reason)
+        table.add_row(member.name, member.status, str(member.permit_number or ""), member.reason)
     console.print(table, highlight=False)
 
 
@@ -408,7 +408,7 @@
     if odd:
         table = _table("instance", "region", "state", "runs", "wanted", "by")
         for unit in odd:
-            by = f"{unit.operation_id} ({unit.fencing_token})" if unit.fencing_token else ""
+            by = f"{unit.operation} ({unit.permit_number})" if unit.permit_number else ""
             table.add_row(unit.name, unit.region, unit.state, unit.running_version, unit.desired_version, by)
         console.print(table, highlight=False)
     for order in shown.operations:
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -349,7 +349,7 @@
                 os.kill(pid, signal.SIGKILL)
         self._read_logs()
         for one in orders:
-            members = {m.name: (m.status, m.fencing_token, m.previous_version) for m in one.participants}
+            members = {m.name: (m.status, m.permit_number, m.previous_version) for m in one.participants}
             self.world.tap.row(
                 Ordered,
                 order=one.id,
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -108,7 +108,7 @@
         if order.phase is not OperationPhase.EVALUATING:
             return []
         looked = self._canary
-        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.evaluation_stage):
+        if looked is None or (looked.operation, looked.stage) != (order.id, order.evaluation_stage):
             counts = {name: seen.report.counters for name, seen in self.readiness.observations.items()}
             self._canary = CanaryWindow(
                 order.id,
@@ -150,7 +150,7 @@
         if order.phase is not OperationPhase.EVALUATING:
             return []
         looked = self._canary
-        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.evaluation_stage):
+        if looked is None or (looked.operation, looked.stage) != (order.id, order.evaluation_stage):
             self._canary = CanaryWindow(
                 order.id,
                 order.evaluation_stage,
@@ -386,7 +386,7 @@
         if not keeping.state.steps:
             return
         last = keeping.state.steps[-1]
-        turn = last.fencing_token, last.index
+        turn = last.permit_number, last.index
         if last.reason == "of a former memory":
             return
         if not last.outcome and one.turn != turn:
@@ -471,7 +471,7 @@
 
     def order(self, place: Submit, tries: int = 10) -> None:
         """Told to all seats until one answers: the tool may be killed after any of them."""
-        if place.operation_id in self.answers or not tries:
+        if place.id in self.answers or not tries:
             return
         for machine in self.seats.values():
             self._send("tool", machine.name, self._ordered, machine, place)
@@ -485,10 +485,10 @@
         self._after(machine)
 
     def _answers(self, machine: Machine, place: Submit) -> None:
-        if machine.seat is not None and place.operation_id in machine.seat.answers:
-            answer = machine.seat.answers[place.operation_id]
+        if machine.seat is not None and place.id in machine.seat.answers:
+            answer = machine.seat.answers[place.id]
             assert isinstance(answer, SubmitResult)
-            self.answers.setdefault(place.operation_id, answer)
+            self.answers.setdefault(place.id, answer)
 
     def stop_order(self, order: str, why: str, tries: int = 5) -> None:
         for machine in self.seats.values():
@@ -534,9 +534,7 @@
         place = Submit(f"o{self.found.total()}", kind, tuple(names), version)
         self.order(place, chance.randint(1, 6))
         if chance.random() < 0.2:
-            self.at(
-                self.now + int(chance.uniform(1, 20) * SECOND), self.stop_order, place.operation_id, "by hand"
-            )
+            self.at(self.now + int(chance.uniform(1, 20) * SECOND), self.stop_order, place.id, "by hand")
         if chance.random() < 0.1:
             self.at(self.now + int(chance.uniform(10, 40) * SECOND), self.order, place)
 
@@ -608,7 +606,7 @@
         for name, member in order.participants.items():
             one = self.fleet[name]
             told = member.status in (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
-            if told and not one.lost_disk and not any(turn[0] == member.fencing_token for turn in one.done):
+            if told and not one.lost_disk and not any(turn[0] == member.permit_number for turn in one.done):
                 raise Broken(f"{name} is told as {member.status.value} by {order.id}, and has not done it")
         if order.kind is OperationKind.RELEASE and order.result == "halted":
             later = any(one.submitted_at_ms > order.submitted_at_ms for one in orders)
--- a/valverouter/fleet/client_requests.py
+++ b/valverouter/fleet/client_requests.py
@@ -77,7 +77,7 @@
 
     def _result_of(self, command: Command) -> Any:
         if isinstance(command, Submit):
-            return self._node.answers.get(command.operation_id)
+            return self._node.answers.get(command.id)
         return DONE
 
     def _show(self, source: str, request: ClientRequest, book: OperationLog) -> None:
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -160,9 +160,9 @@
         if self.supervisor.on_desired_state(monotonic_ns(), desired, message.is_open):
             self._log.info(
                 "step-started",
-                number=desired.fencing_token,
+                number=desired.permit_number,
                 step=desired.step_index,
-                order=desired.operation_id,
+                order=desired.operation,
                 version=desired.version,
                 up=desired.up,
             )
@@ -200,7 +200,7 @@
 
     def _permit_number(self) -> int:
         steps = self.supervisor.state.steps
-        return steps[-1].fencing_token if steps else 0
+        return steps[-1].permit_number if steps else 0
 
     def _log_outcome(self) -> None:
         """Log the outcome of the latest step once."""
@@ -208,12 +208,12 @@
         if not steps or not steps[-1].outcome:
             return
         step = steps[-1]
-        outcome = step.fencing_token, step.index, step.outcome
+        outcome = step.permit_number, step.index, step.outcome
         if outcome != self._logged_outcome:
             self._logged_outcome = outcome
             self._log.info(
                 "step-ended",
-                number=step.fencing_token,
+                number=step.permit_number,
                 step=step.index,
                 outcome=step.outcome,
                 why=step.reason,
--- a/valverouter/rollout/control_plane_node.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -134,7 +134,7 @@
                 self.operation_log.permits.unavailable.get(name),
             )
             if want is not None:
-                is_open = held is not None and held.number == want.fencing_token
+                is_open = held is not None and held.number == want.permit_number
                 answer(DesiredStateReply(name, want, is_open, self._now))
 
         return self._ask(say)
@@ -143,7 +143,7 @@
         """A tool's. Whether this seat leads; agreed on or not, the tool asks again by the command's id."""
         self._now = now
         if isinstance(command, Submit):
-            self.answers.pop(command.operation_id, None)
+            self.answers.pop(command.id, None)
         done = self.is_leader and self.raft.propose(now, command)
         self._after()
         return done
@@ -182,7 +182,6 @@
     def _apply(self, index: int, what: Command) -> None:
         answer = self.operation_log.apply(index, what)
         if answer is not None:
-            key = answer.operation_id if isinstance(answer, SubmitResult) else answer.id
-            self.answers[key] = answer
+            self.answers[answer.id] = answer
             if len(self.answers) > MAX_PENDING_READS:
                 del self.answers[next(iter(self.answers))]
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -80,12 +80,12 @@
     Struct,
     frozen=True,
     tag="Place",
-    rename={"operation_id": "id", "instances": "names", "submitted_at_ms": "at", "submitted_by": "by"},
+    rename={"instances": "names", "submitted_at_ms": "at", "submitted_by": "by"},
 ):
     """An order. `id` is its own: placed again, it is the same order. `at`: wall time in ms, to be shown and
     for nothing else. `dry`: nothing is placed, the plan is told."""
 
-    operation_id: str
+    id: str
     kind: OperationKind
     instances: tuple[str, ...]
     version: str = ""
@@ -97,27 +97,21 @@
     Struct,
     frozen=True,
     tag="Went",
-    rename={
-        "instance": "name",
-        "operation_id": "order",
-        "fencing_token": "number",
-        "status": "step",
-        "reason": "why",
-    },
+    rename={"operation": "order", "permit_number": "number", "status": "step", "reason": "why"},
 ):
     """What became of an instance, as it told; `number`: of its permit, 0 where it has none yet."""
 
-    operation_id: str
-    instance: str
-    fencing_token: int
+    operation: str
+    name: str
+    permit_number: int
     status: StepStatus
     reason: str = ""
 
 
-class Advance(Struct, frozen=True, tag="Next", rename={"operation_id": "order"}):
+class Advance(Struct, frozen=True, tag="Next", rename={"operation": "order"}):
     """The evidence lets the wave after `wave` go."""
 
-    operation_id: str
+    operation: str
     wave: int
 
 
@@ -125,12 +119,12 @@
     Struct,
     frozen=True,
     tag="Stop",
-    rename={"operation_id": "order", "reason": "why", "roll_back": "back", "cancelled_at_ms": "at"},
+    rename={"operation": "order", "reason": "why", "roll_back": "back", "cancelled_at_ms": "at"},
 ):
     """Nothing further goes out by the order (empty: by any), and what is out comes in. `back`: what was
     released returns to its former version as well."""
 
-    operation_id: str
+    operation: str
     reason: str
     roll_back: bool = True
     cancelled_at_ms: int = 0
@@ -140,54 +134,49 @@
     Struct,
     frozen=True,
     tag="Runs",
-    rename={
-        "instance": "name",
-        "available_versions": "versions",
-        "fencing_token": "number",
-        "step_index": "step",
-    },
+    rename={"available_versions": "versions", "permit_number": "number", "step_index": "step"},
 ):
     """An instance tells which version it runs, and which its keeper can start; the highest turn that its
     keeper has begun, and whether it is to be up by that."""
 
-    instance: str
+    name: str
     version: str
     available_versions: tuple[str, ...]
-    fencing_token: int = 0
+    permit_number: int = 0
     step_index: int = 0
     up: bool = True
 
 
-class Retire(Struct, frozen=True, tag="Retire", rename={"instance": "name"}):
+class Retire(Struct, frozen=True, tag="Retire"):
     """An instance that is no part of the fleet any more."""
 
-    instance: str
+    name: str
 
 
 Command = PermitCommand | Submit | StepReported | Advance | Cancel | InstanceReported | Retire
 
 
 class DesiredState(
-    Struct, frozen=True, rename={"fencing_token": "number", "step_index": "step", "operation_id": "order"}
+    Struct, frozen=True, rename={"permit_number": "number", "step_index": "step", "operation": "order"}
 ):
     """What an instance should be. `number`, `step`: the turn that made it so; (0, 0): as it was found."""
 
     version: str
     up: bool = True
-    fencing_token: int = 0
+    permit_number: int = 0
     step_index: int = 0
-    operation_id: str = ""
+    operation: str = ""
 
     @property
     def step_id(self) -> tuple[int, int]:
-        return self.fencing_token, self.step_index
+        return self.permit_number, self.step_index
 
 
 class Participant(
     Struct,
     rename={
         "status": "step",
-        "fencing_token": "number",
+        "permit_number": "number",
         "permit_requests": "tries",
         "previous_version": "former",
         "reason": "why",
@@ -196,7 +185,7 @@
     """An instance in an order. `tries`: how often it asked for leave; `former`: its version before."""
 
     status: StepStatus = StepStatus.PENDING
-    fencing_token: int = 0
+    permit_number: int = 0
     permit_requests: int = 0
     previous_version: str = ""
     reason: str = ""
@@ -257,10 +246,10 @@
         )
 
 
-class SubmitResult(Struct, frozen=True, rename={"operation_id": "id", "rejection": "why"}):
+class SubmitResult(Struct, frozen=True, rename={"rejection": "why"}):
     """To a Place: the order's waves, or why it is refused."""
 
-    operation_id: str
+    id: str
     waves: tuple[tuple[str, ...], ...] = ()
     rejection: str = ""
 
@@ -272,7 +261,7 @@
         "desired": "wants",
         "available_versions": "versions",
         "operations": "orders",
-        "fencing_token_offset": "base",
+        "permit_number_offset": "base",
     },
 ):
     """The state: permits, what is wanted of whom, and the orders in the order in which they were placed."""
@@ -283,11 +272,11 @@
     operations: dict[str, Operation] = field(default_factory=dict)
     # Permits' numbers are places in the record and this: a council that was founded anew, its former record
     # lost, must not give a number again that a keeper or the list has seen.
-    fencing_token_offset: int = 0
+    permit_number_offset: int = 0
 
     def apply(self, index: int, command: Command) -> PermitDecision | SubmitResult | None:
         """The command at a place of the record."""
-        number = index + self.fencing_token_offset
+        number = index + self.permit_number_offset
         match command:
             case Submit():
                 return self._place(command)
@@ -316,18 +305,18 @@
             dict(self.desired),
             dict(self.available_versions),
             {name: order.copy() for name, order in self.operations.items()},
-            self.fencing_token_offset,
+            self.permit_number_offset,
         )
 
     def _runs(self, number: int, told: InstanceReported) -> None:
-        self.fencing_token_offset += max(0, told.fencing_token - number)
-        self.available_versions[told.instance] = told.available_versions
-        if told.instance in self.desired:
+        self.permit_number_offset += max(0, told.permit_number - number)
+        self.available_versions[told.name] = told.available_versions
+        if told.name in self.desired:
             return
-        self.desired[told.instance] = DesiredState(told.version, told.up, told.fencing_token, told.step_index)
-        if not told.up and told.fencing_token:
+        self.desired[told.name] = DesiredState(told.version, told.up, told.permit_number, told.step_index)
+        if not told.up and told.permit_number:
             # Drained by a council that is no more: it stays so, and can be brought back.
-            self.permits.unavailable[told.instance] = Permit(told.fencing_token, told.instance, "")
+            self.permits.unavailable[told.name] = Permit(told.permit_number, told.name, "")
 
     # What is asked of it
 
@@ -350,27 +339,25 @@
         """The waves of an order as it would be placed now, or why it would be refused whole."""
         why = self._flaw(place)
         if why:
-            return SubmitResult(place.operation_id, (), why)
+            return SubmitResult(place.id, (), why)
         if place.kind is OperationKind.UNDRAIN:
-            return SubmitResult(place.operation_id, (place.instances,))
+            return SubmitResult(place.id, (place.instances,))
         units = list(self.permits.instances.values())
         sort = self.permits.instances[place.instances[0]].kind
         limits = self.permits.limits.get(sort)
         if limits is None:
-            return SubmitResult(
-                place.operation_id, (), f"no limits are told for {sort.plural}, so none may go out"
-            )
+            return SubmitResult(place.id, (), f"no limits are told for {sort.plural}, so none may go out")
         flaws = find_unsatisfiable_limits(limits, sort, units)
         if flaws:
-            return SubmitResult(place.operation_id, (), f"by these limits: {flaws[0]}")
+            return SubmitResult(place.id, (), f"by these limits: {flaws[0]}")
         try:
             # Planned for a whole fleet: who is out at this moment holds a wave up and does not change it.
             made = plan_waves(limits, units, (), list(place.instances))
             if place.kind is OperationKind.DRAIN:
                 self._stays_out(place)
         except ValueError as flaw:
-            return SubmitResult(place.operation_id, (), str(flaw))
-        return SubmitResult(place.operation_id, tuple(tuple(wave) for wave in made))
+            return SubmitResult(place.id, (), str(flaw))
+        return SubmitResult(place.id, tuple(tuple(wave) for wave in made))
 
     def _flaw(self, place: Submit) -> str:
         if not place.instances:
@@ -428,10 +415,10 @@
     # Orders
 
     def _place(self, place: Submit) -> SubmitResult:
-        known = self.operations.get(place.operation_id)
+        known = self.operations.get(place.id)
         if known is not None:
             # Told again, a day later too: the same order, and not once more.
-            return SubmitResult(place.operation_id, tuple(tuple(wave) for wave in known.waves))
+            return SubmitResult(place.id, tuple(tuple(wave) for wave in known.waves))
         plan = self.plan(place)
         if plan.rejection:
             return plan
@@ -440,7 +427,7 @@
             for name in place.instances
         }
         order = Operation(
-            place.operation_id,
+            place.id,
             place.kind,
             place.version,
             place.submitted_at_ms,
@@ -449,7 +436,7 @@
             members,
             evaluation_waves(plan.waves) if place.kind is OperationKind.RELEASE else [],
         )
-        self.operations[place.operation_id] = order
+        self.operations[place.id] = order
         ended = [one.id for one in self.operations.values() if one.phase is OperationPhase.ENDED]
         for old in ended[: max(0, len(ended) - MAX_ENDED_OPERATIONS)]:
             del self.operations[old]
@@ -463,7 +450,7 @@
         ended."""
         order.phase = OperationPhase.RUNNING
         for name, member in order.participants.items():
-            member.fencing_token, member.status = self._number(name), StepStatus.OUT
+            member.permit_number, member.status = self._number(name), StepStatus.OUT
             self._want(name, member, 1, member.previous_version, True, order.id)
 
     def _begin(self) -> None:
@@ -476,7 +463,7 @@
                 order.phase = OperationPhase.RUNNING
 
     def _want(self, name: str, member: Participant, step: int, version: str, up: bool, order: str) -> None:
-        self.desired[name] = DesiredState(version, up, member.fencing_token, step, order)
+        self.desired[name] = DesiredState(version, up, member.permit_number, step, order)
 
     def _ask(self, number: int, ask: RequestPermit) -> PermitDecision | None:
         order = self.operations.get(ask.operation)
@@ -499,7 +486,7 @@
         if answer.permit is None:
             member.reason = answer.rejection
             return answer
-        member.fencing_token, member.reason = answer.permit.number, ""
+        member.permit_number, member.reason = answer.permit.number, ""
         if order.phase is OperationPhase.ROLLING_BACK:
             member.status = StepStatus.OUT
             self._want(ask.name, member, 1, member.previous_version, True, order.id)
@@ -531,7 +518,7 @@
             if (
                 order.phase is not OperationPhase.ENDED
                 and member
-                and member.fencing_token == permit
+                and member.permit_number == permit
                 and permit
             ):
                 self._came_in(order, name, member)
@@ -548,21 +535,21 @@
         self._forward(order)
 
     def _went(self, went: StepReported) -> None:
-        order = self.operations.get(went.operation_id)
-        member = order.participants.get(went.instance) if order else None
+        order = self.operations.get(went.operation)
+        member = order.participants.get(went.name) if order else None
         if order is None or member is None or order.phase is OperationPhase.ENDED:
             return
         if went.status is StepStatus.UNREACHABLE:
             if member.status is StepStatus.PENDING:
                 member.status, member.reason = StepStatus.UNREACHABLE, went.reason
         elif (
-            member.fencing_token == went.fencing_token
-            and went.fencing_token
+            member.permit_number == went.permit_number
+            and went.permit_number
             and member.status in (StepStatus.OUT, StepStatus.FAILED)
         ):
             if went.status is StepStatus.FAILED:
                 member.status, member.reason = StepStatus.FAILED, went.reason
-            elif went.status is StepStatus.DRAINED and not self.desired[went.instance].up:
+            elif went.status is StepStatus.DRAINED and not self.desired[went.name].up:
                 member.status = StepStatus.DRAINED
         self._forward(order)
 
@@ -621,7 +608,7 @@
     def _turn_back(self, order: Operation, name: str, member: Participant) -> None:
         """It is out: it comes up as it was, by its permit's second step."""
         want = self.desired.get(name)
-        if want is not None and want.step_id < (member.fencing_token, 1):
+        if want is not None and want.step_id < (member.permit_number, 1):
             member.status = StepStatus.OUT
             self._want(name, member, 1, member.previous_version, True, order.id)
 
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -67,7 +67,7 @@
 class CanaryWindow:
     """The evidence of a stage: from one watch to the end of the next, while waves go too."""
 
-    operation_id: str
+    operation: str
     stage: int
     started_at: int
     evidence: CanaryEvidence
@@ -133,7 +133,7 @@
                         name,
                         told.version,
                         facts.available_versions,
-                        told.fencing_token,
+                        told.permit_number,
                         told.step_index,
                         told.up,
                     )
@@ -240,7 +240,7 @@
                     else seen.report.unexpected_exits
                 )
                 total += max(0, seen.report.unexpected_exits - before)
-            elif member is not None and seen.report.step_id == (member.fencing_token, 0):
+            elif member is not None and seen.report.step_id == (member.permit_number, 0):
                 total += seen.report.unexpected_exits
         return total
 
@@ -299,9 +299,9 @@
             return []
         report = seen.report
         if report.outcome == "failed":
-            return [StepReported(order.id, name, member.fencing_token, StepStatus.FAILED, report.reason)]
+            return [StepReported(order.id, name, member.permit_number, StepStatus.FAILED, report.reason)]
         if report.outcome == "done" and not want.up:
-            return [StepReported(order.id, name, member.fencing_token, StepStatus.DRAINED)]
+            return [StepReported(order.id, name, member.permit_number, StepStatus.DRAINED)]
         return []
 
     def _returns(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
@@ -336,7 +336,7 @@
         ones, others = split_by_version(book, order)
         # The keeper's own count of unasked ends is compared from the beginning of the wave's watch.
         looked = self._canary
-        if looked is None or (looked.operation_id, looked.stage) != (order.id, order.evaluation_stage):
+        if looked is None or (looked.operation, looked.stage) != (order.id, order.evaluation_stage):
             looked = self._canary = CanaryWindow(
                 order.id,
                 order.evaluation_stage,
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -16,8 +16,8 @@
         "kind": "sort",
         "running_version": "version",
         "desired_version": "wanted",
-        "fencing_token": "number",
-        "operation_id": "order",
+        "permit_number": "number",
+        "operation": "order",
         "report_age_ms": "heard_ms",
         "unexpected_exits": "ends",
         "available_versions": "versions",
@@ -32,8 +32,8 @@
     running_version: str
     desired_version: str
     state: str
-    fencing_token: int = 0
-    operation_id: str = ""
+    permit_number: int = 0
+    operation: str = ""
     report_age_ms: int = -1
     unexpected_exits: int = 0
     available_versions: tuple[str, ...] = ()
@@ -42,11 +42,11 @@
 class ParticipantStatus(
     Struct,
     frozen=True,
-    rename={"status": "step", "fencing_token": "number", "previous_version": "former", "reason": "why"},
+    rename={"status": "step", "permit_number": "number", "previous_version": "former", "reason": "why"},
 ):
     name: str
     status: str
-    fencing_token: int
+    permit_number: int
     previous_version: str
     reason: str
 
@@ -131,7 +131,7 @@
                     ParticipantStatus(
                         name,
                         member.status.value,
-                        member.fencing_token,
+                        member.permit_number,
                         member.previous_version,
                         member.reason,
                     )
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -35,13 +35,13 @@
 class Step(
     Struct,
     frozen=True,
-    rename={"fencing_token": "number", "index": "step", "operation_id": "order", "reason": "why"},
+    rename={"permit_number": "number", "index": "step", "operation": "order", "reason": "why"},
 ):
     """One that was begun. `outcome`: empty while it is under way, done, or failed."""
 
-    fencing_token: int
+    permit_number: int
     index: int
-    operation_id: str
+    operation: str
     outcome: str = ""
     reason: str = ""
 
@@ -60,7 +60,7 @@
     @property
     def latest_step_id(self) -> tuple[int, int]:
         """The highest turn begun."""
-        return (self.steps[-1].fencing_token, self.steps[-1].index) if self.steps else (0, 0)
+        return (self.steps[-1].permit_number, self.steps[-1].index) if self.steps else (0, 0)
 
 
 class InstanceCounters(
@@ -114,7 +114,7 @@
     rename={
         "info": "facts",
         "is_running": "runs",
-        "fencing_token": "number",
+        "permit_number": "number",
         "step_index": "step",
         "reason": "why",
         "unexpected_exits": "ends",
@@ -128,7 +128,7 @@
     info: InstanceInfo
     version: str
     is_running: bool
-    fencing_token: int = 0
+    permit_number: int = 0
     step_index: int = 0
     outcome: str = ""
     reason: str = ""
@@ -142,7 +142,7 @@
 
     @property
     def step_id(self) -> tuple[int, int]:
-        return self.fencing_token, self.step_index
+        return self.permit_number, self.step_index
 
 
 class SupervisorAction(Enum):
@@ -195,27 +195,23 @@
             self.state.version, self.state.up = desired.version, desired.up
             self._begin(
                 Step(
-                    desired.fencing_token,
-                    desired.step_index,
-                    desired.operation_id,
-                    "done",
-                    "of a former memory",
+                    desired.permit_number, desired.step_index, desired.operation, "done", "of a former memory"
                 )
             )
             return False
         if desired.version not in self.info.available_versions:
             self._begin(
                 Step(
-                    desired.fencing_token,
+                    desired.permit_number,
                     desired.step_index,
-                    desired.operation_id,
+                    desired.operation,
                     "failed",
                     f"no version {desired.version!r}",
                 )
             )
             return True
         self.state.version, self.state.up = desired.version, desired.up
-        self._begin(Step(desired.fencing_token, desired.step_index, desired.operation_id))
+        self._begin(Step(desired.permit_number, desired.step_index, desired.operation))
         # Coming up again needs no stop of what runs as it should: a turn that was halted or refused before
         # its program went leaves it running.
         self._must_stop = self.is_running and (
@@ -233,7 +229,7 @@
     def _finish(self, outcome: str, why: str = "") -> None:
         last = self.state.steps[-1]
         if last.outcome != outcome:
-            self.state.steps[-1] = Step(last.fencing_token, last.index, last.operation_id, outcome, why)
+            self.state.steps[-1] = Step(last.permit_number, last.index, last.operation, outcome, why)
             self._unsaved = True
 
     @property
@@ -301,7 +297,7 @@
         self.counters = counters
         if self._open and self.state.up and counters.serving and counters.ready and not self._refused:
             self._finish("done")
-            self._returns = self.state.steps[-1].fencing_token if self.info.kind is InstanceKind.SERVER else 0
+            self._returns = self.state.steps[-1].permit_number if self.info.kind is InstanceKind.SERVER else 0
 
     def shut_down(self) -> None:
         """The machine asks this keeper to go: obeyed, whatever the council says."""
@@ -352,12 +348,12 @@
         """Of a turn that is not on disk yet nothing is told."""
         last = self.state.steps[-1] if self.state.steps else Step(0, 0, "")
         if self._unsaved and self.state.steps:
-            last = Step(last.fencing_token, last.index, last.operation_id)
+            last = Step(last.permit_number, last.index, last.operation)
         return SupervisorReport(
             info=self.info,
             version=self.running_version if self.is_running else self.state.version,
             is_running=self.is_running and not self._must_stop,
-            fencing_token=last.fencing_token,
+            permit_number=last.permit_number,
             step_index=last.index,
             outcome=last.outcome,
             reason=last.reason,
