--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -45,12 +45,14 @@
 from valverouter.rollout import (
     disruption_limits,
     disruption_permits,
+    operation_log,
     operations,
     raft_log,
     raft_messages,
+    reports,
     serialization,
     status,
-    supervisor,
+    supervisor_state,
 )
 from valverouter.signalling import framing, greeting, serverlist, setup, tap
 from valverouter.terms import calls
@@ -142,7 +144,7 @@
 
 # What an instance tells of itself, and of its view
 
-COUNTS = supervisor.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+COUNTS = reports.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
 def view_row(state: records.State = records.State.LEFT) -> queries.MemberRow:
@@ -205,7 +207,7 @@
     return operations.Operation(*head, waves, members, [1], phase, 1, True, "halted", "partly")
 
 
-def book() -> operations.OperationLog:
+def book() -> operation_log.OperationLog:
     """Every kind of order and every phase of one, at least once each."""
     phases = list(operations.OperationPhase)
     kinds = [list(operations.OperationKind)[at % len(operations.OperationKind)] for at in range(len(phases))]
@@ -220,7 +222,7 @@
         },
         "until noon",
     )
-    return operations.OperationLog(
+    return operation_log.OperationLog(
         register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
     )
 
@@ -252,16 +254,17 @@
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = supervisor.InstanceInfo(
-    "e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12")
-)
-REPORT = supervisor.SupervisorReport(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
-MEMORY = supervisor.SupervisorState(
+FACTS = reports.InstanceInfo("e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12"))
+REPORT = reports.SupervisorReport(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
+MEMORY = supervisor_state.SupervisorState(
     "v13",
     False,
     "409 boot",
     "v12",
-    [supervisor.Step(419, 1, "o8", "done", "in time"), supervisor.Step(421, 2, "o9", "failed", "late")],
+    [
+        supervisor_state.Step(419, 1, "o8", "done", "in time"),
+        supervisor_state.Step(421, 2, "o9", "failed", "late"),
+    ],
 )
 
 WORDS: dict[str, Any] = {
@@ -561,10 +564,12 @@
     disruption_limits,
     disruption_permits,
     operations,
+    operation_log,
     raft_log,
     raft_messages,
     serialization,
-    supervisor,
+    reports,
+    supervisor_state,
     status,
     course,
     learnt,
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -20,6 +20,9 @@
     PermitDecision,
     RequestPermit,
 )
+from valverouter.rollout.operation_log import OperationLog
+from valverouter.rollout.operation_planning import evaluation_waves
+from valverouter.rollout.operation_transitions import apply
 from valverouter.rollout.operations import (
     ACTIVE_PHASES,
     Advance,
@@ -28,28 +31,22 @@
     DesiredState,
     InstanceReported,
     OperationKind,
-    OperationLog,
     OperationPhase,
     Retire,
     StepReported,
     StepStatus,
     Submit,
     SubmitResult,
-    evaluation_waves,
 )
-from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
+from valverouter.rollout.orchestrator import Orchestrator
+from valverouter.rollout.orchestrator_config import OrchestratorConfig
 from valverouter.rollout.raft_log import Configuration
 from valverouter.rollout.readiness import ReadinessTracker
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo, SupervisorReport
 from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.rollout.serialization import StoredSnapshot
-from valverouter.rollout.supervisor import (
-    InstanceCounters,
-    InstanceInfo,
-    Supervisor,
-    SupervisorAction,
-    SupervisorReport,
-    SupervisorState,
-)
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import SupervisorState
 
 SECOND = 10**9
 LIMITS = DisruptionLimits(max_unavailable=2, max_unavailable_per_region=1)
@@ -70,7 +67,7 @@
 
     def says(self, command: Command) -> Any:
         self.number += 1
-        return self.book.apply(self.number, command)
+        return apply(self.book, self.number, command)
 
     def place(self, id_: str, kind: OperationKind, *names: str, version: str = "") -> SubmitResult:
         placed = self.says(Submit(id_, kind, names, version))
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -47,15 +47,10 @@
 from valverouter.rollout.disruption_limits import Instance, InstanceKind
 from valverouter.rollout.disruption_permits import EnrollInstances
 from valverouter.rollout.operations import DesiredState, InstanceReported, OperationKind, Submit, SubmitResult
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo
 from valverouter.rollout.status import FleetStatus
-from valverouter.rollout.supervisor import (
-    InstanceCounters,
-    InstanceInfo,
-    Step,
-    Supervisor,
-    SupervisorAction,
-    SupervisorState,
-)
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import Step, SupervisorState
 from valverouter.signalling import tap
 from valverouter.signalling.serverlist import Leave, Permits, Returns
 from valverouter.signalling.tap import Limited, Ordered, Row, Turned
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -35,7 +35,7 @@
     PermitRegister,
     RequestPermit,
 )
-from valverouter.rollout.operations import OperationLog
+from valverouter.rollout.operation_log import OperationLog
 from valverouter.rollout.permit_model import PLANTED_FAULTS, PermitModel
 from valverouter.rollout.permit_model import InvariantViolationError as ModelBroken
 from valverouter.rollout.raft import COMPACTION_THRESHOLD, ELECTION_TIMEOUT, RaftNode, Role
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -21,7 +21,7 @@
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.instance_status import VERSION_VARIABLE
 from valverouter.fleet.queries import CountersQuery, CountersReply
-from valverouter.rollout.supervisor import InstanceCounters
+from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import key_of
 
 
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -22,33 +22,18 @@
 
 import msgspec
 
+from valverouter.emulator.release_baselines import BASELINES
 from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
 from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
 from valverouter.rollout.disruption_permits import InstanceReturned
-from valverouter.rollout.operations import (
-    Advance,
-    Cancel,
-    Command,
-    Operation,
-    OperationKind,
-    OperationLog,
-    OperationPhase,
-    StepStatus,
-    Submit,
-    SubmitResult,
-    split_by_version,
-)
-from valverouter.rollout.orchestrator import CanaryWindow, Orchestrator, OrchestratorConfig
+from valverouter.rollout.operations import Cancel, Operation, OperationKind, StepStatus, Submit, SubmitResult
+from valverouter.rollout.orchestrator_config import OrchestratorConfig
 from valverouter.rollout.raft import SECOND
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
-from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
-from valverouter.rollout.supervisor import (
-    InstanceCounters,
-    InstanceInfo,
-    Supervisor,
-    SupervisorAction,
-    SupervisorState,
-)
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo
+from valverouter.rollout.sequential_test import SequentialTestConfig
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import SupervisorState
 from valverouter.servermodel.paths import PathFault, Paths
 
 TICK = SECOND // 10
@@ -99,74 +84,6 @@
     lost_disk: bool = False
 
 
-class Threshold(Orchestrator):
-    """A baseline: after ten seconds, on if the released ones decline at most 1.5 times what the others do,
-    and halted if not."""
-
-    def _look(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
-        released_ones, others = split_by_version(book, order)
-        if order.phase is not OperationPhase.EVALUATING:
-            return []
-        looked = self._canary
-        if looked is None or (looked.operation, looked.stage) != (order.id, order.evaluation_stage):
-            counts = {name: seen.report.counters for name, seen in self.readiness.observations.items()}
-            self._canary = CanaryWindow(
-                order.id,
-                order.evaluation_stage,
-                now,
-                CanaryEvidence(("declined",), SequentialTestConfig(), self._draw),
-                counts,
-                {},
-                now,
-            )
-            return []
-        if now - looked.started_at < 10 * SECOND:
-            return []
-        ours, theirs = self._share(looked, released_ones), self._share(looked, others)
-        return (
-            [Cancel(order.id, f"{ours:.3f} of {theirs:.3f}")]
-            if ours > 1.5 * theirs
-            else [Advance(order.id, order.wave_index)]
-        )
-
-    def _share(self, looked: CanaryWindow, names: list[str]) -> float:
-        bad = whole = 0
-        for name in names:
-            before, seen = looked.last_counters.get(name), self.readiness.observations.get(name)
-            if (
-                before is not None
-                and seen is not None
-                and before.incarnation == seen.report.counters.incarnation
-            ):
-                bad += seen.report.counters.rejected - before.rejected
-                whole += seen.report.counters.accepted - before.accepted
-        return bad / whole if whole else 0.0
-
-
-class Timer(Orchestrator):
-    """A baseline: ten seconds after a wave the next goes."""
-
-    def _look(self, now: int, book: OperationLog, order: Operation) -> list[Command]:
-        if order.phase is not OperationPhase.EVALUATING:
-            return []
-        looked = self._canary
-        if looked is None or (looked.operation, looked.stage) != (order.id, order.evaluation_stage):
-            self._canary = CanaryWindow(
-                order.id,
-                order.evaluation_stage,
-                now,
-                CanaryEvidence(("declined",), SequentialTestConfig(), self._draw),
-                {},
-                {},
-                now,
-            )
-            return []
-        return [Advance(order.id, order.wave_index)] if now - looked.started_at >= 10 * SECOND else []
-
-
-BASELINES: dict[str, type[Orchestrator]] = {"threshold": Threshold, "timer": Timer}
-
-
 class Rollout:
     """One course. `plant` takes a rule out, so that the watch is seen to find it: `again` (a keeper forgets
     what it began, and asks for no open permit), `lapse` (a leader takes whoever is silent for in).
@@ -275,9 +192,9 @@
     def _after(self, one: Machine) -> None:
         """Saves are durable, then words leave; between the two it may crash."""
         assert one.seat is not None
-        one.seat.saves.clear()
-        out = list(one.seat.out)
-        one.seat.out.clear()
+        one.seat.pending_saves.clear()
+        out = list(one.seat.outgoing)
+        one.seat.outgoing.clear()
         if self._faults and self.chance.random() < 0.0002:
             self.crash_seat(one.name)
             self.at(self.now + int(self.chance.uniform(0.1, 5) * SECOND), self.start_seat, one.name)
--- a/valverouter/fleet/client_requests.py
+++ b/valverouter/fleet/client_requests.py
@@ -16,7 +16,9 @@
 from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
 from valverouter.rollout.control_plane_node import ControlPlaneNode
 from valverouter.rollout.disruption_permits import HaltDisruptions
-from valverouter.rollout.operations import Cancel, Command, OperationLog, Retire, Submit
+from valverouter.rollout.operation_log import OperationLog
+from valverouter.rollout.operation_planning import plan_operation
+from valverouter.rollout.operations import Cancel, Command, Retire, Submit
 from valverouter.rollout.status import fleet_status
 
 MAX_REMEMBERED_PROPOSALS = 1_024
@@ -47,7 +49,7 @@
         """Handle a request from the address `source`; a retry of it has the same nonce."""
         node, command = self._node, request.command
         if not node.is_leader:
-            self._reply(source, ClientResponse(request.nonce, node.name, False, node.leader))
+            self._reply(source, ClientResponse(request.nonce, node.name, False, node.leader_id))
         elif request.kind == RequestKind.EXECUTE and isinstance(
             command, Submit | Cancel | HaltDisruptions | Retire
         ):
@@ -55,10 +57,12 @@
         elif request.kind == RequestKind.PLAN and isinstance(command, Submit):
             self._plan(source, request, command)
         elif request.kind == RequestKind.SHOW:
-            node.read(monotonic_ns(), lambda book: self._show(source, request, book))
+            node.read(monotonic_ns(), lambda log: self._show(source, request, log))
 
     def _plan(self, source: str, request: ClientRequest, command: Submit) -> None:
-        self._node.read(monotonic_ns(), lambda book: self._answer(source, request, book.plan(command)))
+        self._node.read(
+            monotonic_ns(), lambda log: self._answer(source, request, plan_operation(log, command))
+        )
 
     def _execute(self, source: str, request: ClientRequest, command: Command) -> None:
         """Propose the command once per nonce, and answer retries once it is applied.
--- a/valverouter/fleet/control_plane_link.py
+++ b/valverouter/fleet/control_plane_link.py
@@ -8,7 +8,7 @@
 
 from valverouter.fleet.messages import DesiredStateMessage, ReportMessage
 from valverouter.fleet.transport import Transport
-from valverouter.rollout.supervisor import SupervisorReport
+from valverouter.rollout.reports import SupervisorReport
 
 REPORT_INTERVAL_S = 0.5
 
--- a/valverouter/fleet/instance_probe.py
+++ b/valverouter/fleet/instance_probe.py
@@ -10,7 +10,7 @@
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.fleet.transport import received_messages
-from valverouter.rollout.supervisor import InstanceCounters
+from valverouter.rollout.reports import InstanceCounters
 
 QUERY_INTERVAL_S = 0.25
 # An instance that has not replied for so long counts as serving nobody.
--- a/valverouter/fleet/instance_status.py
+++ b/valverouter/fleet/instance_status.py
@@ -6,7 +6,7 @@
 
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.membership.records import Phase
-from valverouter.rollout.supervisor import InstanceCounters
+from valverouter.rollout.reports import InstanceCounters
 
 # The environment variable that holds the version label as which a supervisor started the process.
 VERSION_VARIABLE = "VALVEROUTER_VERSION"
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -31,7 +31,7 @@
 from valverouter.membership.rules import Rules
 from valverouter.membership.trust import Trust
 from valverouter.membership.voice import Told
-from valverouter.rollout.supervisor import InstanceCounters
+from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
 
--- a/valverouter/fleet/messages.py
+++ b/valverouter/fleet/messages.py
@@ -11,8 +11,8 @@
 from msgspec import Struct
 
 from valverouter.rollout.operations import Command, DesiredState
+from valverouter.rollout.reports import SupervisorReport
 from valverouter.rollout.serialization import WireMessage
-from valverouter.rollout.supervisor import SupervisorReport
 
 NIL = msgspec.Raw(b"\xc0")
 
--- a/valverouter/fleet/orchestrator_config.py
+++ b/valverouter/fleet/orchestrator_config.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
-from valverouter.rollout.orchestrator import OrchestratorConfig
+from valverouter.rollout.orchestrator_config import OrchestratorConfig
 from valverouter.rollout.sequential_test import SequentialTestConfig
 from valverouter.terms.rollout import EvidenceTerms, LimitTerms, SeatTerms
 
--- a/valverouter/fleet/queries.py
+++ b/valverouter/fleet/queries.py
@@ -11,7 +11,7 @@
 
 from valverouter.membership.messages import Said
 from valverouter.membership.records import State
-from valverouter.rollout.supervisor import InstanceCounters
+from valverouter.rollout.reports import InstanceCounters
 
 # Bytes of a row's fields other than its texts, at most.
 FIXED_ROW_BYTES = 64
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -146,11 +146,11 @@
 
     def _flush(self, transport: Transport) -> None:
         """Write to disk first, then send."""
-        if self.node.saves:
-            self._store.commit(self.node.saves)
-            self.node.saves.clear()
-        outgoing = list(self.node.out)
-        self.node.out.clear()
+        if self.node.pending_saves:
+            self._store.commit(self.node.pending_saves)
+            self.node.pending_saves.clear()
+        outgoing = list(self.node.outgoing)
+        self.node.outgoing.clear()
         for name, message in outgoing:
             address = self._terms.council.get(name)
             if address is not None:
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -31,13 +31,9 @@
 from valverouter.fleet.transport import Transport
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.rollout.disruption_limits import InstanceKind
-from valverouter.rollout.supervisor import (
-    InstanceCounters,
-    InstanceInfo,
-    Supervisor,
-    SupervisorAction,
-    SupervisorState,
-)
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import SupervisorState
 from valverouter.signalling.serverlist import Leave, Returns
 from valverouter.terms.rollout import KeeperTerms
 
--- a/valverouter/rollout/control_plane_node.py
+++ b/valverouter/rollout/control_plane_node.py
@@ -1,9 +1,8 @@
-"""One seat of the council as one machine without I/O: its councillor, the agreed book, and the conductor
-while it leads.
+"""One node of the control plane, without I/O: Raft node, operation log, and the leader's orchestrator.
 
-Whoever carries it writes `saves` before it sends `out`. Answers to keepers and tools leave only once a
-majority has confirmed that this seat led after they asked: a leader that was cut off or stopped must not
-tell anybody what held before.
+The caller writes `pending_saves` to disk before it sends `outgoing`. Answers to supervisors and clients are
+given only once a majority has confirmed that this node led after they asked: a leader that was cut off or
+suspended must not tell anybody what held before.
 """
 
 from __future__ import annotations
@@ -12,176 +11,196 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from valverouter.rollout import operation_transitions
 from valverouter.rollout.disruption_permits import PermitDecision
-from valverouter.rollout.operations import Command, DesiredState, OperationLog, Submit, SubmitResult
-from valverouter.rollout.orchestrator import Orchestrator, OrchestratorConfig
+from valverouter.rollout.operation_log import OperationLog
+from valverouter.rollout.operations import Command, DesiredState, Submit, SubmitResult
+from valverouter.rollout.orchestrator import Orchestrator
+from valverouter.rollout.orchestrator_config import OrchestratorConfig
 from valverouter.rollout.raft import ELECTION_TIMEOUT, RaftNode, Role
 from valverouter.rollout.raft_log import Configuration, PersistentState, Save
 from valverouter.rollout.raft_messages import RaftMessage
-from valverouter.rollout.supervisor import SupervisorReport
+from valverouter.rollout.reports import SupervisorReport
 
-# Between two steps of the conductor.
+# Between two batches of the orchestrator's commands, ns.
 ORCHESTRATION_INTERVAL = ELECTION_TIMEOUT // 10
-# Askers that wait for a confirmation; more are dropped, and ask again.
+# Reads that wait for a confirmation; further ones are rejected, and asked again.
 MAX_PENDING_READS = 4_096
+# Answers to commands that are kept for clients; the oldest are dropped.
+MAX_KEPT_ANSWERS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
 class DesiredStateReply:
-    """To a keeper, in answer to its report: what is wanted of its instance. `is_open`: the permit of that
-    turn is still held; of one that is over nothing is begun any more."""
+    """The answer to a supervisor's report.
+
+    `is_open`: the permit of the desired step has not ended; nothing is begun under one that has. `stamp`:
+    this node's clock (ns) when the answer was given; the supervisor's next report gives it back.
+    """
 
     instance: str
     desired: DesiredState
     is_open: bool
-    # Given back by the keeper's next report: our clock when this left.
     stamp: int
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A question that waits for its confirmation, from round `after` on. `answer` gives what to say."""
+    """A read that is answered once Raft round `confirmed_round` or a later one is confirmed."""
 
     confirmed_round: int
     answer: Callable[[], None]
 
 
 class ControlPlaneNode:
-    """One seat. `decided` tells whoever watches what was agreed on."""
+    """One node. All times are ns of the caller's monotonic clock."""
 
     def __init__(
         self,
         name: str,
-        durable: PersistentState,
-        rules: OrchestratorConfig,
+        persistent: PersistentState,
+        config: OrchestratorConfig,
         draw: Callable[[], float],
         now: int,
     ) -> None:
+        """`persistent` is what the node's store holds; `draw` gives random numbers in [0, 1)."""
         self.name = name
+        self.config = config
         self.operation_log = OperationLog()
-        self.applied_index = durable.snapshot.last_included_index if durable.snapshot else 0
-        self.config = rules
+        self.applied_index = persistent.snapshot.last_included_index if persistent.snapshot else 0
         self.orchestrator: Orchestrator | None = None
-        # What conducts; experiments put a baseline in its place.
+        # Simulations put other rules in its place to compare with.
         self.orchestrator_class: type[Orchestrator] = Orchestrator
-        # What was agreed on of late, for tools that asked for it: by the command's id.
+        # Answers to commands that were committed of late, by the command's id.
         self.answers: dict[str, PermitDecision | SubmitResult] = {}
         self._draw = draw
         self._now = now
-        self._stepped_at = now
+        self._orchestrated_at = now
         self._pending_reads: deque[PendingRead] = deque()
-        self.raft = RaftNode(name, durable, draw, now, lambda: self.operation_log.copy(), self._install)
+        self.raft = RaftNode(
+            name, persistent, draw, now, lambda: self.operation_log.copy(), self._restore_state
+        )
 
-    def _install(self, state: OperationLog) -> None:
+    def _restore_state(self, state: OperationLog) -> None:
         self.operation_log = state.copy()
 
-    # Carried
-
     @property
-    def saves(self) -> list[Save]:
+    def pending_saves(self) -> list[Save]:
+        """What must be on disk before `outgoing` is sent; the caller clears it."""
         return self.raft.pending_saves
 
     @property
-    def out(self) -> list[tuple[str, RaftMessage]]:
+    def outgoing(self) -> list[tuple[str, RaftMessage]]:
+        """Messages to other nodes, by the receiver's name; the caller clears it."""
         return self.raft.outgoing
 
     @property
     def is_leader(self) -> bool:
+        """Whether this node leads, as far as it knows."""
         return self.raft.role is Role.LEADER
 
     @property
-    def leader(self) -> str:
-        """Who leads, as far as this seat knows; empty: nobody."""
+    def leader_id(self) -> str:
+        """Name of the leader, as far as this node knows; empty: there is none."""
         return self.raft.leader_id
 
-    # Fed
+    # Input
 
     def on_message(self, now: int, message: RaftMessage) -> None:
+        """Takes a message of another node."""
         self._now = now
         self.raft.receive(now, message)
-        self._after()
+        self._process_committed()
 
     def tick(self, now: int) -> None:
+        """Does what is due by time; to be called often."""
         self._now = now
         self.raft.tick(now)
-        self._after()
-        if self.is_leader and now - self._stepped_at >= ORCHESTRATION_INTERVAL:
-            self._stepped_at = now
-            self._step(now)
-
-    def _step(self, now: int) -> None:
-        """One batch at a time: what the conductor sees must hold all that it proposed before."""
-        one = self.raft
-        if self.orchestrator is None or not one.confirmed_round or one.last_log_index != one.commit_index:
-            return
-        for command in self.orchestrator.next_commands(now, self.operation_log):
-            one.propose(now, command)
-        self._after()
+        self._process_committed()
+        if self.is_leader and now - self._orchestrated_at >= ORCHESTRATION_INTERVAL:
+            self._orchestrated_at = now
+            self._orchestrate(now)
 
     def on_report(
         self, now: int, report: SupervisorReport, made_after: int, answer: Callable[[DesiredStateReply], None]
     ) -> bool:
-        """A keeper's. Whether this seat leads and will answer."""
+        """Takes a supervisor's report, made after `made_after`; whether this node leads and will answer."""
         self._now = now
         if not self.is_leader or self.orchestrator is None:
             return False
         self.orchestrator.record_report(now, report, made_after)
 
-        def say() -> None:
+        def reply() -> None:
             name = report.info.name
-            want, held = (
-                self.operation_log.desired.get(name),
-                self.operation_log.permits.unavailable.get(name),
-            )
-            if want is not None:
-                is_open = held is not None and held.number == want.permit_number
-                answer(DesiredStateReply(name, want, is_open, self._now))
+            desired = self.operation_log.desired.get(name)
+            if desired is not None:
+                permit = self.operation_log.permits.unavailable.get(name)
+                is_open = permit is not None and permit.number == desired.permit_number
+                answer(DesiredStateReply(name, desired, is_open, self._now))
 
-        return self._ask(say)
+        return self._answer_when_confirmed(reply)
 
     def propose(self, now: int, command: Command) -> bool:
-        """A tool's. Whether this seat leads; agreed on or not, the tool asks again by the command's id."""
+        """Proposes a client's command; whether this node leads.
+
+        Whether the command is committed or not, the client asks again by its id.
+        """
         self._now = now
         if isinstance(command, Submit):
             self.answers.pop(command.id, None)
-        done = self.is_leader and self.raft.propose(now, command)
-        self._after()
-        return done
+        is_proposed = self.is_leader and self.raft.propose(now, command)
+        self._process_committed()
+        return is_proposed
 
     def read(self, now: int, answer: Callable[[OperationLog], None]) -> bool:
-        """Whether this seat leads and will answer with the book as it holds after now."""
+        """Whether this node leads and will answer with the operation log as it holds after now."""
         self._now = now
-        return self.is_leader and self._ask(lambda: answer(self.operation_log))
+        return self.is_leader and self._answer_when_confirmed(lambda: answer(self.operation_log))
 
-    def _ask(self, answer: Callable[[], None]) -> bool:
+    # Processing
+
+    def _orchestrate(self, now: int) -> None:
+        """One batch at a time: the log that the orchestrator reads must hold all that it proposed before."""
+        raft = self.raft
+        is_up_to_date = raft.confirmed_round and raft.last_log_index == raft.commit_index
+        if self.orchestrator is None or not is_up_to_date:
+            return
+        for command in self.orchestrator.next_commands(now, self.operation_log):
+            raft.propose(now, command)
+        self._process_committed()
+
+    def _answer_when_confirmed(self, answer: Callable[[], None]) -> bool:
         if len(self._pending_reads) >= MAX_PENDING_READS:
             return False
         self._pending_reads.append(PendingRead(self.raft.round_number + 1, answer))
-        self._after()
+        self._process_committed()
         return True
 
-    def _after(self) -> None:
-        one = self.raft
-        decided, one.committed = one.committed, []
-        for index, what in decided:
+    def _process_committed(self) -> None:
+        """Applies what was committed, follows a change of the leader, and answers what is confirmed."""
+        committed, self.raft.committed = self.raft.committed, []
+        for index, command in committed:
             self.applied_index = index
-            if what is not None and not isinstance(what, Configuration):
-                self._apply(index, what)
-        if decided:
-            one.compact_log()
+            if command is not None and not isinstance(command, Configuration):
+                self._apply(index, command)
+        if committed:
+            self.raft.compact_log()
         if not self.is_leader:
             self.orchestrator = None
             self._pending_reads.clear()
             return
         if self.orchestrator is None:
             self.orchestrator = self.orchestrator_class(self.config, self._draw, self._now)
-        confirmed = one.confirmed_round
-        while self._pending_reads and self._pending_reads[0].confirmed_round <= confirmed:
+        self._answer_confirmed_reads()
+
+    def _answer_confirmed_reads(self) -> None:
+        confirmed_round = self.raft.confirmed_round
+        while self._pending_reads and self._pending_reads[0].confirmed_round <= confirmed_round:
             self._pending_reads.popleft().answer()
 
-    def _apply(self, index: int, what: Command) -> None:
-        answer = self.operation_log.apply(index, what)
+    def _apply(self, index: int, command: Command) -> None:
+        answer = operation_transitions.apply(self.operation_log, index, command)
         if answer is not None:
             self.answers[answer.id] = answer
-            if len(self.answers) > MAX_PENDING_READS:
+            if len(self.answers) > MAX_KEPT_ANSWERS:
                 del self.answers[next(iter(self.answers))]
--- a/valverouter/rollout/readiness.py
+++ b/valverouter/rollout/readiness.py
@@ -1,30 +1,38 @@
-"""Whether an instance is in: by what it does, never by how long it has been back.
+"""Whether an instance is back in service: by what it does, never by how long it has been back.
 
-In is: its program runs as wanted, by the turn that is wanted; it serves, with the list and a server; and it
-takes its share of the dialogs that those beside it take. Where nobody beside it takes any, no share is asked.
-A process that is another than the one last seen begins anew.
+It is where its program runs as desired, by the step that is desired; it serves, with the server list and a
+server; and it takes its share of the dialogs that its peers (same kind and region) take. Where no peer
+takes any, no share is asked for. A process other than the one observed before begins anew.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from valverouter.rollout.operations import DesiredState
-from valverouter.rollout.supervisor import SupervisorReport
+from valverouter.rollout.operations import NO_STEP, DesiredState
+from valverouter.rollout.reports import InstanceCounters, StepOutcome, SupervisorReport
 
-# Of the mean that those of its region took since it came back. Callers are not spread evenly.
+# Of the mean that its peers accepted since it came back. Callers are not spread evenly.
 MIN_TRAFFIC_FRACTION = 0.1
-# What was heard for so long ago says nothing of now, ns.
+# An older report says nothing about the present, ns.
 MAX_REPORT_AGE = 3 * 10**9
 
 
+class PeerBaseline(NamedTuple):
+    """A peer's process, and the dialogs that it had accepted when an instance came back."""
+
+    incarnation: int
+    accepted: int
+
+
 @dataclass(slots=True)
 class Observation:
-    """A report, when it came here, and what its instance had taken when this process was first seen up.
+    """An instance's latest report, and what it and its peers had accepted when its process was first seen.
 
-    `since`: a moment here after which it was made for certain, since it answers a word sent then; a report
-    that was long under way must not pass for news. `base`: of the others of its region, by name.
+    `received_at`: ns. `made_after`: a moment of this clock after which the report was certainly made, since
+    it answers a message that left then: a report that was long under way must not count as news.
     """
 
     report: SupervisorReport
@@ -32,77 +40,100 @@
     made_after: int
     incarnation: int = 0
     initial_accepted: int = 0
-    peer_baseline: dict[str, tuple[int, int]] | None = None
+    peer_baselines: dict[str, PeerBaseline] | None = None
+
+    def is_fresh(self, now: int) -> bool:
+        """Whether the report says something about the present."""
+        return now - self.made_after <= MAX_REPORT_AGE
 
 
 class ReadinessTracker:
-    """The last report of each instance, by name."""
+    """The latest report of each instance, by name."""
 
-    def __init__(self, began: int) -> None:
-        self.started_at = began
+    def __init__(self, now: int) -> None:
+        """`now`: ns; nothing was heard before."""
+        self.started_at = now
         self.observations: dict[str, Observation] = {}
 
     def record_report(self, now: int, report: SupervisorReport, made_after: int) -> None:
-        name, counts = report.info.name, report.counters
-        before = self.observations.get(name)
-        seen = self.observations[name] = Observation(report, now, made_after)
-        if not counts.incarnation:
+        """Takes a report; see `Observation` for `made_after`."""
+        name, counters = report.info.name, report.counters
+        previous = self.observations.get(name)
+        observation = self.observations[name] = Observation(report, now, made_after)
+        if not counters.incarnation:
             return
-        seen.incarnation = counts.incarnation
-        if (
-            before is not None
-            and before.incarnation == counts.incarnation
-            and before.peer_baseline is not None
-        ):
-            seen.initial_accepted, seen.peer_baseline = before.initial_accepted, before.peer_baseline
+        observation.incarnation = counters.incarnation
+        is_same_process = previous is not None and previous.incarnation == counters.incarnation
+        if previous is not None and is_same_process and previous.peer_baselines is not None:
+            observation.initial_accepted = previous.initial_accepted
+            observation.peer_baselines = previous.peer_baselines
         else:
-            seen.initial_accepted = counts.accepted
-            seen.peer_baseline = {
-                other: (one.incarnation, one.report.counters.accepted)
-                for other, one in self.observations.items()
-                if other != name and _beside(one.report, report)
-            }
+            observation.initial_accepted = counters.accepted
+            observation.peer_baselines = self._peer_baselines(report)
 
     def has_fresh_report(self, name: str, now: int) -> bool:
-        seen = self.observations.get(name)
-        return seen is not None and now - seen.made_after <= MAX_REPORT_AGE
+        """Whether the latest report of an instance says something about the present."""
+        observation = self.observations.get(name)
+        return observation is not None and observation.is_fresh(now)
 
     def time_since_report(self, name: str, now: int) -> int:
-        """Since its last report, or since this watch began."""
-        seen = self.observations.get(name)
-        return now - max(self.started_at, seen.received_at if seen else 0)
-
-    def is_ready(self, name: str, desired: DesiredState, now: int, is_out: Callable[[str], bool]) -> bool:
-        """Whether what it told lately shows it in. `is_out`: of others; they are no measure of a share."""
-        seen = self.observations.get(name)
-        if seen is None or now - seen.made_after > MAX_REPORT_AGE:
+        """Since the latest report of an instance, or since this tracker was made if that is later; ns."""
+        observation = self.observations.get(name)
+        return now - max(self.started_at, observation.received_at if observation else 0)
+
+    def is_ready(
+        self, name: str, desired: DesiredState, now: int, is_unavailable: Callable[[str], bool]
+    ) -> bool:
+        """Whether an instance's latest report shows it in service as desired.
+
+        Peers of which `is_unavailable` holds are no measure of a share.
+        """
+        observation = self.observations.get(name)
+        if observation is None or not observation.is_fresh(now):
             return False
-        report, counts = seen.report, seen.report.counters
-        serves = report.is_running and counts.serving and counts.ready and not report.is_leaving
-        # A turn that failed and serves all the same is no turn done: what is wanted did not come up.
-        done = report.step_id == desired.step_id and (report.outcome == "done" or desired.step_id == (0, 0))
-        if not serves or not done or report.version != desired.version or not desired.up:
+        report = observation.report
+        if not desired.up or not _is_serving(report) or not _is_as_desired(report, desired):
             return False
-        return report.info.capacity == 0 or self._takes_share(seen, is_out)
-
-    def _takes_share(self, seen: Observation, is_out: Callable[[str], bool]) -> bool:
-        others = [
-            one.report.counters.accepted - taken
-            for name, (life, taken) in (seen.peer_baseline or {}).items()
-            if (one := self.observations.get(name)) is not None
-            and one.incarnation == life
-            and not is_out(name)
-        ]
-        if not others:
-            return True
-        return seen.report.counters.accepted - seen.initial_accepted >= MIN_TRAFFIC_FRACTION * sum(
-            others
-        ) / len(others)
+        return report.info.capacity == 0 or self._takes_share(observation, is_unavailable)
 
     def forget(self, names: Iterable[str]) -> None:
+        """Drops what is known of instances."""
         for name in names:
             self.observations.pop(name, None)
 
+    def _peer_baselines(self, report: SupervisorReport) -> dict[str, PeerBaseline]:
+        return {
+            name: PeerBaseline(observation.incarnation, observation.report.counters.accepted)
+            for name, observation in self.observations.items()
+            if name != report.info.name and _are_peers(observation.report, report)
+        }
+
+    def _takes_share(self, observation: Observation, is_unavailable: Callable[[str], bool]) -> bool:
+        by_peers = []
+        for name, baseline in (observation.peer_baselines or {}).items():
+            peer = self.observations.get(name)
+            if peer is not None and peer.incarnation == baseline.incarnation and not is_unavailable(name):
+                by_peers.append(_accepted_since(peer.report.counters, baseline.accepted))
+        if not by_peers:
+            return True
+        own = _accepted_since(observation.report.counters, observation.initial_accepted)
+        return own >= MIN_TRAFFIC_FRACTION * sum(by_peers) / len(by_peers)
+
+
+def _is_serving(report: SupervisorReport) -> bool:
+    counters = report.counters
+    return report.is_running and counters.serving and counters.ready and not report.is_leaving
+
+
+def _is_as_desired(report: SupervisorReport, desired: DesiredState) -> bool:
+    """A step that failed is not done, even if the instance serves: the desired program did not come up."""
+    is_done = report.outcome == StepOutcome.DONE or desired.step_id == NO_STEP
+    return is_done and report.step_id == desired.step_id and report.version == desired.version
+
+
+def _accepted_since(counters: InstanceCounters, baseline: int) -> int:
+    return counters.accepted - baseline
+
 
-def _beside(one: SupervisorReport, other: SupervisorReport) -> bool:
-    return one.info.kind is other.info.kind and one.info.region == other.info.region
+def _are_peers(report: SupervisorReport, other: SupervisorReport) -> bool:
+    return report.info.kind is other.info.kind and report.info.region == other.info.region
--- a/valverouter/rollout/serialization.py
+++ b/valverouter/rollout/serialization.py
@@ -8,7 +8,8 @@
 
 from msgspec import Struct
 
-from valverouter.rollout.operations import Command, OperationLog
+from valverouter.rollout.operation_log import OperationLog
+from valverouter.rollout.operations import Command
 from valverouter.rollout.raft_log import Configuration, LogEntry, Snapshot
 from valverouter.rollout.raft_messages import (
     AppendEntries,
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -1,12 +1,22 @@
-"""The agreed book as a tool is shown it: who is out and by what, orders with their progress, and what is
-waited for."""
+"""The fleet's status as it is shown to operators: who is unavailable and why, and the operations' progress.
+
+Sent to clients and printed as JSON under the field names of former versions (`rename=`); all values are
+plain.
+"""
 
 from __future__ import annotations
 
 from msgspec import Struct
 
 from valverouter.rollout.control_plane_node import ControlPlaneNode
-from valverouter.rollout.operations import OperationLog, OperationPhase
+from valverouter.rollout.operation_log import OperationLog
+from valverouter.rollout.operations import Operation, OperationPhase, Participant
+
+MILLISECOND = 1_000_000
+# The age of a report that this leader never got.
+NEVER_REPORTED = -1
+# Asks for the participants of all operations, the ended ones included.
+ALL_OPERATIONS = "*"
 
 
 class InstanceStatus(
@@ -23,8 +33,11 @@
         "available_versions": "versions",
     },
 ):
-    """`version`: as its keeper told it last; `wanted`: as agreed. `heard_ms`: since its last report, -1:
-    never by this leader."""
+    """One instance. `state`: in, out, drained or away.
+
+    `running_version` and `unexpected_exits` are by its latest report, `report_age_ms` ago; `permit_number`
+    and `operation` are of the permit by which it is unavailable.
+    """
 
     name: str
     kind: str
@@ -34,7 +47,7 @@
     state: str
     permit_number: int = 0
     operation: str = ""
-    report_age_ms: int = -1
+    report_age_ms: int = NEVER_REPORTED
     unexpected_exits: int = 0
     available_versions: tuple[str, ...] = ()
 
@@ -44,6 +57,8 @@
     frozen=True,
     rename={"status": "step", "permit_number": "number", "previous_version": "former", "reason": "why"},
 ):
+    """One instance in an operation."""
+
     name: str
     status: str
     permit_number: int
@@ -63,7 +78,10 @@
         "participants": "members",
     },
 ):
-    """`counts`: of members by their step; `members` where they were asked for, or the order has not ended."""
+    """One operation. `status_counts`: participants by status.
+
+    `participants` are listed where the operation has not ended, or where they were asked for.
+    """
 
     id: str
     kind: str
@@ -91,7 +109,10 @@
         "min_pairs": "least",
     },
 ):
-    """`pairs`, `least`: of a release's evidence under way, how many were looked at and are wanted."""
+    """The status by node `node`, which leads in Raft term `term`; `members`: nodes of the control plane.
+
+    `compared_pairs` of at least `min_pairs`: of a release's canary evidence under way.
+    """
 
     node: str
     term: int
@@ -104,68 +125,84 @@
 
 
 def fleet_status(log: OperationLog, node: ControlPlaneNode, now: int, about: str = "") -> FleetStatus:
-    """`about`: an order that has ended and whose members are wanted too; * is all of them."""
-    pairs, least = node.orchestrator.evidence_progress if node.orchestrator else (0, 0)
-    going = log.active_operation
-    watching = going is not None and going.phase in (OperationPhase.EVALUATING, OperationPhase.RUNNING)
+    """The status by a leader's operation log and reports. `now` in ns.
+
+    `about`: id of an ended operation whose participants are listed too, or `ALL_OPERATIONS`.
+    """
+    pairs, min_pairs = _evidence_progress(log, node)
     return FleetStatus(
         node=node.name,
         term=node.raft.persistent.current_term,
         members=tuple(name for name, _ in node.raft.configuration.members),
         halt_reason=log.permits.halt_reason,
-        instances=tuple(_unit(log, node, now, name) for name in sorted(log.permits.instances)),
+        instances=tuple(_instance_status(log, node, now, name) for name in sorted(log.permits.instances)),
         operations=tuple(
-            OperationStatus(
-                one.id,
-                one.kind.value,
-                one.version,
-                one.submitted_at_ms,
-                one.submitted_by,
-                one.phase.value,
-                one.wave_index,
-                tuple(tuple(wave) for wave in one.waves),
-                one.result,
-                one.halt_reason,
-                one.status_counts,
-                tuple(
-                    ParticipantStatus(
-                        name,
-                        member.status.value,
-                        member.permit_number,
-                        member.previous_version,
-                        member.reason,
-                    )
-                    for name, member in one.participants.items()
-                    if one.phase is not OperationPhase.ENDED or about in ("*", one.id)
-                ),
-            )
-            for one in log.operations.values()
+            _operation_status(operation, not operation.has_ended or about in (ALL_OPERATIONS, operation.id))
+            for operation in log.operations.values()
         ),
-        compared_pairs=pairs if watching else 0,
-        min_pairs=least if watching else 0,
+        compared_pairs=pairs,
+        min_pairs=min_pairs,
+    )
+
+
+def _evidence_progress(log: OperationLog, node: ControlPlaneNode) -> tuple[int, int]:
+    active = log.active_operation
+    if node.orchestrator is None or active is None:
+        return 0, 0
+    is_gathering = active.phase in (OperationPhase.EVALUATING, OperationPhase.RUNNING)
+    return node.orchestrator.canary.progress if is_gathering else (0, 0)
+
+
+def _operation_status(operation: Operation, with_participants: bool) -> OperationStatus:
+    participants = operation.participants if with_participants else {}
+    return OperationStatus(
+        operation.id,
+        operation.kind.value,
+        operation.version,
+        operation.submitted_at_ms,
+        operation.submitted_by,
+        operation.phase.value,
+        operation.wave_index,
+        tuple(tuple(wave) for wave in operation.waves),
+        operation.result,
+        operation.halt_reason,
+        operation.status_counts,
+        tuple(_participant_status(name, participant) for name, participant in participants.items()),
+    )
+
+
+def _participant_status(name: str, participant: Participant) -> ParticipantStatus:
+    return ParticipantStatus(
+        name,
+        participant.status.value,
+        participant.permit_number,
+        participant.previous_version,
+        participant.reason,
     )
 
 
-def _unit(book: OperationLog, seat: ControlPlaneNode, now: int, name: str) -> InstanceStatus:
-    unit, want = book.permits.instances[name], book.desired.get(name)
-    seen = seat.orchestrator.readiness.observations.get(name) if seat.orchestrator else None
-    state, number, order = "in", 0, ""
-    if name in book.permits.unavailable:
-        held = book.permits.unavailable[name]
-        state = "out" if held else "away"
-        number, order = (held.number, held.operation) if held else (0, "")
-        if held and want is not None and not want.up:
-            state = "drained"
+def _instance_status(log: OperationLog, node: ControlPlaneNode, now: int, name: str) -> InstanceStatus:
+    instance, permit = log.permits.instances[name], log.permits.unavailable.get(name)
+    observation = node.orchestrator.readiness.observations.get(name) if node.orchestrator else None
     return InstanceStatus(
         name,
-        unit.kind.value,
-        unit.region,
-        seen.report.version if seen else "",
-        want.version if want else "",
-        state,
-        number,
-        order,
-        (now - seen.received_at) // 1_000_000 if seen else -1,
-        seen.report.unexpected_exits if seen else 0,
-        book.available_versions.get(name, ()),
+        instance.kind.value,
+        instance.region,
+        observation.report.version if observation else "",
+        log.desired_version(name),
+        _availability(log, name),
+        permit.number if permit else 0,
+        permit.operation if permit else "",
+        (now - observation.received_at) // MILLISECOND if observation else NEVER_REPORTED,
+        observation.report.unexpected_exits if observation else 0,
+        log.available_versions.get(name, ()),
     )
+
+
+def _availability(log: OperationLog, name: str) -> str:
+    """in; out or drained, by a permit; away: unavailable without one."""
+    if name not in log.permits.unavailable:
+        return "in"
+    if log.permits.unavailable[name] is None:
+        return "away"
+    return "drained" if name in log.desired and not log.desired[name].up else "out"
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -1,13 +1,12 @@
-"""What a keeper decides: one instance's program, started by version and started again, and the turns by which
-it goes out.
+"""What a supervisor decides about the one instance whose program it starts and stops.
 
-The council tells what is wanted (`Want`); the keeper makes its instance so. Coming up needs nobody's leave.
-Going out does: a turn by its permit's number, begun at most once, on disk before it begins. A word with a
-lower turn than the highest begun is void, however late it comes; so is one that answers no report of this
-process.
+The control plane tells what is desired (`DesiredState`), and the supervisor makes its instance so. Starting
+the program needs nobody's permission. Taking it out of service does: that is a step of a permit, begun at
+most once, and on disk before it begins. A message with a step not above the latest one is void, however
+late it arrives.
 
-Without I/O: fed with what happened, it says what to do next and what to report. The machine's own wish (a
-SIGTERM at the keeper) is always obeyed, and reported as out without leave.
+Without I/O: the caller reports events to it, asks it for the next action, carries that out, and sends its
+reports. The machine's own wish (a SIGTERM to the supervisor) is always obeyed, and reported.
 """
 
 from __future__ import annotations
@@ -15,151 +14,42 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from msgspec import Struct
-
 from valverouter.rollout.disruption_limits import InstanceKind
-from valverouter.rollout.operations import DesiredState
+from valverouter.rollout.operations import OUTBOUND_STEP, DesiredState
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo, StepOutcome, SupervisorReport
+from valverouter.rollout.supervisor_state import Step, SupervisorState
 
 SECOND = 10**9
-# A start that has not brought the program up by then has failed; after so many the turn is told as failed.
+# Starts in a row after which the step is reported as failed; starting goes on.
 MAX_START_FAILURES = 3
-# Before a program that ended is started again, doubled with each end in a row, and its most.
+# Before a program that ended is started again, ns; doubled with each exit in a row.
 RESTART_BACKOFF_BASE = SECOND // 4
 RESTART_BACKOFF_CAP = 15 * SECOND
-# A program that ran for so long did come up: its end is an end, and not a failed start.
+MAX_BACKOFF_DOUBLINGS = 10
+# A program that ran for so long (ns) did start: its end is an exit, and no failed start.
 MIN_HEALTHY_UPTIME = 5 * SECOND
-# Turns that are kept, for those who ask by number what became of one; the oldest leave.
-MAX_KEPT_STEPS = 64
-
-
-class Step(
-    Struct,
-    frozen=True,
-    rename={"permit_number": "number", "index": "step", "operation": "order", "reason": "why"},
-):
-    """One that was begun. `outcome`: empty while it is under way, done, or failed."""
-
-    permit_number: int
-    index: int
-    operation: str
-    outcome: str = ""
-    reason: str = ""
-
-
-class SupervisorState(Struct, rename={"running_version": "running", "steps": "turns"}):
-    """What the keeper's disk holds. `version`, `up`: what its instance should be. `process`: what was last
-    started, in the carrier's words, and `running`, by which version: a keeper that was killed takes its
-    program over again."""
-
-    version: str
-    up: bool = True
-    process: str = ""
-    running_version: str = ""
-    steps: list[Step] = []
-
-    @property
-    def latest_step_id(self) -> tuple[int, int]:
-        """The highest turn begun."""
-        return (self.steps[-1].permit_number, self.steps[-1].index) if self.steps else (0, 0)
-
-
-class InstanceCounters(
-    Struct,
-    frozen=True,
-    rename={
-        "incarnation": "life",
-        "accepted": "taken",
-        "rejected": "declined",
-        "view_health": "trust",
-        "memory_bytes": "memory",
-        "version_label": "label",
-        "pid": "process",
-    },
-):
-    """What an instance tells of itself since its start; None of it is believed of a former process.
-
-    `life`: of the process. `ready`: it has the list and a server. `trust`: in its view of the fleet.
-    `memory`: bytes that its process holds, as its keeper sees them; 0: not known. `label`, `process`: the
-    version that it was started as, and its number on its machine: by them a keeper that has lost its disk
-    finds what it had started.
-    """
-
-    incarnation: int = 0
-    serving: bool = False
-    ready: bool = False
-    accepted: int = 0
-    rejected: int = 0
-    lost: int = 0
-    late: int = 0
-    view_health: str = ""
-    memory_bytes: int = 0
-    version_label: str = ""
-    pid: int = 0
-
-
-class InstanceInfo(Struct, frozen=True, rename={"kind": "sort", "available_versions": "versions"}):
-    """Who an instance is, as its keeper's terms say."""
-
-    name: str
-    kind: InstanceKind = InstanceKind.EDGE
-    region: str = ""
-    capacity: int = 0
-    processor: float = 0.0
-    available_versions: tuple[str, ...] = ()
-
-
-class SupervisorReport(
-    Struct,
-    frozen=True,
-    rename={
-        "info": "facts",
-        "is_running": "runs",
-        "permit_number": "number",
-        "step_index": "step",
-        "reason": "why",
-        "unexpected_exits": "ends",
-        "is_leaving": "leaving",
-        "counters": "counts",
-    },
-):
-    """What a keeper tells the council, now and then. `number`, `step`: the highest turn begun, and
-    `outcome`."""
-
-    info: InstanceInfo
-    version: str
-    is_running: bool
-    permit_number: int = 0
-    step_index: int = 0
-    outcome: str = ""
-    reason: str = ""
-    # Ends of the program that nobody asked for, since the last turn.
-    unexpected_exits: int = 0
-    # The machine has asked the keeper to go.
-    is_leaving: bool = False
-    # Whether it is to run, by that turn.
-    up: bool = True
-    counters: InstanceCounters = InstanceCounters()
-
-    @property
-    def step_id(self) -> tuple[int, int]:
-        return self.permit_number, self.step_index
+# The reason of a step that was carried out before the supervisor lost its disk.
+STATE_LOST = "of a former memory"
 
 
 class SupervisorAction(Enum):
-    """START the program of `version`; STOP it, as SIGTERM asks; SAVE the memory, before anything else. LEAVE:
-    ask the list for a server's drain under the turn's number, and let it empty; RETURN: tell the list that
-    the number is over."""
+    """What the caller is to do next."""
 
+    # Start the program of the state's version.
     START = "start"
+    # Ask the list service for the server's drain, under the latest step's permit, and let it empty.
     LEAVE_LIST = "leave"
+    # Tell the list service that the permit has ended.
     REJOIN_LIST = "return"
+    # Ask the program to stop, as SIGTERM does.
     STOP = "stop"
+    # Write the state to disk, before anything else.
     SAVE = "save"
 
 
 @dataclass(slots=True)
 class Supervisor:
-    """One instance's keeper. `act` gives what to do next, one thing after the other."""
+    """Supervises one instance. All times are ns of the caller's monotonic clock."""
 
     info: InstanceInfo
     state: SupervisorState
@@ -168,197 +58,193 @@
     unexpected_exits: int = 0
     is_leaving: bool = False
     counters: InstanceCounters = field(default_factory=InstanceCounters)
-    _stopping: bool = False
-    _unsaved: bool = False
-    # The turn under way wants the program stopped first.
+    # The program is not started before this; also when to ask for the next action if nothing happens.
+    next_start_at: int = 0
+    _stop_requested: bool = False
+    _is_unsaved: bool = False
+    # The step under way wants the program stopped first.
     _must_stop: bool = False
-    # Of a server: asked of the list, and given; and the number that the list has still to be told is over.
-    _leaving_list: bool = False
-    _left_list: bool = False
-    _refused: bool = False
-    _returns: int = 0
-    _starts: int = 0
-    _began_at: int = 0
-    _start_at: int = 0
-    _ends_in_a_row: int = 0
+    # The list service's answer to a server's drain: awaited, granted or refused.
+    _list_awaited: bool = False
+    _list_granted: bool = False
+    _list_refused: bool = False
+    _must_rejoin_list: bool = False
+    _start_failures: int = 0
+    _started_at: int = 0
+    _exits_in_a_row: int = 0
+
+    # Events
 
     def on_desired_state(self, now: int, desired: DesiredState, is_open: bool) -> bool:
-        """The council's word, in answer to a report of this process. Whether it began a turn.
+        """Takes the control plane's answer to a report of this process; whether it begins a step.
 
-        `is_open`: its permit is still held. Where it is not, this keeper has lost its disk: the turn was
-        carried out by its former self, and is taken for done. What runs meanwhile goes on running: to take it
-        out, for another version too, needs an open permit.
+        `is_open`: the step's permit has not ended. If it has, this supervisor has lost its disk: the step
+        was carried out before, and counts as done. The program that runs meanwhile goes on running, since
+        to take it out, if only for another version, needs a permit.
         """
         if self.is_leaving or desired.step_id <= self.state.latest_step_id:
             return False
-        if not is_open:
-            self.state.version, self.state.up = desired.version, desired.up
-            self._begin(
-                Step(
-                    desired.permit_number, desired.step_index, desired.operation, "done", "of a former memory"
-                )
-            )
-            return False
-        if desired.version not in self.info.available_versions:
-            self._begin(
-                Step(
-                    desired.permit_number,
-                    desired.step_index,
-                    desired.operation,
-                    "failed",
-                    f"no version {desired.version!r}",
-                )
-            )
+        if is_open and desired.version not in self.info.available_versions:
+            self._begin_step(Step.toward(desired, StepOutcome.FAILED, f"no version {desired.version!r}"))
             return True
         self.state.version, self.state.up = desired.version, desired.up
-        self._begin(Step(desired.permit_number, desired.step_index, desired.operation))
-        # Coming up again needs no stop of what runs as it should: a turn that was halted or refused before
-        # its program went leaves it running.
-        self._must_stop = self.is_running and (
-            desired.step_index == 0 or self.running_version != desired.version
-        )
-        self._leaving_list = self._left_list = self._refused = False
-        self._starts, self._start_at, self._ends_in_a_row, self.unexpected_exits = 0, now, 0, 0
+        if not is_open:
+            self._begin_step(Step.toward(desired, StepOutcome.DONE, STATE_LOST))
+            return False
+        self._begin_step(Step.toward(desired))
+        # Returning needs no stop of a program that runs as it should: a step that was cancelled or refused
+        # before the program went leaves it running.
+        is_outbound = desired.step_index == OUTBOUND_STEP
+        self._must_stop = self.is_running and (is_outbound or self.running_version != desired.version)
+        self._list_awaited = self._list_granted = self._list_refused = False
+        self._start_failures = self._exits_in_a_row = self.unexpected_exits = 0
+        self.next_start_at = now
         return True
 
-    def _begin(self, turn: Step) -> None:
-        self.state.steps.append(turn)
-        del self.state.steps[:-MAX_KEPT_STEPS]
-        self._unsaved = True
-
-    def _finish(self, outcome: str, why: str = "") -> None:
-        last = self.state.steps[-1]
-        if last.outcome != outcome:
-            self.state.steps[-1] = Step(last.permit_number, last.index, last.operation, outcome, why)
-            self._unsaved = True
-
-    @property
-    def _open(self) -> bool:
-        return bool(self.state.steps) and self.state.steps[-1].outcome in ("", "failed")
-
     def resume(self, is_running: bool) -> None:
-        """After the keeper's own restart: a turn that was begun and not ended goes on from its beginning, its
-        program being stopped if it still runs. It is the same turn, and it is told only once as done."""
+        """After the supervisor's own restart: a step that was under way begins anew.
+
+        Its program is stopped if it still runs. It stays the same step, and is reported as done only once.
+        """
         self.is_running = is_running
         self.running_version = self.state.running_version
-        self._must_stop = is_running and self._open
-
-    # What happened
+        self._must_stop = is_running and self._step_is_open
 
     def on_started(self, now: int, version: str, process: str = "") -> None:
+        """The program was started; `process` identifies it for a later `SupervisorState`."""
         self.state.process, self.state.running_version = process, version
-        self._unsaved = True
-        self.is_running, self.running_version, self._began_at = True, version, now
-        self._stopping = False
+        self._is_unsaved = True
+        self.is_running, self.running_version, self._started_at = True, version, now
+        self._stop_requested = False
         self.counters = InstanceCounters()
 
     def on_exited(self, now: int) -> None:
-        """The program has ended, asked or not."""
-        asked = self._stopping
-        self.is_running, self._stopping, self._must_stop = False, False, False
+        """The program has ended, whether it was asked to or not."""
+        was_requested = self._stop_requested
+        self.is_running = self._stop_requested = self._must_stop = False
         self.counters = InstanceCounters()
-        if asked or self.is_leaving:
-            self._start_at = now
+        if was_requested or self.is_leaving:
+            self.next_start_at = now
             return
-        came_up = now - self._began_at >= MIN_HEALTHY_UPTIME
-        if self._open and not came_up:
-            self._starts += 1
-            if self._starts >= MAX_START_FAILURES:
-                self._finish("failed", f"{self.state.version} ended {self._starts} times at its start")
+        has_started = now - self._started_at >= MIN_HEALTHY_UPTIME
+        if self._step_is_open and not has_started:
+            self._on_failed_start()
         else:
             self.unexpected_exits += 1
-        self._ends_in_a_row = 1 if came_up else self._ends_in_a_row + 1
-        self._start_at = now + min(
-            RESTART_BACKOFF_CAP, RESTART_BACKOFF_BASE << min(self._ends_in_a_row - 1, 10)
-        )
+        self._exits_in_a_row = 1 if has_started else self._exits_in_a_row + 1
+        doublings = min(self._exits_in_a_row - 1, MAX_BACKOFF_DOUBLINGS)
+        self.next_start_at = now + min(RESTART_BACKOFF_CAP, RESTART_BACKOFF_BASE << doublings)
 
     def on_start_failed(self, now: int) -> None:
-        """There is no such command, or no process to be had."""
-        self._began_at = now
+        """The program could not be started at all."""
+        self._started_at = now
         self.on_exited(now)
 
     def on_list_answer(self, granted: bool, reason: str = "") -> None:
-        """What the list said to a server's leave. Refused, the turn has failed: the server stays as it is,
-        and serves."""
-        self._leaving_list = False
-        if not self._open:
+        """The list service's answer to a server's drain. Refused, the step has failed and the server serves
+        on.
+        """
+        self._list_awaited = False
+        if not self._step_is_open:
             return
         if granted:
-            self._left_list = True
+            self._list_granted = True
             return
-        self._must_stop, self._refused = False, True
+        self._must_stop, self._list_refused = False, True
         self.state.up = True
-        self._finish("failed", f"the list refuses: {reason}")
+        self._finish_step(StepOutcome.FAILED, f"the list refuses: {reason}")
 
     def on_counters(self, counters: InstanceCounters) -> None:
-        """What the instance answers of itself."""
-        if not self.is_running or self._must_stop or self._stopping:
+        """The instance's answer about itself; by it a step that brings the instance up is done."""
+        if not self.is_running or self._must_stop or self._stop_requested:
             return
         self.counters = counters
-        if self._open and self.state.up and counters.serving and counters.ready and not self._refused:
-            self._finish("done")
-            self._returns = self.state.steps[-1].permit_number if self.info.kind is InstanceKind.SERVER else 0
+        is_serving = counters.serving and counters.ready
+        if self._step_is_open and self.state.up and is_serving and not self._list_refused:
+            self._finish_step(StepOutcome.DONE)
+            self._must_rejoin_list = self.info.kind is InstanceKind.SERVER
+
+    def on_saved(self) -> None:
+        """The state is on disk."""
+        self._is_unsaved = False
+
+    def on_stop_requested(self) -> None:
+        """The program was asked to stop."""
+        self._stop_requested = True
 
     def shut_down(self) -> None:
-        """The machine asks this keeper to go: obeyed, whatever the council says."""
+        """The machine asks this supervisor to go: obeyed, whatever the control plane desires."""
         self.is_leaving = True
 
-    # What to do
+    # Decisions
 
     def next_action(self, now: int) -> SupervisorAction | None:
-        if self._unsaved:
+        """What to do next; None: nothing at the moment."""
+        if self._is_unsaved:
             return SupervisorAction.SAVE
         if self.is_running:
-            return self._unwanted()
+            return self._next_action_while_running()
         if self.is_leaving:
             return None
         if not self.state.up:
-            if self._open:
-                self._finish("done")
+            if self._step_is_open:
+                self._finish_step(StepOutcome.DONE)
                 return SupervisorAction.SAVE
             return None
-        return SupervisorAction.START if now >= self._start_at else None
+        return SupervisorAction.START if now >= self.next_start_at else None
 
-    def _unwanted(self) -> SupervisorAction | None:
-        """Of a program that runs: whether it is to go, and how."""
-        if self._stopping or not (self._must_stop or not self.state.up or self.is_leaving):
-            if self._returns:
-                self._returns = 0
+    def _next_action_while_running(self) -> SupervisorAction | None:
+        must_end = self._must_stop or not self.state.up or self.is_leaving
+        if self._stop_requested or not must_end:
+            if self._must_rejoin_list:
+                self._must_rejoin_list = False
                 return SupervisorAction.REJOIN_LIST
             return None
-        if self.info.kind is InstanceKind.SERVER and not self.is_leaving and not self._left_list:
-            if self._leaving_list:
-                return None
-            self._leaving_list = True
-            return SupervisorAction.LEAVE_LIST
-        return SupervisorAction.STOP
-
-    def on_saved(self) -> None:
-        self._unsaved = False
-
-    def on_stop_requested(self) -> None:
-        self._stopping = True
-
-    @property
-    def next_start_at(self) -> int:
-        """When to look again, if nothing happens."""
-        return self._start_at
+        needs_list = self.info.kind is InstanceKind.SERVER and not self.is_leaving
+        if not needs_list or self._list_granted:
+            return SupervisorAction.STOP
+        if self._list_awaited:
+            return None
+        self._list_awaited = True
+        return SupervisorAction.LEAVE_LIST
 
     def report(self) -> SupervisorReport:
-        """Of a turn that is not on disk yet nothing is told."""
-        last = self.state.steps[-1] if self.state.steps else Step(0, 0, "")
-        if self._unsaved and self.state.steps:
-            last = Step(last.permit_number, last.index, last.operation)
+        """The report to send. It holds no outcome of a step that is not on disk yet."""
+        step = self.state.latest_step or Step(0, 0, "")
         return SupervisorReport(
             info=self.info,
             version=self.running_version if self.is_running else self.state.version,
             is_running=self.is_running and not self._must_stop,
-            permit_number=last.permit_number,
-            step_index=last.index,
-            outcome=last.outcome,
-            reason=last.reason,
+            permit_number=step.permit_number,
+            step_index=step.index,
+            outcome=StepOutcome.UNDER_WAY if self._is_unsaved else step.outcome,
+            reason="" if self._is_unsaved else step.reason,
             unexpected_exits=self.unexpected_exits,
             is_leaving=self.is_leaving,
             up=self.state.up,
             counters=self.counters,
         )
+
+    # Steps
+
+    @property
+    def _step_is_open(self) -> bool:
+        """The latest step is under way, or has failed and is still attempted."""
+        step = self.state.latest_step
+        return step is not None and step.outcome in (StepOutcome.UNDER_WAY, StepOutcome.FAILED)
+
+    def _begin_step(self, step: Step) -> None:
+        self.state.add_step(step)
+        self._is_unsaved = True
+
+    def _finish_step(self, outcome: StepOutcome, reason: str = "") -> None:
+        step = self.state.steps[-1]
+        if step.outcome != outcome:
+            self.state.steps[-1] = Step(step.permit_number, step.index, step.operation, outcome, reason)
+            self._is_unsaved = True
+
+    def _on_failed_start(self) -> None:
+        self._start_failures += 1
+        if self._start_failures >= MAX_START_FAILURES:
+            reason = f"{self.state.version} ended {self._start_failures} times at its start"
+            self._finish_step(StepOutcome.FAILED, reason)
--- /dev/null
+++ b/valverouter/rollout/supervisor_state.py
@@ -0,0 +1,70 @@
+"""What a supervisor keeps on disk: what its instance should be, and the steps that it has begun.
+
+Stored under the field names of former versions (`rename=`).
+"""
+
+from __future__ import annotations
+
+from msgspec import Struct
+
+from valverouter.rollout.operations import NO_STEP, DesiredState, StepId
+from valverouter.rollout.reports import StepOutcome
+
+# Steps that are kept for whoever asks what became of one; the oldest are dropped.
+MAX_KEPT_STEPS = 64
+
+
+class Step(
+    Struct,
+    frozen=True,
+    rename={"permit_number": "number", "index": "step", "operation": "order", "reason": "why"},
+):
+    """A step that was begun, and its `outcome` (a `StepOutcome`)."""
+
+    permit_number: int
+    index: int
+    operation: str
+    outcome: str = StepOutcome.UNDER_WAY
+    reason: str = ""
+
+    @classmethod
+    def toward(
+        cls, desired: DesiredState, outcome: StepOutcome = StepOutcome.UNDER_WAY, reason: str = ""
+    ) -> Step:
+        """The step by which an instance gets to a desired state."""
+        return cls(desired.permit_number, desired.step_index, desired.operation, outcome, reason)
+
+    @property
+    def step_id(self) -> StepId:
+        """Identifies the step."""
+        return StepId(self.permit_number, self.index)
+
+
+class SupervisorState(Struct, rename={"running_version": "running", "steps": "turns"}):
+    """The stored state.
+
+    `version`, `up`: what the instance should be. `process`: identifies the process that was last started,
+    as the caller sees fit, and `running_version` its version: a supervisor that was killed takes its
+    program over again.
+    """
+
+    version: str
+    up: bool = True
+    process: str = ""
+    running_version: str = ""
+    steps: list[Step] = []
+
+    @property
+    def latest_step(self) -> Step | None:
+        """The latest step begun."""
+        return self.steps[-1] if self.steps else None
+
+    @property
+    def latest_step_id(self) -> StepId:
+        """Identifies the latest step begun; `NO_STEP`: none was."""
+        return self.steps[-1].step_id if self.steps else NO_STEP
+
+    def add_step(self, step: Step) -> None:
+        """Appends a step, dropping the oldest where there are too many."""
+        self.steps.append(step)
+        del self.steps[:-MAX_KEPT_STEPS]
