--- a/valverouter/ledger/supervisor_store.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -1,8 +1,65 @@
-"""A supervisor's state in an embedded store (lmdb).
+"""What a keeper must not forget, in an embedded store (lmdb): the turns that it has begun, what should run.
 
-One value with a checksum; a save is one transaction, and on disk when it returns. A store that can't be read whole
-is set aside: the supervisor then knows no step, and the control plane tells it which ones have ended.
+One value with a checksum, one transaction a save, on disk when it returns. A store that can't be read whole
+is set aside: the keeper then holds no turn, and the council tells it which are over.
 """
 
 from __future__ import annotations
 
+from pathlib import Path
+
+import lmdb
+import msgspec
+
+from valverouter.ledger.file import LedgerError, body_of, cover, owned, sound, summed
+from valverouter.rollout.supervisor import SupervisorState
+
+FORMAT = b"keeper 1"
+MAP_SIZE = 4 * 1024 * 1024
+
+
+class SupervisorStore:
+    """An open store, one process at a time."""
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self._lock = owned(path)
+        try:
+            self._env = lmdb.open(str(path), map_size=MAP_SIZE, sync=True, metasync=True)
+            cover(path, self._env)
+        except lmdb.Error as error:
+            self._lock.close()
+            raise LedgerError(f"{path}: {error}") from error
+
+    def close(self) -> None:
+        self._env.close()
+        self._lock.close()
+
+    def load(self) -> SupervisorState | None:
+        """None where nothing was kept yet; LedgerError where it can't be trusted."""
+        try:
+            with self._env.begin() as read:
+                found, kept = read.get(b"format"), read.get(b"memory")
+                if found is None:
+                    return None
+                body = body_of(bytes(kept)) if kept is not None else None
+                if bytes(found) != FORMAT or body is None:
+                    raise LedgerError(f"{self.path}: what a keeper kept is damaged")
+                return msgspec.msgpack.decode(body, type=SupervisorState)
+        except (lmdb.Error, msgspec.MsgspecError) as error:
+            raise LedgerError(f"{self.path}: {error}") from error
+
+    def save(self, memory: SupervisorState) -> None:
+        """On disk when it returns; LedgerError where it is not."""
+        try:
+            with self._env.begin(write=True) as commit:
+                commit.put(b"format", FORMAT)
+                commit.put(b"memory", summed(msgspec.msgpack.encode(memory)))
+        except lmdb.Error as error:
+            raise LedgerError(f"{self.path}: {error}") from error
+
+
+def open_supervisor_store(path: Path) -> tuple[SupervisorStore, SupervisorState | None, str]:
+    """A store that can be used, what it held, and why a former one was set aside: empty, if none was."""
+    store, memory, why, _ = sound(path, lambda: SupervisorStore(path), SupervisorStore.load)
+    return store, memory, why
