--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -21,7 +21,8 @@
 
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
 from valverouter.edge.surroundings import Sockets
-from valverouter.fleet.tool import CouncilAsker
+from valverouter.fleet.messages import RequestKind
+from valverouter.fleet.operations_client import OperationsClient
 from valverouter.rollout.disruption_permits import HaltDisruptions
 from valverouter.rollout.operations import Cancel, Command, OperationKind, Retire, Submit, SubmitResult
 from valverouter.rollout.status import FleetStatus, InstanceStatus, OperationStatus
@@ -100,7 +101,7 @@
     sent, so that it can be taken up whatever becomes of this tool."""
     if not dry_run:
         console.print(f"order {place.operation_id}", highlight=False)
-    placed = _ask(file, "plan" if dry_run else "do", place, SubmitResult)
+    placed = _ask(file, RequestKind.PLAN if dry_run else RequestKind.EXECUTE, place, SubmitResult)
     if placed is None:
         _unknown(place.operation_id)
     if placed.rejection:
@@ -205,7 +206,7 @@
     if hold and not over:
         commands.insert(0, HaltDisruptions(why))
     for command in commands:
-        if _ask(file, "do", command, dict) is None:
+        if _ask(file, RequestKind.EXECUTE, command, dict) is None:
             _unknown(order)
 
 
@@ -220,7 +221,7 @@
     if known is None or known.kind != OperationKind.RELEASE.value:
         raise ValueError(f"there is no release {order!r}")
     if known.phase != "ended":
-        if _ask(file, "do", Cancel(order, "back, by hand", True, _wall()), dict) is None:
+        if _ask(file, RequestKind.EXECUTE, Cancel(order, "back, by hand", True, _wall()), dict) is None:
             _unknown(order)
         if not no_wait:
             _follow(file, order, as_json)
@@ -240,7 +241,7 @@
 @click.argument("name")
 def retire(file: Path, name: str) -> None:
     """Strike NAME, which is no part of the fleet any more, and whatever waits for it goes on."""
-    if _ask(file, "do", Retire(name), dict) is None:
+    if _ask(file, RequestKind.EXECUTE, Retire(name), dict) is None:
         _unknown(name)
 
 
@@ -294,7 +295,7 @@
 
 
 def _ask(
-    file: Path, what: str, command: Command | None, kind: type[Answer], about: str = ""
+    file: Path, request: RequestKind, command: Command | None, kind: type[Answer], about: str = ""
 ) -> Answer | None:
     """The leader's answer, decoded as `kind`; None where no leader answered in time."""
     terms = load_tool(file)
@@ -303,8 +304,8 @@
         host = next(iter(terms.council.values())).rpartition(":")[0]
         socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
-            asker = CouncilAsker(terms, socket, random.Random(secrets.randbits(64)))
-            return await asker.ask(what, command, kind, WITHIN_S, about)
+            client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
+            return await client.request(request, command, kind, WITHIN_S, about)
         finally:
             socket.close()
 
@@ -312,7 +313,7 @@
 
 
 def _show(file: Path, about: str = "") -> FleetStatus:
-    shown = _ask(file, "show", None, FleetStatus, about)
+    shown = _ask(file, RequestKind.SHOW, None, FleetStatus, about)
     if shown is None:
         console.print("nobody of the council who leads was reached", highlight=False)
         sys.exit(UNKNOWN)
