--- /dev/null
+++ b/tests/test_disruption_permits.py
@@ -0,0 +1,166 @@
+"""The register of disruption permits, the fence, and what seeded simulations and the model find."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tests.disruption_helpers import edge_proxies, permit_register
+from valverouter.emulator.permit_simulation import PermitSimulation
+from valverouter.emulator.raft_group import InvariantViolationError
+from valverouter.rollout.disruption_limits import DisruptionLimits
+from valverouter.rollout.disruption_permits import (
+    EnrollInstances,
+    Fence,
+    HaltDisruptions,
+    InstanceLost,
+    InstanceReturned,
+    Permit,
+    PermitCommand,
+    PermitRegister,
+    RequestPermit,
+)
+from valverouter.rollout.permit_model import PLANTED_FAULTS, PermitModel, SafetyViolationError
+
+
+def test_a_crash_counts_against_the_limits_like_a_permit() -> None:
+    register = permit_register()
+    register.apply(2, InstanceLost("e0"))
+    decision = register.apply(3, RequestPermit("a", "e2"))
+    assert decision is not None
+    assert decision.permit is None
+    assert "used by e0" in decision.rejection
+    register.apply(4, InstanceReturned("e0"))
+    decision = register.apply(5, RequestPermit("b", "e2"))
+    assert decision is not None
+    assert decision.permit == Permit(5, "e2", "")
+
+
+def test_a_permit_ends_only_by_its_own_number() -> None:
+    register = permit_register()
+    register.apply(2, RequestPermit("a", "e0"))
+    register.apply(3, InstanceReturned("e0", 2))
+    register.apply(4, RequestPermit("b", "e0"))
+    register.apply(5, InstanceReturned("e0", 2))
+    assert register.unavailable["e0"] == Permit(4, "e0", ""), (
+        "the former permit's end, told late, ends nothing"
+    )
+    register.apply(6, InstanceReturned("e0"))
+    assert "e0" in register.unavailable
+    register.apply(7, InstanceReturned("e0", 4))
+    assert not register.unavailable
+
+
+def test_a_repeated_request_gets_its_first_decision() -> None:
+    register = permit_register()
+    first = register.apply(2, RequestPermit("a", "e0", "roll"))
+    register.apply(3, InstanceReturned("e0", 2))
+    assert register.apply(9, RequestPermit("a", "e0", "roll")) == first, "not carried out twice"
+    assert not register.unavailable, "not carried out twice"
+
+
+def test_a_rejection_says_why() -> None:
+    register = permit_register()
+    assert "not enrolled" in str(register.apply(2, RequestPermit("a", "e9")))
+    register.apply(3, HaltDisruptions("declines"))
+    assert "halted: declines" in str(register.apply(4, RequestPermit("b", "e0")))
+    register.apply(5, HaltDisruptions("", lifted=True))
+    register.apply(6, RequestPermit("c", "e0", "roll"))
+    assert "out already, by permit 6 of roll" in str(register.apply(7, RequestPermit("d", "e0")))
+    assert "of roll; ask again" in str(register.apply(8, RequestPermit("e", "e2")))
+    empty = PermitRegister()
+    empty.apply(1, EnrollInstances(tuple(edge_proxies())))
+    assert "no limits are told" in str(empty.apply(2, RequestPermit("a", "e0")))
+
+
+def test_a_fence_rejects_lower_and_ended_permits() -> None:
+    fence = Fence()
+    assert fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(8, "e0", ""))
+    assert not fence.accepts(Permit(5, "e0", ""))
+    assert fence.accepts(Permit(2, "e1", ""))
+    fence.end(Permit(8, "e0", ""))
+    assert not fence.accepts(Permit(8, "e0", "")), "a copy that comes late"
+    assert fence.accepts(Permit(9, "e0", ""))
+
+
+NAMES = [f"e{index}" for index in range(8)]
+COMMANDS = st.one_of(
+    st.builds(RequestPermit, st.uuids().map(str), st.sampled_from(NAMES)),
+    st.builds(InstanceReturned, st.sampled_from(NAMES), st.integers(0, 30)),
+    st.builds(InstanceLost, st.sampled_from(NAMES)),
+)
+
+
+@settings(max_examples=200, deadline=None)
+@given(st.lists(COMMANDS, max_size=40))
+def test_any_commands_keep_the_limits_and_permit_numbers_increase(commands: list[PermitCommand]) -> None:
+    register, replica = (permit_register(DisruptionLimits(3, 2), 8) for _ in range(2))
+    numbers = []
+    for number, command in enumerate(commands, 2):
+        decision = register.apply(number, command)
+        assert replica.apply(number, command) == decision
+        if decision is not None and decision.permit is not None:
+            numbers.append(decision.permit.number)
+            assert len(register.unavailable) <= 3, "with those away counted"
+            north = [name for name in register.unavailable if int(name[1:]) % 2 == 0]
+            assert len(north) <= 2 or int(decision.permit.name[1:]) % 2
+    assert numbers == sorted(set(numbers))
+
+
+# Simulations and the model
+
+
+def test_faults_break_no_limit_and_the_group_recovers() -> None:
+    went_out = 0
+    for seed in range(14):
+        simulation = PermitSimulation(seed)
+        simulation.run(30)
+        assert simulation.group.problem == "", f"seed {seed}"
+        went_out += simulation.counts["out"]
+    assert went_out > 100
+
+
+def test_faults_break_no_limit_of_a_group_of_five() -> None:
+    for seed in range(100, 103):
+        simulation = PermitSimulation(seed, group_size=5, holder_count=20, limits=DisruptionLimits(4, 2))
+        simulation.run(30)
+        assert simulation.group.problem == "", f"seed {seed}"
+
+
+@pytest.mark.parametrize("planted_fault", ["disk", "fence"])
+def test_the_simulation_finds_a_planted_fault(planted_fault: str) -> None:
+    """A member that votes on without its disk; a permit that is used again after its end."""
+
+    def run_simulations() -> None:
+        for seed in range(60):
+            PermitSimulation(seed, planted_fault=planted_fault).run(40)
+
+    with pytest.raises(InvariantViolationError):
+        run_simulations()
+
+
+@pytest.mark.parametrize(
+    ("model", "states"),
+    [
+        (PermitModel(max_terms=1, max_crashes=0), 1_879),
+        (PermitModel(max_terms=2, max_log_length=1, max_crashes=1), 12_416),
+    ],
+)
+def test_no_order_of_steps_lets_more_out_than_allowed(model: PermitModel, states: int) -> None:
+    assert model.explore() == states
+
+
+@pytest.mark.parametrize("planted_fault", PLANTED_FAULTS)
+def test_the_model_finds_each_planted_fault(planted_fault: str) -> None:
+    terms, length, crashes = (2, 1, 1) if planted_fault == "memory" else (1, 3, 0)
+    with pytest.raises(SafetyViolationError):
+        PermitModel(
+            max_terms=terms,
+            max_log_length=length,
+            max_crashes=crashes,
+            planted_fault=planted_fault,
+            depth_first=crashes > 0,
+        ).explore()
--- /dev/null
+++ b/tests/test_raft.py
@@ -0,0 +1,230 @@
+"""The Raft node, its messages delivered by hand."""
+
+from __future__ import annotations
+
+import random
+
+from valverouter.rollout.raft import COMPACTION_THRESHOLD, ELECTION_TIMEOUT, RaftNode, Role
+from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
+from valverouter.rollout.raft_membership import MembershipChangeError
+from valverouter.rollout.raft_messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    RequestVote,
+    RequestVoteResponse,
+)
+
+SECOND = 10**9
+
+
+class Cluster:
+    """Nodes with perfect paths, stepped by hand. Those in `cut` are reached by nobody."""
+
+    def __init__(self, count: int = 3) -> None:
+        members = tuple((f"c{at}", at + 1) for at in range(count))
+        self.now = 0
+        self.nodes: dict[str, RaftNode] = {}
+        for name, disk_id in members:
+            persistent = PersistentState(disk_id)
+            persistent.apply(SaveEntries(1, (LogEntry(1, Configuration(members)),)))
+            self.nodes[name] = RaftNode(name, persistent, random.Random(name).random, 0)
+        self.cut: set[str] = set()
+
+    def run(self, seconds: float) -> None:
+        until = self.now + int(seconds * SECOND)
+        while self.now < until:
+            self.now += ELECTION_TIMEOUT // 8
+            for node in self.nodes.values():
+                node.tick(self.now)
+            self.deliver()
+
+    def deliver(self) -> None:
+        while any(node.outgoing for node in self.nodes.values()):
+            for node in self.nodes.values():
+                outgoing, node.outgoing = node.outgoing, []
+                for receiver, message in outgoing:
+                    if receiver in self.nodes and not {receiver, node.name} & self.cut:
+                        self.nodes[receiver].receive(self.now, message)
+
+    @property
+    def leader(self) -> RaftNode:
+        reachable = [node for node in self.nodes.values() if node.name not in self.cut]
+        (leader,) = [node for node in reachable if node.role is Role.LEADER]
+        return leader
+
+
+def test_a_group_elects_a_leader_and_commits() -> None:
+    cluster = Cluster()
+    cluster.run(5)
+    assert cluster.leader.propose(cluster.now, "x")
+    cluster.run(1)
+    for node in cluster.nodes.values():
+        assert [command for _, command in node.committed if isinstance(command, str)] == ["x"]
+        assert node.leader_id == cluster.leader.name
+    assert not next(node for node in cluster.nodes.values() if node.role is not Role.LEADER).propose(0, "y")
+
+
+def test_a_minority_commits_nothing_and_its_leader_steps_down() -> None:
+    cluster = Cluster(5)
+    cluster.run(5)
+    former = cluster.leader
+    cluster.cut = {former.name}
+    former.propose(cluster.now, "lost")
+    cluster.run(8)
+    assert former.role is not Role.LEADER, "a leader that nobody answers is none"
+    assert cluster.leader.propose(cluster.now, "kept")
+    cluster.run(1)
+    cluster.cut = set()
+    cluster.run(3)
+    for node in cluster.nodes.values():
+        assert [command for _, command in node.committed if isinstance(command, str)] == ["kept"]
+
+
+def test_a_member_that_was_cut_off_does_not_depose_the_leader() -> None:
+    cluster = Cluster()
+    cluster.run(5)
+    leader, term = cluster.leader.name, cluster.leader.persistent.current_term
+    sleeper = next(name for name in cluster.nodes if name != leader)
+    cluster.cut = {sleeper}
+    cluster.run(20)
+    cluster.cut = set()
+    cluster.run(5)
+    assert (cluster.leader.name, cluster.leader.persistent.current_term) == (leader, term)
+
+
+def test_the_term_of_a_rejected_pre_vote_is_adopted() -> None:
+    """Found by simulation: the longer log with the lower term, and the other way round, asked for ever."""
+    cluster = Cluster()
+    long, short = cluster.nodes["c0"], cluster.nodes["c1"]
+    long.persistent.apply(SaveEntries(2, tuple(LogEntry(1, at) for at in range(5))))
+    short.persistent.current_term = 4
+    cluster.cut = {"c2"}
+    cluster.run(20)
+    assert cluster.leader is long
+
+
+def test_a_vote_counts_once_and_only_with_its_disk() -> None:
+    cluster = Cluster()
+    node = cluster.nodes["c0"]
+    node.tick(5 * SECOND)
+    assert node.role is Role.PRE_CANDIDATE
+    for _ in range(3):
+        node.receive(5 * SECOND, RequestVoteResponse(1, "c1", 99, True, pre_vote=True))
+    assert node.role is Role.PRE_CANDIDATE, "another disk: it has forgotten what it voted"
+    node.receive(5 * SECOND, RequestVoteResponse(1, "c1", 2, True, pre_vote=True))
+    assert node.role.value == "candidate"
+    node.receive(5 * SECOND, RequestVoteResponse(1, "c0", 1, True))
+    assert node.role.value == "candidate", "its own again"
+    node.receive(5 * SECOND, RequestVoteResponse(1, "c2", 3, True))
+    assert node.role.value == "leader"
+
+
+def granted_votes(node: RaftNode) -> list[bool]:
+    """By each response that the node has sent, whether it granted its vote."""
+    responses = [message for _, message in node.outgoing if isinstance(message, RequestVoteResponse)]
+    return [response.vote_granted for response in responses]
+
+
+def test_a_vote_is_granted_once_a_term_across_a_restart() -> None:
+    cluster = Cluster()
+    node = cluster.nodes["c2"]
+    node.receive(5 * SECOND, RequestVote(7, "c0", 1, 1, 1))
+    node.receive(5 * SECOND, RequestVote(7, "c1", 2, 1, 1))
+    assert granted_votes(node) == [True, False]
+    again = RaftNode("c2", node.persistent, random.random, 6 * SECOND)
+    again.receive(9 * SECOND, RequestVote(7, "c1", 2, 1, 1))
+    assert granted_votes(again) == [False]
+
+
+def test_an_entry_of_a_former_term_commits_only_with_one_of_the_current_term() -> None:
+    """Figure 8 of the paper: on a majority's disks, and yet it may be written over."""
+    cluster = Cluster()
+    node = cluster.nodes["c0"]
+    node.persistent.apply(SaveEntries(2, (LogEntry(2, "old"),)))
+    node.persistent.current_term = 3
+    node.tick(5 * SECOND)
+    node.receive(5 * SECOND, RequestVoteResponse(4, "c1", 2, True, pre_vote=True))
+    node.receive(5 * SECOND, RequestVoteResponse(4, "c1", 2, True))
+    assert node.role is Role.LEADER
+    assert node.last_log_index == 3
+    node.receive(5 * SECOND, AppendEntriesResponse(4, "c1", 2, True, 2))
+    assert node.commit_index == 0
+    node.receive(5 * SECOND, AppendEntriesResponse(4, "c1", 2, True, 3))
+    assert node.commit_index == 3
+
+
+def test_conflicting_entries_are_replaced_and_no_others() -> None:
+    cluster = Cluster()
+    node = cluster.nodes["c1"]
+    node.persistent.apply(SaveEntries(2, (LogEntry(1, "a"), LogEntry(1, "b"))))
+    node.receive(SECOND, AppendEntries(2, "c0", 1, 1, (LogEntry(1, "a"),), 2))
+    assert [entry.command for entry in node.persistent.entries[1:]] == ["a", "b"], (
+        "a repeat takes nothing away"
+    )
+    node.receive(SECOND, AppendEntries(2, "c0", 2, 1, (LogEntry(2, "c"),), 3))
+    assert [entry.command for entry in node.persistent.entries[1:]] == ["a", "c"]
+    assert node.commit_index == 3
+    node.receive(SECOND, AppendEntries(2, "c0", 9, 2, (), 3))
+    assert node.outgoing[-1][1] == AppendEntriesResponse(2, "c1", 2, False, 3)
+    node.receive(SECOND, AppendEntries(1, "c2", 1, 1, (LogEntry(1, "z"),), 2))
+    assert [entry.command for entry in node.persistent.entries[1:]] == ["a", "c"], "of a former leader"
+
+
+def test_a_long_log_is_compacted_and_a_lagging_member_installs_the_snapshot() -> None:
+    cluster = Cluster()
+    cluster.run(5)
+    away = next(name for name in cluster.nodes if name != cluster.leader.name)
+    cluster.cut = {away}
+    states = {name: 0 for name in cluster.nodes}
+    for name, node in cluster.nodes.items():
+        node._capture_state = lambda name=name: states[name]  # type: ignore[misc]
+        node._restore_state = lambda state, name=name: states.__setitem__(name, state)  # type: ignore[misc]
+    for number in range(COMPACTION_THRESHOLD + 60):
+        cluster.leader.propose(cluster.now, 1)
+        cluster.deliver()
+        if number % 50 == 49:
+            cluster.run(0.5)
+            for name, node in cluster.nodes.items():
+                states[name] += sum(isinstance(command, int) for _, command in node.committed)
+                node.committed.clear()
+                node.compact_log()
+    cluster.run(2)
+    leader = cluster.leader
+    assert leader.persistent.snapshot is not None
+    assert len(leader.persistent.entries) < COMPACTION_THRESHOLD
+    cluster.cut = set()
+    cluster.run(3)
+    node = cluster.nodes[away]
+    total = states[away] + sum(isinstance(command, int) for _, command in node.committed)
+    assert total == COMPACTION_THRESHOLD + 60
+    assert node.commit_index == leader.commit_index
+    assert node.configuration == leader.configuration
+
+
+def rejection(leader: RaftNode, now: int, remove: str, add: tuple[str, int] | None) -> str:
+    """Why a membership change is rejected; empty: it has begun."""
+    try:
+        leader.change_membership(now, remove, add)
+    except MembershipChangeError as error:
+        return str(error)
+    return ""
+
+
+def test_members_change_one_at_a_time_and_a_lost_disk_is_a_new_member() -> None:
+    cluster = Cluster()
+    cluster.run(5)
+    leader = cluster.leader
+    lost = next(name for name in cluster.nodes if name != leader.name)
+    cluster.nodes[lost] = RaftNode(lost, PersistentState(77), random.random, cluster.now)
+    cluster.run(3)
+    assert cluster.nodes[lost].last_log_index == 0 or not cluster.nodes[lost].is_member
+    assert "must go first" in rejection(leader, cluster.now, "", (lost, 77))
+    assert rejection(leader, cluster.now, lost, (lost, 77)).startswith("one change at a time")
+    assert rejection(leader, cluster.now, lost, None) == ""
+    assert rejection(leader, cluster.now, "", (lost, 77)) in ("another change is under way", "")
+    cluster.run(2)
+    rejection(leader, cluster.now, "", (lost, 77))
+    cluster.run(3)
+    assert cluster.nodes[lost].is_member
+    assert cluster.nodes[lost].commit_index == leader.commit_index
+    assert rejection(leader, cluster.now, "nobody", None) == "that changes nothing"
