--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -1,9 +1,9 @@
 """Orders and how far each has come: the agreed record above the permits.
 
 A replicated machine like `disruption_permits.py`, and round it: the same commands in the same order give the
-same state everywhere. An order's plan and progress live here and not in the tool that placed it. One order goes at a
-time; the others wait in the order in which they were placed, and one that names an instance that another
-order still has is refused whole.
+same state everywhere. An order's plan and progress live here and not in the tool that placed it. One order
+goes at a time; the others wait in the order in which they were placed, and one that names an instance that
+another order still has is refused whole.
 
 What an instance should be is kept as a `Want`: its version, whether it is up, and the turn by which it became
 so, a permit's number and a step. A turn is carried out at most once, since whoever carries it out keeps the
