--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -20,11 +20,13 @@
 
 from tests.test_days import valverouter
 from valverouter.ledger.store import Damaged, Ledger, LedgerBusyError, LedgerError, LedgerFullError
-from valverouter.recovery import course, model
+from valverouter.recovery import course
 from valverouter.recovery.course import Moment, OutOfOrderError, Phase, Record, passed
 from valverouter.recovery.decide import Decision, Need, Word, at_start, on_word
 from valverouter.recovery.learnt import Learnt, after
-from valverouter.recovery.model import LEAVABLE, Model, check
+from valverouter.recovery.model import proxy as model_proxy
+from valverouter.recovery.model.search import Model, explore
+from valverouter.recovery.model.state import Omission
 from valverouter.recovery.pace import LEAST, Pace
 
 MS, SECOND = 10**6, 10**9
@@ -163,36 +165,36 @@
 # The model
 
 
-def test_no_course_with_a_crash_anywhere_breaks_a_rule() -> None:
-    broken, states = check(Model(crashes=1))
-    assert broken == [] and states > 20_000
+def test_no_sequence_of_steps_with_one_crash_breaks_a_rule() -> None:
+    exploration = explore(Model(max_crashes=1))
+    assert exploration.violation == [] and exploration.states > 20_000
 
 
-@pytest.mark.parametrize("name", LEAVABLE)
-def test_leaving_out_any_write_or_fence_breaks_one(name: str) -> None:
-    broken, _ = check(Model(name))
-    assert broken and broken[-1].startswith("rule"), "\n".join(broken)
+@pytest.mark.parametrize("omitted", Omission, ids=lambda omitted: omitted.name.lower())
+def test_omitting_any_write_or_safeguard_breaks_a_rule(omitted: Omission) -> None:
+    violation = explore(Model(omitted)).violation
+    assert violation and violation[-1].startswith("rule"), "\n".join(violation)
 
 
-def test_the_model_finds_what_it_found_in_the_decisions(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A let-go long ago taken for done; a standing dialog forgotten with its answer unsent."""
+def test_the_model_finds_the_faults_it_once_found_in_the_plans(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A cancel written long ago taken for delivered; an established dialog forgotten with its answer unsent."""
 
     def hasty(one: Record, now: Moment, release_wait: int) -> Decision:
         found = at_start(one, now, release_wait)
         return Decision(Need.GO_ON, found.left) if found.need is Need.WAIT else found
 
-    monkeypatch.setattr(model, "at_start", hasty)
-    broken, _ = check(Model(crashes=1))
-    assert broken[-1].startswith(("rule 2", "rule 5"))
+    monkeypatch.setattr(model_proxy, "at_start", hasty)
+    violation = explore(Model(max_crashes=1)).violation
+    assert violation[-1].startswith(("rule 2", "rule 5"))
     monkeypatch.undo()
 
     def forgetful(one: Record, word: Word, same: bool, left: int, release_wait: int) -> Decision:
         found = on_word(one, word, same, left, release_wait)
         return Decision(Need.FORGET) if found.need is Need.END else found
 
-    monkeypatch.setattr(model, "on_word", forgetful)
-    broken, _ = check(Model(crashes=2))
-    assert broken[-1].startswith("rule 1: the caller was told that it was taken")
+    monkeypatch.setattr(model_proxy, "on_word", forgetful)
+    violation = explore(Model(max_crashes=2)).violation
+    assert violation[-1].startswith("rule 1: the caller was told that its dialog was accepted")
 
 
 # The pace of questions
--- /dev/null
+++ b/valverouter/recovery/model/proxy.py
@@ -0,0 +1,194 @@
+"""What a running edge proxy decides: each method gives the state with the operations that follow."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+
+from valverouter.recovery.course import Phase, Record, answered, failed, leg_out, let_go, stands, taken_over
+from valverouter.recovery.decide import Decision, Need, Word, at_start, on_word
+from valverouter.recovery.model.state import (
+    CHANGED_AT,
+    DEADLINE,
+    MAX_ATTEMPTS,
+    NOT_WAITING,
+    RELEASE_DELAY,
+    ForgetDialog,
+    Message,
+    MessageKind,
+    Omission,
+    Operation,
+    RuleViolationError,
+    SendAnswer,
+    SendCancel,
+    SendProvisional,
+    SendQuery,
+    SendSetup,
+    StartReleaseDelay,
+    State,
+    Step,
+    WriteRecord,
+    timestamp,
+)
+
+# From this tick on a final answer has to go, and no attempt starts.
+LAST_TICK = DEADLINE - 1
+
+
+@dataclass(frozen=True, slots=True)
+class Proxy:
+    """The proxy's decisions, but for what `omitted` leaves out."""
+
+    omitted: Omission | None = None
+
+    def accept(self, record: Record) -> tuple[Operation, ...]:
+        """A new dialog: its record, the provisional answer, the first attempt."""
+        return (
+            *self._write(record, Omission.ACCEPTED_RECORD),
+            SendProvisional(),
+            *self._next_attempt(record, 0),
+        )
+
+    # Sequences of operations, each write before the message that depends on it
+
+    def _write(self, record: Record, written: Omission) -> tuple[Operation, ...]:
+        return () if written is self.omitted else (WriteRecord(record, written),)
+
+    def _next_attempt(self, record: Record, now: int) -> tuple[Operation, ...]:
+        """The next attempt, or a rejection where none is left."""
+        attempt = record.leg + 1
+        if attempt >= MAX_ATTEMPTS or now >= LAST_TICK:
+            return self._conclude(record, "declined")
+        started = leg_out(record, attempt, "s", 1, CHANGED_AT)
+        return (*self._write(started, Omission.ATTEMPT_RECORD), SendSetup(started))
+
+    def _conclude(self, record: Record, answer: str) -> tuple[Operation, ...]:
+        concluded = answered(record, answer, 0, CHANGED_AT)
+        return (*self._write(concluded, Omission.ANSWER_RECORD), SendAnswer(answer, concluded))
+
+    def _establish(self, record: Record) -> tuple[Operation, ...]:
+        established = record if record.phase is Phase.STANDS else stands(record, CHANGED_AT)
+        return (*self._write(established, Omission.ESTABLISHED_RECORD), SendAnswer("stands", established))
+
+    def _cancel(self, record: Record) -> tuple[Operation, ...]:
+        cancelled = let_go(record, CHANGED_AT)
+        return (
+            *self._write(cancelled, Omission.CANCEL_RECORD),
+            SendCancel(record.leg, cancelled),
+            StartReleaseDelay(),
+        )
+
+    # Restart and recovery
+
+    def restart(self, state: State) -> Step:
+        """A new process reads the store and acts on the plan for what it finds."""
+        fresh = replace(state, is_running=True, epoch=state.epoch + 1, known=state.stored)
+        if state.stored is None:
+            if state.accepted and not state.answer and state.now < DEADLINE:
+                raise RuleViolationError(
+                    "rule 1: the caller was told that its dialog was accepted, and no record of it exists"
+                )
+            return Step("the proxy restarts and finds no record", fresh)
+        record = taken_over(state.stored, fresh.epoch)
+        fresh = replace(fresh, known=record)
+        plan = at_start(record, timestamp(state.now), RELEASE_DELAY)
+        return Step("the proxy restarts and reads its record", self._follow(fresh, record, plan))
+
+    def _follow(self, state: State, record: Record, plan: Decision) -> State:
+        match plan.need:
+            case Need.FORGET:
+                return _forget(state)
+            case Need.ANSWER:
+                return self._resend_answer(state, record)
+            case Need.END:
+                return replace(state, operations=_answer_and_end(record), query_pending=False)
+            case Need.GO_ON:
+                waiting = record if record.phase is Phase.WAITING else failed(record, CHANGED_AT)
+                operations = self._next_attempt(waiting, state.now)
+                return replace(state, operations=operations, query_pending=False)
+            case Need.ASK:
+                if state.query_pending:
+                    return state
+                return replace(state, operations=(SendQuery(record.leg),), query_pending=True)
+            case Need.LET_GO | Need.WAIT:
+                if record.phase is Phase.WAITING:
+                    return _forget(state)
+                return replace(state, operations=self._cancel(record), query_pending=False)
+
+    def _resend_answer(self, state: State, record: Record) -> State:
+        if record.phase is Phase.ANSWERED:
+            return replace(state, operations=(SendAnswer(record.answer),))
+        return replace(state, operations=self._establish(record), query_pending=False)
+
+    def _on_status(self, state: State, record: Record, status: Word) -> State:
+        plan = on_word(record, status, True, DEADLINE - state.now, RELEASE_DELAY)
+        return self._follow(state, record, plan)
+
+    # Events
+
+    def on_message(self, state: State, message: Message) -> State:
+        """A message from the server; one that belongs to no present attempt changes nothing."""
+        record = state.known
+        if record is None or message.epoch != state.epoch or message.attempt != record.leg:
+            return state
+        if message.status is not None:
+            return self._on_status(state, record, message.status) if state.query_pending else state
+        if record.phase is not Phase.OUT:
+            return state
+        if message.kind is MessageKind.ESTABLISHED:
+            operations = self._establish(record)
+        else:
+            operations = self._next_attempt(failed(record, CHANGED_AT), state.now)
+        return replace(state, operations=operations, query_pending=False)
+
+    def steps(self, state: State) -> Iterator[Step]:
+        """Everything that a running proxy with no operation left may react to."""
+        if state.to_proxy:
+            message, rest = state.to_proxy[0], state.to_proxy[1:]
+            received = self.on_message(replace(state, to_proxy=rest), message)
+            yield Step(f"the proxy receives {message}", received)
+        record = state.known
+        if record is None:
+            return
+        if state.release_until != NOT_WAITING and record.phase is Phase.LET_GO:
+            yield from self._release_delay_steps(state, record)
+        if state.query_pending:
+            yield Step("the server does not respond", self._on_status(state, record, Word.SILENT))
+        elif record.phase is Phase.OUT and state.now < DEADLINE:
+            timed_out = replace(state, operations=self._cancel(record))
+            yield Step("the attempt times out", timed_out)
+
+    def _release_delay_steps(self, state: State, record: Record) -> Iterator[Step]:
+        if state.now >= state.release_until:
+            operations = self._next_attempt(failed(record, CHANGED_AT), state.now)
+            released = replace(state, operations=operations, release_until=NOT_WAITING)
+            yield Step("the release delay is over", released)
+        if state.now == LAST_TICK:
+            operations = self._conclude(record, "aborted")
+            out_of_time = replace(state, operations=operations, release_until=NOT_WAITING)
+            yield Step("the dialog's time is nearly over", out_of_time)
+
+
+def crash(state: State) -> Step:
+    """The process is killed: its memory is lost, and so is what was on its way to it."""
+    after = replace(
+        state,
+        is_running=False,
+        crashes=state.crashes + 1,
+        operations=(),
+        known=None,
+        query_pending=False,
+        release_until=NOT_WAITING,
+        stale_to_server=(*state.stale_to_server, *state.to_server),
+        to_server=(),
+        to_proxy=(),
+    )
+    return Step("the proxy crashes", after)
+
+
+def _answer_and_end(record: Record) -> tuple[Operation, ...]:
+    return SendCancel(record.leg), SendAnswer("stands"), ForgetDialog()
+
+
+def _forget(state: State) -> State:
+    return replace(state, known=None, stored=None, query_pending=False)
--- /dev/null
+++ b/valverouter/recovery/model/search.py
@@ -0,0 +1,117 @@
+"""All steps of the modelled world, and the breadth-first walk over them."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+from typing import NamedTuple, TypeAlias
+
+from valverouter.recovery.course import OutOfOrderError, Phase, Record
+from valverouter.recovery.model.operations import Operations
+from valverouter.recovery.model.proxy import Proxy, crash
+from valverouter.recovery.model.server import Server
+from valverouter.recovery.model.state import (
+    DEADLINE,
+    NOT_WAITING,
+    Omission,
+    RuleViolationError,
+    State,
+    Step,
+    timestamp,
+)
+
+
+class TooManyStatesError(OverflowError):
+    """The walk was stopped: it saw more states than it was allowed."""
+
+
+class Model:
+    """The world with at most `max_crashes` crashes; `omitted` leaves one write or safeguard out."""
+
+    def __init__(self, omitted: Omission | None = None, max_crashes: int = 2) -> None:
+        """Without arguments: the whole model, as the program is."""
+        self._max_crashes = max_crashes
+        self._proxy = Proxy(omitted)
+        self._operations = Operations(omitted)
+        self._server = Server(omitted)
+
+    def initial_state(self) -> State:
+        """The proxy has read a set-up and has everything still to do."""
+        record = Record("d", "c", "plain", 0, 0, timestamp(0), DEADLINE, 1)
+        return State(known=record, operations=self._proxy.accept(record))
+
+    def steps(self, state: State) -> Iterator[Step]:
+        """Every step that may come next; RuleViolationError where the next one breaks a rule."""
+        if state.is_running and state.operations:
+            yield self._operations.perform_next(state)
+        elif state.is_running:
+            yield from self._proxy.steps(state)
+        if state.is_running and state.crashes < self._max_crashes:
+            yield crash(state)
+        if not state.is_running:
+            yield self._proxy.restart(state)
+        if state.operations:
+            return  # the server's steps and the clock commute with writes and sends: taken after them
+        yield from self._server.steps(state)
+        if state.now <= DEADLINE:
+            yield Step("time passes", replace(state, now=state.now + 1))
+
+
+def is_stuck(state: State) -> bool:
+    """Whether a running proxy has an unanswered dialog with time left, and nothing to do or to wait for."""
+    record = state.known
+    if not state.is_running or record is None or state.operations:
+        return False
+    if state.answer or state.now >= DEADLINE:
+        return False
+    waits_for_timer = state.release_until != NOT_WAITING or record.phase is Phase.OUT
+    return not (state.query_pending or waits_for_timer or state.to_proxy)
+
+
+@dataclass(frozen=True, slots=True)
+class Exploration:
+    """What a walk found: the shortest steps to a broken rule, the rule last; empty where none is broken."""
+
+    violation: list[str]
+    states: int
+
+
+class _Origin(NamedTuple):
+    """The step that first led to a state."""
+
+    previous: State
+    description: str
+
+
+# By state reached; None for the initial one.
+_Origins: TypeAlias = dict[State, _Origin | None]
+
+
+def explore(model: Model, max_states: int = 2_000_000) -> Exploration:
+    """Walks every state that the model can reach; TooManyStatesError past `max_states`."""
+    initial = model.initial_state()
+    origins: _Origins = {initial: None}
+    unexplored = deque([initial])
+    while unexplored:
+        state = unexplored.popleft()
+        if is_stuck(state):
+            return _violation(origins, state, "progress: nothing is left to wait for")
+        try:
+            for description, after in model.steps(state):
+                if after not in origins:
+                    origins[after] = _Origin(state, description)
+                    unexplored.append(after)
+        except (RuleViolationError, OutOfOrderError) as broken:
+            return _violation(origins, state, str(broken))
+        if len(origins) > max_states:
+            raise TooManyStatesError(f"more than {max_states} states")
+    return Exploration([], len(origins))
+
+
+def _violation(origins: _Origins, state: State, rule: str) -> Exploration:
+    descriptions = [rule]
+    while (origin := origins[state]) is not None:
+        descriptions.append(origin.description)
+        state = origin.previous
+    return Exploration(descriptions[::-1], len(origins))
--- /dev/null
+++ b/valverouter/recovery/model/server.py
@@ -0,0 +1,97 @@
+"""The server: deliveries to it, from the running proxy and from killed ones, and what it does by itself."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+
+from valverouter.recovery.decide import Word
+from valverouter.recovery.model.state import (
+    AttemptState,
+    Message,
+    MessageKind,
+    Omission,
+    RuleViolationError,
+    State,
+    Step,
+)
+
+STATUS_OF = {
+    AttemptState.UNSEEN: Word.UNKNOWN,
+    AttemptState.IN_FLIGHT: Word.UNDER_WAY,
+    AttemptState.ESTABLISHED: Word.STANDS,
+    AttemptState.CLOSED: Word.CLOSED,
+}
+CANCELLABLE = (AttemptState.IN_FLIGHT, AttemptState.ESTABLISHED)
+
+
+@dataclass(frozen=True, slots=True)
+class Server:
+    """The server's steps, but for what `omitted` leaves out."""
+
+    omitted: Omission | None = None
+
+    def steps(self, state: State) -> Iterator[Step]:
+        """Every delivery that may come next, and everything that the server may do by itself."""
+        if state.to_server:
+            message, rest = state.to_server[0], state.to_server[1:]
+            yield self._receive(replace(state, to_server=rest), message, "")
+        yield from self._stale_steps(state)
+        yield from _own_steps(state)
+
+    def _stale_steps(self, state: State) -> Iterator[Step]:
+        """A connection keeps its order: of each killed proxy the first message comes next, or none at all."""
+        stale = state.stale_to_server
+        for epoch in sorted({message.epoch for message in stale}):
+            index = next(index for index, message in enumerate(stale) if message.epoch == epoch)
+            rest = stale[:index] + stale[index + 1 :]
+            yield self._receive(replace(state, stale_to_server=rest), stale[index], " of a killed proxy")
+            remaining = tuple(message for message in stale if message.epoch != epoch)
+            lost = replace(state, stale_to_server=remaining)
+            yield Step(f"the rest from epoch {epoch} is lost", lost)
+
+    def _receive(self, state: State, message: Message, sender: str) -> Step:
+        description = f"{message}{sender} reaches the server"
+        if message.epoch < state.server_epoch and self.omitted is not Omission.EPOCH_FENCE:
+            return Step(f"{description} and is fenced off", state)
+        state = replace(state, server_epoch=max(message.epoch, state.server_epoch))
+        attempt = state.attempts[message.attempt]
+        match message.kind:
+            case MessageKind.SETUP if attempt is AttemptState.UNSEEN:
+                state = _accept_setup(state, message.attempt)
+            case MessageKind.CANCEL if attempt in CANCELLABLE:
+                state = _with_attempt(state, message.attempt, AttemptState.CLOSED)
+            case MessageKind.QUERY if state.is_running:
+                reply = Message(MessageKind.STATUS, message.attempt, state.epoch, STATUS_OF[attempt])
+                state = replace(state, to_proxy=(*state.to_proxy, reply))
+        return Step(description, state)
+
+
+def _own_steps(state: State) -> Iterator[Step]:
+    for attempt, attempt_state in enumerate(state.attempts):
+        if attempt_state is AttemptState.IN_FLIGHT:
+            established = _respond(state, attempt, AttemptState.ESTABLISHED, MessageKind.ESTABLISHED)
+            yield Step(f"the server establishes attempt {attempt}", established)
+            failed = _respond(state, attempt, AttemptState.CLOSED, MessageKind.FAILED)
+            yield Step(f"the server fails attempt {attempt}", failed)
+        elif attempt_state is AttemptState.ESTABLISHED:
+            closed = _with_attempt(state, attempt, AttemptState.CLOSED)
+            yield Step(f"established attempt {attempt} ends", closed)
+
+
+def _respond(state: State, attempt: int, attempt_state: AttemptState, kind: MessageKind) -> State:
+    state = _with_attempt(state, attempt, attempt_state)
+    if not state.is_running:
+        return state
+    return replace(state, to_proxy=(*state.to_proxy, Message(kind, attempt, state.epoch)))
+
+
+def _accept_setup(state: State, attempt: int) -> State:
+    if AttemptState.IN_FLIGHT in state.attempts:
+        raise RuleViolationError(f"rule 2: attempt {attempt} reaches the server while another is in flight")
+    return _with_attempt(state, attempt, AttemptState.IN_FLIGHT)
+
+
+def _with_attempt(state: State, attempt: int, attempt_state: AttemptState) -> State:
+    attempts = (*state.attempts[:attempt], attempt_state, *state.attempts[attempt + 1 :])
+    return replace(state, attempts=attempts)
