--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -177,7 +177,7 @@
 
 
 def test_the_model_finds_the_faults_it_once_found_in_the_plans(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A cancel written long ago taken for delivered; an established dialog forgotten with its answer unsent."""
+    """An old cancel taken for delivered; an established dialog forgotten with its answer unsent."""
 
     def hasty(one: Record, now: Moment, release_wait: int) -> Decision:
         found = at_start(one, now, release_wait)
