--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -37,7 +37,7 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
 from valverouter.fleet.datagrams import FleetTask
-from valverouter.ledger.store import Ledger
+from valverouter.ledger.dialog_store import DialogStore
 from valverouter.membership.records import Phase
 from valverouter.signalling import setup
 from valverouter.signalling.framing import FrameReader, frame
@@ -223,7 +223,7 @@
 def edge(port: int, told: Any, profile: str, folder: str = "", sync: str = "none", seed: str = "") -> None:
     terms = edge_terms(IniFile(INI.format(port=port), "bench"))
     set_up(terms.log)
-    store = Ledger(Path(folder), sync=sync) if folder else None
+    store = DialogStore(Path(folder), sync=sync) if folder else None
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -28,7 +28,7 @@
 from valverouter.days.virtual import run_virtual
 from valverouter.emulator import edges
 from valverouter.experiments.figures import figures
-from valverouter.recovery.pace import Pace
+from valverouter.recovery.pacing import QueryPacer
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
 
@@ -105,15 +105,17 @@
             print(" ", breach)
 
 
-class AtOnce(Pace):
+class AtOnce(QueryPacer):
     """Asks for everything as soon as it may."""
 
-    def next(self, now: int) -> list[tuple[str, str]]:
-        found = [(entry[3], name) for name, one in self._servers.items() for entry in sorted(one.waiting)]
-        for one in self._servers.values():
-            one.out += len(one.waiting)
-            one.waiting.clear()
-        return found
+    def take_due(self, now: int) -> list[tuple[str, str]]:
+        """Every query that waits, whatever the servers' windows say."""
+        due = []
+        for server, queue in self._servers.items():
+            due += [(query.dialog_id, server) for query in sorted(queue.waiting)]
+            queue.in_flight += len(queue.waiting)
+            queue.waiting.clear()
+        return due
 
 
 def fleet_day(seed: int, size: int, share: float, ledger: bool) -> Day:
@@ -127,7 +129,7 @@
     seed, size, share = job
     found = []
     for mode in ("without", "paced", "at once"):
-        edges.Pace = AtOnce if mode == "at once" else Pace  # type: ignore[attr-defined]
+        edges.QueryPacer = AtOnce if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
         played = fleet_day(seed, size, share, mode != "without")
         rows = run_emulated(played).rows
         seen = figures(rows)
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -30,11 +30,12 @@
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
 from valverouter.fleet import asking, parcels, sealing, words
-from valverouter.ledger import store
+from valverouter.ledger import dialog_store
 from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.export import export_row
 from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.membership import messages, records
-from valverouter.recovery import course, learnt
+from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions import accounts
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
@@ -281,28 +282,28 @@
 # Dialogs that an edge proxy owes answers to
 
 
-def dialog_record(phase: course.Phase = course.Phase.OUT) -> course.Record:
-    return course.Record(
+def dialog_record(phase: lifecycle.Phase = lifecycle.Phase.IN_FLIGHT) -> lifecycle.DialogRecord:
+    return lifecycle.DialogRecord(
         f"d-{phase.value}",
         "caller-1",
         "booking",
         2,
         509,
-        course.Moment(521, 523, "boot-1"),
+        lifecycle.Timestamp(521, 523, "boot-1"),
         541,
         547,
         phase,
         3,
         "s1",
         557,
-        course.Moment(563, 569, "boot-2"),
+        lifecycle.Timestamp(563, 569, "boot-2"),
         "declined",
         571,
         True,
     )
 
 
-LEARNT = learnt.Learnt("s2", 577, 587, 1000, 593, 599)
+LEARNED_STATE = learned_state.LearnedServerState("s2", 577, 587, 1000, 593, 599)
 
 # The set-up protocol and the list's
 
@@ -484,14 +485,14 @@
         "permits.answer": permits.Answer("o7/e14", PERMIT, "given"),
         "keeper.memory": MEMORY,
         "keeper.report": REPORT,
-        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in course.Phase},
-        "ledger.learnt": LEARNT,
-        "ledger.damaged": store.Damaged("dialogs", "d9", "its checksum does not fit"),
+        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in lifecycle.Phase},
+        "ledger.learnt": LEARNED_STATE,
+        "ledger.damaged": dialog_store.DamagedEntry("dialogs", "d9", "its checksum does not fit"),
     }
     told = {
         "orders.json-placed": PLACED,
         "orders.json-shown": TOOL_PAGE,
-        "ledger.json-exported": msgspec.to_builtins(msgspec.structs.asdict(dialog_record())),
+        "ledger.json-exported": msgspec.to_builtins(export_row(dialog_record())),
         "list.cache": LIST_CACHE,
     }
     return (
@@ -521,7 +522,7 @@
         "orders.phase": orders.Phase,
         "orders.step": orders.Step,
         "limits.sort": limits.Sort,
-        "ledger.phase": course.Phase,
+        "ledger.phase": lifecycle.Phase,
     }
 
 
@@ -541,9 +542,9 @@
     written,
     keeping,
     shown,
-    course,
-    learnt,
-    store,
+    lifecycle,
+    learned_state,
+    dialog_store,
     listing,
     greeting,
     setup,
@@ -658,11 +659,11 @@
 
 
 def write_ledger(folder: Path) -> None:
-    with store.Ledger(folder) as ledger:
+    with dialog_store.DialogStore(folder) as ledger:
         ledger.begin_epoch(547)
-        for phase in course.Phase:
+        for phase in lifecycle.Phase:
             ledger.put(dialog_record(phase))
-        ledger.put_learnt(LEARNT)
+        ledger.put_learned_state(LEARNED_STATE)
         ledger.commit()
 
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -29,9 +29,9 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.emulator.fleet import Fleet
 from valverouter.interface import AttemptTerms, Outcome
-from valverouter.ledger.store import Ledger
-from valverouter.recovery.course import Moment, Phase, Record
-from valverouter.recovery.decide import attempts_left
+from valverouter.ledger.dialog_store import DialogStore
+from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
+from valverouter.recovery.plan import remaining_attempt_policy
 from valverouter.signalling import setup, tap
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
@@ -65,7 +65,7 @@
         self.surroundings = MemorySurroundings(self.network)
         if moved or boot != "memory":
             now = self.surroundings.moment
-            self.surroundings.moment = lambda: Moment(now().wall + moved, now().monotonic, boot)  # type: ignore[method-assign]
+            self.surroundings.moment = lambda: Timestamp(now().wall + moved, now().monotonic, boot)  # type: ignore[method-assign]
         self.edge = self.make_edge()
         await self.nursery.start(self.run_edge)
         await trio.sleep(0.1)
@@ -388,7 +388,7 @@
 @pytest.mark.parametrize("used, left", [(0, (3, 0)), (1, (2, 5)), (2, (1, 4)), (3, None), (6, None)], ids=str)
 def test_attempts_that_are_left(used: int, left: tuple[int, int] | None) -> None:
     terms = AttemptTerms(3, SECOND, 0, 300 * MS, 200 * MS, 2 * SECOND)
-    found = attempts_left(terms, used, 6)
+    found = remaining_attempt_policy(terms, used, 6)
     assert (None if found is None else (found.legs, found.legs_in_all)) == left
 
 
@@ -603,35 +603,35 @@
 
 
 def test_a_voided_store_is_empty_and_goes_on(tmp_path: Path) -> None:
-    moment = Moment(1, 1, "b")
-    with Ledger(tmp_path / "store") as store:
-        store.put(Record("d1", "c0", "plain", 0, 0, moment, SECOND, 1))
+    moment = Timestamp(1, 1, "b")
+    with DialogStore(tmp_path / "store") as store:
+        store.put(DialogRecord("d1", "c0", "plain", 0, 0, moment, SECOND, 1))
         store.commit()
-        store.put(Record("d2", "c0", "plain", 0, 0, moment, SECOND, 1))
-        store.void()
-        store.put(Record("d3", "c0", "plain", 0, 0, moment, SECOND, 1))
+        store.put(DialogRecord("d2", "c0", "plain", 0, 0, moment, SECOND, 1))
+        store.clear()
+        store.put(DialogRecord("d3", "c0", "plain", 0, 0, moment, SECOND, 1))
         store.commit()
-        assert [one.dialog for one in store.records() if isinstance(one, Record)] == ["d3"]
+        assert [one.dialog_id for one in store.records() if isinstance(one, DialogRecord)] == ["d3"]
         assert store.begin_epoch(1_000) == 1_000 and store.begin_epoch(5) == 1_001
 
 
 def test_damaged_records_cost_themselves_alone(tmp_path: Path) -> None:
-    moment = Moment(1, 1, "b")
-    with Ledger(tmp_path / "store") as store:
-        store.put(Record("sound", "c0", "plain", 0, 0, moment, SECOND, 0))
+    moment = Timestamp(1, 1, "b")
+    with DialogStore(tmp_path / "store") as store:
+        store.put(DialogRecord("sound", "c0", "plain", 0, 0, moment, SECOND, 0))
         store.commit()
         with store._env.begin(write=True, db=store._dialogs) as txn:
             txn.put(b"d\xff", b"no checksum fits this")
         owed = Owed(store, lambda: moment)
-        assert [record.dialog for record, _ in owed.found(300 * MS)] == ["sound"]
+        assert [record.dialog_id for record, _ in owed.found(300 * MS)] == ["sound"]
         owed.commit(0)
-        assert [one.dialog for one in store.records() if isinstance(one, Record)] == ["sound"]
+        assert [one.dialog_id for one in store.records() if isinstance(one, DialogRecord)] == ["sound"]
         assert not list(store.repair()) and len(owed) == 1
 
 
 def test_a_record_of_a_release_time_counts_as_let_go() -> None:
     store = MemoryStore()
-    owed = Owed(store, lambda: Moment(1, 1, "b"))
+    owed = Owed(store, lambda: Timestamp(1, 1, "b"))
     owed.took(dial(), "c0", SECOND, 0)
     owed.leg_out("d1", 0, "s0", 1)
     owed.leg_over("d1", Outcome.TIMED_OUT)
@@ -640,7 +640,7 @@
     owed.leg_out("d1", 1, "s1", 1)
     owed.leg_over("d1", Outcome.FULL)
     owed.commit(0)
-    assert [*phases, store.kept["d1"].phase] == [Phase.LET_GO, Phase.WAITING]
+    assert [*phases, store.kept["d1"].phase] == [Phase.CANCELLED, Phase.WAITING]
 
 
 # The command
@@ -675,16 +675,16 @@
 
 
 def test_two_processes_on_one_store(tmp_path: Path) -> None:
-    with Ledger(tmp_path / "store"):
+    with DialogStore(tmp_path / "store"):
         code, said = starts(tmp_path)
     assert code == 3 and "held by another process" in said and "Traceback" not in said
 
 
 @pytest.mark.parametrize("how", ["another version", "no store", "cut off", "a page of noughts"])
 def test_a_store_that_can_not_be_read_is_set_aside(how: str, tmp_path: Path) -> None:
-    with Ledger(tmp_path / "store") as store:
+    with DialogStore(tmp_path / "store") as store:
         for at in range(400):
-            store.put(Record(f"d{at}", "c0", "plain", 0, 0, Moment(1, 1, "b"), SECOND, 0))
+            store.put(DialogRecord(f"d{at}", "c0", "plain", 0, 0, Timestamp(1, 1, "b"), SECOND, 0))
         store.commit()
         if how == "another version":
             store._write_meta(b"format", 99)
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -29,8 +29,8 @@
 from valverouter.fleet.tool import CouncilAsker
 from valverouter.fleet.words import Asks, Here, Word
 from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.dialog_store import StoreLockedError
 from valverouter.ledger.keeperstore import KeeperStore, opened
-from valverouter.ledger.store import LedgerBusyError
 from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory, Turn
 from valverouter.rollout.limits import Sort, Unit
 from valverouter.rollout.orders import Kind, Place, Placed, Runs, Want
@@ -261,7 +261,7 @@
     store, found, aside = opened(path)
     assert (found, aside) == (None, "")
     store.save(memory)
-    with pytest.raises(LedgerBusyError):
+    with pytest.raises(StoreLockedError):
         KeeperStore(path)
     store.close()
     store, found, aside = opened(path)
--- /dev/null
+++ b/tests/test_recovery_model.py
@@ -0,0 +1,50 @@
+"""The model check of recovery: no rule breaks, and leaving any safeguard out breaks one."""
+
+from __future__ import annotations
+
+import pytest
+
+from valverouter.recovery.lifecycle import DialogRecord, Timestamp
+from valverouter.recovery.model import proxy as model_proxy
+from valverouter.recovery.model.search import Model, explore
+from valverouter.recovery.model.state import Omission
+from valverouter.recovery.plan import PeerStatus as Status
+from valverouter.recovery.plan import RecoveryAction as Action
+from valverouter.recovery.plan import RecoveryPlan, plan_on_restart, plan_on_status
+
+
+def test_no_sequence_of_steps_with_one_crash_breaks_a_rule() -> None:
+    exploration = explore(Model(max_crashes=1))
+    assert exploration.violation == []
+    assert exploration.states > 20_000
+
+
+@pytest.mark.parametrize("omitted", Omission, ids=lambda omitted: omitted.name.lower())
+def test_omitting_any_write_or_safeguard_breaks_a_rule(omitted: Omission) -> None:
+    violation = explore(Model(omitted)).violation
+    assert violation
+    assert violation[-1].startswith("rule"), "\n".join(violation)
+
+
+def test_the_model_finds_the_faults_it_once_found_in_the_plans(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An old cancel taken for delivered; an established dialog forgotten with its answer unsent."""
+
+    def without_release_delay(record: DialogRecord, now: Timestamp, release_delay: int) -> RecoveryPlan:
+        plan = plan_on_restart(record, now, release_delay)
+        skips = plan.action is Action.AWAIT_RELEASE
+        return RecoveryPlan(Action.CONTINUE_ROUTING, plan.time_left) if skips else plan
+
+    monkeypatch.setattr(model_proxy, "plan_on_restart", without_release_delay)
+    violation = explore(Model(max_crashes=1)).violation
+    assert violation[-1].startswith(("rule 2", "rule 5"))
+    monkeypatch.undo()
+
+    def forgetful(
+        record: DialogRecord, status: Status, same_incarnation: bool, time_left: int, release_delay: int
+    ) -> RecoveryPlan:
+        plan = plan_on_status(record, status, same_incarnation, time_left, release_delay)
+        return RecoveryPlan(Action.FORGET) if plan.action is Action.RESEND_ANSWER_AND_END else plan
+
+    monkeypatch.setattr(model_proxy, "plan_on_status", forgetful)
+    violation = explore(Model(max_crashes=2)).violation
+    assert violation[-1].startswith("rule 1: the caller was told that its dialog was accepted")
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,7 +15,7 @@
 
 from valverouter.emulator.councils import Broken, Course
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.store import LedgerBusyError, LedgerError
+from valverouter.ledger.dialog_store import StoreError, StoreLockedError
 from valverouter.rollout.council import (
     KEPT,
     PATIENCE,
@@ -507,7 +507,7 @@
     store.close()
     again = CouncilStore(tmp_path, 99)
     assert again.load() == here, "its disk's number is the one that it began with"
-    with pytest.raises(LedgerBusyError):
+    with pytest.raises(StoreLockedError):
         CouncilStore(tmp_path, 1)
     again.commit([SaveSnapshot(Snapshot(40, 9, members, one))])
     assert again.load().entries == [], "a snapshot past all that is here"
@@ -539,7 +539,7 @@
     elif what == "cut off":
         data = data[: len(data) * 2 // 3]
     file.write_bytes(data)
-    with pytest.raises(LedgerError):
+    with pytest.raises(StoreError):
         CouncilStore(tmp_path, 8).load()
 
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -16,9 +16,9 @@
 
 from tests import stored_values
 from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.dialog_store import DialogStore
 from valverouter.ledger.keeperstore import KeeperStore
-from valverouter.ledger.store import Ledger
-from valverouter.recovery import course
+from valverouter.recovery import lifecycle
 from valverouter.rollout.council import Durable
 from valverouter.signalling import tap
 from valverouter.terms.calls import read_calls
@@ -45,10 +45,16 @@
 
 
 def test_a_ledger_of_before_gives_its_records_back(tmp_path: Path) -> None:
-    with Ledger(copied_store("ledger", tmp_path)) as ledger:
-        held = {record.dialog: record for record in ledger.records() if isinstance(record, course.Record)}
-        assert held == {record.dialog: record for record in map(stored_values.dialog_record, course.Phase)}
-        assert list(ledger.learnt()) == [stored_values.LEARNT]
+    with DialogStore(copied_store("ledger", tmp_path)) as ledger:
+        held = {
+            record.dialog_id: record
+            for record in ledger.records()
+            if isinstance(record, lifecycle.DialogRecord)
+        }
+        assert held == {
+            record.dialog_id: record for record in map(stored_values.dialog_record, lifecycle.Phase)
+        }
+        assert list(ledger.learned_states()) == [stored_values.LEARNED_STATE]
         assert ledger.begin_epoch() == 548
 
 
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -12,7 +12,7 @@
 import click
 
 from valverouter.cli.common import FAILED, UNUSABLE, leaf
-from valverouter.ledger.file import LedgerError
+from valverouter.ledger.storage import StoreError
 from valverouter.terms.ini import FlawedTermsError
 
 # Each command by its module, loaded when it is called: with all of them, half of an edge proxy's start went
@@ -64,7 +64,7 @@
     except FlawedTermsError as error:
         click.echo(error, err=True)
         sys.exit(UNUSABLE)
-    except (ValueError, OSError, LedgerError) as error:
+    except (ValueError, OSError, StoreError) as error:
         click.echo(f"valverouter: {error}", err=True)
         sys.exit(UNUSABLE)
     except RuntimeError as error:
--- a/valverouter/cli/edging.py
+++ b/valverouter/cli/edging.py
@@ -20,8 +20,8 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
 from valverouter.fleet.datagrams import FleetTask, counts_of, facts_of
-from valverouter.ledger.file import LedgerError, sound
-from valverouter.ledger.store import Ledger
+from valverouter.ledger.dialog_store import DialogStore
+from valverouter.ledger.storage import StoreError, open_or_set_aside
 from valverouter.terms.edge import EdgeTerms, load_edge_terms, load_settled
 from valverouter.terms.ini import FlawedTermsError
 
@@ -40,7 +40,7 @@
     logs.set_up(terms.log)
     try:
         trio.run(_edge, terms, file)
-    except* (OSError, LedgerError) as group:
+    except* (OSError, StoreError) as group:
         log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
         sys.exit(FAILED)
 
@@ -72,7 +72,7 @@
 
 
 @contextmanager
-def _store(terms: EdgeTerms) -> Iterator[Ledger | None]:
+def _store(terms: EdgeTerms) -> Iterator[DialogStore | None]:
     """The ledger of the terms. One that can't be read is set aside whole: what it held is lost, and no reason
     to serve nobody."""
     told = terms.ledger
@@ -80,11 +80,11 @@
         yield None
         return
     folder = Path(told.folder)
-    store, _, why, aside = sound(folder, lambda: Ledger(folder, told.most, told.sync), Ledger.check)
-    if why:
-        log.error("ledger-set-aside", why=why, to=str(aside))
-    with store:
-        yield store
+    opened = open_or_set_aside(folder, lambda: DialogStore(folder, told.most, told.sync), DialogStore.verify)
+    if opened.problem:
+        log.error("ledger-set-aside", why=opened.problem, to=str(opened.set_aside_to))
+    with opened.store:
+        yield opened.store
 
 
 async def _signals(proxy: EdgeProxy, file: Path) -> None:
--- a/valverouter/cli/ledgers.py
+++ b/valverouter/cli/ledgers.py
@@ -1,4 +1,4 @@
-"""`valverouter ledger ...`: the store of dialogs that an edge proxy owes answers to."""
+"""`valverouter ledger ...`: the store of dialogs that an edge proxy still has to answer."""
 
 from __future__ import annotations
 
@@ -8,13 +8,12 @@
 
 import click
 import msgspec
-import structlog
 
 from valverouter.cli.common import BROKEN, FILE, console
-from valverouter.ledger.store import Damaged, Ledger
-from valverouter.recovery.course import Record
-
-log = structlog.get_logger()
+from valverouter.ledger.dialog_store import DamagedEntry, DialogStore
+from valverouter.ledger.export import export_row
+from valverouter.ledger.storage import DATA_FILE
+from valverouter.recovery.lifecycle import DialogRecord
 
 
 @click.group()
@@ -22,23 +21,26 @@
     """The store of dialogs that an edge proxy owes answers to."""
 
 
-def _kept(folder: Path) -> Ledger:
+def _open_existing(folder: Path) -> DialogStore:
     # Opening makes a store where there is none: a slip in the path would read as an empty one.
-    if not (folder / "data.mdb").exists():
+    if not (folder / DATA_FILE).exists():
         raise ValueError(f"{folder}: there is no store")
-    return Ledger(folder)
+    return DialogStore(folder)
+
+
+def _describe(entry: DamagedEntry) -> str:
+    return f"{entry.table} {entry.key!r}: {entry.reason}"
 
 
 @ledger.command("inspect")
 @click.argument("folder", type=FILE)
 def ledger_inspect(folder: Path) -> None:
     """What the store in FOLDER holds, by phase."""
-    with _kept(folder) as store:
-        records = [one for one in store.records() if isinstance(one, Record)]
-        phases = Counter(one.phase.value for one in records)
-        console.print(
-            f"{len(records)} dialogs, {store.live()} bytes live, {store.used()} used", highlight=False
-        )
+    with _open_existing(folder) as store:
+        records = [entry for entry in store.records() if isinstance(entry, DialogRecord)]
+        sizes = f"{store.live_bytes()} bytes live, {store.bytes_in_use()} used"
+    console.print(f"{len(records)} dialogs, {sizes}", highlight=False)
+    phases = Counter(record.phase.value for record in records)
     for phase, count in sorted(phases.items()):
         console.print(f"  {phase}: {count}", highlight=False)
 
@@ -47,10 +49,10 @@
 @click.argument("folder", type=FILE)
 def ledger_verify(folder: Path) -> None:
     """Read every entry in FOLDER; exits with 1 when one is damaged."""
-    with _kept(folder) as store:
-        damaged = [one for one in (*store.records(), *store.learnt()) if isinstance(one, Damaged)]
-    for one in damaged:
-        console.print(f"{one.table} {one.key!r}: {one.why}", highlight=False, markup=False)
+    with _open_existing(folder) as store:
+        damaged = store.damaged_entries()
+    for entry in damaged:
+        console.print(_describe(entry), highlight=False, markup=False)
     console.print(f"{len(damaged)} damaged", highlight=False)
     sys.exit(BROKEN if damaged else 0)
 
@@ -59,10 +61,10 @@
 @click.argument("folder", type=FILE)
 def ledger_repair(folder: Path) -> None:
     """Take damaged entries out of the store in FOLDER, and say what is lost by it."""
-    with _kept(folder) as store:
+    with _open_existing(folder) as store:
         lost = store.repair()
-    for one in lost:
-        console.print(f"lost: {one.table} {one.key!r}: {one.why}", highlight=False, markup=False)
+    for entry in lost:
+        console.print(f"lost: {_describe(entry)}", highlight=False, markup=False)
     console.print(f"{len(lost)} lost", highlight=False)
 
 
@@ -70,7 +72,7 @@
 @click.argument("folder", type=FILE)
 def ledger_export(folder: Path) -> None:
     """Every readable record in FOLDER as a JSON line on standard output."""
-    with _kept(folder) as store:
-        for one in store.records():
-            if isinstance(one, Record):
-                click.echo(msgspec.json.encode(msgspec.structs.asdict(one)))
+    with _open_existing(folder) as store:
+        for entry in store.records():
+            if isinstance(entry, DialogRecord):
+                click.echo(msgspec.json.encode(export_row(entry)))
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -18,8 +18,8 @@
 from valverouter.fleet.council import NotFoundedError, SeatTask
 from valverouter.fleet.keeper import KeeperTask
 from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.keeperstore import opened
+from valverouter.ledger.storage import StoreError, open_or_set_aside
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
 log = structlog.get_logger()
@@ -41,7 +41,7 @@
             trio.run(_seat, terms, store, found)
         finally:
             store.close()
-    except* (OSError, LedgerError, NotFoundedError) as group:
+    except* (OSError, StoreError, NotFoundedError) as group:
         log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
         sys.exit(FAILED)
 
@@ -49,10 +49,10 @@
 def _store(terms: SeatTerms) -> CouncilStore:
     """One that can't be read whole is a lost disk: set aside, and the seat comes back as another."""
     fresh = secrets.randbits(63)
-    store, _, why, aside = sound(terms.store, lambda: CouncilStore(terms.store, fresh), CouncilStore.load)
-    if why:
-        log.error("record-set-aside", why=why, to=str(aside))
-    return store
+    opened = open_or_set_aside(terms.store, lambda: CouncilStore(terms.store, fresh), CouncilStore.load)
+    if opened.problem:
+        log.error("record-set-aside", why=opened.problem, to=str(opened.set_aside_to))
+    return opened.store
 
 
 async def _seat(terms: SeatTerms, store: CouncilStore, found: bool) -> None:
@@ -81,7 +81,7 @@
             trio.run(_keep, task)
         finally:
             store.close()
-    except* (OSError, LedgerError) as group:
+    except* (OSError, StoreError) as group:
         log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
         sys.exit(FAILED)
 
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -18,7 +18,7 @@
 from valverouter.days.world import World
 from valverouter.edge.keeping import edge_proxy
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.recovery.course import Moment, Record
+from valverouter.recovery.lifecycle import DialogRecord, Timestamp
 from valverouter.servermodel.paths import Paths
 from valverouter.signalling.tap import Row
 from valverouter.terms.day import Day
@@ -170,8 +170,8 @@
     def wall(self) -> int:
         return EPOCH + round(trio.current_time() * 1e9) - self._wall_back
 
-    def moment(self) -> Moment:
-        return Moment(self.wall(), round(trio.current_time() * 1e9), "memory")
+    def moment(self) -> Timestamp:
+        return Timestamp(self.wall(), round(trio.current_time() * 1e9), "memory")
 
     async def connect(self, address: str) -> trio.abc.Stream:
         return await self._place.connect(address)
@@ -247,22 +247,22 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.kept: dict[str, Record] = {}
+        self.kept: dict[str, DialogRecord] = {}
         self.fails = False
-        self._puts: dict[str, Record | None] = {}
+        self._puts: dict[str, DialogRecord | None] = {}
 
-    def begin_epoch(self, least: int = 0) -> int:
+    def begin_epoch(self, minimum: int = 0) -> int:
         self._puts.clear()
-        self.epoch = max(least, self.epoch + 1)
+        self.epoch = max(minimum, self.epoch + 1)
         return self.epoch
 
-    def records(self) -> list[Record]:
+    def records(self) -> list[DialogRecord]:
         return list(self.kept.values())
 
-    def put(self, record: Record) -> None:
-        self._puts[record.dialog] = record
+    def put(self, record: DialogRecord) -> None:
+        self._puts[record.dialog_id] = record
 
-    def drop(self, dialog: str) -> None:
+    def delete(self, dialog: str) -> None:
         self._puts[dialog] = None
 
     def commit(self) -> int:
@@ -274,7 +274,7 @@
             self.kept.pop(dialog, None)
         return len(puts)
 
-    def void(self) -> None:
+    def clear(self) -> None:
         self._puts.clear()
         self.kept.clear()
 
--- a/valverouter/edge/events.py
+++ b/valverouter/edge/events.py
@@ -12,7 +12,7 @@
 from valverouter.edge.listener import CallerLost, FromCaller
 from valverouter.edge.listing import ListHeard
 from valverouter.interface import Outcome
-from valverouter.recovery.decide import Need
+from valverouter.recovery.plan import RecoveryAction
 from valverouter.terms.edge import EdgeTerms
 
 __all__ = [
@@ -45,7 +45,7 @@
     """An alarm on a dialog of a former self, or of a caller that is away: its `need` has had its time."""
 
     dialog_id: str
-    need: Need
+    need: RecoveryAction
 
 
 @dataclass(frozen=True, slots=True)
--- a/valverouter/edge/keeping.py
+++ b/valverouter/edge/keeping.py
@@ -2,7 +2,7 @@
 
 Beside `EdgeProxy`'s own books it moves a record for each dialog (`owed`), committed at the end of each turn,
 before what the turn put out leaves. At its start it takes over what a former self left: what each dialog
-needs is `valverouter.recovery.decide`'s to say, how fast servers are asked `pace`'s. A dialog goes on once
+needs is `valverouter.recovery.plan`'s to say, how fast servers are asked `pacing`'s. A dialog goes on once
 its caller has come back for it; without, nobody would hear the answer.
 """
 
@@ -19,9 +19,15 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Surroundings
 from valverouter.interface import Outcome, Report
-from valverouter.recovery.course import Phase, Record
-from valverouter.recovery.decide import Decision, Need, Word, attempts_left, on_word
-from valverouter.recovery.pace import Pace
+from valverouter.recovery.lifecycle import DialogRecord, Phase
+from valverouter.recovery.pacing import QueryPacer
+from valverouter.recovery.plan import (
+    PeerStatus,
+    RecoveryAction,
+    RecoveryPlan,
+    plan_on_status,
+    remaining_attempt_policy,
+)
 from valverouter.signalling import setup
 from valverouter.terms.edge import EdgeTerms
 
@@ -44,12 +50,12 @@
     def __init__(self, terms: EdgeTerms, surroundings: Surroundings, store: Keeps) -> None:
         self._owed = Owed(store, surroundings.moment)
         # What a former self's dialogs wait for before their course goes on.
-        self._needs: dict[str, Need] = {}
+        self._needs: dict[str, RecoveryAction] = {}
         # How what stood ended while its caller was away; leaves with the dialog.
         self._ends: dict[str, str] = {}
         # By such a dialog, how many legs the former self had numbered. Emptied by alarms past its time.
         self._numbered: dict[str, int] = {}
-        self._pace = Pace()
+        self._pace = QueryPacer()
         super().__init__(terms, surroundings)
         self._epoch = self._owed.epoch
         self._handlers[Mend] = self._mend
@@ -113,19 +119,23 @@
         if isinstance(taken.caller, Absent) and reason != "released":
             # Its caller hears so when it comes back: told that nothing is known of it, it would dial again.
             self._ends[taken.setup.dialog], taken.leg = reason, None
-            self._needs[taken.setup.dialog] = Need.END
+            self._needs[taken.setup.dialog] = RecoveryAction.RESEND_ANSWER_AND_END
             return
         super()._over(taken, reason)
 
     def _drop(self, dialog_id: str, reason: str) -> None:
-        if self._needs.pop(dialog_id, None) is Need.ASK:
+        if self._needs.pop(dialog_id, None) is RecoveryAction.QUERY_SERVER:
             # Whether it stands is not known: a cancel lets it go either way.
             self._withdraws(self._dialogs[dialog_id])
         super()._drop(dialog_id, reason)
 
     def _leaves(self, caller: Caller, message: setup.OfLeg) -> None:
         taken = self._dialogs.get(message.dialog)
-        if taken is None or not taken.stands or self._needs.get(message.dialog) is not Need.ASK:
+        if (
+            taken is None
+            or not taken.stands
+            or self._needs.get(message.dialog) is not RecoveryAction.QUERY_SERVER
+        ):
             super()._leaves(caller, message)
         elif taken.caller is caller:
             self._withdraws(taken)
@@ -137,102 +147,112 @@
         self._now = now = self._clock.now()
         found = self._owed.found(self.terms.deployment.release_wait)
         for record, decision in found:
-            if decision.need is Need.ANSWER:
-                self._owed.expires(record.dialog, now + decision.left)
+            if decision.action is RecoveryAction.RESEND_ANSWER:
+                self._owed.expires(record.dialog_id, now + decision.time_left)
             else:
                 self._take_over(record, decision)
         if found:
             self._log.info("recovered", dialogs=len(found), standing=self.standing, epoch=self._epoch)
 
-    def _take_over(self, record: Record, decision: Decision) -> None:
-        now, dialog_id = self._now, record.dialog
+    def _take_over(self, record: DialogRecord, decision: RecoveryPlan) -> None:
+        now, dialog_id = self._now, record.dialog_id
         asked = setup.Setup(
             dialog=dialog_id,
             traffic_type=record.traffic_type,
-            no_answer=max(1, decision.left),
-            first_choice=record.first_choice,
+            no_answer=max(1, decision.time_left),
+            first_choice=record.preferred_server_number,
             called_number=record.called_number,
-            was_cut=record.was_cut,
+            was_cut=record.was_interrupted,
         )
-        deadline = now + decision.left
-        back_by = now + max(decision.left, self.terms.ledger.resume_within)
-        taken = Taken(asked, Absent(record.caller, back_by), deadline, legs=record.leg + 1)
+        deadline = now + decision.time_left
+        back_by = now + max(decision.time_left, self.terms.ledger.resume_within)
+        taken = Taken(asked, Absent(record.caller, back_by), deadline, legs=record.attempt + 1)
         self._dialogs[dialog_id] = taken
         taken.caller.dialogs.add(dialog_id)
         if taken.legs:
             self._numbered[dialog_id] = taken.legs
-            self._alarms.set(deadline + NUMBERS_LAST, Mend(dialog_id, Need.ANSWER))
-        self._needs[dialog_id] = decision.need
-        span = decision.wait
-        if decision.need is Need.ASK:
-            taken.leg, taken.stands = record.leg, record.phase is Phase.STANDS
+            self._alarms.set(deadline + NUMBERS_LAST, Mend(dialog_id, RecoveryAction.RESEND_ANSWER))
+        self._needs[dialog_id] = decision.action
+        span = decision.delay
+        if decision.action is RecoveryAction.QUERY_SERVER:
+            taken.leg, taken.stands = record.attempt, record.phase is Phase.ESTABLISHED
             span = self.terms.ledger.resume_within if taken.stands else ASKED_WITHIN
-        self._alarms.set(now + span, Mend(dialog_id, decision.need))
-        self._alarms.set(back_by, Mend(dialog_id, Need.FORGET))
+        self._alarms.set(now + span, Mend(dialog_id, decision.action))
+        self._alarms.set(back_by, Mend(dialog_id, RecoveryAction.FORGET))
         if not taken.stands:
-            self._alarms.set(deadline - self.terms.answer_margin, Mend(dialog_id, Need.LET_GO))
+            self._alarms.set(
+                deadline - self.terms.answer_margin, Mend(dialog_id, RecoveryAction.CANCEL_ATTEMPT)
+            )
 
     def _mend(self, event: Mend) -> None:
         """The time that something was given is over: FORGET, a caller to come back; LET_GO, a dialog that has
         not gone on; ANSWER, its numbers; else the need that it has."""
         dialog_id = event.dialog_id
-        if event.need is Need.ANSWER:
+        if event.need is RecoveryAction.RESEND_ANSWER:
             self._numbered.pop(dialog_id, None)
             return
         taken, need = self._dialogs.get(dialog_id), self._needs.get(dialog_id)
         if taken is None:
             return
-        if event.need is Need.FORGET:
+        if event.need is RecoveryAction.FORGET:
             if isinstance(taken.caller, Absent) and self._now >= taken.caller.back_by:
                 self._drop(dialog_id, "caller-gone")
-        elif event.need is Need.LET_GO:
+        elif event.need is RecoveryAction.CANCEL_ATTEMPT:
             if need is not None:
                 self._drop(dialog_id, "no-time")
-        elif need is event.need is Need.ASK:
-            self._fate(taken, Word.SILENT, True)
-        elif need is event.need is Need.WAIT:
+        elif need is event.need is RecoveryAction.QUERY_SERVER:
+            self._fate(taken, PeerStatus.NO_RESPONSE, True)
+        elif need is event.need is RecoveryAction.AWAIT_RELEASE:
             self._go_on(taken)
 
     def _ask_at(self, link: Link, incarnation: int) -> None:
         """A server is there: it is asked for a former self's legs, where it is the process that had them."""
-        for dialog_id in [dialog_id for dialog_id, need in self._needs.items() if need is Need.ASK]:
+        for dialog_id in [
+            dialog_id for dialog_id, need in self._needs.items() if need is RecoveryAction.QUERY_SERVER
+        ]:
             taken, record = self._dialogs[dialog_id], self._owed.record(dialog_id)
             if record is None or record.server != link.server:
                 continue
-            same = record.server_start in (0, incarnation)
+            same = record.server_incarnation in (0, incarnation)
             if not same or not link.resumes:
                 # Another process never had it; one of an older version gave it up with the connection.
-                self._fate(taken, Word.UNKNOWN, same)
+                self._fate(taken, PeerStatus.UNKNOWN, same)
                 continue
             kind = self.terms.deployment.traffic_types.get(record.traffic_type)
             taken.link = link
-            self._pace.add(dialog_id, link.server, taken.deadline - self._now, kind.importance if kind else 0)
+            self._pace.enqueue(
+                dialog_id, link.server, taken.deadline - self._now, kind.importance if kind else 0
+            )
         self._ask()
 
     def _ask(self) -> None:
-        for dialog_id, server in self._pace.next(self._now):
+        for dialog_id, server in self._pace.take_due(self._now):
             taken, link = self._dialogs.get(dialog_id), self._links.get(server)
-            wanted = taken is not None and self._needs.get(dialog_id) is Need.ASK and taken.link is link
+            wanted = (
+                taken is not None
+                and self._needs.get(dialog_id) is RecoveryAction.QUERY_SERVER
+                and taken.link is link
+            )
             if taken is None or taken.leg is None or link is None or not wanted or not link.takes:
-                self._pace.answered(server)
+                self._pace.on_reply(server)
                 continue
             link.legs[dialog_id, taken.leg] = False
             link.send(setup.Resume(dialog_id, taken.leg))
 
     def _answered(self, link: Link, message: setup.OfLeg) -> None:
         taken, key = self._dialogs.get(message.dialog), (message.dialog, message.leg)
-        asked = self._needs.get(message.dialog) is Need.ASK and link.legs.get(key) is False
+        asked = self._needs.get(message.dialog) is RecoveryAction.QUERY_SERVER and link.legs.get(key) is False
         if taken is None or not asked or taken.leg != message.leg:
             super()._answered(link, message)
             return
         closes = not isinstance(message, setup.Stands)
         if closes:
             del link.legs[key]
-        self._pace.answered(link.server)
-        self._fate(taken, Word.UNKNOWN if closes else Word.STANDS, True)
+        self._pace.on_reply(link.server)
+        self._fate(taken, PeerStatus.UNKNOWN if closes else PeerStatus.ESTABLISHED, True)
         self._ask()
 
-    def _fate(self, taken: Taken, word: Word, same_start: bool) -> None:
+    def _fate(self, taken: Taken, word: PeerStatus, same_start: bool) -> None:
         """A server's word on a former self's leg, or its silence."""
         dialog_id, link = taken.setup.dialog, taken.link
         record = self._owed.record(dialog_id)
@@ -241,25 +261,25 @@
             return
         del self._needs[dialog_id]
         left = max(0, taken.deadline - self._now)
-        decision = on_word(record, word, same_start, left, self.terms.deployment.release_wait)
-        self._log.debug("fate", dialog=dialog_id, word=word.name.lower(), need=decision.need.name.lower())
-        if word is Word.SILENT and link is not None:
-            self._pace.silent(link.server, self._now)
-        if decision.need is Need.ANSWER:
+        decision = plan_on_status(record, word, same_start, left, self.terms.deployment.release_wait)
+        self._log.debug("fate", dialog=dialog_id, word=word.name.lower(), need=decision.action.name.lower())
+        if word is PeerStatus.NO_RESPONSE and link is not None:
+            self._pace.on_timeout(link.server, self._now)
+        if decision.action is RecoveryAction.RESEND_ANSWER:
             if not taken.stands:
                 self._owed.stands(dialog_id)
                 self._answer(taken, setup.Stands(dialog_id, 0, link.server if link is not None else ""))
             self._tell_kept(taken)
-        elif decision.need is Need.END:
+        elif decision.action is RecoveryAction.RESEND_ANSWER_AND_END:
             self._withdraws(taken)
             self._over(taken, "cut")
-        elif decision.need is Need.FORGET:
+        elif decision.action is RecoveryAction.FORGET:
             self._forget(taken)
         else:
             self._withdraws(taken)
             self._owed.let_go(dialog_id)
-            self._needs[dialog_id] = Need.WAIT
-            self._alarms.set(self._now + decision.wait, Mend(dialog_id, Need.WAIT))
+            self._needs[dialog_id] = RecoveryAction.AWAIT_RELEASE
+            self._alarms.set(self._now + decision.delay, Mend(dialog_id, RecoveryAction.AWAIT_RELEASE))
 
     def _withdraws(self, taken: Taken) -> None:
         """Lets a former self's leg go, where its server was asked for it and may have it."""
@@ -275,7 +295,7 @@
         """Nothing of the former self's is in the way any more. Without its caller nobody would hear."""
         asked = taken.setup
         if isinstance(taken.caller, Absent):
-            self._needs[asked.dialog] = Need.GO_ON
+            self._needs[asked.dialog] = RecoveryAction.CONTINUE_ROUTING
             return
         self._needs.pop(asked.dialog, None)
         deployment = self.terms.deployment
@@ -283,7 +303,7 @@
         kind = deployment.traffic_types.get(asked.traffic_type)
         if taken.legs and kind is not None:
             usual = attempts or own_terms(deployment, kind.objective)
-            attempts = attempts_left(usual, taken.legs, deployment.legs_allowed)
+            attempts = remaining_attempt_policy(usual, taken.legs, deployment.legs_allowed)
             if attempts is None:
                 self._answer(taken, setup.Declined(asked.dialog, asked.leg, deployment.come_back_limit))
                 return
@@ -311,8 +331,12 @@
         if link.is_over or not event.sent:
             for dialog_id, need in list(self._needs.items()):
                 record = self._owed.record(dialog_id)
-                if need is Need.ASK and record is not None and record.server == link.server:
-                    self._fate(self._dialogs[dialog_id], Word.UNKNOWN, True)
+                if (
+                    need is RecoveryAction.QUERY_SERVER
+                    and record is not None
+                    and record.server == link.server
+                ):
+                    self._fate(self._dialogs[dialog_id], PeerStatus.UNKNOWN, True)
         asked = set() if link.is_over else {key for key in event.sent if self._asks_again(link, key)}
         super()._link_down(LinkDown(link, event.why, event.sent - asked, event.unsent))
 
@@ -321,14 +345,16 @@
         taken = self._dialogs.get(dialog_id)
         if taken is None or taken.link is not link or taken.leg != leg:
             return False
-        if self._needs.get(dialog_id) is Need.ASK:
-            self._pace.silent(link.server, self._now)
+        if self._needs.get(dialog_id) is RecoveryAction.QUERY_SERVER:
+            self._pace.on_timeout(link.server, self._now)
             return True
         record = self._owed.record(dialog_id)
-        if not taken.stands or taken.released or record is None or record.phase is not Phase.STANDS:
+        if not taken.stands or taken.released or record is None or record.phase is not Phase.ESTABLISHED:
             return False
-        self._needs[dialog_id] = Need.ASK
-        self._alarms.set(self._now + self.terms.ledger.resume_within, Mend(dialog_id, Need.ASK))
+        self._needs[dialog_id] = RecoveryAction.QUERY_SERVER
+        self._alarms.set(
+            self._now + self.terms.ledger.resume_within, Mend(dialog_id, RecoveryAction.QUERY_SERVER)
+        )
         return True
 
     # Callers that go and come back
@@ -340,7 +366,7 @@
         away = Absent(event.caller.name, self._now + self.terms.ledger.resume_within)
         for dialog_id in list(event.caller.dialogs):
             self._attach(self._dialogs[dialog_id], away)
-            self._alarms.set(away.back_by, Mend(dialog_id, Need.FORGET))
+            self._alarms.set(away.back_by, Mend(dialog_id, RecoveryAction.FORGET))
 
     def _attach(self, taken: Taken, caller: Caller) -> None:
         taken.caller.dialogs.discard(taken.setup.dialog)
@@ -363,17 +389,17 @@
         need = self._needs.get(dialog_id)
         if taken.stands:
             caller.send(setup.Stands(dialog_id, 0, taken.link.server if taken.link is not None else ""))
-            if need is Need.END:
+            if need is RecoveryAction.RESEND_ANSWER_AND_END:
                 self._over(taken, self._ends[dialog_id])
             return
         caller.send(setup.Provisional(dialog_id))
-        if need is Need.GO_ON:
+        if need is RecoveryAction.CONTINUE_ROUTING:
             self._go_on(taken)
 
     def _answer_again(self, caller: Caller, dialog_id: str) -> Any:
         record = self._owed.record(dialog_id)
-        if record is None or record.phase is not Phase.ANSWERED or record.caller != caller.name:
+        if record is None or record.phase is not Phase.CONCLUDED or record.caller != caller.name:
             return setup.Unknown(dialog_id)
-        if record.answer == "declined":
-            return setup.Declined(dialog_id, 0, record.span)
+        if record.final_answer == "declined":
+            return setup.Declined(dialog_id, 0, record.retry_after)
         return setup.Aborted(dialog_id, 0, "failed")
--- a/valverouter/edge/owed.py
+++ b/valverouter/edge/owed.py
@@ -1,9 +1,10 @@
 """What this instance owes, on record: moves each dialog's record as the edge proxy moves the dialog, and sees
 that a turn's records are committed before a turn's words leave.
 
-Which moves there are is `valverouter.recovery.course`'s, what a restart makes of them `decide`'s. A store
-that fails costs the records, never the calls: all of it is voided, since a record that was not moved on could
-let a second leg out after a kill; what is taken from then on is recorded again once the store takes it.
+Which transitions there are is `valverouter.recovery.lifecycle`'s, what a restart makes of them `plan`'s. A
+store that fails costs the records, never the calls: all of it is cleared, since a record that was not moved
+on could let a second leg out after a kill; what is taken from then on is recorded again once the store takes
+it.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 import structlog
 
 from valverouter.interface import Outcome
-from valverouter.recovery import course
-from valverouter.recovery.course import Moment, Phase, Record
-from valverouter.recovery.decide import Decision, Need, at_start
+from valverouter.recovery import lifecycle
+from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
+from valverouter.recovery.plan import RecoveryAction, RecoveryPlan, plan_on_restart
 from valverouter.signalling import setup
 
 log = structlog.get_logger()
@@ -36,30 +37,30 @@
 class Keeps(Protocol):
     """The store that records go to."""
 
-    def begin_epoch(self, least: int = 0) -> int: ...
+    def begin_epoch(self, minimum: int = 0) -> int: ...
 
     def records(self) -> Iterable[Any]:
         """Records, and whatever stands for those that can't be read."""
 
-    def put(self, record: Record) -> None: ...
+    def put(self, record: DialogRecord) -> None: ...
 
-    def drop(self, dialog: str) -> None: ...
+    def delete(self, dialog: str) -> None: ...
 
     def commit(self) -> int: ...
 
-    def void(self) -> None:
+    def clear(self) -> None:
         """Takes out all that it holds, pending changes too."""
 
 
 class Owed:
     """The records of what is open, stands, or was answered within its time; each leaves with that."""
 
-    def __init__(self, store: Keeps, moment: Callable[[], Moment]) -> None:
+    def __init__(self, store: Keeps, moment: Callable[[], Timestamp]) -> None:
         self._store = store
         self._clock = moment
         # One moment for all that a turn does.
-        self._at: Moment | None = None
-        self._records: dict[str, Record] = {}
+        self._at: Timestamp | None = None
+        self._records: dict[str, DialogRecord] = {}
         # Answered dialogs by when their caller's time is over, kept until then in case it asks again.
         self._answered: deque[tuple[int, str]] = deque()
         self._swept_at = 0
@@ -67,7 +68,7 @@
         # Wall seconds, so that an epoch after a store that was lost is later than those before it.
         self.epoch = store.begin_epoch(moment().wall // SECOND)
 
-    def _moment(self) -> Moment:
+    def _moment(self) -> Timestamp:
         if self._at is None:
             self._at = self._clock()
         return self._at
@@ -75,27 +76,27 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def record(self, dialog: str) -> Record | None:
+    def record(self, dialog: str) -> DialogRecord | None:
         return self._records.get(dialog)
 
     # At the start
 
-    def found(self, release_wait: int) -> list[tuple[Record, Decision]]:
+    def found(self, release_wait: int) -> list[tuple[DialogRecord, RecoveryPlan]]:
         """What a former self left, taken over, with what each needs; what can't be read is told and void."""
         now = self._moment()
-        kept: list[tuple[Record, Decision]] = []
+        kept: list[tuple[DialogRecord, RecoveryPlan]] = []
         for one in self._store.records():
-            if not isinstance(one, Record):
-                log.error("record-damaged", dialog=one.key, why=one.why)
-                self._store.drop(one.key)
+            if not isinstance(one, DialogRecord):
+                log.error("record-damaged", dialog=one.key, why=one.reason)
+                self._store.delete(one.key)
                 continue
-            decision = at_start(one, now, release_wait)
-            if decision.need in (Need.FORGET, Need.LET_GO):
+            decision = plan_on_restart(one, now, release_wait)
+            if decision.action in (RecoveryAction.FORGET, RecoveryAction.CANCEL_ATTEMPT):
                 # Past its time; a leg that was out then was given up with the former self's connection.
-                self._store.drop(one.dialog)
+                self._store.delete(one.dialog_id)
                 continue
             # Its time goes on from here by this boot's clock, with the least that may be left of it.
-            record = course.taken_over(one, self.epoch, now, decision.left)
+            record = lifecycle.take_over(one, self.epoch, now, decision.time_left)
             self._put(record)
             kept.append((record, decision))
         return kept
@@ -106,7 +107,7 @@
         if now < self._fails_until:
             return
         self._put(
-            Record(
+            DialogRecord(
                 asked.dialog,
                 caller,
                 asked.traffic_type,
@@ -115,43 +116,43 @@
                 self._moment(),
                 left,
                 self.epoch,
-                was_cut=asked.was_cut,
+                was_interrupted=asked.was_cut,
             )
         )
 
     def leg_out(self, dialog: str, leg: int, server: str, start: int) -> None:
         if (record := self._records.get(dialog)) is not None:
             now = self._moment()
-            if record.phase is Phase.LET_GO:
-                record = course.failed(record, now)  # the decisions have waited for the release time
-            self._put(course.leg_out(record, leg, server, start, now))
+            if record.phase is Phase.CANCELLED:
+                record = lifecycle.end_attempt(record, now)  # the decisions have waited for the release time
+            self._put(lifecycle.start_attempt(record, leg, server, start, now))
 
     def let_go(self, dialog: str) -> None:
         record = self._records.get(dialog)
-        if record is not None and record.phase in (Phase.OUT, Phase.LET_GO):
-            self._put(course.let_go(record, self._moment()))
+        if record is not None and record.phase in (Phase.IN_FLIGHT, Phase.CANCELLED):
+            self._put(lifecycle.cancel_attempt(record, self._moment()))
 
     def leg_over(self, dialog: str, outcome: Outcome) -> None:
         record = self._records.get(dialog)
-        if record is None or record.phase not in (Phase.OUT, Phase.LET_GO):
+        if record is None or record.phase not in (Phase.IN_FLIGHT, Phase.CANCELLED):
             return
         if outcome in CLOSED:
-            self._put(course.failed(record, self._moment()))
-        elif record.phase is Phase.OUT:
-            self._put(course.let_go(record, self._moment()))
+            self._put(lifecycle.end_attempt(record, self._moment()))
+        elif record.phase is Phase.IN_FLIGHT:
+            self._put(lifecycle.cancel_attempt(record, self._moment()))
 
     def stands(self, dialog: str) -> None:
-        if (record := self._records.get(dialog)) is not None and record.phase is Phase.OUT:
-            self._put(course.stands(record, self._moment()))
+        if (record := self._records.get(dialog)) is not None and record.phase is Phase.IN_FLIGHT:
+            self._put(lifecycle.establish(record, self._moment()))
 
     def answered(self, dialog: str, answer: str, span: int, deadline: int) -> None:
         """Declined or aborted: on record until the caller's time is over."""
         if (record := self._records.get(dialog)) is None:
             return
         now = self._moment()
-        if record.phase is Phase.OUT:
-            record = course.let_go(record, now)
-        self._put(course.answered(record, answer, span, now))
+        if record.phase is Phase.IN_FLIGHT:
+            record = lifecycle.cancel_attempt(record, now)
+        self._put(lifecycle.conclude(record, answer, span, now))
         self._answered.append((deadline, dialog))
 
     def expires(self, dialog: str, deadline: int) -> None:
@@ -160,16 +161,16 @@
 
     def over(self, dialog: str) -> None:
         """The instance holds it no more: an answer stays until its time is over, all else leaves."""
-        if (record := self._records.get(dialog)) is not None and record.phase is not Phase.ANSWERED:
+        if (record := self._records.get(dialog)) is not None and record.phase is not Phase.CONCLUDED:
             self.forget(dialog)
 
     def forget(self, dialog: str) -> None:
         """Nothing is owed: what stood is over, or its time has passed without an answer."""
         if self._records.pop(dialog, None) is not None:
-            self._store.drop(dialog)
+            self._store.delete(dialog)
 
-    def _put(self, record: Record) -> None:
-        self._records[record.dialog] = record
+    def _put(self, record: DialogRecord) -> None:
+        self._records[record.dialog_id] = record
         self._store.put(record)
 
     # The turn's end
@@ -190,7 +191,7 @@
         while self._answered and self._answered[0][0] <= now:
             dialog = self._answered.popleft()[1]
             record = self._records.get(dialog)
-            if record is not None and record.phase is Phase.ANSWERED:
+            if record is not None and record.phase is Phase.CONCLUDED:
                 self.forget(dialog)
 
     def _failed(self, now: int, error: Exception) -> None:
@@ -200,7 +201,7 @@
         self._answered.clear()
         log.error("ledger-fails", why=str(error), without_record=held)
         try:
-            self._store.void()
+            self._store.clear()
         except Exception as worse:
             # A start that reads it would go on from what is no longer so.
             log.critical("ledger-stale", why=str(worse), do="remove the store before the next start")
--- a/valverouter/edge/surroundings.py
+++ b/valverouter/edge/surroundings.py
@@ -20,7 +20,7 @@
 
 import trio
 
-from valverouter.recovery.course import Moment
+from valverouter.recovery.lifecycle import Timestamp
 
 READ = 64 * 1024
 DATAGRAM_MOST = 2_048
@@ -60,7 +60,7 @@
     def wall(self) -> int:
         """Wall time in ns since 1970: to date what a former self wrote, never to measure a span."""
 
-    def moment(self) -> Moment:
+    def moment(self) -> Timestamp:
         """Wall time and the monotonic clock of this boot, as records keep them over a restart."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
@@ -314,8 +314,8 @@
     def wall(self) -> int:
         return time.time_ns()
 
-    def moment(self) -> Moment:
-        return Moment(time.time_ns(), time.monotonic_ns(), self._boot)
+    def moment(self) -> Timestamp:
+        return Timestamp(time.time_ns(), time.monotonic_ns(), self._boot)
 
     async def connect(self, address: str) -> trio.abc.Stream:
         host, port = split(address)
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -29,8 +29,8 @@
     Report,
     ServerEntry,
 )
-from valverouter.recovery.decide import Need, attempts_left
-from valverouter.recovery.pace import Pace
+from valverouter.recovery.pacing import QueryPacer
+from valverouter.recovery.plan import RecoveryAction, remaining_attempt_policy
 from valverouter.servermodel.server import Key
 
 # What connecting and greeting take beside the way there and back.
@@ -101,7 +101,7 @@
     used: int = 0
     at: str = ""
     held: Key | None = None
-    need: Need | None = None
+    need: RecoveryAction | None = None
     back: bool = True
     word: str = ""
 
@@ -150,7 +150,7 @@
         self._left: list[_Open] = []
         # Asked to end: it takes no more dialogs, and gives those here their answers.
         self.leaves = False
-        self._pace = Pace()
+        self._pace = QueryPacer()
 
     def start(self, rows: Sequence[tuple[ServerEntry, int, int | None]]) -> None:
         """A fresh process that hears the whole list at once; links come up as they connect."""
@@ -165,7 +165,7 @@
         self._beat_ref = 0
         self._reported = len(self._reports)
         self.driver = plan.decisions(plan.deployment, plan.seed, now, plan.crossing(now))
-        self._pace = Pace()
+        self._pace = QueryPacer()
         self._carry_out()
         left, self._left = self._left, []
         for one in left:
@@ -177,7 +177,10 @@
     def _take_over(self, one: _Open, now: int) -> None:
         self._dialogs[one.asked.dialog] = one
         one.used, one.legs, one.leg, one.link = one.used + one.legs, 0, None, None
-        one.back, one.need = False, Need.ASK if one.stands else Need.WAIT
+        one.back, one.need = (
+            False,
+            RecoveryAction.QUERY_SERVER if one.stands else RecoveryAction.AWAIT_RELEASE,
+        )
         # Its server gave up what did not stand with the connection: the release time, counted from here.
         wait = ASKED_WITHIN if one.stands else self.plan.deployment.release_wait
         self._sim.after(wait, self.turn, self._waited, self._life, one)
@@ -185,10 +188,10 @@
     def _waited(self, life: int, one: _Open) -> None:
         if life != self._life or self._dialogs.get(one.asked.dialog) is not one:
             return
-        if one.need is Need.ASK:
+        if one.need is RecoveryAction.QUERY_SERVER:
             self._ended(one, "cut")
-        elif one.need is Need.WAIT:
-            one.need = Need.GO_ON
+        elif one.need is RecoveryAction.AWAIT_RELEASE:
+            one.need = RecoveryAction.CONTINUE_ROUTING
             if one.back:
                 self._goes_on(one)
 
@@ -197,7 +200,7 @@
         plan, asked, now = self.plan, one.asked, self._sim.now()
         attempts = self._attempts_of(asked)
         if one.used and (usual := attempts or plan.usual(asked.traffic_type)) is not None:
-            attempts = attempts_left(usual, one.used, plan.deployment.legs_allowed)
+            attempts = remaining_attempt_policy(usual, one.used, plan.deployment.legs_allowed)
             if attempts is None:
                 self._answer(one, "declined", plan.deployment.come_back_limit)
                 return
@@ -209,24 +212,24 @@
     def _ask_at(self, link: _Link) -> None:
         """A link is up: what stands at its server is asked for, by the pace."""
         for dialog, one in self._dialogs.items():
-            if one.need is Need.ASK and one.link is None and link.server.name == one.at:
+            if one.need is RecoveryAction.QUERY_SERVER and one.link is None and link.server.name == one.at:
                 one.link = link
                 kind = self.plan.deployment.traffic_types.get(one.asked.traffic_type)
                 left = one.deadline - self._sim.now()
-                self._pace.add(dialog, one.at, left, kind.importance if kind else 0.0)
+                self._pace.enqueue(dialog, one.at, left, kind.importance if kind else 0.0)
         self._ask_next()
 
     def _ask_next(self) -> None:
-        for dialog, server in self._pace.next(self._sim.now()):
+        for dialog, server in self._pace.take_due(self._sim.now()):
             one, link = self._dialogs.get(dialog), self._links.get(server)
             if (
                 one is None
                 or link is None
                 or link.wire is None
                 or one.held is None
-                or one.need is not Need.ASK
+                or one.need is not RecoveryAction.QUERY_SERVER
             ):
-                self._pace.answered(server)
+                self._pace.on_reply(server)
                 continue
             self._sim.after(
                 self._delay(link.server), self._asked, self._life, dialog, link, link.wire, one.held
@@ -242,9 +245,9 @@
             self.turn(self._fate, dialog, link, word)
 
     def _fate(self, dialog: str, link: _Link, word: str) -> None:
-        self._pace.answered(link.server.name)
+        self._pace.on_reply(link.server.name)
         one = self._dialogs.get(dialog)
-        if one is not None and one.held is not None and one.need is Need.ASK:
+        if one is not None and one.held is not None and one.need is RecoveryAction.QUERY_SERVER:
             one.need = None
             if word == "stands":
                 one.leg = one.held[2]
@@ -263,9 +266,9 @@
         one.back = True
         if one.stands and self.caller is not None:
             self.caller.heard("stands", dialog, 0, one.at)
-            if one.need is Need.END:
+            if one.need is RecoveryAction.RESEND_ANSWER_AND_END:
                 self._ended(one, one.word)
-        elif one.need is Need.GO_ON:
+        elif one.need is RecoveryAction.CONTINUE_ROUTING:
             self._goes_on(one)
 
     @property
@@ -552,7 +555,7 @@
 
     def _ended(self, one: _Open, word: str) -> None:
         if not one.back:
-            one.need, one.word, one.leg = Need.END, word, None
+            one.need, one.word, one.leg = RecoveryAction.RESEND_ANSWER_AND_END, word, None
             return
         if self.caller is not None:
             self.caller.heard("ended", one.asked.dialog, 0, word)
--- a/valverouter/ledger/__init__.py
+++ b/valverouter/ledger/__init__.py
@@ -1,1 +1,5 @@
-"""What an edge proxy keeps on disk of the dialogs that it owes answers to."""
+"""Embedded stores (lmdb): the edge proxy's dialogs, the control plane's log, the supervisor's state.
+
+`storage` holds what they share (lock, checksums, replacing a damaged store), `dialog_store` the records of
+dialogs, `export` their JSON form.
+"""
--- a/valverouter/ledger/councilstore.py
+++ b/valverouter/ledger/councilstore.py
@@ -15,7 +15,13 @@
 import lmdb
 import msgspec
 
-from valverouter.ledger.file import LedgerError, body_of, cover, owned, summed
+from valverouter.ledger.storage import (
+    StoreError,
+    acquire_lock,
+    extend_truncated_file,
+    verified_body,
+    with_checksum,
+)
 from valverouter.rollout.council import Durable, Save, SaveEntries, SaveSnapshot, SaveTerm
 from valverouter.rollout.written import KeptEntry, KeptSnapshot, kept_entry, kept_snapshot
 
@@ -33,17 +39,17 @@
 
     def __init__(self, path: Path, fresh_disk: int) -> None:
         self.path = path
-        self._lock = owned(path)
+        self._lock = acquire_lock(path)
         try:
             self._env = lmdb.open(str(path), map_size=MOST, max_dbs=2, sync=True, metasync=True)
-            cover(path, self._env)
+            extend_truncated_file(path, self._env)
             self._meta = self._env.open_db(b"meta")
             self._record = self._env.open_db(b"record")
             self._begin(fresh_disk)
         except lmdb.Error as error:
             self._lock.close()
-            raise LedgerError(f"{path}: {error}") from error
-        except LedgerError:
+            raise StoreError(f"{path}: {error}") from error
+        except StoreError:
             self.close()
             raise
 
@@ -58,7 +64,7 @@
                 commit.put(b"format", FORMAT, db=self._meta)
                 commit.put(b"disk", _kept(fresh_disk), db=self._meta)
             elif bytes(found) != FORMAT:
-                raise LedgerError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
+                raise StoreError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
 
     def load(self) -> Durable:
         """All of it, checked; LedgerError where any of it can't be trusted."""
@@ -75,17 +81,17 @@
                 for key, value in read.cursor(db=self._record):
                     index = int.from_bytes(key, "big")
                     if index != expected:
-                        raise LedgerError(f"{self.path}: entry {expected} is missing")
+                        raise StoreError(f"{self.path}: entry {expected} is missing")
                     durable.entries.append(_entries.decode(self._read(value, f"entry {index}")).entry())
                     expected += 1
                 return durable
         except (lmdb.Error, msgspec.MsgspecError) as error:
-            raise LedgerError(f"{self.path}: {error}") from error
+            raise StoreError(f"{self.path}: {error}") from error
 
     def _read(self, value: Any, what: str) -> bytes:
-        body = body_of(bytes(value)) if value is not None else None
+        body = verified_body(bytes(value)) if value is not None else None
         if body is None:
-            raise LedgerError(f"{self.path}: {what} is damaged")
+            raise StoreError(f"{self.path}: {what} is damaged")
         return body
 
     def commit(self, saves: Iterable[Save]) -> None:
@@ -95,7 +101,7 @@
                 for save in saves:
                     self._put(commit, save)
         except lmdb.Error as error:
-            raise LedgerError(f"{self.path}: {error}") from error
+            raise StoreError(f"{self.path}: {error}") from error
 
     def _put(self, commit: Any, save: Save) -> None:
         match save:
@@ -124,4 +130,4 @@
 
 
 def _kept(value: Any) -> bytes:
-    return summed(_encoder.encode(value))
+    return with_checksum(_encoder.encode(value))
--- a/valverouter/ledger/keeperstore.py
+++ b/valverouter/ledger/keeperstore.py
@@ -11,7 +11,14 @@
 import lmdb
 import msgspec
 
-from valverouter.ledger.file import LedgerError, body_of, cover, owned, sound, summed
+from valverouter.ledger.storage import (
+    StoreError,
+    acquire_lock,
+    extend_truncated_file,
+    open_or_set_aside,
+    verified_body,
+    with_checksum,
+)
 from valverouter.rollout.keeping import Memory
 
 FORMAT = b"keeper 1"
@@ -23,13 +30,13 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._lock = owned(path)
+        self._lock = acquire_lock(path)
         try:
             self._env = lmdb.open(str(path), map_size=MOST, sync=True, metasync=True)
-            cover(path, self._env)
+            extend_truncated_file(path, self._env)
         except lmdb.Error as error:
             self._lock.close()
-            raise LedgerError(f"{path}: {error}") from error
+            raise StoreError(f"{path}: {error}") from error
 
     def close(self) -> None:
         self._env.close()
@@ -42,24 +49,24 @@
                 found, kept = read.get(b"format"), read.get(b"memory")
                 if found is None:
                     return None
-                body = body_of(bytes(kept)) if kept is not None else None
+                body = verified_body(bytes(kept)) if kept is not None else None
                 if bytes(found) != FORMAT or body is None:
-                    raise LedgerError(f"{self.path}: what a keeper kept is damaged")
+                    raise StoreError(f"{self.path}: what a keeper kept is damaged")
                 return msgspec.msgpack.decode(body, type=Memory)
         except (lmdb.Error, msgspec.MsgspecError) as error:
-            raise LedgerError(f"{self.path}: {error}") from error
+            raise StoreError(f"{self.path}: {error}") from error
 
     def save(self, memory: Memory) -> None:
         """On disk when it returns; LedgerError where it is not."""
         try:
             with self._env.begin(write=True) as commit:
                 commit.put(b"format", FORMAT)
-                commit.put(b"memory", summed(msgspec.msgpack.encode(memory)))
+                commit.put(b"memory", with_checksum(msgspec.msgpack.encode(memory)))
         except lmdb.Error as error:
-            raise LedgerError(f"{self.path}: {error}") from error
+            raise StoreError(f"{self.path}: {error}") from error
 
 
 def opened(path: Path) -> tuple[KeeperStore, Memory | None, str]:
     """A store that can be used, what it held, and why a former one was set aside: empty, if none was."""
-    store, memory, why, _ = sound(path, lambda: KeeperStore(path), KeeperStore.load)
-    return store, memory, why
+    opened_store = open_or_set_aside(path, lambda: KeeperStore(path), KeeperStore.load)
+    return opened_store.store, opened_store.content, opened_store.problem
--- a/valverouter/recovery/model/operations.py
+++ b/valverouter/recovery/model/operations.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from valverouter.recovery.course import Record
+from valverouter.recovery.lifecycle import DialogRecord
 from valverouter.recovery.model.state import (
     DEADLINE,
     RELEASE_DELAY,
@@ -59,8 +59,8 @@
         match operation:
             case SendSetup(record):
                 state = _with_known(state, record)
-                self._check_setup(state, record.leg)
-                return _to_server(state, MessageKind.SETUP, record.leg)
+                self._check_setup(state, record.attempt)
+                return _to_server(state, MessageKind.SETUP, record.attempt)
             case SendCancel(attempt, record):
                 state = replace(_with_known(state, record), cancelled_at=state.now)
                 return _to_server(state, MessageKind.CANCEL, attempt)
@@ -90,7 +90,7 @@
         return attempts
 
 
-def _with_known(state: State, record: Record | None) -> State:
+def _with_known(state: State, record: DialogRecord | None) -> State:
     return state if record is None else replace(state, known=record)
 
 
--- a/valverouter/recovery/model/proxy.py
+++ b/valverouter/recovery/model/proxy.py
@@ -5,8 +5,19 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from valverouter.recovery.course import Phase, Record, answered, failed, leg_out, let_go, stands, taken_over
-from valverouter.recovery.decide import Decision, Need, Word, at_start, on_word
+from valverouter.recovery.lifecycle import (
+    ANSWER_ESTABLISHED,
+    ANSWER_FAILED,
+    ANSWER_REJECTED,
+    DialogRecord,
+    Phase,
+    cancel_attempt,
+    conclude,
+    end_attempt,
+    establish,
+    start_attempt,
+    take_over,
+)
 from valverouter.recovery.model.state import (
     CHANGED_AT,
     DEADLINE,
@@ -30,6 +41,13 @@
     WriteRecord,
     timestamp,
 )
+from valverouter.recovery.plan import (
+    PeerStatus,
+    RecoveryAction,
+    RecoveryPlan,
+    plan_on_restart,
+    plan_on_status,
+)
 
 # From this tick on a final answer has to go, and no attempt starts.
 LAST_TICK = DEADLINE - 1
@@ -41,7 +59,7 @@
 
     omitted: Omission | None = None
 
-    def accept(self, record: Record) -> tuple[Operation, ...]:
+    def accept(self, record: DialogRecord) -> tuple[Operation, ...]:
         """A new dialog: its record, the provisional answer, the first attempt."""
         return (
             *self._write(record, Omission.ACCEPTED_RECORD),
@@ -51,30 +69,33 @@
 
     # Sequences of operations, each write before the message that depends on it
 
-    def _write(self, record: Record, written: Omission) -> tuple[Operation, ...]:
+    def _write(self, record: DialogRecord, written: Omission) -> tuple[Operation, ...]:
         return () if written is self.omitted else (WriteRecord(record, written),)
 
-    def _next_attempt(self, record: Record, now: int) -> tuple[Operation, ...]:
+    def _next_attempt(self, record: DialogRecord, now: int) -> tuple[Operation, ...]:
         """The next attempt, or a rejection where none is left."""
-        attempt = record.leg + 1
+        attempt = record.attempt + 1
         if attempt >= MAX_ATTEMPTS or now >= LAST_TICK:
-            return self._conclude(record, "declined")
-        started = leg_out(record, attempt, "s", 1, CHANGED_AT)
+            return self._conclude(record, ANSWER_REJECTED)
+        started = start_attempt(record, attempt, "s", 1, CHANGED_AT)
         return (*self._write(started, Omission.ATTEMPT_RECORD), SendSetup(started))
 
-    def _conclude(self, record: Record, answer: str) -> tuple[Operation, ...]:
-        concluded = answered(record, answer, 0, CHANGED_AT)
+    def _conclude(self, record: DialogRecord, answer: str) -> tuple[Operation, ...]:
+        concluded = conclude(record, answer, 0, CHANGED_AT)
         return (*self._write(concluded, Omission.ANSWER_RECORD), SendAnswer(answer, concluded))
 
-    def _establish(self, record: Record) -> tuple[Operation, ...]:
-        established = record if record.phase is Phase.STANDS else stands(record, CHANGED_AT)
-        return (*self._write(established, Omission.ESTABLISHED_RECORD), SendAnswer("stands", established))
+    def _establish(self, record: DialogRecord) -> tuple[Operation, ...]:
+        established = record if record.phase is Phase.ESTABLISHED else establish(record, CHANGED_AT)
+        return (
+            *self._write(established, Omission.ESTABLISHED_RECORD),
+            SendAnswer(ANSWER_ESTABLISHED, established),
+        )
 
-    def _cancel(self, record: Record) -> tuple[Operation, ...]:
-        cancelled = let_go(record, CHANGED_AT)
+    def _cancel(self, record: DialogRecord) -> tuple[Operation, ...]:
+        cancelled = cancel_attempt(record, CHANGED_AT)
         return (
             *self._write(cancelled, Omission.CANCEL_RECORD),
-            SendCancel(record.leg, cancelled),
+            SendCancel(record.attempt, cancelled),
             StartReleaseDelay(),
         )
 
@@ -89,39 +110,39 @@
                     "rule 1: the caller was told that its dialog was accepted, and no record of it exists"
                 )
             return Step("the proxy restarts and finds no record", fresh)
-        record = taken_over(state.stored, fresh.epoch)
+        record = take_over(state.stored, fresh.epoch)
         fresh = replace(fresh, known=record)
-        plan = at_start(record, timestamp(state.now), RELEASE_DELAY)
+        plan = plan_on_restart(record, timestamp(state.now), RELEASE_DELAY)
         return Step("the proxy restarts and reads its record", self._follow(fresh, record, plan))
 
-    def _follow(self, state: State, record: Record, plan: Decision) -> State:
-        match plan.need:
-            case Need.FORGET:
+    def _follow(self, state: State, record: DialogRecord, plan: RecoveryPlan) -> State:
+        match plan.action:
+            case RecoveryAction.FORGET:
                 return _forget(state)
-            case Need.ANSWER:
+            case RecoveryAction.RESEND_ANSWER:
                 return self._resend_answer(state, record)
-            case Need.END:
+            case RecoveryAction.RESEND_ANSWER_AND_END:
                 return replace(state, operations=_answer_and_end(record), query_pending=False)
-            case Need.GO_ON:
-                waiting = record if record.phase is Phase.WAITING else failed(record, CHANGED_AT)
+            case RecoveryAction.CONTINUE_ROUTING:
+                waiting = record if record.phase is Phase.WAITING else end_attempt(record, CHANGED_AT)
                 operations = self._next_attempt(waiting, state.now)
                 return replace(state, operations=operations, query_pending=False)
-            case Need.ASK:
+            case RecoveryAction.QUERY_SERVER:
                 if state.query_pending:
                     return state
-                return replace(state, operations=(SendQuery(record.leg),), query_pending=True)
-            case Need.LET_GO | Need.WAIT:
+                return replace(state, operations=(SendQuery(record.attempt),), query_pending=True)
+            case RecoveryAction.CANCEL_ATTEMPT | RecoveryAction.AWAIT_RELEASE:
                 if record.phase is Phase.WAITING:
                     return _forget(state)
                 return replace(state, operations=self._cancel(record), query_pending=False)
 
-    def _resend_answer(self, state: State, record: Record) -> State:
-        if record.phase is Phase.ANSWERED:
-            return replace(state, operations=(SendAnswer(record.answer),))
+    def _resend_answer(self, state: State, record: DialogRecord) -> State:
+        if record.phase is Phase.CONCLUDED:
+            return replace(state, operations=(SendAnswer(record.final_answer),))
         return replace(state, operations=self._establish(record), query_pending=False)
 
-    def _on_status(self, state: State, record: Record, status: Word) -> State:
-        plan = on_word(record, status, True, DEADLINE - state.now, RELEASE_DELAY)
+    def _on_status(self, state: State, record: DialogRecord, status: PeerStatus) -> State:
+        plan = plan_on_status(record, status, True, DEADLINE - state.now, RELEASE_DELAY)
         return self._follow(state, record, plan)
 
     # Events
@@ -129,16 +150,16 @@
     def on_message(self, state: State, message: Message) -> State:
         """A message from the server; one that belongs to no present attempt changes nothing."""
         record = state.known
-        if record is None or message.epoch != state.epoch or message.attempt != record.leg:
+        if record is None or message.epoch != state.epoch or message.attempt != record.attempt:
             return state
         if message.status is not None:
             return self._on_status(state, record, message.status) if state.query_pending else state
-        if record.phase is not Phase.OUT:
+        if record.phase is not Phase.IN_FLIGHT:
             return state
         if message.kind is MessageKind.ESTABLISHED:
             operations = self._establish(record)
         else:
-            operations = self._next_attempt(failed(record, CHANGED_AT), state.now)
+            operations = self._next_attempt(end_attempt(record, CHANGED_AT), state.now)
         return replace(state, operations=operations, query_pending=False)
 
     def steps(self, state: State) -> Iterator[Step]:
@@ -150,21 +171,21 @@
         record = state.known
         if record is None:
             return
-        if state.release_until != NOT_WAITING and record.phase is Phase.LET_GO:
+        if state.release_until != NOT_WAITING and record.phase is Phase.CANCELLED:
             yield from self._release_delay_steps(state, record)
         if state.query_pending:
-            yield Step("the server does not respond", self._on_status(state, record, Word.SILENT))
-        elif record.phase is Phase.OUT and state.now < DEADLINE:
+            yield Step("the server does not respond", self._on_status(state, record, PeerStatus.NO_RESPONSE))
+        elif record.phase is Phase.IN_FLIGHT and state.now < DEADLINE:
             timed_out = replace(state, operations=self._cancel(record))
             yield Step("the attempt times out", timed_out)
 
-    def _release_delay_steps(self, state: State, record: Record) -> Iterator[Step]:
+    def _release_delay_steps(self, state: State, record: DialogRecord) -> Iterator[Step]:
         if state.now >= state.release_until:
-            operations = self._next_attempt(failed(record, CHANGED_AT), state.now)
+            operations = self._next_attempt(end_attempt(record, CHANGED_AT), state.now)
             released = replace(state, operations=operations, release_until=NOT_WAITING)
             yield Step("the release delay is over", released)
         if state.now == LAST_TICK:
-            operations = self._conclude(record, "aborted")
+            operations = self._conclude(record, ANSWER_FAILED)
             out_of_time = replace(state, operations=operations, release_until=NOT_WAITING)
             yield Step("the dialog's time is nearly over", out_of_time)
 
@@ -186,8 +207,8 @@
     return Step("the proxy crashes", after)
 
 
-def _answer_and_end(record: Record) -> tuple[Operation, ...]:
-    return SendCancel(record.leg), SendAnswer("stands"), ForgetDialog()
+def _answer_and_end(record: DialogRecord) -> tuple[Operation, ...]:
+    return SendCancel(record.attempt), SendAnswer(ANSWER_ESTABLISHED), ForgetDialog()
 
 
 def _forget(state: State) -> State:
--- a/valverouter/recovery/model/search.py
+++ b/valverouter/recovery/model/search.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import NamedTuple, TypeAlias
 
-from valverouter.recovery.course import OutOfOrderError, Phase, Record
+from valverouter.recovery.lifecycle import DialogRecord, InvalidTransitionError, Phase
 from valverouter.recovery.model.operations import Operations
 from valverouter.recovery.model.proxy import Proxy, crash
 from valverouter.recovery.model.server import Server
@@ -38,7 +38,7 @@
 
     def initial_state(self) -> State:
         """The proxy has read a set-up and has everything still to do."""
-        record = Record("d", "c", "plain", 0, 0, timestamp(0), DEADLINE, 1)
+        record = DialogRecord("d", "c", "plain", 0, 0, timestamp(0), DEADLINE, 1)
         return State(known=record, operations=self._proxy.accept(record))
 
     def steps(self, state: State) -> Iterator[Step]:
@@ -65,7 +65,7 @@
         return False
     if state.answer or state.now >= DEADLINE:
         return False
-    waits_for_timer = state.release_until != NOT_WAITING or record.phase is Phase.OUT
+    waits_for_timer = state.release_until != NOT_WAITING or record.phase is Phase.IN_FLIGHT
     return not (state.query_pending or waits_for_timer or state.to_proxy)
 
 
@@ -102,7 +102,7 @@
                 if after not in origins:
                     origins[after] = _Origin(state, description)
                     unexplored.append(after)
-        except (RuleViolationError, OutOfOrderError) as broken:
+        except (RuleViolationError, InvalidTransitionError) as broken:
             return _violation(origins, state, str(broken))
         if len(origins) > max_states:
             raise TooManyStatesError(f"more than {max_states} states")
--- a/valverouter/recovery/model/server.py
+++ b/valverouter/recovery/model/server.py
@@ -5,7 +5,6 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from valverouter.recovery.decide import Word
 from valverouter.recovery.model.state import (
     AttemptState,
     Message,
@@ -15,12 +14,13 @@
     State,
     Step,
 )
+from valverouter.recovery.plan import PeerStatus
 
 STATUS_OF = {
-    AttemptState.UNSEEN: Word.UNKNOWN,
-    AttemptState.IN_FLIGHT: Word.UNDER_WAY,
-    AttemptState.ESTABLISHED: Word.STANDS,
-    AttemptState.CLOSED: Word.CLOSED,
+    AttemptState.UNSEEN: PeerStatus.UNKNOWN,
+    AttemptState.IN_FLIGHT: PeerStatus.IN_PROGRESS,
+    AttemptState.ESTABLISHED: PeerStatus.ESTABLISHED,
+    AttemptState.CLOSED: PeerStatus.CLOSED,
 }
 CANCELLABLE = (AttemptState.IN_FLIGHT, AttemptState.ESTABLISHED)
 
--- a/valverouter/recovery/model/state.py
+++ b/valverouter/recovery/model/state.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from valverouter.recovery.course import Moment, Record
-from valverouter.recovery.decide import Word
+from valverouter.recovery.lifecycle import DialogRecord, Timestamp
+from valverouter.recovery.plan import PeerStatus
 
 # Ticks of the model's clock.
 DEADLINE = 4
@@ -59,7 +59,7 @@
     kind: MessageKind
     attempt: int
     epoch: int
-    status: Word | None = None
+    status: PeerStatus | None = None
 
     def __str__(self) -> str:
         """Its name, status and attempt, for the description of a step."""
@@ -70,21 +70,21 @@
 class WriteRecord(Struct, frozen=True):
     """The record goes to the store; `written` names which of the writes it is."""
 
-    record: Record
+    record: DialogRecord
     written: Omission
 
 
 class SendSetup(Struct, frozen=True):
     """An attempt starts; `record` is what the proxy knows from then on."""
 
-    record: Record
+    record: DialogRecord
 
 
 class SendCancel(Struct, frozen=True):
     """An attempt is cancelled; `record` is what the proxy knows from then on, None: as before."""
 
     attempt: int
-    record: Record | None = None
+    record: DialogRecord | None = None
 
 
 class SendQuery(Struct, frozen=True):
@@ -105,7 +105,7 @@
     """The caller gets a final answer; `record` is what the proxy knows from then on, None: as before."""
 
     answer: str
-    record: Record | None = None
+    record: DialogRecord | None = None
 
 
 class ForgetDialog(Struct, frozen=True):
@@ -138,8 +138,8 @@
     is_running: bool = True
     epoch: int = 1
     crashes: int = 0
-    known: Record | None = None
-    stored: Record | None = None
+    known: DialogRecord | None = None
+    stored: DialogRecord | None = None
     operations: tuple[Operation, ...] = ()
     query_pending: bool = False
     release_until: int = NOT_WAITING
@@ -164,9 +164,9 @@
     """A step breaks a rule; the text says which and how."""
 
 
-def timestamp(tick: int) -> Moment:
+def timestamp(tick: int) -> Timestamp:
     """A tick as records hold times. All proxies run within one boot of the machine."""
-    return Moment(tick, tick, "boot")
+    return Timestamp(tick, tick, "boot")
 
 
 # No decision reads when a record last changed: one time for all of them merges states that are alike.
