--- a/valverouter/fleet/council.py
+++ b/valverouter/fleet/council.py
@@ -103,7 +103,7 @@
         return round(trio.current_time() * 1e9)
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Until cancelled; OSError where the address can't be had, LedgerError where the disk fails: a seat
+        """Until cancelled; OSError where the address can't be had, StoreError where the disk fails: a seat
         that can't keep what it promises must not stay."""
         socket = self._surroundings.datagrams(self._terms.listen)
         try:
--- a/valverouter/ledger/councilstore.py
+++ b/valverouter/ledger/councilstore.py
@@ -67,7 +67,7 @@
                 raise StoreError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
 
     def load(self) -> Durable:
-        """All of it, checked; LedgerError where any of it can't be trusted."""
+        """All of it, checked; StoreError where any of it can't be trusted."""
         try:
             with self._env.begin() as read:
                 disk = msgspec.msgpack.decode(self._read(read.get(b"disk", db=self._meta), "disk"), type=int)
@@ -95,7 +95,7 @@
         return body
 
     def commit(self, saves: Iterable[Save]) -> None:
-        """All of them, on disk when it returns; LedgerError where they are not, and then none is."""
+        """All of them, on disk when it returns; StoreError where they are not, and then none is."""
         try:
             with self._env.begin(write=True) as commit:
                 for save in saves:
--- a/valverouter/ledger/keeperstore.py
+++ b/valverouter/ledger/keeperstore.py
@@ -43,7 +43,7 @@
         self._lock.close()
 
     def load(self) -> Memory | None:
-        """None where nothing was kept yet; LedgerError where it can't be trusted."""
+        """None where nothing was kept yet; StoreError where it can't be trusted."""
         try:
             with self._env.begin() as read:
                 found, kept = read.get(b"format"), read.get(b"memory")
@@ -57,7 +57,7 @@
             raise StoreError(f"{self.path}: {error}") from error
 
     def save(self, memory: Memory) -> None:
-        """On disk when it returns; LedgerError where it is not."""
+        """On disk when it returns; StoreError where it is not."""
         try:
             with self._env.begin(write=True) as commit:
                 commit.put(b"format", FORMAT)
