--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_files.py
@@ -16,14 +16,24 @@
 from tests.helpers import Rig
 from tests.rig import INI, MS, SECOND, terms
 from tests.test_days import valverouter
-from valverouter import control
 from valverouter.attempts.courses import broken, courses
-from valverouter.control import LEGS
 from valverouter.edge.attempting import AttemptBook
-from valverouter.interface import Alarm, AttemptTerms, BudgetTerms, Decline, Dialog, Leg, Order, Outcome
+from valverouter.interface import (
+    AttemptPolicy,
+    Dialog,
+    DialogAction,
+    Outcome,
+    Reject,
+    RetryBudgetConfig,
+    StartAttempt,
+    Timer,
+)
+from valverouter.policy import tuning
+from valverouter.policy.tuning import MAX_ATTEMPTS
 from valverouter.terms.edge import load_settled
-from valverouter.terms.grammar import matches_peer, reader
+from valverouter.terms.grammar import matches_peer
 from valverouter.terms.ini import END, FlawedTermsError
+from valverouter.terms.reader import reader
 
 SETS = "[server-set near]\nservers = 0, 1\n[server-set far]\nservers = 2-4\n[trunk-group gw]\npeers = gw-*\n"
 
@@ -142,9 +152,9 @@
     ("tokens = 2.001\nfraction = 0.499", {"tokens": 2.001, "fraction": 0.499}),
     ("fraction = 1/10\njitter = full\nthreshold = half\nfirst_attempts = free", {"fraction": 0.1}),
     ("legs = 2\nprefix = 1, 20-21", {"legs": 2}),
-    ("legs = 2\nprefix = 22", {"legs": LEGS}),
+    ("legs = 2\nprefix = 22", {"legs": MAX_ATTEMPTS}),
     ("legs = 2\ntype = plain\nregion = ", {"legs": 2}),
-    ("legs = 2\nregion = elsewhere", {"legs": LEGS}),
+    ("legs = 2\nregion = elsewhere", {"legs": MAX_ATTEMPTS}),
     ("[attempts a]\nlegs = 2\n[attempts b]\nprefix = 2\nlegs = 4", {"legs": 4}),
     (
         "[attempts a]\ntype = plain\nlegs = 2\n[attempts b]\nprefix = 2\nlegs = 3\n"
@@ -153,7 +163,7 @@
     ),
     ("[attempts a]\ntrunk_group = gw\nlegs = 5\n" + SETS, {"legs": 5}),
     ("[attempts a]\nserver_set = near\nlegs = 5\n" + SETS, {"legs": 5}),
-    ("[attempts a]\nserver_set = far\nlegs = 5\n" + SETS, {"legs": LEGS}),
+    ("[attempts a]\nserver_set = far\nlegs = 5\n" + SETS, {"legs": MAX_ATTEMPTS}),
     ("[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\n" + SETS, {"tokens": 6}),
 ]
 
@@ -162,7 +172,7 @@
     return text if text.startswith("[") else f"[attempts a]\n{text}"
 
 
-@pytest.mark.parametrize("text, said", BAD)
+@pytest.mark.parametrize(("text", "said"), BAD)
 def test_a_bad_file_is_refused_whole_with_its_line_and_reason(text: str, said: str) -> None:
     with pytest.raises(FlawedTermsError) as caught:
         book(whole(text))
@@ -170,14 +180,15 @@
     assert all(flaw.line > len(INI.splitlines()) for flaw in caught.value.flaws)
 
 
-@pytest.mark.parametrize("text, effective", GOOD)
+@pytest.mark.parametrize(("text", "effective"), GOOD)
 def test_a_good_file_gives_the_stated_terms(text: str, effective: dict[str, float]) -> None:
     found = book(whole(text)).explain("plain", 21, "gw-7", 1)
     assert {key: found[key].value for key in effective} == effective
 
 
 def test_there_are_as_many_as_were_asked_for() -> None:
-    assert len(BAD) >= 60 and len(GOOD) >= 20
+    assert len(BAD) >= 60
+    assert len(GOOD) >= 20
 
 
 def test_budgets_are_those_of_each_server_set_and_of_the_rest() -> None:
@@ -185,16 +196,16 @@
         "[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\nfraction = 0.2\n" + SETS
     )
     assert found.budgets() == {
-        0: BudgetTerms(6_000, 200),
-        1: BudgetTerms(6_000, 200),
-        **{number: BudgetTerms(4_000, 100) for number in (2, 3, 4)},
+        0: RetryBudgetConfig(6_000, 200),
+        1: RetryBudgetConfig(6_000, 200),
+        **{number: RetryBudgetConfig(4_000, 100) for number in (2, 3, 4)},
     }
-    assert found.budget_elsewhere() == BudgetTerms(4_000, 100)
+    assert found.budget_elsewhere() == RetryBudgetConfig(4_000, 100)
     assert book("[attempts a]\nlegs = 2").budgets() == {}
 
 
 @pytest.mark.parametrize(
-    "kind, text, means",
+    ("kind", "text", "means"),
     [
         ("span", "0", 0),
         ("span", "2 min", 120 * SECOND),
@@ -212,8 +223,11 @@
 
 
 def test_peers_match_by_name_or_by_their_beginning() -> None:
-    assert matches_peer("gw-*", "gw-7") and matches_peer("*", "x") and matches_peer("c", "c")
-    assert not matches_peer("c", "c1") and not matches_peer("gw-*", "g")
+    assert matches_peer("gw-*", "gw-7")
+    assert matches_peer("*", "x")
+    assert matches_peer("c", "c")
+    assert not matches_peer("c", "c1")
+    assert not matches_peer("gw-*", "g")
     groups = "[trunk-group any]\npeers = *\n[trunk-group one]\npeers = gw-1*\n[attempts a]\nlegs = 2\n"
     found = book(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
     assert found.asked("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
@@ -243,8 +257,11 @@
         assert error.flaws
         return
     if found is not None:
-        assert found.legs <= 6 and found.release_wait >= 300 * MS
-        assert broken(replace(found, no_answer=found.no_answer or 9 * SECOND), 300 * MS, 6) == []
+        assert found.max_attempts <= 6
+        assert found.release_delay >= 300 * MS
+        assert (
+            broken(replace(found, no_answer_timeout=found.no_answer_timeout or 9 * SECOND), 300 * MS, 6) == []
+        )
 
 
 @given(st.text(max_size=60))
@@ -277,18 +294,18 @@
     chance = random.Random(seed)
     for at, found in enumerate(random_files(chance, 25)):
         rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # the same file in small fleets and large
-        rig.driver.budgets(found.budgets(), found.budget_elsewhere())
+        rig.driver.set_retry_budgets(found.budgets(), found.budget_elsewhere())
         for dialog in range(50):
             number, peer, first = chance.choice([7, 21]), chance.choice(["", "gw-1"]), chance.randint(-1, 4)
             no_answer = chance.choice([1, 3, 9]) * SECOND
             terms_ = found.of("plain", number, peer, first)
-            if terms_ is not None and terms_.no_answer:
-                no_answer = min(no_answer, terms_.no_answer)
+            if terms_ is not None and terms_.no_answer_timeout:
+                no_answer = min(no_answer, terms_.no_answer_timeout)
             one_course(rig, chance, found, f"d{dialog}", (number, peer, first), no_answer)
 
 
 @functools.lru_cache
-def ends_of(reckoned: AttemptTerms) -> tuple[int, int]:
+def ends_of(reckoned: AttemptPolicy) -> tuple[int, int]:
     every = list(courses(reckoned))
     return max(course.answered_at for course in every), max(course.legs for course in every)
 
@@ -306,36 +323,40 @@
     latest, legs_most = ends_of(reckoned)
     began, legs, released_at, no_agents = rig.now, 0, 0, False
     attempts = found.of("plain", *route)
-    rig.driver.dialog(Dialog(name, "plain", began + no_answer, route[2], route[0], attempts=attempts))
+    rig.driver.start_dialog(
+        Dialog(name, "plain", began + no_answer, route[2], route[0], attempt_policy=attempts)
+    )
     while True:
-        wish = next(c for c in rig.take() if (isinstance(c, Order) and c.dialog_id == name) or is_retry(c))
-        if isinstance(wish, Alarm):
-            passes(rig, wish.span)
-            rig.driver.alarm(wish.ref)
+        wish = next(
+            c for c in rig.take() if (isinstance(c, DialogAction) and c.dialog_id == name) or is_retry(c)
+        )
+        if isinstance(wish, Timer):
+            passes(rig, wish.duration)
+            rig.driver.on_timer(wish.timer_id)
             continue
-        assert isinstance(wish, Order)
-        if not isinstance(leg := wish.wish, Leg):
+        assert isinstance(wish, DialogAction)
+        if not isinstance(leg := wish.action, StartAttempt):
             break
         assert rig.now >= released_at, "a resend within the release time"
-        assert rig.now < leg.until <= began + no_answer
+        assert rig.now < leg.deadline <= began + no_answer
         legs += 1
-        outcome, rest = chance.choice(FATES), leg.until - rig.now
+        outcome, rest = chance.choice(FATES), leg.deadline - rig.now
         passes(rig, rest if outcome is Outcome.TIMED_OUT else chance.randint(0, rest))
         if outcome in (Outcome.RESET, Outcome.TIMED_OUT):
             released_at = rig.now + 300 * MS
         no_agents |= outcome is Outcome.NO_AGENT
         asked_wait = chance.randint(0, 2 * SECOND) if outcome is Outcome.FULL else 0
-        rig.result(name, leg.server, outcome, legs - 1, asked_wait=asked_wait)
+        rig.result(name, leg.server, outcome, legs - 1, retry_after=asked_wait)
     assert rig.now - began <= latest <= no_answer
     # A reply of no free agent goes on at once, as an attempt that has not failed: up to the fleet's legs.
-    assert legs <= (reckoned.legs_in_all if no_agents else reckoned.legs)
+    assert legs <= (reckoned.max_total_attempts if no_agents else reckoned.max_attempts)
     assert legs <= legs_most
-    if isinstance(leg, Decline):
-        assert leg.come_back <= 2 * SECOND
+    if isinstance(leg, Reject):
+        assert leg.retry_after <= 2 * SECOND
 
 
 def is_retry(command: object) -> bool:
-    return isinstance(command, Alarm) and command.span != control.HEARTBEAT
+    return isinstance(command, Timer) and command.duration != tuning.HEARTBEAT_INTERVAL
 
 
 def passes(rig: Rig, span: int) -> None:
@@ -363,7 +384,8 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(rest)
         found = await load_settled(path)
-    assert AttemptBook(found).explain("plain", 1)["legs"].value == 2 and not found.ends
+    assert AttemptBook(found).explain("plain", 1)["legs"].value == 2
+    assert not found.ends
     path.write_text(f"{text}{END}\n")
     assert (await load_settled(path)).ends
 
@@ -389,13 +411,19 @@
     bad.write_text(f"{text}\n[attempts a]\nlegs = 9\n[attempts b]\nretry_base = 9s\n")
     other.write_text(good.read_text().replace("legs = 2", "legs = 4"))
     sound = valverouter("terms", "check", str(good))
-    assert sound.returncode == 0 and "sound, 2 sections" in sound.stdout and "plain: 6 legs" in sound.stdout
+    assert sound.returncode == 0
+    assert "sound, 2 sections" in sound.stdout
+    assert "plain: 6 legs" in sound.stdout
     refused = valverouter("terms", "check", str(good), str(bad))
-    assert refused.returncode == 2 and "[attempts a] legs" in refused.stderr
+    assert refused.returncode == 2
+    assert "[attempts a] legs" in refused.stderr
     explained = valverouter("terms", "explain", str(good), "--class", "plain", "--first-choice", "1")
-    assert "legs           2" in explained.stdout and "tokens         10" in explained.stdout
+    assert "legs           2" in explained.stdout
+    assert "tokens         10" in explained.stdout
     chart = valverouter("terms", "courses", str(good), "--chart", "--first-choice", "1")
-    assert "█" in chart.stdout and "8950ms, 6 legs" in chart.stdout
+    assert "█" in chart.stdout
+    assert "8950ms, 6 legs" in chart.stdout
     diff = valverouter("terms", "diff", str(good), str(other))
-    assert diff.returncode == 1 and "plain, [attempts a]: legs 2 to 4" in diff.stdout
+    assert diff.returncode == 1
+    assert "plain, [attempts a]: legs 2 to 4" in diff.stdout
     assert "[attempts b]: legs" not in diff.stdout, "the more specific section is as it was"
--- a/valverouter/edge/keeping.py
+++ b/valverouter/edge/keeping.py
@@ -18,7 +18,7 @@
 from valverouter.edge.owed import Keeps, Owed
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Surroundings
-from valverouter.interface import Outcome, Report
+from valverouter.interface import LoadReport, Outcome
 from valverouter.recovery.lifecycle import DialogRecord, Phase
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.recovery.plan import (
@@ -83,10 +83,10 @@
         taken: Taken,
         outcome: Outcome,
         asked_wait: int = 0,
-        report: Report | None = None,
+        report: LoadReport | None = None,
         said: setup.Stands | None = None,
     ) -> None:
-        if outcome is Outcome.STANDS:
+        if outcome is Outcome.ESTABLISHED:
             self._owed.stands(taken.setup.dialog)
             self._tell_kept(taken)
         else:
@@ -145,7 +145,7 @@
 
     def _begins(self) -> None:
         self._now = now = self._clock.now()
-        found = self._owed.found(self.terms.deployment.release_wait)
+        found = self._owed.found(self.terms.deployment.release_delay)
         for record, decision in found:
             if decision.action is RecoveryAction.RESEND_ANSWER:
                 self._owed.expires(record.dialog_id, now + decision.time_left)
@@ -221,7 +221,7 @@
             kind = self.terms.deployment.traffic_types.get(record.traffic_type)
             taken.link = link
             self._pace.enqueue(
-                dialog_id, link.server, taken.deadline - self._now, kind.importance if kind else 0
+                dialog_id, link.server, taken.deadline - self._now, kind.priority_weight if kind else 0
             )
         self._ask()
 
@@ -261,7 +261,7 @@
             return
         del self._needs[dialog_id]
         left = max(0, taken.deadline - self._now)
-        decision = plan_on_status(record, word, same_start, left, self.terms.deployment.release_wait)
+        decision = plan_on_status(record, word, same_start, left, self.terms.deployment.release_delay)
         self._log.debug("fate", dialog=dialog_id, word=word.name.lower(), need=decision.action.name.lower())
         if word is PeerStatus.NO_RESPONSE and link is not None:
             self._pace.on_timeout(link.server, self._now)
@@ -302,10 +302,10 @@
         attempts = self._attempts_of(asked, taken.caller.name)
         kind = deployment.traffic_types.get(asked.traffic_type)
         if taken.legs and kind is not None:
-            usual = attempts or own_terms(deployment, kind.objective)
-            attempts = remaining_attempt_policy(usual, taken.legs, deployment.legs_allowed)
+            usual = attempts or own_terms(deployment, kind.latency_objective)
+            attempts = remaining_attempt_policy(usual, taken.legs, deployment.max_attempts)
             if attempts is None:
-                self._answer(taken, setup.Declined(asked.dialog, asked.leg, deployment.come_back_limit))
+                self._answer(taken, setup.Declined(asked.dialog, asked.leg, deployment.max_retry_after))
                 return
         no_answer_at = taken.deadline - self.terms.answer_margin
         if no_answer_at <= self._now:
--- a/valverouter/recovery/plan.py
+++ b/valverouter/recovery/plan.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum, auto
 
-from valverouter.interface import AttemptTerms
+from valverouter.interface import AttemptPolicy
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp, elapsed_bounds
 
 
@@ -116,15 +116,15 @@
     return RecoveryPlan(action, time_left)
 
 
-def remaining_attempt_policy(policy: AttemptTerms, used: int, allowed: int) -> AttemptTerms | None:
+def remaining_attempt_policy(policy: AttemptPolicy, used: int, allowed: int) -> AttemptPolicy | None:
     """The policy of a dialog that continues after `used` attempts of an earlier process; None: none is left.
 
     `allowed`: the fleet's limit of attempts a dialog. Which of the used ones were retries and which went on
     from a server without a free agent is not on record: each counts as both, so that no restart lets out more
     attempts than the fleet allows.
     """
-    attempts_left = policy.legs - used
-    total_left = min(policy.legs_in_all or allowed, allowed) - used
+    attempts_left = policy.max_attempts - used
+    total_left = min(policy.max_total_attempts or allowed, allowed) - used
     if attempts_left <= 0 or total_left <= 0:
         return None
-    return replace(policy, legs=attempts_left, legs_in_all=total_left) if used else policy
+    return replace(policy, max_attempts=attempts_left, max_total_attempts=total_left) if used else policy
