--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -178,10 +178,8 @@
     def _take_over(self, one: _Open, now: int) -> None:
         self._dialogs[one.asked.dialog] = one
         one.used, one.legs, one.leg, one.link = one.used + one.legs, 0, None, None
-        one.back, one.need = (
-            False,
-            RecoveryAction.QUERY_SERVER if one.stands else RecoveryAction.AWAIT_RELEASE,
-        )
+        one.back = False
+        one.need = RecoveryAction.QUERY_SERVER if one.stands else RecoveryAction.AWAIT_RELEASE
         # Its server gave up what did not stand with the connection: the release time, counted from here.
         wait = ASKED_WITHIN if one.stands else self.plan.deployment.release_delay
         self._sim.after(wait, self.turn, self._waited, self._life, one)
@@ -232,9 +230,8 @@
             ):
                 self._pace.on_reply(server)
                 continue
-            self._sim.after(
-                self._delay(link.server), self._asked, self._life, dialog, link, link.wire, one.held
-            )
+            delay = self._delay(link.server)
+            self._sim.after(delay, self._asked, self._life, dialog, link, link.wire, one.held)
 
     def _asked(self, life: int, dialog: str, link: _Link, wire: Wire, held: Key) -> None:
         if life == self._life and wire.up:
