--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -41,8 +41,8 @@
 from valverouter.fleet.queries import CountersQuery
 from valverouter.fleet.raft_server import RaftServer
 from valverouter.fleet.transport import Transport
-from valverouter.ledger.file import LedgerBusyError
 from valverouter.ledger.raft_store import RaftStore
+from valverouter.ledger.storage import StoreLockedError
 from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
 from valverouter.rollout.disruption_limits import Instance, InstanceKind
 from valverouter.rollout.disruption_permits import EnrollInstances
@@ -293,7 +293,7 @@
     store, found, aside = open_supervisor_store(path)
     assert (found, aside) == (None, "")
     store.save(memory)
-    with pytest.raises(LedgerBusyError):
+    with pytest.raises(StoreLockedError):
         SupervisorStore(path)
     store.close()
     store, found, aside = open_supervisor_store(path)
--- a/tests/test_raft_store.py
+++ b/tests/test_raft_store.py
@@ -14,7 +14,7 @@
 from tests.disruption_helpers import edge_proxies, permit_register
 from valverouter.emulator.permit_simulation import PermitSimulation
 from valverouter.ledger.raft_store import RaftStore
-from valverouter.ledger.store import LedgerBusyError, LedgerError
+from valverouter.ledger.storage import StoreError, StoreLockedError
 from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
 from valverouter.rollout.disruption_permits import (
     EnrollInstances,
@@ -70,7 +70,7 @@
     store.close()
     again = RaftStore(tmp_path, 99)
     assert again.load() == expected, "the disk id stays the one that the store began with"
-    with pytest.raises(LedgerBusyError):
+    with pytest.raises(StoreLockedError):
         RaftStore(tmp_path, 1)
     again.commit([SaveSnapshot(Snapshot(40, 9, members, state))])
     assert again.load().entries == [], "a snapshot past all that is here"
@@ -102,7 +102,7 @@
     elif damage == "cut off":
         data = data[: len(data) * 2 // 3]
     file.write_bytes(data)
-    with pytest.raises(LedgerError):
+    with pytest.raises(StoreError):
         RaftStore(tmp_path, 8).load()
 
 
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -17,8 +17,8 @@
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
 from valverouter.fleet.supervisor_service import SupervisorService
-from valverouter.ledger.file import LedgerError, sound
 from valverouter.ledger.raft_store import RaftStore
+from valverouter.ledger.storage import StoreError, open_or_set_aside
 from valverouter.ledger.supervisor_store import open_supervisor_store
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
@@ -41,7 +41,7 @@
             trio.run(_seat, terms, store, found)
         finally:
             store.close()
-    except* (OSError, LedgerError, AlreadyBootstrappedError) as group:
+    except* (OSError, StoreError, AlreadyBootstrappedError) as group:
         log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
         sys.exit(FAILED)
 
@@ -49,10 +49,10 @@
 def _store(terms: SeatTerms) -> RaftStore:
     """One that can't be read whole is a lost disk: set aside, and the seat comes back as another."""
     fresh = secrets.randbits(63)
-    store, _, why, aside = sound(terms.store, lambda: RaftStore(terms.store, fresh), RaftStore.load)
-    if why:
-        log.error("record-set-aside", why=why, to=str(aside))
-    return store
+    opened = open_or_set_aside(terms.store, lambda: RaftStore(terms.store, fresh), RaftStore.load)
+    if opened.problem:
+        log.error("record-set-aside", why=opened.problem, to=str(opened.set_aside_to))
+    return opened.store
 
 
 async def _seat(terms: SeatTerms, store: RaftStore, found: bool) -> None:
@@ -81,7 +81,7 @@
             trio.run(_keep, task)
         finally:
             store.close()
-    except* (OSError, LedgerError) as group:
+    except* (OSError, StoreError) as group:
         log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
         sys.exit(FAILED)
 
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -81,7 +81,7 @@
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled.
 
-        OSError if the address can't be bound, LedgerError if the disk fails: a node that can't keep what it
+        OSError if the address can't be bound, StoreError if the disk fails: a node that can't keep what it
         promises must not go on.
         """
         socket = self._surroundings.datagrams(self._terms.listen)
--- a/valverouter/ledger/raft_store.py
+++ b/valverouter/ledger/raft_store.py
@@ -15,7 +15,13 @@
 import lmdb
 import msgspec
 
-from valverouter.ledger.file import LedgerError, body_of, cover, owned, summed
+from valverouter.ledger.storage import (
+    StoreError,
+    acquire_lock,
+    extend_truncated_file,
+    verified_body,
+    with_checksum,
+)
 from valverouter.rollout.raft_log import (
     LogEntry,
     PersistentState,
@@ -44,24 +50,24 @@
 class RaftStore:
     """An open store, held by one process at a time.
 
-    Every method raises LedgerError where the store fails or can't be trusted, LedgerBusyError where another
+    Every method raises StoreError where the store fails or can't be trusted, StoreLockedError where another
     process holds it.
     """
 
     def __init__(self, path: Path, new_disk_id: int) -> None:
         """Opens the store at `path`; an empty one gets `new_disk_id`."""
         self.path = path
-        self._lock = owned(path)
+        self._lock = acquire_lock(path)
         try:
             self._env = lmdb.open(str(path), map_size=MAP_SIZE, max_dbs=2, sync=True, metasync=True)
-            cover(path, self._env)
+            extend_truncated_file(path, self._env)
             self._metadata_db = self._env.open_db(b"meta")
             self._log_db = self._env.open_db(b"record")
             self._initialize(new_disk_id)
         except lmdb.Error as error:
             self._lock.close()
-            raise LedgerError(f"{path}: {error}") from error
-        except LedgerError:
+            raise StoreError(f"{path}: {error}") from error
+        except StoreError:
             self.close()
             raise
 
@@ -80,7 +86,7 @@
                 state.entries = self._load_entries(transaction, state.first_index)
                 return state
         except (lmdb.Error, msgspec.MsgspecError) as error:
-            raise LedgerError(f"{self.path}: {error}") from error
+            raise StoreError(f"{self.path}: {error}") from error
 
     def commit(self, saves: Iterable[Save]) -> None:
         """Stores all changes in one transaction, on disk when it returns; where it fails, none is stored."""
@@ -89,7 +95,7 @@
                 for save in saves:
                     self._put(transaction, save)
         except lmdb.Error as error:
-            raise LedgerError(f"{self.path}: {error}") from error
+            raise StoreError(f"{self.path}: {error}") from error
 
     def _initialize(self, new_disk_id: int) -> None:
         with self._env.begin(write=True) as transaction:
@@ -98,7 +104,7 @@
                 transaction.put(FORMAT_KEY, FORMAT, db=self._metadata_db)
                 transaction.put(DISK_ID_KEY, _encode(new_disk_id), db=self._metadata_db)
             elif bytes(found) != FORMAT:
-                raise LedgerError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
+                raise StoreError(f"{self.path} has the format {bytes(found)!r}, and {FORMAT!r} is read here")
 
     def _load_disk_id(self, transaction: Any) -> int:
         value = transaction.get(DISK_ID_KEY, db=self._metadata_db)
@@ -119,16 +125,16 @@
         for expected, (key, value) in enumerate(transaction.cursor(db=self._log_db), first_index):
             index = int.from_bytes(key, "big")
             if index != expected:
-                raise LedgerError(f"{self.path}: entry {expected} is missing")
+                raise StoreError(f"{self.path}: entry {expected} is missing")
             stored = _entry_decoder.decode(self._verified(value, f"entry {index}"))
             entries.append(stored.to_log_entry())
         return entries
 
     def _verified(self, value: Any, name: str) -> bytes:
         """The body of a stored value, once its checksum has been verified."""
-        body = body_of(bytes(value)) if value is not None else None
+        body = verified_body(bytes(value)) if value is not None else None
         if body is None:
-            raise LedgerError(f"{self.path}: {name} is damaged")
+            raise StoreError(f"{self.path}: {name} is damaged")
         return body
 
     def _put(self, transaction: Any, save: Save) -> None:
@@ -163,7 +169,7 @@
 
 
 def _encode(value: Any) -> bytes:
-    return summed(_encoder.encode(value))
+    return with_checksum(_encoder.encode(value))
 
 
 def _stored_term(value: Any) -> int:
