--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -207,13 +207,13 @@
             first = member("m0", (), 1)
             await nursery.start(first.run)
             assert first.core is not None
-            others = [member(f"m{at}", (first.core.mine.address,), 1) for at in range(1, count)]
+            others = [member(f"m{at}", (first.core.own_record.address,), 1) for at in range(1, count)]
             for one in others:
                 await nursery.start(one.run)
-            told.put(first.core.mine.address)
-            while first.core.view.living < count + 1 or first.core.trust.value != "settled":
+            told.put(first.core.own_record.address)
+            while first.core.view.live_count < count + 1 or first.core.view_health.value != "settled":
                 await trio.sleep(0.2)
-            told.put(f"{first.core.view.living} members, {first.core.trust.value}")
+            told.put(f"{first.core.view.live_count} members, {first.core.view_health.value}")
             await trio.sleep_forever()
 
     set_up(edge_terms(IniFile(INI.format(port=1), "bench")).log)
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -24,12 +24,12 @@
 
 from valverouter.emulator.views import SECOND, Node, Views
 from valverouter.fleet.sealing import size_of
-from valverouter.membership.core import Membership
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.events import EventKind, MembershipEvent
+from valverouter.membership.membership import Membership
 from valverouter.membership.messages import Gossip, Message
-from valverouter.membership.records import Record, State, said, told
-from valverouter.membership.rules import Rules
-from valverouter.membership.view import View
-from valverouter.membership.voice import Told
+from valverouter.membership.records import Record, State, as_reported, next_own_record
+from valverouter.membership.view import MembershipView
 from valverouter.servermodel.paths import PathFault, Paths
 
 BASELINES = ("program", "heartbeats", "unsuspecting", "trusting")
@@ -39,39 +39,58 @@
 
 
 class Heartbeats:
-    """All tell all each period."""
+    """All send to all each period; the same interface as `Membership`."""
 
     def __init__(
-        self, mine: Record, rules: Rules, draw: Callable[[], float], now: int, seeds: tuple[str, ...] = ()
+        self,
+        own_record: Record,
+        config: MembershipConfig,
+        draw: Callable[[], float],
+        now: int,
+        seeds: tuple[str, ...] = (),
     ) -> None:
-        self.mine, self.rules = mine, rules
-        self.view = View(0)
-        self.view.put(mine, now)
-        self.out: list[tuple[str, Message]] = []
-        self.told: list[Told] = []
-        self.due = now + int(draw() * rules.period)
-        self._heard: dict[str, int] = {}
-
-    def heard(self, now: int, address: str, message: Message) -> None:
-        self._heard[message.name] = now
+        self.own_record, self.config = own_record, config
+        self.view = MembershipView(0)
+        self.view.put(own_record, now)
+        self.outbox: list[tuple[str, Message]] = []
+        self.events: list[MembershipEvent] = []
+        self.next_timer = now + int(draw() * config.probe_period)
+        self._last_heard: dict[str, int] = {}
+
+    def take_outbox(self) -> list[tuple[str, Message]]:
+        """Empties the outbox and returns what was in it."""
+        outbox, self.outbox = self.outbox, []
+        return outbox
+
+    def take_events(self) -> list[MembershipEvent]:
+        """Empties the events and returns what was in them."""
+        events, self.events = self.events, []
+        return events
+
+    def receive(self, now: int, address: str, message: Message) -> None:
+        """Handles a heartbeat: its sender runs."""
+        self._last_heard[message.name] = now
         held = self.view.records.get(message.name)
         if held is not None and not held.lives:
-            self.view.put(said(held), now)
+            self.view.put(next_own_record(held), now)
 
     def tick(self, now: int) -> None:
-        late = now - self.due > self.rules.period // 2
-        self.due = now + self.rules.period
-        beat = Gossip(self.mine.name, self.mine.life, 0)
+        """Sends heartbeats, and declares silent members gone, unless this process itself was late."""
+        period = self.config.probe_period
+        late = now - self.next_timer > period // 2
+        self.next_timer = now + period
+        own_name = self.own_record.name
+        heartbeat = Gossip(own_name, self.own_record.life, 0)
         for name, held in list(self.view.records.items()):
-            if name == self.mine.name or not held.lives:
+            if name == own_name or not held.lives:
                 continue
-            self.out.append((held.address, beat))
+            self.outbox.append((held.address, heartbeat))
             if late:
-                self._heard[name] = now
-            elif now - self._heard.setdefault(name, now) > SILENT * self.rules.period:
-                gone = told(held, State.GONE, self.mine.name)
+                self._last_heard[name] = now
+            elif now - self._last_heard.setdefault(name, now) > SILENT * period:
+                gone = as_reported(held, State.GONE, own_name)
                 self.view.put(gone, now)
-                self.told.append(Told(now, "gone", gone, self.mine.name))
+                self.events.append(MembershipEvent(now, EventKind.GONE, gone, own_name))
 
 
 @dataclasses.dataclass(frozen=True)
@@ -87,13 +106,15 @@
     seconds: float
 
 
-def rules_of(baseline: str) -> Rules:
-    return Rules(suspects=baseline != "unsuspecting", doubts_itself=baseline != "trusting")
+def rules_of(baseline: str) -> MembershipConfig:
+    return MembershipConfig(
+        suspicion_enabled=baseline != "unsuspecting", local_health_enabled=baseline != "trusting"
+    )
 
 
 def fleet(
     case: Case,
-    watch: Callable[[Node, Told], None],
+    watch: Callable[[Node, MembershipEvent], None],
     faults: list[PathFault] | None = None,
     sized: bool = False,
 ) -> Views:
@@ -131,8 +152,8 @@
     killed: dict[str, int] = {}
     spans: list[float] = []
 
-    def watch(node: Node, found: Told) -> None:
-        if found.what == "gone" and found.record.name in killed:
+    def watch(node: Node, found: MembershipEvent) -> None:
+        if found.kind is EventKind.GONE and found.record.name in killed:
             left.discard(node.name)
             if not left:
                 spans.append((views.now - killed.pop(found.record.name)) / SECOND)
@@ -150,7 +171,7 @@
         views.run(views.now + 30 * SECOND)
         missed += len(killed)
         killed.clear()
-        views.start(name, SEEDS, knows=[node.core.mine for node in views.live()])
+        views.start(name, SEEDS, knows=[node.core.own_record for node in views.live()])
         views.run(views.now + 5 * SECOND)
     return {"spans": spans, "missed": [float(missed)]}
 
@@ -158,16 +179,16 @@
 def false_deaths(case: Case) -> dict[str, list[float]]:
     """Nobody dies. A death told by the one that found it counts, once for each member and word."""
     wrong: set[tuple[str, int, int]] = set()
-    counts: Counter[str] = Counter()
+    counts: Counter[EventKind] = Counter()
 
-    def watch(node: Node, found: Told) -> None:
-        counts[found.what] += 1
-        if found.what == "gone":
+    def watch(node: Node, found: MembershipEvent) -> None:
+        counts[found.kind] += 1
+        if found.kind is EventKind.GONE:
             wrong.add((found.record.name, found.record.life, found.record.seq))
 
     views = fleet(case, watch)
     views.run(int(case.seconds * SECOND))
-    return {"wrong": [float(len(wrong))], "suspects": [float(counts["accused"])]}
+    return {"wrong": [float(len(wrong))], "suspects": [float(counts[EventKind.ACCUSED])]}
 
 
 def cost(case: Case) -> dict[str, list[float]]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,9 +32,9 @@
 from valverouter.fleet.datagrams import FleetTask
 from valverouter.fleet.sealing import HEAD, MOST, VERSION, Envelope, Opener, Seal, TooLongError, Window
 from valverouter.fleet.tool import Asker
+from valverouter.membership.config import MembershipConfig
 from valverouter.membership.messages import Ask, Gossip, Ping, Sync
 from valverouter.membership.records import Phase, Record, State
-from valverouter.membership.rules import Rules
 from valverouter.signalling import tap
 from valverouter.signalling.tap import Fault, Found, Opened, Passed, Ran, Settles, Viewed
 from valverouter.terms.between import KEY_LEAST, Between, key_of
@@ -122,7 +122,7 @@
         over=(2**63,) * 3,
     )
     seal, most = Seal((KEY,)), 2**64 - 1
-    page = (long,) * (Rules().room // long.size)
+    page = (long,) * (MembershipConfig().max_update_bytes // long.size)
     assert len(seal.seal(Sync(name, most, most, (most,) * 64, (long,)))) <= MOST
     assert len(seal.seal(Ask(name, most, most, most, name, most, long.address, page))) <= MOST
     row = Row(name, "r" * 64, 0, long.address, 2**60, 2**63, State.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False)
@@ -263,7 +263,7 @@
 
 def at(one: FleetTask) -> str:
     assert one.core is not None
-    return one.core.mine.address
+    return one.core.own_record.address
 
 
 async def until(true: Any, within: float = 10.0) -> None:
@@ -274,7 +274,7 @@
 
 def living(one: FleetTask) -> set[str]:
     assert one.core is not None
-    return {name for name in one.core.view.records if one.core.view.lives(name)}
+    return {name for name in one.core.view.records if one.core.view.is_live(name)}
 
 
 async def test_two_instances_find_each_other_on_sockets_and_one_leaves() -> None:
@@ -283,7 +283,7 @@
         second = task("e1", (at(first),))
         await nursery.start(second.run)
         await until(lambda: living(first) == living(second) == {"e0", "e1"})
-        await until(lambda: first.core.trust.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: first.core.view_health.value == "settled")  # type: ignore[union-attr]
         await until(lambda: first.counts["size-differs"] == 1)  # the rig's terms say 1
         second.leave()
         await second.ended.wait()
@@ -361,7 +361,7 @@
             f"e{number}" for number in range(60)
         )
         assert [row.address for row in heard.rows if row.state == State.UNKNOWN] == ["127.0.0.1:9"]
-        assert first.core.view.living == 60 and heard.digest == first.core.view.digest
+        assert first.core.view.live_count == 60 and heard.digest == first.core.view.digest
 
 
 def heard(name: str, digest: int, rows: list[Row], trust: str = "settled") -> Heard:
@@ -405,7 +405,7 @@
     async with running(first) as nursery:
         second = task("e1", (at(first),))
         await nursery.start(second.run)
-        await until(lambda: first.core.trust.value == second.core.trust.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: first.core.view_health.value == second.core.view_health.value == "settled")  # type: ignore[union-attr]
         file = tmp_path / "e.ini"
         file.write_text(EDGE + SOUND.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", at(first)))
 
@@ -585,4 +585,4 @@
 def test_a_query_has_no_name_and_its_head_is_as_short_as_any() -> None:
     query = Query("", 5, 0, 1, 0)
     assert len(Seal((KEY,)).seal(query)) < HEAD + 40
-    assert dataclasses.is_dataclass(Rules)
+    assert dataclasses.is_dataclass(MembershipConfig)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -12,14 +12,21 @@
 from hypothesis import strategies as st
 
 from valverouter.emulator.views import SECOND, WALL, Node, Views
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.convergence import ViewHealth
+from valverouter.membership.events import MembershipEvent
+from valverouter.membership.gossip import BroadcastQueue
 from valverouter.membership.messages import Gossip, Ping, Sync
-from valverouter.membership.model import LEAVABLE, Broken, Model
-from valverouter.membership.records import Record, State, above, said, supersedes, told
-from valverouter.membership.rules import Rules
-from valverouter.membership.spreading import News
-from valverouter.membership.trust import Trust
-from valverouter.membership.view import View
-from valverouter.membership.voice import Told
+from valverouter.membership.model import Model, PropertyViolationError, ProtocolRule
+from valverouter.membership.records import (
+    Record,
+    State,
+    as_reported,
+    next_own_record,
+    supersedes,
+    superseding_record,
+)
+from valverouter.membership.view import MembershipView
 from valverouter.servermodel.paths import KINDS, PathFault, Paths
 from valverouter.terms.day import PATH_KINDS
 
@@ -30,21 +37,25 @@
     """A fleet in simulated time; `found` counts what was found by whom of whom."""
 
     def __init__(
-        self, count: int, faults: list[PathFault] | None = None, loss: float = 0.0, rules: Rules | None = None
+        self,
+        count: int,
+        faults: list[PathFault] | None = None,
+        loss: float = 0.0,
+        rules: MembershipConfig | None = None,
     ) -> None:
         chance = random.Random("paths")
         self.found: Counter[tuple[str, str, str]] = Counter()
-        self.history: list[tuple[int, str, Told]] = []
+        self.history: list[tuple[int, str, MembershipEvent]] = []
 
-        def watch(node: Node, found: Told) -> None:
-            self.found[node.name, found.what, found.record.name] += 1
-            self.history.append((found.at, node.name, found))
+        def watch(node: Node, found: MembershipEvent) -> None:
+            self.found[node.name, found.kind, found.record.name] += 1
+            self.history.append((found.time, node.name, found))
 
         def delay(sender: str, receiver: str) -> int:
             return 500_000 + int(chance.random() * 1_500_000)
 
         paths = Paths(faults or [], chance.random, delay, loss)
-        self.views = Views(rules or Rules(), paths, 1, watch)
+        self.views = Views(rules or MembershipConfig(), paths, 1, watch)
         self.views.full(count, SEEDS)
 
     def count(self, what: str, of: str = "") -> int:
@@ -99,15 +110,15 @@
 def test_who_names_a_life_came_after_it_whatever_the_clocks_say() -> None:
     former, fresh = record(900, 1), record(100, 2)
     assert not supersedes(former, fresh) and not supersedes(fresh, former), "nobody knows yet"
-    raised = above(fresh, former)
+    raised = superseding_record(fresh, former)
     assert supersedes(raised, former) and not supersedes(former, raised)
-    later = told(dataclasses_seq(former, 50), State.GONE, "x")
+    later = as_reported(dataclasses_seq(former, 50), State.GONE, "x")
     assert not supersedes(later, raised), "nothing of the former self counts any more"
 
 
 def dataclasses_seq(one: Record, seq: int) -> Record:
     for _ in range(seq):
-        one = said(one)
+        one = next_own_record(one)
     return one
 
 
@@ -117,9 +128,9 @@
     own = [one for one in words if one.life == words[0].life and one.lives] or words[:1]
     ends = set()
     for order in (own, list(reversed(own)), sorted(own, key=lambda one: chance.random())):
-        view = View(0)
+        view = MembershipView(0)
         for one in order:
-            if view.is_later(one):
+            if view.accepts(one):
                 view.put(one, 0)
         if "e1" in view.records:
             held = view.records["e1"]
@@ -128,31 +139,31 @@
 
 
 def test_the_digest_follows_who_is_there_and_not_the_doubts() -> None:
-    view, other = View(4), View(4)
+    view, other = MembershipView(4), MembershipView(4)
     for one in (view, other):
         one.put(Record("e0", "", 0, "e0:1", 5, 50), 0)
     view.put(record(3, 7), 1)
     other.put(record(3, 7, seq=4), 9)
     assert view.digest == other.digest
-    view.put(told(record(3, 7), State.SUSPECT, "e0"), 2)
-    assert view.digest == other.digest and view.suspects == 1
-    view.put(told(record(3, 7), State.GONE, "e0"), 3)
-    assert view.digest != other.digest and (view.living, view.gone, view.suspects) == (1, 1, 0)
-    other.put(told(record(3, 7, seq=4), State.GONE, "e0"), 9)
-    assert view.digest == other.digest and view.buckets == other.buckets
+    view.put(as_reported(record(3, 7), State.SUSPECT, "e0"), 2)
+    assert view.digest == other.digest and view.suspect_count == 1
+    view.put(as_reported(record(3, 7), State.GONE, "e0"), 3)
+    assert view.digest != other.digest and (view.live_count, view.gone_count, view.suspect_count) == (1, 1, 0)
+    other.put(as_reported(record(3, 7, seq=4), State.GONE, "e0"), 9)
+    assert view.digest == other.digest and view.bucket_digests == other.bucket_digests
 
 
 def test_the_dead_whom_nobody_knew_are_not_passed_round() -> None:
-    view = View(4)
-    assert not view.is_later(record(3, 7, state=State.GONE))
+    view = MembershipView(4)
+    assert not view.accepts(record(3, 7, state=State.GONE))
     view.put(record(3, 7), 0)
-    view.put(told(record(3, 7), State.GONE, "x"), 1)
+    view.put(as_reported(record(3, 7), State.GONE, "x"), 1)
     view.forget("e1")
-    assert not view.records and list(view.old) == ["e1:1"] and view.digest == 0
+    assert not view.records and list(view.forgotten_addresses) == ["e1:1"] and view.digest == 0
 
 
 def test_news_leave_after_so_many_sends_and_fit_their_room() -> None:
-    news = News(room=400)
+    news = BroadcastQueue(max_bytes=400)
     for at in range(9):
         news.put(Record(f"e{at}", "", 0, f"e{at}:1", 1, at))
     taken = [news.take(3) for _ in range(12)]
@@ -199,11 +210,11 @@
     for at in range(0, 24, 3):
         rig.views.kill(f"e{at}")
     rig.settles(20)
-    assert {node.core.trust for node in rig.views.live()} == {Trust.SETTLED}
+    assert {node.core.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
 
 
 def test_a_region_cut_off_for_longer_than_deaths_are_remembered_with_restarts_on_both_sides() -> None:
-    rules = dataclasses.replace(Rules(), remembers=20 * SECOND)
+    rules = dataclasses.replace(MembershipConfig(), gone_retention=20 * SECOND)
     south = {f"e{at}" for at in range(12, 24)}
     rig = Rig(24, [split(5, 60, names(24) - south, south)], rules=rules)
     rig.views.run(50 * SECOND)
@@ -216,7 +227,7 @@
 
 
 def test_a_seed_less_side_finds_the_other_by_the_addresses_of_those_long_gone() -> None:
-    rules = dataclasses.replace(Rules(), remembers=15 * SECOND)
+    rules = dataclasses.replace(MembershipConfig(), gone_retention=15 * SECOND)
     rig = Rig(0, [split(2, 50, {f"e{at}" for at in range(4)}, {f"e{at}" for at in range(4, 8)})], rules=rules)
     rig.views.full(8)
     rig.views.run(52 * SECOND)
@@ -285,7 +296,9 @@
     rig.settles(20)
     rig.views.start("e12", SEEDS)
     rig.views.run(rig.views.now + 5 * SECOND)
-    assert rig.views.nodes["e12"].core.trust is Trust.UNSETTLED, "alone, and told of seeds: no fleet of one"
+    assert rig.views.nodes["e12"].core.view_health is ViewHealth.UNSETTLED, (
+        "alone, and told of seeds: no fleet of one"
+    )
     rig.views.start("e1", ("e5:1",))
     rig.settles(20)
 
@@ -294,18 +307,20 @@
     rig = Rig(12)
     rig.views.run(5 * SECOND)
     for name in ("e4", "e0"):
-        former = rig.views.nodes[name].core.mine
+        former = rig.views.nodes[name].core.own_record
         rig.views.kill(name)
         fresh = rig.views.start(name, SEEDS, wall_ms=WALL - 3_600_000)
         rig.views.run(rig.views.now + 3 * SECOND)
-        assert fresh.core.mine.number > former.number and former.life in fresh.core.mine.over
+        assert fresh.core.own_record.number > former.number and former.life in fresh.core.own_record.over
         # A word of the former self, late.
         for node in rig.views.live():
-            gossip = Gossip("e9", rig.views.nodes["e9"].core.mine.life, 0, (dataclasses_seq(former, 9),))
-            node.core.heard(rig.views.now, "e9:1", gossip)
+            gossip = Gossip(
+                "e9", rig.views.nodes["e9"].core.own_record.life, 0, (dataclasses_seq(former, 9),)
+            )
+            node.core.receive(rig.views.now, "e9:1", gossip)
     rig.settles(10)
     for node in rig.views.live():
-        assert node.core.view.records["e4"].life == rig.views.nodes["e4"].core.mine.life
+        assert node.core.view.records["e4"].life == rig.views.nodes["e4"].core.own_record.life
 
 
 def test_an_answer_from_its_own_address_proves_who_is_there() -> None:
@@ -313,10 +328,10 @@
     rig = Rig(4)
     rig.views.run(5 * SECOND)
     rig.views.kill("e3")
-    former = rig.views.nodes["e3"].core.mine
+    former = rig.views.nodes["e3"].core.own_record
     fresh = rig.views.start("e3", (), wall_ms=WALL - 3_600_000)
     rig.settles(10)
-    assert former.life in fresh.core.mine.over, "who asked after the former self told it"
+    assert former.life in fresh.core.own_record.over, "who asked after the former self told it"
 
 
 def twins(rig: Rig) -> tuple[Node, Node]:
@@ -332,7 +347,10 @@
     one, two = twins(rig)
     rig.views.run(20 * SECOND)
     assert rig.found["e3", "conflict", "e3"] == 2, "each of the two tells once"
-    assert one.core.twin.life == two.core.mine.life and two.core.twin.life == one.core.mine.life
+    assert (
+        one.core.name_conflict.incarnation == two.core.own_record.life
+        and two.core.name_conflict.incarnation == one.core.own_record.life
+    )
     held = {node.core.view.records["e3"].life for node in rig.views.live() if node.name != "e3"}
     assert len(held) == 1
     assert all(node.core.view.records["e3"].twin for node in rig.views.live() if node.name != "e3")
@@ -340,33 +358,33 @@
     rig.views.run(120 * SECOND)
     assert rig.count("restarted") == before and rig.count("gone") == 0
     # The one that the fleet holds ends: the other takes its place, and no conflict is left.
-    ends = one if one.core.mine.life in held else two
+    ends = one if one.core.own_record.life in held else two
     stays = two if ends is one else one
     ends.alive = False
     del rig.views._at_address[ends.address]
     rig.views.run(200 * SECOND)
     others = [node for node in rig.views.live() if node.name != "e3"]
-    assert {node.core.view.records["e3"].life for node in others} == {stays.core.mine.life}
-    assert stays.core.trust is Trust.SETTLED and not stays.core.mine.twin
+    assert {node.core.view.records["e3"].life for node in others} == {stays.core.own_record.life}
+    assert stays.core.view_health is ViewHealth.SETTLED and not stays.core.own_record.twin
 
 
 def test_a_late_word_of_a_former_self_is_no_conflict() -> None:
     rig = Rig(8)
     rig.views.run(5 * SECOND)
-    former = rig.views.nodes["e3"].core.mine
+    former = rig.views.nodes["e3"].core.own_record
     rig.views.kill("e3")
     fresh = rig.views.start("e3", SEEDS)
     rig.views.run(7 * SECOND)
-    fresh.core.heard(rig.views.now, "e3:1", Ping("e3", former.life, 0, 5, fresh.core.mine.life))
+    fresh.core.receive(rig.views.now, "e3:1", Ping("e3", former.life, 0, 5, fresh.core.own_record.life))
     rig.views.run(20 * SECOND)
-    assert rig.count("conflict") == 0 and not fresh.core.mine.twin
+    assert rig.count("conflict") == 0 and not fresh.core.own_record.twin
 
 
 def test_a_fleet_told_24_that_is_really_40_keeps_a_view_of_40() -> None:
     rig = Rig(40)
     rig.views.run(10 * SECOND)
-    assert {node.core.view.living for node in rig.views.live()} == {40}
-    assert {node.core.trust for node in rig.views.live()} == {Trust.SETTLED}
+    assert {node.core.view.live_count for node in rig.views.live()} == {40}
+    assert {node.core.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
 
 
 def test_a_minority_says_that_it_is_cut_off_and_a_majority_does_not() -> None:
@@ -374,17 +392,17 @@
     rig = Rig(12, [split(5, 60, few, names(12) - few)])
     rig.views.run(30 * SECOND)
     for node in rig.views.live():
-        assert node.core.trust is (Trust.CUT_OFF if node.name in few else Trust.SETTLED)
+        assert node.core.view_health is (ViewHealth.CUT_OFF if node.name in few else ViewHealth.SETTLED)
     rig.views.run(65 * SECOND)
     rig.settles(20)
     rig.views.run(rig.views.now + 10 * SECOND)
-    assert {node.core.trust for node in rig.views.live()} == {Trust.SETTLED}
+    assert {node.core.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
 
 
 def test_one_alone_behind_a_cut_says_so_before_it_has_put_anybody_away() -> None:
     rig = Rig(12, [split(5, 30, {"e0"}, names(12) - {"e0"})])
     rig.views.run(13 * SECOND)
-    assert rig.views.nodes["e0"].core.trust is Trust.CUT_OFF
+    assert rig.views.nodes["e0"].core.view_health is ViewHealth.CUT_OFF
     assert not any(who == "e0" and what == "gone" for who, what, _ in rig.found)
 
 
@@ -395,11 +413,11 @@
     rig.views.run(3 * SECOND)
     core = rig.views.nodes["e0"].core
     held = core.view.records["e1"]
-    core._ask_after(told(held, State.SUSPECT, "e2"), last_word=True)
-    (nonce,) = [n for n, probe in core._probes.open.items() if probe.last_word]
-    core._learn(said(held))
-    core._learn(told(said(held), State.SUSPECT, "e2"))
-    core._verdict(nonce)
+    core.failure_detector.probe(as_reported(held, State.SUSPECT, "e2"), is_final=True)
+    (nonce,) = [n for n, probe in core.failure_detector.probes.pending.items() if probe.is_final]
+    core.member_updates.apply(next_own_record(held))
+    core.member_updates.apply(as_reported(next_own_record(held), State.SUSPECT, "e2"))
+    core.failure_detector._conclude(nonce)
     assert core.view.records["e1"].state is State.SUSPECT, "not gone: that doubt is a second old"
 
 
@@ -408,12 +426,12 @@
     rig.views.run(3 * SECOND)
     asker, helper = rig.views.nodes["e0"].core, rig.views.nodes["e2"].core
     old = asker.view.records["e1"]
-    helper._learn(said(old))
-    asker._learn(told(old, State.SUSPECT, "e3"))
-    asker._ask_after(asker.view.records["e1"], last_word=True)
-    (nonce,) = [n for n, probe in asker._probes.open.items() if probe.last_word]
+    helper.member_updates.apply(next_own_record(old))
+    asker.member_updates.apply(as_reported(old, State.SUSPECT, "e3"))
+    asker.failure_detector.probe(asker.view.records["e1"], is_final=True)
+    (nonce,) = [n for n, probe in asker.failure_detector.probes.pending.items() if probe.is_final]
     rig.views.nodes["e1"].stalled_until = rig.views.now + 2 * SECOND
-    asker._again(nonce)
+    asker.failure_detector._probe_indirectly(nonce)
     rig.views._after(rig.views.nodes["e0"])
     rig.views.run(rig.views.now + 100_000_000)
     assert asker.view.records["e1"].seq > old.seq
@@ -425,16 +443,19 @@
     for name in list(two.core.view.records):
         if name not in ("e3", "e4"):
             two.core.view.forget(name)
-    two.core.heard(
-        0, "e3:1", Sync("e3", one.core.mine.life, 0, tuple(one.core.view.buckets), (one.core.mine,))
+    two.core.receive(
+        0,
+        "e3:1",
+        Sync("e3", one.core.own_record.life, 0, tuple(one.core.view.bucket_digests), (one.core.own_record,)),
     )
-    pages = [message for _, message in two.core.out]
+    pages = [message for _, message in two.core.outbox]
     assert pages and all(
-        sum(record.size for record in getattr(page, "news", ())) <= two.core.rules.room for page in pages
+        sum(record.size for record in getattr(page, "news", ())) <= two.core.config.max_update_bytes
+        for page in pages
     )
     rig.views._after(two)
     rig.views.run(SECOND // 2)
-    assert two.core.view.digest == one.core.view.digest and two.core.view.living == 200
+    assert two.core.view.digest == one.core.view.digest and two.core.view.live_count == 200
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -455,7 +476,7 @@
     def look() -> None:
         for node in rig.views.live():
             for name, held in node.core.view.records.items():
-                lives = seen.setdefault((node.core.mine.life, name), [])
+                lives = seen.setdefault((node.core.own_record.life, name), [])
                 if held.lives and (not lives or lives[-1] != held.life):
                     assert held.life not in lives, f"{node.name} went back to a former {name}"
                     lives.append(held.life)
@@ -503,17 +524,18 @@
 @pytest.mark.parametrize(
     ("model", "states"),
     [
-        (Model(lives=2, doubts=1), 2681),
-        (Model(lives=2, doubts=0, twins=2), 3601),
-        (Model(lives=3, doubts=0), 16133),
+        (Model(max_processes=2, max_accusations=1), 2681),
+        (Model(max_processes=2, max_accusations=0, max_concurrent=2), 3601),
+        (Model(max_processes=3, max_accusations=0), 16133),
     ],
 )
 def test_every_order_of_starts_ends_doubts_and_words_keeps_the_view_right(model: Model, states: int) -> None:
     assert model.walk() == states, "told in docs/fleet.md"
 
 
-@pytest.mark.parametrize("without", LEAVABLE)
-def test_the_walk_finds_each_part_of_the_rules_that_is_left_out(without: str) -> None:
-    twins = 2 if without in ("ask", "tie") else 1
-    with pytest.raises(Broken):
-        Model(lives=2, doubts=1, twins=twins, without=without).walk()
+@pytest.mark.parametrize("omitted", list(ProtocolRule))
+def test_the_walk_notices_each_omitted_rule(omitted: ProtocolRule) -> None:
+    max_concurrent = 2 if omitted in (ProtocolRule.VERIFY, ProtocolRule.TIE_BREAK) else 1
+    model = Model(max_processes=2, max_accusations=1, max_concurrent=max_concurrent, omitted=omitted)
+    with pytest.raises(PropertyViolationError):
+        model.walk()
--- a/valverouter/days/emulated_views.py
+++ b/valverouter/days/emulated_views.py
@@ -13,8 +13,8 @@
 
 from valverouter.days.paths import path_faults, paths_of
 from valverouter.emulator.views import WALL, Node, Views
-from valverouter.membership.rules import Rules
-from valverouter.membership.voice import Told
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.events import MembershipEvent
 from valverouter.terms.day import Day, Trouble
 
 
@@ -40,10 +40,10 @@
     chance = random.Random(f"{day.terms.seed}/paths")
     found: Counter[str] = Counter()
 
-    def watch(node: Node, told: Told) -> None:
-        found[told.what] += 1
+    def watch(node: Node, event: MembershipEvent) -> None:
+        found[event.kind.value] += 1
 
-    rules = Rules(period=between.period, remembers=between.remembers)
+    rules = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
     faults = path_faults(day, day.terms.settle, names)
     paths = paths_of(day, chance.random, day.terms.settle, names)
     views = Views(rules, paths, day.terms.seed, watch)
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -22,8 +22,8 @@
 from valverouter.fleet.asking import Heard
 from valverouter.fleet.datagrams import FleetTask, facts_of
 from valverouter.fleet.tool import Asker
+from valverouter.membership.events import MembershipEvent
 from valverouter.membership.records import LIVING
-from valverouter.membership.voice import Told
 from valverouter.servermodel.paths import Paths
 from valverouter.signalling.tap import Found, Ran, Settles, Viewed
 from valverouter.standins.paths import PathStandIn
@@ -218,7 +218,7 @@
     def began(self, name: str) -> None:
         core = self._tasks[name].core
         assert core is not None
-        self.began_at(name, f"{core.mine.life:016x}", core.mine.address)
+        self.began_at(name, f"{core.own_record.life:016x}", core.own_record.address)
 
-    def _hears(self, name: str, told: Told) -> None:
-        self.found(name, told.what, told.record.name, f"{told.record.life:016x}")
+    def _hears(self, name: str, event: MembershipEvent) -> None:
+        self.found(name, event.kind.value, event.record.name, f"{event.record.life:016x}")
--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -12,12 +12,12 @@
 from collections import Counter
 from collections.abc import Callable
 
-from valverouter.membership.core import Membership
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.events import MembershipEvent
+from valverouter.membership.membership import Membership
 from valverouter.membership.messages import Message
 from valverouter.membership.records import Record
-from valverouter.membership.rules import Rules
-from valverouter.membership.view import View
-from valverouter.membership.voice import Told
+from valverouter.membership.view import MembershipView
 from valverouter.servermodel.paths import Paths
 
 SECOND = 10**9
@@ -48,10 +48,10 @@
 
     def __init__(
         self,
-        rules: Rules,
+        rules: MembershipConfig,
         paths: Paths,
         seed: int = 1,
-        watch: Callable[[Node, Told], None] = lambda node, told: None,
+        watch: Callable[[Node, MembershipEvent], None] = lambda node, event: None,
         size: Callable[[Message], int] | None = None,
         make: Callable[..., Membership] = Membership,
     ) -> None:
@@ -105,9 +105,9 @@
     ) -> None:
         """A fleet that knows itself already."""
         nodes = [self.start(f"e{at}", seeds, region=region(at) if region else "") for at in range(count)]
-        whole = View(self._rules.old_addresses)
+        whole = MembershipView(self._rules.forgotten_address_limit)
         for node in nodes:
-            whole.put(node.core.mine, self.now)
+            whole.put(node.core.own_record, self.now)
         for node in nodes:
             node.core.view = whole.copy()
 
@@ -139,7 +139,7 @@
         self.now = until
 
     def _wake(self, node: Node) -> None:
-        node.wakes = node.core.due
+        node.wakes = node.core.next_timer
         self.at(node.wakes, self._tick, node)
 
     def _tick(self, node: Node) -> None:
@@ -155,7 +155,7 @@
         waiting, node.waiting = node.waiting, []
         # What is due is seen to be late before what came is read: the timers of a stopped process show it.
         for address, message in waiting:
-            node.core.heard(self.now, address, message)
+            node.core.receive(self.now, address, message)
         node.core.tick(self.now)
         self._after(node)
         self._wake(node)
@@ -166,21 +166,19 @@
         if self.now < node.stalled_until:
             node.waiting.append((source, message))
             return
-        node.core.heard(self.now, source, message)
+        node.core.receive(self.now, source, message)
         self._after(node)
-        if node.core.due < node.wakes:
+        if node.core.next_timer < node.wakes:
             self._wake(node)
 
     def _after(self, node: Node) -> None:
         core = node.core
-        if core.told:
-            for told in core.told:
-                self._watch(node, told)
-            core.told.clear()
-        if not core.out:
+        if core.events:
+            for event in core.take_events():
+                self._watch(node, event)
+        if not core.outbox:
             return
-        out, core.out = core.out, []
-        for address, message in out:
+        for address, message in core.take_outbox():
             node.sent[type(message).__name__] += 1
             if self._size is not None:
                 node.bytes += self._size(message)
@@ -199,9 +197,9 @@
         """Every live instance has the same digest, and it is that of those who live."""
         live = self.live()
         one = live[0].core.view
-        if one.living != len(live) or any(node.core.view.digest != one.digest for node in live):
+        if one.live_count != len(live) or any(node.core.view.digest != one.digest for node in live):
             return False
-        return all(one.records[node.name].life == node.core.mine.life for node in live)
+        return all(one.records[node.name].life == node.core.own_record.life for node in live)
 
     def settles(self, until: int, step: int = SECOND // 4) -> int | None:
         """Runs until settled; when that was, or None."""
--- a/valverouter/fleet/asking.py
+++ b/valverouter/fleet/asking.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.membership.core import Membership
+from valverouter.membership.membership import Membership
 from valverouter.membership.messages import Said
 from valverouter.membership.records import LIVING, State
 from valverouter.rollout.keeping import Counts
@@ -81,7 +81,7 @@
             number=one.number,
             life=one.life,
             state=one.state,
-            since_ms=(now - core.view.since[name]) // 1_000_000,
+            since_ms=(now - core.view.state_since[name]) // 1_000_000,
             version=one.version,
             terms=one.terms,
             phase=int(one.phase),
--- a/valverouter/fleet/datagrams.py
+++ b/valverouter/fleet/datagrams.py
@@ -21,11 +21,11 @@
 from valverouter.edge.surroundings import Datagrams, Surroundings
 from valverouter.fleet.asking import Count, Counted, Query, Shown, pages_of, rows_of
 from valverouter.fleet.sealing import MOST, Opener, Seal, TooLongError
-from valverouter.membership.core import Membership
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.convergence import ViewHealth
+from valverouter.membership.events import MembershipEvent
+from valverouter.membership.membership import Membership
 from valverouter.membership.records import Phase, Record
-from valverouter.membership.rules import Rules
-from valverouter.membership.trust import Trust
-from valverouter.membership.voice import Told
 from valverouter.rollout.keeping import Counts
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
@@ -80,7 +80,7 @@
         life: int,
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
-        watch: Callable[[Told], None] = lambda told: None,
+        watch: Callable[[MembershipEvent], None] = lambda told: None,
         tell_counts: Callable[[], Counts] = Counts,
     ) -> None:
         self.counts: Counter[str] = Counter()
@@ -127,7 +127,7 @@
                 terms=digest,
                 phase=phase,
             )
-            rules = Rules(period=between.period, remembers=between.remembers)
+            rules = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
             self.core = Membership(mine, rules, self._draw, self._now(), between.seeds)
             self._log.info(
                 "between", address=socket.address, advertised=mine.address, life=f"{mine.life:016x}"
@@ -141,7 +141,7 @@
     async def _serve(self, socket: Datagrams, core: Membership) -> None:
         while not self._leaves:
             now = self._now()
-            wait = min(max(0.0, (core.due - now) / 1e9), LOOK_S)
+            wait = min(max(0.0, (core.next_timer - now) / 1e9), LOOK_S)
             with trio.move_on_after(wait) as self._sleep:
                 await socket.readable()
             await self._surroundings.turn()
@@ -152,10 +152,10 @@
                 self._hear(socket, core, *came)
             now = self._now()
             phase, digest = self._facts()
-            core.change(now, phase, digest)
+            core.update_facts(now, phase, digest)
             # A flood must not keep what is due from being done, nor a stop make it look due: read first, then
             # see how late it is.
-            if core.due <= now:
+            if core.next_timer <= now:
                 core.tick(now)
                 self._look_at_size(core)
             self._flush(socket, core)
@@ -174,12 +174,12 @@
         elif isinstance(message, Query):
             self._show(socket, core, message, source)
         elif isinstance(message, Count):
-            told = msgspec.structs.replace(self._tell_counts(), life=self._life, trust=core.trust.value)
-            head = core.mine.name, core.mine.life, core.view.digest
+            told = msgspec.structs.replace(self._tell_counts(), life=self._life, trust=core.view_health.value)
+            head = core.own_record.name, core.own_record.life, core.view.digest
             self._put(socket, source, Counted(*head, message.nonce, told))
         elif not isinstance(message, Shown | Counted):
             self.counts["heard"] += 1
-            core.heard(self._now(), source, message)
+            core.receive(self._now(), source, message)
 
     def _drops(self) -> None:
         for version in self._opener.strange:
@@ -197,13 +197,13 @@
             first = query.page == 0
             counts = {f"dropped-{why}": n for why, n in self._opener.dropped.items()} | dict(self.counts)
             shown = Shown(
-                core.mine.name,
-                core.mine.life,
+                core.own_record.name,
+                core.own_record.life,
                 core.view.digest,
                 query.nonce,
                 query.page,
                 len(pages),
-                core.trust.value,
+                core.view_health.value,
                 counts if first else {},
                 pages[query.page],
             )
@@ -222,33 +222,32 @@
             self.counts["not-sent"] += 1
 
     def _flush(self, socket: Datagrams, core: Membership) -> None:
-        for told in core.told:
-            self._tell(core, told)
-        core.told.clear()
-        out, core.out = core.out, []
-        for address, message in out:
+        for event in core.take_events():
+            self._tell(core, event)
+        for address, message in core.take_outbox():
             self._put(socket, address, message)
 
-    def _tell(self, core: Membership, told: Told) -> None:
-        self.counts[told.what] += 1
-        self._watch(told)
-        about = told.record
-        level = LEVELS.get(told.what, "info")
+    def _tell(self, core: Membership, event: MembershipEvent) -> None:
+        kind = event.kind.value
+        self.counts[kind] += 1
+        self._watch(event)
+        about = event.record
+        level = LEVELS.get(kind, "info")
         getattr(self._log, level)(
-            f"member-{told.what}" if about.life != core.mine.life else f"view-{told.what}",
+            f"member-{kind}" if about.life != core.own_record.life else f"view-{kind}",
             member=about.name,
             life=f"{about.life:016x}",
             number=about.number,
             address=about.address,
-            by=told.by,
+            by=event.source,
             digest=f"{core.view.digest:016x}",
-            members=core.view.living,
+            members=core.view.live_count,
         )
 
     def _look_at_size(self, core: Membership) -> None:
         """Told once for each size that it settles on, whether or not it was unsettled in between."""
-        members = core.view.living
-        if core.trust is not Trust.SETTLED or members == self._told_size:
+        members = core.view.live_count
+        if core.view_health is not ViewHealth.SETTLED or members == self._told_size:
             return
         self._told_size = members
         by_terms = self._terms.deployment.edge_proxies
--- /dev/null
+++ b/valverouter/membership/dissemination.py
@@ -0,0 +1,54 @@
+"""Dissemination of updates: piggybacked on every message, and by gossip rounds while they are new."""
+
+from __future__ import annotations
+
+from valverouter.membership.gossip import BroadcastQueue
+from valverouter.membership.local_node import LocalNode
+from valverouter.membership.messages import Gossip
+from valverouter.membership.records import Record
+
+
+class Dissemination:
+    """The updates of one member on their way to the others."""
+
+    def __init__(self, node: LocalNode) -> None:
+        self._node = node
+        self._queue = BroadcastQueue(node.config.max_update_bytes)
+        self._is_gossip_scheduled = False
+
+    def publish(self, own_record: Record) -> None:
+        """Replaces the own record, here and at the others."""
+        node = self._node
+        node.own_record = own_record
+        node.view.put(own_record, node.now)
+        self.broadcast(own_record)
+
+    def broadcast(self, record: Record) -> None:
+        """Queues an update for all members, and starts the gossip rounds where none are running."""
+        self._queue.put(record)
+        if not self._is_gossip_scheduled:
+            self._is_gossip_scheduled = True
+            self._schedule_gossip()
+
+    def take_updates(self, first: Record | None = None) -> tuple[Record, ...]:
+        """Updates to piggyback on one message; `first` goes in any case."""
+        node = self._node
+        return self._queue.take(node.config.retransmit_limit(node.view.live_count), first)
+
+    def _schedule_gossip(self) -> None:
+        config = self._node.config
+        interval = config.probe_period // config.gossip_rounds_per_period
+        self._node.timers.schedule(self._node.now + interval, self._gossip)
+
+    def _gossip(self) -> None:
+        """One gossip round: new updates do not wait for a probe to carry them."""
+        node = self._node
+        if not self._queue.has_eager_updates(node.config.eager_transmits):
+            self._is_gossip_scheduled = False
+            return
+        self._schedule_gossip()
+        for name in node.random_peers(node.config.gossip_fanout):
+            if not len(self._queue):
+                break
+            address = node.view.records[name].address
+            node.send(address, Gossip(*node.header(), self.take_updates()))
--- /dev/null
+++ b/valverouter/membership/gossip.py
@@ -0,0 +1,74 @@
+"""The queue of updates that are being disseminated, each transmitted a limited number of times."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from valverouter.membership.records import Record
+
+
+class QueuedUpdate(NamedTuple):
+    """An update, how often it was transmitted from here, and its size in bytes."""
+
+    record: Record
+    transmits: int
+    size: int
+
+
+class BroadcastQueue:
+    """Updates still to be transmitted, one for each member name: a later update replaces an earlier one.
+
+    `max_bytes` bounds the records taken for one message. An update leaves after its last transmission.
+    """
+
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        # In the order in which they entered: the stable sort of `take` keeps it among equals.
+        self._updates: dict[str, QueuedUpdate] = {}
+
+    def __len__(self) -> int:
+        return len(self._updates)
+
+    def put(self, record: Record) -> None:
+        """Queues an update, at the end of those transmitted as often."""
+        self._updates.pop(record.name, None)
+        self._updates[record.name] = QueuedUpdate(record, 0, record.size)
+
+    def take(self, transmit_limit: int, first: Record | None = None) -> tuple[Record, ...]:
+        """Records for one message, the least transmitted ones first, and counts them as transmitted.
+
+        `first` goes in any case and comes first, queued or not.
+        """
+        if not self._updates:
+            return (first,) if first is not None else ()
+        taken = [first] if first is not None else []
+        free_bytes = self._max_bytes - (first.size if first is not None else 0)
+        for update in self._least_transmitted_first():
+            if update.size > free_bytes:
+                break
+            free_bytes -= update.size
+            if update.record is not first:
+                taken.append(update.record)
+            self._count_transmit(update, transmit_limit)
+        return tuple(taken)
+
+    def _least_transmitted_first(self) -> list[QueuedUpdate]:
+        updates = list(self._updates.values())
+        if len(updates) > 1:
+            updates.sort(key=_transmits)
+        return updates
+
+    def _count_transmit(self, update: QueuedUpdate, transmit_limit: int) -> None:
+        name, transmits = update.record.name, update.transmits + 1
+        if transmits >= transmit_limit:
+            del self._updates[name]
+        else:
+            self._updates[name] = QueuedUpdate(update.record, transmits, update.size)
+
+    def has_eager_updates(self, eager_transmits: int) -> bool:
+        """Whether some update was transmitted fewer than `eager_transmits` times, and should not wait."""
+        return any(update.transmits < eager_transmits for update in self._updates.values())
+
+
+def _transmits(update: QueuedUpdate) -> int:
+    return update.transmits
--- /dev/null
+++ b/valverouter/membership/local_node.py
@@ -0,0 +1,69 @@
+"""The state that all parts of the protocol share: own record, view, clock, timers, outbox and events."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.events import EventKind, MembershipEvent
+from valverouter.membership.messages import Message
+from valverouter.membership.records import Record
+from valverouter.membership.timers import TimerQueue
+from valverouter.membership.view import MembershipView
+
+
+class LocalNode:
+    """One member's shared state.
+
+    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner empties
+    the outbox and the events by `take_outbox` and `take_events`.
+    """
+
+    def __init__(
+        self, own_record: Record, config: MembershipConfig, draw: Callable[[], float], now: int
+    ) -> None:
+        self.own_record = own_record
+        self.config = config
+        self.draw = draw
+        self.now = now
+        self.timers = TimerQueue()
+        self.view = MembershipView(config.forgotten_address_limit)
+        self.view.put(own_record, now)
+        self.outbox: list[tuple[str, Message]] = []
+        self.events: list[MembershipEvent] = []
+
+    def header(self) -> tuple[str, int, int]:
+        """The first three fields of every message: own name, own incarnation, digest of the view."""
+        return self.own_record.name, self.own_record.life, self.view.digest
+
+    def send(self, address: str, message: Message) -> None:
+        """Queues a message."""
+        self.outbox.append((address, message))
+
+    def emit(self, kind: EventKind, record: Record, source: str = "") -> None:
+        """Queues an event at the current time."""
+        self.events.append(MembershipEvent(self.now, kind, record, source))
+
+    def take_outbox(self) -> list[tuple[str, Message]]:
+        """Empties the outbox; addresses with messages, in the order of sending."""
+        outbox, self.outbox = self.outbox, []
+        return outbox
+
+    def take_events(self) -> list[MembershipEvent]:
+        """Empties the events; oldest first."""
+        events, self.events = self.events, []
+        return events
+
+    def live_peers(self) -> list[str]:
+        """Names of all live members but this one; a new list."""
+        return self.view.live_names(self.own_record.name)
+
+    def random_peers(self, count: int, excluding: str = "") -> list[str]:
+        """Names of up to `count` different live members, drawn at random, without this one and `excluding`."""
+        names = self.live_peers()
+        if excluding in names:
+            names.remove(excluding)
+        for index in range(min(count, len(names))):
+            other = index + int(self.draw() * (len(names) - index))
+            names[index], names[other] = names[other], names[index]
+        return names[:count]
--- /dev/null
+++ b/valverouter/membership/member_updates.py
@@ -0,0 +1,173 @@
+"""Applies updates about other members to the view: joins, suspicions, deaths, leaves and forgetting."""
+
+from __future__ import annotations
+
+from valverouter.membership.dissemination import Dissemination
+from valverouter.membership.events import EventKind
+from valverouter.membership.failure_detector import FailureDetector
+from valverouter.membership.local_node import LocalNode
+from valverouter.membership.messages import Gossip
+from valverouter.membership.rate_limiter import AddressRateLimiter
+from valverouter.membership.records import Record, State, are_unrelated, as_reported, self_reported_facts
+from valverouter.membership.suspicion import SuspicionTable
+
+
+class MemberUpdates:
+    """What this member believes of the others, and how that changes.
+
+    `suspicions` is emptied by refutations and ends; gone and left members leave the view after
+    `gone_retention`.
+    """
+
+    def __init__(
+        self,
+        node: LocalNode,
+        dissemination: Dissemination,
+        detector: FailureDetector,
+        rate_limiter: AddressRateLimiter,
+    ) -> None:
+        self.suspicions = SuspicionTable(node.config)
+        self._node = node
+        self._dissemination = dissemination
+        self._detector = detector
+        self._rate_limiter = rate_limiter
+
+    def apply(self, update: Record) -> None:
+        """Takes in a received record of another member."""
+        node = self._node
+        current = node.view.records.get(update.name)
+        if current is not None and _is_accusation_of(update, current):
+            self._on_accusation(current, update.by)
+        elif node.view.accepts(update):
+            self._accept(update, update.by)
+        elif current is not None and update.lives and are_unrelated(update, current):
+            self._tell_of_other_incarnation(update.address, current)
+
+    def _tell_of_other_incarnation(self, address: str, current: Record) -> None:
+        """Two incarnations, neither of which knows the other: the one at `address` is told of the one held here.
+
+        If it runs, it names the other and so supersedes it at all members. If it does not run, whoever has its
+        address now learns nothing from it.
+        """
+        if self._rate_limiter.allow(address, self._node.now):
+            self._node.send(address, Gossip(*self._node.header(), (current,)))
+
+    # Suspicion
+
+    def _on_accusation(self, current: Record, accuser: str) -> None:
+        """Another member accuses the one in `current`; some of those who hear it first probe it themselves."""
+        node = self._node
+        if not current.lives or accuser == node.own_record.name:
+            return
+        self._suspect(current, accuser)
+        was_alive = current.state == State.ALIVE
+        if was_alive and node.draw() * node.view.live_count < node.config.expected_confirmers:
+            self._detector.probe(node.view.records[current.name])
+
+    def on_probe_failed(self, record: Record, is_final: bool) -> None:
+        """An own probe of a live member failed."""
+        if is_final and record.state == State.SUSPECT:
+            self._declare_gone(record)
+        else:
+            self._suspect(record, self._node.own_record.name)
+
+    def _suspect(self, current: Record, accuser: str) -> None:
+        """Counts an accusation, by an own failed probe or as reported."""
+        node = self._node
+        if not node.config.suspicion_enabled:
+            self._declare_gone(current)
+            return
+        name = current.name
+        suspect = as_reported(current, State.SUSPECT, accuser)
+        if current.state == State.ALIVE:
+            node.view.put(suspect, node.now)
+            node.emit(EventKind.SUSPECT, suspect, accuser)
+            self.suspicions.clear(name)
+        multiplier = self._detector.local_health.timeout_multiplier
+        deadline = self.suspicions.accuse(name, accuser, node.now, node.view.live_count, multiplier)
+        if deadline is not None:
+            self._dissemination.broadcast(suspect)
+            node.timers.schedule(deadline, self._on_deadline, name, current.life, current.seq)
+
+    def _on_deadline(self, name: str, incarnation: int, sequence: int) -> None:
+        """The suspect's time is up; it gets a final probe before this member declares it gone."""
+        node = self._node
+        current = node.view.records.get(name)
+        if current is None or current.state != State.SUSPECT:
+            return
+        if (current.life, current.seq) != (incarnation, sequence):
+            return
+        if not self.suspicions.is_expired(name, node.now):
+            deadline = self.suspicions.deadline(name)
+            node.timers.schedule(deadline, self._on_deadline, name, incarnation, sequence)
+            return
+        multiplier = self._detector.local_health.timeout_multiplier
+        self.suspicions.begin_final_probe(name, node.now, multiplier)
+        self._detector.probe(current, is_final=True)
+
+    def _declare_gone(self, current: Record) -> None:
+        self._accept(as_reported(current, State.GONE, self._node.own_record.name), "")
+
+    # State changes
+
+    def _accept(self, update: Record, source: str) -> None:
+        """Puts a later record into the view, reports the change and passes it on."""
+        node = self._node
+        previous = node.view.records.get(update.name)
+        node.view.put(update, node.now)
+        self.suspicions.clear(update.name)
+        self._dissemination.broadcast(update)
+        if update.state == State.SUSPECT:
+            self._accept_suspect(previous, update, source)
+            return
+        self._report_transition(previous, update, source)
+        if not update.lives:
+            forget_at = node.now + node.config.gone_retention
+            node.timers.schedule(forget_at, self._forget, update.name, update.life, update.seq)
+        elif previous is None or not previous.lives:
+            self._detector.add_member(update.name)
+
+    def _accept_suspect(self, previous: Record | None, update: Record, source: str) -> None:
+        """A later record that is suspect already: its time to refute runs from now."""
+        alive = as_reported(update, State.ALIVE, "")
+        self._node.view.put(alive, self._node.now)
+        self._report_transition(previous, alive, source)
+        self._suspect(alive, source)
+
+    def _report_transition(self, previous: Record | None, update: Record, source: str) -> None:
+        kind = _transition_kind(previous, update)
+        if kind is not None:
+            self._node.emit(kind, update, source)
+
+    def _forget(self, name: str, incarnation: int, sequence: int) -> None:
+        """Removes a member that has been gone or left for long enough."""
+        view = self._node.view
+        current = view.records.get(name)
+        if current is None or current.lives:
+            return
+        if (current.life, current.seq) == (incarnation, sequence):
+            view.forget(name)
+            self._node.emit(EventKind.FORGOTTEN, current)
+
+
+def _is_accusation_of(update: Record, current: Record) -> bool:
+    """Whether the update accuses exactly the record that is held."""
+    is_same = (update.life, update.seq) == (current.life, current.seq)
+    return is_same and update.state == State.SUSPECT
+
+
+def _transition_kind(previous: Record | None, update: Record) -> EventKind | None:
+    """What a record that replaces the previous one means; None: nothing worth reporting."""
+    if update.state == State.GONE:
+        return EventKind.GONE
+    if update.state == State.LEFT:
+        return EventKind.LEFT
+    if previous is None:
+        return EventKind.JOINED
+    if previous.life != update.life:
+        return EventKind.RESTARTED
+    if previous.state != State.ALIVE:
+        return EventKind.REFUTED
+    if self_reported_facts(previous) != self_reported_facts(update):
+        return EventKind.CHANGED
+    return None
--- /dev/null
+++ b/valverouter/membership/membership.py
@@ -0,0 +1,250 @@
+"""One member of the fleet: the protocol's entry points, and the dispatch of messages to its parts.
+
+The owner calls `receive` with each message and `tick` once `next_timer` has come, sends what `take_outbox`
+returns, and reports what `take_events` returns. There is no I/O in here.
+
+The protocol is SWIM (Das, Gupta, Motivala 2002) with the local health and the suspicion of Lifeguard (Dadgar,
+Phillips, Currey 2018); docs/fleet.md tells where it departs from them, and why.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from valverouter.membership.anti_entropy import AntiEntropy
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.convergence import ConvergenceDetector, ViewHealth
+from valverouter.membership.dissemination import Dissemination
+from valverouter.membership.events import EventKind, MembershipEvent
+from valverouter.membership.failure_detector import FailureDetector
+from valverouter.membership.local_node import LocalNode
+from valverouter.membership.member_updates import MemberUpdates
+from valverouter.membership.messages import Ack, Ask, Gossip, Message, Nack, Pages, Ping, Sync, updates_of
+from valverouter.membership.name_conflicts import NameConflict, NameConflictResolver
+from valverouter.membership.rate_limiter import AddressRateLimiter
+from valverouter.membership.records import Phase, Record, State, next_own_record
+from valverouter.membership.view import MembershipView
+
+HEALTH_EVENTS = {
+    ViewHealth.SETTLED: EventKind.SETTLED,
+    ViewHealth.UNSETTLED: EventKind.UNSETTLED,
+    ViewHealth.CUT_OFF: EventKind.CUT_OFF,
+}
+
+
+class Membership:
+    """One member. Its tables are bounded by the size of the fleet.
+
+    `own_record`: what the member says of itself at its start. `draw` returns random numbers in [0, 1). `now`
+    and all other times are ns on the owner's clock. `seeds`: addresses to join the fleet through.
+    """
+
+    def __init__(
+        self,
+        own_record: Record,
+        config: MembershipConfig,
+        draw: Callable[[], float],
+        now: int,
+        seeds: tuple[str, ...] = (),
+    ) -> None:
+        self.config = config
+        self.seeds = tuple(seed for seed in seeds if seed != own_record.address)
+        self.view_health = ViewHealth.UNSETTLED
+        node = LocalNode(own_record, config, draw, now)
+        rate_limiter = AddressRateLimiter(config.probe_period)
+        dissemination = Dissemination(node)
+        detector = FailureDetector(node, dissemination, self._on_probe_failed)
+        conflicts = NameConflictResolver(node, dissemination, detector, rate_limiter)
+        self.failure_detector = detector
+        self.member_updates = MemberUpdates(node, dissemination, detector, rate_limiter)
+        self._node = node
+        self._rate_limiter = rate_limiter
+        self._dissemination = dissemination
+        self._conflicts = conflicts
+        self._convergence = ConvergenceDetector(config)
+        self._anti_entropy = AntiEntropy(node, self.seeds, conflicts, rate_limiter)
+        detector.start()
+        self._anti_entropy.start()
+
+    # State
+
+    @property
+    def own_record(self) -> Record:
+        """What this member says of itself."""
+        return self._node.own_record
+
+    @property
+    def view(self) -> MembershipView:
+        """What this member believes of the fleet, itself included."""
+        return self._node.view
+
+    @view.setter
+    def view(self, view: MembershipView) -> None:
+        self._node.view = view
+
+    @property
+    def name_conflict(self) -> NameConflict:
+        """The other process that runs under this member's name, if any."""
+        return self._conflicts.conflict
+
+    @property
+    def next_timer(self) -> int:
+        """When `tick` is to be called next, ns."""
+        return self._node.timers.next_due
+
+    @property
+    def outbox(self) -> list[tuple[str, Message]]:
+        """Messages to be sent, each with its address."""
+        return self._node.outbox
+
+    @property
+    def events(self) -> list[MembershipEvent]:
+        """Events to be reported."""
+        return self._node.events
+
+    def take_outbox(self) -> list[tuple[str, Message]]:
+        """Empties the outbox and returns what was in it."""
+        return self._node.take_outbox()
+
+    def take_events(self) -> list[MembershipEvent]:
+        """Empties the events and returns what was in them."""
+        return self._node.take_events()
+
+    # Time
+
+    def tick(self, now: int) -> None:
+        """Runs the timers that are due.
+
+        When they are late by more than half a period, this process did not run in between.
+        """
+        node = self._node
+        lateness = now - node.timers.next_due
+        node.now = now
+        if lateness > self.config.probe_period // 2:
+            self._on_stall(lateness)
+        node.timers.run_due(now)
+        self._update_view_health()
+
+    def _on_stall(self, duration: int) -> None:
+        """Open probes are void, and suspects get the time back in which nothing was received."""
+        self._node.emit(EventKind.STALLED, self.own_record)
+        self.failure_detector.on_stall()
+        self.member_updates.suspicions.postpone_all(duration)
+
+    def _update_view_health(self) -> None:
+        unanswered = self.failure_detector.local_health.unanswered_probes
+        health = self._convergence.health(self._node.now, self.view, unanswered, bool(self.seeds))
+        if health is ViewHealth.SETTLED and self.name_conflict.is_active:
+            health = ViewHealth.UNSETTLED
+        if health is not self.view_health:
+            self.view_health = health
+            self._node.emit(HEALTH_EVENTS[health], self.own_record)
+
+    # The own record
+
+    def update_facts(self, now: int, phase: Phase | None = None, config_digest: str | None = None) -> None:
+        """Publishes changed facts of this member; None leaves a fact as it is."""
+        self._node.now = now
+        own = self.own_record
+        phase = own.phase if phase is None else phase
+        config_digest = own.terms if config_digest is None else config_digest
+        if (phase, config_digest) != (own.phase, own.terms):
+            changed = msgspec.structs.replace(own, phase=phase, terms=config_digest)
+            self._dissemination.publish(next_own_record(changed))
+
+    def leave(self, now: int) -> None:
+        """Announces that this member leaves, so that nobody has to detect it."""
+        node = self._node
+        node.now = now
+        self._dissemination.publish(next_own_record(self.own_record, State.LEFT))
+        for name in node.random_peers(2 * self.config.gossip_fanout):
+            node.send(node.view.records[name].address, Gossip(*node.header(), (self.own_record,)))
+
+    # Messages
+
+    def receive(self, now: int, address: str, message: Message) -> None:
+        """Handles an authenticated message from an address."""
+        self._node.now = now
+        for record in updates_of(message):
+            self._apply_update(record)
+        self._check_sender(address, message)
+        match message:
+            case Ping():
+                self._on_ping(address, message)
+            case Ack():
+                self._on_ack(message)
+            case Ask():
+                self.failure_detector.on_ping_req(address, message)
+            case Nack():
+                self.failure_detector.on_nack(message)
+            case Sync():
+                self._anti_entropy.on_sync(address, message)
+            case Pages():
+                self._anti_entropy.on_records(address, message)
+
+    def _apply_update(self, record: Record) -> None:
+        if record.name == self.own_record.name:
+            self._conflicts.on_own_name_record(record)
+        else:
+            self.member_updates.apply(record)
+
+    def _check_sender(self, address: str, message: Message) -> None:
+        """Compares what the message's header says of its sender with the view."""
+        own = self.own_record
+        if message.name == own.name and message.life != own.life:
+            self._conflicts.on_message(address, message)
+            return
+        current = self.view.records.get(message.name)
+        if current is None or current.life != message.life or not current.lives:
+            self._correct_sender(address, current)
+            return
+        self._convergence.record_digest(self._node.now, message.name, message.digest)
+        if message.digest != self.view.digest:
+            self._anti_entropy.on_different_digest(current.address)
+
+    def _correct_sender(self, address: str, current: Record | None) -> None:
+        """The sender is unknown or not as held here: it is told what is held, and answers with its own record."""
+        if not self._rate_limiter.allow(address, self._node.now):
+            return
+        if current is None:
+            self._anti_entropy.sync(address)
+        else:
+            self._node.send(address, Gossip(*self._node.header(), (current,)))
+
+    def _on_ping(self, address: str, ping: Ping) -> None:
+        """Answers; with the own record where the ping was meant for another process or carried an accusation."""
+        node, own = self._node, self.own_record
+        is_accused = any(record.name == own.name for record in ping.news)
+        needs_record = ping.to_life != own.life or is_accused
+        updates = self._dissemination.take_updates(own if needs_record else None)
+        node.send(address, Ack(*node.header(), ping.nonce, own.name, own.life, updates))
+
+    def _on_ack(self, ack: Ack) -> None:
+        """An answer to an own probe, to one on another member's behalf, or to one of the own name."""
+        probe = self.failure_detector.probes.pop(ack.nonce)
+        if probe is None or probe.target != ack.of:
+            return
+        if probe.target == self.own_record.name:
+            self._conflicts.on_ack(probe, ack)
+        elif probe.requester is not None:
+            self.failure_detector.relay_ack(probe, ack)
+        else:
+            self.failure_detector.local_health.on_probe_answered()
+            self._on_member_answered(ack)
+
+    def _on_member_answered(self, ack: Ack) -> None:
+        node = self._node
+        current = self.view.records.get(ack.of)
+        if current is None:
+            return
+        if ack.of_life == current.life:
+            if current.state == State.SUSPECT:
+                self.member_updates.suspicions.on_ack(current.name, node.now)
+        elif ack.of_life not in current.over:
+            # Another incarnation answers at the address: told of the one held here, it supersedes it.
+            node.send(current.address, Gossip(*node.header(), (current,)))
+
+    def _on_probe_failed(self, record: Record, is_final: bool) -> None:
+        self.member_updates.on_probe_failed(record, is_final)
--- a/valverouter/membership/messages.py
+++ b/valverouter/membership/messages.py
@@ -1,7 +1,9 @@
-"""What members say to each other, as plain data; fleet/ puts it into datagrams and takes it out again.
+"""The messages between members, as plain data; `fleet/` encodes them into datagrams and decodes them.
 
-Every message begins with who sends it (`name`, `life`) and the digest of its view. `news` are records passed
-on, the sender's own among them where it is asked for.
+Every message begins with its sender (`name`, `life`) and the digest of the sender's view. Most piggyback
+`news`: records of any members, the sender's own included where the receiver needs it.
+
+These are wire data: the order of the fields and the tags are fixed.
 """
 
 from __future__ import annotations
@@ -12,13 +14,15 @@
 
 
 class Said(Struct, frozen=True, array_like=True, tag=True):
+    """The header of every message: the sender's name and incarnation, and the digest of its view."""
+
     name: str
     life: int
     digest: int
 
 
 class Ping(Said, frozen=True, array_like=True, tag="p"):
-    """Are you there? `to_life`: who is meant; another life at that address says that it is another."""
+    """A direct probe. `to_life`: the process that is meant; another one answers with its own record."""
 
     nonce: int = 0
     to_life: int = 0
@@ -26,7 +30,7 @@
 
 
 class Ack(Said, frozen=True, array_like=True, tag="a"):
-    """An answer: `of`, `of_life` are who is there; not the sender's where a helper passes it on."""
+    """The answer to a ping: who runs at the pinged address. A helper passes it on under its own header."""
 
     nonce: int = 0
     of: str = ""
@@ -35,7 +39,7 @@
 
 
 class Ask(Said, frozen=True, array_like=True, tag="k"):
-    """Ping `address` for me. Answered by the ack, or by a nack that says: I at least am here."""
+    """Asks a helper to ping `address`. It answers with the ack it gets, or with a nack that only it runs."""
 
     nonce: int = 0
     of: str = ""
@@ -45,25 +49,35 @@
 
 
 class Nack(Said, frozen=True, array_like=True, tag="n"):
+    """A helper's answer that the target has not answered it yet."""
+
     nonce: int = 0
 
 
 class Gossip(Said, frozen=True, array_like=True, tag="g"):
+    """Updates alone."""
+
     news: tuple[Record, ...] = ()
 
 
 class Sync(Said, frozen=True, array_like=True, tag="s"):
-    """Begins an exchange of whole views: a digest for each bucket of names."""
+    """Begins an anti-entropy exchange: the digest of each bucket of the sender's view."""
 
     buckets: tuple[int, ...] = ()
     news: tuple[Record, ...] = ()
 
 
 class Pages(Said, frozen=True, array_like=True, tag="v"):
-    """Records of the buckets that differ; `wants`: send me yours of these."""
+    """Records of buckets that differ. `wants`: indexes of the buckets whose records the sender asks for."""
 
     wants: tuple[int, ...] = ()
     news: tuple[Record, ...] = ()
 
 
-Message = Ping | Ack | Ask | Nack | Gossip | Sync | Pages
+UpdateCarrier = Ping | Ack | Ask | Gossip | Sync | Pages
+Message = UpdateCarrier | Nack
+
+
+def updates_of(message: Struct) -> tuple[Record, ...]:
+    """The records that a message carries; none for messages of other kinds."""
+    return message.news if isinstance(message, UpdateCarrier) else ()
--- a/valverouter/membership/model.py
+++ b/valverouter/membership/model.py
@@ -1,19 +1,21 @@
-"""An explicit-state model of one name: its processes one after the other or two at once, and who hears of
-them.
-
-Every order of starts, ends, doubts, deliveries and forgetting is walked, breadth first. What decides is the
-program's own: `supersedes`, `answer`, `above`, `said`, `told`. A word once said may reach anybody at any
-later time, any number of times, or never: that is loss, delay, repetition and reordering in one. Clocks
-are wrong both ways: a new process draws a number below or above all former ones.
-
-    former   who holds a process never goes back to one that ended before it began, unless it has forgotten
-             the name in between
-    war      two processes under one name do not raise themselves over each other without end
-    stays    from every state: once doubts and faults are over and words get through, everybody who heard of
-             the name holds the one that runs, alive; of two that run at once, all hold the same
-
-`without` names one part of the rules that is left out; that the walk then ends in `Broken` shows that the
-part is needed and that the walk would see its absence.
+"""An explicit-state model of one member name: its processes, one after the other or at once, and two observers.
+
+All orders of starts, ends, accusations, deliveries and forgetting are walked breadth first. The decisions are the
+program's own functions: `supersedes`, `classify_own_name_record`, `superseding_record`, `refuting_record`,
+`as_reported`. A published record may reach anybody at any later time, any number of times, or never: that covers
+loss, delay, duplication and reordering. Clocks are wrong in both directions: a new process draws a generation below
+or above all previous ones.
+
+Properties, by the word that begins a violation's text:
+
+    former   an observer never goes back from a process to one that ended before it began, unless it forgot the name
+             in between
+    war      two processes under one name do not supersede each other without end
+    stays    from every state, once faults are over and records get through, all observers hold a process that runs,
+             as alive, and the same one
+
+With one rule of the protocol omitted, the walk must end in `PropertyViolationError`: that shows that the rule is
+needed, and that the walk would notice its absence.
 """
 
 from __future__ import annotations
@@ -21,208 +23,318 @@
 from collections import deque
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
+from enum import Enum
+from typing import TypeVar
 
 import msgspec
 
-from valverouter.membership.records import LIVING, Record, State, above, said, supersedes, told
-from valverouter.membership.twins import Answer, answer
+from valverouter.membership.name_conflicts import ConflictAction, classify_own_name_record
+from valverouter.membership.records import (
+    LIVING,
+    Record,
+    State,
+    as_reported,
+    refuting_record,
+    supersedes,
+    superseding_record,
+)
 
-LEAVABLE = ("naming", "order", "refute", "raise", "ask", "seq", "tie")
-LOW, HIGH = 1, 5
-# Numbers and words of one process past these show a raise without end.
-NUMBER_MOST = 12
-# Rounds of telling everybody everything after which nothing may change any more.
-ROUNDS_MOST = 24
+# The generations that a new process draws: a clock set back, and one that is right.
+LOW_GENERATION, HIGH_GENERATION = 1, 5
+# A generation above this shows that processes supersede each other without end.
+MAX_GENERATION = 12
+# After so many rounds of delivering everything to everybody nothing may change any more.
+MAX_DELIVERY_ROUNDS = 24
+OBSERVER_COUNT = 2
 
+Item = TypeVar("Item")
 
-class Broken(Exception):  # noqa: N818 - a property that a step breaks
-    """What a step broke."""
 
+class ProtocolRule(Enum):
+    """The rules that can be omitted from a walk."""
 
-@dataclass(frozen=True, slots=True)
-class Process:
-    """A process of the name. `twin`: the life that it has proven to run beside it."""
+    # A superseding record names the incarnation that it supersedes.
+    NAMING = "naming"
+    # Of two incarnations the one that names the other is the later, not the one of the higher generation.
+    ORDER = "order"
+    # A process refutes accusations.
+    REFUTE = "refute"
+    # A process supersedes previous incarnations.
+    SUPERSEDE = "supersede"
+    # A process verifies that another one runs under its name before it supersedes it.
+    VERIFY = "verify"
+    # Within an incarnation the sequence orders records.
+    SEQUENCE = "sequence"
+    # Two incarnations that name each other are ordered by generation.
+    TIE_BREAK = "tie-break"
 
-    mine: Record
-    runs: bool = True
-    twin: int = 0
+
+class PropertyViolationError(Exception):
+    """A state or step that violates a property."""
+
+
+class StateLimitError(Exception):
+    """A walk that reached more states than allowed."""
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """`held`: by observer. `seen`: lives that each has held since it last knew nothing. `words`: all that was
-    ever said."""
+class ModelProcess:
+    """A process of the name. `conflicting`: the incarnation that it has proven to run beside it; 0: none."""
+
+    own_record: Record
+    is_running: bool = True
+    conflicting: int = 0
 
-    processes: tuple[Process, ...] = ()
-    held: tuple[Record | None, ...] = (None, None)
-    seen: tuple[frozenset[int], ...] = (frozenset(), frozenset())
-    words: frozenset[Record] = frozenset()
-    doubts: int = 0
-    # Pairs of lives that ran at the same time: neither is the other's former self.
-    together: frozenset[tuple[int, int]] = frozenset()
+
+@dataclass(frozen=True, slots=True)
+class ModelState:
+    """A state of the model.
+
+    `held`: the record of each observer. `seen`: the incarnations that each observer has held since it last
+    forgot the name. `published`: all records ever published. `concurrent`: pairs of incarnations that ran at the
+    same time, so that neither is a previous one of the other.
+    """
+
+    processes: tuple[ModelProcess, ...] = ()
+    held: tuple[Record | None, ...] = (None,) * OBSERVER_COUNT
+    seen: tuple[frozenset[int], ...] = (frozenset(),) * OBSERVER_COUNT
+    published: frozenset[Record] = frozenset()
+    accusations: int = 0
+    concurrent: frozenset[tuple[int, int]] = frozenset()
+
+    def running(self) -> list[ModelProcess]:
+        """The processes that run, in the order of their starts."""
+        return [process for process in self.processes if process.is_running]
+
+    def with_published(self, *records: Record) -> ModelState:
+        """The state once the records are published."""
+        return replace(self, published=self.published.union(records))
+
+    def with_held(self, observer: int, record: Record) -> ModelState:
+        """The state once the observer holds the record."""
+        seen = self.seen[observer] | {record.life}
+        return replace(
+            self, held=_replaced(self.held, observer, record), seen=_replaced(self.seen, observer, seen)
+        )
+
+    def with_forgotten(self, observer: int) -> ModelState:
+        """The state once the observer has forgotten the name."""
+        nothing_seen: frozenset[int] = frozenset()
+        return replace(
+            self, held=_replaced(self.held, observer, None), seen=_replaced(self.seen, observer, nothing_seen)
+        )
+
+    def with_process(self, index: int, process: ModelProcess) -> ModelState:
+        """The state with a process replaced."""
+        return replace(self, processes=_replaced(self.processes, index, process))
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """The walk: so many processes and doubts at most; `twins`: so many may run at once."""
-
-    lives: int = 3
-    doubts: int = 2
-    twins: int = 1
-    forgets: bool = True
-    without: str = ""
-
-    def walk(self, most: int = 2_000_000) -> int:
-        """How many states there are; raises Broken at the first that breaks a property."""
-        begin = World()
-        seen = {begin}
-        waiting = deque([begin])
+    """A walk over all states of at most `max_processes`, `max_accusations` and `max_concurrent` running at once."""
+
+    max_processes: int = 3
+    max_accusations: int = 2
+    max_concurrent: int = 1
+    can_forget: bool = True
+    omitted: ProtocolRule | None = None
+
+    def walk(self, state_limit: int = 2_000_000) -> int:
+        """The number of states.
+
+        Raises PropertyViolationError at the first violation, StateLimitError above `state_limit` states.
+        """
+        start = ModelState()
+        known = {start}
+        waiting = deque([start])
         while waiting:
             state = waiting.popleft()
-            self._stays(state)
-            for after in self._steps(state):
-                if after not in seen:
-                    seen.add(after)
-                    waiting.append(after)
-                    if len(seen) > most:
-                        raise MemoryError(f"over {most} states")
-        return len(seen)
-
-    # The rules, with a part left out where asked
-
-    def _later(self, news: Record, held: Record) -> bool:
-        if news.life != held.life and self.without == "order":
-            return news.number > held.number
-        if news.life == held.life and self.without == "seq":
-            return news.state > held.state or (news.seq > held.seq and news.state == held.state)
-        if self.without == "tie" and news.life != held.life:
-            return held.life in news.over
-        return supersedes(news, held)
-
-    def _above(self, mine: Record, other: Record) -> Record:
-        raised = above(mine, other)
-        return msgspec.structs.replace(raised, over=mine.over) if self.without == "naming" else raised
+            self._check_convergence(state)
+            for successor in self._successors(state):
+                if successor in known:
+                    continue
+                known.add(successor)
+                waiting.append(successor)
+                if len(known) > state_limit:
+                    raise StateLimitError(f"over {state_limit} states")
+        return len(known)
+
+    # The protocol, with a rule omitted where asked
+
+    def _supersedes(self, candidate: Record, current: Record) -> bool:
+        if candidate.life == current.life:
+            if self.omitted is ProtocolRule.SEQUENCE:
+                return (candidate.state, candidate.seq) > (current.state, current.seq)
+        elif self.omitted is ProtocolRule.ORDER:
+            return candidate.number > current.number
+        elif self.omitted is ProtocolRule.TIE_BREAK:
+            return current.life in candidate.over
+        return supersedes(candidate, current)
+
+    def _superseding_record(self, own: Record, other: Record) -> Record:
+        raised = superseding_record(own, other)
+        if self.omitted is ProtocolRule.NAMING:
+            return msgspec.structs.replace(raised, over=own.over)
+        return raised
+
+    def _conflict_action(self, process: ModelProcess, record: Record) -> ConflictAction:
+        action = classify_own_name_record(process.own_record, record, process.conflicting)
+        if action is ConflictAction.VERIFY and self.omitted is ProtocolRule.VERIFY:
+            action = ConflictAction.SUPERSEDE
+        if action is ConflictAction.REFUTE and self.omitted is ProtocolRule.REFUTE:
+            return ConflictAction.NOTHING
+        if action is ConflictAction.SUPERSEDE and self.omitted is ProtocolRule.SUPERSEDE:
+            return ConflictAction.NOTHING
+        return action
 
     # Steps
 
-    def _steps(self, state: World) -> Iterator[World]:
-        yield from self._begins_and_ends(state)
-        for word in state.words:
-            for at in range(len(state.held)):
-                yield from self._observes(state, at, word)
-            for at in range(len(state.processes)):
-                yield from self._hears(state, at, word)
-        for at, held in enumerate(state.held):
+    def _successors(self, state: ModelState) -> Iterator[ModelState]:
+        yield from self._starts(state)
+        yield from self._ends(state)
+        for record in state.published:
+            yield from self._deliveries(state, record)
+        for observer, held in enumerate(state.held):
             if held is None:
                 continue
-            if held.state in LIVING and state.doubts < self.doubts:
-                worse = State.SUSPECT if held.state == State.ALIVE else State.GONE
-                doubted = told(held, worse, f"o{at}")
-                after = _hold(state, at, doubted)
-                yield replace(after, doubts=state.doubts + 1, words=state.words | {doubted})
-            if self.forgets and held.state not in LIVING:
-                held_after = (*state.held[:at], None, *state.held[at + 1 :])
-                seen = (*state.seen[:at], frozenset(), *state.seen[at + 1 :])
-                yield replace(state, held=held_after, seen=seen)
-
-    def _begins_and_ends(self, state: World) -> Iterator[World]:
-        running = [one for one in state.processes if one.runs]
-        life = len(state.processes) + 1
-        if life <= self.lives and len(running) < self.twins:
-            for number in (LOW, HIGH):
-                mine = Record("n", "", 0, "n:1", number, life)
-                together = state.together | {(one.mine.life, life) for one in running}
-                yield replace(
-                    state,
-                    processes=(*state.processes, Process(mine)),
-                    words=state.words | {mine},
-                    together=together,
-                )
-        for at, one in enumerate(state.processes):
-            if one.runs:
-                yield _with(state, at, replace(one, runs=False))
-
-    def _observes(self, state: World, at: int, word: Record) -> Iterator[World]:
-        held = state.held[at]
-        if held is None:
-            if word.state in LIVING:
-                yield self._holds(state, at, word)
-        elif self._later(word, held):
-            yield self._holds(state, at, word)
-
-    def _holds(self, state: World, at: int, word: Record) -> World:
-        for life in state.seen[at]:
-            apart = (word.life, life) not in state.together
-            if word.life < life and apart and word.state in LIVING:
-                raise Broken(f"former: o{at} went from process {life} back to {word.life}")
-        return _hold(state, at, word)
-
-    def _hears(self, state: World, at: int, word: Record) -> Iterator[World]:
-        one = state.processes[at]
-        if not one.runs:
+            if held.state in LIVING and state.accusations < self.max_accusations:
+                yield _accused(state, observer, held)
+            if self.can_forget and held.state not in LIVING:
+                yield state.with_forgotten(observer)
+
+    def _starts(self, state: ModelState) -> Iterator[ModelState]:
+        incarnation = len(state.processes) + 1
+        running = state.running()
+        if incarnation > self.max_processes or len(running) >= self.max_concurrent:
+            return
+        pairs = {(process.own_record.life, incarnation) for process in running}
+        for generation in (LOW_GENERATION, HIGH_GENERATION):
+            own = Record("n", "", 0, "n:1", generation, incarnation)
+            processes = (*state.processes, ModelProcess(own))
+            started = replace(state, processes=processes, concurrent=state.concurrent | pairs)
+            yield started.with_published(own)
+
+    def _ends(self, state: ModelState) -> Iterator[ModelState]:
+        for index, process in enumerate(state.processes):
+            if process.is_running:
+                yield state.with_process(index, replace(process, is_running=False))
+
+    def _deliveries(self, state: ModelState, record: Record) -> Iterator[ModelState]:
+        for observer in range(len(state.held)):
+            yield from self._delivered_to_observer(state, observer, record)
+        for index in range(len(state.processes)):
+            yield from self._delivered_to_process(state, index, record)
+
+    def _delivered_to_observer(
+        self, state: ModelState, observer: int, record: Record
+    ) -> Iterator[ModelState]:
+        """The state after an observer received the record; nothing where that changes nothing."""
+        held = state.held[observer]
+        accepts = record.state in LIVING if held is None else self._supersedes(record, held)
+        if accepts:
+            _check_not_former(state, observer, record)
+            yield state.with_held(observer, record)
+
+    def _delivered_to_process(self, state: ModelState, index: int, record: Record) -> Iterator[ModelState]:
+        """The state after a process of the name received the record; nothing where that changes nothing."""
+        process = state.processes[index]
+        if not process.is_running:
             return
-        does = answer(one.mine, word, one.twin)
-        if does is Answer.ASK and self.without == "ask":
-            does = Answer.RAISE
-        if does is Answer.REFUTE and self.without != "refute":
-            mine = said(msgspec.structs.replace(one.mine, seq=max(one.mine.seq, word.seq)))
-            yield self._says(state, at, one, mine)
-        elif does is Answer.RAISE and self.without != "raise":
-            yield self._says(state, at, replace(one, twin=0), self._above(one.mine, word))
-        elif does is Answer.ASK:
-            other = next((n for n, p in enumerate(state.processes) if p.mine.life == word.life), None)
-            if other is not None and state.processes[other].runs:
-                # Its answer to our nonce proves it; ours to its proves us.
-                after = _with(state, at, replace(one, twin=word.life))
-                them = after.processes[other]
-                yield _with(after, other, replace(them, twin=one.mine.life))
-
-    def _says(self, state: World, at: int, one: Process, mine: Record) -> World:
-        if mine.number > NUMBER_MOST:
-            raise Broken(f"war: process {mine.life} raised itself to {mine.number}")
-        after = _with(state, at, replace(one, mine=mine))
-        return replace(after, words=after.words | {mine})
-
-    # Once all faults are over
-
-    def _stays(self, state: World) -> None:
-        running = [one for one in state.processes if one.runs]
+        match self._conflict_action(process, record):
+            case ConflictAction.REFUTE:
+                yield _published(state, index, process, refuting_record(process.own_record, record))
+            case ConflictAction.SUPERSEDE:
+                raised = self._superseding_record(process.own_record, record)
+                yield _published(state, index, replace(process, conflicting=0), raised)
+            case ConflictAction.VERIFY:
+                yield from _verified(state, index, record.life)
+
+    # Convergence once all faults are over
+
+    def _check_convergence(self, state: ModelState) -> None:
+        running = {process.own_record.life for process in state.running()}
         if not running:
             return
-        begin = state
-        for _ in range(ROUNDS_MOST):
+        final = self._without_faults(state)
+        held = {record.life if record else 0 for record in final.held}
+        all_alive = all(record is not None and record.state == State.ALIVE for record in final.held)
+        if len(held) > 1 or not held <= running or not all_alive:
+            raise PropertyViolationError(f"stays: {final.held} while {sorted(running)} runs")
+
+    def _without_faults(self, state: ModelState) -> ModelState:
+        """The state in which nothing changes any more once every record reaches everybody."""
+        start = state
+        for _ in range(MAX_DELIVERY_ROUNDS):
             before = state
-            # Who runs says so now and then, who does not is found silent, and each word reaches everybody.
-            lives = {one.mine.life for one in state.processes if one.runs}
-            state = replace(state, words=state.words | {one.mine for one in state.processes if one.runs})
-            for at, held in enumerate(state.held):
-                if held is not None and held.life not in lives and held.state in LIVING:
-                    gone = told(held, State.GONE, f"o{at}")
-                    state = replace(_hold(state, at, gone), words=state.words | {gone})
-            for word in sorted(state.words, key=_order):
-                for at in range(len(state.processes)):
-                    state = next(self._hears(state, at, word), state)
-                for at in range(len(state.held)):
-                    state = next(self._observes(state, at, word), state)
+            state = self._delivery_round(state)
             if state == before:
-                break
-        else:
-            raise Broken(f"war: words without end from {begin}")
-        lives = {held.life if held else 0 for held in state.held}
-        alive = all(held is not None and held.state == State.ALIVE for held in state.held)
-        if len(lives) > 1 or not lives <= {one.mine.life for one in running} or not alive:
-            raise Broken(f"stays: {state.held} while {[one.mine.life for one in running]} runs")
-
-
-def _order(word: Record) -> tuple[int, int, int, str]:
-    return word.life, word.seq, int(word.state), word.by
-
-
-def _hold(state: World, at: int, word: Record) -> World:
-    held = (*state.held[:at], word, *state.held[at + 1 :])
-    seen = (*state.seen[:at], state.seen[at] | {word.life}, *state.seen[at + 1 :])
-    return replace(state, held=held, seen=seen)
-
-
-def _with(state: World, at: int, one: Process) -> World:
-    return replace(state, processes=(*state.processes[:at], one, *state.processes[at + 1 :]))
+                return state
+        raise PropertyViolationError(f"war: records without end from {start}")
+
+    def _delivery_round(self, state: ModelState) -> ModelState:
+        """Processes publish their records, those that ended are detected, and every record reaches everybody."""
+        own_records = [process.own_record for process in state.running()]
+        running = {record.life for record in own_records}
+        state = state.with_published(*own_records)
+        for observer, held in enumerate(state.held):
+            if held is not None and held.life not in running and held.state in LIVING:
+                gone = as_reported(held, State.GONE, _observer_name(observer))
+                state = state.with_held(observer, gone).with_published(gone)
+        for record in sorted(state.published, key=_delivery_order):
+            for index in range(len(state.processes)):
+                state = next(self._delivered_to_process(state, index, record), state)
+            for observer in range(len(state.held)):
+                state = next(self._delivered_to_observer(state, observer, record), state)
+        return state
+
+
+def _accused(state: ModelState, observer: int, held: Record) -> ModelState:
+    """The observer finds the process silent: an alive one becomes suspect, a suspect gone."""
+    worse = State.SUSPECT if held.state == State.ALIVE else State.GONE
+    accusation = as_reported(held, worse, _observer_name(observer))
+    after = state.with_held(observer, accusation).with_published(accusation)
+    return replace(after, accusations=state.accusations + 1)
+
+
+def _published(state: ModelState, index: int, process: ModelProcess, own: Record) -> ModelState:
+    """The process publishes a new record of itself."""
+    if own.number > MAX_GENERATION:
+        raise PropertyViolationError(f"war: process {own.life} raised its generation to {own.number}")
+    return state.with_process(index, replace(process, own_record=own)).with_published(own)
+
+
+def _verified(state: ModelState, index: int, incarnation: int) -> Iterator[ModelState]:
+    """The process probes another incarnation: the answer proves that both run."""
+    others = enumerate(state.processes)
+    found = next(((at, other) for at, other in others if other.own_record.life == incarnation), None)
+    if found is None or not found[1].is_running:
+        return
+    process = state.processes[index]
+    after = state.with_process(index, replace(process, conflicting=incarnation))
+    other_index = found[0]
+    other = replace(after.processes[other_index], conflicting=process.own_record.life)
+    yield after.with_process(other_index, other)
+
+
+def _check_not_former(state: ModelState, observer: int, record: Record) -> None:
+    if record.state not in LIVING:
+        return
+    for incarnation in state.seen[observer]:
+        was_concurrent = (record.life, incarnation) in state.concurrent
+        if record.life < incarnation and not was_concurrent:
+            name = _observer_name(observer)
+            raise PropertyViolationError(
+                f"former: {name} went from process {incarnation} back to {record.life}"
+            )
+
+
+def _observer_name(observer: int) -> str:
+    return f"o{observer}"
+
+
+def _delivery_order(record: Record) -> tuple[int, int, int, str]:
+    return record.life, record.seq, int(record.state), record.by
+
+
+def _replaced(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
+    return (*items[:index], item, *items[index + 1 :])
--- a/valverouter/membership/records.py
+++ b/valverouter/membership/records.py
@@ -1,13 +1,15 @@
-"""What is told of a member, and which of two words on one name is the later: the one rule that all share.
-
-A process draws a `life` at its start, 64 random bits, and no two processes have one in common. `seq` grows
-with each word that a process says of itself, so that within a life the order is its own.
-
-Between two lives neither clocks nor numbers decide: the later is the one that names the other in `over`. A
-process that begins knows of no former self. Whoever holds one tells it, and it goes above it, naming it. One
-that ended before another began can never have named it, so nobody who has seen the later process goes back,
-with a clock set back an hour, without a disk, and whatever comes late. Only of two that run at once may each
-name the other: then `number` decides, which is above all that its process had heard of when it was raised.
+"""Member records, and the one rule that decides which of two records of a name is the later.
+
+A process draws a random `life` (its incarnation) at its start; no two processes share one. Within an
+incarnation, `seq` grows with each record that the process publishes of itself, and orders them.
+It does what SWIM calls the incarnation number.
+
+Between two incarnations neither clocks nor numbers decide: the later one is the one that names the other in
+`over`. A process that starts knows of no previous incarnation. Whoever holds one tells it, and it supersedes it by
+naming it. A process that ended before another began can never have named it, so nobody who has seen the later one
+goes back: not with a clock set back an hour, not without a disk, and whatever datagrams come late. Only two
+processes that run at the same time may each name the other; then `number` (the generation) decides, which is above
+every generation that its process had heard of when it was raised.
 """
 
 from __future__ import annotations
@@ -17,24 +19,27 @@
 import msgspec
 from msgspec import Struct
 
-# So many former lives a record names at most.
-OVER_MOST = 3
-# A record's fields in bytes beside its texts, as a bound.
-FIXED = 64
+# A record names at most so many previous incarnations.
+MAX_PREVIOUS_INCARNATIONS = 3
+# Upper bounds of a record's encoded size, bytes: all fields but the texts, and one previous incarnation.
+FIXED_RECORD_BYTES = 64
+INCARNATION_BYTES = 9
 
 
 class State(IntEnum):
-    """The later in this list holds where one life said, or had said of it, two things in one `seq`."""
+    """The state of a member. Of two records with one sequence, the higher state is the later."""
 
     ALIVE = 0
     SUSPECT = 1
     GONE = 2
     LEFT = 3
-    # Of an address that the terms name and nobody has answered from; never told to others.
+    # Of a configured address that nobody has answered from; never sent to other members.
     UNKNOWN = 4
 
 
 class Phase(IntEnum):
+    """Whether a member accepts dialogs or is being drained."""
+
     SERVING = 0
     DRAINING = 1
 
@@ -43,10 +48,14 @@
 
 
 class Record(Struct, frozen=True, array_like=True, gc=False):
-    """One member as told. `by`: who accuses it, where `state` is SUSPECT or GONE.
+    """One member, as published by itself or as reported by others.
+
+    `place`: the member's index within the fleet, from its configuration. `number`: the generation, at first the
+    wall clock's ms. `over`: previous incarnations, latest first. `version`, `terms`: of its program, and the
+    digest of its configuration. `twin`: another process runs under its name. `by`: who reported it, where `state` is
+    SUSPECT or GONE.
 
-    `twin`: it has found another process alive under its name. `version`, `terms`: of its program and of its
-    file, as it tells them.
+    These are wire data: the order of the fields is fixed.
     """
 
     name: str
@@ -66,48 +75,60 @@
 
     @property
     def lives(self) -> bool:
+        """Whether the member is believed to run: alive or suspect."""
         return self.state <= State.SUSPECT
 
     @property
     def size(self) -> int:
-        """Bytes that it takes at most in a message."""
+        """An upper bound of its size in a message, bytes."""
         texts = (self.name, self.region, self.address, self.version, self.terms, self.by)
-        return FIXED + 9 * len(self.over) + sum(len(text.encode()) for text in texts)
+        text_bytes = sum(len(text.encode()) for text in texts)
+        return FIXED_RECORD_BYTES + INCARNATION_BYTES * len(self.over) + text_bytes
 
 
-def facts(record: Record) -> tuple[object, ...]:
-    """What a process tells of itself beside who it is."""
-    place = record.region, record.place, record.address
-    return *place, record.version, record.terms, int(record.phase), record.twin
+def self_reported_facts(record: Record) -> tuple[object, ...]:
+    """What a process publishes of itself beside its identity."""
+    location = record.region, record.place, record.address
+    return *location, record.version, record.terms, int(record.phase), record.twin
 
 
-def supersedes(news: Record, held: Record) -> bool:
-    """Whether `news` is the later word."""
-    if news.life == held.life:
-        return (news.seq, news.state) > (held.seq, held.state)
-    if held.life not in news.over:
+def supersedes(candidate: Record, current: Record) -> bool:
+    """Whether `candidate` is the later record of the two."""
+    if candidate.life == current.life:
+        return (candidate.seq, candidate.state) > (current.seq, current.state)
+    if current.life not in candidate.over:
         return False
-    # Twins that each went above the other: one order for all.
-    return news.life not in held.over or (news.number, news.life) > (held.number, held.life)
+    if candidate.life not in current.over:
+        return True
+    # Two processes that run at the same time have each named the other: one order for all members.
+    return (candidate.number, candidate.life) > (current.number, current.life)
 
 
-def unaware(news: Record, held: Record) -> bool:
-    """Whether these are two lives neither of which has heard of the other."""
-    return news.life != held.life and held.life not in news.over and news.life not in held.over
+def are_unrelated(candidate: Record, current: Record) -> bool:
+    """Whether these are two incarnations neither of which has named the other."""
+    if candidate.life == current.life:
+        return False
+    return current.life not in candidate.over and candidate.life not in current.over
 
 
-def told(record: Record, state: State, by: str) -> Record:
-    """What another member says of it."""
-    return msgspec.structs.replace(record, state=state, by=by)
+def as_reported(record: Record, state: State, accuser: str) -> Record:
+    """The record with the state that another member reports."""
+    return msgspec.structs.replace(record, state=state, by=accuser)
 
 
-def said(record: Record, state: State = State.ALIVE) -> Record:
-    """The next word that a member says of itself."""
+def next_own_record(record: Record, state: State = State.ALIVE) -> Record:
+    """The next record that a member publishes of itself."""
     return msgspec.structs.replace(record, seq=record.seq + 1, state=state, by="")
 
 
-def above(mine: Record, other: Record) -> Record:
-    """My record over that of another life under my name."""
-    over = (other.life, *(life for life in mine.over if life != other.life))[:OVER_MOST]
-    raised = msgspec.structs.replace(mine, number=max(mine.number, other.number + 1), over=over)
-    return said(raised)
+def refuting_record(own: Record, accusation: Record) -> Record:
+    """The own record, later than one that reports this process as suspect or gone."""
+    return next_own_record(msgspec.structs.replace(own, seq=max(own.seq, accusation.seq)))
+
+
+def superseding_record(own: Record, other: Record) -> Record:
+    """The own record once it names another incarnation of the name."""
+    earlier = (incarnation for incarnation in own.over if incarnation != other.life)
+    previous = (other.life, *earlier)[:MAX_PREVIOUS_INCARNATIONS]
+    raised = msgspec.structs.replace(own, number=max(own.number, other.number + 1), over=previous)
+    return next_own_record(raised)
--- a/valverouter/membership/suspicion.py
+++ b/valverouter/membership/suspicion.py
@@ -1,77 +1,86 @@
-"""Who is suspected, by whom, and until when it may say otherwise.
+"""Suspicions: who accuses a member, and until when it may refute.
 
-One accuser may be the one who is deaf: alone it waits longer, and no time runs shorter than the first
-accuser's word. An instance that doubts itself gives everybody more time, by `patience`. When the time is
-up the holder asks once more itself (the last word) before it puts anybody away.
+A single accuser may be the one whose own path is broken, so an unconfirmed suspicion lasts longer. An accuser in
+bad local health gives more time. When the time is up, the accuser sends one final probe before it declares the
+member gone.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from valverouter.membership.rules import Rules
+from valverouter.membership.config import MembershipConfig
 
-# The last word's probe ends within one period of the holder's patience; until then no second one begins.
-LAST_WORD_PERIODS = 4
+# For so many periods (times the local health) no second final probe begins: the first one ends within one.
+FINAL_PROBE_PERIODS = 4
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One member's, from its first accusation on our clock."""
+    """The suspicion against one member. Times in ns on this member's clock."""
 
-    began: int
-    ends: int = 0
+    started_at: int
+    deadline: int = 0
     accusers: set[str] = field(default_factory=set)
 
 
-class Suspicions:
-    """By name. An entry leaves when its member speaks, goes or leaves."""
+class SuspicionTable:
+    """Open suspicions by member name. An entry leaves when its member refutes, is gone or has left."""
 
-    def __init__(self, rules: Rules) -> None:
-        self._rules = rules
+    def __init__(self, config: MembershipConfig) -> None:
+        self._config = config
         self._open: dict[str, Suspicion] = {}
 
-    def over(self, name: str) -> None:
-        """It spoke, or is known to be gone."""
+    def clear(self, name: str) -> None:
+        """Ends the suspicion: its member said something of itself, or its end is known."""
         self._open.pop(name, None)
 
-    def accuse(self, name: str, by: str, now: int, living: int, patience: int) -> int | None:
-        """When its time is up, now that `by` accuses it too; None where that is nothing new.
+    def accuse(
+        self, name: str, accuser: str, now: int, live_count: int, timeout_multiplier: int
+    ) -> int | None:
+        """Counts an accuser and returns the new deadline; None where the accusation adds nothing.
 
-        `living`: members of the view, this one and the suspect among them.
+        `live_count`: live members of the view, this one and the suspect included.
         """
-        rules = self._rules
-        one = self._open.get(name)
-        if one is None:
-            one = self._open[name] = Suspicion(now)
-        if by in one.accusers or len(one.accusers) > rules.accusers:
+        config = self._config
+        suspicion = self._open.get(name)
+        if suspicion is None:
+            suspicion = self._open[name] = Suspicion(now)
+        if accuser in suspicion.accusers or len(suspicion.accusers) > config.confirmations:
             return None
-        one.accusers.add(by)
-        # In a fleet of three only one other is left that could accuse.
-        enough = len(one.accusers) >= min(rules.accusers, max(1, living - 2))
-        span = int(rules.suspicion * rules.period * patience)
-        one.ends = one.began + (span if enough else int(span * rules.alone))
-        return max(one.ends, now)
-
-    def is_due(self, name: str, now: int) -> bool:
-        one = self._open.get(name)
-        return one is None or one.ends <= now
-
-    def ends(self, name: str) -> int:
-        return self._open[name].ends
-
-    def last_word(self, name: str, now: int, patience: int) -> None:
-        """The holder asks: a second timer of the same suspicion must not ask again."""
-        one = self._open.setdefault(name, Suspicion(now))
-        one.began, one.ends = now, now + LAST_WORD_PERIODS * self._rules.period * patience
-
-    def answered(self, name: str, now: int) -> None:
-        """It answered us: whatever others say, its own word is on its way, and gets the time to come."""
-        one = self._open.get(name)
-        if one is not None:
-            one.ends = max(one.ends, now + int(self._rules.suspicion * self._rules.period))
-
-    def later(self, span: int) -> None:
-        """This instance did not run for so long, and heard nobody."""
-        for one in self._open.values():
-            one.ends += span
+        suspicion.accusers.add(accuser)
+        # In a fleet of three only one other member is left that could confirm.
+        needed = min(config.confirmations, max(1, live_count - 2))
+        timeout = int(config.suspicion_periods * config.probe_period * timeout_multiplier)
+        if len(suspicion.accusers) < needed:
+            timeout = int(timeout * config.unconfirmed_multiplier)
+        suspicion.deadline = suspicion.started_at + timeout
+        return max(suspicion.deadline, now)
+
+    def is_expired(self, name: str, now: int) -> bool:
+        """Whether the suspect's time is up."""
+        suspicion = self._open.get(name)
+        return suspicion is None or suspicion.deadline <= now
+
+    def deadline(self, name: str) -> int:
+        """Until when the suspect may refute; KeyError where there is no suspicion."""
+        return self._open[name].deadline
+
+    def begin_final_probe(self, name: str, now: int, timeout_multiplier: int) -> None:
+        """Extends the suspicion over its final probe: another timer must not begin a second one."""
+        suspicion = self._open.setdefault(name, Suspicion(now))
+        timeout = FINAL_PROBE_PERIODS * self._config.probe_period * timeout_multiplier
+        suspicion.started_at = now
+        suspicion.deadline = now + timeout
+
+    def on_ack(self, name: str, now: int) -> None:
+        """The suspect answered this member: its refutation is on its way and gets the time to arrive."""
+        suspicion = self._open.get(name)
+        if suspicion is not None:
+            timeout = int(self._config.suspicion_periods * self._config.probe_period)
+            suspicion.deadline = max(suspicion.deadline, now + timeout)
+
+    def postpone_all(self, duration: int) -> None:
+        """This process did not run for `duration` ns and received nothing: all suspects get that time back."""
+        for suspicion in self._open.values():
+            suspicion.deadline += duration
--- a/valverouter/membership/view.py
+++ b/valverouter/membership/view.py
@@ -1,9 +1,9 @@
-"""The table of members, its digest, and how long those stay who are gone.
+"""The view: a table of all members with a digest, by which two members compare their views.
 
-The digest is over who is believed to be there and what they tell of themselves, not over suspicions, which
-come and go: two instances with the same digest would send to the same members at the same addresses. It is
-kept bucket by bucket as a sum of the records' own digests, so a change costs one hash, and two instances that
-differ find out where by comparing buckets.
+The digest covers the live members and what they publish of themselves, but not suspicions, which come and go: two
+members with the same digest would send to the same members at the same addresses. It is a sum of the records' own
+digests, kept for each bucket of names: a change costs one hash, and two members whose views differ find out where by
+comparing buckets.
 """
 
 from __future__ import annotations
@@ -12,121 +12,144 @@
 from collections import deque
 from hashlib import blake2b
 
-from valverouter.membership.records import Record, State, facts, supersedes
+from valverouter.membership.records import Record, State, self_reported_facts, supersedes
 
-BUCKETS = 64
-MASK = 2**64 - 1
+BUCKET_COUNT = 64
+DIGEST_BYTES = 8
+DIGEST_MASK = 2 ** (8 * DIGEST_BYTES) - 1
 
 
 def bucket_of(name: str) -> int:
-    return zlib.crc32(name.encode()) % BUCKETS
+    """The index of the bucket that a member name belongs to."""
+    return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
 def digest_of(record: Record) -> int:
-    """64 bits over what the digest of a view holds of a member."""
-    parts = record.name, *_tells(record)
-    return int.from_bytes(blake2b(repr(parts).encode(), digest_size=8).digest(), "big")
+    """64 bits over what the digest of a view covers of a member."""
+    parts = record.name, *_digested_facts(record)
+    digest = blake2b(repr(parts).encode(), digest_size=DIGEST_BYTES).digest()
+    return int.from_bytes(digest, "big")
 
 
-class View:
-    """Who is there, by name. `since`: when each state began, on our clock. Those gone leave with `forget`,
-    and the addresses of the last few of them stay, to be tried."""
+class MembershipView:
+    """All known members by name.
 
-    def __init__(self, old_addresses: int) -> None:
+    `state_since`: when the present state of each began, ns on this member's clock. `forget` removes members that
+    are gone or have left; of those gone, the last addresses stay in `forgotten_addresses`, to be tried again.
+    """
+
+    def __init__(self, forgotten_address_limit: int) -> None:
         self.records: dict[str, Record] = {}
-        self.since: dict[str, int] = {}
-        self.living = 0
-        self.gone = 0
-        self.suspects = 0
-        self.buckets = [0] * BUCKETS
+        self.state_since: dict[str, int] = {}
+        self.live_count = 0
+        self.gone_count = 0
+        self.suspect_count = 0
+        self.bucket_digests = [0] * BUCKET_COUNT
         self.digest = 0
-        self.old: deque[str] = deque(maxlen=old_addresses)
+        self.forgotten_addresses: deque[str] = deque(maxlen=forgotten_address_limit)
         self._digests: dict[str, int] = {}
-        self._names: list[str] | None = None
-
-    def copy(self) -> View:
-        """The same table, for another instance."""
-        other = View(self.old.maxlen or 0)
-        other.records, other.since = self.records.copy(), self.since.copy()
-        other.living, other.gone, other.suspects = self.living, self.gone, self.suspects
-        other.buckets, other.digest = self.buckets.copy(), self.digest
-        other.old.extend(self.old)
+        # Every transmission draws from it, and going through a whole fleet each time was the largest cost.
+        self._cached_live_names: list[str] | None = None
+
+    def copy(self) -> MembershipView:
+        """An independent copy, for another member."""
+        other = MembershipView(self.forgotten_addresses.maxlen or 0)
+        other.records = self.records.copy()
+        other.state_since = self.state_since.copy()
+        other.live_count = self.live_count
+        other.gone_count = self.gone_count
+        other.suspect_count = self.suspect_count
+        other.bucket_digests = self.bucket_digests.copy()
+        other.digest = self.digest
+        other.forgotten_addresses.extend(self.forgotten_addresses)
         other._digests = self._digests.copy()
         return other
 
-    def names(self, but: str) -> list[str]:
-        """Who is believed to be there, but one; a list of the caller's own. Kept from call to call: every
-        word that is passed on draws from it, and going through a whole fleet for each cost the most."""
-        if self._names is None:
-            self._names = [name for name, one in self.records.items() if one.state <= State.SUSPECT]
-        names = self._names.copy()
-        if self.lives(but):
-            names.remove(but)
+    def live_names(self, excluding: str) -> list[str]:
+        """Names of the live members without `excluding`; a new list."""
+        if self._cached_live_names is None:
+            self._cached_live_names = [name for name, record in self.records.items() if record.lives]
+        names = self._cached_live_names.copy()
+        if self.is_live(excluding):
+            names.remove(excluding)
         return names
 
-    def lives(self, name: str) -> bool:
-        held = self.records.get(name)
-        return held is not None and held.state <= State.SUSPECT
-
-    def is_later(self, news: Record) -> bool:
-        """Whether the record would change the table. Of one who is over and whom nobody here knew, there is
-        nothing to keep: kept, the dead would be passed round for ever."""
-        held = self.records.get(news.name)
-        if held is None:
-            return news.state <= State.SUSPECT
-        return supersedes(news, held)
-
-    def put(self, news: Record, now: int) -> None:
-        """Takes a record that is later."""
-        name = news.name
-        held = self.records.get(name)
-        if held is not None:
-            self._count(held, -1)
-        self.records[name] = news
-        self._count(news, 1)
-        if held is None or held.state != news.state or held.life != news.life:
-            self.since[name] = now
-            self._names = None
-        before, after = self._digests.pop(name, 0), 0
-        if news.state <= State.SUSPECT:
-            # Most changes are suspicions and their ends, and leave what is told of a member as it was.
-            same = before and held is not None and _tells(held) == _tells(news)
-            self._digests[name] = after = before if same else digest_of(news)
-        self._change(name, before, after)
-
-    def _change(self, name: str, before: int, after: int) -> None:
-        if before != after:
-            at = bucket_of(name)
-            self.buckets[at] = (self.buckets[at] - before + after) & MASK
-            self.digest = (self.digest - before + after) & MASK
-
-    def _count(self, record: Record, one: int) -> None:
-        if record.state <= State.SUSPECT:
-            self.living += one
-            if record.state == State.SUSPECT:
-                self.suspects += one
-        elif record.state == State.GONE:
-            self.gone += one
+    def is_live(self, name: str) -> bool:
+        """Whether the member is known and believed to run."""
+        current = self.records.get(name)
+        return current is not None and current.lives
+
+    def accepts(self, candidate: Record) -> bool:
+        """Whether the record is later than what the view holds.
+
+        The end of a member that is not known here is not accepted, or members long gone would be passed round for
+        ever.
+        """
+        current = self.records.get(candidate.name)
+        if current is None:
+            return candidate.lives
+        return supersedes(candidate, current)
+
+    def put(self, record: Record, now: int) -> None:
+        """Replaces the member's record by a later one."""
+        name = record.name
+        previous = self.records.get(name)
+        if previous is not None:
+            self._count(previous, -1)
+        self.records[name] = record
+        self._count(record, 1)
+        if previous is None or previous.state != record.state or previous.life != record.life:
+            self.state_since[name] = now
+            self._cached_live_names = None
+        self._update_digest(previous, record)
 
     def forget(self, name: str) -> None:
-        """One who was gone for long enough, or has left."""
-        held = self.records.pop(name)
-        self._names = None
-        self._count(held, -1)
-        self._change(name, self._digests.pop(name, 0), 0)
-        self.since.pop(name, None)
-        if held.state == State.GONE and held.address not in self.old:
-            self.old.append(held.address)
-
-    def of_buckets(self, wanted: set[int]) -> list[Record]:
-        return [record for name, record in self.records.items() if bucket_of(name) in wanted]
-
-    def strangers(self, seeds: tuple[str, ...]) -> list[str]:
-        """Addresses of those taken for gone, of some gone for long, and of seeds nobody is known at."""
-        there = {record.address for record in self.records.values() if record.state <= State.SUSPECT}
+        """Removes a member."""
+        record = self.records.pop(name)
+        self.state_since.pop(name, None)
+        self._cached_live_names = None
+        self._count(record, -1)
+        self._replace_digest(name, self._digests.pop(name, 0), 0)
+        if record.state == State.GONE and record.address not in self.forgotten_addresses:
+            self.forgotten_addresses.append(record.address)
+
+    def records_in_buckets(self, buckets: set[int]) -> list[Record]:
+        """The records of all members in the buckets."""
+        return [record for name, record in self.records.items() if bucket_of(name) in buckets]
+
+    def reconnect_addresses(self, seeds: tuple[str, ...]) -> list[str]:
+        """Addresses that no live member has: of members gone, of seeds, and of some forgotten members."""
+        live = {record.address for record in self.records.values() if record.lives}
         gone = [record.address for record in self.records.values() if record.state == State.GONE]
-        return [address for address in dict.fromkeys((*gone, *seeds, *self.old)) if address not in there]
+        candidates = dict.fromkeys((*gone, *seeds, *self.forgotten_addresses))
+        return [address for address in candidates if address not in live]
+
+    def _update_digest(self, previous: Record | None, record: Record) -> None:
+        name = record.name
+        old_digest, new_digest = self._digests.pop(name, 0), 0
+        if record.lives:
+            # Most changes are suspicions and their ends, which the digest does not cover: no hash for these.
+            is_unchanged = previous is not None and _digested_facts(previous) == _digested_facts(record)
+            new_digest = old_digest if old_digest and is_unchanged else digest_of(record)
+            self._digests[name] = new_digest
+        self._replace_digest(name, old_digest, new_digest)
+
+    def _replace_digest(self, name: str, old_digest: int, new_digest: int) -> None:
+        if old_digest == new_digest:
+            return
+        change = new_digest - old_digest
+        index = bucket_of(name)
+        self.bucket_digests[index] = (self.bucket_digests[index] + change) & DIGEST_MASK
+        self.digest = (self.digest + change) & DIGEST_MASK
+
+    def _count(self, record: Record, change: int) -> None:
+        if record.lives:
+            self.live_count += change
+        if record.state == State.SUSPECT:
+            self.suspect_count += change
+        elif record.state == State.GONE:
+            self.gone_count += change
 
 
-def _tells(record: Record) -> tuple[object, ...]:
-    return record.life, record.number, *facts(record)
+def _digested_facts(record: Record) -> tuple[object, ...]:
+    return record.life, record.number, *self_reported_facts(record)
