--- a/valverouter/membership/messages.py
+++ b/valverouter/membership/messages.py
@@ -13,7 +13,7 @@
 from valverouter.membership.records import Record
 
 
-class Said(Struct, frozen=True, array_like=True, tag=True):
+class Said(Struct, frozen=True, array_like=True, tag="Said"):
     """The header of every message: the sender's name and incarnation, and the digest of its view."""
 
     name: str
