--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -28,7 +28,7 @@
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.membership import Membership
 from valverouter.membership.messages import Gossip, Message
-from valverouter.membership.records import Record, State, as_reported, next_own_record
+from valverouter.membership.records import MemberRecord, MemberState, as_reported, next_own_record
 from valverouter.membership.view import MembershipView
 from valverouter.servermodel.paths import PathFault, Paths
 
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        own_record: Record,
+        own_record: MemberRecord,
         config: MembershipConfig,
         draw: Callable[[], float],
         now: int,
@@ -71,7 +71,7 @@
         """Handles a heartbeat: its sender runs."""
         self._last_heard[message.name] = now
         held = self.view.records.get(message.name)
-        if held is not None and not held.lives:
+        if held is not None and not held.is_live:
             self.view.put(next_own_record(held), now)
 
     def tick(self, now: int) -> None:
@@ -80,15 +80,15 @@
         late = now - self.next_timer > period // 2
         self.next_timer = now + period
         own_name = self.own_record.name
-        heartbeat = Gossip(own_name, self.own_record.life, 0)
+        heartbeat = Gossip(own_name, self.own_record.incarnation, 0)
         for name, held in list(self.view.records.items()):
-            if name == own_name or not held.lives:
+            if name == own_name or not held.is_live:
                 continue
             self.outbox.append((held.address, heartbeat))
             if late:
                 self._last_heard[name] = now
             elif now - self._last_heard.setdefault(name, now) > SILENT * period:
-                gone = as_reported(held, State.GONE, own_name)
+                gone = as_reported(held, MemberState.GONE, own_name)
                 self.view.put(gone, now)
                 self.events.append(MembershipEvent(now, EventKind.GONE, gone, own_name))
 
@@ -184,7 +184,7 @@
     def watch(node: Node, found: MembershipEvent) -> None:
         counts[found.kind] += 1
         if found.kind is EventKind.GONE:
-            wrong.add((found.record.name, found.record.life, found.record.seq))
+            wrong.add((found.record.name, found.record.incarnation, found.record.sequence))
 
     views = fleet(case, watch)
     views.run(int(case.seconds * SECOND))
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -93,8 +93,8 @@
 # Membership
 
 
-def member_record(state: records.State = records.State.SUSPECT) -> records.Record:
-    return records.Record(
+def member_record(state: records.MemberState = records.MemberState.SUSPECT) -> records.MemberRecord:
+    return records.MemberRecord(
         "e7",
         "north",
         3,
@@ -118,11 +118,11 @@
 MEMBERSHIP: dict[str, Any] = {
     "ping": messages.Ping(*HEAD, 5, 107, NEWS),
     "ack": messages.Ack(*HEAD, 6, "e2", 109, NEWS),
-    "ask": messages.Ask(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
+    "ask": messages.PingReq(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
     "nack": messages.Nack(*HEAD, 8),
     "gossip": messages.Gossip(*HEAD, NEWS),
-    "sync": messages.Sync(*HEAD, (127, 131), NEWS),
-    "pages": messages.Pages(*HEAD, (137, 139), NEWS),
+    "sync": messages.SyncDigests(*HEAD, (127, 131), NEWS),
+    "pages": messages.SyncRecords(*HEAD, (137, 139), NEWS),
 }
 
 # What an instance tells of itself, and of its view
@@ -130,11 +130,11 @@
 COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.State = records.State.LEFT) -> asking.Row:
+def view_row(state: records.MemberState = records.MemberState.LEFT) -> asking.Row:
     return asking.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
 
 
-VIEW = tuple(view_row(state) for state in records.State)
+VIEW = tuple(view_row(state) for state in records.MemberState)
 VIEWS: dict[str, Any] = {
     "query": asking.Query(*HEAD, 9, 4),
     "count": asking.Count(*HEAD, 10),
@@ -473,8 +473,8 @@
 def samples() -> dict[str, Sample]:
     """By a key that stays, however classes are called."""
     plain: dict[str, Any] = {
-        **{f"membership.record-{state.value}": member_record(state) for state in records.State},
-        **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
+        **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
+        **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
         "fleet.envelope": sealing.Envelope(3, MEMBERSHIP["ping"]),
         "fleet.posted": sealing.Posted(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
@@ -515,7 +515,7 @@
 def enumerations() -> dict[str, type[Enum]]:
     """Those that are written by value."""
     return {
-        "membership.state": records.State,
+        "membership.state": records.MemberState,
         "membership.phase": records.Phase,
         "orders.kind": orders.Kind,
         "orders.phase": orders.Phase,
@@ -565,17 +565,17 @@
 
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
-NEVER_WRITTEN = (messages.Said, setup.OfLeg, greeting._Kind, council.Append, council.Install)
+NEVER_WRITTEN = (messages.FleetMessage, setup.OfLeg, greeting._Kind, council.Append, council.Install)
 
 TAGS: dict[type[msgspec.Struct], str] = {
-    messages.Said: "Said",
+    messages.FleetMessage: "Said",
     messages.Ping: "p",
     messages.Ack: "a",
-    messages.Ask: "k",
+    messages.PingReq: "k",
     messages.Nack: "n",
     messages.Gossip: "g",
-    messages.Sync: "s",
-    messages.Pages: "v",
+    messages.SyncDigests: "s",
+    messages.SyncRecords: "v",
     asking.Query: "?",
     asking.Count: "c",
     asking.Counted: "C",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,8 +33,8 @@
 from valverouter.fleet.sealing import HEAD, MOST, VERSION, Envelope, Opener, Seal, TooLongError, Window
 from valverouter.fleet.tool import Asker
 from valverouter.membership.config import MembershipConfig
-from valverouter.membership.messages import Ask, Gossip, Ping, Sync
-from valverouter.membership.records import Phase, Record, State
+from valverouter.membership.messages import Gossip, Ping, PingReq, SyncDigests
+from valverouter.membership.records import MemberRecord, MemberState, Phase
 from valverouter.signalling import tap
 from valverouter.signalling.tap import Fault, Found, Opened, Passed, Ran, Settles, Viewed
 from valverouter.terms.between import KEY_LEAST, Between, key_of
@@ -111,7 +111,7 @@
 
 def test_the_longest_messages_fit_a_datagram_and_longer_ones_are_told() -> None:
     name = "n" * 128
-    long = Record(
+    long = MemberRecord(
         name,
         "r" * 64,
         9,
@@ -119,13 +119,15 @@
         2**60,
         2**63,
         9,
-        over=(2**63,) * 3,
+        previous_incarnations=(2**63,) * 3,
     )
     seal, most = Seal((KEY,)), 2**64 - 1
     page = (long,) * (MembershipConfig().max_update_bytes // long.size)
-    assert len(seal.seal(Sync(name, most, most, (most,) * 64, (long,)))) <= MOST
-    assert len(seal.seal(Ask(name, most, most, most, name, most, long.address, page))) <= MOST
-    row = Row(name, "r" * 64, 0, long.address, 2**60, 2**63, State.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False)
+    assert len(seal.seal(SyncDigests(name, most, most, (most,) * 64, (long,)))) <= MOST
+    assert len(seal.seal(PingReq(name, most, most, most, name, most, long.address, page))) <= MOST
+    row = Row(
+        name, "r" * 64, 0, long.address, 2**60, 2**63, MemberState.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False
+    )
     counts = {f"dropped-{why}": 2**40 for why in ("oversize", "stranger", "version", "rubbish", "replay")}
     for at, rows in enumerate(pages_of([row] * 20)):
         shown = Shown(name, most, most, most, at, 99, "unsettled", counts if at == 0 else {}, rows)
@@ -300,7 +302,7 @@
         await until(lambda: living(first) == {"e0", "e1"})
         await nursery.start(two.run)
         await until(lambda: one.counts["conflict"] == two.counts["conflict"] == 1)
-        await until(lambda: first.core is not None and first.core.view.records["e1"].twin)
+        await until(lambda: first.core is not None and first.core.view.records["e1"].name_conflict)
         restarts = first.counts["restarted"]
         await trio.sleep(1.5)
         assert first.counts["restarted"] == restarts <= 1 and first.counts["gone"] == 0
@@ -351,16 +353,16 @@
     async with running(first):
         assert first.core is not None
         for number in range(1, 60):
-            record = Record(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
+            record = MemberRecord(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
             first.core.view.put(record, 0)
         asker = Asker((KEY,), Sockets().datagrams("127.0.0.1:0"), random.Random(1))
         first.core.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
         heard, silent = await asker.ask([at(first), "127.0.0.1:9"])
         assert heard.missing is None and heard.wanted > 3 and silent.missing == 0
-        assert [row.name for row in heard.rows if row.state != State.UNKNOWN] == sorted(
+        assert [row.name for row in heard.rows if row.state != MemberState.UNKNOWN] == sorted(
             f"e{number}" for number in range(60)
         )
-        assert [row.address for row in heard.rows if row.state == State.UNKNOWN] == ["127.0.0.1:9"]
+        assert [row.address for row in heard.rows if row.state == MemberState.UNKNOWN] == ["127.0.0.1:9"]
         assert first.core.view.live_count == 60 and heard.digest == first.core.view.digest
 
 
@@ -371,10 +373,13 @@
 
 
 def test_views_that_differ_are_shown_as_differing_and_never_one_as_the_truth() -> None:
-    def row(name: str, state: State = State.ALIVE) -> Row:
+    def row(name: str, state: MemberState = MemberState.ALIVE) -> Row:
         return Row(name, "", 0, f"{name}:1", 1, 1, state, 0, "", "", 0, False)
 
-    one, two = heard("e0", 5, [row("e0"), row("e1")]), heard("e1", 6, [row("e0", State.GONE), row("e1")])
+    one, two = (
+        heard("e0", 5, [row("e0"), row("e1")]),
+        heard("e1", 6, [row("e0", MemberState.GONE), row("e1")]),
+    )
     assert differences([one, two]) == {
         "e0": {"alive at e0:1, life 0000000000000001": ["e0"], "gone at e0:1, life 0000000000000001": ["e1"]}
     }
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,11 +16,11 @@
 from valverouter.membership.convergence import ViewHealth
 from valverouter.membership.events import MembershipEvent
 from valverouter.membership.gossip import BroadcastQueue
-from valverouter.membership.messages import Gossip, Ping, Sync
+from valverouter.membership.messages import Gossip, Ping, SyncDigests, updates_of
 from valverouter.membership.model import Model, PropertyViolationError, ProtocolRule
 from valverouter.membership.records import (
-    Record,
-    State,
+    MemberRecord,
+    MemberState,
     as_reported,
     next_own_record,
     supersedes,
@@ -85,9 +85,9 @@
 
 
 def record(
-    number: int, life: int, seq: int = 0, state: State = State.ALIVE, over: tuple[int, ...] = ()
-) -> Record:
-    return Record("e1", "", 0, "e1:1", number, life, seq, state, over)
+    number: int, life: int, seq: int = 0, state: MemberState = MemberState.ALIVE, over: tuple[int, ...] = ()
+) -> MemberRecord:
+    return MemberRecord("e1", "", 0, "e1:1", number, life, seq, state, over)
 
 
 RECORDS = st.builds(
@@ -95,15 +95,17 @@
     st.integers(1, 4),
     st.integers(1, 3),
     st.integers(0, 2),
-    st.sampled_from([State.ALIVE, State.SUSPECT, State.GONE, State.LEFT]),
+    st.sampled_from([MemberState.ALIVE, MemberState.SUSPECT, MemberState.GONE, MemberState.LEFT]),
     st.sampled_from([(), (1,), (2,), (1, 2)]),
 )
 
 
 @given(RECORDS, RECORDS)
-def test_of_two_words_at_most_one_is_the_later(one: Record, two: Record) -> None:
+def test_of_two_words_at_most_one_is_the_later(one: MemberRecord, two: MemberRecord) -> None:
     assert not (supersedes(one, two) and supersedes(two, one))
-    if one.life != two.life and (one.life in two.over or two.life in one.over):
+    if one.incarnation != two.incarnation and (
+        one.incarnation in two.previous_incarnations or two.incarnation in one.previous_incarnations
+    ):
         assert supersedes(one, two) or supersedes(two, one), "one of them names the other"
 
 
@@ -112,11 +114,11 @@
     assert not supersedes(former, fresh) and not supersedes(fresh, former), "nobody knows yet"
     raised = superseding_record(fresh, former)
     assert supersedes(raised, former) and not supersedes(former, raised)
-    later = as_reported(dataclasses_seq(former, 50), State.GONE, "x")
+    later = as_reported(dataclasses_seq(former, 50), MemberState.GONE, "x")
     assert not supersedes(later, raised), "nothing of the former self counts any more"
 
 
-def dataclasses_seq(one: Record, seq: int) -> Record:
+def dataclasses_seq(one: MemberRecord, seq: int) -> MemberRecord:
     for _ in range(seq):
         one = next_own_record(one)
     return one
@@ -124,8 +126,10 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.lists(RECORDS, min_size=2, max_size=5), st.randoms(use_true_random=False))
-def test_the_order_of_a_life_s_own_words_does_not_matter(words: list[Record], chance: random.Random) -> None:
-    own = [one for one in words if one.life == words[0].life and one.lives] or words[:1]
+def test_the_order_of_a_life_s_own_words_does_not_matter(
+    words: list[MemberRecord], chance: random.Random
+) -> None:
+    own = [one for one in words if one.incarnation == words[0].incarnation and one.is_live] or words[:1]
     ends = set()
     for order in (own, list(reversed(own)), sorted(own, key=lambda one: chance.random())):
         view = MembershipView(0)
@@ -134,30 +138,30 @@
                 view.put(one, 0)
         if "e1" in view.records:
             held = view.records["e1"]
-            ends.add((held.seq, held.state))
+            ends.add((held.sequence, held.state))
     assert len(ends) <= 1
 
 
 def test_the_digest_follows_who_is_there_and_not_the_doubts() -> None:
     view, other = MembershipView(4), MembershipView(4)
     for one in (view, other):
-        one.put(Record("e0", "", 0, "e0:1", 5, 50), 0)
+        one.put(MemberRecord("e0", "", 0, "e0:1", 5, 50), 0)
     view.put(record(3, 7), 1)
     other.put(record(3, 7, seq=4), 9)
     assert view.digest == other.digest
-    view.put(as_reported(record(3, 7), State.SUSPECT, "e0"), 2)
+    view.put(as_reported(record(3, 7), MemberState.SUSPECT, "e0"), 2)
     assert view.digest == other.digest and view.suspect_count == 1
-    view.put(as_reported(record(3, 7), State.GONE, "e0"), 3)
+    view.put(as_reported(record(3, 7), MemberState.GONE, "e0"), 3)
     assert view.digest != other.digest and (view.live_count, view.gone_count, view.suspect_count) == (1, 1, 0)
-    other.put(as_reported(record(3, 7, seq=4), State.GONE, "e0"), 9)
+    other.put(as_reported(record(3, 7, seq=4), MemberState.GONE, "e0"), 9)
     assert view.digest == other.digest and view.bucket_digests == other.bucket_digests
 
 
 def test_the_dead_whom_nobody_knew_are_not_passed_round() -> None:
     view = MembershipView(4)
-    assert not view.accepts(record(3, 7, state=State.GONE))
+    assert not view.accepts(record(3, 7, state=MemberState.GONE))
     view.put(record(3, 7), 0)
-    view.put(as_reported(record(3, 7), State.GONE, "x"), 1)
+    view.put(as_reported(record(3, 7), MemberState.GONE, "x"), 1)
     view.forget("e1")
     assert not view.records and list(view.forgotten_addresses) == ["e1:1"] and view.digest == 0
 
@@ -165,7 +169,7 @@
 def test_news_leave_after_so_many_sends_and_fit_their_room() -> None:
     news = BroadcastQueue(max_bytes=400)
     for at in range(9):
-        news.put(Record(f"e{at}", "", 0, f"e{at}:1", 1, at))
+        news.put(MemberRecord(f"e{at}", "", 0, f"e{at}:1", 1, at))
     taken = [news.take(3) for _ in range(12)]
     assert all(sum(one.size for one in page) <= 400 for page in taken)
     sent = Counter(one.name for page in taken for one in page)
@@ -311,16 +315,19 @@
         rig.views.kill(name)
         fresh = rig.views.start(name, SEEDS, wall_ms=WALL - 3_600_000)
         rig.views.run(rig.views.now + 3 * SECOND)
-        assert fresh.core.own_record.number > former.number and former.life in fresh.core.own_record.over
+        assert (
+            fresh.core.own_record.generation > former.generation
+            and former.incarnation in fresh.core.own_record.previous_incarnations
+        )
         # A word of the former self, late.
         for node in rig.views.live():
             gossip = Gossip(
-                "e9", rig.views.nodes["e9"].core.own_record.life, 0, (dataclasses_seq(former, 9),)
+                "e9", rig.views.nodes["e9"].core.own_record.incarnation, 0, (dataclasses_seq(former, 9),)
             )
             node.core.receive(rig.views.now, "e9:1", gossip)
     rig.settles(10)
     for node in rig.views.live():
-        assert node.core.view.records["e4"].life == rig.views.nodes["e4"].core.own_record.life
+        assert node.core.view.records["e4"].incarnation == rig.views.nodes["e4"].core.own_record.incarnation
 
 
 def test_an_answer_from_its_own_address_proves_who_is_there() -> None:
@@ -331,7 +338,9 @@
     former = rig.views.nodes["e3"].core.own_record
     fresh = rig.views.start("e3", (), wall_ms=WALL - 3_600_000)
     rig.settles(10)
-    assert former.life in fresh.core.own_record.over, "who asked after the former self told it"
+    assert former.incarnation in fresh.core.own_record.previous_incarnations, (
+        "who asked after the former self told it"
+    )
 
 
 def twins(rig: Rig) -> tuple[Node, Node]:
@@ -348,24 +357,26 @@
     rig.views.run(20 * SECOND)
     assert rig.found["e3", "conflict", "e3"] == 2, "each of the two tells once"
     assert (
-        one.core.name_conflict.incarnation == two.core.own_record.life
-        and two.core.name_conflict.incarnation == one.core.own_record.life
+        one.core.name_conflict.incarnation == two.core.own_record.incarnation
+        and two.core.name_conflict.incarnation == one.core.own_record.incarnation
     )
-    held = {node.core.view.records["e3"].life for node in rig.views.live() if node.name != "e3"}
+    held = {node.core.view.records["e3"].incarnation for node in rig.views.live() if node.name != "e3"}
     assert len(held) == 1
-    assert all(node.core.view.records["e3"].twin for node in rig.views.live() if node.name != "e3")
+    assert all(node.core.view.records["e3"].name_conflict for node in rig.views.live() if node.name != "e3")
     before = rig.count("restarted")
     rig.views.run(120 * SECOND)
     assert rig.count("restarted") == before and rig.count("gone") == 0
     # The one that the fleet holds ends: the other takes its place, and no conflict is left.
-    ends = one if one.core.own_record.life in held else two
+    ends = one if one.core.own_record.incarnation in held else two
     stays = two if ends is one else one
     ends.alive = False
     del rig.views._at_address[ends.address]
     rig.views.run(200 * SECOND)
     others = [node for node in rig.views.live() if node.name != "e3"]
-    assert {node.core.view.records["e3"].life for node in others} == {stays.core.own_record.life}
-    assert stays.core.view_health is ViewHealth.SETTLED and not stays.core.own_record.twin
+    assert {node.core.view.records["e3"].incarnation for node in others} == {
+        stays.core.own_record.incarnation
+    }
+    assert stays.core.view_health is ViewHealth.SETTLED and not stays.core.own_record.name_conflict
 
 
 def test_a_late_word_of_a_former_self_is_no_conflict() -> None:
@@ -375,9 +386,11 @@
     rig.views.kill("e3")
     fresh = rig.views.start("e3", SEEDS)
     rig.views.run(7 * SECOND)
-    fresh.core.receive(rig.views.now, "e3:1", Ping("e3", former.life, 0, 5, fresh.core.own_record.life))
+    fresh.core.receive(
+        rig.views.now, "e3:1", Ping("e3", former.incarnation, 0, 5, fresh.core.own_record.incarnation)
+    )
     rig.views.run(20 * SECOND)
-    assert rig.count("conflict") == 0 and not fresh.core.own_record.twin
+    assert rig.count("conflict") == 0 and not fresh.core.own_record.name_conflict
 
 
 def test_a_fleet_told_24_that_is_really_40_keeps_a_view_of_40() -> None:
@@ -413,12 +426,12 @@
     rig.views.run(3 * SECOND)
     core = rig.views.nodes["e0"].core
     held = core.view.records["e1"]
-    core.failure_detector.probe(as_reported(held, State.SUSPECT, "e2"), is_final=True)
+    core.failure_detector.probe(as_reported(held, MemberState.SUSPECT, "e2"), is_final=True)
     (nonce,) = [n for n, probe in core.failure_detector.probes.pending.items() if probe.is_final]
     core.member_updates.apply(next_own_record(held))
-    core.member_updates.apply(as_reported(next_own_record(held), State.SUSPECT, "e2"))
+    core.member_updates.apply(as_reported(next_own_record(held), MemberState.SUSPECT, "e2"))
     core.failure_detector._conclude(nonce)
-    assert core.view.records["e1"].state is State.SUSPECT, "not gone: that doubt is a second old"
+    assert core.view.records["e1"].state is MemberState.SUSPECT, "not gone: that doubt is a second old"
 
 
 def test_who_missed_a_refutation_hears_of_it_when_it_asks_others() -> None:
@@ -427,14 +440,14 @@
     asker, helper = rig.views.nodes["e0"].core, rig.views.nodes["e2"].core
     old = asker.view.records["e1"]
     helper.member_updates.apply(next_own_record(old))
-    asker.member_updates.apply(as_reported(old, State.SUSPECT, "e3"))
+    asker.member_updates.apply(as_reported(old, MemberState.SUSPECT, "e3"))
     asker.failure_detector.probe(asker.view.records["e1"], is_final=True)
     (nonce,) = [n for n, probe in asker.failure_detector.probes.pending.items() if probe.is_final]
     rig.views.nodes["e1"].stalled_until = rig.views.now + 2 * SECOND
     asker.failure_detector._probe_indirectly(nonce)
     rig.views._after(rig.views.nodes["e0"])
     rig.views.run(rig.views.now + 100_000_000)
-    assert asker.view.records["e1"].seq > old.seq
+    assert asker.view.records["e1"].sequence > old.sequence
 
 
 def test_whole_views_are_exchanged_in_pages_that_fit() -> None:
@@ -446,12 +459,17 @@
     two.core.receive(
         0,
         "e3:1",
-        Sync("e3", one.core.own_record.life, 0, tuple(one.core.view.bucket_digests), (one.core.own_record,)),
+        SyncDigests(
+            "e3",
+            one.core.own_record.incarnation,
+            0,
+            tuple(one.core.view.bucket_digests),
+            (one.core.own_record,),
+        ),
     )
     pages = [message for _, message in two.core.outbox]
     assert pages and all(
-        sum(record.size for record in getattr(page, "news", ())) <= two.core.config.max_update_bytes
-        for page in pages
+        sum(record.size for record in updates_of(page)) <= two.core.config.max_update_bytes for page in pages
     )
     rig.views._after(two)
     rig.views.run(SECOND // 2)
@@ -476,10 +494,10 @@
     def look() -> None:
         for node in rig.views.live():
             for name, held in node.core.view.records.items():
-                lives = seen.setdefault((node.core.own_record.life, name), [])
-                if held.lives and (not lives or lives[-1] != held.life):
-                    assert held.life not in lives, f"{node.name} went back to a former {name}"
-                    lives.append(held.life)
+                lives = seen.setdefault((node.core.own_record.incarnation, name), [])
+                if held.is_live and (not lives or lives[-1] != held.incarnation):
+                    assert held.incarnation not in lives, f"{node.name} went back to a former {name}"
+                    lives.append(held.incarnation)
 
     for at in range(2, 46):
         rig.views.run(at * SECOND)
--- a/valverouter/cli/fleeting.py
+++ b/valverouter/cli/fleeting.py
@@ -21,7 +21,7 @@
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.asking import Heard, Row, differences, is_settled
 from valverouter.fleet.tool import Asker
-from valverouter.membership.records import LIVING, Phase, State
+from valverouter.membership.records import LIVE_STATES, MemberState, Phase
 from valverouter.terms.between import Between
 from valverouter.terms.day import load_day
 from valverouter.terms.edge import load_edge_terms
@@ -105,7 +105,7 @@
         if at:
             return answers
         known = {one.address for one in answers}
-        more = [row.address for one in answers for row in one.rows if row.state in LIVING]
+        more = [row.address for one in answers for row in one.rows if row.state in LIVE_STATES]
         named = [address for address in dict.fromkeys(more) if address not in known]
         return answers + await asker.ask(named[: max(0, most - len(answers))])
     finally:
@@ -123,7 +123,7 @@
         return NOBODY
     # A seed that is no member's address any more answers nothing, and says nothing of those who live.
     silent = {one.address for one in answers if one.missing is not None}
-    living = {row.address for one in whole.values() for row in one.rows if row.state in LIVING}
+    living = {row.address for one in whole.values() for row in one.rows if row.state in LIVE_STATES}
     return 0 if is_settled(list(whole.values())) and not silent & living else UNSETTLED
 
 
@@ -161,7 +161,7 @@
 def _metrics(answers: list[Heard]) -> None:
     """The words of the log, counted by each instance since its start."""
     for one in _whole(answers).values():
-        states = {state: 0 for state in State}
+        states = {state: 0 for state in MemberState}
         for row in one.rows:
             states[row.state] += 1
         for state, count in states.items():
@@ -207,7 +207,7 @@
         ("region", lambda row: row.region),
         ("address", lambda row: row.address),
         ("state", _state),
-        ("since", lambda row: _since(row.since_ms) if row.state != State.UNKNOWN else ""),
+        ("since", lambda row: _since(row.since_ms) if row.state != MemberState.UNKNOWN else ""),
         ("version", lambda row: row.version),
         ("terms", lambda row: row.terms),
     ]
@@ -221,7 +221,7 @@
 def _state(row: Row) -> str:
     if row.twin:
         return "conflict"
-    if row.state == State.ALIVE and row.phase == Phase.DRAINING:
+    if row.state == MemberState.ALIVE and row.phase == Phase.DRAINING:
         return "draining"
     return row.state.name.lower()
 
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -23,7 +23,7 @@
 from valverouter.fleet.datagrams import FleetTask, facts_of
 from valverouter.fleet.tool import Asker
 from valverouter.membership.events import MembershipEvent
-from valverouter.membership.records import LIVING
+from valverouter.membership.records import LIVE_STATES
 from valverouter.servermodel.paths import Paths
 from valverouter.signalling.tap import Found, Ran, Settles, Viewed
 from valverouter.standins.paths import PathStandIn
@@ -106,7 +106,7 @@
             life=f"{one.life:016x}",
             digest=f"{one.digest:016x}",
             trust=one.trust,
-            members={row.name: f"{row.life:016x}" for row in one.rows if row.state in LIVING},
+            members={row.name: f"{row.life:016x}" for row in one.rows if row.state in LIVE_STATES},
         )
 
     def _chance(self, what: str) -> Callable[[], float]:
@@ -218,7 +218,7 @@
     def began(self, name: str) -> None:
         core = self._tasks[name].core
         assert core is not None
-        self.began_at(name, f"{core.own_record.life:016x}", core.own_record.address)
+        self.began_at(name, f"{core.own_record.incarnation:016x}", core.own_record.address)
 
     def _hears(self, name: str, event: MembershipEvent) -> None:
-        self.found(name, event.kind.value, event.record.name, f"{event.record.life:016x}")
+        self.found(name, event.kind.value, event.record.name, f"{event.record.incarnation:016x}")
--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -16,7 +16,7 @@
 from valverouter.membership.events import MembershipEvent
 from valverouter.membership.membership import Membership
 from valverouter.membership.messages import Message
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
 from valverouter.membership.view import MembershipView
 from valverouter.servermodel.paths import Paths
 
@@ -81,14 +81,14 @@
         address: str = "",
         region: str = "",
         wall_ms: int | None = None,
-        knows: list[Record] | None = None,
+        knows: list[MemberRecord] | None = None,
     ) -> Node:
         """A new process of an instance, by default at its name's address. `knows`: a view it begins with, for
         fleets whose beginning is not what is looked at."""
         self._starts += 1
         address = address or f"{name}:1"
         number = WALL + self.now // 10**6 if wall_ms is None else wall_ms
-        mine = Record(name, region, 0, address, number, self.chance.getrandbits(64))
+        mine = MemberRecord(name, region, 0, address, number, self.chance.getrandbits(64))
         draws = random.Random(f"{self.chance.random()}/{self._starts}")
         core = self._make(mine, self._rules, draws.random, self.now, seeds)
         for record in knows or ():
@@ -199,7 +199,7 @@
         one = live[0].core.view
         if one.live_count != len(live) or any(node.core.view.digest != one.digest for node in live):
             return False
-        return all(one.records[node.name].life == node.core.own_record.life for node in live)
+        return all(one.records[node.name].incarnation == node.core.own_record.incarnation for node in live)
 
     def settles(self, until: int, step: int = SECOND // 4) -> int | None:
         """Runs until settled; when that was, or None."""
--- a/valverouter/fleet/asking.py
+++ b/valverouter/fleet/asking.py
@@ -12,28 +12,28 @@
 from msgspec import Struct
 
 from valverouter.membership.membership import Membership
-from valverouter.membership.messages import Said
-from valverouter.membership.records import LIVING, State
+from valverouter.membership.messages import FleetMessage
+from valverouter.membership.records import LIVE_STATES, MemberState
 from valverouter.rollout.keeping import Counts
 
 # Rows in one answer: each a name, a region, an address and numbers, all bounded by the terms.
 ROWS_ROOM = 1_000
 
 
-class Query(Said, frozen=True, array_like=True, tag="?"):
+class Query(FleetMessage, frozen=True, array_like=True, tag="?"):
     """Show me page `page` of your view. Its `name` is empty."""
 
     nonce: int = 0
     page: int = 0
 
 
-class Count(Said, frozen=True, array_like=True, tag="c"):
+class Count(FleetMessage, frozen=True, array_like=True, tag="c"):
     """What have you done since your start? Asked by an instance's keeper."""
 
     nonce: int = 0
 
 
-class Counted(Said, frozen=True, array_like=True, tag="C"):
+class Counted(FleetMessage, frozen=True, array_like=True, tag="C"):
     nonce: int = 0
     counts: Counts = Counts()
 
@@ -47,7 +47,7 @@
     address: str
     number: int
     life: int
-    state: State
+    state: MemberState
     since_ms: int
     version: str
     terms: str
@@ -59,7 +59,7 @@
         return 64 + sum(len(t.encode()) for t in (self.name, self.region, self.address, self.version))
 
 
-class Shown(Said, frozen=True, array_like=True, tag="!"):
+class Shown(FleetMessage, frozen=True, array_like=True, tag="!"):
     """One page of a view. `counts`: what was found and dropped since the start, by word."""
 
     nonce: int = 0
@@ -78,20 +78,20 @@
             region=one.region,
             place=one.place,
             address=one.address,
-            number=one.number,
-            life=one.life,
+            number=one.generation,
+            life=one.incarnation,
             state=one.state,
             since_ms=(now - core.view.state_since[name]) // 1_000_000,
             version=one.version,
-            terms=one.terms,
+            terms=one.config_digest,
             phase=int(one.phase),
-            twin=one.twin,
+            twin=one.name_conflict,
         )
         for name, one in sorted(core.view.records.items())
     ]
     known = {row.address for row in rows}
     rows += [
-        Row("", "", 0, seed, 0, 0, State.UNKNOWN, 0, "", "", 0, False)
+        Row("", "", 0, seed, 0, 0, MemberState.UNKNOWN, 0, "", "", 0, False)
         for seed in core.seeds
         if seed not in known
     ]
@@ -124,10 +124,15 @@
     wanted: int = 1
 
     def take(self, shown: Shown) -> None:
-        if (shown.life, shown.digest) != (self.life, self.digest):
+        if (shown.incarnation, shown.digest) != (self.life, self.digest):
             # It changed its mind between two pages: pages of two views make none.
             self.pages.clear()
-        self.name, self.life, self.digest, self.trust = shown.name, shown.life, shown.digest, shown.trust
+        self.name, self.life, self.digest, self.trust = (
+            shown.name,
+            shown.incarnation,
+            shown.digest,
+            shown.trust,
+        )
         self.wanted = shown.pages
         self.counts = shown.counts or self.counts
         self.pages[shown.page] = shown.rows
@@ -166,4 +171,4 @@
         return False
     if any(one.trust != "settled" for one in whole):
         return False
-    return all(row.state in LIVING for row in whole[0].rows if row.name in {one.name for one in whole})
+    return all(row.state in LIVE_STATES for row in whole[0].rows if row.name in {one.name for one in whole})
--- a/valverouter/fleet/datagrams.py
+++ b/valverouter/fleet/datagrams.py
@@ -25,7 +25,7 @@
 from valverouter.membership.convergence import ViewHealth
 from valverouter.membership.events import MembershipEvent
 from valverouter.membership.membership import Membership
-from valverouter.membership.records import Phase, Record
+from valverouter.membership.records import MemberRecord, Phase
 from valverouter.rollout.keeping import Counts
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
@@ -116,21 +116,21 @@
         socket = self._surroundings.datagrams(between.listen)
         try:
             phase, digest = self._facts()
-            mine = Record(
+            mine = MemberRecord(
                 name=terms.name,
                 region=terms.region,
                 place=terms.place,
                 address=between.advertise or socket.address,
-                number=self._surroundings.wall() // 1_000_000,
-                life=self._life,
+                generation=self._surroundings.wall() // 1_000_000,
+                incarnation=self._life,
                 version=self._version,
-                terms=digest,
+                config_digest=digest,
                 phase=phase,
             )
             rules = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
             self.core = Membership(mine, rules, self._draw, self._now(), between.seeds)
             self._log.info(
-                "between", address=socket.address, advertised=mine.address, life=f"{mine.life:016x}"
+                "between", address=socket.address, advertised=mine.address, life=f"{mine.incarnation:016x}"
             )
             task_status.started(self)
             await self._serve(socket, self.core)
@@ -175,7 +175,7 @@
             self._show(socket, core, message, source)
         elif isinstance(message, Count):
             told = msgspec.structs.replace(self._tell_counts(), life=self._life, trust=core.view_health.value)
-            head = core.own_record.name, core.own_record.life, core.view.digest
+            head = core.own_record.name, core.own_record.incarnation, core.view.digest
             self._put(socket, source, Counted(*head, message.nonce, told))
         elif not isinstance(message, Shown | Counted):
             self.counts["heard"] += 1
@@ -198,7 +198,7 @@
             counts = {f"dropped-{why}": n for why, n in self._opener.dropped.items()} | dict(self.counts)
             shown = Shown(
                 core.own_record.name,
-                core.own_record.life,
+                core.own_record.incarnation,
                 core.view.digest,
                 query.nonce,
                 query.page,
@@ -234,10 +234,10 @@
         about = event.record
         level = LEVELS.get(kind, "info")
         getattr(self._log, level)(
-            f"member-{kind}" if about.life != core.own_record.life else f"view-{kind}",
+            f"member-{kind}" if about.incarnation != core.own_record.incarnation else f"view-{kind}",
             member=about.name,
-            life=f"{about.life:016x}",
-            number=about.number,
+            life=f"{about.incarnation:016x}",
+            number=about.generation,
             address=about.address,
             by=event.source,
             digest=f"{core.view.digest:016x}",
--- a/valverouter/fleet/parcels.py
+++ b/valverouter/fleet/parcels.py
@@ -24,7 +24,7 @@
     """Piece `at` of `of` of the parcel `id`, from one life."""
 
     name: str
-    life: int
+    incarnation: int
     id: int
     at: int
     of: int
@@ -66,7 +66,7 @@
             return None
         if piece.of == 1:
             return piece.body
-        key = piece.life, piece.id
+        key = piece.incarnation, piece.id
         held = self._held.pop(key, {})
         held[piece.at] = piece.body
         if len(held) < piece.of:
--- a/valverouter/fleet/sealing.py
+++ b/valverouter/fleet/sealing.py
@@ -22,8 +22,18 @@
 
 from valverouter.fleet.asking import Count, Counted, Query, Shown
 from valverouter.fleet.parcels import Piece
-from valverouter.membership.messages import Ack, Ask, Gossip, Message, Nack, Pages, Ping, Sync
-from valverouter.membership.records import State
+from valverouter.membership.messages import (
+    Ack,
+    Gossip,
+    Message,
+    Nack,
+    Ping,
+    PingReq,
+    SyncDigests,
+    SyncRecords,
+    updates_of,
+)
+from valverouter.membership.records import MemberState
 
 VERSION = 1
 MOST = 1_400
@@ -35,7 +45,7 @@
 # Words of versions that are not understood are told once each, and so many at most.
 VERSIONS_TOLD = 16
 
-Carried = Ping | Ack | Ask | Nack | Gossip | Sync | Pages | Query | Shown | Count | Counted
+Carried = Ping | Ack | PingReq | Nack | Gossip | SyncDigests | SyncRecords | Query | Shown | Count | Counted
 
 
 class Envelope(Struct, frozen=True, array_like=True):
@@ -148,7 +158,7 @@
         if not _is_sound(message):
             self.dropped["rubbish"] += 1
             return None
-        if not self._window.is_new(message.life, envelope.counter):
+        if not self._window.is_new(message.incarnation, envelope.counter):
             self.dropped["replay"] += 1
             return None
         return message
@@ -158,8 +168,8 @@
     if len(message.name) > NAME_MOST:
         return False
     return all(
-        0 < len(record.name) <= NAME_MOST and record.address and record.state != State.UNKNOWN
-        for record in getattr(message, "news", ())
+        0 < len(record.name) <= NAME_MOST and record.address and record.state != MemberState.UNKNOWN
+        for record in updates_of(message)
     )
 
 
--- a/valverouter/membership/anti_entropy.py
+++ b/valverouter/membership/anti_entropy.py
@@ -8,10 +8,10 @@
 from collections.abc import Iterator
 
 from valverouter.membership.local_node import LocalNode
-from valverouter.membership.messages import Pages, Sync
+from valverouter.membership.messages import SyncDigests, SyncRecords
 from valverouter.membership.name_conflicts import NameConflictResolver
 from valverouter.membership.rate_limiter import AddressRateLimiter
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
 from valverouter.membership.view import BUCKET_COUNT, MembershipView
 
 # How many seeds a member without peers asks in each period.
@@ -31,8 +31,8 @@
 
 
 def record_pages(
-    view: MembershipView, own_record: Record, buckets: set[int], max_bytes: int
-) -> Iterator[tuple[Record, ...]]:
+    view: MembershipView, own_record: MemberRecord, buckets: set[int], max_bytes: int
+) -> Iterator[tuple[MemberRecord, ...]]:
     """The records of the buckets in pages of at most `max_bytes`; the own record comes first in any case."""
     page, free_bytes = [own_record], max_bytes - own_record.size
     for record in view.records_in_buckets(buckets):
@@ -47,7 +47,7 @@
 
 
 class AntiEntropy:
-    """One member's exchanges: joining through seeds, periodic ones, and those that a different digest causes."""
+    """One member's exchanges: to join through seeds, periodically, and when digests differ."""
 
     def __init__(
         self,
@@ -104,7 +104,7 @@
     def sync(self, address: str) -> None:
         """Begins an exchange with the member at the address."""
         node = self._node
-        node.send(address, Sync(*node.header(), tuple(node.view.bucket_digests), (node.own_record,)))
+        node.send(address, SyncDigests(*node.header(), tuple(node.view.bucket_digests), (node.own_record,)))
 
     def on_different_digest(self, address: str) -> None:
         """Begins an exchange with a member that has another digest, at most once a period.
@@ -116,26 +116,27 @@
             self._last_digest_sync = node.now
             self.sync(address)
 
-    def on_sync(self, address: str, request: Sync) -> None:
+    def on_sync(self, address: str, request: SyncDigests) -> None:
         """Answers with the records of the buckets that differ, and asks for the sender's."""
         node = self._node
-        if len(request.buckets) != BUCKET_COUNT:
+        if len(request.bucket_digests) != BUCKET_COUNT:
             return
-        differing = differing_buckets(node.view.bucket_digests, request.buckets)
+        differing = differing_buckets(node.view.bucket_digests, request.bucket_digests)
         if differing:
             self._send_records(address, set(differing), tuple(differing))
         else:
-            # The views are equal: without an answer a member that has just joined would not know it was heard.
-            node.send(address, Pages(*node.header(), (), (node.own_record,)))
+            # The views are equal: without an answer a member that has just joined would not know it was
+            # heard.
+            node.send(address, SyncRecords(*node.header(), (), (node.own_record,)))
 
-    def on_records(self, address: str, message: Pages) -> None:
+    def on_records(self, address: str, message: SyncRecords) -> None:
         """Sends the records that the other side asks for in turn."""
-        if message.wants:
-            self._send_records(address, valid_buckets(message.wants), ())
+        if message.wanted_buckets:
+            self._send_records(address, valid_buckets(message.wanted_buckets), ())
 
     def _send_records(self, address: str, buckets: set[int], wanted: tuple[int, ...]) -> None:
         """Sends the buckets' records page by page; the first page asks for the `wanted` buckets."""
         node = self._node
         for page in record_pages(node.view, node.own_record, buckets, node.config.max_update_bytes):
-            node.send(address, Pages(*node.header(), wanted, page))
+            node.send(address, SyncRecords(*node.header(), wanted, page))
             wanted = ()
--- a/valverouter/membership/convergence.py
+++ b/valverouter/membership/convergence.py
@@ -1,9 +1,9 @@
 """How far a member trusts its own view: settled, unsettled or cut off.
 
-The fleet has converged when all live members that reach each other have the same digest. A single member can't
-see that. It takes its view for settled when the digests last received from members drawn at random are all its
-own and it suspects nobody. It takes itself for cut off when it holds less than half of those it knew for live,
-or when nobody has answered for a while.
+The fleet has converged when all live members that reach each other have the same digest. A single member
+can't see that. It takes its view for settled when the digests last received from members drawn at random are
+all its own and it suspects nobody. It takes itself for cut off when it holds less than half of those it knew
+for live, or when nobody has answered for a while.
 """
 
 from __future__ import annotations
@@ -70,8 +70,8 @@
     ) -> ViewHealth:
         """The health of the view.
 
-        `unanswered_probes`: in a row, by nobody. `expects_peers`: seeds are configured, so being alone is not a
-        fleet of one.
+        `unanswered_probes`: in a row, by nobody. `expects_peers`: seeds are configured, so being alone is not
+        a fleet of one.
         """
         if _is_cut_off(view, unanswered_probes):
             return ViewHealth.CUT_OFF
--- a/valverouter/membership/dissemination.py
+++ b/valverouter/membership/dissemination.py
@@ -5,7 +5,7 @@
 from valverouter.membership.gossip import BroadcastQueue
 from valverouter.membership.local_node import LocalNode
 from valverouter.membership.messages import Gossip
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
 
 
 class Dissemination:
@@ -16,21 +16,21 @@
         self._queue = BroadcastQueue(node.config.max_update_bytes)
         self._is_gossip_scheduled = False
 
-    def publish(self, own_record: Record) -> None:
+    def publish(self, own_record: MemberRecord) -> None:
         """Replaces the own record, here and at the others."""
         node = self._node
         node.own_record = own_record
         node.view.put(own_record, node.now)
         self.broadcast(own_record)
 
-    def broadcast(self, record: Record) -> None:
+    def broadcast(self, record: MemberRecord) -> None:
         """Queues an update for all members, and starts the gossip rounds where none are running."""
         self._queue.put(record)
         if not self._is_gossip_scheduled:
             self._is_gossip_scheduled = True
             self._schedule_gossip()
 
-    def take_updates(self, first: Record | None = None) -> tuple[Record, ...]:
+    def take_updates(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         """Updates to piggyback on one message; `first` goes in any case."""
         node = self._node
         return self._queue.take(node.config.retransmit_limit(node.view.live_count), first)
--- a/valverouter/membership/events.py
+++ b/valverouter/membership/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
 
 
 class EventKind(StrEnum):
@@ -42,5 +42,5 @@
 
     time: int
     kind: EventKind
-    record: Record
+    record: MemberRecord
     source: str = ""
--- a/valverouter/membership/failure_detector.py
+++ b/valverouter/membership/failure_detector.py
@@ -7,9 +7,9 @@
 from valverouter.membership.dissemination import Dissemination
 from valverouter.membership.local_health import LocalHealth
 from valverouter.membership.local_node import LocalNode
-from valverouter.membership.messages import Ack, Ask, Gossip, Nack, Ping
+from valverouter.membership.messages import Ack, Gossip, Nack, Ping, PingReq
 from valverouter.membership.probes import Probe, ProbeRotation, ProbeTable
-from valverouter.membership.records import Record, State
+from valverouter.membership.records import MemberRecord, MemberState
 
 
 class FailureDetector:
@@ -19,7 +19,7 @@
     """
 
     def __init__(
-        self, node: LocalNode, dissemination: Dissemination, on_failed: Callable[[Record, bool], None]
+        self, node: LocalNode, dissemination: Dissemination, on_failed: Callable[[MemberRecord, bool], None]
     ) -> None:
         self.probes = ProbeTable(node.draw)
         self.local_health = LocalHealth(node.config)
@@ -52,15 +52,17 @@
         if name is not None:
             self.probe(node.view.records[name])
 
-    def probe(self, record: Record, is_final: bool = False) -> None:
+    def probe(self, record: MemberRecord, is_final: bool = False) -> None:
         """Probes a member; without an answer within one period (times the local health) it has failed."""
         node, config = self._node, self._node.config
         timeout = config.probe_period * self.local_health.timeout_multiplier
         deadline = node.now + timeout
-        probe = Probe(record.name, record.life, record.seq, record.address, deadline, is_final=is_final)
+        probe = Probe(
+            record.name, record.incarnation, record.sequence, record.address, deadline, is_final=is_final
+        )
         nonce = self.probes.add(probe)
         updates = self._dissemination.take_updates(_accusation(record))
-        node.send(record.address, Ping(*node.header(), nonce, record.life, updates))
+        node.send(record.address, Ping(*node.header(), nonce, record.incarnation, updates))
         indirect_at = node.now + int(config.indirect_probe_after * timeout)
         node.timers.schedule(indirect_at, self._probe_indirectly, nonce)
         node.timers.schedule(deadline, self._conclude, nonce)
@@ -77,7 +79,7 @@
         take_updates = self._dissemination.take_updates
         node.send(probe.address, Ping(*header, nonce, probe.incarnation, take_updates(accusation)))
         for name in node.random_peers(node.config.indirect_probe_count, excluding=probe.target):
-            request = Ask(
+            request = PingReq(
                 *header, nonce, probe.target, probe.incarnation, probe.address, take_updates(accusation)
             )
             node.send(node.view.records[name].address, request)
@@ -89,11 +91,11 @@
             return
         record = self._node.view.records.get(probe.target)
         self.local_health.on_probe_failed(probe.helper_answered)
-        if record is None or (record.life, record.seq) != (probe.incarnation, probe.sequence):
-            # It has said something since the probe began. Counted as a failure all the same, a refuted suspicion
-            # became a death when a member that stalls now and then stalled again.
+        if record is None or (record.incarnation, record.sequence) != (probe.incarnation, probe.sequence):
+            # It has said something since the probe began. Counted as a failure all the same, a refuted
+            # suspicion became a death when a member that stalls now and then stalled again.
             return
-        if record.lives:
+        if record.is_live:
             self._on_failed(record, probe.is_final)
 
     # Answers
@@ -106,44 +108,46 @@
 
     # Probes on others' behalf
 
-    def on_ping_req(self, address: str, request: Ask) -> None:
-        """Probes the requested member on behalf of `address`; a nack follows where it does not answer soon."""
+    def on_ping_req(self, address: str, request: PingReq) -> None:
+        """Probes a member on behalf of the one at `address`, who gets a nack if no answer comes soon."""
         node, config = self._node, self._node.config
         probe = Probe(
-            request.of,
-            request.of_life,
+            request.target,
+            request.target_incarnation,
             0,
-            request.address,
+            request.target_address,
             node.now + config.probe_period,
             requester=(address, request.nonce),
         )
         nonce = self.probes.add(probe)
-        accusation = tuple(record for record in request.news if record.name == request.of)
+        accusation = tuple(record for record in request.updates if record.name == request.target)
         self._correct_stale_accusation(address, request, accusation)
         updates = accusation or self._dissemination.take_updates()
-        node.send(request.address, Ping(*node.header(), nonce, request.of_life, updates))
+        node.send(request.target_address, Ping(*node.header(), nonce, request.target_incarnation, updates))
         nack_at = node.now + int(config.indirect_probe_after * config.probe_period)
         node.timers.schedule(nack_at, self._send_nack, nonce)
         node.timers.schedule(probe.deadline, self.probes.discard, nonce)
 
-    def _correct_stale_accusation(self, address: str, request: Ask, accusation: tuple[Record, ...]) -> None:
+    def _correct_stale_accusation(
+        self, address: str, request: PingReq, accusation: tuple[MemberRecord, ...]
+    ) -> None:
         """The requester may have missed a refutation.
 
         Otherwise a member that stalls just then would be declared gone on a suspicion that all others know to
         be refuted.
         """
         node = self._node
-        record = node.view.records.get(request.of)
-        if not accusation or record is None or record.life != request.of_life:
+        record = node.view.records.get(request.target)
+        if not accusation or record is None or record.incarnation != request.target_incarnation:
             return
-        if record.seq > accusation[0].seq:
+        if record.sequence > accusation[0].sequence:
             node.send(address, Gossip(*node.header(), (record,)))
 
     def relay_ack(self, probe: Probe, ack: Ack) -> None:
         """Passes the answer to a probe on to its requester."""
         if probe.requester is not None:
             address, nonce = probe.requester
-            relayed = Ack(*self._node.header(), nonce, ack.of, ack.of_life, ack.news)
+            relayed = Ack(*self._node.header(), nonce, ack.member, ack.member_incarnation, ack.updates)
             self._node.send(address, relayed)
 
     def _send_nack(self, nonce: int) -> None:
@@ -153,6 +157,6 @@
             self._node.send(address, Nack(*self._node.header(), requester_nonce))
 
 
-def _accusation(record: Record) -> Record | None:
+def _accusation(record: MemberRecord) -> MemberRecord | None:
     """The record where it accuses its member, who must receive it to refute it."""
-    return record if record.state != State.ALIVE else None
+    return record if record.state != MemberState.ALIVE else None
--- a/valverouter/membership/gossip.py
+++ b/valverouter/membership/gossip.py
@@ -4,13 +4,13 @@
 
 from typing import NamedTuple
 
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
 
 
 class QueuedUpdate(NamedTuple):
     """An update, how often it was transmitted from here, and its size in bytes."""
 
-    record: Record
+    record: MemberRecord
     transmits: int
     size: int
 
@@ -29,12 +29,12 @@
     def __len__(self) -> int:
         return len(self._updates)
 
-    def put(self, record: Record) -> None:
+    def put(self, record: MemberRecord) -> None:
         """Queues an update, at the end of those transmitted as often."""
         self._updates.pop(record.name, None)
         self._updates[record.name] = QueuedUpdate(record, 0, record.size)
 
-    def take(self, transmit_limit: int, first: Record | None = None) -> tuple[Record, ...]:
+    def take(self, transmit_limit: int, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         """Records for one message, the least transmitted ones first, and counts them as transmitted.
 
         `first` goes in any case and comes first, queued or not.
--- a/valverouter/membership/local_node.py
+++ b/valverouter/membership/local_node.py
@@ -7,7 +7,7 @@
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.messages import Message
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
 from valverouter.membership.timers import TimerQueue
 from valverouter.membership.view import MembershipView
 
@@ -15,12 +15,12 @@
 class LocalNode:
     """One member's shared state.
 
-    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner empties
-    the outbox and the events by `take_outbox` and `take_events`.
+    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner
+    empties the outbox and the events by `take_outbox` and `take_events`.
     """
 
     def __init__(
-        self, own_record: Record, config: MembershipConfig, draw: Callable[[], float], now: int
+        self, own_record: MemberRecord, config: MembershipConfig, draw: Callable[[], float], now: int
     ) -> None:
         self.own_record = own_record
         self.config = config
@@ -34,13 +34,13 @@
 
     def header(self) -> tuple[str, int, int]:
         """The first three fields of every message: own name, own incarnation, digest of the view."""
-        return self.own_record.name, self.own_record.life, self.view.digest
+        return self.own_record.name, self.own_record.incarnation, self.view.digest
 
     def send(self, address: str, message: Message) -> None:
         """Queues a message."""
         self.outbox.append((address, message))
 
-    def emit(self, kind: EventKind, record: Record, source: str = "") -> None:
+    def emit(self, kind: EventKind, record: MemberRecord, source: str = "") -> None:
         """Queues an event at the current time."""
         self.events.append(MembershipEvent(self.now, kind, record, source))
 
@@ -59,7 +59,7 @@
         return self.view.live_names(self.own_record.name)
 
     def random_peers(self, count: int, excluding: str = "") -> list[str]:
-        """Names of up to `count` different live members, drawn at random, without this one and `excluding`."""
+        """Up to `count` different live members drawn at random, without this one and `excluding`."""
         names = self.live_peers()
         if excluding in names:
             names.remove(excluding)
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -8,7 +8,13 @@
 from valverouter.membership.local_node import LocalNode
 from valverouter.membership.messages import Gossip
 from valverouter.membership.rate_limiter import AddressRateLimiter
-from valverouter.membership.records import Record, State, are_unrelated, as_reported, self_reported_facts
+from valverouter.membership.records import (
+    MemberRecord,
+    MemberState,
+    are_unrelated,
+    as_reported,
+    self_reported_facts,
+)
 from valverouter.membership.suspicion import SuspicionTable
 
 
@@ -32,54 +38,54 @@
         self._detector = detector
         self._rate_limiter = rate_limiter
 
-    def apply(self, update: Record) -> None:
+    def apply(self, update: MemberRecord) -> None:
         """Takes in a received record of another member."""
         node = self._node
         current = node.view.records.get(update.name)
         if current is not None and _is_accusation_of(update, current):
-            self._on_accusation(current, update.by)
+            self._on_accusation(current, update.accuser)
         elif node.view.accepts(update):
-            self._accept(update, update.by)
-        elif current is not None and update.lives and are_unrelated(update, current):
+            self._accept(update, update.accuser)
+        elif current is not None and update.is_live and are_unrelated(update, current):
             self._tell_of_other_incarnation(update.address, current)
 
-    def _tell_of_other_incarnation(self, address: str, current: Record) -> None:
-        """Two incarnations, neither of which knows the other: the one at `address` is told of the one held here.
+    def _tell_of_other_incarnation(self, address: str, current: MemberRecord) -> None:
+        """Tells the incarnation at `address` of the one held here; neither has named the other.
 
-        If it runs, it names the other and so supersedes it at all members. If it does not run, whoever has its
-        address now learns nothing from it.
+        If it runs, it names the other and so supersedes it at all members. If it does not run, whoever has
+        its address now learns nothing from it.
         """
         if self._rate_limiter.allow(address, self._node.now):
             self._node.send(address, Gossip(*self._node.header(), (current,)))
 
     # Suspicion
 
-    def _on_accusation(self, current: Record, accuser: str) -> None:
-        """Another member accuses the one in `current`; some of those who hear it first probe it themselves."""
+    def _on_accusation(self, current: MemberRecord, accuser: str) -> None:
+        """Another member accuses this one; some of those who hear it first probe it themselves."""
         node = self._node
-        if not current.lives or accuser == node.own_record.name:
+        if not current.is_live or accuser == node.own_record.name:
             return
         self._suspect(current, accuser)
-        was_alive = current.state == State.ALIVE
+        was_alive = current.state == MemberState.ALIVE
         if was_alive and node.draw() * node.view.live_count < node.config.expected_confirmers:
             self._detector.probe(node.view.records[current.name])
 
-    def on_probe_failed(self, record: Record, is_final: bool) -> None:
+    def on_probe_failed(self, record: MemberRecord, is_final: bool) -> None:
         """An own probe of a live member failed."""
-        if is_final and record.state == State.SUSPECT:
+        if is_final and record.state == MemberState.SUSPECT:
             self._declare_gone(record)
         else:
             self._suspect(record, self._node.own_record.name)
 
-    def _suspect(self, current: Record, accuser: str) -> None:
+    def _suspect(self, current: MemberRecord, accuser: str) -> None:
         """Counts an accusation, by an own failed probe or as reported."""
         node = self._node
         if not node.config.suspicion_enabled:
             self._declare_gone(current)
             return
         name = current.name
-        suspect = as_reported(current, State.SUSPECT, accuser)
-        if current.state == State.ALIVE:
+        suspect = as_reported(current, MemberState.SUSPECT, accuser)
+        if current.state == MemberState.ALIVE:
             node.view.put(suspect, node.now)
             node.emit(EventKind.SUSPECT, suspect, accuser)
             self.suspicions.clear(name)
@@ -87,15 +93,15 @@
         deadline = self.suspicions.accuse(name, accuser, node.now, node.view.live_count, multiplier)
         if deadline is not None:
             self._dissemination.broadcast(suspect)
-            node.timers.schedule(deadline, self._on_deadline, name, current.life, current.seq)
+            node.timers.schedule(deadline, self._on_deadline, name, current.incarnation, current.sequence)
 
     def _on_deadline(self, name: str, incarnation: int, sequence: int) -> None:
         """The suspect's time is up; it gets a final probe before this member declares it gone."""
         node = self._node
         current = node.view.records.get(name)
-        if current is None or current.state != State.SUSPECT:
+        if current is None or current.state != MemberState.SUSPECT:
             return
-        if (current.life, current.seq) != (incarnation, sequence):
+        if (current.incarnation, current.sequence) != (incarnation, sequence):
             return
         if not self.suspicions.is_expired(name, node.now):
             deadline = self.suspicions.deadline(name)
@@ -105,36 +111,36 @@
         self.suspicions.begin_final_probe(name, node.now, multiplier)
         self._detector.probe(current, is_final=True)
 
-    def _declare_gone(self, current: Record) -> None:
-        self._accept(as_reported(current, State.GONE, self._node.own_record.name), "")
+    def _declare_gone(self, current: MemberRecord) -> None:
+        self._accept(as_reported(current, MemberState.GONE, self._node.own_record.name), "")
 
     # State changes
 
-    def _accept(self, update: Record, source: str) -> None:
+    def _accept(self, update: MemberRecord, source: str) -> None:
         """Puts a later record into the view, reports the change and passes it on."""
         node = self._node
         previous = node.view.records.get(update.name)
         node.view.put(update, node.now)
         self.suspicions.clear(update.name)
         self._dissemination.broadcast(update)
-        if update.state == State.SUSPECT:
+        if update.state == MemberState.SUSPECT:
             self._accept_suspect(previous, update, source)
             return
         self._report_transition(previous, update, source)
-        if not update.lives:
+        if not update.is_live:
             forget_at = node.now + node.config.gone_retention
-            node.timers.schedule(forget_at, self._forget, update.name, update.life, update.seq)
-        elif previous is None or not previous.lives:
+            node.timers.schedule(forget_at, self._forget, update.name, update.incarnation, update.sequence)
+        elif previous is None or not previous.is_live:
             self._detector.add_member(update.name)
 
-    def _accept_suspect(self, previous: Record | None, update: Record, source: str) -> None:
+    def _accept_suspect(self, previous: MemberRecord | None, update: MemberRecord, source: str) -> None:
         """A later record that is suspect already: its time to refute runs from now."""
-        alive = as_reported(update, State.ALIVE, "")
+        alive = as_reported(update, MemberState.ALIVE, "")
         self._node.view.put(alive, self._node.now)
         self._report_transition(previous, alive, source)
         self._suspect(alive, source)
 
-    def _report_transition(self, previous: Record | None, update: Record, source: str) -> None:
+    def _report_transition(self, previous: MemberRecord | None, update: MemberRecord, source: str) -> None:
         kind = _transition_kind(previous, update)
         if kind is not None:
             self._node.emit(kind, update, source)
@@ -143,30 +149,30 @@
         """Removes a member that has been gone or left for long enough."""
         view = self._node.view
         current = view.records.get(name)
-        if current is None or current.lives:
+        if current is None or current.is_live:
             return
-        if (current.life, current.seq) == (incarnation, sequence):
+        if (current.incarnation, current.sequence) == (incarnation, sequence):
             view.forget(name)
             self._node.emit(EventKind.FORGOTTEN, current)
 
 
-def _is_accusation_of(update: Record, current: Record) -> bool:
+def _is_accusation_of(update: MemberRecord, current: MemberRecord) -> bool:
     """Whether the update accuses exactly the record that is held."""
-    is_same = (update.life, update.seq) == (current.life, current.seq)
-    return is_same and update.state == State.SUSPECT
+    is_same = (update.incarnation, update.sequence) == (current.incarnation, current.sequence)
+    return is_same and update.state == MemberState.SUSPECT
 
 
-def _transition_kind(previous: Record | None, update: Record) -> EventKind | None:
+def _transition_kind(previous: MemberRecord | None, update: MemberRecord) -> EventKind | None:
     """What a record that replaces the previous one means; None: nothing worth reporting."""
-    if update.state == State.GONE:
+    if update.state == MemberState.GONE:
         return EventKind.GONE
-    if update.state == State.LEFT:
+    if update.state == MemberState.LEFT:
         return EventKind.LEFT
     if previous is None:
         return EventKind.JOINED
-    if previous.life != update.life:
+    if previous.incarnation != update.incarnation:
         return EventKind.RESTARTED
-    if previous.state != State.ALIVE:
+    if previous.state != MemberState.ALIVE:
         return EventKind.REFUTED
     if self_reported_facts(previous) != self_reported_facts(update):
         return EventKind.CHANGED
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -21,10 +21,20 @@
 from valverouter.membership.failure_detector import FailureDetector
 from valverouter.membership.local_node import LocalNode
 from valverouter.membership.member_updates import MemberUpdates
-from valverouter.membership.messages import Ack, Ask, Gossip, Message, Nack, Pages, Ping, Sync, updates_of
+from valverouter.membership.messages import (
+    Ack,
+    Gossip,
+    Message,
+    Nack,
+    Ping,
+    PingReq,
+    SyncDigests,
+    SyncRecords,
+    updates_of,
+)
 from valverouter.membership.name_conflicts import NameConflict, NameConflictResolver
 from valverouter.membership.rate_limiter import AddressRateLimiter
-from valverouter.membership.records import Phase, Record, State, next_own_record
+from valverouter.membership.records import MemberRecord, MemberState, Phase, next_own_record
 from valverouter.membership.view import MembershipView
 
 HEALTH_EVENTS = {
@@ -43,7 +53,7 @@
 
     def __init__(
         self,
-        own_record: Record,
+        own_record: MemberRecord,
         config: MembershipConfig,
         draw: Callable[[], float],
         now: int,
@@ -71,7 +81,7 @@
     # State
 
     @property
-    def own_record(self) -> Record:
+    def own_record(self) -> MemberRecord:
         """What this member says of itself."""
         return self._node.own_record
 
@@ -149,16 +159,16 @@
         self._node.now = now
         own = self.own_record
         phase = own.phase if phase is None else phase
-        config_digest = own.terms if config_digest is None else config_digest
-        if (phase, config_digest) != (own.phase, own.terms):
-            changed = msgspec.structs.replace(own, phase=phase, terms=config_digest)
+        config_digest = own.config_digest if config_digest is None else config_digest
+        if (phase, config_digest) != (own.phase, own.config_digest):
+            changed = msgspec.structs.replace(own, phase=phase, config_digest=config_digest)
             self._dissemination.publish(next_own_record(changed))
 
     def leave(self, now: int) -> None:
         """Announces that this member leaves, so that nobody has to detect it."""
         node = self._node
         node.now = now
-        self._dissemination.publish(next_own_record(self.own_record, State.LEFT))
+        self._dissemination.publish(next_own_record(self.own_record, MemberState.LEFT))
         for name in node.random_peers(2 * self.config.gossip_fanout):
             node.send(node.view.records[name].address, Gossip(*node.header(), (self.own_record,)))
 
@@ -175,16 +185,16 @@
                 self._on_ping(address, message)
             case Ack():
                 self._on_ack(message)
-            case Ask():
+            case PingReq():
                 self.failure_detector.on_ping_req(address, message)
             case Nack():
                 self.failure_detector.on_nack(message)
-            case Sync():
+            case SyncDigests():
                 self._anti_entropy.on_sync(address, message)
-            case Pages():
+            case SyncRecords():
                 self._anti_entropy.on_records(address, message)
 
-    def _apply_update(self, record: Record) -> None:
+    def _apply_update(self, record: MemberRecord) -> None:
         if record.name == self.own_record.name:
             self._conflicts.on_own_name_record(record)
         else:
@@ -193,19 +203,19 @@
     def _check_sender(self, address: str, message: Message) -> None:
         """Compares what the message's header says of its sender with the view."""
         own = self.own_record
-        if message.name == own.name and message.life != own.life:
+        if message.name == own.name and message.incarnation != own.incarnation:
             self._conflicts.on_message(address, message)
             return
         current = self.view.records.get(message.name)
-        if current is None or current.life != message.life or not current.lives:
+        if current is None or current.incarnation != message.incarnation or not current.is_live:
             self._correct_sender(address, current)
             return
         self._convergence.record_digest(self._node.now, message.name, message.digest)
         if message.digest != self.view.digest:
             self._anti_entropy.on_different_digest(current.address)
 
-    def _correct_sender(self, address: str, current: Record | None) -> None:
-        """The sender is unknown or not as held here: it is told what is held, and answers with its own record."""
+    def _correct_sender(self, address: str, current: MemberRecord | None) -> None:
+        """Tells a sender that is not known here as it says what is held: it answers with its own record."""
         if not self._rate_limiter.allow(address, self._node.now):
             return
         if current is None:
@@ -214,17 +224,17 @@
             self._node.send(address, Gossip(*self._node.header(), (current,)))
 
     def _on_ping(self, address: str, ping: Ping) -> None:
-        """Answers; with the own record where the ping was meant for another process or carried an accusation."""
+        """Answers; with the own record if the ping was for another process or carried an accusation."""
         node, own = self._node, self.own_record
-        is_accused = any(record.name == own.name for record in ping.news)
-        needs_record = ping.to_life != own.life or is_accused
+        is_accused = any(record.name == own.name for record in ping.updates)
+        needs_record = ping.target_incarnation != own.incarnation or is_accused
         updates = self._dissemination.take_updates(own if needs_record else None)
-        node.send(address, Ack(*node.header(), ping.nonce, own.name, own.life, updates))
+        node.send(address, Ack(*node.header(), ping.nonce, own.name, own.incarnation, updates))
 
     def _on_ack(self, ack: Ack) -> None:
         """An answer to an own probe, to one on another member's behalf, or to one of the own name."""
         probe = self.failure_detector.probes.pop(ack.nonce)
-        if probe is None or probe.target != ack.of:
+        if probe is None or probe.target != ack.member:
             return
         if probe.target == self.own_record.name:
             self._conflicts.on_ack(probe, ack)
@@ -236,15 +246,15 @@
 
     def _on_member_answered(self, ack: Ack) -> None:
         node = self._node
-        current = self.view.records.get(ack.of)
+        current = self.view.records.get(ack.member)
         if current is None:
             return
-        if ack.of_life == current.life:
-            if current.state == State.SUSPECT:
+        if ack.member_incarnation == current.incarnation:
+            if current.state == MemberState.SUSPECT:
                 self.member_updates.suspicions.on_ack(current.name, node.now)
-        elif ack.of_life not in current.over:
+        elif ack.member_incarnation not in current.previous_incarnations:
             # Another incarnation answers at the address: told of the one held here, it supersedes it.
             node.send(current.address, Gossip(*node.header(), (current,)))
 
-    def _on_probe_failed(self, record: Record, is_final: bool) -> None:
+    def _on_probe_failed(self, record: MemberRecord, is_final: bool) -> None:
         self.member_updates.on_probe_failed(record, is_final)
--- a/valverouter/membership/model.py
+++ b/valverouter/membership/model.py
@@ -1,21 +1,22 @@
-"""An explicit-state model of one member name: its processes, one after the other or at once, and two observers.
+"""An explicit-state model of one member name: its processes, in turn or at once, and two observers.
 
-All orders of starts, ends, accusations, deliveries and forgetting are walked breadth first. The decisions are the
-program's own functions: `supersedes`, `classify_own_name_record`, `superseding_record`, `refuting_record`,
-`as_reported`. A published record may reach anybody at any later time, any number of times, or never: that covers
-loss, delay, duplication and reordering. Clocks are wrong in both directions: a new process draws a generation below
-or above all previous ones.
+All orders of starts, ends, accusations, deliveries and forgetting are walked breadth first. The decisions are
+the program's own functions: `supersedes`, `classify_own_name_record`, `superseding_record`,
+`refuting_record`, `as_reported`. A published record may reach anybody at any later time, any number of times,
+or never: that covers loss, delay, duplication and reordering. Clocks are wrong in both directions: a new
+process draws a generation below or above all previous ones.
 
 Properties, by the word that begins a violation's text:
 
-    former   an observer never goes back from a process to one that ended before it began, unless it forgot the name
+    former   an observer never goes back from a process to one that ended before it began, unless it forgot
+    the name
              in between
-    war      two processes under one name do not supersede each other without end
-    stays    from every state, once faults are over and records get through, all observers hold a process that runs,
+    war      two processes under one name do not supersede each other without end stays    from every state,
+    once faults are over and records get through, all observers hold a process that runs,
              as alive, and the same one
 
-With one rule of the protocol omitted, the walk must end in `PropertyViolationError`: that shows that the rule is
-needed, and that the walk would notice its absence.
+With one rule of the protocol omitted, the walk must end in `PropertyViolationError`: that shows that the rule
+is needed, and that the walk would notice its absence.
 """
 
 from __future__ import annotations
@@ -30,9 +31,9 @@
 
 from valverouter.membership.name_conflicts import ConflictAction, classify_own_name_record
 from valverouter.membership.records import (
-    LIVING,
-    Record,
-    State,
+    LIVE_STATES,
+    MemberRecord,
+    MemberState,
     as_reported,
     refuting_record,
     supersedes,
@@ -81,7 +82,7 @@
 class ModelProcess:
     """A process of the name. `conflicting`: the incarnation that it has proven to run beside it; 0: none."""
 
-    own_record: Record
+    own_record: MemberRecord
     is_running: bool = True
     conflicting: int = 0
 
@@ -91,14 +92,14 @@
     """A state of the model.
 
     `held`: the record of each observer. `seen`: the incarnations that each observer has held since it last
-    forgot the name. `published`: all records ever published. `concurrent`: pairs of incarnations that ran at the
-    same time, so that neither is a previous one of the other.
+    forgot the name. `published`: all records ever published. `concurrent`: pairs of incarnations that ran at
+    the same time, so that neither is a previous one of the other.
     """
 
     processes: tuple[ModelProcess, ...] = ()
-    held: tuple[Record | None, ...] = (None,) * OBSERVER_COUNT
+    held: tuple[MemberRecord | None, ...] = (None,) * OBSERVER_COUNT
     seen: tuple[frozenset[int], ...] = (frozenset(),) * OBSERVER_COUNT
-    published: frozenset[Record] = frozenset()
+    published: frozenset[MemberRecord] = frozenset()
     accusations: int = 0
     concurrent: frozenset[tuple[int, int]] = frozenset()
 
@@ -106,13 +107,13 @@
         """The processes that run, in the order of their starts."""
         return [process for process in self.processes if process.is_running]
 
-    def with_published(self, *records: Record) -> ModelState:
+    def with_published(self, *records: MemberRecord) -> ModelState:
         """The state once the records are published."""
         return replace(self, published=self.published.union(records))
 
-    def with_held(self, observer: int, record: Record) -> ModelState:
+    def with_held(self, observer: int, record: MemberRecord) -> ModelState:
         """The state once the observer holds the record."""
-        seen = self.seen[observer] | {record.life}
+        seen = self.seen[observer] | {record.incarnation}
         return replace(
             self, held=_replaced(self.held, observer, record), seen=_replaced(self.seen, observer, seen)
         )
@@ -131,7 +132,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A walk over all states of at most `max_processes`, `max_accusations` and `max_concurrent` running at once."""
+    """A walk over all states of a bounded number of processes and accusations.
+
+    `max_concurrent`: how many processes may run at once. `omitted`: a rule that the protocol goes without.
+    """
 
     max_processes: int = 3
     max_accusations: int = 2
@@ -161,23 +165,23 @@
 
     # The protocol, with a rule omitted where asked
 
-    def _supersedes(self, candidate: Record, current: Record) -> bool:
-        if candidate.life == current.life:
+    def _supersedes(self, candidate: MemberRecord, current: MemberRecord) -> bool:
+        if candidate.incarnation == current.incarnation:
             if self.omitted is ProtocolRule.SEQUENCE:
-                return (candidate.state, candidate.seq) > (current.state, current.seq)
+                return (candidate.state, candidate.sequence) > (current.state, current.sequence)
         elif self.omitted is ProtocolRule.ORDER:
-            return candidate.number > current.number
+            return candidate.generation > current.generation
         elif self.omitted is ProtocolRule.TIE_BREAK:
-            return current.life in candidate.over
+            return current.incarnation in candidate.previous_incarnations
         return supersedes(candidate, current)
 
-    def _superseding_record(self, own: Record, other: Record) -> Record:
+    def _superseding_record(self, own: MemberRecord, other: MemberRecord) -> MemberRecord:
         raised = superseding_record(own, other)
         if self.omitted is ProtocolRule.NAMING:
-            return msgspec.structs.replace(raised, over=own.over)
+            return msgspec.structs.replace(raised, previous_incarnations=own.previous_incarnations)
         return raised
 
-    def _conflict_action(self, process: ModelProcess, record: Record) -> ConflictAction:
+    def _conflict_action(self, process: ModelProcess, record: MemberRecord) -> ConflictAction:
         action = classify_own_name_record(process.own_record, record, process.conflicting)
         if action is ConflictAction.VERIFY and self.omitted is ProtocolRule.VERIFY:
             action = ConflictAction.SUPERSEDE
@@ -197,9 +201,9 @@
         for observer, held in enumerate(state.held):
             if held is None:
                 continue
-            if held.state in LIVING and state.accusations < self.max_accusations:
+            if held.state in LIVE_STATES and state.accusations < self.max_accusations:
                 yield _accused(state, observer, held)
-            if self.can_forget and held.state not in LIVING:
+            if self.can_forget and held.state not in LIVE_STATES:
                 yield state.with_forgotten(observer)
 
     def _starts(self, state: ModelState) -> Iterator[ModelState]:
@@ -207,9 +211,9 @@
         running = state.running()
         if incarnation > self.max_processes or len(running) >= self.max_concurrent:
             return
-        pairs = {(process.own_record.life, incarnation) for process in running}
+        pairs = {(process.own_record.incarnation, incarnation) for process in running}
         for generation in (LOW_GENERATION, HIGH_GENERATION):
-            own = Record("n", "", 0, "n:1", generation, incarnation)
+            own = MemberRecord("n", "", 0, "n:1", generation, incarnation)
             processes = (*state.processes, ModelProcess(own))
             started = replace(state, processes=processes, concurrent=state.concurrent | pairs)
             yield started.with_published(own)
@@ -219,23 +223,25 @@
             if process.is_running:
                 yield state.with_process(index, replace(process, is_running=False))
 
-    def _deliveries(self, state: ModelState, record: Record) -> Iterator[ModelState]:
+    def _deliveries(self, state: ModelState, record: MemberRecord) -> Iterator[ModelState]:
         for observer in range(len(state.held)):
             yield from self._delivered_to_observer(state, observer, record)
         for index in range(len(state.processes)):
             yield from self._delivered_to_process(state, index, record)
 
     def _delivered_to_observer(
-        self, state: ModelState, observer: int, record: Record
+        self, state: ModelState, observer: int, record: MemberRecord
     ) -> Iterator[ModelState]:
         """The state after an observer received the record; nothing where that changes nothing."""
         held = state.held[observer]
-        accepts = record.state in LIVING if held is None else self._supersedes(record, held)
+        accepts = record.state in LIVE_STATES if held is None else self._supersedes(record, held)
         if accepts:
             _check_not_former(state, observer, record)
             yield state.with_held(observer, record)
 
-    def _delivered_to_process(self, state: ModelState, index: int, record: Record) -> Iterator[ModelState]:
+    def _delivered_to_process(
+        self, state: ModelState, index: int, record: MemberRecord
+    ) -> Iterator[ModelState]:
         """The state after a process of the name received the record; nothing where that changes nothing."""
         process = state.processes[index]
         if not process.is_running:
@@ -247,17 +253,17 @@
                 raised = self._superseding_record(process.own_record, record)
                 yield _published(state, index, replace(process, conflicting=0), raised)
             case ConflictAction.VERIFY:
-                yield from _verified(state, index, record.life)
+                yield from _verified(state, index, record.incarnation)
 
     # Convergence once all faults are over
 
     def _check_convergence(self, state: ModelState) -> None:
-        running = {process.own_record.life for process in state.running()}
+        running = {process.own_record.incarnation for process in state.running()}
         if not running:
             return
         final = self._without_faults(state)
-        held = {record.life if record else 0 for record in final.held}
-        all_alive = all(record is not None and record.state == State.ALIVE for record in final.held)
+        held = {record.incarnation if record else 0 for record in final.held}
+        all_alive = all(record is not None and record.state == MemberState.ALIVE for record in final.held)
         if len(held) > 1 or not held <= running or not all_alive:
             raise PropertyViolationError(f"stays: {final.held} while {sorted(running)} runs")
 
@@ -272,13 +278,13 @@
         raise PropertyViolationError(f"war: records without end from {start}")
 
     def _delivery_round(self, state: ModelState) -> ModelState:
-        """Processes publish their records, those that ended are detected, and every record reaches everybody."""
+        """Processes publish their records, ends are detected, and every record reaches everybody."""
         own_records = [process.own_record for process in state.running()]
-        running = {record.life for record in own_records}
+        running = {record.incarnation for record in own_records}
         state = state.with_published(*own_records)
         for observer, held in enumerate(state.held):
-            if held is not None and held.life not in running and held.state in LIVING:
-                gone = as_reported(held, State.GONE, _observer_name(observer))
+            if held is not None and held.incarnation not in running and held.state in LIVE_STATES:
+                gone = as_reported(held, MemberState.GONE, _observer_name(observer))
                 state = state.with_held(observer, gone).with_published(gone)
         for record in sorted(state.published, key=_delivery_order):
             for index in range(len(state.processes)):
@@ -288,43 +294,45 @@
         return state
 
 
-def _accused(state: ModelState, observer: int, held: Record) -> ModelState:
+def _accused(state: ModelState, observer: int, held: MemberRecord) -> ModelState:
     """The observer finds the process silent: an alive one becomes suspect, a suspect gone."""
-    worse = State.SUSPECT if held.state == State.ALIVE else State.GONE
+    worse = MemberState.SUSPECT if held.state == MemberState.ALIVE else MemberState.GONE
     accusation = as_reported(held, worse, _observer_name(observer))
     after = state.with_held(observer, accusation).with_published(accusation)
     return replace(after, accusations=state.accusations + 1)
 
 
-def _published(state: ModelState, index: int, process: ModelProcess, own: Record) -> ModelState:
+def _published(state: ModelState, index: int, process: ModelProcess, own: MemberRecord) -> ModelState:
     """The process publishes a new record of itself."""
-    if own.number > MAX_GENERATION:
-        raise PropertyViolationError(f"war: process {own.life} raised its generation to {own.number}")
+    if own.generation > MAX_GENERATION:
+        raise PropertyViolationError(
+            f"war: process {own.incarnation} raised its generation to {own.generation}"
+        )
     return state.with_process(index, replace(process, own_record=own)).with_published(own)
 
 
 def _verified(state: ModelState, index: int, incarnation: int) -> Iterator[ModelState]:
     """The process probes another incarnation: the answer proves that both run."""
     others = enumerate(state.processes)
-    found = next(((at, other) for at, other in others if other.own_record.life == incarnation), None)
+    found = next(((at, other) for at, other in others if other.own_record.incarnation == incarnation), None)
     if found is None or not found[1].is_running:
         return
     process = state.processes[index]
     after = state.with_process(index, replace(process, conflicting=incarnation))
     other_index = found[0]
-    other = replace(after.processes[other_index], conflicting=process.own_record.life)
+    other = replace(after.processes[other_index], conflicting=process.own_record.incarnation)
     yield after.with_process(other_index, other)
 
 
-def _check_not_former(state: ModelState, observer: int, record: Record) -> None:
-    if record.state not in LIVING:
+def _check_not_former(state: ModelState, observer: int, record: MemberRecord) -> None:
+    if record.state not in LIVE_STATES:
         return
     for incarnation in state.seen[observer]:
-        was_concurrent = (record.life, incarnation) in state.concurrent
-        if record.life < incarnation and not was_concurrent:
+        was_concurrent = (record.incarnation, incarnation) in state.concurrent
+        if record.incarnation < incarnation and not was_concurrent:
             name = _observer_name(observer)
             raise PropertyViolationError(
-                f"former: {name} went from process {incarnation} back to {record.life}"
+                f"former: {name} went from process {incarnation} back to {record.incarnation}"
             )
 
 
@@ -332,8 +340,8 @@
     return f"o{observer}"
 
 
-def _delivery_order(record: Record) -> tuple[int, int, int, str]:
-    return record.life, record.seq, int(record.state), record.by
+def _delivery_order(record: MemberRecord) -> tuple[int, int, int, str]:
+    return record.incarnation, record.sequence, int(record.state), record.accuser
 
 
 def _replaced(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
--- a/valverouter/membership/name_conflicts.py
+++ b/valverouter/membership/name_conflicts.py
@@ -1,9 +1,10 @@
 """Records under the own name that are not this process's: a previous incarnation, or another running process.
 
-A previous incarnation is superseded once, by naming it. Two processes that run under one name are in conflict:
-neither supersedes the other again, so that the fleet's view stays with one of them, and both report the conflict.
-Another process counts as running only after it answered a nonce of ours, since a datagram of a previous
-incarnation may come late. When it has been silent for a while, or its end is known, the conflict is over.
+A previous incarnation is superseded once, by naming it. Two processes that run under one name are in
+conflict: neither supersedes the other again, so that the fleet's view stays with one of them, and both report
+the conflict. Another process counts as running only after it answered a nonce of ours, since a datagram of a
+previous incarnation may come late. When it has been silent for a while, or its end is known, the conflict is
+over.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 from valverouter.membership.probes import Probe
 from valverouter.membership.rate_limiter import AddressRateLimiter
 from valverouter.membership.records import (
-    Record,
-    State,
+    MemberRecord,
+    MemberState,
     next_own_record,
     refuting_record,
     supersedes,
@@ -45,25 +46,29 @@
     VERIFY = "verify"
 
 
-def classify_own_name_record(own: Record, received: Record, conflicting: int) -> ConflictAction:
+def classify_own_name_record(own: MemberRecord, received: MemberRecord, conflicting: int) -> ConflictAction:
     """What to do about a received record under the own name.
 
     `conflicting`: the incarnation known to run under the same name; 0: none.
     """
-    if received.life == own.life:
-        is_accusation = received.state != State.ALIVE and own.state != State.LEFT
-        is_current = received.seq >= own.seq
+    if received.incarnation == own.incarnation:
+        is_accusation = received.state != MemberState.ALIVE and own.state != MemberState.LEFT
+        is_current = received.sequence >= own.sequence
         return ConflictAction.REFUTE if is_accusation and is_current else ConflictAction.NOTHING
-    if received.state > State.SUSPECT:
+    if received.state > MemberState.SUSPECT:
         # The end of another incarnation. Whoever holds it does not accept this one before it was named.
         return ConflictAction.NOTHING if supersedes(own, received) else ConflictAction.SUPERSEDE
-    if received.life == conflicting:
+    if received.incarnation == conflicting:
         return ConflictAction.NOTHING
-    if own.life in received.over:
+    if own.incarnation in received.previous_incarnations:
         # It was told of this process when it began, and this one runs: either both run, or the record is old
         # and the other has ended. Its address can tell.
         return ConflictAction.VERIFY
-    return ConflictAction.NOTHING if received.life in own.over else ConflictAction.SUPERSEDE
+    return (
+        ConflictAction.NOTHING
+        if received.incarnation in own.previous_incarnations
+        else ConflictAction.SUPERSEDE
+    )
 
 
 @dataclass(slots=True)
@@ -110,7 +115,7 @@
         self._detector = detector
         self._rate_limiter = rate_limiter
 
-    def on_own_name_record(self, record: Record) -> None:
+    def on_own_name_record(self, record: MemberRecord) -> None:
         """A record under the own name was received."""
         match classify_own_name_record(self._node.own_record, record, self.conflict.incarnation):
             case ConflictAction.REFUTE:
@@ -119,22 +124,22 @@
                 self._supersede(record)
             case ConflictAction.VERIFY:
                 if self._rate_limiter.allow(record.address, self._node.now):
-                    self._verify(record.address, record.life)
+                    self._verify(record.address, record.incarnation)
             case ConflictAction.NOTHING:
                 pass
 
-    def _refute(self, accusation: Record) -> None:
+    def _refute(self, accusation: MemberRecord) -> None:
         node = self._node
-        if accusation.state == State.SUSPECT:
+        if accusation.state == MemberState.SUSPECT:
             self._detector.local_health.degrade()
-        node.emit(EventKind.ACCUSED, accusation, accusation.by)
+        node.emit(EventKind.ACCUSED, accusation, accusation.accuser)
         self._dissemination.publish(refuting_record(node.own_record, accusation))
 
-    def _supersede(self, other: Record) -> None:
+    def _supersede(self, other: MemberRecord) -> None:
         own = self._node.own_record
-        if other.life == self.conflict.incarnation:
+        if other.incarnation == self.conflict.incarnation:
             self._end_conflict()
-            own = msgspec.structs.replace(own, twin=False)
+            own = msgspec.structs.replace(own, name_conflict=False)
         self._dissemination.publish(superseding_record(own, other))
 
     def on_message(self, address: str, message: Message) -> None:
@@ -142,21 +147,21 @@
 
         The datagram may be old: only an answer to a nonce of ours proves that the other process runs.
         """
-        is_known = message.life == self.conflict.incarnation
+        is_known = message.incarnation == self.conflict.incarnation
         is_ack = isinstance(message, Ack)
         if not is_ack and not is_known and self._rate_limiter.allow(address, self._node.now):
-            self._verify(address, message.life)
+            self._verify(address, message.incarnation)
         elif is_known:
-            self.conflict.update(message.life, address, self._node.now)
+            self.conflict.update(message.incarnation, address, self._node.now)
 
     def on_ack(self, probe: Probe, ack: Ack) -> None:
         """A process answered a probe of the own name."""
         node = self._node
-        if ack.of_life == node.own_record.life:
+        if ack.member_incarnation == node.own_record.incarnation:
             return
-        if self.conflict.update(ack.of_life, probe.address, node.now):
+        if self.conflict.update(ack.member_incarnation, probe.address, node.now):
             node.emit(EventKind.CONFLICT, node.own_record, probe.address)
-            marked = msgspec.structs.replace(node.own_record, twin=True)
+            marked = msgspec.structs.replace(node.own_record, name_conflict=True)
             self._dissemination.publish(next_own_record(marked))
 
     def recheck(self) -> None:
@@ -168,7 +173,7 @@
         timeout = int(SILENT_ANTI_ENTROPY_INTERVALS * config.anti_entropy_periods * config.probe_period)
         if conflict.is_expired(node.now, timeout):
             self._end_conflict()
-            cleared = msgspec.structs.replace(node.own_record, twin=False)
+            cleared = msgspec.structs.replace(node.own_record, name_conflict=False)
             self._dissemination.publish(next_own_record(cleared))
         else:
             self._verify(conflict.address, conflict.incarnation)
--- a/valverouter/membership/probes.py
+++ b/valverouter/membership/probes.py
@@ -15,9 +15,9 @@
     """One process that was asked whether it runs.
 
     `incarnation`, `sequence`: of its record when the probe began. If its record has a later sequence by the
-    end, its silence proves nothing. `deadline`: ns. `helper_answered`: a helper answered, though not the target.
-    `is_final`: the last probe before the target is declared gone. `requester`: address and nonce of the member
-    on whose behalf this one probes.
+    end, its silence proves nothing. `deadline`: ns. `helper_answered`: a helper answered, though not the
+    target. `is_final`: the last probe before the target is declared gone. `requester`: address and nonce of
+    the member on whose behalf this one probes.
     """
 
     target: str
--- a/valverouter/membership/records.py
+++ b/valverouter/membership/records.py
@@ -1,15 +1,15 @@
 """Member records, and the one rule that decides which of two records of a name is the later.
 
-A process draws a random `life` (its incarnation) at its start; no two processes share one. Within an
-incarnation, `seq` grows with each record that the process publishes of itself, and orders them.
-It does what SWIM calls the incarnation number.
+A process draws a random `incarnation` at its start; no two processes share one. Within an incarnation,
+`sequence` grows with each record that the process publishes of itself, and orders these records. It is what
+SWIM calls the incarnation number: a member refutes a suspicion by raising it.
 
 Between two incarnations neither clocks nor numbers decide: the later one is the one that names the other in
-`over`. A process that starts knows of no previous incarnation. Whoever holds one tells it, and it supersedes it by
-naming it. A process that ended before another began can never have named it, so nobody who has seen the later one
-goes back: not with a clock set back an hour, not without a disk, and whatever datagrams come late. Only two
-processes that run at the same time may each name the other; then `number` (the generation) decides, which is above
-every generation that its process had heard of when it was raised.
+`previous_incarnations`. A process that starts knows of no previous incarnation. Whoever holds one tells it,
+and it supersedes it by naming it. A process that ended before another began can never have named it, so
+nobody who has seen the later one goes back: not with a clock set back an hour, not without a disk, and
+whatever datagrams come late. Only two processes that run at the same time may each name the other; then
+`generation` decides, which is above every generation that its process had heard of when it was raised.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 INCARNATION_BYTES = 9
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """The state of a member. Of two records with one sequence, the higher state is the later."""
 
     ALIVE = 0
@@ -44,16 +44,15 @@
     DRAINING = 1
 
 
-LIVING = (State.ALIVE, State.SUSPECT)
+LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-class Record(Struct, frozen=True, array_like=True, gc=False):
+class MemberRecord(Struct, frozen=True, array_like=True, gc=False):
     """One member, as published by itself or as reported by others.
 
-    `place`: the member's index within the fleet, from its configuration. `number`: the generation, at first the
-    wall clock's ms. `over`: previous incarnations, latest first. `version`, `terms`: of its program, and the
-    digest of its configuration. `twin`: another process runs under its name. `by`: who reported it, where `state` is
-    SUSPECT or GONE.
+    `place`: the member's index within the fleet, from its configuration. `generation`: at first the wall
+    clock at its start, ms. `previous_incarnations`: latest first. `version`: of its program. `name_conflict`:
+    another process runs under its name. `accuser`: who reported it, where `state` is SUSPECT or GONE.
 
     These are wire data: the order of the fields is fixed.
     """
@@ -62,73 +61,77 @@
     region: str
     place: int
     address: str
-    number: int
-    life: int
-    seq: int = 0
-    state: State = State.ALIVE
-    over: tuple[int, ...] = ()
+    generation: int
+    incarnation: int
+    sequence: int = 0
+    state: MemberState = MemberState.ALIVE
+    previous_incarnations: tuple[int, ...] = ()
     version: str = ""
-    terms: str = ""
+    config_digest: str = ""
     phase: Phase = Phase.SERVING
-    twin: bool = False
-    by: str = ""
+    name_conflict: bool = False
+    accuser: str = ""
 
     @property
-    def lives(self) -> bool:
+    def is_live(self) -> bool:
         """Whether the member is believed to run: alive or suspect."""
-        return self.state <= State.SUSPECT
+        return self.state <= MemberState.SUSPECT
 
     @property
     def size(self) -> int:
         """An upper bound of its size in a message, bytes."""
-        texts = (self.name, self.region, self.address, self.version, self.terms, self.by)
+        texts = (self.name, self.region, self.address, self.version, self.config_digest, self.accuser)
         text_bytes = sum(len(text.encode()) for text in texts)
-        return FIXED_RECORD_BYTES + INCARNATION_BYTES * len(self.over) + text_bytes
+        return FIXED_RECORD_BYTES + INCARNATION_BYTES * len(self.previous_incarnations) + text_bytes
 
 
-def self_reported_facts(record: Record) -> tuple[object, ...]:
+def self_reported_facts(record: MemberRecord) -> tuple[object, ...]:
     """What a process publishes of itself beside its identity."""
     location = record.region, record.place, record.address
-    return *location, record.version, record.terms, int(record.phase), record.twin
+    return *location, record.version, record.config_digest, int(record.phase), record.name_conflict
 
 
-def supersedes(candidate: Record, current: Record) -> bool:
+def supersedes(candidate: MemberRecord, current: MemberRecord) -> bool:
     """Whether `candidate` is the later record of the two."""
-    if candidate.life == current.life:
-        return (candidate.seq, candidate.state) > (current.seq, current.state)
-    if current.life not in candidate.over:
+    if candidate.incarnation == current.incarnation:
+        return (candidate.sequence, candidate.state) > (current.sequence, current.state)
+    if current.incarnation not in candidate.previous_incarnations:
         return False
-    if candidate.life not in current.over:
+    if candidate.incarnation not in current.previous_incarnations:
         return True
     # Two processes that run at the same time have each named the other: one order for all members.
-    return (candidate.number, candidate.life) > (current.number, current.life)
+    return (candidate.generation, candidate.incarnation) > (current.generation, current.incarnation)
 
 
-def are_unrelated(candidate: Record, current: Record) -> bool:
+def are_unrelated(candidate: MemberRecord, current: MemberRecord) -> bool:
     """Whether these are two incarnations neither of which has named the other."""
-    if candidate.life == current.life:
+    if candidate.incarnation == current.incarnation:
         return False
-    return current.life not in candidate.over and candidate.life not in current.over
+    return (
+        current.incarnation not in candidate.previous_incarnations
+        and candidate.incarnation not in current.previous_incarnations
+    )
 
 
-def as_reported(record: Record, state: State, accuser: str) -> Record:
+def as_reported(record: MemberRecord, state: MemberState, accuser: str) -> MemberRecord:
     """The record with the state that another member reports."""
-    return msgspec.structs.replace(record, state=state, by=accuser)
+    return msgspec.structs.replace(record, state=state, accuser=accuser)
 
 
-def next_own_record(record: Record, state: State = State.ALIVE) -> Record:
+def next_own_record(record: MemberRecord, state: MemberState = MemberState.ALIVE) -> MemberRecord:
     """The next record that a member publishes of itself."""
-    return msgspec.structs.replace(record, seq=record.seq + 1, state=state, by="")
+    return msgspec.structs.replace(record, sequence=record.sequence + 1, state=state, accuser="")
 
 
-def refuting_record(own: Record, accusation: Record) -> Record:
+def refuting_record(own: MemberRecord, accusation: MemberRecord) -> MemberRecord:
     """The own record, later than one that reports this process as suspect or gone."""
-    return next_own_record(msgspec.structs.replace(own, seq=max(own.seq, accusation.seq)))
+    return next_own_record(msgspec.structs.replace(own, sequence=max(own.sequence, accusation.sequence)))
 
 
-def superseding_record(own: Record, other: Record) -> Record:
+def superseding_record(own: MemberRecord, other: MemberRecord) -> MemberRecord:
     """The own record once it names another incarnation of the name."""
-    earlier = (incarnation for incarnation in own.over if incarnation != other.life)
-    previous = (other.life, *earlier)[:MAX_PREVIOUS_INCARNATIONS]
-    raised = msgspec.structs.replace(own, number=max(own.number, other.number + 1), over=previous)
+    earlier = (incarnation for incarnation in own.previous_incarnations if incarnation != other.incarnation)
+    previous = (other.incarnation, *earlier)[:MAX_PREVIOUS_INCARNATIONS]
+    generation = max(own.generation, other.generation + 1)
+    raised = msgspec.structs.replace(own, generation=generation, previous_incarnations=previous)
     return next_own_record(raised)
--- a/valverouter/membership/suspicion.py
+++ b/valverouter/membership/suspicion.py
@@ -1,8 +1,8 @@
 """Suspicions: who accuses a member, and until when it may refute.
 
-A single accuser may be the one whose own path is broken, so an unconfirmed suspicion lasts longer. An accuser in
-bad local health gives more time. When the time is up, the accuser sends one final probe before it declares the
-member gone.
+A single accuser may be the one whose own path is broken, so an unconfirmed suspicion lasts longer. An accuser
+in bad local health gives more time. When the time is up, the accuser sends one final probe before it declares
+the member gone.
 """
 
 from __future__ import annotations
@@ -81,6 +81,6 @@
             suspicion.deadline = max(suspicion.deadline, now + timeout)
 
     def postpone_all(self, duration: int) -> None:
-        """This process did not run for `duration` ns and received nothing: all suspects get that time back."""
+        """All suspects get `duration` ns back, in which this process did not run and received nothing."""
         for suspicion in self._open.values():
             suspicion.deadline += duration
--- a/valverouter/membership/view.py
+++ b/valverouter/membership/view.py
@@ -1,9 +1,9 @@
 """The view: a table of all members with a digest, by which two members compare their views.
 
-The digest covers the live members and what they publish of themselves, but not suspicions, which come and go: two
-members with the same digest would send to the same members at the same addresses. It is a sum of the records' own
-digests, kept for each bucket of names: a change costs one hash, and two members whose views differ find out where by
-comparing buckets.
+The digest covers the live members and what they publish of themselves, but not suspicions, which come and go:
+two members with the same digest would send to the same members at the same addresses. It is a sum of the
+records' own digests, kept for each bucket of names: a change costs one hash, and two members whose views
+differ find out where by comparing buckets.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from collections import deque
 from hashlib import blake2b
 
-from valverouter.membership.records import Record, State, self_reported_facts, supersedes
+from valverouter.membership.records import MemberRecord, MemberState, self_reported_facts, supersedes
 
 BUCKET_COUNT = 64
 DIGEST_BYTES = 8
@@ -24,7 +24,7 @@
     return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
-def digest_of(record: Record) -> int:
+def digest_of(record: MemberRecord) -> int:
     """64 bits over what the digest of a view covers of a member."""
     parts = record.name, *_digested_facts(record)
     digest = blake2b(repr(parts).encode(), digest_size=DIGEST_BYTES).digest()
@@ -34,12 +34,13 @@
 class MembershipView:
     """All known members by name.
 
-    `state_since`: when the present state of each began, ns on this member's clock. `forget` removes members that
-    are gone or have left; of those gone, the last addresses stay in `forgotten_addresses`, to be tried again.
+    `state_since`: when the present state of each began, ns on this member's clock. `forget` removes members
+    that are gone or have left; of those gone, the last addresses stay in `forgotten_addresses`, to be tried
+    again.
     """
 
     def __init__(self, forgotten_address_limit: int) -> None:
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, MemberRecord] = {}
         self.state_since: dict[str, int] = {}
         self.live_count = 0
         self.gone_count = 0
@@ -68,7 +69,7 @@
     def live_names(self, excluding: str) -> list[str]:
         """Names of the live members without `excluding`; a new list."""
         if self._cached_live_names is None:
-            self._cached_live_names = [name for name, record in self.records.items() if record.lives]
+            self._cached_live_names = [name for name, record in self.records.items() if record.is_live]
         names = self._cached_live_names.copy()
         if self.is_live(excluding):
             names.remove(excluding)
@@ -77,20 +78,20 @@
     def is_live(self, name: str) -> bool:
         """Whether the member is known and believed to run."""
         current = self.records.get(name)
-        return current is not None and current.lives
+        return current is not None and current.is_live
 
-    def accepts(self, candidate: Record) -> bool:
+    def accepts(self, candidate: MemberRecord) -> bool:
         """Whether the record is later than what the view holds.
 
-        The end of a member that is not known here is not accepted, or members long gone would be passed round for
-        ever.
+        The end of a member that is not known here is not accepted, or members long gone would be passed round
+        for ever.
         """
         current = self.records.get(candidate.name)
         if current is None:
-            return candidate.lives
+            return candidate.is_live
         return supersedes(candidate, current)
 
-    def put(self, record: Record, now: int) -> None:
+    def put(self, record: MemberRecord, now: int) -> None:
         """Replaces the member's record by a later one."""
         name = record.name
         previous = self.records.get(name)
@@ -98,7 +99,7 @@
             self._count(previous, -1)
         self.records[name] = record
         self._count(record, 1)
-        if previous is None or previous.state != record.state or previous.life != record.life:
+        if previous is None or previous.state != record.state or previous.incarnation != record.incarnation:
             self.state_since[name] = now
             self._cached_live_names = None
         self._update_digest(previous, record)
@@ -110,24 +111,24 @@
         self._cached_live_names = None
         self._count(record, -1)
         self._replace_digest(name, self._digests.pop(name, 0), 0)
-        if record.state == State.GONE and record.address not in self.forgotten_addresses:
+        if record.state == MemberState.GONE and record.address not in self.forgotten_addresses:
             self.forgotten_addresses.append(record.address)
 
-    def records_in_buckets(self, buckets: set[int]) -> list[Record]:
+    def records_in_buckets(self, buckets: set[int]) -> list[MemberRecord]:
         """The records of all members in the buckets."""
         return [record for name, record in self.records.items() if bucket_of(name) in buckets]
 
     def reconnect_addresses(self, seeds: tuple[str, ...]) -> list[str]:
         """Addresses that no live member has: of members gone, of seeds, and of some forgotten members."""
-        live = {record.address for record in self.records.values() if record.lives}
-        gone = [record.address for record in self.records.values() if record.state == State.GONE]
+        live = {record.address for record in self.records.values() if record.is_live}
+        gone = [record.address for record in self.records.values() if record.state == MemberState.GONE]
         candidates = dict.fromkeys((*gone, *seeds, *self.forgotten_addresses))
         return [address for address in candidates if address not in live]
 
-    def _update_digest(self, previous: Record | None, record: Record) -> None:
+    def _update_digest(self, previous: MemberRecord | None, record: MemberRecord) -> None:
         name = record.name
         old_digest, new_digest = self._digests.pop(name, 0), 0
-        if record.lives:
+        if record.is_live:
             # Most changes are suspicions and their ends, which the digest does not cover: no hash for these.
             is_unchanged = previous is not None and _digested_facts(previous) == _digested_facts(record)
             new_digest = old_digest if old_digest and is_unchanged else digest_of(record)
@@ -142,14 +143,14 @@
         self.bucket_digests[index] = (self.bucket_digests[index] + change) & DIGEST_MASK
         self.digest = (self.digest + change) & DIGEST_MASK
 
-    def _count(self, record: Record, change: int) -> None:
-        if record.lives:
+    def _count(self, record: MemberRecord, change: int) -> None:
+        if record.is_live:
             self.live_count += change
-        if record.state == State.SUSPECT:
+        if record.state == MemberState.SUSPECT:
             self.suspect_count += change
-        elif record.state == State.GONE:
+        elif record.state == MemberState.GONE:
             self.gone_count += change
 
 
-def _digested_facts(record: Record) -> tuple[object, ...]:
-    return record.life, record.number, *self_reported_facts(record)
+def _digested_facts(record: MemberRecord) -> tuple[object, ...]:
+    return record.incarnation, record.generation, *self_reported_facts(record)
