--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -171,7 +171,7 @@
         views.run(views.now + 30 * SECOND)
         missed += len(killed)
         killed.clear()
-        views.start(name, SEEDS, knows=[node.core.own_record for node in views.live()])
+        views.start(name, SEEDS, knows=[node.membership.own_record for node in views.live()])
         views.run(views.now + 5 * SECOND)
     return {"spans": spans, "missed": [float(missed)]}
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -113,7 +113,8 @@
     former, fresh = record(900, 1), record(100, 2)
     assert not supersedes(former, fresh) and not supersedes(fresh, former), "nobody knows yet"
     raised = superseding_record(fresh, former)
-    assert supersedes(raised, former) and not supersedes(former, raised)
+    assert supersedes(raised, former)
+    assert not supersedes(former, raised)
     later = as_reported(dataclasses_seq(former, 50), MemberState.GONE, "x")
     assert not supersedes(later, raised), "nothing of the former self counts any more"
 
@@ -150,11 +151,14 @@
     other.put(record(3, 7, seq=4), 9)
     assert view.digest == other.digest
     view.put(as_reported(record(3, 7), MemberState.SUSPECT, "e0"), 2)
-    assert view.digest == other.digest and view.suspect_count == 1
+    assert view.digest == other.digest
+    assert view.suspect_count == 1
     view.put(as_reported(record(3, 7), MemberState.GONE, "e0"), 3)
-    assert view.digest != other.digest and (view.live_count, view.gone_count, view.suspect_count) == (1, 1, 0)
+    assert view.digest != other.digest
+    assert (view.live_count, view.gone_count, view.suspect_count) == (1, 1, 0)
     other.put(as_reported(record(3, 7, seq=4), MemberState.GONE, "e0"), 9)
-    assert view.digest == other.digest and view.bucket_digests == other.bucket_digests
+    assert view.digest == other.digest
+    assert view.bucket_digests == other.bucket_digests
 
 
 def test_the_dead_whom_nobody_knew_are_not_passed_round() -> None:
@@ -163,7 +167,9 @@
     view.put(record(3, 7), 0)
     view.put(as_reported(record(3, 7), MemberState.GONE, "x"), 1)
     view.forget("e1")
-    assert not view.records and list(view.forgotten_addresses) == ["e1:1"] and view.digest == 0
+    assert not view.records
+    assert list(view.forgotten_addresses) == ["e1:1"]
+    assert view.digest == 0
 
 
 def test_news_leave_after_so_many_sends_and_fit_their_room() -> None:
@@ -173,7 +179,9 @@
     taken = [news.take(3) for _ in range(12)]
     assert all(sum(one.size for one in page) <= 400 for page in taken)
     sent = Counter(one.name for page in taken for one in page)
-    assert set(sent.values()) == {3} and len(sent) == 9 and not len(news)
+    assert set(sent.values()) == {3}
+    assert len(sent) == 9
+    assert not len(news)
 
 
 # Courses
@@ -191,9 +199,11 @@
     rig.views.run(5 * SECOND)
     rig.views.kill("e7")
     assert rig.settles(12) < 11
-    assert rig.count("gone", "e7") == 23 and rig.count("gone") == 23
+    assert rig.count("gone", "e7") == 23
+    assert rig.count("gone") == 23
     rig.views.leave("e9")
-    assert rig.settles(4) < 2 and rig.count("left", "e9") == 22
+    assert rig.settles(4) < 2
+    assert rig.count("left", "e9") == 22
 
 
 def test_all_restarted_at_once() -> None:
@@ -214,7 +224,7 @@
     for at in range(0, 24, 3):
         rig.views.kill(f"e{at}")
     rig.settles(20)
-    assert {node.core.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
+    assert {node.membership.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
 
 
 def test_a_region_cut_off_for_longer_than_deaths_are_remembered_with_restarts_on_both_sides() -> None:
@@ -270,13 +280,15 @@
     late = PathFault("late", 0, 120 * SECOND, frozenset({"e5"}), frozenset(), span=300_000_000)
     rig = Rig(24, [late])
     rig.views.run(120 * SECOND)
-    assert rig.count("gone") == 0 and rig.count("suspect") == 0
+    assert rig.count("gone") == 0
+    assert rig.count("suspect") == 0
 
 
 def test_30_percent_loss_everywhere() -> None:
     rig = Rig(24, [PathFault("loss", 0, 60 * SECOND, share=0.3)])
     rig.views.run(60 * SECOND)
-    assert rig.count("gone") == 0 and rig.count("suspect") > 0
+    assert rig.count("gone") == 0
+    assert rig.count("suspect") > 0
     rig.settles(10)
 
 
@@ -300,7 +312,7 @@
     rig.settles(20)
     rig.views.start("e12", SEEDS)
     rig.views.run(rig.views.now + 5 * SECOND)
-    assert rig.views.nodes["e12"].core.view_health is ViewHealth.UNSETTLED, (
+    assert rig.views.nodes["e12"].membership.view_health is ViewHealth.UNSETTLED, (
         "alone, and told of seeds: no fleet of one"
     )
     rig.views.start("e1", ("e5:1",))
@@ -311,23 +323,27 @@
     rig = Rig(12)
     rig.views.run(5 * SECOND)
     for name in ("e4", "e0"):
-        former = rig.views.nodes[name].core.own_record
+        former = rig.views.nodes[name].membership.own_record
         rig.views.kill(name)
         fresh = rig.views.start(name, SEEDS, wall_ms=WALL - 3_600_000)
         rig.views.run(rig.views.now + 3 * SECOND)
-        assert (
-            fresh.core.own_record.generation > former.generation
-            and former.incarnation in fresh.core.own_record.previous_incarnations
-        )
+        assert fresh.membership.own_record.generation > former.generation
+        assert former.incarnation in fresh.membership.own_record.previous_incarnations
         # A word of the former self, late.
         for node in rig.views.live():
             gossip = Gossip(
-                "e9", rig.views.nodes["e9"].core.own_record.incarnation, 0, (dataclasses_seq(former, 9),)
+                "e9",
+                rig.views.nodes["e9"].membership.own_record.incarnation,
+                0,
+                (dataclasses_seq(former, 9),),
             )
-            node.core.receive(rig.views.now, "e9:1", gossip)
+            node.membership.receive(rig.views.now, "e9:1", gossip)
     rig.settles(10)
     for node in rig.views.live():
-        assert node.core.view.records["e4"].incarnation == rig.views.nodes["e4"].core.own_record.incarnation
+        assert (
+            node.membership.view.records["e4"].incarnation
+            == rig.views.nodes["e4"].membership.own_record.incarnation
+        )
 
 
 def test_an_answer_from_its_own_address_proves_who_is_there() -> None:
@@ -335,10 +351,10 @@
     rig = Rig(4)
     rig.views.run(5 * SECOND)
     rig.views.kill("e3")
-    former = rig.views.nodes["e3"].core.own_record
+    former = rig.views.nodes["e3"].membership.own_record
     fresh = rig.views.start("e3", (), wall_ms=WALL - 3_600_000)
     rig.settles(10)
-    assert former.incarnation in fresh.core.own_record.previous_incarnations, (
+    assert former.incarnation in fresh.membership.own_record.previous_incarnations, (
         "who asked after the former self told it"
     )
 
@@ -356,48 +372,51 @@
     one, two = twins(rig)
     rig.views.run(20 * SECOND)
     assert rig.found["e3", "conflict", "e3"] == 2, "each of the two tells once"
-    assert (
-        one.core.name_conflict.incarnation == two.core.own_record.incarnation
-        and two.core.name_conflict.incarnation == one.core.own_record.incarnation
-    )
-    held = {node.core.view.records["e3"].incarnation for node in rig.views.live() if node.name != "e3"}
+    assert one.membership.name_conflict.incarnation == two.membership.own_record.incarnation
+    assert two.membership.name_conflict.incarnation == one.membership.own_record.incarnation
+    held = {node.membership.view.records["e3"].incarnation for node in rig.views.live() if node.name != "e3"}
     assert len(held) == 1
-    assert all(node.core.view.records["e3"].name_conflict for node in rig.views.live() if node.name != "e3")
+    assert all(
+        node.membership.view.records["e3"].name_conflict for node in rig.views.live() if node.name != "e3"
+    )
     before = rig.count("restarted")
     rig.views.run(120 * SECOND)
-    assert rig.count("restarted") == before and rig.count("gone") == 0
+    assert rig.count("restarted") == before
+    assert rig.count("gone") == 0
     # The one that the fleet holds ends: the other takes its place, and no conflict is left.
-    ends = one if one.core.own_record.incarnation in held else two
+    ends = one if one.membership.own_record.incarnation in held else two
     stays = two if ends is one else one
     ends.alive = False
     del rig.views._at_address[ends.address]
     rig.views.run(200 * SECOND)
     others = [node for node in rig.views.live() if node.name != "e3"]
-    assert {node.core.view.records["e3"].incarnation for node in others} == {
-        stays.core.own_record.incarnation
+    assert {node.membership.view.records["e3"].incarnation for node in others} == {
+        stays.membership.own_record.incarnation
     }
-    assert stays.core.view_health is ViewHealth.SETTLED and not stays.core.own_record.name_conflict
+    assert stays.membership.view_health is ViewHealth.SETTLED
+    assert not stays.membership.own_record.name_conflict
 
 
 def test_a_late_word_of_a_former_self_is_no_conflict() -> None:
     rig = Rig(8)
     rig.views.run(5 * SECOND)
-    former = rig.views.nodes["e3"].core.own_record
+    former = rig.views.nodes["e3"].membership.own_record
     rig.views.kill("e3")
     fresh = rig.views.start("e3", SEEDS)
     rig.views.run(7 * SECOND)
-    fresh.core.receive(
-        rig.views.now, "e3:1", Ping("e3", former.incarnation, 0, 5, fresh.core.own_record.incarnation)
+    fresh.membership.receive(
+        rig.views.now, "e3:1", Ping("e3", former.incarnation, 0, 5, fresh.membership.own_record.incarnation)
     )
     rig.views.run(20 * SECOND)
-    assert rig.count("conflict") == 0 and not fresh.core.own_record.name_conflict
+    assert rig.count("conflict") == 0
+    assert not fresh.membership.own_record.name_conflict
 
 
 def test_a_fleet_told_24_that_is_really_40_keeps_a_view_of_40() -> None:
     rig = Rig(40)
     rig.views.run(10 * SECOND)
-    assert {node.core.view.live_count for node in rig.views.live()} == {40}
-    assert {node.core.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
+    assert {node.membership.view.live_count for node in rig.views.live()} == {40}
+    assert {node.membership.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
 
 
 def test_a_minority_says_that_it_is_cut_off_and_a_majority_does_not() -> None:
@@ -405,17 +424,17 @@
     rig = Rig(12, [split(5, 60, few, names(12) - few)])
     rig.views.run(30 * SECOND)
     for node in rig.views.live():
-        assert node.core.view_health is (ViewHealth.CUT_OFF if node.name in few else ViewHealth.SETTLED)
+        assert node.membership.view_health is (ViewHealth.CUT_OFF if node.name in few else ViewHealth.SETTLED)
     rig.views.run(65 * SECOND)
     rig.settles(20)
     rig.views.run(rig.views.now + 10 * SECOND)
-    assert {node.core.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
+    assert {node.membership.view_health for node in rig.views.live()} == {ViewHealth.SETTLED}
 
 
 def test_one_alone_behind_a_cut_says_so_before_it_has_put_anybody_away() -> None:
     rig = Rig(12, [split(5, 30, {"e0"}, names(12) - {"e0"})])
     rig.views.run(13 * SECOND)
-    assert rig.views.nodes["e0"].core.view_health is ViewHealth.CUT_OFF
+    assert rig.views.nodes["e0"].membership.view_health is ViewHealth.CUT_OFF
     assert not any(who == "e0" and what == "gone" for who, what, _ in rig.found)
 
 
@@ -424,7 +443,7 @@
     on its next stall."""
     rig = Rig(6)
     rig.views.run(3 * SECOND)
-    core = rig.views.nodes["e0"].core
+    core = rig.views.nodes["e0"].membership
     held = core.view.records["e1"]
     core.failure_detector.probe(as_reported(held, MemberState.SUSPECT, "e2"), is_final=True)
     (nonce,) = [n for n, probe in core.failure_detector.probes.pending.items() if probe.is_final]
@@ -437,7 +456,7 @@
 def test_who_missed_a_refutation_hears_of_it_when_it_asks_others() -> None:
     rig = Rig(6)
     rig.views.run(3 * SECOND)
-    asker, helper = rig.views.nodes["e0"].core, rig.views.nodes["e2"].core
+    asker, helper = rig.views.nodes["e0"].membership, rig.views.nodes["e2"].membership
     old = asker.view.records["e1"]
     helper.member_updates.apply(next_own_record(old))
     asker.member_updates.apply(as_reported(old, MemberState.SUSPECT, "e3"))
@@ -453,27 +472,30 @@
 def test_whole_views_are_exchanged_in_pages_that_fit() -> None:
     rig = Rig(200)
     one, two = rig.views.nodes["e3"], rig.views.nodes["e4"]
-    for name in list(two.core.view.records):
+    for name in list(two.membership.view.records):
         if name not in ("e3", "e4"):
-            two.core.view.forget(name)
-    two.core.receive(
+            two.membership.view.forget(name)
+    two.membership.receive(
         0,
         "e3:1",
         SyncDigests(
             "e3",
-            one.core.own_record.incarnation,
+            one.membership.own_record.incarnation,
             0,
-            tuple(one.core.view.bucket_digests),
-            (one.core.own_record,),
+            tuple(one.membership.view.bucket_digests),
+            (one.membership.own_record,),
         ),
     )
-    pages = [message for _, message in two.core.outbox]
-    assert pages and all(
-        sum(record.size for record in updates_of(page)) <= two.core.config.max_update_bytes for page in pages
+    pages = [message for _, message in two.membership.outbox]
+    assert pages
+    assert all(
+        sum(record.size for record in updates_of(page)) <= two.membership.config.max_update_bytes
+        for page in pages
     )
     rig.views._after(two)
     rig.views.run(SECOND // 2)
-    assert two.core.view.digest == one.core.view.digest and two.core.view.live_count == 200
+    assert two.membership.view.digest == one.membership.view.digest
+    assert two.membership.view.live_count == 200
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -493,8 +515,8 @@
 
     def look() -> None:
         for node in rig.views.live():
-            for name, held in node.core.view.records.items():
-                lives = seen.setdefault((node.core.own_record.incarnation, name), [])
+            for name, held in node.membership.view.records.items():
+                lives = seen.setdefault((node.membership.own_record.incarnation, name), [])
                 if held.is_live and (not lives or lives[-1] != held.incarnation):
                     assert held.incarnation not in lives, f"{node.name} went back to a former {name}"
                     lives.append(held.incarnation)
--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -28,12 +28,22 @@
 class Node:
     """One process of an instance; a restart makes another under the same name."""
 
-    __slots__ = ("address", "alive", "bytes", "core", "name", "sent", "stalled_until", "waiting", "wakes")
+    __slots__ = (
+        "address",
+        "alive",
+        "bytes",
+        "membership",
+        "name",
+        "sent",
+        "stalled_until",
+        "waiting",
+        "wakes",
+    )
 
     def __init__(self, name: str, address: str, core: Membership) -> None:
         self.name = name
         self.address = address
-        self.core = core
+        self.membership = core
         self.alive = True
         self.sent: Counter[str] = Counter()
         self.bytes = 0
@@ -107,9 +117,9 @@
         nodes = [self.start(f"e{at}", seeds, region=region(at) if region else "") for at in range(count)]
         whole = MembershipView(self._rules.forgotten_address_limit)
         for node in nodes:
-            whole.put(node.core.own_record, self.now)
+            whole.put(node.membership.own_record, self.now)
         for node in nodes:
-            node.core.view = whole.copy()
+            node.membership.view = whole.copy()
 
     def kill(self, name: str) -> None:
         self.nodes[name].alive = False
@@ -124,7 +134,7 @@
 
     def leave(self, name: str) -> None:
         node = self.nodes[name]
-        node.core.leave(self.now)
+        node.membership.leave(self.now)
         self._after(node)
         self.kill(name)
 
@@ -139,13 +149,13 @@
         self.now = until
 
     def _wake(self, node: Node) -> None:
-        node.wakes = node.core.next_timer
+        node.wakes = node.membership.next_timer
         self.at(node.wakes, self._tick, node)
 
     def _tick(self, node: Node) -> None:
         if not node.alive or self.now < node.stalled_until or self.now != node.wakes:
             return
-        node.core.tick(self.now)
+        node.membership.tick(self.now)
         self._after(node)
         self._wake(node)
 
@@ -155,8 +165,8 @@
         waiting, node.waiting = node.waiting, []
         # What is due is seen to be late before what came is read: the timers of a stopped process show it.
         for address, message in waiting:
-            node.core.receive(self.now, address, message)
-        node.core.tick(self.now)
+            node.membership.receive(self.now, address, message)
+        node.membership.tick(self.now)
         self._after(node)
         self._wake(node)
 
@@ -166,13 +176,13 @@
         if self.now < node.stalled_until:
             node.waiting.append((source, message))
             return
-        node.core.receive(self.now, source, message)
+        node.membership.receive(self.now, source, message)
         self._after(node)
-        if node.core.next_timer < node.wakes:
+        if node.membership.next_timer < node.wakes:
             self._wake(node)
 
     def _after(self, node: Node) -> None:
-        core = node.core
+        core = node.membership
         if core.events:
             for event in core.take_events():
                 self._watch(node, event)
@@ -196,10 +206,12 @@
     def is_settled(self) -> bool:
         """Every live instance has the same digest, and it is that of those who live."""
         live = self.live()
-        one = live[0].core.view
-        if one.live_count != len(live) or any(node.core.view.digest != one.digest for node in live):
+        one = live[0].membership.view
+        if one.live_count != len(live) or any(node.membership.view.digest != one.digest for node in live):
             return False
-        return all(one.records[node.name].incarnation == node.core.own_record.incarnation for node in live)
+        return all(
+            one.records[node.name].incarnation == node.membership.own_record.incarnation for node in live
+        )
 
     def settles(self, until: int, step: int = SECOND // 4) -> int | None:
         """Runs until settled; when that was, or None."""
--- a/valverouter/membership/anti_entropy.py
+++ b/valverouter/membership/anti_entropy.py
@@ -56,6 +56,7 @@
         conflicts: NameConflictResolver,
         rate_limiter: AddressRateLimiter,
     ) -> None:
+        """Prepares the exchanges; `start` schedules them."""
         self._node = node
         self._seeds = seeds
         self._conflicts = conflicts
--- a/valverouter/membership/convergence.py
+++ b/valverouter/membership/convergence.py
@@ -56,6 +56,7 @@
     """The digests received last, bounded in number, and what follows from them."""
 
     def __init__(self, config: MembershipConfig) -> None:
+        """No digest has been received yet."""
         self._received: deque[ReceivedDigest] = deque(maxlen=4 * REQUIRED_AGREEING_MEMBERS)
         self._lifetime = DIGEST_LIFETIME_PERIODS * config.probe_period
         self._cached: CachedResult | None = None
--- a/valverouter/membership/dissemination.py
+++ b/valverouter/membership/dissemination.py
@@ -12,6 +12,7 @@
     """The updates of one member on their way to the others."""
 
     def __init__(self, node: LocalNode) -> None:
+        """Nothing is queued, and no gossip round is scheduled."""
         self._node = node
         self._queue = BroadcastQueue(node.config.max_update_bytes)
         self._is_gossip_scheduled = False
--- a/valverouter/membership/failure_detector.py
+++ b/valverouter/membership/failure_detector.py
@@ -21,6 +21,7 @@
     def __init__(
         self, node: LocalNode, dissemination: Dissemination, on_failed: Callable[[MemberRecord, bool], None]
     ) -> None:
+        """Prepares the detector; `start` schedules the first probe."""
         self.probes = ProbeTable(node.draw)
         self.local_health = LocalHealth(node.config)
         self._rotation = ProbeRotation(node.draw)
--- a/valverouter/membership/gossip.py
+++ b/valverouter/membership/gossip.py
@@ -22,11 +22,13 @@
     """
 
     def __init__(self, max_bytes: int) -> None:
+        """An empty queue."""
         self._max_bytes = max_bytes
         # In the order in which they entered: the stable sort of `take` keeps it among equals.
         self._updates: dict[str, QueuedUpdate] = {}
 
     def __len__(self) -> int:
+        """How many updates are queued."""
         return len(self._updates)
 
     def put(self, record: MemberRecord) -> None:
--- a/valverouter/membership/local_health.py
+++ b/valverouter/membership/local_health.py
@@ -17,6 +17,7 @@
     """
 
     def __init__(self, config: MembershipConfig) -> None:
+        """A healthy member."""
         self._config = config
         self.score = 0
         # Probes of this member in a row that nobody answered, helpers included.
--- a/valverouter/membership/local_node.py
+++ b/valverouter/membership/local_node.py
@@ -22,6 +22,7 @@
     def __init__(
         self, own_record: MemberRecord, config: MembershipConfig, draw: Callable[[], float], now: int
     ) -> None:
+        """A member that knows only itself."""
         self.own_record = own_record
         self.config = config
         self.draw = draw
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -32,6 +32,7 @@
         detector: FailureDetector,
         rate_limiter: AddressRateLimiter,
     ) -> None:
+        """Nobody is suspected."""
         self.suspicions = SuspicionTable(node.config)
         self._node = node
         self._dissemination = dissemination
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -59,6 +59,7 @@
         now: int,
         seeds: tuple[str, ...] = (),
     ) -> None:
+        """Schedules the first probe, the first join and the first exchange."""
         self.config = config
         self.seeds = tuple(seed for seed in seeds if seed != own_record.address)
         self.view_health = ViewHealth.UNSETTLED
--- a/valverouter/membership/name_conflicts.py
+++ b/valverouter/membership/name_conflicts.py
@@ -109,6 +109,7 @@
         detector: FailureDetector,
         rate_limiter: AddressRateLimiter,
     ) -> None:
+        """No conflict is known."""
         self.conflict = NameConflict()
         self._node = node
         self._dissemination = dissemination
--- a/valverouter/membership/probes.py
+++ b/valverouter/membership/probes.py
@@ -34,6 +34,7 @@
     """Open probes by nonce. Answers and deadlines remove them."""
 
     def __init__(self, draw: Callable[[], float]) -> None:
+        """No probe is open."""
         self.pending: dict[int, Probe] = {}
         self._draw = draw
         self._serial = 0
@@ -70,6 +71,7 @@
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
+        """The first call of `next_target` begins the first round."""
         self._draw = draw
         self._round: list[str] = []
 
--- a/valverouter/membership/rate_limiter.py
+++ b/valverouter/membership/rate_limiter.py
@@ -10,6 +10,7 @@
     """
 
     def __init__(self, interval: int) -> None:
+        """Every address is allowed."""
         self._interval = interval
         self._last_allowed: dict[str, int] = {}
 
--- a/valverouter/membership/suspicion.py
+++ b/valverouter/membership/suspicion.py
@@ -28,6 +28,7 @@
     """Open suspicions by member name. An entry leaves when its member refutes, is gone or has left."""
 
     def __init__(self, config: MembershipConfig) -> None:
+        """Nobody is suspected."""
         self._config = config
         self._open: dict[str, Suspicion] = {}
 
--- a/valverouter/membership/timers.py
+++ b/valverouter/membership/timers.py
@@ -10,6 +10,7 @@
     """Timers of one member. They are never cancelled: a callback checks whether it still applies."""
 
     def __init__(self) -> None:
+        """An empty queue."""
         self._heap: list[tuple[int, int, Callable[..., None], tuple[object, ...]]] = []
         self._serial = 0
 
--- a/valverouter/membership/view.py
+++ b/valverouter/membership/view.py
@@ -40,6 +40,7 @@
     """
 
     def __init__(self, forgotten_address_limit: int) -> None:
+        """An empty view."""
         self.records: dict[str, MemberRecord] = {}
         self.state_since: dict[str, int] = {}
         self.live_count = 0
