--- /dev/null
+++ b/tests/membershiprig.py
@@ -0,0 +1,70 @@
+"""A fleet in simulated time, for the tests of membership."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+
+from valverouter.emulator.views import SECOND, Node, Views
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.events import EventKind, MembershipEvent
+from valverouter.membership.records import MemberRecord, next_own_record
+from valverouter.servermodel.paths import PathFault, Paths
+
+SEEDS = ("e0:1", "e1:1", "e2:1")
+
+
+class SimulatedFleet:
+    """A fleet in simulated time; `found` counts events by observer, kind and member."""
+
+    def __init__(
+        self,
+        count: int,
+        faults: list[PathFault] | None = None,
+        loss: float = 0.0,
+        config: MembershipConfig | None = None,
+    ) -> None:
+        chance = random.Random("paths")
+        self.found: Counter[tuple[str, EventKind, str]] = Counter()
+
+        def watch(node: Node, event: MembershipEvent) -> None:
+            self.found[node.name, event.kind, event.record.name] += 1
+
+        def delay(sender: str, receiver: str) -> int:
+            return 500_000 + int(chance.random() * 1_500_000)
+
+        paths = Paths(faults or [], chance.random, delay, loss)
+        self.views = Views(config or MembershipConfig(), paths, 1, watch)
+        self.views.full(count, SEEDS)
+
+    def count(self, kind: EventKind, member: str = "") -> int:
+        """How many events of a kind there were, about one member or about all."""
+        found = self.found.items()
+        return sum(count for (_, of_kind, name), count in found if of_kind is kind and member in ("", name))
+
+    def settles(self, within_s: float, rest_s: float = 8.0) -> float:
+        """Seconds until all views agree; fails when that takes too long, or does not last for `rest_s`."""
+        began = self.views.now
+        at = self.views.settles(began + int(within_s * SECOND))
+        assert at is not None, "not settled in time"
+        self.views.run(self.views.now + int(rest_s * SECOND))
+        assert self.views.is_settled(), "settled, and then not any more"
+        return (at - began) / SECOND
+
+
+def partition(start: float, length: float, *groups: set[str]) -> PathFault:
+    """A partition into groups, from `start` for `length` seconds."""
+    begins = int(start * SECOND)
+    until = begins + int(length * SECOND)
+    return PathFault("split", begins, until, groups=tuple(frozenset(group) for group in groups))
+
+
+def member_names(count: int) -> set[str]:
+    """The names of the first members."""
+    return {f"e{number}" for number in range(count)}
+
+
+def with_later_sequence(record: MemberRecord, steps: int) -> MemberRecord:
+    for _ in range(steps):
+        record = next_own_record(record)
+    return record
--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -1,8 +1,7 @@
-"""Views of whole fleets in simulated time: thousands of `Membership`s over modelled paths, and what they
-find.
+"""Membership of whole fleets in simulated time: thousands of `Membership`s over modelled network paths.
 
-Instances crash, come back, stall and are cut off as told; nothing here decides anything. A stalled instance
-reads what came meanwhile first, and then does what was due, as the running one does.
+Processes crash, restart, stall and are partitioned as scripted; nothing here decides anything. A stalled
+process first handles the messages received meanwhile and then runs its timers, as the real one does.
 """
 
 from __future__ import annotations
@@ -21,12 +20,12 @@
 from valverouter.servermodel.paths import Paths
 
 SECOND = 10**9
-# Wall time at the beginning, ms: what a process takes for its number.
+# Wall clock at the start, ms: the generation of a process that starts then.
 WALL = 1_700_000_000_000
 
 
 class Node:
-    """One process of an instance; a restart makes another under the same name."""
+    """One process of a member; a restart makes another node under the same name."""
 
     __slots__ = (
         "address",
@@ -40,10 +39,11 @@
         "wakes",
     )
 
-    def __init__(self, name: str, address: str, core: Membership) -> None:
+    def __init__(self, name: str, address: str, membership: Membership) -> None:
+        """A running process that has sent nothing."""
         self.name = name
         self.address = address
-        self.membership = core
+        self.membership = membership
         self.alive = True
         self.sent: Counter[str] = Counter()
         self.bytes = 0
@@ -53,22 +53,26 @@
 
 
 class Views:
-    """A fleet. `watch` hears each thing found, with the node that found it; `size` tells a message's
-    bytes."""
+    """A fleet.
+
+    `watch` receives each event with the node that reported it. `size` returns a message's bytes; without it
+    bytes are not counted. `make` creates a member, by default the program's own.
+    """
 
     def __init__(
         self,
-        rules: MembershipConfig,
+        config: MembershipConfig,
         paths: Paths,
         seed: int = 1,
         watch: Callable[[Node, MembershipEvent], None] = lambda node, event: None,
         size: Callable[[Message], int] | None = None,
         make: Callable[..., Membership] = Membership,
     ) -> None:
+        """An empty fleet at time 0; `seed` decides all random draws but those of the paths."""
         self.now = 0
         self.nodes: dict[str, Node] = {}
         self.chance = random.Random(f"views/{seed}")
-        self._rules = rules
+        self._config = config
         self._paths = paths
         self._watch = watch
         self._size = size
@@ -78,11 +82,12 @@
         self._serial = 0
         self._starts = 0
 
-    # The script
+    # Scripted events
 
-    def at(self, when: int, act: Callable[..., None], *args: object) -> None:
+    def at(self, time: int, action: Callable[..., None], *arguments: object) -> None:
+        """Calls `action(*arguments)` at `time`, ns."""
         self._serial += 1
-        heapq.heappush(self._events, (when, self._serial, act, args))
+        heapq.heappush(self._events, (time, self._serial, action, arguments))
 
     def start(
         self,
@@ -93,18 +98,20 @@
         wall_ms: int | None = None,
         knows: list[MemberRecord] | None = None,
     ) -> Node:
-        """A new process of an instance, by default at its name's address. `knows`: a view it begins with, for
-        fleets whose beginning is not what is looked at."""
+        """Starts a process of a member, by default at its name's address.
+
+        `wall_ms`: its wall clock, by default the right one. `knows`: records that it holds from the start.
+        """
         self._starts += 1
         address = address or f"{name}:1"
         number = WALL + self.now // 10**6 if wall_ms is None else wall_ms
         mine = MemberRecord(name, region, 0, address, number, self.chance.getrandbits(64))
         draws = random.Random(f"{self.chance.random()}/{self._starts}")
-        core = self._make(mine, self._rules, draws.random, self.now, seeds)
+        membership = self._make(mine, self._config, draws.random, self.now, seeds)
         for record in knows or ():
             if record.name != name:
-                core.view.put(record, self.now)
-        node = Node(name, address, core)
+                membership.view.put(record, self.now)
+        node = Node(name, address, membership)
         self.nodes[name] = node
         self._at_address[address] = node
         self._wake(node)
@@ -113,39 +120,42 @@
     def full(
         self, count: int, seeds: tuple[str, ...] = (), region: Callable[[int], str] | None = None
     ) -> None:
-        """A fleet that knows itself already."""
+        """Starts a fleet whose members `e0`, `e1`, ... know each other already."""
         nodes = [self.start(f"e{at}", seeds, region=region(at) if region else "") for at in range(count)]
-        whole = MembershipView(self._rules.forgotten_address_limit)
+        whole = MembershipView(self._config.forgotten_address_limit)
         for node in nodes:
             whole.put(node.membership.own_record, self.now)
         for node in nodes:
             node.membership.view = whole.copy()
 
     def kill(self, name: str) -> None:
+        """Ends a process without a word to the others."""
         self.nodes[name].alive = False
         if self._at_address.get(self.nodes[name].address) is self.nodes[name]:
             del self._at_address[self.nodes[name].address]
 
     def stall(self, name: str, span: int) -> None:
+        """Stops a process for `span` ns; messages wait until then."""
         node = self.nodes[name]
         if node.alive:
             node.stalled_until = max(node.stalled_until, self.now + span)
             self.at(node.stalled_until, self._resume, node)
 
     def leave(self, name: str) -> None:
+        """Ends a process that announces its leave."""
         node = self.nodes[name]
         node.membership.leave(self.now)
-        self._after(node)
+        self._flush(node)
         self.kill(name)
 
-    # The course
+    # Simulation
 
     def run(self, until: int) -> None:
+        """Runs the fleet until a time, ns."""
         events = self._events
         while events and events[0][0] <= until:
-            when, _, act, args = heapq.heappop(events)
-            self.now = when
-            act(*args)
+            self.now, _, action, arguments = heapq.heappop(events)
+            action(*arguments)
         self.now = until
 
     def _wake(self, node: Node) -> None:
@@ -156,39 +166,39 @@
         if not node.alive or self.now < node.stalled_until or self.now != node.wakes:
             return
         node.membership.tick(self.now)
-        self._after(node)
+        self._flush(node)
         self._wake(node)
 
     def _resume(self, node: Node) -> None:
         if not node.alive or self.now < node.stalled_until:
             return
         waiting, node.waiting = node.waiting, []
-        # What is due is seen to be late before what came is read: the timers of a stopped process show it.
+        # Messages first, timers afterwards: how late the timers are shows that the process was stopped.
         for address, message in waiting:
             node.membership.receive(self.now, address, message)
         node.membership.tick(self.now)
-        self._after(node)
+        self._flush(node)
         self._wake(node)
 
-    def _hear(self, node: Node, source: str, message: Message) -> None:
+    def _deliver(self, node: Node, source: str, message: Message) -> None:
         if not node.alive:
             return
         if self.now < node.stalled_until:
             node.waiting.append((source, message))
             return
         node.membership.receive(self.now, source, message)
-        self._after(node)
+        self._flush(node)
         if node.membership.next_timer < node.wakes:
             self._wake(node)
 
-    def _after(self, node: Node) -> None:
-        core = node.membership
-        if core.events:
-            for event in core.take_events():
+    def _flush(self, node: Node) -> None:
+        membership = node.membership
+        if membership.events:
+            for event in membership.take_events():
                 self._watch(node, event)
-        if not core.outbox:
+        if not membership.outbox:
             return
-        for address, message in core.take_outbox():
+        for address, message in membership.take_outbox():
             node.sent[type(message).__name__] += 1
             if self._size is not None:
                 node.bytes += self._size(message)
@@ -196,25 +206,26 @@
             if there is None:
                 continue
             for span in self._paths.arrivals(node.name, there.name, self.now):
-                self.at(self.now + span, self._hear, there, node.address, message)
+                self.at(self.now + span, self._deliver, there, node.address, message)
 
-    # What is seen
+    # Observation
 
     def live(self) -> list[Node]:
+        """The nodes that run, stalled ones included."""
         return [node for node in self.nodes.values() if node.alive]
 
     def is_settled(self) -> bool:
-        """Every live instance has the same digest, and it is that of those who live."""
+        """Whether all running nodes have the same view, and it holds exactly these nodes."""
         live = self.live()
-        one = live[0].membership.view
-        if one.live_count != len(live) or any(node.membership.view.digest != one.digest for node in live):
+        view = live[0].membership.view
+        if view.live_count != len(live) or any(node.membership.view.digest != view.digest for node in live):
             return False
         return all(
-            one.records[node.name].incarnation == node.membership.own_record.incarnation for node in live
+            view.records[node.name].incarnation == node.membership.own_record.incarnation for node in live
         )
 
     def settles(self, until: int, step: int = SECOND // 4) -> int | None:
-        """Runs until settled; when that was, or None."""
+        """Runs until all views agree, at most until `until`; the time (ns) when they did, or None."""
         while self.now < until:
             self.run(self.now + step)
             if self.is_settled():
