--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -193,11 +193,8 @@
 
     def _flush(self, node: Node) -> None:
         membership = node.membership
-        if membership.events:
-            for event in membership.take_events():
-                self._watch(node, event)
-        if not membership.outbox:
-            return
+        for event in membership.take_events():
+            self._watch(node, event)
         for address, message in membership.take_outbox():
             node.sent[type(message).__name__] += 1
             if self._size is not None:
--- a/valverouter/membership/local_node.py
+++ b/valverouter/membership/local_node.py
@@ -15,8 +15,8 @@
 class LocalNode:
     """One member's shared state.
 
-    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner
-    empties the outbox and the events by `take_outbox` and `take_events`.
+    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner takes
+    what is in `outbox` (addresses with messages) and in `events`, both oldest first.
     """
 
     def __init__(
@@ -45,16 +45,6 @@
         """Queues an event at the current time."""
         self.events.append(MembershipEvent(self.now, kind, record, source))
 
-    def take_outbox(self) -> list[tuple[str, Message]]:
-        """Empties the outbox; addresses with messages, in the order of sending."""
-        outbox, self.outbox = self.outbox, []
-        return outbox
-
-    def take_events(self) -> list[MembershipEvent]:
-        """Empties the events; oldest first."""
-        events, self.events = self.events, []
-        return events
-
     def live_peers(self) -> list[str]:
         """Names of all live members but this one; a new list."""
         return self.view.live_names(self.own_record.name)
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -116,12 +116,16 @@
         return self._node.events
 
     def take_outbox(self) -> list[tuple[str, Message]]:
-        """Empties the outbox and returns what was in it."""
-        return self._node.take_outbox()
+        """Empties the outbox; addresses with messages, in the order of sending."""
+        node = self._node
+        outbox, node.outbox = node.outbox, []
+        return outbox
 
     def take_events(self) -> list[MembershipEvent]:
-        """Empties the events and returns what was in them."""
-        return self._node.take_events()
+        """Empties the events; oldest first."""
+        node = self._node
+        events, node.events = node.events, []
+        return events
 
     # Time
 
@@ -145,13 +149,14 @@
         self.member_updates.suspicions.postpone_all(duration)
 
     def _update_view_health(self) -> None:
+        node = self._node
         unanswered = self.failure_detector.local_health.unanswered_probes
-        health = self._convergence.health(self._node.now, self.view, unanswered, bool(self.seeds))
+        health = self._convergence.health(node.now, node.view, unanswered, bool(self.seeds))
         if health is ViewHealth.SETTLED and self.name_conflict.is_active:
             health = ViewHealth.UNSETTLED
         if health is not self.view_health:
             self.view_health = health
-            self._node.emit(HEALTH_EVENTS[health], self.own_record)
+            node.emit(HEALTH_EVENTS[health], node.own_record)
 
     # The own record
 
@@ -196,23 +201,23 @@
                 self._anti_entropy.on_records(address, message)
 
     def _apply_update(self, record: MemberRecord) -> None:
-        if record.name == self.own_record.name:
+        if record.name == self._node.own_record.name:
             self._conflicts.on_own_name_record(record)
         else:
             self.member_updates.apply(record)
 
     def _check_sender(self, address: str, message: Message) -> None:
         """Compares what the message's header says of its sender with the view."""
-        own = self.own_record
+        own, view = self._node.own_record, self._node.view
         if message.name == own.name and message.incarnation != own.incarnation:
             self._conflicts.on_message(address, message)
             return
-        current = self.view.records.get(message.name)
+        current = view.records.get(message.name)
         if current is None or current.incarnation != message.incarnation or not current.is_live:
             self._correct_sender(address, current)
             return
         self._convergence.record_digest(self._node.now, message.name, message.digest)
-        if message.digest != self.view.digest:
+        if message.digest != view.digest:
             self._anti_entropy.on_different_digest(current.address)
 
     def _correct_sender(self, address: str, current: MemberRecord | None) -> None:
