--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -40,7 +40,6 @@
     )
 
     def __init__(self, name: str, address: str, membership: Membership) -> None:
-        """A running process that has sent nothing."""
         self.name = name
         self.address = address
         self.membership = membership
--- a/valverouter/membership/gossip.py
+++ b/valverouter/membership/gossip.py
@@ -22,7 +22,6 @@
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """An empty queue."""
         self._max_bytes = max_bytes
         # In the order in which they entered: the stable sort of `take` keeps it among equals.
         self._updates: dict[str, QueuedUpdate] = {}
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -32,7 +32,6 @@
         detector: FailureDetector,
         rate_limiter: AddressRateLimiter,
     ) -> None:
-        """Nobody is suspected."""
         self.suspicions = SuspicionTable(node.config)
         self._node = node
         self._dissemination = dissemination
--- a/valverouter/membership/name_conflicts.py
+++ b/valverouter/membership/name_conflicts.py
@@ -109,7 +109,6 @@
         detector: FailureDetector,
         rate_limiter: AddressRateLimiter,
     ) -> None:
-        """No conflict is known."""
         self.conflict = NameConflict()
         self._node = node
         self._dissemination = dissemination
--- a/valverouter/membership/probes.py
+++ b/valverouter/membership/probes.py
@@ -34,7 +34,6 @@
     """Open probes by nonce. Answers and deadlines remove them."""
 
     def __init__(self, draw: Callable[[], float]) -> None:
-        """No probe is open."""
         self.pending: dict[int, Probe] = {}
         self._draw = draw
         self._serial = 0
--- a/valverouter/membership/rate_limiter.py
+++ b/valverouter/membership/rate_limiter.py
@@ -10,7 +10,6 @@
     """
 
     def __init__(self, interval: int) -> None:
-        """Every address is allowed."""
         self._interval = interval
         self._last_allowed: dict[str, int] = {}
 
