--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -1,14 +1,13 @@
-"""The fleet's view at size, simulated: how soon deaths are known, how often one is told wrongly, what it
-costs.
+"""Membership of large fleets, simulated: how soon deaths are detected, how many are false, what it costs.
 
     python benchmarks/views.py deaths --members 220 --hours 1 --loss 0.05 --stalls
     python benchmarks/views.py false --members 220 --hours 24 --loss 0.05 --jobs 8
     python benchmarks/views.py cost --members 1000
     python benchmarks/views.py cut --members 220 --rounds 20
 
-`--as` takes a baseline in place of the program's rules: `heartbeats` (all tell all each period; silent for
-five is gone), `unsuspecting` (a failed probe is a death), `trusting` (no local health). One in twenty
-instances stalls for 2 s at a time, every 20 s on average, where `--stalls` is given. Seeds are counted up
+`--as` takes a baseline in place of the program's protocol: `heartbeats` (all send to all each period; silent
+for five is gone), `unsuspecting` (a failed probe is a death), `trusting` (no local health). One in twenty
+members stalls for 2 s at a time, every 20 s on average, where `--stalls` is given. Seeds are counted up
 from `--seed`; the same command gives the same figures.
 """
 
@@ -34,8 +33,8 @@
 
 BASELINES = ("program", "heartbeats", "unsuspecting", "trusting")
 SEEDS = ("e0:1", "e1:1", "e2:1")
-# Silent for so many periods is gone, where all tell all: as long as the program's own way to a death.
-SILENT = 5
+# Baseline of heartbeats: silent for so many periods is gone, about as long as the program takes to a death.
+SILENT_PERIODS = 5
 
 
 class Heartbeats:
@@ -87,7 +86,7 @@
             self.outbox.append((held.address, heartbeat))
             if late:
                 self._last_heard[name] = now
-            elif now - self._last_heard.setdefault(name, now) > SILENT * period:
+            elif now - self._last_heard.setdefault(name, now) > SILENT_PERIODS * period:
                 gone = as_reported(held, MemberState.GONE, own_name)
                 self.view.put(gone, now)
                 self.events.append(MembershipEvent(now, EventKind.GONE, gone, own_name))
@@ -95,9 +94,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """One run."""
+    """One simulated round. `measurement`: a key of MEASUREMENTS; `seconds`: its simulated length."""
 
-    what: str
+    measurement: str
     members: int
     loss: float
     stalls: bool
@@ -106,7 +105,8 @@
     seconds: float
 
 
-def rules_of(baseline: str) -> MembershipConfig:
+def config_of(baseline: str) -> MembershipConfig:
+    """The configuration of a baseline."""
     return MembershipConfig(
         suspicion_enabled=baseline != "unsuspecting", local_health_enabled=baseline != "trusting"
     )
@@ -118,10 +118,11 @@
     faults: list[PathFault] | None = None,
     sized: bool = False,
 ) -> Views:
+    """A fleet whose members know each other already; `sized`: bytes are counted."""
     chance = random.Random(f"paths/{case.seed}")
     make = Heartbeats if case.baseline == "heartbeats" else Membership
     views = Views(
-        rules_of(case.baseline),
+        config_of(case.baseline),
         Paths(
             faults or [], chance.random, lambda a, b: 500_000 + int(chance.random() * 1_500_000), case.loss
         ),
@@ -134,11 +135,13 @@
     if case.stalls:
         stalling = random.Random(f"stalls/{case.seed}")
         for name in stalling.sample(sorted(views.nodes), case.members // 20):
-            _stall_on(views, name, stalling)
+            _schedule_stalls(views, name, stalling)
     return views
 
 
-def _stall_on(views: Views, name: str, chance: random.Random) -> None:
+def _schedule_stalls(views: Views, name: str, chance: random.Random) -> None:
+    """The member stalls for 2 s at a time, every 20 s on average."""
+
     def stall() -> None:
         views.stall(name, 2 * SECOND)
         views.at(views.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
@@ -147,16 +150,16 @@
 
 
 def deaths(case: Case) -> dict[str, list[float]]:
-    """One after the other is killed, every 20 s; it comes back 15 s later."""
-    left: set[str] = set()
+    """Kills one member after the other; how long until all others know, and how many deaths some missed."""
+    unaware: set[str] = set()
     killed: dict[str, int] = {}
     spans: list[float] = []
 
-    def watch(node: Node, found: MembershipEvent) -> None:
-        if found.kind is EventKind.GONE and found.record.name in killed:
-            left.discard(node.name)
-            if not left:
-                spans.append((views.now - killed.pop(found.record.name)) / SECOND)
+    def watch(node: Node, event: MembershipEvent) -> None:
+        if event.kind is EventKind.GONE and event.record.name in killed:
+            unaware.discard(node.name)
+            if not unaware:
+                spans.append((views.now - killed.pop(event.record.name)) / SECOND)
 
     views = fleet(case, watch)
     chance = random.Random(f"deaths/{case.seed}")
@@ -166,7 +169,7 @@
         name = chance.choice(sorted(views.nodes))
         views.run(views.now + int(chance.random() * SECOND))
         views.kill(name)
-        left = {node.name for node in views.live()}
+        unaware = {node.name for node in views.live()}
         killed[name] = views.now
         views.run(views.now + 30 * SECOND)
         missed += len(killed)
@@ -177,14 +180,14 @@
 
 
 def false_deaths(case: Case) -> dict[str, list[float]]:
-    """Nobody dies. A death told by the one that found it counts, once for each member and word."""
+    """Nobody dies: counts false deaths, once for each member and record, and accusations received."""
     wrong: set[tuple[str, int, int]] = set()
     counts: Counter[EventKind] = Counter()
 
-    def watch(node: Node, found: MembershipEvent) -> None:
-        counts[found.kind] += 1
-        if found.kind is EventKind.GONE:
-            wrong.add((found.record.name, found.record.incarnation, found.record.sequence))
+    def watch(node: Node, event: MembershipEvent) -> None:
+        counts[event.kind] += 1
+        if event.kind is EventKind.GONE:
+            wrong.add((event.record.name, event.record.incarnation, event.record.sequence))
 
     views = fleet(case, watch)
     views.run(int(case.seconds * SECOND))
@@ -192,8 +195,8 @@
 
 
 def cost(case: Case) -> dict[str, list[float]]:
-    """Messages and bytes a second of an instance, over `seconds`."""
-    views = fleet(case, lambda node, found: None, sized=True)
+    """Messages and bytes a second of each member."""
+    views = fleet(case, lambda node, event: None, sized=True)
     views.run(int(case.seconds * SECOND))
     nodes = list(views.nodes.values())
     return {
@@ -203,26 +206,28 @@
 
 
 def cut(case: Case) -> dict[str, list[float]]:
-    """Half and half cut for 60 s, from 5 s on; how long until one digest."""
+    """A partition into halves for 60 s, from 5 s on; how long until all have one digest."""
     half = frozenset(f"e{at}" for at in range(case.members // 2))
-    # Only those of one group are named: everybody else is in the other.
+    # Only the members of one group are named: all others are in the other one.
     fault = PathFault("split", 5 * SECOND, 65 * SECOND, groups=(half,))
-    views = fleet(case, lambda node, found: None, [fault])
+    views = fleet(case, lambda node, event: None, [fault])
     views.run(65 * SECOND)
     settled = views.settles(185 * SECOND, SECOND // 10)
     return {"settled": [float("inf") if settled is None else (settled - 65 * SECOND) / SECOND]}
 
 
-RUNS = {"deaths": deaths, "false": false_deaths, "cost": cost, "cut": cut}
+MEASUREMENTS = {"deaths": deaths, "false": false_deaths, "cost": cost, "cut": cut}
 
 
 def run(case: Case) -> dict[str, list[float]]:
-    return RUNS[case.what](case)
+    """The values of one round, by name."""
+    return MEASUREMENTS[case.measurement](case)
 
 
-def main() -> None:
+def arguments() -> argparse.Namespace:
+    """The arguments of the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("what", choices=sorted(RUNS))
+    parser.add_argument("measurement", choices=sorted(MEASUREMENTS))
     parser.add_argument("--members", type=int, default=220)
     parser.add_argument("--loss", type=float, default=0.0)
     parser.add_argument("--stalls", action="store_true")
@@ -232,33 +237,57 @@
     parser.add_argument("--rounds", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args()
-    rounds, seconds = told.rounds, told.seconds
-    if told.hours:
+    return parser.parse_args()
+
+
+def cases_of(options: argparse.Namespace) -> list[Case]:
+    """The rounds to simulate, with seeds counted up."""
+    rounds, seconds = options.rounds, options.seconds
+    if options.hours:
         # Rounds of a quarter of an hour, so that the jobs are busy to the end.
-        rounds = max(1, round(told.hours * 4))
-        seconds = told.hours * 3_600 / rounds
-    cases = [
-        Case(told.what, told.members, told.loss, told.stalls, told.baseline, told.seed + at, seconds)
-        for at in range(rounds)
+        rounds = max(1, round(options.hours * 4))
+        seconds = options.hours * 3_600 / rounds
+    return [
+        Case(
+            measurement=options.measurement,
+            members=options.members,
+            loss=options.loss,
+            stalls=options.stalls,
+            baseline=options.baseline,
+            seed=options.seed + number,
+            seconds=seconds,
+        )
+        for number in range(rounds)
     ]
-    with Pool(told.jobs) as pool:
-        results = pool.map(run, cases, chunksize=1)
+
+
+def report(cases: list[Case], results: list[dict[str, list[float]]]) -> None:
+    """Prints the values of all rounds together."""
+    first, last = cases[0], cases[-1]
+    head = f"{first.measurement} {first.baseline} members={first.members} loss={first.loss}"
+    print(f"{head} stalls={first.stalls} seeds={first.seed}..{last.seed} of {first.seconds:g} s", flush=True)
     merged: dict[str, list[float]] = {}
     for result in results:
-        for key, values in result.items():
-            merged.setdefault(key, []).extend(values)
-    head = f"{told.what} {told.baseline} members={told.members} loss={told.loss} stalls={told.stalls}"
-    print(f"{head} seeds={told.seed}..{told.seed + rounds - 1} of {seconds:g} s", flush=True)
-    for key, values in merged.items():
+        for name, values in result.items():
+            merged.setdefault(name, []).extend(values)
+    for name, values in merged.items():
         values.sort()
-        at99 = values[min(len(values) - 1, int(0.99 * len(values)))]
+        percentile_99 = values[min(len(values) - 1, int(0.99 * len(values)))]
         print(
-            f"  {key}: n={len(values)} sum={sum(values):g} median={statistics.median(values):.2f} "
-            f"99%={at99:.2f} most={values[-1]:.2f}",
+            f"  {name}: n={len(values)} sum={sum(values):g} median={statistics.median(values):.2f} "
+            f"99%={percentile_99:.2f} most={values[-1]:.2f}",
             flush=True,
         )
 
 
+def main() -> None:
+    """Simulates the rounds in parallel and prints what they measured."""
+    options = arguments()
+    cases = cases_of(options)
+    with Pool(options.jobs) as pool:
+        results = pool.map(run, cases, chunksize=1)
+    report(cases, results)
+
+
 if __name__ == "__main__":
     main()
--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -128,7 +128,7 @@
             node.membership.view = whole.copy()
 
     def kill(self, name: str) -> None:
-        """Ends a process without a word to the others."""
+        """Ends a process; the others are not told."""
         self.nodes[name].alive = False
         if self._at_address.get(self.nodes[name].address) is self.nodes[name]:
             del self._at_address[self.nodes[name].address]
--- a/valverouter/membership/failure_detector.py
+++ b/valverouter/membership/failure_detector.py
@@ -93,7 +93,7 @@
         record = self._node.view.records.get(probe.target)
         self.local_health.on_probe_failed(probe.helper_answered)
         if record is None or (record.incarnation, record.sequence) != (probe.incarnation, probe.sequence):
-            # It has said something since the probe began. Counted as a failure all the same, a refuted
+            # It has published a record since the probe began. Counted as a failure all the same, a refuted
             # suspicion became a death when a member that stalls now and then stalled again.
             return
         if record.is_live:
--- a/valverouter/membership/local_health.py
+++ b/valverouter/membership/local_health.py
@@ -1,7 +1,7 @@
 """How well this member itself seems to send, receive and run: Lifeguard's local health.
 
 A member that is stalled, starved or cut off finds everybody silent. The worse its own health, the longer it
-waits before it says so of others.
+waits before it accuses others.
 """
 
 from __future__ import annotations
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -47,10 +47,10 @@
         elif node.view.accepts(update):
             self._accept(update, update.accuser)
         elif current is not None and update.is_live and are_unrelated(update, current):
-            self._tell_of_other_incarnation(update.address, current)
+            self._send_other_incarnation(update.address, current)
 
-    def _tell_of_other_incarnation(self, address: str, current: MemberRecord) -> None:
-        """Tells the incarnation at `address` of the one held here; neither has named the other.
+    def _send_other_incarnation(self, address: str, current: MemberRecord) -> None:
+        """Sends the incarnation at `address` the record held here; neither has named the other.
 
         If it runs, it names the other and so supersedes it at all members. If it does not run, whoever has
         its address now learns nothing from it.
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -47,7 +47,7 @@
 class Membership:
     """One member. Its tables are bounded by the size of the fleet.
 
-    `own_record`: what the member says of itself at its start. `draw` returns random numbers in [0, 1). `now`
+    `own_record`: the member's first record of itself. `draw` returns random numbers in [0, 1). `now`
     and all other times are ns on the owner's clock. `seeds`: addresses to join the fleet through.
     """
 
@@ -83,7 +83,7 @@
 
     @property
     def own_record(self) -> MemberRecord:
-        """What this member says of itself."""
+        """The latest record that this member published of itself."""
         return self._node.own_record
 
     @property
@@ -207,7 +207,7 @@
             self.member_updates.apply(record)
 
     def _check_sender(self, address: str, message: Message) -> None:
-        """Compares what the message's header says of its sender with the view."""
+        """Compares the sender in the message's header with the view."""
         own, view = self._node.own_record, self._node.view
         if message.name == own.name and message.incarnation != own.incarnation:
             self._conflicts.on_message(address, message)
@@ -221,7 +221,7 @@
             self._anti_entropy.on_different_digest(current.address)
 
     def _correct_sender(self, address: str, current: MemberRecord | None) -> None:
-        """Tells a sender that is not known here as it says what is held: it answers with its own record."""
+        """Sends a sender that the view holds differently what is held: it answers with its own record."""
         if not self._rate_limiter.allow(address, self._node.now):
             return
         if current is None:
@@ -259,7 +259,7 @@
             if current.state == MemberState.SUSPECT:
                 self.member_updates.suspicions.on_ack(current.name, node.now)
         elif ack.member_incarnation not in current.previous_incarnations:
-            # Another incarnation answers at the address: told of the one held here, it supersedes it.
+            # Another incarnation answers at the address: once it gets the record held here, it supersedes it.
             node.send(current.address, Gossip(*node.header(), (current,)))
 
     def _on_probe_failed(self, record: MemberRecord, is_final: bool) -> None:
--- a/valverouter/membership/model.py
+++ b/valverouter/membership/model.py
@@ -6,14 +6,13 @@
 or never: that covers loss, delay, duplication and reordering. Clocks are wrong in both directions: a new
 process draws a generation below or above all previous ones.
 
-Properties, by the word that begins a violation's text:
+Properties:
 
-    former   an observer never goes back from a process to one that ended before it began, unless it forgot
-    the name
-             in between
-    war      two processes under one name do not supersede each other without end stays    from every state,
-    once faults are over and records get through, all observers hold a process that runs,
-             as alive, and the same one
+- No return: an observer never goes back from a process to one that ended before it began, unless it forgot
+  the name in between.
+- No endless raise: two processes under one name do not supersede each other without end.
+- Convergence: from every state, once faults are over and records get through, all observers hold the same
+  running process as alive.
 
 With one rule of the protocol omitted, the walk must end in `PropertyViolationError`: that shows that the rule
 is needed, and that the walk would notice its absence.
@@ -236,7 +235,7 @@
         held = state.held[observer]
         accepts = record.state in LIVE_STATES if held is None else self._supersedes(record, held)
         if accepts:
-            _check_not_former(state, observer, record)
+            _check_no_return(state, observer, record)
             yield state.with_held(observer, record)
 
     def _delivered_to_process(
@@ -265,7 +264,7 @@
         held = {record.incarnation if record else 0 for record in final.held}
         all_alive = all(record is not None and record.state == MemberState.ALIVE for record in final.held)
         if len(held) > 1 or not held <= running or not all_alive:
-            raise PropertyViolationError(f"stays: {final.held} while {sorted(running)} runs")
+            raise PropertyViolationError(f"no convergence: {final.held} while {sorted(running)} runs")
 
     def _without_faults(self, state: ModelState) -> ModelState:
         """The state in which nothing changes any more once every record reaches everybody."""
@@ -275,7 +274,7 @@
             state = self._delivery_round(state)
             if state == before:
                 return state
-        raise PropertyViolationError(f"war: records without end from {start}")
+        raise PropertyViolationError(f"endless raise: records without end from {start}")
 
     def _delivery_round(self, state: ModelState) -> ModelState:
         """Processes publish their records, ends are detected, and every record reaches everybody."""
@@ -306,25 +305,21 @@
     """The process publishes a new record of itself."""
     if own.generation > MAX_GENERATION:
         raise PropertyViolationError(
-            f"war: process {own.incarnation} raised its generation to {own.generation}"
+            f"endless raise: process {own.incarnation} has generation {own.generation}"
         )
     return state.with_process(index, replace(process, own_record=own)).with_published(own)
 
 
 def _verified(state: ModelState, index: int, incarnation: int) -> Iterator[ModelState]:
-    """The process probes another incarnation: the answer proves that both run."""
-    others = enumerate(state.processes)
-    found = next(((at, other) for at, other in others if other.own_record.incarnation == incarnation), None)
-    if found is None or not found[1].is_running:
-        return
+    """The process probes another incarnation: the answer proves to both that both run."""
     process = state.processes[index]
-    after = state.with_process(index, replace(process, conflicting=incarnation))
-    other_index = found[0]
-    other = replace(after.processes[other_index], conflicting=process.own_record.incarnation)
-    yield after.with_process(other_index, other)
+    for other_index, other in enumerate(state.processes):
+        if other.own_record.incarnation == incarnation and other.is_running:
+            proven = state.with_process(index, replace(process, conflicting=incarnation))
+            yield proven.with_process(other_index, replace(other, conflicting=process.own_record.incarnation))
 
 
-def _check_not_former(state: ModelState, observer: int, record: MemberRecord) -> None:
+def _check_no_return(state: ModelState, observer: int, record: MemberRecord) -> None:
     if record.state not in LIVE_STATES:
         return
     for incarnation in state.seen[observer]:
@@ -332,7 +327,7 @@
         if record.incarnation < incarnation and not was_concurrent:
             name = _observer_name(observer)
             raise PropertyViolationError(
-                f"former: {name} went from process {incarnation} back to {record.incarnation}"
+                f"return: {name} went from process {incarnation} back to {record.incarnation}"
             )
 
 
--- a/valverouter/membership/name_conflicts.py
+++ b/valverouter/membership/name_conflicts.py
@@ -61,8 +61,8 @@
     if received.incarnation == conflicting:
         return ConflictAction.NOTHING
     if own.incarnation in received.previous_incarnations:
-        # It was told of this process when it began, and this one runs: either both run, or the record is old
-        # and the other has ended. Its address can tell.
+        # The other one has named this process as a previous incarnation, and this one runs: either both run,
+        # or the record is old and the other has ended. Its address can tell.
         return ConflictAction.VERIFY
     return (
         ConflictAction.NOTHING
@@ -85,7 +85,7 @@
         return self.incarnation != 0
 
     def update(self, incarnation: int, address: str, now: int) -> bool:
-        """The other process was heard of; whether it was not known before."""
+        """Notes a message of the other process; whether that one was not known before."""
         is_new = incarnation != self.incarnation
         self.incarnation, self.address, self.last_heard = incarnation, address, now
         return is_new
--- a/valverouter/membership/records.py
+++ b/valverouter/membership/records.py
@@ -5,11 +5,11 @@
 SWIM calls the incarnation number: a member refutes a suspicion by raising it.
 
 Between two incarnations neither clocks nor numbers decide: the later one is the one that names the other in
-`previous_incarnations`. A process that starts knows of no previous incarnation. Whoever holds one tells it,
-and it supersedes it by naming it. A process that ended before another began can never have named it, so
-nobody who has seen the later one goes back: not with a clock set back an hour, not without a disk, and
-whatever datagrams come late. Only two processes that run at the same time may each name the other; then
-`generation` decides, which is above every generation that its process had heard of when it was raised.
+`previous_incarnations`. A process that starts knows of no previous incarnation. Whoever holds one sends it
+that record, and it supersedes that one by naming it. A process that ended before another began can never have
+named it, so nobody who has seen the later one goes back: not with a clock set back an hour, not without a
+disk, and whatever datagrams come late. Only two processes that run at the same time may each name the other;
+then `generation` decides, which is above every generation that its process had heard of when it was raised.
 """
 
 from __future__ import annotations
--- a/valverouter/membership/suspicion.py
+++ b/valverouter/membership/suspicion.py
@@ -32,7 +32,7 @@
         self._open: dict[str, Suspicion] = {}
 
     def clear(self, name: str) -> None:
-        """Ends the suspicion: its member said something of itself, or its end is known."""
+        """Ends the suspicion: the suspect has refuted, or its end is known."""
         self._open.pop(name, None)
 
     def accuse(
