--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -22,7 +22,7 @@
 from multiprocessing import Pool
 
 from valverouter.emulator.views import SECOND, Node, Views
-from valverouter.fleet.sealing import size_of
+from valverouter.fleet.authentication import datagram_size
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.membership import Membership
@@ -128,7 +128,7 @@
         ),
         case.seed,
         watch,
-        size_of if sized else None,
+        datagram_size if sized else None,
         make,  # type: ignore[arg-type]
     )
     views.full(case.members, SEEDS)
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -32,7 +32,8 @@
 from valverouter.edge import listing
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
-from valverouter.fleet import asking, parcels, sealing, words
+from valverouter.fleet import authentication, fragmentation, queries, view_comparison
+from valverouter.fleet import messages as fleet_messages
 from valverouter.ledger import store
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore
@@ -78,7 +79,7 @@
             case Format.FRAME:
                 return framing.frame(self.value)
             case Format.DATAGRAM:
-                return sealing.Seal((KEY,)).seal(self.value)
+                return authentication.Authenticator((KEY,)).sign(self.value)
 
     def decode(self, data: bytes) -> Any:
         match self.format:
@@ -90,7 +91,9 @@
                 (body,) = framing.FrameReader().feed(data)
                 return msgspec.msgpack.decode(body, type=self.decoded_as)
             case Format.DATAGRAM:
-                return sealing.Opener(sealing.Seal((KEY,)), self.decoded_as).open(data)
+                return authentication.DatagramReader(
+                    authentication.Authenticator((KEY,)), self.decoded_as
+                ).read(data)
 
 
 # Membership
@@ -133,19 +136,21 @@
 COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.MemberState = records.MemberState.LEFT) -> asking.Row:
-    return asking.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
+def view_row(state: records.MemberState = records.MemberState.LEFT) -> queries.MemberRow:
+    return queries.MemberRow(
+        "e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True
+    )
 
 
 VIEW = tuple(view_row(state) for state in records.MemberState)
 VIEWS: dict[str, Any] = {
-    "query": asking.Query(*HEAD, 9, 4),
-    "count": asking.Count(*HEAD, 10),
-    "counted": asking.Counted(*HEAD, 12, COUNTS),
-    "shown": asking.Shown(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
+    "query": queries.ViewQuery(*HEAD, 9, 4),
+    "count": queries.CountersQuery(*HEAD, 10),
+    "counted": queries.CountersReply(*HEAD, 12, COUNTS),
+    "shown": queries.ViewPage(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
 }
 
-PIECE = parcels.Piece("c1", 193, 197, 2, 5, b"of a parcel")
+PIECE = fragmentation.Fragment("c1", 193, 197, 2, 5, b"of a parcel")
 
 # Orders and permits
 
@@ -243,15 +248,15 @@
 )
 
 WORDS: dict[str, Any] = {
-    **{f"votes-{name}": words.Votes("c2", message) for name, message in COUNCIL.items()},
-    "here": words.Here("c3", 431),
-    "reported": words.Reported(REPORT, 433, 439),
-    "worded": words.Worded("c1", "e16", 443, 449, WANT, True),
+    **{f"votes-{name}": fleet_messages.RaftEnvelope("c2", message) for name, message in COUNCIL.items()},
+    "here": fleet_messages.NodeAnnouncement("c3", 431),
+    "reported": fleet_messages.ReportMessage(REPORT, 433, 439),
+    "worded": fleet_messages.DesiredStateMessage("c1", "e16", 443, 449, WANT, True),
     **{
-        f"asks-{name}": words.Asks(457 + at, "do", command, "about")
+        f"asks-{name}": fleet_messages.ClientRequest(457 + at, "do", command, "about")
         for at, (name, command) in enumerate(COMMANDS.items())
     },
-    "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
+    "tells": fleet_messages.ClientResponse(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
 PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
@@ -478,8 +483,8 @@
     plain: dict[str, Any] = {
         **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
         **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
-        "fleet.envelope": sealing.Envelope(3, MEMBERSHIP["ping"]),
-        "fleet.posted": sealing.Posted(4, PIECE),
+        "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
+        "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
         "council.snapshot": written.kept_snapshot(snapshot()),
         "orders.placed": PLACED,
@@ -496,9 +501,9 @@
         {key: Sample(value) for key, value in plain.items()}
         | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
         | _named("fleet", VIEWS | {"piece": PIECE}, Format.MSGPACK)
-        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, sealing.Envelope)
-        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, sealing.Posted)
-        | _named("words", WORDS, Format.MSGPACK, words.Word)
+        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, authentication.Envelope)
+        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, authentication.FragmentEnvelope)
+        | _named("words", WORDS, Format.MSGPACK, fleet_messages.ControlMessage)
         | _named("setup", SETUP, Format.FRAME, SETUP_KINDS)
         | _named("greeting", GREETING, Format.FRAME, greeting.Greeting)
         | _named("list", LIST, Format.FRAME, LIST_KINDS)
@@ -528,10 +533,10 @@
 MODULES = (
     messages,
     records,
-    asking,
-    parcels,
-    sealing,
-    words,
+    queries,
+    fragmentation,
+    authentication,
+    fleet_messages,
     limits,
     permits,
     orders,
@@ -574,17 +579,17 @@
     messages.Gossip: "g",
     messages.SyncDigests: "s",
     messages.SyncRecords: "v",
-    asking.Query: "?",
-    asking.Count: "c",
-    asking.Counted: "C",
-    asking.Shown: "!",
-    parcels.Piece: "Piece",
-    words.Votes: "v",
-    words.Here: "h",
-    words.Reported: "r",
-    words.Worded: "w",
-    words.Asks: "q",
-    words.Tells: "t",
+    queries.ViewQuery: "?",
+    queries.CountersQuery: "c",
+    queries.CountersReply: "C",
+    queries.ViewPage: "!",
+    fragmentation.Fragment: "Piece",
+    fleet_messages.RaftEnvelope: "v",
+    fleet_messages.NodeAnnouncement: "h",
+    fleet_messages.ReportMessage: "r",
+    fleet_messages.DesiredStateMessage: "w",
+    fleet_messages.ClientRequest: "q",
+    fleet_messages.ClientResponse: "t",
     permits.Ask: "Ask",
     permits.Back: "Back",
     permits.Away: "Away",
@@ -725,11 +730,13 @@
 # What commands print as JSON, for programs of the operators
 
 
-def heard() -> list[asking.Heard]:
+def heard() -> list[view_comparison.ViewAnswer]:
     """Two answers that differ, of whole views, and one that is not whole."""
-    first = asking.Heard("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
-    second = asking.Heard("127.0.0.2:7102", "e2", 107, 109, "doubting", {"stranger": 21}, {0: VIEW[:1]})
-    return [first, second, asking.Heard("127.0.0.3:7103")]
+    first = view_comparison.ViewAnswer("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
+    second = view_comparison.ViewAnswer(
+        "127.0.0.2:7102", "e2", 107, 109, "doubting", {"stranger": 21}, {0: VIEW[:1]}
+    )
+    return [first, second, view_comparison.ViewAnswer("127.0.0.3:7103")]
 
 
 def print_view(file: Path) -> None:
--- /dev/null
+++ b/valverouter/fleet/membership_service.py
@@ -0,0 +1,251 @@
+"""The task beside an edge proxy that takes part in its fleet's membership: one socket, one `Membership`.
+
+Datagrams are taken in small batches with a checkpoint between them, so that a flood costs the instance the
+reading of it and delays no other task. What has arrived is read before timers are run: after a pause of the
+process the others' messages must count before their silence does.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+import structlog
+import trio
+
+from valverouter.edge.surroundings import Datagrams, Surroundings
+from valverouter.fleet.authentication import (
+    MAX_DATAGRAM_BYTES,
+    Authenticator,
+    DatagramReader,
+    MessageTooLongError,
+)
+from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
+from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
+from valverouter.fleet.transport import DropLogger
+from valverouter.fleet.view_pages import view_page
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.convergence import ViewHealth
+from valverouter.membership.events import MembershipEvent
+from valverouter.membership.membership import Membership
+from valverouter.membership.records import MemberRecord, Phase
+from valverouter.rollout.keeping import Counts
+from valverouter.terms.between import Between
+from valverouter.terms.edge import EdgeTerms
+
+# Datagrams that are read before the other tasks of the instance get their turn.
+BATCH_SIZE = 16
+# The longest sleep in seconds, and so how often the instance's own facts are looked at.
+MAX_SLEEP_S = 0.25
+NS_PER_MS = 1_000_000
+# Log levels of membership events; the others are logged as info.
+EVENT_LEVELS = {"conflict": "error", "cut-off": "warning", "stalled": "warning", "accused": "warning"}
+
+log = structlog.get_logger()
+
+
+def _ignore_event(event: MembershipEvent) -> None:
+    """Stand in for a subscriber where there is none."""
+
+
+class MembershipService:
+    """Runs an instance's part in the membership protocol and answers queries about its view."""
+
+    def __init__(
+        self,
+        terms: EdgeTerms,
+        between: Between,
+        surroundings: Surroundings,
+        incarnation: int,
+        facts: Callable[[], tuple[Phase, str]],
+        version: str = "",
+        on_event: Callable[[MembershipEvent], None] = _ignore_event,
+        counters: Callable[[], Counts] = Counts,
+    ) -> None:
+        """Prepare the service; `run` opens the socket.
+
+        `incarnation` is 64 random bits, drawn for this process alone. `facts` tells the instance's phase and
+        the digest of its configuration, `counters` what it has counted; both are asked repeatedly.
+        """
+        self.counts: Counter[str] = Counter()
+        self.membership: Membership | None = None
+        self.ended = trio.Event()
+        self._terms = terms
+        self._between = between
+        self._surroundings = surroundings
+        self._incarnation = incarnation
+        self._facts = facts
+        self._version = version
+        self._on_event = on_event
+        self._counters = counters
+        self._authenticator = Authenticator(between.keys)
+        self._reader = DatagramReader(self._authenticator)
+        self._log = log.bind(edge=terms.name)
+        self._drop_logger = DropLogger(self._reader, self._log)
+        self._leaving = False
+        self._sleep = trio.CancelScope()
+        # The size of the fleet that was compared with the configuration last.
+        self._checked_size = terms.deployment.edge_proxies
+
+    async def run(self, task_status: trio.TaskStatus[MembershipService] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve until `leave` or cancellation; OSError if the address can't be bound."""
+        socket = self._surroundings.datagrams(self._between.listen)
+        try:
+            self.membership = membership = self._join(socket.address)
+            own_record = membership.own_record
+            self._log.info(
+                "membership-started",
+                address=socket.address,
+                advertised=own_record.address,
+                life=f"{own_record.incarnation:016x}",
+            )
+            task_status.started(self)
+            await self._serve(socket, membership)
+        finally:
+            socket.close()
+            self.ended.set()
+
+    def _join(self, bound_address: str) -> Membership:
+        between, terms = self._between, self._terms
+        phase, config_digest = self._facts()
+        own_record = MemberRecord(
+            name=terms.name,
+            region=terms.region,
+            place=terms.place,
+            address=between.advertise or bound_address,
+            generation=self._surroundings.wall() // NS_PER_MS,
+            incarnation=self._incarnation,
+            version=self._version,
+            config_digest=config_digest,
+            phase=phase,
+        )
+        config = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
+        draw = IncarnationRandom(self._incarnation).draw
+        return Membership(own_record, config, draw, monotonic_ns(), between.seeds)
+
+    async def _serve(self, socket: Datagrams, membership: Membership) -> None:
+        while not self._leaving:
+            await self._wait(socket, membership)
+            self._receive_batch(socket, membership)
+            now = monotonic_ns()
+            phase, config_digest = self._facts()
+            membership.update_facts(now, phase, config_digest)
+            # A flood must not keep timers from running, nor a pause make them look due: datagrams are read
+            # first, and only then the clock.
+            if membership.next_timer <= now:
+                membership.tick(now)
+                self._check_fleet_size(membership)
+            self._flush(socket, membership)
+        membership.leave(monotonic_ns())
+        self._flush(socket, membership)
+
+    async def _wait(self, socket: Datagrams, membership: Membership) -> None:
+        """Sleep until a datagram arrives, a timer is due or `leave` is called, MAX_SLEEP_S at most."""
+        until_due = (membership.next_timer - monotonic_ns()) / 1e9
+        with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep:
+            await socket.readable()
+        await self._surroundings.turn()
+
+    def leave(self) -> None:
+        """Announce to the others that this instance leaves, and end `run`."""
+        self._leaving = True
+        self._sleep.cancel()
+
+    # Incoming datagrams
+
+    def _receive_batch(self, socket: Datagrams, membership: Membership) -> None:
+        for _ in range(BATCH_SIZE):
+            datagram = socket.take()
+            if datagram is None:
+                break
+            self._on_datagram(socket, membership, *datagram)
+
+    def _on_datagram(self, socket: Datagrams, membership: Membership, data: bytes, source: str) -> None:
+        message = self._reader.read(data)
+        if message is None:
+            self._on_dropped()
+        elif isinstance(message, ViewQuery):
+            self._reply_with_page(socket, membership, message, source)
+        elif isinstance(message, CountersQuery):
+            self._reply_with_counters(socket, membership, message, source)
+        elif not isinstance(message, ViewPage | CountersReply):
+            self.counts["heard"] += 1
+            membership.receive(monotonic_ns(), source, message)
+
+    def _on_dropped(self) -> None:
+        for version in self._reader.unknown_versions:
+            self._log.warning("version-unknown", version=version)
+        self._reader.unknown_versions.clear()
+        self._drop_logger.on_dropped()
+
+    def _reply_with_page(
+        self, socket: Datagrams, membership: Membership, query: ViewQuery, source: str
+    ) -> None:
+        counts = {f"dropped-{reason}": count for reason, count in self._reader.dropped.items()}
+        page = view_page(membership, monotonic_ns(), query, counts | dict(self.counts))
+        if page is not None:
+            self._send(socket, source, page)
+
+    def _reply_with_counters(
+        self, socket: Datagrams, membership: Membership, query: CountersQuery, source: str
+    ) -> None:
+        counters = msgspec.structs.replace(
+            self._counters(), life=self._incarnation, trust=membership.view_health.value
+        )
+        own_record = membership.own_record
+        reply = CountersReply(
+            own_record.name, own_record.incarnation, membership.view.digest, query.nonce, counters
+        )
+        self._send(socket, source, reply)
+
+    # Outgoing datagrams and events
+
+    def _flush(self, socket: Datagrams, membership: Membership) -> None:
+        """Log the events and send the messages that the membership has queued."""
+        for event in membership.take_events():
+            self._log_event(membership, event)
+        for address, message in membership.take_outbox():
+            self._send(socket, address, message)
+
+    def _send(self, socket: Datagrams, address: str, message: Any) -> None:
+        try:
+            data = self._authenticator.sign(message)
+        except MessageTooLongError as error:
+            self.counts["too-long"] += 1
+            self._log.error("message-too-long", why=str(error), most=MAX_DATAGRAM_BYTES)
+            return
+        self.counts["sent"] += 1
+        self.counts["sent-bytes"] += len(data)
+        if not socket.send(data, address):
+            self.counts["not-sent"] += 1
+
+    def _log_event(self, membership: Membership, event: MembershipEvent) -> None:
+        self.counts[event.kind.value] += 1
+        self._on_event(event)
+        record = event.record
+        is_own = record.incarnation == membership.own_record.incarnation
+        subject = "view" if is_own else "member"
+        level = EVENT_LEVELS.get(event.kind.value, "info")
+        getattr(self._log, level)(
+            f"{subject}-{event.kind.value}",
+            member=record.name,
+            life=f"{record.incarnation:016x}",
+            number=record.generation,
+            address=record.address,
+            by=event.source,
+            digest=f"{membership.view.digest:016x}",
+            members=membership.view.live_count,
+        )
+
+    def _check_fleet_size(self, membership: Membership) -> None:
+        """Warn once about each size on which the view settles and which the configuration does not say."""
+        members = membership.view.live_count
+        if membership.view_health is not ViewHealth.SETTLED or members == self._checked_size:
+            return
+        self._checked_size = members
+        configured = self._terms.deployment.edge_proxies
+        if members != configured:
+            self.counts["size-differs"] += 1
+            self._log.warning("fleet-size-differs", members=members, edge_proxies=configured)
