--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -209,13 +209,16 @@
             first = member("m0", (), 1)
             await nursery.start(first.run)
             assert first.membership is not None
-            others = [member(f"m{at}", (first.membership.mine.address,), 1) for at in range(1, count)]
+            others = [member(f"m{at}", (first.membership.own_record.address,), 1) for at in range(1, count)]
             for one in others:
                 await nursery.start(one.run)
-            told.put(first.membership.mine.address)
-            while first.membership.view.living < count + 1 or first.membership.trust.value != "settled":
+            told.put(first.membership.own_record.address)
+            while (
+                first.membership.view.live_count < count + 1
+                or first.membership.view_health.value != "settled"
+            ):
                 await trio.sleep(0.2)
-            told.put(f"{first.membership.view.living} members, {first.membership.trust.value}")
+            told.put(f"{first.membership.view.live_count} members, {first.membership.view_health.value}")
             await trio.sleep_forever()
 
     set_up(edge_terms(IniFile(INI.format(port=1), "bench")).log)
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -108,8 +108,8 @@
 # Membership
 
 
-def member_record(state: records.State = records.State.SUSPECT) -> records.Record:
-    return records.Record(
+def member_record(state: records.MemberState = records.MemberState.SUSPECT) -> records.MemberRecord:
+    return records.MemberRecord(
         "e7",
         "north",
         3,
@@ -133,11 +133,11 @@
 MEMBERSHIP: dict[str, Any] = {
     "ping": messages.Ping(*HEAD, 5, 107, NEWS),
     "ack": messages.Ack(*HEAD, 6, "e2", 109, NEWS),
-    "ask": messages.Ask(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
+    "ask": messages.PingReq(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
     "nack": messages.Nack(*HEAD, 8),
     "gossip": messages.Gossip(*HEAD, NEWS),
-    "sync": messages.Sync(*HEAD, (127, 131), NEWS),
-    "pages": messages.Pages(*HEAD, (137, 139), NEWS),
+    "sync": messages.SyncDigests(*HEAD, (127, 131), NEWS),
+    "pages": messages.SyncRecords(*HEAD, (137, 139), NEWS),
 }
 
 # What an instance tells of itself, and of its view
@@ -145,13 +145,13 @@
 COUNTS = supervisor.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.State = records.State.LEFT) -> queries.MemberRow:
+def view_row(state: records.MemberState = records.MemberState.LEFT) -> queries.MemberRow:
     return queries.MemberRow(
         "e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True
     )
 
 
-VIEW = tuple(view_row(state) for state in records.State)
+VIEW = tuple(view_row(state) for state in records.MemberState)
 VIEWS: dict[str, Any] = {
     "query": queries.ViewQuery(*HEAD, 9, 4),
     "count": queries.CountersQuery(*HEAD, 10),
@@ -502,8 +502,8 @@
 def samples() -> dict[str, Sample]:
     """By a key that stays, however classes are called."""
     plain: dict[str, Any] = {
-        **{f"membership.record-{state.value}": member_record(state) for state in records.State},
-        **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
+        **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
+        **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
         "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
         "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
@@ -539,7 +539,7 @@
 def enumerations() -> dict[str, type[Enum]]:
     """Those that are written by value."""
     return {
-        "membership.state": records.State,
+        "membership.state": records.MemberState,
         "membership.phase": records.Phase,
         "orders.kind": operations.OperationKind,
         "orders.phase": operations.OperationPhase,
@@ -591,7 +591,7 @@
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
 NEVER_WRITTEN = (
-    messages.Said,
+    messages.FleetMessage,
     setup.OfLeg,
     greeting._Kind,
     raft_messages.AppendEntries,
@@ -599,14 +599,14 @@
 )
 
 TAGS: dict[type[msgspec.Struct], str] = {
-    messages.Said: "Said",
+    messages.FleetMessage: "Said",
     messages.Ping: "p",
     messages.Ack: "a",
-    messages.Ask: "k",
+    messages.PingReq: "k",
     messages.Nack: "n",
     messages.Gossip: "g",
-    messages.Sync: "s",
-    messages.Pages: "v",
+    messages.SyncDigests: "s",
+    messages.SyncRecords: "v",
     queries.ViewQuery: "?",
     queries.CountersQuery: "c",
     queries.CountersReply: "C",
