--- a/valverouter/cli/fleeting.py
+++ b/valverouter/cli/fleeting.py
@@ -22,7 +22,7 @@
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.queries import MemberRow
 from valverouter.fleet.view_comparison import ViewAnswer, find_differences, is_converged
-from valverouter.membership.records import LIVING, Phase, State
+from valverouter.membership.records import LIVE_STATES, MemberState, Phase
 from valverouter.terms.between import Between
 from valverouter.terms.day import load_day
 from valverouter.terms.edge import load_edge_terms
@@ -45,13 +45,13 @@
 
 @fleet.command("view")
 @click.argument("file", type=FILE)
-@click.option("--at", "at", multiple=True, metavar="IP:PORT", help="Ask there, and nobody else; several.")
+@click.option("--at", "at", multiple=True, metavar="IP:PORT", help="PingReq there, and nobody else; several.")
 @click.option("--json", "as_json", is_flag=True, help="All answers as JSON.")
 @click.option("--metrics", is_flag=True, help="Counts and states in Prometheus' text form.")
 @click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
 @click.option("--most", default=ASKED_MOST, show_default=True, help="How many instances are asked.")
 def view(file: Path, at: tuple[str, ...], as_json: bool, metrics: bool, watch: bool, most: int) -> None:
-    """Ask instances for their view of the fleet and show where they differ.
+    """PingReq instances for their view of the fleet and show where they differ.
 
     FILE is the terms of any instance: its key and its seeds are used. Asked are those, and whom they name.
     Exits with 0 where all that were asked are settled on one view, 1 where not, 2 where nobody answered.
@@ -106,7 +106,7 @@
         if at:
             return answers
         known = {one.address for one in answers}
-        more = [row.address for one in answers for row in one.rows if row.state in LIVING]
+        more = [row.address for one in answers for row in one.rows if row.state in LIVE_STATES]
         named = [address for address in dict.fromkeys(more) if address not in known]
         return answers + await asker.query_views(named[: max(0, most - len(answers))])
     finally:
@@ -124,7 +124,7 @@
         return NOBODY
     # A seed that is no member's address any more answers nothing, and says nothing of those who live.
     silent = {one.address for one in answers if one.missing_page is not None}
-    living = {row.address for one in whole.values() for row in one.rows if row.state in LIVING}
+    living = {row.address for one in whole.values() for row in one.rows if row.state in LIVE_STATES}
     return 0 if is_converged(list(whole.values())) and not silent & living else UNSETTLED
 
 
@@ -175,7 +175,7 @@
 def _metrics(answers: list[ViewAnswer]) -> None:
     """The words of the log, counted by each instance since its start."""
     for one in _whole(answers).values():
-        states = {state: 0 for state in State}
+        states = {state: 0 for state in MemberState}
         for row in one.rows:
             states[row.state] += 1
         for state, count in states.items():
@@ -221,7 +221,7 @@
         ("region", lambda row: row.region),
         ("address", lambda row: row.address),
         ("state", _state),
-        ("since", lambda row: _since(row.since_ms) if row.state != State.UNKNOWN else ""),
+        ("since", lambda row: _since(row.since_ms) if row.state != MemberState.UNKNOWN else ""),
         ("version", lambda row: row.version),
         ("terms", lambda row: row.config_digest),
     ]
@@ -235,7 +235,7 @@
 def _state(row: MemberRow) -> str:
     if row.name_conflict:
         return "conflict"
-    if row.state == State.ALIVE and row.phase == Phase.DRAINING:
+    if row.state == MemberState.ALIVE and row.phase == Phase.DRAINING:
         return "draining"
     return row.state.name.lower()
 
--- a/valverouter/fleet/authentication.py
+++ b/valverouter/fleet/authentication.py
@@ -23,8 +23,18 @@
 from valverouter.fleet.fragmentation import Fragment
 from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
 from valverouter.fleet.replay_window import ReplayWindow
-from valverouter.membership.messages import Ack, Ask, Gossip, Message, Nack, Pages, Ping, Sync
-from valverouter.membership.records import State
+from valverouter.membership.messages import (
+    Ack,
+    Gossip,
+    Message,
+    Nack,
+    Ping,
+    PingReq,
+    SyncDigests,
+    SyncRecords,
+    updates_of,
+)
+from valverouter.membership.records import MemberState
 
 PROTOCOL_VERSION = 1
 MAX_DATAGRAM_BYTES = 1_400
@@ -40,9 +50,9 @@
 # A counter as large as a long run makes it, for estimating the size of datagrams.
 TYPICAL_COUNTER = 1 << 20
 
-MembershipDatagram = (
-    Ping | Ack | Ask | Nack | Gossip | Sync | Pages | ViewQuery | ViewPage | CountersQuery | CountersReply
-)
+MembershipMessage = Ping | Ack | PingReq | Nack | Gossip | SyncDigests | SyncRecords
+QueryMessage = ViewQuery | ViewPage | CountersQuery | CountersReply
+MembershipDatagram = MembershipMessage | QueryMessage
 
 
 class Envelope(Struct, frozen=True, array_like=True):
@@ -139,7 +149,7 @@
         message = envelope.message
         if not _is_well_formed(message):
             return self._drop("rubbish")
-        if not self._window.accept(message.life, envelope.counter):
+        if not self._window.accept(message.incarnation, envelope.counter):
             return self._drop("replay")
         return message
 
@@ -157,8 +167,8 @@
     if len(message.name) > MAX_NAME_LENGTH:
         return False
     return all(
-        0 < len(record.name) <= MAX_NAME_LENGTH and record.address and record.state != State.UNKNOWN
-        for record in getattr(message, "news", ())
+        0 < len(record.name) <= MAX_NAME_LENGTH and record.address and record.state != MemberState.UNKNOWN
+        for record in updates_of(message)
     )
 
 
--- a/valverouter/fleet/queries.py
+++ b/valverouter/fleet/queries.py
@@ -9,28 +9,28 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.membership.messages import Said
-from valverouter.membership.records import State
+from valverouter.membership.messages import FleetMessage
+from valverouter.membership.records import MemberState
 from valverouter.rollout.keeping import Counts
 
 # Bytes of a row's fields other than its texts, at most.
 FIXED_ROW_BYTES = 64
 
 
-class ViewQuery(Said, frozen=True, array_like=True, tag="?"):
+class ViewQuery(FleetMessage, frozen=True, array_like=True, tag="?"):
     """Asks for page `page` of the receiver's membership view."""
 
     nonce: int = 0
     page: int = 0
 
 
-class CountersQuery(Said, frozen=True, array_like=True, tag="c"):
+class CountersQuery(FleetMessage, frozen=True, array_like=True, tag="c"):
     """Asks for what the receiver has counted since its start; sent by an instance's supervisor."""
 
     nonce: int = 0
 
 
-class CountersReply(Said, frozen=True, array_like=True, tag="C"):
+class CountersReply(FleetMessage, frozen=True, array_like=True, tag="C"):
     """The reply to the CountersQuery of the same nonce."""
 
     nonce: int = 0
@@ -46,7 +46,7 @@
     address: str
     generation: int
     incarnation: int
-    state: State
+    state: MemberState
     since_ms: int
     version: str
     config_digest: str
@@ -60,7 +60,7 @@
         return FIXED_ROW_BYTES + sum(len(text.encode()) for text in texts)
 
 
-class ViewPage(Said, frozen=True, array_like=True, tag="!"):
+class ViewPage(FleetMessage, frozen=True, array_like=True, tag="!"):
     """One page of a view, the reply to the ViewQuery of the same nonce.
 
     `counts`, on the first page alone: events and dropped datagrams since the instance's start, by kind.
