--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -213,12 +213,10 @@
             for one in others:
                 await nursery.start(one.run)
             told.put(first.membership.own_record.address)
-            while (
-                first.membership.view.live_count < count + 1
-                or first.membership.view_health.value != "settled"
-            ):
+            membership = first.membership
+            while membership.view.live_count < count + 1 or membership.view_health.value != "settled":
                 await trio.sleep(0.2)
-            told.put(f"{first.membership.view.live_count} members, {first.membership.view_health.value}")
+            told.put(f"{membership.view.live_count} members, {membership.view_health.value}")
             await trio.sleep_forever()
 
     set_up(edge_terms(IniFile(INI.format(port=1), "bench")).log)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -136,9 +136,8 @@
     seal, most = Authenticator((KEY,)), 2**64 - 1
     page = (long,) * (MembershipConfig().max_update_bytes // long.size)
     assert len(seal.sign(SyncDigests(name, most, most, (most,) * 64, (long,)))) <= MAX_DATAGRAM_BYTES
-    assert (
-        len(seal.sign(PingReq(name, most, most, most, name, most, long.address, page))) <= MAX_DATAGRAM_BYTES
-    )
+    ping_req = PingReq(name, most, most, most, name, most, long.address, page)
+    assert len(seal.sign(ping_req)) <= MAX_DATAGRAM_BYTES
     row = MemberRow(
         name, "r" * 64, 0, long.address, 2**60, 2**63, MemberState.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False
     )
@@ -300,13 +299,18 @@
     return {name for name in one.membership.view.records if one.membership.view.is_live(name)}
 
 
+def health(one: MembershipService) -> str:
+    assert one.membership is not None
+    return one.membership.view_health.value
+
+
 async def test_two_instances_find_each_other_on_sockets_and_one_leaves() -> None:
     first = task("e0")
     async with running(first) as nursery:
         second = task("e1", (at(first),))
         await nursery.start(second.run)
         await until(lambda: living(first) == living(second) == {"e0", "e1"})
-        await until(lambda: first.membership.view_health.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: health(first) == "settled")
         await until(lambda: first.counts["size-differs"] == 1)  # the rig's terms say 1
         second.leave()
         await second.ended.wait()
@@ -324,9 +328,9 @@
         await until(lambda: living(first) == {"e0", "e1"})
         await nursery.start(two.run)
         await until(lambda: one.counts["conflict"] == two.counts["conflict"] == 1)
-        await until(
-            lambda: first.membership is not None and first.membership.view.records["e1"].name_conflict
-        )
+        membership = first.membership
+        assert membership is not None
+        await until(lambda: membership.view.records["e1"].name_conflict)
         restarts = first.counts["restarted"]
         await trio.sleep(1.5)
         assert first.counts["restarted"] == restarts <= 1
@@ -407,10 +411,8 @@
     def row(name: str, state: MemberState = MemberState.ALIVE) -> MemberRow:
         return MemberRow(name, "", 0, f"{name}:1", 1, 1, state, 0, "", "", 0, False)
 
-    one, two = (
-        heard("e0", 5, [row("e0"), row("e1")]),
-        heard("e1", 6, [row("e0", MemberState.GONE), row("e1")]),
-    )
+    one = heard("e0", 5, [row("e0"), row("e1")])
+    two = heard("e1", 6, [row("e0", MemberState.GONE), row("e1")])
     assert find_differences([one, two]) == {
         "e0": {"alive at e0:1, life 0000000000000001": ["e0"], "gone at e0:1, life 0000000000000001": ["e1"]}
     }
@@ -445,12 +447,7 @@
     async with running(first) as nursery:
         second = task("e1", (at(first),))
         await nursery.start(second.run)
-
-        def both_settled() -> bool:
-            members = [service.membership for service in (first, second)]
-            return all(member is not None and member.view_health.value == "settled" for member in members)
-
-        await until(both_settled)
+        await until(lambda: health(first) == health(second) == "settled")
         file = tmp_path / "e.ini"
         file.write_text(EDGE + SOUND.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", at(first)))
 
--- a/valverouter/cli/fleeting.py
+++ b/valverouter/cli/fleeting.py
@@ -45,13 +45,13 @@
 
 @fleet.command("view")
 @click.argument("file", type=FILE)
-@click.option("--at", "at", multiple=True, metavar="IP:PORT", help="Ask there, and nobody else; several.")
+@click.option("--at", "at", multiple=True, metavar="IP:PORT", help="PingReq there, and nobody else; several.")
 @click.option("--json", "as_json", is_flag=True, help="All answers as JSON.")
 @click.option("--metrics", is_flag=True, help="Counts and states in Prometheus' text form.")
 @click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
 @click.option("--most", default=ASKED_MOST, show_default=True, help="How many instances are asked.")
 def view(file: Path, at: tuple[str, ...], as_json: bool, metrics: bool, watch: bool, most: int) -> None:
-    """Ask instances for their view of the fleet and show where they differ.
+    """PingReq instances for their view of the fleet and show where they differ.
 
     FILE is the terms of any instance: its key and its seeds are used. Asked are those, and whom they name.
     Exits with 0 where all that were asked are settled on one view, 1 where not, 2 where nobody answered.
--- a/valverouter/fleet/authentication.py
+++ b/valverouter/fleet/authentication.py
@@ -50,19 +50,9 @@
 # A counter as large as a long run makes it, for estimating the size of datagrams.
 TYPICAL_COUNTER = 1 << 20
 
-MembershipDatagram = (
-    Ping
-    | Ack
-    | PingReq
-    | Nack
-    | Gossip
-    | SyncDigests
-    | SyncRecords
-    | ViewQuery
-    | ViewPage
-    | CountersQuery
-    | CountersReply
-)
+MembershipMessage = Ping | Ack | PingReq | Nack | Gossip | SyncDigests | SyncRecords
+QueryMessage = ViewQuery | ViewPage | CountersQuery | CountersReply
+MembershipDatagram = MembershipMessage | QueryMessage
 
 
 class Envelope(Struct, frozen=True, array_like=True):
--- a/valverouter/fleet/fragmentation.py
+++ b/valverouter/fleet/fragmentation.py
@@ -24,7 +24,7 @@
 
 
 class Fragment(Struct, frozen=True, array_like=True, tag="Piece"):
-    """Fragment `index` of `count` of the message `message_id`; `life` is the sender's incarnation."""
+    """Fragment `index` of `count` of the message `message_id`; `incarnation` is the sender's."""
 
     name: str
     incarnation: int
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -28,7 +28,7 @@
 from valverouter.fleet.view_pages import view_page
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.convergence import ViewHealth
-from valverouter.membership.events import MembershipEvent
+from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.membership import Membership
 from valverouter.membership.records import MemberRecord, Phase
 from valverouter.rollout.supervisor import InstanceCounters
@@ -41,7 +41,12 @@
 MAX_SLEEP_S = 0.25
 NS_PER_MS = 1_000_000
 # Log levels of membership events; the others are logged as info.
-EVENT_LEVELS = {"conflict": "error", "cut-off": "warning", "stalled": "warning", "accused": "warning"}
+EVENT_LEVELS = {
+    EventKind.CONFLICT: "error",
+    EventKind.CUT_OFF: "warning",
+    EventKind.STALLED: "warning",
+    EventKind.ACCUSED: "warning",
+}
 
 log = structlog.get_logger()
 
@@ -195,9 +200,8 @@
             self._counters(), incarnation=self._incarnation, view_health=membership.view_health.value
         )
         own_record = membership.own_record
-        reply = CountersReply(
-            own_record.name, own_record.incarnation, membership.view.digest, query.nonce, counters
-        )
+        sender = own_record.name, own_record.incarnation, membership.view.digest
+        reply = CountersReply(*sender, query.nonce, counters)
         self._send(socket, source, reply)
 
     # Outgoing datagrams and events
@@ -222,14 +226,15 @@
             self.counts["not-sent"] += 1
 
     def _log_event(self, membership: Membership, event: MembershipEvent) -> None:
-        self.counts[event.kind.value] += 1
+        kind = event.kind.value
+        self.counts[kind] += 1
         self._on_event(event)
         record = event.record
         is_own = record.incarnation == membership.own_record.incarnation
         subject = "view" if is_own else "member"
-        level = EVENT_LEVELS.get(event.kind.value, "info")
+        level = EVENT_LEVELS.get(event.kind, "info")
         getattr(self._log, level)(
-            f"{subject}-{event.kind.value}",
+            f"{subject}-{kind}",
             member=record.name,
             life=f"{record.incarnation:016x}",
             number=record.generation,
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -283,7 +283,7 @@
     # The list service
 
     async def _leave_list(self, number: int) -> None:
-        """Ask for the server's drain; once it is granted, let the server empty before it is stopped."""
+        """PingReq for the server's drain; once it is granted, let the server empty before it is stopped."""
         answer = await self._list_client.request_until_answered(Leave(self._terms.name, number))
         self._log_list_answer(True, number, answer.given, answer.why)
         if answer.given:
--- a/valverouter/fleet/view_pages.py
+++ b/valverouter/fleet/view_pages.py
@@ -32,9 +32,7 @@
 def member_rows(membership: Membership, now: int) -> list[MemberRow]:
     """All members of the view by name, then the seeds at whose address no member is known. `now` in ns."""
     view = membership.view
-    rows = [
-        _member_row(record, now - view.state_since[name]) for name, record in sorted(view.records.items())
-    ]
+    rows = [_member_row(view.records[name], now - view.state_since[name]) for name in sorted(view.records)]
     known_addresses = {row.address for row in rows}
     rows += [_unknown_seed_row(seed) for seed in membership.seeds if seed not in known_addresses]
     return rows
