--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -37,7 +37,7 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, long_lived
 from valverouter.fleet.membership_service import MembershipService
-from valverouter.ledger.store import Ledger
+from valverouter.ledger.dialog_store import DialogStore
 from valverouter.membership.records import Phase
 from valverouter.signalling import setup
 from valverouter.signalling.framing import FrameReader, frame
@@ -209,13 +209,14 @@
             first = member("m0", (), 1)
             await nursery.start(first.run)
             assert first.membership is not None
-            others = [member(f"m{at}", (first.membership.mine.address,), 1) for at in range(1, count)]
+            others = [member(f"m{at}", (first.membership.own_record.address,), 1) for at in range(1, count)]
             for one in others:
                 await nursery.start(one.run)
-            told.put(first.membership.mine.address)
-            while first.membership.view.living < count + 1 or first.membership.trust.value != "settled":
+            told.put(first.membership.own_record.address)
+            membership = first.membership
+            while membership.view.live_count < count + 1 or membership.view_health.value != "settled":
                 await trio.sleep(0.2)
-            told.put(f"{first.membership.view.living} members, {first.membership.trust.value}")
+            told.put(f"{membership.view.live_count} members, {membership.view_health.value}")
             await trio.sleep_forever()
 
     set_up(edge_terms(IniFile(INI.format(port=1), "bench")).log)
@@ -225,7 +226,7 @@
 def edge(port: int, told: Any, profile: str, folder: str = "", sync: str = "none", seed: str = "") -> None:
     terms = edge_terms(IniFile(INI.format(port=port), "bench"))
     set_up(terms.log)
-    store = Ledger(Path(folder), sync=sync) if folder else None
+    store = DialogStore(Path(folder), sync=sync) if folder else None
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -34,11 +34,11 @@
 from valverouter.experiments.plan import Run
 from valverouter.fleet import authentication, fragmentation, queries, view_comparison
 from valverouter.fleet import messages as fleet_messages
-from valverouter.ledger import store
+from valverouter.ledger import dialog_store
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
-from valverouter.recovery import course, learnt
+from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions import accounts
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
@@ -110,8 +110,8 @@
 # Membership
 
 
-def member_record(state: records.State = records.State.SUSPECT) -> records.Record:
-    return records.Record(
+def member_record(state: records.MemberState = records.MemberState.SUSPECT) -> records.MemberRecord:
+    return records.MemberRecord(
         "e7",
         "north",
         3,
@@ -135,11 +135,11 @@
 MEMBERSHIP: dict[str, Any] = {
     "ping": messages.Ping(*HEAD, 5, 107, NEWS),
     "ack": messages.Ack(*HEAD, 6, "e2", 109, NEWS),
-    "ask": messages.Ask(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
+    "ask": messages.PingReq(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
     "nack": messages.Nack(*HEAD, 8),
     "gossip": messages.Gossip(*HEAD, NEWS),
-    "sync": messages.Sync(*HEAD, (127, 131), NEWS),
-    "pages": messages.Pages(*HEAD, (137, 139), NEWS),
+    "sync": messages.SyncDigests(*HEAD, (127, 131), NEWS),
+    "pages": messages.SyncRecords(*HEAD, (137, 139), NEWS),
 }
 
 # What an instance tells of itself, and of its view
@@ -147,13 +147,13 @@
 COUNTS = reports.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.State = records.State.LEFT) -> queries.MemberRow:
+def view_row(state: records.MemberState = records.MemberState.LEFT) -> queries.MemberRow:
     return queries.MemberRow(
         "e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True
     )
 
 
-VIEW = tuple(view_row(state) for state in records.State)
+VIEW = tuple(view_row(state) for state in records.MemberState)
 VIEWS: dict[str, Any] = {
     "query": queries.ViewQuery(*HEAD, 9, 4),
     "count": queries.CountersQuery(*HEAD, 10),
@@ -313,28 +313,28 @@
 # Dialogs that an edge proxy owes answers to
 
 
-def dialog_record(phase: course.Phase = course.Phase.OUT) -> course.Record:
-    return course.Record(
+def dialog_record(phase: lifecycle.Phase = lifecycle.Phase.IN_FLIGHT) -> lifecycle.DialogRecord:
+    return lifecycle.DialogRecord(
         f"d-{phase.value}",
         "caller-1",
         "booking",
         2,
         509,
-        course.Moment(521, 523, "boot-1"),
+        lifecycle.Timestamp(521, 523, "boot-1"),
         541,
         547,
         phase,
         3,
         "s1",
         557,
-        course.Moment(563, 569, "boot-2"),
+        lifecycle.Timestamp(563, 569, "boot-2"),
         "declined",
         571,
         True,
     )
 
 
-LEARNT = learnt.Learnt("s2", 577, 587, 1000, 593, 599)
+LEARNED_STATE = learned_state.LearnedServerState("s2", 577, 587, 1000, 593, 599)
 
 # The set-up protocol and the list's
 
@@ -505,8 +505,8 @@
 def samples() -> dict[str, Sample]:
     """By a key that stays, however classes are called."""
     plain: dict[str, Any] = {
-        **{f"membership.record-{state.value}": member_record(state) for state in records.State},
-        **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
+        **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
+        **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
         "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
         "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
@@ -516,9 +516,9 @@
         "permits.answer": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
         "keeper.memory": MEMORY,
         "keeper.report": REPORT,
-        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in course.Phase},
-        "ledger.learnt": LEARNT,
-        "ledger.damaged": store.Damaged("dialogs", "d9", "its checksum does not fit"),
+        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in lifecycle.Phase},
+        "ledger.learnt": LEARNED_STATE,
+        "ledger.damaged": dialog_store.DamagedEntry("dialogs", "d9", "its checksum does not fit"),
     }
     told = {"orders.json-placed": PLACED, "orders.json-shown": TOOL_PAGE, "list.cache": LIST_CACHE}
     return (
@@ -542,13 +542,13 @@
 def enumerations() -> dict[str, type[Enum]]:
     """Those that are written by value."""
     return {
-        "membership.state": records.State,
+        "membership.state": records.MemberState,
         "membership.phase": records.Phase,
         "orders.kind": operations.OperationKind,
         "orders.phase": operations.OperationPhase,
         "orders.step": operations.StepStatus,
         "limits.sort": disruption_limits.InstanceKind,
-        "ledger.phase": course.Phase,
+        "ledger.phase": lifecycle.Phase,
     }
 
 
@@ -571,9 +571,9 @@
     reports,
     supervisor_state,
     status,
-    course,
-    learnt,
-    store,
+    lifecycle,
+    learned_state,
+    dialog_store,
     listing,
     greeting,
     setup,
@@ -596,7 +596,7 @@
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
 NEVER_WRITTEN = (
-    messages.Said,
+    messages.FleetMessage,
     setup.OfLeg,
     greeting._Kind,
     raft_messages.AppendEntries,
@@ -604,14 +604,14 @@
 )
 
 TAGS: dict[type[msgspec.Struct], str] = {
-    messages.Said: "Said",
+    messages.FleetMessage: "Said",
     messages.Ping: "p",
     messages.Ack: "a",
-    messages.Ask: "k",
+    messages.PingReq: "k",
     messages.Nack: "n",
     messages.Gossip: "g",
-    messages.Sync: "s",
-    messages.Pages: "v",
+    messages.SyncDigests: "s",
+    messages.SyncRecords: "v",
     queries.ViewQuery: "?",
     queries.CountersQuery: "c",
     queries.CountersReply: "C",
@@ -694,11 +694,11 @@
 
 
 def write_ledger(folder: Path) -> None:
-    with store.Ledger(folder) as ledger:
+    with dialog_store.DialogStore(folder) as ledger:
         ledger.begin_epoch(547)
-        for phase in course.Phase:
+        for phase in lifecycle.Phase:
             ledger.put(dialog_record(phase))
-        ledger.put_learnt(LEARNT)
+        ledger.put_learned_state(LEARNED_STATE)
         ledger.commit()
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -43,9 +43,9 @@
 from valverouter.fleet.replay_window import ReplayWindow
 from valverouter.fleet.view_comparison import ViewAnswer, find_differences, is_converged
 from valverouter.fleet.view_pages import paginate
-from valverouter.membership.messages import Ask, Gossip, Ping, Sync
-from valverouter.membership.records import Phase, Record, State
-from valverouter.membership.rules import Rules
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.messages import Gossip, Ping, PingReq, SyncDigests
+from valverouter.membership.records import MemberRecord, MemberState, Phase
 from valverouter.signalling import tap
 from valverouter.signalling.tap import Fault, Found, Opened, Passed, Ran, Settles, Viewed
 from valverouter.terms.between import KEY_LEAST, Between, key_of
@@ -123,7 +123,7 @@
 
 def test_the_longest_messages_fit_a_datagram_and_longer_ones_are_told() -> None:
     name = "n" * 128
-    long = Record(
+    long = MemberRecord(
         name,
         "r" * 64,
         9,
@@ -131,14 +131,15 @@
         2**60,
         2**63,
         9,
-        over=(2**63,) * 3,
+        previous_incarnations=(2**63,) * 3,
     )
     seal, most = Authenticator((KEY,)), 2**64 - 1
-    page = (long,) * (Rules().room // long.size)
-    assert len(seal.sign(Sync(name, most, most, (most,) * 64, (long,)))) <= MAX_DATAGRAM_BYTES
-    assert len(seal.sign(Ask(name, most, most, most, name, most, long.address, page))) <= MAX_DATAGRAM_BYTES
+    page = (long,) * (MembershipConfig().max_update_bytes // long.size)
+    assert len(seal.sign(SyncDigests(name, most, most, (most,) * 64, (long,)))) <= MAX_DATAGRAM_BYTES
+    ping_req = PingReq(name, most, most, most, name, most, long.address, page)
+    assert len(seal.sign(ping_req)) <= MAX_DATAGRAM_BYTES
     row = MemberRow(
-        name, "r" * 64, 0, long.address, 2**60, 2**63, State.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False
+        name, "r" * 64, 0, long.address, 2**60, 2**63, MemberState.ALIVE, 2**40, "9" * 32, "c" * 8, 0, False
     )
     counts = {f"dropped-{why}": 2**40 for why in ("oversize", "stranger", "version", "rubbish", "replay")}
     for at, rows in enumerate(paginate([row] * 20)):
@@ -284,7 +285,7 @@
 
 def at(one: MembershipService) -> str:
     assert one.membership is not None
-    return one.membership.mine.address
+    return one.membership.own_record.address
 
 
 async def until(true: Any, within: float = 10.0) -> None:
@@ -295,7 +296,12 @@
 
 def living(one: MembershipService) -> set[str]:
     assert one.membership is not None
-    return {name for name in one.membership.view.records if one.membership.view.lives(name)}
+    return {name for name in one.membership.view.records if one.membership.view.is_live(name)}
+
+
+def health(one: MembershipService) -> str:
+    assert one.membership is not None
+    return one.membership.view_health.value
 
 
 async def test_two_instances_find_each_other_on_sockets_and_one_leaves() -> None:
@@ -304,7 +310,7 @@
         second = task("e1", (at(first),))
         await nursery.start(second.run)
         await until(lambda: living(first) == living(second) == {"e0", "e1"})
-        await until(lambda: first.membership.trust.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: health(first) == "settled")
         await until(lambda: first.counts["size-differs"] == 1)  # the rig's terms say 1
         second.leave()
         await second.ended.wait()
@@ -322,7 +328,9 @@
         await until(lambda: living(first) == {"e0", "e1"})
         await nursery.start(two.run)
         await until(lambda: one.counts["conflict"] == two.counts["conflict"] == 1)
-        await until(lambda: first.membership is not None and first.membership.view.records["e1"].twin)
+        membership = first.membership
+        assert membership is not None
+        await until(lambda: membership.view.records["e1"].name_conflict)
         restarts = first.counts["restarted"]
         await trio.sleep(1.5)
         assert first.counts["restarted"] == restarts <= 1
@@ -377,7 +385,7 @@
     async with running(first):
         assert first.membership is not None
         for number in range(1, 60):
-            record = Record(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
+            record = MemberRecord(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
             first.membership.view.put(record, 0)
         asker = FleetClient((KEY,), Sockets().datagrams("127.0.0.1:0"), random.Random(1))
         first.membership.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
@@ -385,11 +393,11 @@
         assert heard.missing_page is None
         assert heard.page_count > 3
         assert silent.missing_page == 0
-        assert [row.name for row in heard.rows if row.state != State.UNKNOWN] == sorted(
+        assert [row.name for row in heard.rows if row.state != MemberState.UNKNOWN] == sorted(
             f"e{number}" for number in range(60)
         )
-        assert [row.address for row in heard.rows if row.state == State.UNKNOWN] == ["127.0.0.1:9"]
-        assert first.membership.view.living == 60
+        assert [row.address for row in heard.rows if row.state == MemberState.UNKNOWN] == ["127.0.0.1:9"]
+        assert first.membership.view.live_count == 60
         assert heard.digest == first.membership.view.digest
 
 
@@ -400,10 +408,11 @@
 
 
 def test_views_that_differ_are_shown_as_differing_and_never_one_as_the_truth() -> None:
-    def row(name: str, state: State = State.ALIVE) -> MemberRow:
+    def row(name: str, state: MemberState = MemberState.ALIVE) -> MemberRow:
         return MemberRow(name, "", 0, f"{name}:1", 1, 1, state, 0, "", "", 0, False)
 
-    one, two = heard("e0", 5, [row("e0"), row("e1")]), heard("e1", 6, [row("e0", State.GONE), row("e1")])
+    one = heard("e0", 5, [row("e0"), row("e1")])
+    two = heard("e1", 6, [row("e0", MemberState.GONE), row("e1")])
     assert find_differences([one, two]) == {
         "e0": {"alive at e0:1, life 0000000000000001": ["e0"], "gone at e0:1, life 0000000000000001": ["e1"]}
     }
@@ -438,7 +447,7 @@
     async with running(first) as nursery:
         second = task("e1", (at(first),))
         await nursery.start(second.run)
-        await until(lambda: first.membership.trust.value == second.membership.trust.value == "settled")  # type: ignore[union-attr]
+        await until(lambda: health(first) == health(second) == "settled")
         file = tmp_path / "e.ini"
         file.write_text(EDGE + SOUND.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", at(first)))
 
@@ -630,4 +639,4 @@
 def test_a_query_has_no_name_and_its_head_is_as_short_as_any() -> None:
     query = ViewQuery("", 5, 0, 1, 0)
     assert len(Authenticator((KEY,)).sign(query)) < HEADER_BYTES + 40
-    assert dataclasses.is_dataclass(Rules)
+    assert dataclasses.is_dataclass(MembershipConfig)
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -23,8 +23,8 @@
 from valverouter.fleet.instance_status import membership_facts
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.fleet.view_comparison import ViewAnswer
-from valverouter.membership.records import LIVING
-from valverouter.membership.voice import Told
+from valverouter.membership.events import MembershipEvent
+from valverouter.membership.records import LIVE_STATES
 from valverouter.servermodel.paths import Paths
 from valverouter.signalling.tap import Found, Ran, Settles, Viewed
 from valverouter.standins.paths import PathStandIn
@@ -107,7 +107,7 @@
             life=f"{one.incarnation:016x}",
             digest=f"{one.digest:016x}",
             trust=one.view_health,
-            members={row.name: f"{row.incarnation:016x}" for row in one.rows if row.state in LIVING},
+            members={row.name: f"{row.incarnation:016x}" for row in one.rows if row.state in LIVE_STATES},
         )
 
     def _chance(self, what: str) -> Callable[[], float]:
@@ -221,7 +221,7 @@
     def began(self, name: str) -> None:
         core = self._tasks[name].membership
         assert core is not None
-        self.began_at(name, f"{core.mine.life:016x}", core.mine.address)
+        self.began_at(name, f"{core.own_record.incarnation:016x}", core.own_record.address)
 
-    def _hears(self, name: str, told: Told) -> None:
-        self.found(name, told.what, told.record.name, f"{told.record.life:016x}")
+    def _hears(self, name: str, event: MembershipEvent) -> None:
+        self.found(name, event.kind.value, event.record.name, f"{event.record.incarnation:016x}")
--- a/valverouter/fleet/fragmentation.py
+++ b/valverouter/fleet/fragmentation.py
@@ -24,10 +24,10 @@
 
 
 class Fragment(Struct, frozen=True, array_like=True, tag="Piece"):
-    """Fragment `index` of `count` of the message `message_id`; `life` is the sender's incarnation."""
+    """Fragment `index` of `count` of the message `message_id`; `incarnation` is the sender's."""
 
     name: str
-    life: int
+    incarnation: int
     message_id: int
     index: int
     count: int
@@ -84,7 +84,7 @@
             return None
         if fragment.count == 1:
             return fragment.body
-        key = fragment.life, fragment.message_id
+        key = fragment.incarnation, fragment.message_id
         parts = self._partial.pop(key, {})
         parts[fragment.index] = fragment.body
         if len(parts) < fragment.count:
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -26,11 +26,11 @@
 from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
 from valverouter.fleet.transport import DropLogger
 from valverouter.fleet.view_pages import view_page
-from valverouter.membership.core import Membership
-from valverouter.membership.records import Phase, Record
-from valverouter.membership.rules import Rules
-from valverouter.membership.trust import Trust
-from valverouter.membership.voice import Told
+from valverouter.membership.config import MembershipConfig
+from valverouter.membership.convergence import ViewHealth
+from valverouter.membership.events import EventKind, MembershipEvent
+from valverouter.membership.membership import Membership
+from valverouter.membership.records import MemberRecord, Phase
 from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
@@ -41,12 +41,17 @@
 MAX_SLEEP_S = 0.25
 NS_PER_MS = 1_000_000
 # Log levels of membership events; the others are logged as info.
-EVENT_LEVELS = {"conflict": "error", "cut-off": "warning", "stalled": "warning", "accused": "warning"}
+EVENT_LEVELS = {
+    EventKind.CONFLICT: "error",
+    EventKind.CUT_OFF: "warning",
+    EventKind.STALLED: "warning",
+    EventKind.ACCUSED: "warning",
+}
 
 log = structlog.get_logger()
 
 
-def _ignore_event(event: Told) -> None:
+def _ignore_event(event: MembershipEvent) -> None:
     """Stand in for a subscriber where there is none."""
 
 
@@ -61,7 +66,7 @@
         incarnation: int,
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
-        on_event: Callable[[Told], None] = _ignore_event,
+        on_event: Callable[[MembershipEvent], None] = _ignore_event,
         counters: Callable[[], InstanceCounters] = InstanceCounters,
     ) -> None:
         """Prepare the service; `run` opens the socket.
@@ -94,12 +99,12 @@
         socket = self._surroundings.datagrams(self._between.listen)
         try:
             self.membership = membership = self._join(socket.address)
-            own_record = membership.mine
+            own_record = membership.own_record
             self._log.info(
                 "membership-started",
                 address=socket.address,
                 advertised=own_record.address,
-                life=f"{own_record.life:016x}",
+                life=f"{own_record.incarnation:016x}",
             )
             task_status.started(self)
             await self._serve(socket, membership)
@@ -110,20 +115,20 @@
     def _join(self, bound_address: str) -> Membership:
         between, terms = self._between, self._terms
         phase, config_digest = self._facts()
-        own_record = Record(
+        own_record = MemberRecord(
             name=terms.name,
             region=terms.region,
             place=terms.place,
             address=between.advertise or bound_address,
-            number=self._surroundings.wall() // NS_PER_MS,
-            life=self._incarnation,
+            generation=self._surroundings.wall() // NS_PER_MS,
+            incarnation=self._incarnation,
             version=self._version,
-            terms=config_digest,
+            config_digest=config_digest,
             phase=phase,
         )
-        rules = Rules(period=between.period, remembers=between.remembers)
+        config = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
         draw = IncarnationRandom(self._incarnation).draw
-        return Membership(own_record, rules, draw, monotonic_ns(), between.seeds)
+        return Membership(own_record, config, draw, monotonic_ns(), between.seeds)
 
     async def _serve(self, socket: Datagrams, membership: Membership) -> None:
         while not self._leaving:
@@ -131,10 +136,10 @@
             self._receive_batch(socket, membership)
             now = monotonic_ns()
             phase, config_digest = self._facts()
-            membership.change(now, phase, config_digest)
+            membership.update_facts(now, phase, config_digest)
             # A flood must not keep timers from running, nor a pause make them look due: datagrams are read
             # first, and only then the clock.
-            if membership.due <= now:
+            if membership.next_timer <= now:
                 membership.tick(now)
                 self._check_fleet_size(membership)
             self._flush(socket, membership)
@@ -143,7 +148,7 @@
 
     async def _wait(self, socket: Datagrams, membership: Membership) -> None:
         """Sleep until a datagram arrives, a timer is due or `leave` is called, MAX_SLEEP_S at most."""
-        until_due = (membership.due - monotonic_ns()) / 1e9
+        until_due = (membership.next_timer - monotonic_ns()) / 1e9
         with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep:
             await socket.readable()
         await self._surroundings.turn()
@@ -172,7 +177,7 @@
             self._reply_with_counters(socket, membership, message, source)
         elif not isinstance(message, ViewPage | CountersReply):
             self.counts["heard"] += 1
-            membership.heard(monotonic_ns(), source, message)
+            membership.receive(monotonic_ns(), source, message)
 
     def _on_dropped(self) -> None:
         for version in self._reader.unknown_versions:
@@ -192,21 +197,20 @@
         self, socket: Datagrams, membership: Membership, query: CountersQuery, source: str
     ) -> None:
         counters = msgspec.structs.replace(
-            self._counters(), incarnation=self._incarnation, view_health=membership.trust.value
+            self._counters(), incarnation=self._incarnation, view_health=membership.view_health.value
         )
-        own_record = membership.mine
-        reply = CountersReply(own_record.name, own_record.life, membership.view.digest, query.nonce, counters)
+        own_record = membership.own_record
+        sender = own_record.name, own_record.incarnation, membership.view.digest
+        reply = CountersReply(*sender, query.nonce, counters)
         self._send(socket, source, reply)
 
     # Outgoing datagrams and events
 
     def _flush(self, socket: Datagrams, membership: Membership) -> None:
         """Log the events and send the messages that the membership has queued."""
-        for event in membership.told:
+        for event in membership.take_events():
             self._log_event(membership, event)
-        membership.told.clear()
-        outbox, membership.out = membership.out, []
-        for address, message in outbox:
+        for address, message in membership.take_outbox():
             self._send(socket, address, message)
 
     def _send(self, socket: Datagrams, address: str, message: Any) -> None:
@@ -221,28 +225,29 @@
         if not socket.send(data, address):
             self.counts["not-sent"] += 1
 
-    def _log_event(self, membership: Membership, event: Told) -> None:
-        self.counts[event.what] += 1
+    def _log_event(self, membership: Membership, event: MembershipEvent) -> None:
+        kind = event.kind.value
+        self.counts[kind] += 1
         self._on_event(event)
         record = event.record
-        is_own = record.life == membership.mine.life
+        is_own = record.incarnation == membership.own_record.incarnation
         subject = "view" if is_own else "member"
-        level = EVENT_LEVELS.get(event.what, "info")
+        level = EVENT_LEVELS.get(event.kind, "info")
         getattr(self._log, level)(
-            f"{subject}-{event.what}",
+            f"{subject}-{kind}",
             member=record.name,
-            life=f"{record.life:016x}",
-            number=record.number,
+            life=f"{record.incarnation:016x}",
+            number=record.generation,
             address=record.address,
-            by=event.by,
+            by=event.source,
             digest=f"{membership.view.digest:016x}",
-            members=membership.view.living,
+            members=membership.view.live_count,
         )
 
     def _check_fleet_size(self, membership: Membership) -> None:
         """Warn once about each size on which the view settles and which the configuration does not say."""
-        members = membership.view.living
-        if membership.trust is not Trust.SETTLED or members == self._checked_size:
+        members = membership.view.live_count
+        if membership.view_health is not ViewHealth.SETTLED or members == self._checked_size:
             return
         self._checked_size = members
         configured = self._terms.deployment.edge_proxies
--- a/valverouter/fleet/view_comparison.py
+++ b/valverouter/fleet/view_comparison.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from valverouter.fleet.queries import MemberRow, ViewPage
-from valverouter.membership.records import LIVING
-from valverouter.membership.trust import Trust
+from valverouter.membership.convergence import ViewHealth
+from valverouter.membership.records import LIVE_STATES
 
 # What is believed of a member that does not occur in a view.
 NOT_KNOWN = "not known"
@@ -28,10 +28,10 @@
 
     def add_page(self, page: ViewPage) -> None:
         """Take a page in; it drops the earlier ones if the view has changed since they were sent."""
-        if (page.life, page.digest) != (self.incarnation, self.digest):
+        if (page.incarnation, page.digest) != (self.incarnation, self.digest):
             self.pages.clear()
         self.name = page.name
-        self.incarnation = page.life
+        self.incarnation = page.incarnation
         self.digest = page.digest
         self.view_health = page.view_health
         self.page_count = page.page_count
@@ -75,7 +75,7 @@
         return False
     if len({answer.digest for answer in complete}) > 1:
         return False
-    if any(answer.view_health != Trust.SETTLED.value for answer in complete):
+    if any(answer.view_health != ViewHealth.SETTLED.value for answer in complete):
         return False
     names = {answer.name for answer in complete}
-    return all(row.state in LIVING for row in complete[0].rows if row.name in names)
+    return all(row.state in LIVE_STATES for row in complete[0].rows if row.name in names)
--- a/valverouter/fleet/view_pages.py
+++ b/valverouter/fleet/view_pages.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from valverouter.fleet.queries import MemberRow, ViewPage, ViewQuery
-from valverouter.membership.core import Membership
-from valverouter.membership.records import Record, State
+from valverouter.membership.membership import Membership
+from valverouter.membership.records import MemberRecord, MemberState
 
 # Bytes for the rows of one page; each row's texts are bounded by the configuration.
 PAGE_BYTES = 1_000
@@ -17,13 +17,13 @@
     if not 0 <= query.page < len(pages):
         return None
     return ViewPage(
-        membership.mine.name,
-        membership.mine.life,
+        membership.own_record.name,
+        membership.own_record.incarnation,
         membership.view.digest,
         query.nonce,
         query.page,
         len(pages),
-        membership.trust.value,
+        membership.view_health.value,
         counts if query.page == 0 else {},
         pages[query.page],
     )
@@ -32,26 +32,26 @@
 def member_rows(membership: Membership, now: int) -> list[MemberRow]:
     """All members of the view by name, then the seeds at whose address no member is known. `now` in ns."""
     view = membership.view
-    rows = [_member_row(record, now - view.since[name]) for name, record in sorted(view.records.items())]
+    rows = [_member_row(view.records[name], now - view.state_since[name]) for name in sorted(view.records)]
     known_addresses = {row.address for row in rows}
     rows += [_unknown_seed_row(seed) for seed in membership.seeds if seed not in known_addresses]
     return rows
 
 
-def _member_row(record: Record, age: int) -> MemberRow:
+def _member_row(record: MemberRecord, age: int) -> MemberRow:
     return MemberRow(
         name=record.name,
         region=record.region,
         place=record.place,
         address=record.address,
-        generation=record.number,
-        incarnation=record.life,
+        generation=record.generation,
+        incarnation=record.incarnation,
         state=record.state,
         since_ms=age // NS_PER_MS,
         version=record.version,
-        config_digest=record.terms,
+        config_digest=record.config_digest,
         phase=int(record.phase),
-        name_conflict=record.twin,
+        name_conflict=record.name_conflict,
     )
 
 
@@ -63,7 +63,7 @@
         address=address,
         generation=0,
         incarnation=0,
-        state=State.UNKNOWN,
+        state=MemberState.UNKNOWN,
         since_ms=0,
         version="",
         config_digest="",
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -1,5 +1,4 @@
-"""Operations on a fleet's instances: their types, and the commands by which they are submitted and
-progress.
+"""Operations on a fleet's instances: their types, and the commands that submit and progress them.
 
 An operation drains, undrains, restarts or releases (brings to another version) a set of instances, wave by
 wave. Commands are replicated by Raft and applied by `operation_transitions.py` to the `OperationLog`, which
