--- a/valverouter/membership/messages.py
+++ b/valverouter/membership/messages.py
@@ -1,69 +1,89 @@
-"""What members say to each other, as plain data; fleet/ puts it into datagrams and takes it out again.
+"""The messages between members, as plain data; `fleet/` encodes them into datagrams and decodes them.
 
-Every message begins with who sends it (`name`, `life`) and the digest of its view. `news` are records passed
-on, the sender's own among them where it is asked for.
+Every message begins with its sender (`name`, `incarnation`) and the digest of the sender's view. Most
+piggyback `updates`: records of any members, the sender's own included where the receiver needs it.
+
+These are wire data: the order of the fields and the tags are fixed.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-from valverouter.membership.records import Record
+from valverouter.membership.records import MemberRecord
+
 
+class FleetMessage(Struct, frozen=True, array_like=True, tag="Said"):
+    """The header of every message: the sender's name and incarnation, and the digest of its view."""
 
-class Said(Struct, frozen=True, array_like=True, tag="Said"):
     name: str
-    life: int
+    incarnation: int
     digest: int
 
 
-class Ping(Said, frozen=True, array_like=True, tag="p"):
-    """Are you there? `to_life`: who is meant; another life at that address says that it is another."""
+class Ping(FleetMessage, frozen=True, array_like=True, tag="p"):
+    """A direct probe.
+
+    `target_incarnation`: the process that is meant; another one answers with its own record.
+    """
 
     nonce: int = 0
-    to_life: int = 0
-    news: tuple[Record, ...] = ()
+    target_incarnation: int = 0
+    updates: tuple[MemberRecord, ...] = ()
 
 
-class Ack(Said, frozen=True, array_like=True, tag="a"):
-    """An answer: `of`, `of_life` are who is there; not the sender's where a helper passes it on."""
+class Ack(FleetMessage, frozen=True, array_like=True, tag="a"):
+    """The answer to a ping: who runs at the pinged address. A helper passes it on under its own header."""
 
     nonce: int = 0
-    of: str = ""
-    of_life: int = 0
-    news: tuple[Record, ...] = ()
+    member: str = ""
+    member_incarnation: int = 0
+    updates: tuple[MemberRecord, ...] = ()
 
 
-class Ask(Said, frozen=True, array_like=True, tag="k"):
-    """Ping `address` for me. Answered by the ack, or by a nack that says: I at least am here."""
+class PingReq(FleetMessage, frozen=True, array_like=True, tag="k"):
+    """Asks a helper to ping the target. It answers with the ack it gets, or with a nack that only it runs."""
 
     nonce: int = 0
-    of: str = ""
-    of_life: int = 0
-    address: str = ""
-    news: tuple[Record, ...] = ()
+    target: str = ""
+    target_incarnation: int = 0
+    target_address: str = ""
+    updates: tuple[MemberRecord, ...] = ()
+
 
+class Nack(FleetMessage, frozen=True, array_like=True, tag="n"):
+    """A helper's answer that the target has not answered it yet."""
 
-class Nack(Said, frozen=True, array_like=True, tag="n"):
     nonce: int = 0
 
 
-class Gossip(Said, frozen=True, array_like=True, tag="g"):
-    news: tuple[Record, ...] = ()
+class Gossip(FleetMessage, frozen=True, array_like=True, tag="g"):
+    """Updates alone."""
+
+    updates: tuple[MemberRecord, ...] = ()
+
+
+class SyncDigests(FleetMessage, frozen=True, array_like=True, tag="s"):
+    """Begins an anti-entropy exchange: the digest of each bucket of the sender's view."""
+
+    bucket_digests: tuple[int, ...] = ()
+    updates: tuple[MemberRecord, ...] = ()
 
 
-class Sync(Said, frozen=True, array_like=True, tag="s"):
-    """Begins an exchange of whole views: a digest for each bucket of names."""
+class SyncRecords(FleetMessage, frozen=True, array_like=True, tag="v"):
+    """Records of the buckets that differ.
 
-    buckets: tuple[int, ...] = ()
-    news: tuple[Record, ...] = ()
+    `wanted_buckets`: indexes of the buckets whose records the sender asks for.
+    """
 
+    wanted_buckets: tuple[int, ...] = ()
+    updates: tuple[MemberRecord, ...] = ()
 
-class Pages(Said, frozen=True, array_like=True, tag="v"):
-    """Records of the buckets that differ; `wants`: send me yours of these."""
 
-    wants: tuple[int, ...] = ()
-    news: tuple[Record, ...] = ()
+UpdateCarrier = Ping | Ack | PingReq | Gossip | SyncDigests | SyncRecords
+Message = UpdateCarrier | Nack
 
 
-Message = Ping | Ack | Ask | Nack | Gossip | Sync | Pages
+def updates_of(message: Struct) -> tuple[MemberRecord, ...]:
+    """The records that a message carries; none for messages of other kinds."""
+    return message.updates if isinstance(message, UpdateCarrier) else ()
