--- a/valverouter/terms/crossing.py
+++ b/valverouter/terms/crossing.py
@@ -1,9 +1,9 @@
-"""The terms of traffic across regions: [region NAME], [crossing], [crossing TYPE] and [crossing TYPE FROM
-TO]."""
+"""Configuration of cross-region traffic: the sections [region NAME], [crossing] and [crossing TYPE ...]."""
 
 from __future__ import annotations
 
-from typing import Annotated
+from dataclasses import dataclass, field
+from typing import Annotated, NamedTuple
 
 from msgspec import Meta, Struct
 
@@ -11,17 +11,17 @@
 from valverouter.terms.ini import IniFile, LongSpan, Share, Span, Whole
 
 MS, SECOND = 10**6, 10**9
-ANYWHERE = "*"
+ANY_REGION = "*"
 
 
 class Region(Struct, frozen=True):
-    """[region NAME]: how many edge proxies stand there; those of one region share its pairs' budgets."""
+    """[region NAME]: the number of its edge proxies, which share the budgets of pairs that start there."""
 
     edges: Whole = 0
 
 
 class CrossingAll(Struct, frozen=True):
-    """[crossing]: the reserve that routine types may never touch, and what all types have in common."""
+    """[crossing]: the reserve that routine types never touch, and what all types have in common."""
 
     reserve: Whole = 0
     window: LongSpan = 10 * SECOND
@@ -31,7 +31,7 @@
 
 
 class CrossingOf(Struct, frozen=True):
-    """[crossing TYPE] and [crossing TYPE FROM TO]: legs in a window, of which `burst` at one moment."""
+    """[crossing TYPE] and [crossing TYPE FROM TO]: attempts in a window, of which `burst` at one moment."""
 
     legs: Annotated[int, Meta(ge=0)] | None = None
     window: LongSpan = 10 * SECOND
@@ -39,82 +39,139 @@
     urgent: bool = False
 
 
+class _Sharers(NamedTuple):
+    """How many edge proxies share a budget, and the index of this one among them."""
+
+    edge_proxies: int
+    fleet_index: int
+
+
+Pair = tuple[str, str]
+
+
+@dataclass(slots=True)
+class _BudgetSections:
+    """Reads the sections [crossing TYPE ...] of one file; problems are added to the file."""
+
+    ini: IniFile
+    home: str
+    traffic_types: set[str]
+    regions: list[str]
+    fleet: _Sharers
+    home_region: _Sharers
+    clock_skew: int
+    policies: dict[str, CrossingClass] = field(default_factory=dict)
+    pairs: dict[str, dict[Pair, CrossingBudget]] = field(default_factory=dict)
+
+    def read(self, words: list[str]) -> None:
+        """Reads the section whose name consists of `words` after "crossing"."""
+        section = f"crossing {' '.join(words)}"
+        keys = self.ini.read(section, CrossingOf)
+        if not words:
+            return  # a section without a name is a problem that the file has noted already
+        if words[0] not in self.traffic_types:
+            self.ini.flaw(section, "", f"there is no [traffic {words[0]}]")
+        if len(words) not in (1, 3):
+            self.ini.flaw(section, "", "is either [crossing TYPE] or [crossing TYPE FROM TO]")
+            return
+        self._check_regions(section, words[1:])
+        if keys is None:
+            return
+        if len(words) == 3:
+            self._read_pair(section, words[0], (words[1], words[2]), keys)
+        else:
+            self._read_type(section, words[0], keys)
+
+    def budget(
+        self, section: str, keys: CrossingOf | CrossingAll, sharers: _Sharers
+    ) -> CrossingBudget | None:
+        """A budget as it is shared here; adds a problem for one that could never permit an attempt."""
+        attempts = keys.reserve if isinstance(keys, CrossingAll) else keys.legs
+        if not attempts:
+            return None
+        budget = CrossingBudget(attempts, keys.window, keys.burst, sharers.edge_proxies, sharers.fleet_index)
+        burst = keys.burst or attempts
+        if burst > attempts or burst < 2:
+            self.ini.flaw(section, "burst", f"{burst} must lie from 2 to the {attempts} legs of a window")
+        elif (burst - 1) * keys.window <= 2 * self.clock_skew * (attempts - burst + 1):
+            reason = "a slot would lapse within the clocks' skew: no leg could ever be sent"
+            self.ini.flaw(section, "burst", reason)
+        return budget
+
+    def with_pairs(self) -> dict[str, CrossingClass]:
+        """The policies by traffic type, with the budgets of their pairs."""
+        for traffic_type, budgets in self.pairs.items():
+            policy = self.policies.get(traffic_type)
+            if policy is None:
+                reason = "missing: its pairs have budgets, the type has none"
+                self.ini.flaw(f"crossing {traffic_type}", "", reason, 0)
+            else:
+                self.policies[traffic_type] = CrossingClass(policy.budget, budgets, policy.urgent)
+        return self.policies
+
+    def _check_regions(self, section: str, pair: list[str]) -> None:
+        named = pair[:1] if pair[1:] == [ANY_REGION] else pair
+        for region in named:
+            if region not in self.regions:
+                known = ", ".join(self.regions)
+                self.ini.flaw(section, "", f"unknown region {region!r}; known are {known}")
+
+    def _read_pair(self, section: str, traffic_type: str, pair: Pair, keys: CrossingOf) -> None:
+        if pair[0] == pair[1]:
+            self.ini.flaw(section, "", "a region and itself are no crossing")
+        if keys.urgent:
+            self.ini.flaw(section, "urgent", "belongs to [crossing TYPE], not to one of its pairs")
+        if pair[0] != self.home:
+            return
+        budget = self.budget(section, keys, self.home_region)
+        if keys.legs is None:
+            self.ini.flaw(section, "legs", "missing: a pair is named to give it a budget of its own")
+        elif budget is not None:
+            self.pairs.setdefault(traffic_type, {})[pair] = budget
+
+    def _read_type(self, section: str, traffic_type: str, keys: CrossingOf) -> None:
+        budget = self.budget(section, keys, self.fleet)
+        if keys.legs == 0 and keys.urgent:
+            self.ini.flaw(section, "legs", "0 and urgent contradict each other")
+        if keys.legs != 0:
+            self.policies[traffic_type] = CrossingClass(budget, None, keys.urgent)
+
+
 def crossing_terms(
     ini: IniFile, home: str, place: int, edges: int, region_place: int, types: set[str]
 ) -> CrossingTerms | None:
-    """What may cross from `home`; None where the file has no regions. Notes each flaw in the file."""
+    """What may leave the region `home`; None where the file has no regions. Adds its problems to the file.
+
+    `place` of `edges` is this instance's index in the fleet, `region_place` the one in its region; `types`
+    are the known traffic types.
+    """
     regions = {name: ini.read(f"region {name}", Region) for name in ini.named("region")}
     names = [name.split() for name in ini.named("crossing")]
     if not regions and not names and "crossing" not in ini.sections:
         return None
     if home not in regions:
         ini.flaw("edge", "region", f"{home!r} has no [region {home}]; known are {', '.join(regions)}")
-    whole = ini.read("crossing", CrossingAll, required=False)
+    common = ini.read("crossing", CrossingAll, required=False)
     at_home = regions.get(home)
-    here = at_home.edges if at_home else 0
-    if at_home and not region_place < max(1, here):
-        ini.flaw("edge", "region_place", f"{region_place} must be less than the {here} edges of {home}")
-    classes: dict[str, CrossingClass] = {}
-    pairs: dict[str, dict[tuple[str, str], CrossingBudget]] = {}
-    skew = whole.clock_skew if whole else 0
+    home_edges = at_home.edges if at_home else 0
+    if at_home and not region_place < max(1, home_edges):
+        ini.flaw("edge", "region_place", f"{region_place} must be less than the {home_edges} edges of {home}")
+    fleet, home_region = _Sharers(edges, place), _Sharers(max(1, home_edges), region_place)
+    clock_skew = common.clock_skew if common else 0
+    sections = _BudgetSections(ini, home, types, list(regions), fleet, home_region, clock_skew)
     for words in names:
-        section = f"crossing {' '.join(words)}"
-        one = ini.read(section, CrossingOf)
-        if not words:
-            continue  # told already
-        if words[0] not in types:
-            ini.flaw(section, "", f"there is no [traffic {words[0]}]")
-        if len(words) not in (1, 3):
-            ini.flaw(section, "", "is either [crossing TYPE] or [crossing TYPE FROM TO]")
-            continue
-        for region in words[1:2] if words[2:] == [ANYWHERE] else words[1:]:
-            if region not in regions:
-                ini.flaw(section, "", f"unknown region {region!r}; known are {', '.join(regions)}")
-        if one is None:
-            continue
-        if len(words) == 3:
-            if words[1] == words[2]:
-                ini.flaw(section, "", "a region and itself are no crossing")
-            if one.urgent:
-                ini.flaw(section, "urgent", "belongs to [crossing TYPE], not to one of its pairs")
-            if words[1] != home:
-                continue
-            budget = _budget(ini, section, one.legs, one.window, one.burst, max(1, here), region_place, skew)
-            if one.legs is None:
-                ini.flaw(section, "legs", "missing: a pair is named to give it a budget of its own")
-            elif budget is not None:
-                pairs.setdefault(words[0], {})[words[1], words[2]] = budget
-        else:
-            budget = _budget(ini, section, one.legs, one.window, one.burst, edges, place, skew)
-            if one.legs == 0 and one.urgent:
-                ini.flaw(section, "legs", "0 and urgent contradict each other")
-            if one.legs != 0:
-                classes[words[0]] = CrossingClass(budget, None, one.urgent)
-    for name, of_type in pairs.items():
-        if name not in classes:
-            ini.flaw(f"crossing {name}", "", "missing: its pairs have budgets, the type has none", 0)
-        else:
-            classes[name] = CrossingClass(classes[name].budget, of_type, classes[name].urgent)
-    urgent = [name for name, kind in classes.items() if kind.urgent]
-    reserve = None
-    if whole is not None:
-        if urgent and not whole.reserve:
-            ini.flaw("crossing", "reserve", f"{', '.join(urgent)} is urgent, and there is no reserve for it")
-        if whole.reserve:
-            reserve = _budget(ini, "crossing", whole.reserve, whole.window, whole.burst, edges, place, skew)
-    return CrossingTerms(home, classes, reserve, skew, whole.keep_free if whole else 0.0)
-
-
-def _budget(
-    ini: IniFile, section: str, legs: int | None, window: int, burst: int, edges: int, place: int, skew: int
+        sections.read(words)
+    policies = sections.with_pairs()
+    reserve = _reserve(sections, common, [name for name, policy in policies.items() if policy.urgent])
+    return CrossingTerms(home, policies, reserve, clock_skew, common.keep_free if common else 0.0)
+
+
+def _reserve(
+    sections: _BudgetSections, common: CrossingAll | None, urgent: list[str]
 ) -> CrossingBudget | None:
-    """A budget as it is shared here; notes one that could never send a leg at this fleet size."""
-    if not legs:
+    if common is None:
         return None
-    budget = CrossingBudget(legs, window, burst, edges, place)
-    most = burst or legs
-    if most > legs or most < 2:
-        ini.flaw(section, "burst", f"{most} must lie from 2 to the {legs} legs of a window")
-    elif (most - 1) * window <= 2 * skew * (legs - most + 1):
-        ini.flaw(section, "burst", "a slot would lapse within the clocks' skew: no leg could ever be sent")
-    return budget
+    if urgent and not common.reserve:
+        reason = f"{', '.join(urgent)} is urgent, and there is no reserve for it"
+        sections.ini.flaw("crossing", "reserve", reason)
+    return sections.budget("crossing", common, sections.fleet)
