--- a/valverouter/terms/crossing.py
+++ b/valverouter/terms/crossing.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.interface import CrossingBudget, CrossingClass, CrossingTerms
+from valverouter.interface import CrossRegionBudget, CrossRegionConfig, CrossRegionPolicy
 from valverouter.terms.ini import IniFile, LongSpan, Share, Span, Whole
 
 MS, SECOND = 10**6, 10**9
@@ -60,8 +60,8 @@
     fleet: _Sharers
     home_region: _Sharers
     clock_skew: int
-    policies: dict[str, CrossingClass] = field(default_factory=dict)
-    pairs: dict[str, dict[Pair, CrossingBudget]] = field(default_factory=dict)
+    policies: dict[str, CrossRegionPolicy] = field(default_factory=dict)
+    pairs: dict[str, dict[Pair, CrossRegionBudget]] = field(default_factory=dict)
 
     def read(self, words: list[str]) -> None:
         """Reads the section whose name consists of `words` after "crossing"."""
@@ -84,12 +84,12 @@
 
     def budget(
         self, section: str, keys: CrossingOf | CrossingAll, sharers: _Sharers
-    ) -> CrossingBudget | None:
+    ) -> CrossRegionBudget | None:
         """A budget as it is shared here; adds a problem for one that could never permit an attempt."""
         attempts = keys.reserve if isinstance(keys, CrossingAll) else keys.legs
         if not attempts:
             return None
-        budget = CrossingBudget(attempts, keys.window, keys.burst, sharers.edge_proxies, sharers.fleet_index)
+        budget = CrossRegionBudget(attempts, keys.window, keys.burst, sharers.edge_proxies, sharers.fleet_index)
         burst = keys.burst or attempts
         if burst > attempts or burst < 2:
             self.ini.flaw(section, "burst", f"{burst} must lie from 2 to the {attempts} legs of a window")
@@ -98,7 +98,7 @@
             self.ini.flaw(section, "burst", reason)
         return budget
 
-    def with_pairs(self) -> dict[str, CrossingClass]:
+    def with_pairs(self) -> dict[str, CrossRegionPolicy]:
         """The policies by traffic type, with the budgets of their pairs."""
         for traffic_type, budgets in self.pairs.items():
             policy = self.policies.get(traffic_type)
@@ -106,7 +106,7 @@
                 reason = "missing: its pairs have budgets, the type has none"
                 self.ini.flaw(f"crossing {traffic_type}", "", reason, 0)
             else:
-                self.policies[traffic_type] = CrossingClass(policy.budget, budgets, policy.urgent)
+                self.policies[traffic_type] = CrossRegionPolicy(policy.budget, budgets, policy.urgent)
         return self.policies
 
     def _check_regions(self, section: str, pair: list[str]) -> None:
@@ -134,12 +134,12 @@
         if keys.legs == 0 and keys.urgent:
             self.ini.flaw(section, "legs", "0 and urgent contradict each other")
         if keys.legs != 0:
-            self.policies[traffic_type] = CrossingClass(budget, None, keys.urgent)
+            self.policies[traffic_type] = CrossRegionPolicy(budget, None, keys.urgent)
 
 
 def crossing_terms(
     ini: IniFile, home: str, place: int, edges: int, region_place: int, types: set[str]
-) -> CrossingTerms | None:
+) -> CrossRegionConfig | None:
     """What may leave the region `home`; None where the file has no regions. Adds its problems to the file.
 
     `place` of `edges` is this instance's index in the fleet, `region_place` the one in its region; `types`
@@ -163,12 +163,12 @@
         sections.read(words)
     policies = sections.with_pairs()
     reserve = _reserve(sections, common, [name for name, policy in policies.items() if policy.urgent])
-    return CrossingTerms(home, policies, reserve, clock_skew, common.keep_free if common else 0.0)
+    return CrossRegionConfig(home, policies, reserve, clock_skew, common.keep_free if common else 0.0)
 
 
 def _reserve(
     sections: _BudgetSections, common: CrossingAll | None, urgent: list[str]
-) -> CrossingBudget | None:
+) -> CrossRegionBudget | None:
     if common is None:
         return None
     if urgent and not common.reserve:
