--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -64,7 +64,9 @@
     can = 0.0
     if variant == "budget":
         # The lines are short for half of the day.
-        can = (plan_of(played, rows).share + plan_of(played, rows, {"sofia": 40**-0.5}).share) / 2
+        can = (
+            plan_of(played, rows).served_fraction + plan_of(played, rows, {"sofia": 40**-0.5}).served_fraction
+        ) / 2
     urgent = accounts["urgent-referral"].service
     whole = service(accounts, {kind: 1.0 for kind in accounts})
     return (
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -38,7 +38,7 @@
 from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.membership import messages, records
 from valverouter.recovery import course, learnt
-from valverouter.regions import accounts
+from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
 from valverouter.rollout import council, keeping, limits, orders, permits, shown, written
@@ -450,13 +450,13 @@
 
 
 def account_rows() -> list[dict[str, Any]]:
-    """One line of traffic, in one minute."""
-    books = accounts.Accounts()
-    counts = accounts.Tally(8, 2, 1, 3, 4, 5, 6, 7)
-    line = ("booking", "north", "south")
-    books.whole[line] = counts
-    books.minutes[9] = {line: counts}
-    return books.rows("e1", 977, 983)
+    """The usage of one traffic type between two regions, in one minute."""
+    usage = CrossRegionUsage()
+    counts = UsageCounters(8, 2, 1, 3, 4, 5, 6, 7)
+    key = UsageKey("booking", "north", "south")
+    usage.totals[key] = counts
+    usage.minutes[9] = {key: counts}
+    return usage.to_rows("e1", 977, 983)
 
 
 CALLS = [calls.Call(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991), calls.Call(2_000_000_000, "info")]
--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_files.py
@@ -16,7 +16,7 @@
 from tests.helpers import Rig
 from tests.rig import INI, MS, SECOND, terms
 from tests.test_days import valverouter
-from valverouter.attempts.courses import broken, courses
+from valverouter.attempts.worst_case import policy_problems, timelines
 from valverouter.edge.attempting import AttemptBook
 from valverouter.interface import (
     AttemptPolicy,
@@ -260,7 +260,10 @@
         assert found.max_attempts <= 6
         assert found.release_delay >= 300 * MS
         assert (
-            broken(replace(found, no_answer_timeout=found.no_answer_timeout or 9 * SECOND), 300 * MS, 6) == []
+            policy_problems(
+                replace(found, no_answer_timeout=found.no_answer_timeout or 9 * SECOND), 300 * MS, 6
+            )
+            == []
         )
 
 
@@ -306,8 +309,8 @@
 
 @functools.lru_cache
 def ends_of(reckoned: AttemptPolicy) -> tuple[int, int]:
-    every = list(courses(reckoned))
-    return max(course.answered_at for course in every), max(course.legs for course in every)
+    every = list(timelines(reckoned))
+    return max(course.answered_at for course in every), max(course.attempts for course in every)
 
 
 def one_course(
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -20,9 +20,17 @@
 from tests.rig import INI, dial, rigged, terms
 from tests.test_days import valverouter
 from valverouter import interface
-from valverouter.attempts.courses import broken, courses, longest, retry_span
-from valverouter.attempts.guard import Guard, Harm
-from valverouter.attempts.rules import Asked, Effective, Rule, TieError, When, resolve, ties
+from valverouter.attempts.change_guard import ChangeGuard, Regression
+from valverouter.attempts.matching import (
+    AmbiguousRulesError,
+    DialogAttributes,
+    EffectiveSetting,
+    MatchCondition,
+    PolicyRule,
+    find_ambiguous_rules,
+    resolve,
+)
+from valverouter.attempts.worst_case import backoff_delay, longest_timeline, policy_problems, timelines
 from valverouter.audit.attempts import seen
 from valverouter.audit.rules import audit
 from valverouter.days.virtual import run_virtual
@@ -37,8 +45,8 @@
 MS, SECOND = 10**6, 10**9
 
 
-def rule(name: str, legs: int = 0, **when: Any) -> Rule:
-    return Rule(When(**when), {"legs": legs}, name)
+def rule(name: str, legs: int = 0, **when: Any) -> PolicyRule:
+    return PolicyRule(MatchCondition(**when), {"legs": legs}, name)
 
 
 RULES = [
@@ -63,31 +71,34 @@
     ],
 )
 def test_the_most_specific_rule_wins(kind: str, number: str, name: str) -> None:
-    found = resolve(RULES, Asked(kind, number))["legs"]
-    assert found == Effective(next(r.values["legs"] for r in RULES if r.name == name), name)
-    assert ties(RULES) == []
+    found = resolve(RULES, DialogAttributes(kind, number))["legs"]
+    assert found == EffectiveSetting(next(r.values["legs"] for r in RULES if r.name == name), name)
+    assert find_ambiguous_rules(RULES) == []
 
 
 def test_keys_are_resolved_each_for_itself() -> None:
-    rules = [Rule(When(), {"legs": 3, "objective": 9}, "all"), Rule(When(prefix="2"), {"legs": 2}, "two")]
-    found = resolve(rules, Asked("plain", "2"))
-    assert found == {"legs": Effective(2, "two"), "objective": Effective(9, "all")}
+    rules = [
+        PolicyRule(MatchCondition(), {"legs": 3, "objective": 9}, "all"),
+        PolicyRule(MatchCondition(prefix="2"), {"legs": 2}, "two"),
+    ]
+    found = resolve(rules, DialogAttributes("plain", "2"))
+    assert found == {"legs": EffectiveSetting(2, "two"), "objective": EffectiveSetting(9, "all")}
 
 
 def test_ties_are_found_with_where_they_hold() -> None:
     crossing = [rule("urgent", traffic_type="urgent"), rule("sofia", prefix="2")]
-    (tie,) = ties(crossing)
-    assert (tie.one, tie.two, tie.where) == ("urgent", "sofia", When("urgent", "2"))
-    with pytest.raises(TieError):
-        resolve(crossing, Asked("urgent", "2"))
-    assert ties([*crossing, rule("both", traffic_type="urgent", prefix="2")]) == []
-    assert len(ties([rule("one", region="a"), rule("two", region="a")])) == 1
-    assert ties([rule("one", region="a"), rule("two", region="b")]) == []
-    assert ties([rule("one", prefix="21"), rule("two", prefix="22")]) == []
+    (tie,) = find_ambiguous_rules(crossing)
+    assert (tie.first, tie.second, tie.overlap) == ("urgent", "sofia", MatchCondition("urgent", "2"))
+    with pytest.raises(AmbiguousRulesError):
+        resolve(crossing, DialogAttributes("urgent", "2"))
+    assert find_ambiguous_rules([*crossing, rule("both", traffic_type="urgent", prefix="2")]) == []
+    assert len(find_ambiguous_rules([rule("one", region="a"), rule("two", region="a")])) == 1
+    assert find_ambiguous_rules([rule("one", region="a"), rule("two", region="b")]) == []
+    assert find_ambiguous_rules([rule("one", prefix="21"), rule("two", prefix="22")]) == []
 
 
 whens = st.builds(
-    When,
+    MatchCondition,
     st.none() | st.sampled_from("ab"),
     st.sampled_from(["", "2", "21", "3"]),
     st.none() | st.sampled_from("xy"),
@@ -95,29 +106,32 @@
 
 
 @given(st.lists(whens, max_size=6))
-def test_rules_without_ties_always_resolve(made: list[When]) -> None:
-    rules = [Rule(when, {"legs": at}, str(at)) for at, when in enumerate(made)]
+def test_rules_without_ties_always_resolve(made: list[MatchCondition]) -> None:
+    rules = [PolicyRule(when, {"legs": at}, str(at)) for at, when in enumerate(made)]
     every = [
-        Asked(kind, number, region) for kind in "abc" for number in ("2", "21", "3", "4") for region in "xyz"
+        DialogAttributes(kind, number, region)
+        for kind in "abc"
+        for number in ("2", "21", "3", "4")
+        for region in "xyz"
     ]
     tied = False
     for asked in every:
         try:
             resolve(rules, asked)
-        except TieError:
+        except AmbiguousRulesError:
             tied = True
-    assert tied <= bool(ties(rules))
+    assert tied <= bool(find_ambiguous_rules(rules))
 
 
 TERMS = AttemptPolicy(3, 1500 * MS, 9 * SECOND, 300 * MS, 200 * MS, 2 * SECOND)
 
 
 def test_the_longest_course_ends_at_the_no_answer_time_and_shows_its_steps() -> None:
-    course = longest(TERMS)
+    course = longest_timeline(TERMS)
     assert course.answered_at == 9 * SECOND
-    assert course.steps[0].at == 0
+    assert course.steps[0].start == 0
     for step, after in zip(course.steps, course.steps[1:], strict=False):
-        assert after.at == step.at + step.span
+        assert after.start == step.start + step.duration
 
 
 @given(
@@ -135,7 +149,7 @@
     st.builds(random.Random, st.integers(0, 2**32)),
 )
 def test_no_random_course_passes_the_reckoned_one(terms: AttemptPolicy, chance: random.Random) -> None:
-    at, leg, most = 0, 1, longest(terms)
+    at, leg, most = 0, 1, longest_timeline(terms)
     while True:
         until = (
             min(terms.no_answer_timeout, at + terms.attempt_timeout)
@@ -146,12 +160,12 @@
         if at >= terms.no_answer_timeout or leg >= terms.max_attempts:
             break
         least = chance.choice([terms.release_delay, chance.randint(0, terms.max_server_retry_after)])
-        wait = retry_span(terms, leg, chance.random(), least)
+        wait = backoff_delay(terms, leg, chance.random(), least)
         if at + wait >= terms.no_answer_timeout:
             break
         at, leg = at + wait, leg + 1
     assert at <= most.answered_at <= terms.no_answer_timeout
-    assert leg <= max(course.legs for course in courses(terms))
+    assert leg <= max(course.attempts for course in timelines(terms))
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -159,7 +173,7 @@
     chance = random.Random(seed)
     for retry in range(1, 6):
         draw, least = chance.random(), chance.randint(0, SECOND)
-        assert retry_span(TERMS, retry, draw, least) == retry_delay(retry, draw, least)
+        assert backoff_delay(TERMS, retry, draw, least) == retry_delay(retry, draw, least)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -193,8 +207,8 @@
             leg += 1
         else:
             rig.wake()
-    assert rig.now - began <= longest(terms).answered_at
-    assert leg <= max(course.legs for course in courses(terms))
+    assert rig.now - began <= longest_timeline(terms).answered_at
+    assert leg <= max(course.attempts for course in timelines(terms))
 
 
 @pytest.mark.parametrize(
@@ -209,8 +223,8 @@
     ],
 )
 def test_terms_that_break_a_rule_or_never_act(change: dict[str, Any], key: str) -> None:
-    assert [found for found, _ in broken(replace(TERMS, **change), 300 * MS, 6)] == [key]
-    assert broken(TERMS, 300 * MS, 6) == []
+    assert [found for found, _ in policy_problems(replace(TERMS, **change), 300 * MS, 6)] == [key]
+    assert policy_problems(TERMS, 300 * MS, 6) == []
 
 
 # In a file, at the edge
@@ -228,8 +242,8 @@
     text = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 4\nleg_time_out = 700ms")
     found = book(text).explain("plain", 21)
     line = text.splitlines().index("leg_time_out = 700ms") + 1
-    assert found["leg_time_out"] == Effective(700 * MS, f"rig.ini:{line} [attempts b]")
-    assert found["retry_cap"].rule == "the decisions' own"
+    assert found["leg_time_out"] == EffectiveSetting(700 * MS, f"rig.ini:{line} [attempts b]")
+    assert found["retry_cap"].source == "the decisions' own"
     assert book(text).of("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
     assert book(ini("[attempts a]\nprefix = 9\nlegs = 2")).of("plain", 3) is None
 
@@ -305,12 +319,12 @@
 
 
 def fed(
-    guard: Guard, now: int, dialogs: int, declined: float, legs: int = 1, kind: str = "plain"
-) -> list[Harm]:
+    guard: ChangeGuard, now: int, dialogs: int, declined: float, legs: int = 1, kind: str = "plain"
+) -> list[Regression]:
     found = []
     for at in range(dialogs):
         down = int((at + 1) * declined) > int(at * declined)
-        if (harm := guard.answered(now + at * 50 * MS, kind, down, legs)) is not None:
+        if (harm := guard.on_final_answer(now + at * 50 * MS, kind, down, legs)) is not None:
             found.append(harm)
     return found
 
@@ -328,18 +342,18 @@
 def test_a_rise_beyond_chance_and_what_went_before_is_told_once(
     before: tuple[int, float], after: tuple[int, float], told: list[str]
 ) -> None:
-    guard = Guard()
+    guard = ChangeGuard()
     assert fed(guard, SECOND, *before) == []
-    guard.changed(20 * SECOND)
-    assert [harm.what for harm in fed(guard, 20 * SECOND, *after)] == told
+    guard.on_change(20 * SECOND)
+    assert [harm.metric for harm in fed(guard, 20 * SECOND, *after)] == told
 
 
 def test_retries_count_too_and_types_apart() -> None:
-    guard = Guard()
+    guard = ChangeGuard()
     fed(guard, SECOND, 100, 0.0)
     fed(guard, SECOND, 100, 0.0, kind="other")
-    guard.changed(20 * SECOND)
-    assert [harm.what for harm in fed(guard, 20 * SECOND, 40, 0.0, legs=2)] == ["retried"]
+    guard.on_change(20 * SECOND)
+    assert [harm.metric for harm in fed(guard, 20 * SECOND, 40, 0.0, legs=2)] == ["retried"]
     assert fed(guard, 20 * SECOND, 40, 0.0, kind="other") == []
 
 
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -34,8 +34,8 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import PlainStream, Sockets
 from valverouter.interface import CancelAttempt, DialogAction, LoadReport, Outcome
-from valverouter.regions import crossing
-from valverouter.regions.slots import Slots
+from valverouter.regions import cross_region_limiter
+from valverouter.regions.time_sliced_quota import TimeSlicedQuota
 from valverouter.signalling.framing import ProtocolError, frame
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import ListSession, Row, Snapshot, Watch
@@ -248,12 +248,12 @@
         async with rigged(1, ini) as rig:
             rule = rig.edge.crossing
             assert rule is not None
-            before = (rule.terms, dict(rule._lanes), rule._reserve, rig.edge.terms, rig.edge.generation)
+            before = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.terms, rig.edge.generation)
             other = terms(ini.replace("legs = 10", "legs = 20"))
             for at in range(1, 20):
                 made = 0
 
-                class Short(Slots):
+                class Short(TimeSlicedQuota):
                     def __init__(self, *args: Any) -> None:
                         nonlocal made
                         made += 1
@@ -261,12 +261,12 @@
                             raise MemoryError
                         super().__init__(*args)
 
-                monkeypatch.setattr(crossing, "Slots", Short)
+                monkeypatch.setattr(cross_region_limiter, "TimeSlicedQuota", Short)
                 rig.edge.reload(other)
                 await trio.sleep(0.1)
                 if made < at:
                     break  # nothing was short any more: it was taken
-                now = (rule.terms, dict(rule._lanes), rule._reserve, rig.edge.terms, rig.edge.generation)
+                now = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.terms, rig.edge.generation)
                 assert now == before
     told = [line["event"] for line in logs if line["event"] in ("reload-refused", "reloaded", "turn-failed")]
     assert at > 3
@@ -710,7 +710,7 @@
         edge = rig.edge
         assert len(caller.all(Stands | Declined)) == 3_000
         assert len(edge._alarms) <= 1_100  # an hour's time-outs of legs long ended
-        assert len(edge._guard.before) <= 3
+        assert len(edge._guard.baseline) <= 3
         assert len(edge.tally.answers) <= 6
         assert not edge._dialogs
         assert not edge._links["s0"].legs
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -36,12 +36,20 @@
     LoadReport,
     Outcome,
 )
-from valverouter.regions import accounts, opening
-from valverouter.regions.accounts import Accounts, Tally, merged, missing
-from valverouter.regions.crossing import Crossing
-from valverouter.regions.opening import Opening
-from valverouter.regions.planner import Capacity, Demand, Limit, plan
-from valverouter.regions.slots import Slots, life, pace, settled, spacing, usable, why_never
+from valverouter.regions import spillover_gate, usage
+from valverouter.regions.cross_region_limiter import CrossRegionLimiter
+from valverouter.regions.planner import Demand, RateLimit, RegionCapacity, plan
+from valverouter.regions.spillover_gate import SpilloverGate
+from valverouter.regions.time_sliced_quota import (
+    TimeSlicedQuota,
+    expected_utilization,
+    infeasibility,
+    max_rate,
+    slot_lifetime,
+    slot_spacing,
+    with_default_burst,
+)
+from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey, merge_totals, missing_records
 from valverouter.signalling import tap
 from valverouter.terms.day import Day, day, load_day
 from valverouter.terms.edge import edge_terms
@@ -82,45 +90,52 @@
     # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
     # in the middle and forget what they spent.
     skew = skew_ms * MS
-    if why_never(budget, skew):
+    if infeasibility(budget, skew):
         return
-    budget = settled(budget, skew)
+    budget = with_default_burst(budget, skew)
     off = [chance.randint(-skew, skew) for _ in range(budget.edge_proxies)]
     sharers = [
-        Slots(dataclasses.replace(budget, fleet_index=at), skew, START + off[at])
+        TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), skew, START + off[at])
         for at in range(budget.edge_proxies)
     ]
     now, sent = START, []
     for _ in range(300):
-        now += chance.choice([0, 0, MS, spacing(budget) // 3, life(budget, skew), budget.window])
+        now += chance.choice(
+            [0, 0, MS, slot_spacing(budget) // 3, slot_lifetime(budget, skew), budget.window]
+        )
         for at in chance.sample(range(budget.edge_proxies), min(budget.edge_proxies, 12)):
             if chance.random() < 0.02:
                 off[at] = chance.randint(-skew, skew)
-                sharers[at] = Slots(dataclasses.replace(budget, fleet_index=at), skew, now + off[at])
-            while sharers[at].take(now + off[at]) is not None:
+                sharers[at] = TimeSlicedQuota(
+                    dataclasses.replace(budget, fleet_index=at), skew, now + off[at]
+                )
+            while sharers[at].acquire(now + off[at]) is not None:
                 sent.append(now)
-            assert sharers[at].used <= life(budget, skew) // (spacing(budget) * budget.edge_proxies) + 1
+            assert (
+                sharers[at].used_slots
+                <= slot_lifetime(budget, skew) // (slot_spacing(budget) * budget.edge_proxies) + 1
+            )
     assert most_in_window(sent, budget.window) <= budget.attempts
 
 
 @pytest.mark.parametrize("edges", [1, 4, 281])
 def test_the_same_budget_is_used_up_at_any_fleet_size_when_all_have_some_to_send(edges: int) -> None:
     budget = CrossRegionBudget(40, 10 * SECOND, 10, edges, 0)
-    sharers = [Slots(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edges)]
+    sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edges)]
     sent = 0
     for step in range(6_000):
         now = START + step * 10 * MS
-        sent += sum(one.take(now) is not None for one in sharers)
-    assert 0.97 < sent / 60 / pace(budget) < 1.03
+        sent += sum(one.acquire(now) is not None for one in sharers)
+    assert 0.97 < sent / 60 / max_rate(budget) < 1.03
 
 
 @pytest.mark.parametrize(("edges", "least"), [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
 def test_the_burst_that_is_reckoned_uses_most(edges: int, least: float) -> None:
-    budget = settled(CrossRegionBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
+    budget = with_default_burst(CrossRegionBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
     wished = 12 / edges
 
     def used(one: CrossRegionBudget) -> float:
-        return pace(one) * usable(one, 50 * MS, wished)
+        return max_rate(one) * expected_utilization(one, 50 * MS, wished)
 
     others = [dataclasses.replace(budget, burst=burst) for burst in (2, 5, 30, 60, 90, 119)]
     assert used(budget) >= max(map(used, others))
@@ -130,13 +145,13 @@
 def test_what_of_the_slots_is_used_where_little_is_wished() -> None:
     budget = CrossRegionBudget(40, 10 * SECOND, 10, 200, 0)
     chance = random.Random(5)
-    sharers = [Slots(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
+    sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
     sent = 0
     for step in range(12_000):
         for one in sharers:
             if chance.random() < 0.05 * 0.01:
-                sent += one.take(START + step * 10 * MS) is not None
-    told = usable(budget, 0, 0.05) * pace(budget)
+                sent += one.acquire(START + step * 10 * MS) is not None
+    told = expected_utilization(budget, 0, 0.05) * max_rate(budget)
     assert sent / 120 == pytest.approx(told, rel=0.15)
 
 
@@ -150,17 +165,17 @@
     ],
 )
 def test_budgets_that_can_never_send(budget: CrossRegionBudget, said: str) -> None:
-    assert said in why_never(budget, 10 * MS)
+    assert said in infeasibility(budget, 10 * MS)
     with pytest.raises(ValueError, match=said):
-        Slots(budget, 10 * MS, START)
+        TimeSlicedQuota(budget, 10 * MS, START)
 
 
 # Paying and giving back
 
 
-def crossing(**classes: CrossRegionPolicy) -> Crossing:
+def crossing(**classes: CrossRegionPolicy) -> CrossRegionLimiter:
     reserve = CrossRegionBudget(2, 10 * SECOND, 2, 1, 0)
-    return Crossing(CrossRegionConfig("sofia", classes, reserve, 0, 0.1), START)
+    return CrossRegionLimiter(CrossRegionConfig("sofia", classes, reserve, 0, 0.1), START)
 
 
 ROUTINE = CrossRegionPolicy(CrossRegionBudget(4, 10 * SECOND, 2, 1, 0))
@@ -168,7 +183,7 @@
 OPEN = START + 8 * SECOND
 
 
-def lacking(rule: Crossing) -> Crossing:
+def lacking(rule: CrossRegionLimiter) -> CrossRegionLimiter:
     """Crossing opened by what its dialogs found at home."""
     for at in range(5):
         rule.on_selection(OPEN - at * MS, False)
@@ -176,7 +191,12 @@
 
 
 def asks(
-    rule: Crossing, kind: str, now: int = OPEN, region: str = "varna", wait: float = 0.0, free: Any = 1.0
+    rule: CrossRegionLimiter,
+    kind: str,
+    now: int = OPEN,
+    region: str = "varna",
+    wait: float = 0.0,
+    free: Any = 1.0,
 ) -> bool:
     return rule.allows(now, kind, region, wait, free)
 
@@ -212,7 +232,7 @@
         rule.on_attempt_started(OPEN, "routine", "varna", (f"d{sent}", 0))
         sent += 1
     assert 1 <= sent <= 2
-    assert rule.accounts.whole["routine", "sofia", "varna"] == Tally(legs=sent)
+    assert rule.usage.totals[UsageKey("routine", "sofia", "varna")] == UsageCounters(attempts=sent)
 
 
 def test_urgent_pays_its_own_then_the_reserve_then_overdraws() -> None:
@@ -220,9 +240,9 @@
     for at in range(8):
         assert asks(rule, "urgent")
         rule.on_attempt_started(OPEN, "urgent", "varna", (f"d{at}", 0))
-    tally = rule.accounts.whole["urgent", "sofia", "varna"]
+    tally = rule.usage.totals[UsageKey("urgent", "sofia", "varna")]
     own = 8 - tally.reserve - tally.overdraft
-    assert (tally.legs, own >= 1, tally.reserve >= 1) == (8, True, True)
+    assert (tally.attempts, own >= 1, tally.reserve >= 1) == (8, True, True)
     assert tally.overdraft >= 4
 
 
@@ -243,11 +263,11 @@
         rule.on_attempt_started(OPEN, "routine", "varna", ("d", 0))
     rule.on_attempt_result(OPEN, AttemptResult("d", 0, "s", outcome))
     assert asks(rule, "routine") == back
-    before = rule.accounts.whole["routine", "sofia", "varna"].legs
+    before = rule.usage.totals[UsageKey("routine", "sofia", "varna")].attempts
     rule.on_attempt_result(OPEN, AttemptResult("d", 0, "s", outcome))
     assert asks(rule, "routine") == back, "nothing is given back twice"
-    assert rule.accounts.whole["routine", "sofia", "varna"].legs == before
-    assert not rule._out
+    assert rule.usage.totals[UsageKey("routine", "sofia", "varna")].attempts == before
+    assert not rule._charged
     assert before >= legs
 
 
@@ -255,17 +275,19 @@
     rule = crossing(urgent=URGENT)
     rule.on_attempt_started(OPEN, "urgent", "varna", ("d", 0))
     rule.on_attempt_result(OPEN + SECOND, AttemptResult("d", 0, "s", Outcome.ESTABLISHED))
-    assert rule.circuits == 1
+    assert rule.circuits_in_use == 1
     rule.on_attempt_result(OPEN + 6 * SECOND, AttemptResult("d", 0, "s", Outcome.ENDED))
-    assert rule.circuits == 0
-    assert rule.accounts.whole["urgent", "sofia", "varna"] == Tally(legs=1, stands=1, circuit_ns=5 * SECOND)
+    assert rule.circuits_in_use == 0
+    assert rule.usage.totals[UsageKey("urgent", "sofia", "varna")] == UsageCounters(
+        attempts=1, established=1, circuit_ns=5 * SECOND
+    )
 
 
 def test_a_leg_at_home_costs_nothing() -> None:
     rule = crossing(routine=ROUTINE)
     rule.on_attempt_started(OPEN, "routine", "sofia", ("d", 0))
-    assert not rule.accounts.whole
-    assert not rule._out
+    assert not rule.usage.totals
+    assert not rule._charged
 
 
 def test_the_narrowest_budget_is_the_one_that_pays() -> None:
@@ -274,88 +296,94 @@
         wide, {("sofia", "varna"): tight, ("sofia", "*"): wide, ("burgas", "varna"): wide}
     )
     rule = crossing(routine=kind)
-    assert rule._lane("routine", "varna").budget is tight  # type: ignore[union-attr]
-    assert rule._lane("routine", "plovdiv") is rule._lanes["routine", "*"]
-    assert ("routine", "burgas") not in rule._lanes
+    assert rule._quota_for("routine", "varna").budget is tight  # type: ignore[union-attr]
+    assert rule._quota_for("routine", "plovdiv") is rule._quotas["routine", "*"]
+    assert ("routine", "burgas") not in rule._quotas
 
 
 def test_a_change_of_terms_spends_nothing_twice_and_keeps_books_and_legs() -> None:
     rule = lacking(crossing(urgent=URGENT))
     rule.on_attempt_started(OPEN, "urgent", "varna", ("d", 0))
     new = CrossRegionConfig("sofia", {"urgent": URGENT, "routine": ROUTINE}, None, 0, 0.1)
-    rule.change(new, OPEN)
+    rule.reconfigure(new, OPEN)
     window = 10 * SECOND
     for at in range(0, 40 * SECOND, SECOND // 4):
         rule.on_selection(OPEN + at, False)
         assert not (asks(rule, "routine", now=OPEN + at) and at < window), "a window passes first"
     assert any(asks(rule, "routine", now=OPEN + at) for at in range(window, 3 * window, SECOND))
     rule.on_attempt_result(OPEN, AttemptResult("d", 0, "s", Outcome.UNREACHABLE))
-    assert rule.accounts.whole["urgent", "sofia", "varna"] == Tally(unsent=1)
-    assert not rule._out
+    assert rule.usage.totals[UsageKey("urgent", "sofia", "varna")] == UsageCounters(not_sent=1)
+    assert not rule._charged
     never = CrossRegionConfig(
         "sofia", {"urgent": CrossRegionPolicy(CrossRegionBudget(10, SECOND, 1, 3, 0))}, None, 0, 0
     )
     with pytest.raises(ValueError, match="lapse"):
-        rule.change(never, OPEN)
-    assert rule.terms is new
+        rule.reconfigure(never, OPEN)
+    assert rule.config is new
 
 
 # Opening and closing
 
 
 def test_opens_by_a_share_and_closes_when_quiet() -> None:
-    gate, now = Opening(), START
+    gate, now = SpilloverGate(), START
     for at in range(40):
-        gate.looked(now + at * 100 * MS, at % 20 != 19)
+        gate.on_selection(now + at * 100 * MS, at % 20 != 19)
     assert not gate.allows(now + 4 * SECOND), "one dialog in twenty is no trouble"
     now += 10 * SECOND
     for at in range(20):
-        gate.looked(now + at * 100 * MS, at % 3 != 0)
+        gate.on_selection(now + at * 100 * MS, at % 3 != 0)
     assert gate.allows(now + 2 * SECOND)
-    assert gate.allows(now + 2 * SECOND + opening.QUIET - 200 * MS)
-    assert not gate.allows(now + 2 * SECOND + opening.QUIET)
+    assert gate.allows(now + 2 * SECOND + spillover_gate.MIN_HEALTHY_PERIOD - 200 * MS)
+    assert not gate.allows(now + 2 * SECOND + spillover_gate.MIN_HEALTHY_PERIOD)
 
 
 def test_an_edge_with_few_dialogs_opens_at_its_first_lack() -> None:
-    gate = Opening()
-    gate.looked(START, True)
-    gate.looked(START + 5 * SECOND, False)
+    gate = SpilloverGate()
+    gate.on_selection(START, True)
+    gate.on_selection(START + 5 * SECOND, False)
     assert gate.allows(START + 5 * SECOND)
 
 
 def test_a_trouble_that_comes_and_goes_does_not_swing_it() -> None:
     # Lacks for half a second every three seconds, for two minutes.
-    gate = Opening()
+    gate = SpilloverGate()
     for at in range(1_200):
         now = START + at * 100 * MS
-        gate.looked(now, at % 30 >= 5)
+        gate.on_selection(now, at % 30 >= 5)
         gate.allows(now)
-    assert gate.switches <= 4
+    assert gate.openings <= 4
 
 
 # Accounts
 
 
+KEY = UsageKey("t", "a", "b")
+
+
 def test_accounts_keep_to_fixed_memory() -> None:
-    books = Accounts()
+    books = CrossRegionUsage()
     for minute in range(500):
         for number in range(50):
-            books.count(START + minute * accounts.MINUTE, ("t", "a", "b"), legs=1)
+            books.record(START + minute * usage.MINUTE_NS, KEY, UsageCounters(attempts=1))
             assert number >= 0
-    assert len(books.minutes) <= accounts.MINUTES
-    assert books.whole["t", "a", "b"].legs == 25_000
-    assert sum(rows["t", "a", "b"].legs for rows in books.minutes.values()) == 50 * accounts.MINUTES
+    assert len(books.minutes) <= usage.RETAINED_MINUTES
+    assert books.totals[KEY].attempts == 25_000
+    assert sum(rows[KEY].attempts for rows in books.minutes.values()) == 50 * usage.RETAINED_MINUTES
 
 
 def test_books_of_many_instances_are_merged_and_gaps_told() -> None:
-    one, two = Accounts(), Accounts()
-    one.count(START, ("t", "a", "b"), legs=2, stands=1)
-    two.count(START, ("t", "a", "b"), legs=3)
-    two.count(START, ("u", "a", "c"), overdraft=1)
-    books = [one.rows("e0", START, START), two.rows("e1", START, START)]
-    assert merged(books) == {("t", "a", "b"): Tally(legs=5, stands=1), ("u", "a", "c"): Tally(overdraft=1)}
-    assert missing(books, 2) == []
-    assert missing(books, 4) == ["2 of 4 edge proxies left no record"]
+    one, two = CrossRegionUsage(), CrossRegionUsage()
+    one.record(START, KEY, UsageCounters(attempts=2, established=1))
+    two.record(START, KEY, UsageCounters(attempts=3))
+    two.record(START, UsageKey("u", "a", "c"), UsageCounters(overdraft=1))
+    books = [one.to_rows("e0", START, START), two.to_rows("e1", START, START)]
+    assert merge_totals(books) == {
+        ("t", "a", "b"): UsageCounters(attempts=5, established=1),
+        ("u", "a", "c"): UsageCounters(overdraft=1),
+    }
+    assert missing_records(books, 2) == []
+    assert missing_records(books, 4) == ["2 of 4 edge proxies left no record"]
 
 
 # The server rule's seam
@@ -363,7 +391,8 @@
 
 def seamed(**classes: CrossRegionPolicy) -> Rig:
     rig = Rig(
-        servers=0, cross_region=Crossing(CrossRegionConfig("home", classes, None, 0, 0.0), 100 * SECOND)
+        servers=0,
+        cross_region=CrossRegionLimiter(CrossRegionConfig("home", classes, None, 0, 0.0), 100 * SECOND),
     )
     entries = [Endpoint("h0", 0, True, 0, "home"), Endpoint("h1", 1, True, 0, "home")]
     rig.listed([*entries, Endpoint("a2", 2, True, 0, "away"), Endpoint("u3", 3, True, 0, "")])
@@ -398,7 +427,7 @@
     rig.dialog(0)
     (order,) = [c for c in rig.take() if hasattr(c, "dialog_id")]
     assert order.action.retry_after > 0  # type: ignore[union-attr]
-    assert rig.policy.cross_region.accounts.whole["plain", "home", "?"].refused == 1  # type: ignore[union-attr]
+    assert rig.policy.cross_region.usage.totals[UsageKey("plain", "home", "?")].rejected == 1  # type: ignore[union-attr]
 
 
 def test_a_retry_that_crosses_pays_as_the_first_leg_did() -> None:
@@ -409,40 +438,47 @@
     assert rig.said() == "a2"
     rig.result(dialog, "a2", Outcome.NO_AGENT)
     assert rig.said() == "u3"
-    whole = rig.policy.cross_region.accounts.whole  # type: ignore[union-attr]
-    assert whole["plain", "home", "away"].legs == whole["plain", "home", "?"].legs == 1
+    totals = rig.policy.cross_region.usage.totals  # type: ignore[union-attr]
+    assert (
+        totals[UsageKey("plain", "home", "away")].attempts
+        == totals[UsageKey("plain", "home", "?")].attempts
+        == 1
+    )
 
 
 # The planner, against cases worked by hand
 
-CAPACITY = [Capacity("a", 10, 1e9), Capacity("b", 20, 1e9)]
+CAPACITY = [RegionCapacity("a", 10, 1e9), RegionCapacity("b", 20, 1e9)]
 
 
 def test_least_crossing_that_carries_the_load() -> None:
     found = plan([Demand("t", "a", 15, 1), Demand("t", "b", 5, 1)], CAPACITY, [])
-    assert found.crossing == {("t", "a", "b"): pytest.approx(5)}
-    assert not found.short
-    assert found.binds == ["processors of a"]
+    assert found.cross_region == {("t", "a", "b"): pytest.approx(5)}
+    assert not found.unserved
+    assert found.binding_constraints == ["processors of a"]
 
 
 def test_what_is_short_falls_on_the_least_important_and_the_budget_is_named() -> None:
     demands = [Demand("routine", "a", 12, 1), Demand("urgent", "a", 8, 1, 6.0)]
-    found = plan(demands, CAPACITY, [Limit("routine", 4), Limit("urgent", 2)])
-    assert found.short == {("routine", "a"): pytest.approx(4)}
-    assert found.crossing == {("routine", "a", "b"): pytest.approx(4), ("urgent", "a", "b"): pytest.approx(2)}
-    assert {"budget of routine", "budget of urgent"} <= set(found.binds)
+    found = plan(demands, CAPACITY, [RateLimit("routine", 4), RateLimit("urgent", 2)])
+    assert found.unserved == {("routine", "a"): pytest.approx(4)}
+    assert found.cross_region == {
+        ("routine", "a", "b"): pytest.approx(4),
+        ("urgent", "a", "b"): pytest.approx(2),
+    }
+    assert {"budget of routine", "budget of urgent"} <= set(found.binding_constraints)
 
 
 def test_lines_bind_by_how_long_dialogs_last() -> None:
-    found = plan([Demand("t", "a", 4, 5)], [Capacity("a", 100, 10)], [])
-    assert found.short == {("t", "a"): pytest.approx(2)}
-    assert found.binds == ["lines of a"]
+    found = plan([Demand("t", "a", 4, 5)], [RegionCapacity("a", 100, 10)], [])
+    assert found.unserved == {("t", "a"): pytest.approx(2)}
+    assert found.binding_constraints == ["lines of a"]
 
 
 @pytest.mark.parametrize(("pair", "crosses"), [(("a", "b"), 1.0), (("a", "*"), 1.0), (("b", "a"), 5.0)])
 def test_pairs(pair: tuple[str, str], crosses: float) -> None:
-    found = plan([Demand("t", "a", 15, 1)], CAPACITY, [Limit("t", 1, pair)])
-    assert sum(found.crossing.values()) == pytest.approx(crosses)
+    found = plan([Demand("t", "a", 15, 1)], CAPACITY, [RateLimit("t", 1, pair)])
+    assert sum(found.cross_region.values()) == pytest.approx(crosses)
 
 
 def test_a_plan_needs_a_region_for_each_demand() -> None:
@@ -519,11 +555,11 @@
 def told(edges: list[MemoryEdge]) -> dict[tuple[str, str, str], int]:
     """The edges' own accounts: legs that left, less those whose connection broke under them."""
     books = [
-        edge.proxy.crossing.accounts.rows(edge.terms.name, 0, 0)
+        edge.proxy.crossing.usage.to_rows(edge.terms.name, 0, 0)
         for edge in edges
         if edge.proxy is not None and edge.proxy.crossing is not None
     ]
-    return {line: tally.legs for line, tally in merged(books).items() if tally.legs}
+    return {line: tally.attempts for line, tally in merge_totals(books).items() if tally.attempts}
 
 
 def played(script: Day) -> tuple[list[Any], dict[tuple[str, str, str], int]]:
@@ -547,7 +583,7 @@
     assert books == dict(lines(found)), "accounts equal the servers' counts"
     accounts_ = account(rows)
     assert accounts_["urgent-referral"].service > 0.95
-    assert plan_of(script, rows, {"sofia": 40**-0.5}).share <= 1
+    assert plan_of(script, rows, {"sofia": 40**-0.5}).served_fraction <= 1
 
 
 def test_without_regions_in_the_terms_nothing_asks() -> None:
@@ -610,7 +646,7 @@
             rig.edge.reload(more)
             await trio.sleep(0.1)
             assert rig.edge.crossing is not None
-            assert rig.edge.crossing.terms == more.crossing
+            assert rig.edge.crossing.config == more.crossing
             late = msgspec.structs.replace(more, answer_margin=1)
             rig.edge.reload(late)
             await trio.sleep(0.1)
@@ -629,6 +665,6 @@
     rules = [
         edge.proxy.crossing for edge in kept if edge.proxy is not None and edge.proxy.crossing is not None
     ]
-    assert [rule.opening.switches for rule in rules[2:]] == [0] * 4, "no evidence, no opening"
-    assert all(1 <= rule.opening.switches <= 2 for rule in rules[:2])
-    assert all(len(rule._out) == rule.circuits for rule in rules), "only what stands is held"
+    assert [rule.gate.openings for rule in rules[2:]] == [0] * 4, "no evidence, no opening"
+    assert all(1 <= rule.gate.openings <= 2 for rule in rules[:2])
+    assert all(len(rule._charged) == rule.circuits_in_use for rule in rules), "only what stands is held"
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -8,7 +8,7 @@
 
 import click
 
-from valverouter.attempts.courses import courses, longest
+from valverouter.attempts.worst_case import longest_timeline, timelines
 from valverouter.audit.attempts import seen
 from valverouter.cli import tables
 from valverouter.cli.common import BROKEN, FILE, console
@@ -51,7 +51,7 @@
         sections = len(loaded.attempts.sections)
         console.print(f"{file}: sound, {sections} sections of attempts", highlight=False, soft_wrap=True)
         for kind in loaded.deployment.traffic_types:
-            most = max(course.legs for course in courses(book.reckoned(kind, 0, SHOWN_NO_ANSWER)))
+            most = max(course.attempts for course in timelines(book.reckoned(kind, 0, SHOWN_NO_ANSWER)))
             console.print(f"  {kind}: {most} legs at most", highlight=False)
     if flaws:
         raise FlawedTermsError(flaws)
@@ -68,7 +68,10 @@
         raise ValueError(f"{file}: there is no [traffic {traffic_type}]")
     for key, one in AttemptBook(loaded).explain(traffic_type, number, peer, first_choice).items():
         console.print(
-            f"{key:14} {_shown(key, one.value):10} {one.rule}", highlight=False, markup=False, soft_wrap=True
+            f"{key:14} {_shown(key, one.value):10} {one.source}",
+            highlight=False,
+            markup=False,
+            soft_wrap=True,
         )
 
 
@@ -91,7 +94,7 @@
     if within <= 0:
         raise ValueError(f"no-answer time {no_answer} leaves nothing past the answer margin")
     found = {
-        kind: longest(book.reckoned(kind, number, within, peer, first_choice))
+        kind: longest_timeline(book.reckoned(kind, number, within, peer, first_choice))
         for kind in loaded.deployment.traffic_types
     }
     if chart:
@@ -99,11 +102,12 @@
         return
     for kind, course in found.items():
         console.print(
-            f"{kind}: answered at {show_span(course.answered_at)}, {course.legs} legs", highlight=False
+            f"{kind}: answered at {show_span(course.answered_at)}, {course.attempts} legs", highlight=False
         )
         for step in course.steps:
             console.print(
-                f"  {show_span(step.at):>12}  {show_span(step.span):>12}  {step.what}", highlight=False
+                f"  {show_span(step.start):>12}  {show_span(step.duration):>12}  {step.description}",
+                highlight=False,
             )
 
 
@@ -134,7 +138,7 @@
                     changed = True
                     was, now = _shown(key, one[key].value), _shown(key, two[key].value)
                     console.print(
-                        f"{kind}, {name}: {key} {was} to {now}, {two[key].rule}",
+                        f"{kind}, {name}: {key} {was} to {now}, {two[key].source}",
                         highlight=False,
                         markup=False,
                         soft_wrap=True,
--- a/valverouter/cli/crossings.py
+++ b/valverouter/cli/crossings.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import dataclasses
 from pathlib import Path
 
 import click
@@ -12,7 +11,7 @@
 from valverouter.cli import tables
 from valverouter.cli.common import FILE, console
 from valverouter.days.planning import plan_of
-from valverouter.regions.accounts import by_minute, merged, missing
+from valverouter.regions.usage import attempts_by_minute, merge_totals, missing_records
 from valverouter.signalling import tap
 from valverouter.terms.day import load_day
 
@@ -31,12 +30,12 @@
 def regions_report(files: tuple[Path, ...], edges: int, as_json: bool) -> None:
     """Merge the accounts that edge proxies left in FILES, by traffic type and pair of regions."""
     books = [[msgspec.json.decode(line) for line in file.read_bytes().splitlines()] for file in files]
-    whole, gaps = merged(books), missing(books, edges)
+    whole, gaps = merge_totals(books), missing_records(books, edges)
     if as_json:
-        lines = [{"line": line, **dataclasses.asdict(tally)} for line, tally in whole.items()]
+        lines = [{"line": line, **counters.to_row()} for line, counters in whole.items()]
         click.echo(msgspec.json.encode({"lines": lines, "missing": gaps}).decode())
         return
-    tables.print_crossings(console, whole, by_minute(books))
+    tables.print_crossings(console, whole, attempts_by_minute(books))
     for gap in gaps:
         console.print(f"missing: {gap}")
 
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/playing.py
@@ -18,7 +18,7 @@
 from valverouter.edge import logs
 from valverouter.edge.attempting import AttemptBook
 from valverouter.edge.surroundings import Sockets
-from valverouter.regions.crossing import Crossing
+from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.signalling import tap
 from valverouter.terms.calls import write_calls
 from valverouter.terms.day import Day, day, load_day
@@ -87,7 +87,7 @@
         terms = edge_terms(ini)
         AttemptBook(terms)
         if terms.crossing is not None:
-            Crossing(terms.crossing, 0)
+            CrossRegionLimiter(terms.crossing, 0)
         console.print(
             f"{file}: an edge proxy's terms, {len(terms.deployment.traffic_types)} traffic types: sound"
         )
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -8,11 +8,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from valverouter.attempts.courses import Course
+from valverouter.attempts.worst_case import AttemptTimeline, StepKind
 from valverouter.audit.account import Account, service
 from valverouter.audit.rules import Verdict
 from valverouter.audit.views import Views
-from valverouter.regions.accounts import COUNTS, Line, Tally
+from valverouter.regions.usage import USAGE_COLUMNS, UsageCounters, UsageKey
 from valverouter.terms.ini import show_span
 
 if TYPE_CHECKING:
@@ -71,19 +71,19 @@
         console.print(f"  and {len(verdict.breaches) - most} more")
 
 
-def print_crossings(console: Console, whole: dict[Line, Tally], minutes: dict[int, int]) -> None:
+def print_crossings(console: Console, totals: dict[UsageKey, UsageCounters], minutes: dict[int, int]) -> None:
     """Crossings by type and pair, and a bar for each minute of the last hour."""
     table = Table(title="What crossed")
-    for head in ("type", "home", "away", *COUNTS):
+    for head in ("type", "home", "away", *USAGE_COLUMNS):
         table.add_column(
             head.replace("_ns", " s"), justify="left" if head in ("type", "home", "away") else "right"
         )
-    for line, tally in whole.items():
-        counts = [getattr(tally, name) for name in COUNTS]
+    for key, counters in totals.items():
         shown = [
-            f"{n / 1e9:.1f}" if c == "circuit_ns" else str(n) for c, n in zip(COUNTS, counts, strict=True)
+            f"{count / 1e9:.1f}" if column == "circuit_ns" else str(count)
+            for column, count in counters.to_row().items()
         ]
-        table.add_row(*line, *shown)
+        table.add_row(*key, *shown)
     console.print(table)
     chart = Table(title="Crossing legs a minute", box=None)
     for at, legs in sorted(minutes.items()):
@@ -95,26 +95,26 @@
     table = Table(title="The least crossing that carries the load")
     for head in ("type", "home", "away", "legs a second"):
         table.add_column(head, justify="right" if head.startswith("legs") else "left")
-    for (kind, home, away), rate in sorted(found.crossing.items()):
+    for (kind, home, away), rate in sorted(found.cross_region.items()):
         table.add_row(kind, home, away, f"{rate:.2f}")
     console.print(table)
-    console.print(f"can be had: {found.share:.1%} of {found.offered:.1f} dialogs a second")
-    for (kind, region), rate in sorted(found.short.items()):
+    console.print(f"can be had: {found.served_fraction:.1%} of {found.offered:.1f} dialogs a second")
+    for (kind, region), rate in sorted(found.unserved.items()):
         console.print(f"  short: {kind} of {region}, {rate:.2f} a second")
-    for name in found.binds:
+    for name in found.binding_constraints:
         console.print(f"  binds: {name}")
 
 
-def print_courses(console: Console, found: dict[str, Course], within: int) -> None:
+def print_courses(console: Console, found: dict[str, AttemptTimeline], within: int) -> None:
     """Courses as bars on one scale up to the no-answer time: legs full, waits light."""
     wide = 40
     for kind, course in found.items():
         bar = ""
         for step in course.steps:
-            upto = round((step.at + step.span) * wide / within)
-            bar += ("█" if step.what.startswith("leg") else "░") * max(0, upto - len(bar))
+            upto = round((step.start + step.duration) * wide / within)
+            bar += ("█" if step.kind is StepKind.ATTEMPT else "░") * max(0, upto - len(bar))
         at = show_span(course.answered_at)
-        console.print(f"{kind:20} {bar:{wide}} {at}, {course.legs} legs", highlight=False, soft_wrap=True)
+        console.print(f"{kind:20} {bar:{wide}} {at}, {course.attempts} legs", highlight=False, soft_wrap=True)
     console.print(f"{'':20} 0{show_span(within):>{wide - 1}}   █ a leg, ░ a wait", highlight=False)
 
 
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -9,7 +9,7 @@
 from valverouter.emulator.edges import EdgePlan
 from valverouter.emulator.fleet import Emulated, Fleet
 from valverouter.interface import CrossRegionRule, Deployment
-from valverouter.regions.crossing import Crossing
+from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.terms.day import Day
 
 Decisions = Callable[[Deployment, int, int, CrossRegionRule | None], Driver]
@@ -30,7 +30,7 @@
         deployment=terms.deployment,
         seed=terms.seed,
         answer_margin=terms.answer_margin,
-        crossing=lambda now: Crossing(crossing, now) if crossing is not None else None,
+        crossing=lambda now: CrossRegionLimiter(crossing, now) if crossing is not None else None,
         attempts=AttemptBook(terms) if terms.attempts else None,
         decisions=decisions,
         ledger=day.ledger,
--- a/valverouter/days/planning.py
+++ b/valverouter/days/planning.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 
 from valverouter.emulator.fleet import make_of
-from valverouter.regions.planner import Capacity, Demand, Limit, Plan, plan
-from valverouter.regions.slots import pace, settled
+from valverouter.regions.planner import Demand, Plan, RateLimit, RegionCapacity, plan
+from valverouter.regions.time_sliced_quota import max_rate, with_default_burst
 from valverouter.signalling.tap import Passed, Placed, Row
 from valverouter.terms.day import Day
 
@@ -32,21 +32,21 @@
     ]
 
 
-def capacities(day: Day, kept_lines: dict[str, float] | None = None) -> list[Capacity]:
+def capacities(day: Day, kept_lines: dict[str, float] | None = None) -> list[RegionCapacity]:
     """Each region's servers together; `kept_lines`: the share that a region keeps of its lines."""
     make = make_of(day)
     work = (make.setup_work + make.answer_work + make.release_work) / 1e9
     kept = kept_lines or {}
     return [
-        Capacity(name, region.servers / work, region.servers * make.lines * kept.get(name, 1.0))
+        RegionCapacity(name, region.servers / work, region.servers * make.lines * kept.get(name, 1.0))
         for name, region in day.regions.items()
         if region.servers
     ]
 
 
-def limits(day: Day) -> list[Limit]:
+def limits(day: Day) -> list[RateLimit]:
     """The budgets as steady rates, as slots pace them; a type without a section never crosses."""
-    found: list[Limit] = []
+    found: list[RateLimit] = []
     for place in range(day.fleet.edge_proxies):
         crossing = day.edge_terms(place, "127.0.0.1:1", "127.0.0.1:2").crossing
         if crossing is None:
@@ -57,13 +57,13 @@
             if of_type is None or of_type.urgent:
                 rate = None if of_type else 0.0
             else:
-                rate = pace(settled(of_type.budget, skew)) if of_type.budget else None
+                rate = max_rate(with_default_burst(of_type.budget, skew)) if of_type.budget else None
             pairs = (of_type.pairs if of_type else None) or {}
             for pair, budget in pairs.items():
-                if Limit(kind, pace(settled(budget, skew)), pair) not in found:
-                    found.append(Limit(kind, pace(settled(budget, skew)), pair))
+                if RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair) not in found:
+                    found.append(RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair))
             if place == 0 and rate is not None and not pairs:
-                found.append(Limit(kind, rate))
+                found.append(RateLimit(kind, rate))
     return found
 
 
--- a/valverouter/edge/attempting.py
+++ b/valverouter/edge/attempting.py
@@ -5,8 +5,16 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from valverouter.attempts.courses import broken
-from valverouter.attempts.rules import Asked, Effective, Rule, When, closure, resolve, ties
+from valverouter.attempts.matching import (
+    DialogAttributes,
+    EffectiveSetting,
+    MatchCondition,
+    PolicyRule,
+    find_ambiguous_rules,
+    intersection_closure,
+    resolve,
+)
+from valverouter.attempts.worst_case import PolicyProblem, policy_problems
 from valverouter.interface import AttemptPolicy, Deployment, RetryBudgetConfig
 from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
 from valverouter.policy.tuning import BACKOFF_BASE, BACKOFF_CAP, MAX_ATTEMPTS, TOKEN
@@ -49,39 +57,41 @@
         asked = self.asked(traffic_type, number, peer, first_choice)
         if traffic_type not in self._deployment.traffic_types:
             return None
-        key = traffic_type, tuple(rule.when.matches(asked) for rule in self._rules)
+        key = traffic_type, tuple(rule.condition.matches(asked) for rule in self._rules)
         if key not in self._known:
             found = resolve(self._rules, asked)
             self._known[key] = self._terms(traffic_type, found) if found else None
         return self._known[key]
 
-    def asked(self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1) -> Asked:
+    def asked(
+        self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
+    ) -> DialogAttributes:
         """What of a dialog decides on its terms: its trunk group is its caller's, its server set that of its
         first choice."""
-        return Asked(
+        return DialogAttributes(
             traffic_type, str(number), self._region, self._group(peer), self._sets.get(first_choice, "")
         )
 
     def budgets(self) -> dict[int, RetryBudgetConfig]:
         """Retry budgets by server number, where a section of that server's set, or one for all, sets them."""
         return {
-            number: _budget(resolve(self._of_servers, Asked("", "", "", "", name)))
+            number: _budget(resolve(self._of_servers, DialogAttributes("", "", "", "", name)))
             for number, name in self._sets.items()
             if self._of_servers
         }
 
     def budget_elsewhere(self) -> RetryBudgetConfig:
         """The retry budget of servers in no set."""
-        return _budget(resolve(self._of_servers, Asked("")))
+        return _budget(resolve(self._of_servers, DialogAttributes("")))
 
     def explain(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
-    ) -> dict[str, Effective]:
+    ) -> dict[str, EffectiveSetting]:
         """Each key's value for such a dialog, and the section and line that it comes from."""
         asked = self.asked(traffic_type, number, peer, first_choice)
         found = resolve(self._rules, asked)
         terms = self._terms(traffic_type, found)
-        budget = resolve(self._of_servers, Asked("", "", "", "", asked.server_set))
+        budget = resolve(self._of_servers, DialogAttributes("", "", "", "", asked.server_set))
         effective = _budget(budget)
         values = {key: getattr(terms, field) for key, field in POLICY_FIELDS.items()}
         values |= {"tokens": effective.max_tokens / TOKEN, "fraction": effective.token_ratio / TOKEN}
@@ -90,9 +100,9 @@
             source = DECISIONS
             by = "server_share" if key == "leg_time_out" and _by_share(found) else key
             if one := {**found, **budget}.get(by):
-                section = self._sections[one.rule]
+                section = self._sections[one.source]
                 source = f"{section.file}:{section.lines[by]} [attempts {section.name}]"
-            shown[key] = Effective(value, source)
+            shown[key] = EffectiveSetting(value, source)
         return shown
 
     def reckoned(
@@ -128,7 +138,7 @@
         ]
         return max(fits, default=(0, ""))[1]
 
-    def _terms(self, traffic_type: str, found: Mapping[str, Effective]) -> AttemptPolicy:
+    def _terms(self, traffic_type: str, found: Mapping[str, EffectiveSetting]) -> AttemptPolicy:
         kind = self._deployment.traffic_types.get(traffic_type)
         own = own_terms(self._deployment, kind.latency_objective if kind is not None else 0)
         set_here = {POLICY_FIELDS[key]: one.value for key, one in found.items() if key != "server_share"}
@@ -141,46 +151,50 @@
 
     def _ties(self) -> list[Flaw]:
         return [
-            self._flaw(tie.two, tie.key, f"ties with [attempts {tie.one}]: both match {tie.where}")
+            self._flaw(tie.second, tie.key, f"ties with [attempts {tie.first}]: both match {tie.overlap}")
             for rules in (self._rules, self._of_servers)
-            for tie in ties(rules)
+            for tie in find_ambiguous_rules(rules)
         ]
 
     def _broken(self) -> list[Flaw]:
         """Each combination of sections that some dialog can meet is checked as a whole."""
         flaws: dict[tuple[str, str], Flaw] = {}
-        meets = closure([rule.when for rule in self._rules], COMBINATIONS_MOST)
+        meets = intersection_closure([rule.condition for rule in self._rules], COMBINATIONS_MOST)
         if len(meets) > COMBINATIONS_MOST:
             section = next(iter(self._sections.values()))
             why = f"the sections overlap in more than {COMBINATIONS_MOST} ways; fewer can be checked"
             return [Flaw(section.file, section.line, f"attempts {section.name}", "", why)]
         for when in meets:
             for traffic_type in [when.traffic_type] if when.traffic_type else self._deployment.traffic_types:
-                asked = Asked(
+                asked = DialogAttributes(
                     traffic_type,
                     when.prefix,
                     when.region or self._region,
                     when.trunk_group or "",
                     when.server_set or "",
                 )
-                setting = [rule for rule in self._rules if rule.when.matches(asked)]
-                if ties(setting):
+                setting = [rule for rule in self._rules if rule.condition.matches(asked)]
+                if find_ambiguous_rules(setting):
                     continue
                 found = resolve(self._rules, asked)
                 for key, reason in self._breaks(self._terms(traffic_type, found)):
                     by = "server_share" if key == "leg_time_out" and _by_share(found) else key
-                    rule = found[by].rule if by in found else setting[0].name
+                    rule = found[by].source if by in found else setting[0].name
                     flaws.setdefault((rule, by), self._flaw(rule, by, reason))
         return list(flaws.values())
 
-    def _breaks(self, terms: AttemptPolicy) -> list[tuple[str, str]]:
+    def _breaks(self, terms: AttemptPolicy) -> list[PolicyProblem]:
         whole = replace(terms, no_answer_timeout=terms.no_answer_timeout or 1 << 62)
-        found = broken(whole, self._deployment.release_delay, self._deployment.max_attempts)
+        found = policy_problems(whole, self._deployment.release_delay, self._deployment.max_attempts)
         if terms.retry_after > self._deployment.max_retry_after:
             limit = self._deployment.max_retry_after
-            found.append(("come_back", f"past the fleet's come_back_limit of {limit} ns, which would act"))
+            found.append(
+                PolicyProblem("come_back", f"past the fleet's come_back_limit of {limit} ns, which would act")
+            )
         if 0 < terms.no_answer_timeout <= self._margin:
-            found.append(("no_answer", f"within answer_margin, {self._margin} ns: no answer could travel"))
+            found.append(
+                PolicyProblem("no_answer", f"within answer_margin, {self._margin} ns: no answer could travel")
+            )
         return found
 
     def _flaw(self, rule: str, key: str, reason: str) -> Flaw:
@@ -194,22 +208,26 @@
     return AttemptPolicy(MAX_ATTEMPTS, objective, 0, deployment.release_delay, BACKOFF_BASE, BACKOFF_CAP)
 
 
-def _budget(found: Mapping[str, Effective]) -> RetryBudgetConfig:
+def _budget(found: Mapping[str, EffectiveSetting]) -> RetryBudgetConfig:
     tokens = round(found["tokens"].value * TOKEN) if "tokens" in found else DEFAULT_RETRY_BUDGET.max_tokens
     adds = round(found["fraction"].value * TOKEN) if "fraction" in found else DEFAULT_RETRY_BUDGET.token_ratio
     return RetryBudgetConfig(tokens, adds)
 
 
-def _by_share(found: Mapping[str, Effective]) -> bool:
+def _by_share(found: Mapping[str, EffectiveSetting]) -> bool:
     return "server_share" in found and "leg_time_out" not in found
 
 
-def _rules(section: AttemptSection, sets: tuple[str, ...]) -> list[Rule]:
+def _rules(section: AttemptSection, sets: tuple[str, ...]) -> list[PolicyRule]:
     keys = section.keys
     values = {key: value for key in sets if (value := getattr(keys, key)) is not None}
     if not values:
         return []
     return [
-        Rule(When(keys.type, prefix, keys.region, keys.trunk_group, keys.server_set), values, section.name)
+        PolicyRule(
+            MatchCondition(keys.type, prefix, keys.region, keys.trunk_group, keys.server_set),
+            values,
+            section.name,
+        )
         for prefix in keys.prefix
     ]
--- a/valverouter/edge/changing.py
+++ b/valverouter/edge/changing.py
@@ -3,20 +3,19 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import asdict
 from typing import Any
 
 import msgspec
 import structlog
 
-from valverouter.attempts.guard import Guard
+from valverouter.attempts.change_guard import ChangeGuard
 from valverouter.driver import Driver
 from valverouter.edge.attempting import AttemptBook
 from valverouter.edge.books import Taken
 from valverouter.edge.clock import Clock
 from valverouter.edge.events import Reload
 from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
-from valverouter.regions.crossing import Crossing
+from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.terms.edge import EdgeTerms
 from valverouter.terms.ini import END
 
@@ -32,11 +31,11 @@
         self._clock = Clock(wall)
         self._attempts = AttemptBook(terms) if terms.attempts else None
         self.generation = 1
-        self._guard = Guard()
+        self._guard = ChangeGuard()
         # The terms before the last change, for as long as the guard may go back to them.
         self._former: EdgeTerms | None = None
         self._now = self._clock.now()
-        self.crossing = Crossing(terms.crossing, self._now) if terms.crossing else None
+        self.crossing = CrossRegionLimiter(terms.crossing, self._now) if terms.crossing else None
         self._driver = Driver(terms.deployment, terms.seed, self._now, self.crossing)
 
     def _guarded(self, dialog_id: str, act: Callable[..., None], *args: Any) -> bool:
@@ -64,7 +63,7 @@
             # Dialogs under way carry the attempt terms that they began with; the book is for those to come.
             attempts = event.book or self.book_of(new)
             if self.crossing is not None and new.crossing is not None:
-                self.crossing.change(new.crossing, self._now)
+                self.crossing.reconfigure(new.crossing, self._now)
         except Exception as error:  # flaws, and memory that runs out on the way
             self.refuse_reload(event.file, str(error) or type(error).__name__)
             return
@@ -72,7 +71,7 @@
         self._tell_budgets()
         self._former = None if back else old
         self.generation += 1
-        self._guard.changed(self._now, watch=not back)
+        self._guard.on_change(self._now, observe=not back)
         if (self.crossing is None) != (new.crossing is None):
             changes.append("crossing")
         self._log.info(
@@ -95,9 +94,17 @@
         allow."""
         if taken.setup.traffic_type not in self.terms.deployment.traffic_types:
             return  # a caller's own word; counted, each would stay
-        harm = self._guard.answered(self._now, taken.setup.traffic_type, declined, taken.legs)
-        if harm is None:
+        regression = self._guard.on_final_answer(self._now, taken.setup.traffic_type, declined, taken.legs)
+        if regression is None:
             return
-        self._log.error("terms-harm", generation=self.generation, **asdict(harm))
+        self._log.error(
+            "terms-harm",
+            generation=self.generation,
+            traffic_type=regression.traffic_type,
+            what=regression.metric,
+            before=regression.before,
+            after=regression.after,
+            dialogs=regression.dialogs,
+        )
         if self._former is not None and self.terms.returns:
             self._reload(Reload(self._former), back=True)
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -285,7 +285,7 @@
         calls."""
         if self.crossing is None or not self.terms.accounts:
             return
-        rows = self.crossing.accounts.rows(self.terms.name, self.incarnation, self._clock.now())
+        rows = self.crossing.usage.to_rows(self.terms.name, self.incarnation, self._clock.now())
         try:
             await self._surroundings.keep(
                 self.terms.accounts, b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
--- a/valverouter/regions/__init__.py
+++ b/valverouter/regions/__init__.py
@@ -1,2 +1,5 @@
-"""Traffic across regions: what may cross, what it costs, and who is told. Pure: no I/O, no clock, no
-chance."""
+"""Cross-region traffic: the limiter of attempts that leave the home region, quotas, usage and planning.
+
+Pure decision code: no I/O, no clock and no randomness of its own. Times are integer nanoseconds that the
+caller passes in.
+"""
--- a/valverouter/regions/planner.py
+++ b/valverouter/regions/planner.py
@@ -1,36 +1,40 @@
-"""A planner: the least crossing that carries the measured demand within capacities and budgets. It advises
-only.
+"""A planner of cross-region traffic: the least of it that carries a demand within capacities and budgets.
 
-A linear program over rates (legs a second) by traffic type, region and region served, solved by HiGHS through
-scipy. First as little as possible is left short, weighed by importance; then as little as possible crosses.
+Advice for operators; no routing decision uses it. The plan is a linear program over rates, in attempts a
+second, by traffic type, region and serving region, solved by HiGHS through scipy. It first minimizes what
+stays unserved, weighted by priority, and then what crosses a region's border.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import numpy as np
 
-# What a leg that crosses costs against one left unserved of importance 1: small enough never to prefer the
-# latter.
-CROSSING_COST = 1e-3
-BINDS = 1e-6
+from valverouter.regions.cross_region_limiter import ANY_REGION
+
+# The cost of an attempt that leaves its region, against one left unserved with priority weight 1: small
+# enough that leaving one unserved is never preferred.
+CROSS_REGION_COST = 1e-3
+# Rates and shadow prices up to this count as zero.
+TOLERANCE = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Dialogs a second of one type in one region; `length` in seconds."""
+    """Dialogs a second of one traffic type in one region; `mean_duration` in seconds."""
 
     traffic_type: str
     region: str
     rate: float
-    length: float
-    importance: float = 1.0
+    mean_duration: float
+    priority_weight: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Capacity:
-    """What a region's servers can do together: set-ups a second, and lines."""
+class RegionCapacity:
+    """What the servers of a region can do together: set-ups a second, and lines."""
 
     region: str
     rate: float
@@ -38,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limit:
-    """A budget as a rate: of a type's crossings in all, or of those between two regions."""
+class RateLimit:
+    """A budget as a rate a second, of a type's cross-region attempts in all or between two regions."""
 
     traffic_type: str
     rate: float
@@ -48,88 +52,163 @@
 
 @dataclass(slots=True)
 class Plan:
-    """Rates that cross by (type, home, away), what is short by (type, region), and what binds, in words."""
+    """Rates a second: cross-region ones by (type, home, remote), unserved ones by (type, region).
+
+    `binding_constraints` are texts for the reader.
+    """
 
-    crossing: dict[tuple[str, str, str], float] = field(default_factory=dict)
-    short: dict[tuple[str, str], float] = field(default_factory=dict)
-    binds: list[str] = field(default_factory=list)
+    cross_region: dict[tuple[str, str, str], float] = field(default_factory=dict)
+    unserved: dict[tuple[str, str], float] = field(default_factory=dict)
+    binding_constraints: list[str] = field(default_factory=list)
     served: float = 0.0
     offered: float = 0.0
 
     @property
-    def share(self) -> float:
-        """What can be served of all that is offered, by number."""
+    def served_fraction(self) -> float:
+        """What can be served of all that is offered, by number of dialogs."""
         return self.served / self.offered if self.offered else 1.0
 
 
-def plan(demands: list[Demand], capacities: list[Capacity], limits: list[Limit]) -> Plan:
-    """The plan. Raises ValueError where regions don't match or a figure is negative."""
-    # Here: it costs half a second, and every start of an edge proxy comes by this module.
-    from scipy.optimize import linprog
+class _Route(NamedTuple):
+    """A variable of the program: the rate of one demand that one region serves."""
 
-    regions = [one.region for one in capacities]
-    for demand in demands:
-        if demand.region not in regions:
-            raise ValueError(f"demand in {demand.region!r}, which has no servers listed")
-        if demand.rate < 0 or demand.length < 0:
-            raise ValueError(f"demand of {demand.traffic_type} in {demand.region} is negative")
-    routes = [(at, region) for at in range(len(demands)) for region in regions]
-    width = len(routes) + len(demands)
-    cost = np.zeros(width)
-    for column, (at, region) in enumerate(routes):
-        cost[column] = CROSSING_COST * (region != demands[at].region)
-    for at, demand in enumerate(demands):
-        cost[len(routes) + at] = demand.importance
-    equal = np.zeros((len(demands), width))
-    for at in range(len(demands)):
-        equal[at, len(routes) + at] = 1
-        for column, (one, _) in enumerate(routes):
-            equal[at, column] = one == at
-    rows: list[np.ndarray] = []
-    most: list[float] = []
-    names: list[str] = []
-
-    def bound(name: str, limit: float, weights: dict[int, float]) -> None:
-        row = np.zeros(width)
-        for column, weight in weights.items():
-            row[column] = weight
-        rows.append(row)
-        most.append(limit)
-        names.append(name)
-
-    for there in capacities:
-        here = [(column, at) for column, (at, region) in enumerate(routes) if region == there.region]
-        bound(f"processors of {there.region}", there.rate, {column: 1.0 for column, _ in here})
-        bound(f"lines of {there.region}", there.lines, {column: demands[at].length for column, at in here})
-    for limit in limits:
-        weights = {
-            column: 1.0
-            for column, (at, region) in enumerate(routes)
-            if demands[at].traffic_type == limit.traffic_type
-            and region != demands[at].region
-            and (limit.pair is None or _meant(limit.pair, demands[at].region, region))
+    demand: int
+    region: str
+
+
+class _UpperBound(NamedTuple):
+    name: str
+    limit: float
+    coefficients: dict[int, float]
+
+
+class _LinearProgram:
+    """The program's columns: the routes, then for each demand the rate that stays unserved."""
+
+    def __init__(
+        self, demands: list[Demand], capacities: list[RegionCapacity], limits: list[RateLimit]
+    ) -> None:
+        self.demands = demands
+        self.routes = [
+            _Route(index, capacity.region) for index in range(len(demands)) for capacity in capacities
+        ]
+        self.bounds = [
+            *(bound for capacity in capacities for bound in self._capacity_bounds(capacity)),
+            *(self._budget_bound(limit) for limit in limits),
+        ]
+
+    def crosses(self, route: _Route) -> bool:
+        """Whether the serving region is another than the demand's."""
+        return route.region != self.demands[route.demand].region
+
+    def unserved_column(self, demand: int) -> int:
+        """The column of a demand's unserved rate."""
+        return len(self.routes) + demand
+
+    @property
+    def width(self) -> int:
+        """The number of columns."""
+        return len(self.routes) + len(self.demands)
+
+    def costs(self) -> np.ndarray:
+        """What is minimized, by column."""
+        costs = np.zeros(self.width)
+        for column, route in enumerate(self.routes):
+            costs[column] = CROSS_REGION_COST * self.crosses(route)
+        for index, demand in enumerate(self.demands):
+            costs[self.unserved_column(index)] = demand.priority_weight
+        return costs
+
+    def demand_rows(self) -> np.ndarray:
+        """One equation for each demand: served anywhere and unserved together are its rate."""
+        rows = np.zeros((len(self.demands), self.width))
+        for index in range(len(self.demands)):
+            rows[index, self.unserved_column(index)] = 1
+            for column, route in enumerate(self.routes):
+                rows[index, column] = route.demand == index
+        return rows
+
+    def bound_rows(self) -> np.ndarray:
+        """One inequality for each bound."""
+        rows = np.zeros((len(self.bounds), self.width))
+        for row, bound in zip(rows, self.bounds, strict=True):
+            for column, coefficient in bound.coefficients.items():
+                row[column] = coefficient
+        return rows
+
+    def _capacity_bounds(self, capacity: RegionCapacity) -> list[_UpperBound]:
+        served_here = [
+            (column, self.demands[route.demand])
+            for column, route in enumerate(self.routes)
+            if route.region == capacity.region
+        ]
+        processors = {column: 1.0 for column, _ in served_here}
+        lines = {column: demand.mean_duration for column, demand in served_here}
+        return [
+            _UpperBound(f"processors of {capacity.region}", capacity.rate, processors),
+            _UpperBound(f"lines of {capacity.region}", capacity.lines, lines),
+        ]
+
+    def _budget_bound(self, limit: RateLimit) -> _UpperBound:
+        coefficients = {
+            column: 1.0 for column, route in enumerate(self.routes) if self._is_limited(route, limit)
         }
-        where = f" {limit.pair[0]} to {limit.pair[1]}" if limit.pair else ""
-        bound(f"budget of {limit.traffic_type}{where}", limit.rate, weights)
+        between = f" {limit.pair[0]} to {limit.pair[1]}" if limit.pair else ""
+        return _UpperBound(f"budget of {limit.traffic_type}{between}", limit.rate, coefficients)
+
+    def _is_limited(self, route: _Route, limit: RateLimit) -> bool:
+        demand = self.demands[route.demand]
+        if demand.traffic_type != limit.traffic_type or not self.crosses(route):
+            return False
+        if limit.pair is None:
+            return True
+        home, remote = limit.pair
+        return home == demand.region and remote in (route.region, ANY_REGION)
+
+
+def plan(demands: list[Demand], capacities: list[RegionCapacity], limits: list[RateLimit]) -> Plan:
+    """The plan. Raises ValueError where regions don't match, a figure is negative or no plan exists."""
+    # Imported here because it takes half a second, which commands that plan nothing should not wait for.
+    from scipy.optimize import linprog
+
+    _check_demands(demands, capacities)
+    program = _LinearProgram(demands, capacities, limits)
     found = linprog(
-        cost, np.array(rows), np.array(most), equal, [demand.rate for demand in demands], method="highs"
+        program.costs(),
+        program.bound_rows(),
+        np.array([bound.limit for bound in program.bounds]),
+        program.demand_rows(),
+        [demand.rate for demand in demands],
+        method="highs",
     )
     if not found.success:
         raise ValueError(f"no plan: {found.message}")
     assert found.x is not None
-    result = Plan(offered=sum(demand.rate for demand in demands))
-    for column, (at, region) in enumerate(routes):
-        rate = float(found.x[column])
-        result.served += rate
-        if region != demands[at].region and rate > BINDS:
-            result.crossing[demands[at].traffic_type, demands[at].region, region] = rate
-    for at, demand in enumerate(demands):
-        if (rate := float(found.x[len(routes) + at])) > BINDS:
-            result.short[demand.traffic_type, demand.region] = rate
-    prices = found.ineqlin.marginals
-    result.binds = [name for name, price in zip(names, prices, strict=True) if price < -BINDS]
-    return result
+    shadow_prices = [float(price) for price in found.ineqlin.marginals]
+    return _plan_of(program, [float(rate) for rate in found.x], shadow_prices)
 
 
-def _meant(pair: tuple[str, str], home: str, away: str) -> bool:
-    return pair[0] == home and pair[1] in (away, "*")
+def _check_demands(demands: list[Demand], capacities: list[RegionCapacity]) -> None:
+    regions = [capacity.region for capacity in capacities]
+    for demand in demands:
+        if demand.region not in regions:
+            raise ValueError(f"demand in {demand.region!r}, which has no servers listed")
+        if demand.rate < 0 or demand.mean_duration < 0:
+            raise ValueError(f"demand of {demand.traffic_type} in {demand.region} is negative")
+
+
+def _plan_of(program: _LinearProgram, rates: list[float], shadow_prices: list[float]) -> Plan:
+    result = Plan(offered=sum(demand.rate for demand in program.demands))
+    for column, route in enumerate(program.routes):
+        result.served += rates[column]
+        if program.crosses(route) and rates[column] > TOLERANCE:
+            demand = program.demands[route.demand]
+            result.cross_region[demand.traffic_type, demand.region, route.region] = rates[column]
+    for index, demand in enumerate(program.demands):
+        rate = rates[program.unserved_column(index)]
+        if rate > TOLERANCE:
+            result.unserved[demand.traffic_type, demand.region] = rate
+    result.binding_constraints = [
+        bound.name for bound, price in zip(program.bounds, shadow_prices, strict=True) if price < -TOLERANCE
+    ]
+    return result
--- /dev/null
+++ b/valverouter/regions/usage.py
@@ -0,0 +1,141 @@
+"""Cross-region usage by traffic type and pair of regions: the totals of a run, and its last hour by minutes.
+
+Memory is bounded by the number of traffic types and regions times RETAINED_MINUTES.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+MINUTE_NS = 60 * 1_000_000_000
+RETAINED_MINUTES = 60
+
+# Values of `minute` in rows that are no minute's: the totals of a run, and the row of the instance itself.
+TOTALS_ROW = -1
+INSTANCE_ROW = -2
+
+Row = dict[str, Any]
+
+
+class UsageKey(NamedTuple):
+    """What usage is counted by: a traffic type and the pair of regions, in the direction of the attempts."""
+
+    traffic_type: str
+    home_region: str
+    remote_region: str
+
+
+@dataclass(slots=True)
+class UsageCounters:
+    """Counts of one usage key.
+
+    `attempts` were charged: of them `reserve` to the reserve and `overdraft` beyond every budget. `not_sent`
+    were refunded because they never left; `reset` lost their connection. `established` attempts used circuits
+    for `circuit_ns` nanoseconds together. `rejected` counts dialogs that were rejected although a remote
+    server would have accepted them.
+    """
+
+    attempts: int = 0
+    reserve: int = 0
+    overdraft: int = 0
+    not_sent: int = 0
+    reset: int = 0
+    established: int = 0
+    circuit_ns: int = 0
+    rejected: int = 0
+
+    def add(self, other: UsageCounters) -> None:
+        """Adds the counts of `other` to these; they may be negative."""
+        for name in _COLUMN_OF_FIELD:
+            setattr(self, name, getattr(self, name) + getattr(other, name))
+
+    def to_row(self) -> dict[str, int]:
+        """The counts by their column names, as they are stored and printed."""
+        return {column: getattr(self, name) for name, column in _COLUMN_OF_FIELD.items()}
+
+    @classmethod
+    def from_row(cls, row: Row) -> UsageCounters:
+        """The counts in a stored row; raises KeyError where one is missing."""
+        return cls(**{name: row[column] for name, column in _COLUMN_OF_FIELD.items()})
+
+
+# The column names are part of the stored rows and of the report's JSON, so they outlive renamed fields.
+_COLUMN_OF_FIELD = {
+    "attempts": "legs",
+    "reserve": "reserve",
+    "overdraft": "overdraft",
+    "not_sent": "unsent",
+    "reset": "reset",
+    "established": "stands",
+    "circuit_ns": "circuit_ns",
+    "rejected": "refused",
+}
+USAGE_COLUMNS = tuple(_COLUMN_OF_FIELD.values())
+
+
+@dataclass(slots=True)
+class CrossRegionUsage:
+    """The usage of one edge proxy; `totals` of its run and `minutes` by the number of the minute."""
+
+    totals: dict[UsageKey, UsageCounters] = field(default_factory=dict)
+    minutes: dict[int, dict[UsageKey, UsageCounters]] = field(default_factory=dict)
+
+    def record(self, now: int, key: UsageKey, counts: UsageCounters) -> None:
+        """Adds `counts` to the totals and to the minute of `now`; drops minutes that are too old to keep."""
+        minute = now // MINUTE_NS
+        if minute not in self.minutes:
+            oldest = minute - RETAINED_MINUTES
+            self.minutes = {number: usage for number, usage in self.minutes.items() if number > oldest}
+            self.minutes[minute] = {}
+        for usage in (self.totals, self.minutes[minute]):
+            usage.setdefault(key, UsageCounters()).add(counts)
+
+    def to_rows(self, edge: str, started_at: int, now: int) -> list[Row]:
+        """The usage as rows for storage: one of the instance, then the totals, then the minutes in order.
+
+        The row of the instance is there even without any usage, so that an instance that sent nothing to
+        another region differs from one whose record is missing.
+        """
+        instance = {"edge": edge, "started_at": started_at, "until": now}
+        periods = [(TOTALS_ROW, self.totals), *sorted(self.minutes.items())]
+        return [instance | {"minute": INSTANCE_ROW}] + [
+            instance | {"minute": minute} | _key_columns(key) | counters.to_row()
+            for minute, usage in periods
+            for key, counters in sorted(usage.items())
+        ]
+
+
+def _key_columns(key: UsageKey) -> Row:
+    return {"traffic_type": key.traffic_type, "home": key.home_region, "away": key.remote_region}
+
+
+def merge_totals(records: Iterable[list[Row]]) -> dict[UsageKey, UsageCounters]:
+    """The totals of many instances' records added up, sorted by key."""
+    merged: dict[UsageKey, UsageCounters] = {}
+    for rows in records:
+        for row in rows:
+            if row["minute"] == TOTALS_ROW:
+                key = UsageKey(row["traffic_type"], row["home"], row["away"])
+                merged.setdefault(key, UsageCounters()).add(UsageCounters.from_row(row))
+    return dict(sorted(merged.items()))
+
+
+def attempts_by_minute(records: Iterable[list[Row]]) -> dict[int, int]:
+    """Cross-region attempts of all instances in each recorded minute, by each instance's own clock."""
+    minutes: dict[int, int] = {}
+    for rows in records:
+        for row in rows:
+            if row["minute"] >= 0:
+                attempts = row[_COLUMN_OF_FIELD["attempts"]]
+                minutes[row["minute"]] = minutes.get(row["minute"], 0) + attempts
+    return minutes
+
+
+def missing_records(records: Iterable[list[Row]], expected: int) -> list[str]:
+    """What the records can't account for, as lines of text: instances of the `expected` without a record."""
+    edges = {row["edge"] for rows in records for row in rows}
+    if len(edges) < expected:
+        return [f"{expected - len(edges)} of {expected} edge proxies left no record"]
+    return []
--- a/valverouter/terms/crossing.py
+++ b/valverouter/terms/crossing.py
@@ -89,7 +89,9 @@
         attempts = keys.reserve if isinstance(keys, CrossingAll) else keys.legs
         if not attempts:
             return None
-        budget = CrossRegionBudget(attempts, keys.window, keys.burst, sharers.edge_proxies, sharers.fleet_index)
+        budget = CrossRegionBudget(
+            attempts, keys.window, keys.burst, sharers.edge_proxies, sharers.fleet_index
+        )
         burst = keys.burst or attempts
         if burst > attempts or burst < 2:
             self.ini.flaw(section, "burst", f"{burst} must lie from 2 to the {attempts} legs of a window")
