--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -684,7 +684,7 @@
     rig.driver.tick(rig.now)
     none_busy = LoadReport(free_lines=400, lines=400)
     rig.driver.update_load("s0", none_busy)
-    rig.result(rig.dialog(called_number=5), "s0", Outcome.LINE_BUSY, report=none_busy)
+    rig.result(rig.dialog(called_number=5), "s0", Outcome.LINE_BUSY, load_report=none_busy)
     rig.result(rig.dialog(called_number=6), "s0", Outcome.RESET)
     rig.now += 600 * SECOND
     rig.driver.tick(rig.now)
