--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -32,12 +32,13 @@
 from valverouter.edge import listing
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
-from valverouter.fleet import asking, parcels, sealing, words
-from valverouter.ledger import store
+from valverouter.fleet import authentication, fragmentation, queries, view_comparison
+from valverouter.fleet import messages as fleet_messages
+from valverouter.ledger import dialog_store
 from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.keeperstore import KeeperStore
 from valverouter.membership import messages, records
-from valverouter.recovery import course, learnt
+from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
@@ -78,7 +79,7 @@
             case Format.FRAME:
                 return framing.frame(self.value)
             case Format.DATAGRAM:
-                return sealing.Seal((KEY,)).seal(self.value)
+                return authentication.Authenticator((KEY,)).sign(self.value)
 
     def decode(self, data: bytes) -> Any:
         match self.format:
@@ -90,14 +91,16 @@
                 (body,) = framing.FrameReader().feed(data)
                 return msgspec.msgpack.decode(body, type=self.decoded_as)
             case Format.DATAGRAM:
-                return sealing.Opener(sealing.Seal((KEY,)), self.decoded_as).open(data)
+                return authentication.DatagramReader(
+                    authentication.Authenticator((KEY,)), self.decoded_as
+                ).read(data)
 
 
 # Membership
 
 
-def member_record(state: records.State = records.State.SUSPECT) -> records.Record:
-    return records.Record(
+def member_record(state: records.MemberState = records.MemberState.SUSPECT) -> records.MemberRecord:
+    return records.MemberRecord(
         "e7",
         "north",
         3,
@@ -121,11 +124,11 @@
 MEMBERSHIP: dict[str, Any] = {
     "ping": messages.Ping(*HEAD, 5, 107, NEWS),
     "ack": messages.Ack(*HEAD, 6, "e2", 109, NEWS),
-    "ask": messages.Ask(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
+    "ask": messages.PingReq(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
     "nack": messages.Nack(*HEAD, 8),
     "gossip": messages.Gossip(*HEAD, NEWS),
-    "sync": messages.Sync(*HEAD, (127, 131), NEWS),
-    "pages": messages.Pages(*HEAD, (137, 139), NEWS),
+    "sync": messages.SyncDigests(*HEAD, (127, 131), NEWS),
+    "pages": messages.SyncRecords(*HEAD, (137, 139), NEWS),
 }
 
 # What an instance tells of itself, and of its view
@@ -133,19 +136,21 @@
 COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
-def view_row(state: records.State = records.State.LEFT) -> asking.Row:
-    return asking.Row("e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True)
+def view_row(state: records.MemberState = records.MemberState.LEFT) -> queries.MemberRow:
+    return queries.MemberRow(
+        "e4", "south", 2, "127.0.0.4:7104", 19, 181, state, 191, "v4", "terms-4", 1, True
+    )
 
 
-VIEW = tuple(view_row(state) for state in records.State)
+VIEW = tuple(view_row(state) for state in records.MemberState)
 VIEWS: dict[str, Any] = {
-    "query": asking.Query(*HEAD, 9, 4),
-    "count": asking.Count(*HEAD, 10),
-    "counted": asking.Counted(*HEAD, 12, COUNTS),
-    "shown": asking.Shown(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
+    "query": queries.ViewQuery(*HEAD, 9, 4),
+    "count": queries.CountersQuery(*HEAD, 10),
+    "counted": queries.CountersReply(*HEAD, 12, COUNTS),
+    "shown": queries.ViewPage(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
 }
 
-PIECE = parcels.Piece("c1", 193, 197, 2, 5, b"of a parcel")
+PIECE = fragmentation.Fragment("c1", 193, 197, 2, 5, b"of a parcel")
 
 # Orders and permits
 
@@ -243,15 +248,15 @@
 )
 
 WORDS: dict[str, Any] = {
-    **{f"votes-{name}": words.Votes("c2", message) for name, message in COUNCIL.items()},
-    "here": words.Here("c3", 431),
-    "reported": words.Reported(REPORT, 433, 439),
-    "worded": words.Worded("c1", "e16", 443, 449, WANT, True),
+    **{f"votes-{name}": fleet_messages.RaftEnvelope("c2", message) for name, message in COUNCIL.items()},
+    "here": fleet_messages.NodeAnnouncement("c3", 431),
+    "reported": fleet_messages.ReportMessage(REPORT, 433, 439),
+    "worded": fleet_messages.DesiredStateMessage("c1", "e16", 443, 449, WANT, True),
     **{
-        f"asks-{name}": words.Asks(457 + at, "do", command, "about")
+        f"asks-{name}": fleet_messages.ClientRequest(457 + at, "do", command, "about")
         for at, (name, command) in enumerate(COMMANDS.items())
     },
-    "tells": words.Tells(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
+    "tells": fleet_messages.ClientResponse(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
 PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
@@ -284,28 +289,28 @@
 # Dialogs that an edge proxy owes answers to
 
 
-def dialog_record(phase: course.Phase = course.Phase.OUT) -> course.Record:
-    return course.Record(
+def dialog_record(phase: lifecycle.Phase = lifecycle.Phase.IN_FLIGHT) -> lifecycle.DialogRecord:
+    return lifecycle.DialogRecord(
         f"d-{phase.value}",
         "caller-1",
         "booking",
         2,
         509,
-        course.Moment(521, 523, "boot-1"),
+        lifecycle.Timestamp(521, 523, "boot-1"),
         541,
         547,
         phase,
         3,
         "s1",
         557,
-        course.Moment(563, 569, "boot-2"),
+        lifecycle.Timestamp(563, 569, "boot-2"),
         "declined",
         571,
         True,
     )
 
 
-LEARNT = learnt.Learnt("s2", 577, 587, 1000, 593, 599)
+LEARNED_STATE = learned_state.LearnedServerState("s2", 577, 587, 1000, 593, 599)
 
 # The set-up protocol and the list's
 
@@ -476,10 +481,10 @@
 def samples() -> dict[str, Sample]:
     """By a key that stays, however classes are called."""
     plain: dict[str, Any] = {
-        **{f"membership.record-{state.value}": member_record(state) for state in records.State},
-        **{f"fleet.row-{state.value}": view_row(state) for state in records.State},
-        "fleet.envelope": sealing.Envelope(3, MEMBERSHIP["ping"]),
-        "fleet.posted": sealing.Posted(4, PIECE),
+        **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
+        **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
+        "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
+        "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
         "council.snapshot": written.kept_snapshot(snapshot()),
         "orders.placed": PLACED,
@@ -487,18 +492,18 @@
         "permits.answer": permits.Answer("o7/e14", PERMIT, "given"),
         "keeper.memory": MEMORY,
         "keeper.report": REPORT,
-        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in course.Phase},
-        "ledger.learnt": LEARNT,
-        "ledger.damaged": store.Damaged("dialogs", "d9", "its checksum does not fit"),
+        **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in lifecycle.Phase},
+        "ledger.learnt": LEARNED_STATE,
+        "ledger.damaged": dialog_store.DamagedEntry("dialogs", "d9", "its checksum does not fit"),
     }
     told = {"orders.json-placed": PLACED, "orders.json-shown": TOOL_PAGE, "list.cache": LIST_CACHE}
     return (
         {key: Sample(value) for key, value in plain.items()}
         | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
         | _named("fleet", VIEWS | {"piece": PIECE}, Format.MSGPACK)
-        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, sealing.Envelope)
-        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, sealing.Posted)
-        | _named("words", WORDS, Format.MSGPACK, words.Word)
+        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, authentication.Envelope)
+        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, authentication.FragmentEnvelope)
+        | _named("words", WORDS, Format.MSGPACK, fleet_messages.ControlMessage)
         | _named("setup", SETUP, Format.FRAME, SETUP_KINDS)
         | _named("greeting", GREETING, Format.FRAME, greeting.Greeting)
         | _named("list", LIST, Format.FRAME, LIST_KINDS)
@@ -513,13 +518,13 @@
 def enumerations() -> dict[str, type[Enum]]:
     """Those that are written by value."""
     return {
-        "membership.state": records.State,
+        "membership.state": records.MemberState,
         "membership.phase": records.Phase,
         "orders.kind": orders.Kind,
         "orders.phase": orders.Phase,
         "orders.step": orders.Step,
         "limits.sort": limits.Sort,
-        "ledger.phase": course.Phase,
+        "ledger.phase": lifecycle.Phase,
     }
 
 
@@ -528,10 +533,10 @@
 MODULES = (
     messages,
     records,
-    asking,
-    parcels,
-    sealing,
-    words,
+    queries,
+    fragmentation,
+    authentication,
+    fleet_messages,
     limits,
     permits,
     orders,
@@ -539,9 +544,9 @@
     written,
     keeping,
     shown,
-    course,
-    learnt,
-    store,
+    lifecycle,
+    learned_state,
+    dialog_store,
     listing,
     greeting,
     setup,
@@ -563,28 +568,28 @@
 
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
-NEVER_WRITTEN = (messages.Said, setup.OfLeg, greeting._Kind, council.Append, council.Install)
+NEVER_WRITTEN = (messages.FleetMessage, setup.OfLeg, greeting._Kind, council.Append, council.Install)
 
 TAGS: dict[type[msgspec.Struct], str] = {
-    messages.Said: "Said",
+    messages.FleetMessage: "Said",
     messages.Ping: "p",
     messages.Ack: "a",
-    messages.Ask: "k",
+    messages.PingReq: "k",
     messages.Nack: "n",
     messages.Gossip: "g",
-    messages.Sync: "s",
-    messages.Pages: "v",
-    asking.Query: "?",
-    asking.Count: "c",
-    asking.Counted: "C",
-    asking.Shown: "!",
-    parcels.Piece: "Piece",
-    words.Votes: "v",
-    words.Here: "h",
-    words.Reported: "r",
-    words.Worded: "w",
-    words.Asks: "q",
-    words.Tells: "t",
+    messages.SyncDigests: "s",
+    messages.SyncRecords: "v",
+    queries.ViewQuery: "?",
+    queries.CountersQuery: "c",
+    queries.CountersReply: "C",
+    queries.ViewPage: "!",
+    fragmentation.Fragment: "Piece",
+    fleet_messages.RaftEnvelope: "v",
+    fleet_messages.NodeAnnouncement: "h",
+    fleet_messages.ReportMessage: "r",
+    fleet_messages.DesiredStateMessage: "w",
+    fleet_messages.ClientRequest: "q",
+    fleet_messages.ClientResponse: "t",
     permits.Ask: "Ask",
     permits.Back: "Back",
     permits.Away: "Away",
@@ -656,11 +661,11 @@
 
 
 def write_ledger(folder: Path) -> None:
-    with store.Ledger(folder) as ledger:
+    with dialog_store.DialogStore(folder) as ledger:
         ledger.begin_epoch(547)
-        for phase in course.Phase:
+        for phase in lifecycle.Phase:
             ledger.put(dialog_record(phase))
-        ledger.put_learnt(LEARNT)
+        ledger.put_learned_state(LEARNED_STATE)
         ledger.commit()
 
 
@@ -725,11 +730,13 @@
 # What commands print as JSON, for programs of the operators
 
 
-def heard() -> list[asking.Heard]:
+def heard() -> list[view_comparison.ViewAnswer]:
     """Two answers that differ, of whole views, and one that is not whole."""
-    first = asking.Heard("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
-    second = asking.Heard("127.0.0.2:7102", "e2", 107, 109, "doubting", {"stranger": 21}, {0: VIEW[:1]})
-    return [first, second, asking.Heard("127.0.0.3:7103")]
+    first = view_comparison.ViewAnswer("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
+    second = view_comparison.ViewAnswer(
+        "127.0.0.2:7102", "e2", 107, 109, "doubting", {"stranger": 21}, {0: VIEW[:1]}
+    )
+    return [first, second, view_comparison.ViewAnswer("127.0.0.3:7103")]
 
 
 def print_view(file: Path) -> None:
--- /dev/null
+++ b/valverouter/fleet/raft_server.py
@@ -0,0 +1,187 @@
+"""The raft server process: carries the messages and the disk writes of one `rollout` control plane node.
+
+What a node promises is on its disk before any message leaves that rests on it. A node that is not a member
+yet, or has lost its disk, announces itself to the others, and the leader admits it.
+"""
+
+from __future__ import annotations
+
+import secrets
+
+import structlog
+import trio
+
+from valverouter.edge.surroundings import Surroundings
+from valverouter.fleet.client_requests import ClientRequestHandler
+from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
+from valverouter.fleet.messages import (
+    ClientRequest,
+    ControlMessage,
+    DesiredStateMessage,
+    NodeAnnouncement,
+    RaftEnvelope,
+    ReportMessage,
+)
+from valverouter.fleet.operation_events import OperationEventLogger
+from valverouter.fleet.orchestrator_config import orchestrator_config
+from valverouter.fleet.raft_membership import RaftMembershipReconciler
+from valverouter.fleet.transport import Transport
+from valverouter.ledger.councilstore import CouncilStore
+from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
+from valverouter.rollout.seat import Seat, Word
+from valverouter.rollout.written import heard as from_wire
+from valverouter.rollout.written import sent as to_wire
+from valverouter.terms.rollout import SeatTerms
+
+# The longest sleep in seconds.
+MAX_SLEEP_S = 0.05
+# Messages that are handled before the timers are looked at again.
+BATCH_SIZE = 64
+ANNOUNCEMENT_INTERVAL_S = 1.0
+INCARNATION_BITS = 63
+# The stamp of a report that answers no message of this incarnation: long before the clock's zero.
+NO_STAMP = -(10**18)
+
+log = structlog.get_logger()
+
+
+class AlreadyBootstrappedError(RuntimeError):
+    """A raft group is to be bootstrapped from a store that already holds something."""
+
+
+class RaftServer:
+    """One node of the control plane, on a socket and a disk."""
+
+    def __init__(
+        self, terms: SeatTerms, surroundings: Surroundings, store: CouncilStore, bootstrap: bool
+    ) -> None:
+        """Load the node's state from `store`.
+
+        `bootstrap`: this is the first node of a new group, which admits the others;
+        AlreadyBootstrappedError if the store is not empty.
+        """
+        self._terms = terms
+        self._surroundings = surroundings
+        self._store = store
+        self._incarnation = secrets.randbits(INCARNATION_BITS)
+        self._announced_at = float("-inf")
+        self._was_leader = False
+        self._log = log.bind(seat=terms.name)
+        durable = store.load()
+        if bootstrap:
+            _bootstrap(terms.name, durable, store)
+        draw = IncarnationRandom(self._incarnation).draw
+        self.node = Seat(terms.name, durable, orchestrator_config(terms), draw, monotonic_ns())
+        # Replies that must not leave before what they rest on is on disk.
+        self._replies: list[tuple[str, ControlMessage]] = []
+        self._client_requests = ClientRequestHandler(self.node, self._reply)
+        self._reconciler = RaftMembershipReconciler(self.node, frozenset(terms.council), self._log)
+        self._operation_events = OperationEventLogger(self._log)
+
+    async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serve until cancelled.
+
+        OSError if the address can't be bound, LedgerError if the disk fails: a node that can't keep what it
+        promises must not go on.
+        """
+        socket = self._surroundings.datagrams(self._terms.listen)
+        try:
+            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
+            self._log.info("raft-server-listening", address=transport.address, disk=f"{self._disk_id:016x}")
+            task_status.started(transport.address)
+            while True:
+                with trio.move_on_after(MAX_SLEEP_S):
+                    await socket.readable()
+                await self._surroundings.turn()
+                self._receive_batch(transport)
+                self.node.tick(monotonic_ns())
+                self._reconciler.reconcile(monotonic_ns())
+                self._flush(transport)
+                self._announce(transport)
+                self._log_changes()
+        finally:
+            socket.close()
+
+    @property
+    def _disk_id(self) -> int:
+        return self.node.councillor.durable.disk
+
+    def _receive_batch(self, transport: Transport) -> None:
+        for _ in range(BATCH_SIZE):
+            received = transport.receive()
+            if received is None:
+                break
+            self._on_message(*received)
+            self._flush(transport)
+
+    def _on_message(self, message: ControlMessage, source: str) -> None:
+        match message:
+            case RaftEnvelope(recipient, content):
+                if recipient == self._terms.name:
+                    self.node.heard(monotonic_ns(), from_wire(content))
+            case NodeAnnouncement(name, disk_id):
+                self._reconciler.on_announcement(name, disk_id)
+            case ReportMessage():
+                self._on_report(message, source)
+            case ClientRequest():
+                self._client_requests.on_request(source, message)
+
+    def _on_report(self, message: ReportMessage, source: str) -> None:
+        is_answer = message.incarnation == self._incarnation
+        made_after = message.stamp if is_answer else NO_STAMP
+        self.node.report(
+            monotonic_ns(),
+            message.report,
+            made_after,
+            lambda desired: self._reply(source, self._desired_state_message(desired)),
+        )
+
+    def _desired_state_message(self, reply: Word) -> DesiredStateMessage:
+        return DesiredStateMessage(
+            self._terms.name, reply.name, self._incarnation, reply.stamp, reply.want, reply.is_open
+        )
+
+    def _reply(self, address: str, message: ControlMessage) -> None:
+        self._replies.append((address, message))
+
+    def _flush(self, transport: Transport) -> None:
+        """Write to disk first, then send."""
+        if self.node.saves:
+            self._store.commit(self.node.saves)
+            self.node.saves.clear()
+        outgoing = list(self.node.out)
+        self.node.out.clear()
+        for name, message in outgoing:
+            address = self._terms.council.get(name)
+            if address is not None:
+                transport.send(address, RaftEnvelope(name, to_wire(message)))
+        replies, self._replies = self._replies, []
+        for address, reply in replies:
+            transport.send(address, reply)
+
+    def _announce(self, transport: Transport) -> None:
+        now = trio.current_time()
+        if now - self._announced_at < ANNOUNCEMENT_INTERVAL_S:
+            return
+        self._announced_at = now
+        announcement = NodeAnnouncement(self._terms.name, self._disk_id)
+        for name, address in self._terms.council.items():
+            if name != self._terms.name:
+                transport.send(address, announcement)
+
+    def _log_changes(self) -> None:
+        if self.node.leads != self._was_leader:
+            self._was_leader = self.node.leads
+            self._client_requests.on_leadership_changed()
+            event = "raft-leadership-acquired" if self._was_leader else "raft-leadership-lost"
+            self._log.info(event, term=self.node.councillor.durable.term)
+        self._operation_events.log_changes(self.node.book.orders)
+
+
+def _bootstrap(name: str, durable: Durable, store: CouncilStore) -> None:
+    """Write the first log entry of a new group, which names this node as its only member."""
+    if durable.entries or durable.snapshot or durable.term:
+        raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
+    save = SaveEntries(1, (Entry(1, Members(((name, durable.disk),))),))
+    durable.apply(save)
+    store.commit([save])
--- /dev/null
+++ b/valverouter/fleet/supervisor_service.py
@@ -0,0 +1,316 @@
+"""The supervisor process: carries out what `rollout` decides about one instance.
+
+It starts the instance's program by version, queries it for its counters, reports to the control plane's raft
+servers, and brings the instance to the state that the leader tells. It needs no privileges, and knows nothing
+of the program but its command.
+"""
+
+from __future__ import annotations
+
+import os
+import secrets
+import signal
+import subprocess
+from collections.abc import Awaitable, Callable
+from contextlib import ExitStack
+from pathlib import Path
+from typing import IO
+
+import msgspec
+import structlog
+import trio
+
+from valverouter.edge.surroundings import Surroundings
+from valverouter.fleet.control_plane_link import ControlPlaneLink
+from valverouter.fleet.incarnation import monotonic_ns
+from valverouter.fleet.instance_probe import InstanceProbe
+from valverouter.fleet.instance_status import VERSION_VARIABLE
+from valverouter.fleet.list_client import ListClient
+from valverouter.fleet.managed_process import ManagedProcess
+from valverouter.fleet.messages import DesiredStateMessage
+from valverouter.fleet.transport import Transport
+from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
+from valverouter.rollout.limits import Sort
+from valverouter.signalling.serverlist import Leave, Returns
+from valverouter.terms.rollout import KeeperTerms
+
+# The longest sleep in seconds.
+MAX_SLEEP_S = 0.05
+NS_PER_S = 1e9
+INCARNATION_BITS = 63
+
+log = structlog.get_logger()
+
+
+class SupervisorService:
+    """Supervises one instance."""
+
+    def __init__(
+        self, terms: KeeperTerms, surroundings: Surroundings, store: KeeperStore, memory: Memory | None
+    ) -> None:
+        """`memory` is what the store held at the start; None where it is new or was lost."""
+        self.supervisor = Keeping(_instance_info(terms), memory or Memory(terms.version))
+        self._terms = terms
+        self._surroundings = surroundings
+        self._store = store
+        self._is_new = memory is None
+        self._incarnation = secrets.randbits(INCARNATION_BITS)
+        self._list_client = ListClient(surroundings, terms.list_service, terms.name)
+        self._log = log.bind(keeper=terms.name)
+        self._process: ManagedProcess | None = None
+        # The processes that this supervisor started itself and has to reap, by number.
+        self._children: dict[int, subprocess.Popen[bytes]] = {}
+        self._nursery: trio.Nursery | None = None
+        self._logged_outcome: tuple[int, int, str] | None = None
+
+    async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
+        """Supervise until `shut_down` and then until the program has ended; OSError for a socket."""
+        with ExitStack() as sockets:
+            socket = self._surroundings.datagrams(self._terms.listen)
+            sockets.callback(socket.close)
+            probe = self._open_probe()
+            if probe is not None:
+                sockets.callback(probe.close)
+            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
+            link = ControlPlaneLink(transport, self._terms.name, self._terms.council)
+            self._log.info("supervisor-listening", address=transport.address)
+            task_status.started(transport.address)
+            if self._is_new:
+                await self._await_desired_state(link)
+                await self._find_process(probe)
+            async with trio.open_nursery() as self._nursery:
+                self._resume_process()
+                await self._supervise(link, probe)
+                self._nursery.cancel_scope.cancel()
+
+    def shut_down(self) -> None:
+        """On the machine's request: stop the program, tell the control plane, and end `run`."""
+        self.supervisor.leave()
+
+    def _open_probe(self) -> InstanceProbe | None:
+        address = self._terms.asks
+        if not address:
+            return None
+        socket = self._surroundings.datagrams(_any_port_like(address))
+        return InstanceProbe(socket, address, self._terms.keys, self._incarnation)
+
+    async def _supervise(self, link: ControlPlaneLink, probe: InstanceProbe | None) -> None:
+        while True:
+            with trio.move_on_after(MAX_SLEEP_S):
+                await link.readable()
+            await self._surroundings.turn()
+            self._receive(link)
+            if probe is not None:
+                self._update_counters(probe)
+            self._act()
+            link.report_if_due(self.supervisor.report)
+            if self.supervisor.leaving and not self.supervisor.runs:
+                link.report(self.supervisor.report())
+                return
+
+    # The start without a stored state
+
+    async def _await_desired_state(self, link: ControlPlaneLink) -> None:
+        """Wait for the control plane before anything is started.
+
+        The version in the configuration may have been rolled back since. A control plane that does not answer
+        delays the start by `hears_within` and no more.
+        """
+        with trio.move_on_after(self._terms.hears_within / NS_PER_S):
+            while not link.has_received:
+                link.report_if_due(self.supervisor.report)
+                with trio.move_on_after(MAX_SLEEP_S):
+                    await link.readable()
+                self._receive(link)
+
+    async def _find_process(self, probe: InstanceProbe | None) -> None:
+        """Find what a previous incarnation started before it lost its disk.
+
+        The instance replies where it is queried; a second one would find its addresses in use.
+        """
+        counters = await probe.find_running() if probe is not None else None
+        if counters is None:
+            return
+        process = ManagedProcess.attach(counters.process)
+        state = self.supervisor.memory
+        state.process = process.identity if process is not None else ""
+        state.running = counters.label
+        if process is not None:
+            process.close()
+
+    # Messages
+
+    def _receive(self, link: ControlPlaneLink) -> None:
+        for message in link.receive():
+            self._on_desired_state(message)
+
+    def _on_desired_state(self, message: DesiredStateMessage) -> None:
+        desired = message.desired
+        if self.supervisor.wanted(monotonic_ns(), desired, message.is_open):
+            self._log.info(
+                "step-started",
+                number=desired.number,
+                step=desired.step,
+                order=desired.order,
+                version=desired.version,
+                up=desired.up,
+            )
+
+    def _update_counters(self, probe: InstanceProbe) -> None:
+        for counters in probe.receive():
+            memory = self._process.resident_bytes if self._process is not None else 0
+            self.supervisor.told(msgspec.structs.replace(counters, memory=memory))
+        if probe.is_timed_out and self.supervisor.counts.life:
+            self.supervisor.counts = Counts()
+        if self.supervisor.runs:
+            probe.query_if_due()
+
+    # Actions
+
+    def _act(self) -> None:
+        while (action := self.supervisor.act(monotonic_ns())) is not None:
+            self._carry_out(action)
+        self._log_outcome()
+
+    def _carry_out(self, action: Do) -> None:
+        match action:
+            case Do.SAVE:
+                # Not in a thread: a step that is not on disk must not begin, and nothing else waits here.
+                self._store.save(self.supervisor.memory)
+                self.supervisor.saved()
+            case Do.STOP:
+                self._stop_process()
+            case Do.LEAVE:
+                self._start_task(self._leave_list, self._permit_number())
+            case Do.RETURN:
+                self._start_task(self._return_to_list, self._permit_number())
+            case Do.START:
+                self._start_process()
+
+    def _permit_number(self) -> int:
+        steps = self.supervisor.memory.turns
+        return steps[-1].number if steps else 0
+
+    def _log_outcome(self) -> None:
+        """Log the outcome of the latest step once."""
+        steps = self.supervisor.memory.turns
+        if not steps or not steps[-1].outcome:
+            return
+        step = steps[-1]
+        outcome = step.number, step.step, step.outcome
+        if outcome != self._logged_outcome:
+            self._logged_outcome = outcome
+            self._log.info(
+                "step-ended", number=step.number, step=step.step, outcome=step.outcome, why=step.why
+            )
+
+    # The process
+
+    def _resume_process(self) -> None:
+        """Take over the process that a previous incarnation left running."""
+        state = self.supervisor.memory
+        process = ManagedProcess.reattach(state.process)
+        if process is not None:
+            self._process = process
+            self.supervisor.resumes(True)
+            self._log.info("process-adopted", version=state.running, process=process.pid)
+            self._start_task(self._await_exit, process)
+
+    def _start_process(self) -> None:
+        version = self.supervisor.memory.version
+        try:
+            child = self._spawn(version)
+            self._children[child.pid] = child
+            process = ManagedProcess(child.pid)
+        except OSError as error:
+            self._log.error("process-start-failed", version=version, why=str(error))
+            self.supervisor.could_not_start(monotonic_ns())
+            return
+        self._process = process
+        self.supervisor.started(monotonic_ns(), version, process.identity)
+        self._log.info("process-started", version=version, process=process.pid)
+        self._start_task(self._await_exit, process)
+
+    def _spawn(self, version: str) -> subprocess.Popen[bytes]:
+        """Start the version's command; OSError where there is none, or it can't be started."""
+        command = self._terms.commands.get(version, ())
+        if not command:
+            raise OSError(f"no command for version {version!r}")
+        if not self._terms.output:
+            return _popen(command, version, subprocess.DEVNULL)
+        with Path(self._terms.output).open("ab") as output:
+            return _popen(command, version, output)
+
+    async def _await_exit(self, process: ManagedProcess) -> None:
+        await process.wait()
+        child = self._children.pop(process.pid, None)
+        code = child.wait() if child is not None else None
+        self._log.info("process-exited", process=process.pid, code=code)
+        process.close()
+        if self._process is process:
+            self._process = None
+            self.supervisor.ended(monotonic_ns())
+
+    def _stop_process(self) -> None:
+        self.supervisor.asked_to_stop()
+        process = self._process
+        if process is not None:
+            process.signal(signal.SIGTERM)
+            self._start_task(self._kill_after_timeout, process)
+
+    async def _kill_after_timeout(self, process: ManagedProcess) -> None:
+        """Kill a process that is still there `stop_within` after it was asked to stop."""
+        await trio.sleep(self._terms.stop_within / NS_PER_S)
+        if self._process is process:
+            self._log.warning("process-killed", process=process.pid)
+            process.signal(signal.SIGKILL)
+
+    # The list service
+
+    async def _leave_list(self, number: int) -> None:
+        """PingReq for the server's drain; once it is granted, let the server empty before it is stopped."""
+        answer = await self._list_client.request_until_answered(Leave(self._terms.name, number))
+        self._log_list_answer(True, number, answer.given, answer.why)
+        if answer.given:
+            await trio.sleep(self._terms.drain_within / NS_PER_S)
+        self.supervisor.left_list(answer.given, answer.why)
+
+    async def _return_to_list(self, number: int) -> None:
+        answer = await self._list_client.request_until_answered(Returns(self._terms.name, number))
+        self._log_list_answer(False, number, answer.given, answer.why)
+
+    def _log_list_answer(self, leaves: bool, number: int, given: bool, reason: str) -> None:
+        self._log.info("list-answer-received", leaves=leaves, number=number, given=given, why=reason)
+
+    def _start_task(self, function: Callable[..., Awaitable[object]], *arguments: object) -> None:
+        assert self._nursery is not None
+        self._nursery.start_soon(function, *arguments)
+
+
+def _popen(command: tuple[str, ...], version: str, output: IO[bytes] | int) -> subprocess.Popen[bytes]:
+    # In a session of its own: what ends this supervisor's terminal must not end its instance.
+    return subprocess.Popen(
+        command,
+        stdin=subprocess.DEVNULL,
+        stdout=output,
+        stderr=output,
+        start_new_session=True,
+        env=os.environ | {VERSION_VARIABLE: version},
+    )
+
+
+def _instance_info(terms: KeeperTerms) -> Facts:
+    return Facts(
+        terms.name,
+        Sort.SERVER if terms.is_server else Sort.EDGE,
+        terms.region,
+        terms.capacity,
+        terms.processor,
+        tuple(sorted(terms.commands)),
+    )
+
+
+def _any_port_like(address: str) -> str:
+    """Any port, in the same family of addresses."""
+    return "[::]:0" if address.startswith("[") else "0.0.0.0:0"
