--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -23,12 +23,10 @@
 FUNCTION_LINES = 40
 
 FILE_CEILINGS: dict[str, int] = {
-    "valverouter/days/ordering.py": 452,
     "valverouter/edge/proxy.py": 818,
     "valverouter/emulator/edges.py": 698,
     "valverouter/emulator/fleet.py": 476,
     "valverouter/emulator/rollouts.py": 580,
-    "valverouter/rollout/orders.py": 569,
     "valverouter/servermodel/server.py": 512,
 }
 
@@ -38,7 +36,6 @@
     "valverouter/audit/rules.py::_one_answer": 80,
     "valverouter/audit/rules.py::_one_leg_and_release": 42,
     "valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52,
-    "valverouter/days/ordering.py::OrderRig._write_files": 54,
     "valverouter/days/world.py::World._dials": 44,
     "valverouter/edge/proxy.py::EdgeProxy.__init__": 44,
     "valverouter/edge/proxy.py::EdgeProxy._turns": 55,
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -18,7 +18,8 @@
 
 from valverouter.audit.orders import Orders, judge_orders
 from valverouter.audit.rules import audit
-from valverouter.days.ordering import SEATS, OrderRig, run_orders
+from valverouter.days.operation_files import NODES
+from valverouter.days.ordering import OrderRig, run_orders
 from valverouter.rollout.status import FleetStatus
 from valverouter.servermodel.paths import PathFault
 from valverouter.terms.day import Day, day
@@ -275,13 +276,13 @@
 @processes
 def test_a_council_member_that_lost_its_disk_and_one_put_in_its_place(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
-        for seat in SEATS[:2]:
+        for seat in NODES[:2]:
             rig.kill(seat)
             shutil.rmtree(rig.folder / f"{seat}.store")
             await trio.sleep(1)
             rig.start(seat)
             with trio.fail_after(20):
-                while (shown := await rig.status()) is None or set(shown.members) != set(SEATS):
+                while (shown := await rig.status()) is None or set(shown.members) != set(NODES):
                     await trio.sleep(0.2)
             # Both halves of the change have to be agreed on before another disk may go.
             await trio.sleep(2)
--- a/valverouter/days/ordercourses.py
+++ b/valverouter/days/ordercourses.py
@@ -7,7 +7,8 @@
 
 import trio
 
-from valverouter.days.ordering import SEATS, OrderRig, keeper_of
+from valverouter.days.operation_files import NODES, supervisor_of
+from valverouter.days.ordering import OrderRig
 from valverouter.servermodel.paths import PathFault
 
 VERSIONS = ("v1", "v2", "declines", "crashes", "dies-late")
@@ -38,7 +39,7 @@
                     else:
                         nursery.start_soon(self._fault, rig, began)
             # Whatever was struck comes back by itself within its own span.
-        for name in (*SEATS, *map(keeper_of, (*rig.edges, *rig.servers))):
+        for name in (*NODES, *map(supervisor_of, (*rig.edges, *rig.servers))):
             if rig.processes[name].poll() is not None:
                 rig.start(name)
         with trio.move_on_after(REST_S):
@@ -83,9 +84,9 @@
         span = min(chance.uniform(0.5, 6.0), max(0.1, left))
         self.faults += 1
         kind = chance.random()
-        seat, edge = chance.choice(SEATS), chance.choice(rig.edges)
+        seat, edge = chance.choice(NODES), chance.choice(rig.edges)
         if kind < 0.4:
-            name = seat if kind < 0.2 else keeper_of(edge)
+            name = seat if kind < 0.2 else supervisor_of(edge)
             if rig.processes[name].poll() is None:
                 rig.kill(name)
                 await trio.sleep(span)
@@ -93,7 +94,7 @@
         elif kind < 0.55:
             rig.kill(edge)
         elif kind < 0.7:
-            name = seat if kind < 0.62 else keeper_of(edge)
+            name = seat if kind < 0.62 else supervisor_of(edge)
             if rig.processes[name].poll() is None:
                 await rig.stall(name, span)
         else:
@@ -101,7 +102,7 @@
 
     def _path(self, rig: OrderRig, span: float) -> None:
         chance, now = self._chance, rig.world.now()
-        names = [*SEATS, *rig.edges, *map(keeper_of, (*rig.edges, *rig.servers))]
+        names = [*NODES, *rig.edges, *map(supervisor_of, (*rig.edges, *rig.servers))]
         some = frozenset(chance.sample(names, chance.randint(1, len(names) // 2)))
         rest = frozenset(names) - some
         until = now + round(span * 1e9)
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -13,7 +13,6 @@
 import signal
 import socket
 import subprocess
-import sys
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 from datetime import datetime
@@ -22,7 +21,7 @@
 import msgspec
 import trio
 
-from valverouter.days.viewing import SECRET
+from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
 from valverouter.rollout.status import FleetStatus, OperationStatus
@@ -33,11 +32,7 @@
 
 START_WITHIN_S = 30
 FAULT_SLACK = 200_000_000
-CLI = (sys.executable, "-m", "valverouter.cli")
-# Of a version that ends by itself: after so long, in seconds.
-DIES_AFTER_S = 4
 PR_SET_PDEATHSIG = 1
-SEATS = ("c0", "c1", "c2")
 
 
 class _Line(msgspec.Struct):
@@ -101,7 +96,7 @@
     async def open(self, nursery: trio.Nursery) -> None:
         """Files and fronts; nothing is started."""
         await nursery.start(self._paths.run)
-        names = [*SEATS, *map(keeper_of, (*self.edges, *self.servers)), *self.edges, *self.servers]
+        names = [*NODES, *map(supervisor_of, (*self.edges, *self.servers)), *self.edges, *self.servers]
         if self.servers:
             self._control = await nursery.start(Sockets().serve, "127.0.0.1:0", self._agent)
             self.world.list.leaves = lambda server: self.world.tell([server], "draining")
@@ -112,68 +107,23 @@
             self._paths.stands(name, self._real[name])
         for name, port in zip(self.edges, _free(len(self.edges), socket.SOCK_STREAM), strict=True):
             self._listen[name] = f"127.0.0.1:{port}"
-        key = self.folder / "fleet.key"
-        with os.fdopen(os.open(key, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
-            file.write(SECRET)
-        self._write_files()
+        files = OperationFiles(
+            day=self.day,
+            folder=self.folder,
+            edges=self.edges,
+            servers=self.servers,
+            list_service=self.world.list.address,
+            limits=self.limits,
+            min_capacity_fraction=self._least,
+            listen=self._real,
+            advertised=self._fronts,
+            callers=self._listen,
+        )
+        regions = {name: self.day.region_of_server(self.world.numbers_of[name]) for name in self.servers}
+        files.write(self._control, regions)
         most, in_region = self.limits
         self.world.tap.row(Limited, most=most, in_region=in_region)
 
-    def _write_files(self) -> None:
-        most, in_region = self.limits
-        limits = (
-            f"[limits edge proxies]\nmost = {most}\nin_region = {in_region}\nleast_capacity = {self._least}\n"
-        )
-        limits += (
-            "\n[limits servers]\nmost = 1\nin_region = 1\nleast_capacity = 0.4\n" if self.servers else ""
-        )
-        for name in (*SEATS, "tool"):
-            at = self._real if name == "tool" else self._fronts
-            seats = ", ".join(f"{one} {at[one]}" for one in SEATS)
-            own = SEATS[0] if name == "tool" else name
-            text = f"[seat]\nname = {own}\nlisten = {self._real[own]}\nadvertise = {self._fronts[own]}\n"
-            text += f"key = fleet.key\nstore = {own}.store\ncouncil = {seats}\nsilent = 3s\n"
-            text += f"unsettled = 20s\n\n{limits}\n[evidence]\nleast = 60\nodds = 4\nwatch = 2s\n"
-            (self.folder / f"{name}.ini").write_text(text)
-        seats = ", ".join(f"{one} {self._fronts[one]}" for one in SEATS)
-        for place, name in enumerate(self.edges):
-            self._write_edge(place, name)
-            keeper = keeper_of(name)
-            edge = " ".join((*CLI, "edge"))
-            text = f"[keeper]\nname = {name}\nlisten = {self._real[keeper]}\n"
-            text += f"advertise = {self._fronts[keeper]}\nkey = fleet.key\nstore = {keeper}.store\n"
-            text += f"council = {seats}\nasks = {self._real[name]}\nversion = v1\n"
-            text += f"region = {self.day.region_of_edge(place)}\ncapacity = 100\nstop_within = 6s\n"
-            text += f"output = {self.folder / name}.log\n"
-            for version, command in (
-                ("v1", f"{edge} {self.folder / name}.ini"),
-                ("v2", f"{edge} {self.folder / name}.ini"),
-                ("declines", f"{edge} {self.folder / name}.declines.ini"),
-                (
-                    "crowds",
-                    f"sh -c 'touch {self.folder}/crowd.{name}; set -- {self.folder}/crowd.*; "
-                    f"[ $# -ge {max(2, round(0.3 * len(self.edges)))} ] && file=declines.ini || file=ini; "
-                    f"exec {edge} {self.folder / name}.$file'",
-                ),
-                ("crashes", f"{sys.executable} -c 'raise SystemExit(7)'"),
-                ("dies-late", f"timeout -s KILL {DIES_AFTER_S} {edge} {self.folder / name}.ini"),
-            ):
-                text += f"\n[version {version}]\ncommand = {command}\n"
-            (self.folder / f"{keeper}.ini").write_text(text)
-        for name in self.servers:
-            keeper = keeper_of(name)
-            agent = (
-                f"{sys.executable} -m valverouter.days.serveragent {name} {self._control} {self._real[name]}"
-            )
-            text = f"[keeper]\nname = {name}\nsort = server\nlisten = {self._real[keeper]}\n"
-            text += f"advertise = {self._fronts[keeper]}\nkey = fleet.key\nstore = {keeper}.store\n"
-            text += f"council = {seats}\nasks = {self._real[name]}\nversion = v1\ncapacity = 0\n"
-            text += f"list_service = {self.world.list.address}\ndrain_within = 2s\nstop_within = 6s\n"
-            text += f"region = {self.day.region_of_server(self.world.numbers_of[name])}\n"
-            for version in ("v1", "v2"):
-                text += f"\n[version {version}]\ncommand = {agent} {self.folder}/fleet.key\n"
-            (self.folder / f"{keeper}.ini").write_text(text)
-
     # Servers behind their agents
 
     async def _agent(self, stream: trio.abc.Stream) -> None:
@@ -202,20 +152,6 @@
                 with suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
                     await stream.send_all(b"warm\n" if warm else b"cold\n")
 
-    def _write_edge(self, place: int, name: str) -> None:
-        between = {
-            "listen": self._real[name],
-            "advertise": self._fronts[name],
-            "key": str(self.folder / "fleet.key"),
-            "seeds": ", ".join(self._fronts[one] for one in self.edges[:3]),
-        }
-        list_at, cache = self.world.list.address, str(self.folder / f"{name}.list")
-        ini = self.day.edge_ini(place, self._listen[name], list_at, cache, between=between)
-        (self.folder / f"{name}.ini").write_text(ini)
-        # Declines whatever comes while it has a dialog open.
-        harmful = ini.replace("[fleet]", "[links]\nopen_dialogs = 1\n\n[fleet]", 1)
-        (self.folder / f"{name}.declines.ini").write_text(harmful)
-
     def callers(self) -> None:
         for place, name in enumerate(self.edges):
             self.world.add_callers(place, Kept(name, self._listen[name]))
@@ -224,7 +160,7 @@
 
     def start(self, name: str, *more: str) -> None:
         """A seat or a keeper; its log goes on in its file."""
-        what = "council" if name in SEATS else "keeper"
+        what = "council" if name in NODES else "keeper"
         command = [*CLI, "fleet", what, str(self.folder / f"{name}.ini"), *more]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
@@ -233,10 +169,10 @@
 
     async def begin(self) -> None:
         """The council is founded, keepers start their edge proxies; returns once all are in."""
-        for name in SEATS:
-            self.start(name, *(["--found"] if name == SEATS[0] else []))
+        for name in NODES:
+            self.start(name, *(["--found"] if name == NODES[0] else []))
         for name in (*self.servers, *self.edges):
-            self.start(keeper_of(name))
+            self.start(supervisor_of(name))
         with trio.fail_after(START_WITHIN_S):
             while not self._has_begun(await self.status()):
                 await trio.sleep(0.2)
@@ -244,7 +180,7 @@
     def _has_begun(self, shown: FleetStatus | None) -> bool:
         return (
             shown is not None
-            and set(shown.members) == set(SEATS)
+            and set(shown.members) == set(NODES)
             and len(shown.instances) == len(self.edges) + len(self.servers)
             and all(unit.state == "in" and unit.running_version for unit in shown.instances)
             and all(self._listens(name) for name in self.edges)
@@ -295,7 +231,7 @@
 
     def _fault(self, kind: str, name: str, seconds: float = 0.0) -> None:
         until = self.world.now() + round(seconds * 1e9) + FAULT_SLACK
-        target = kept_by(name) if name[0] == "k" else name
+        target = supervised_by(name) if name[0] == "k" else name
         self.world.tap.row(Fault, until=until, kind=kind, target=target)
 
     # The tool
@@ -345,7 +281,7 @@
             if process.poll() is None:
                 process.kill()
             process.wait()
-            if name[0] == "k" and (pid := self._pid(kept_by(name))) is not None:
+            if name[0] == "k" and (pid := self._pid(supervised_by(name))) is not None:
                 os.kill(pid, signal.SIGKILL)
         self._read_logs()
         for one in orders:
@@ -367,7 +303,7 @@
         rows = self.world.tap.rows
         for name in (*self.edges, *self.servers):
             turns: dict[tuple[int, int], bool] = {}
-            for line in (self.folder / f"{keeper_of(name)}.log").read_bytes().splitlines():
+            for line in (self.folder / f"{supervisor_of(name)}.log").read_bytes().splitlines():
                 try:
                     said = decoder.decode(line)
                 except msgspec.DecodeError:
@@ -394,14 +330,6 @@
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
 
 
-def keeper_of(name: str) -> str:
-    return f"k{name[1:]}" if name[0] == "e" else f"k{name}"
-
-
-def kept_by(keeper: str) -> str:
-    return keeper[1:] if keeper[1] == "s" else f"e{keeper[1:]}"
-
-
 def _free(count: int, kind: socket.SocketKind) -> list[int]:
     """Ports that are free now, below those that the machine gives out by itself: one of these was given to
     another socket between its choice and its use."""
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -38,6 +38,7 @@
 
 TICK = SECOND // 10
 REPORTS = SECOND // 2
+REGIONS = ("north", "south", "west")
 VERSIONS = ("v1", "v2", "crashes", "dies-late", "declines")
 # A program that dies late does so after this.
 DIES_AFTER = 12 * SECOND
@@ -106,11 +107,7 @@
         self.limits = limits or DisruptionLimits(
             max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
         )
-        self.rules = rules or OrchestratorConfig(
-            {InstanceKind.EDGE: self.limits},
-            sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
-            max_unsettled=10 * SECOND,
-        )
+        self.rules = rules or _default_config(self.limits)
         self.found: Counter[str] = Counter()
         self.answers: dict[str, SubmitResult] = {}
         self.harmed = 0
@@ -119,12 +116,7 @@
         self.seats = {name: Machine(name, PersistentState(disk)) for name, disk in disks}
         for one in self.seats.values():
             one.durable.apply(SaveEntries(1, (LogEntry(1, Configuration(disks)),)))
-        self.fleet: dict[str, Instance] = {}
-        for at in range(instances):
-            facts = InstanceInfo(
-                f"e{at}", InstanceKind.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS
-            )
-            self.fleet[facts.name] = Instance(facts, msgspec.msgpack.encode(SupervisorState("v1")))
+        self.fleet = _new_fleet(instances)
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
         self._processes = 0
@@ -534,3 +526,20 @@
                     and not later
                 ):
                     raise Broken(f"{name} was not brought back by {order.id}: {member.status.value}")
+
+
+def _default_config(limits: DisruptionLimits) -> OrchestratorConfig:
+    return OrchestratorConfig(
+        {InstanceKind.EDGE: limits},
+        sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
+        max_unsettled=10 * SECOND,
+    )
+
+
+def _new_fleet(size: int) -> dict[str, Instance]:
+    fleet = {}
+    for index in range(size):
+        region = REGIONS[index % len(REGIONS)]
+        info = InstanceInfo(f"e{index}", InstanceKind.EDGE, region, 100, 0.0, VERSIONS)
+        fleet[info.name] = Instance(info, msgspec.msgpack.encode(SupervisorState("v1")))
+    return fleet
--- a/valverouter/ledger/supervisor_store.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -1,7 +1,7 @@
-"""What a keeper must not forget, in an embedded store (lmdb): the turns that it has begun, what should run.
+"""A supervisor's state in an embedded store (lmdb).
 
-One value with a checksum, one transaction a save, on disk when it returns. A store that can't be read whole
-is set aside: the keeper then holds no turn, and the council tells it which are over.
+One value with a checksum; a save is one transaction, and on disk when it returns. A store that can't be read
+whole is set aside: the supervisor then knows no step, and the control plane tells it which ones have ended.
 """
 
 from __future__ import annotations
@@ -23,12 +23,19 @@
 
 FORMAT = b"keeper 1"
 MAP_SIZE = 4 * 1024 * 1024
+FORMAT_KEY = b"format"
+STATE_KEY = b"memory"
 
 
 class SupervisorStore:
-    """An open store, one process at a time."""
+    """An open store, held by one process at a time.
+
+    Every method raises StoreError where the store fails or can't be trusted, StoreLockedError where another
+    process holds it.
+    """
 
     def __init__(self, path: Path) -> None:
+        """Opens the store at `path`, which is made where it does not exist."""
         self.path = path
         self._lock = acquire_lock(path)
         try:
@@ -39,34 +46,35 @@
             raise StoreError(f"{path}: {error}") from error
 
     def close(self) -> None:
+        """Closes the store, for another process to open."""
         self._env.close()
         self._lock.close()
 
     def load(self) -> SupervisorState | None:
-        """None where nothing was kept yet; StoreError where it can't be trusted."""
+        """The state that was saved last; None where none was."""
         try:
-            with self._env.begin() as read:
-                found, kept = read.get(b"format"), read.get(b"memory")
-                if found is None:
+            with self._env.begin() as transaction:
+                stored_format, value = transaction.get(FORMAT_KEY), transaction.get(STATE_KEY)
+                if stored_format is None:
                     return None
-                body = verified_body(bytes(kept)) if kept is not None else None
-                if bytes(found) != FORMAT or body is None:
+                body = verified_body(bytes(value)) if value is not None else None
+                if bytes(stored_format) != FORMAT or body is None:
                     raise StoreError(f"{self.path}: what a keeper kept is damaged")
                 return msgspec.msgpack.decode(body, type=SupervisorState)
         except (lmdb.Error, msgspec.MsgspecError) as error:
             raise StoreError(f"{self.path}: {error}") from error
 
-    def save(self, memory: SupervisorState) -> None:
-        """On disk when it returns; StoreError where it is not."""
+    def save(self, state: SupervisorState) -> None:
+        """Saves a state; it is on disk when this returns."""
         try:
-            with self._env.begin(write=True) as commit:
-                commit.put(b"format", FORMAT)
-                commit.put(b"memory", with_checksum(msgspec.msgpack.encode(memory)))
+            with self._env.begin(write=True) as transaction:
+                transaction.put(FORMAT_KEY, FORMAT)
+                transaction.put(STATE_KEY, with_checksum(msgspec.msgpack.encode(state)))
         except lmdb.Error as error:
             raise StoreError(f"{self.path}: {error}") from error
 
 
 def open_supervisor_store(path: Path) -> tuple[SupervisorStore, SupervisorState | None, str]:
-    """A store that can be used, what it held, and why a former one was set aside: empty, if none was."""
+    """A store that can be used, the state in it, and why a former store was set aside (empty: none was)."""
     opened = open_or_set_aside(path, lambda: SupervisorStore(path), SupervisorStore.load)
     return opened.store, opened.content, opened.problem
