--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -41,14 +41,16 @@
 from valverouter.fleet.queries import CountersQuery
 from valverouter.fleet.raft_server import RaftServer
 from valverouter.fleet.transport import Transport
-from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.dialog_store import StoreLockedError
-from valverouter.ledger.keeperstore import KeeperStore, opened
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory, Turn
-from valverouter.rollout.limits import Sort, Unit
-from valverouter.rollout.orders import Kind, Place, Placed, Runs, Want
-from valverouter.rollout.permits import Enrol
-from valverouter.rollout.shown import Shown
+from valverouter.ledger.raft_store import RaftStore
+from valverouter.ledger.storage import StoreLockedError
+from valverouter.ledger.supervisor_store import SupervisorStore, open_supervisor_store
+from valverouter.rollout.disruption_limits import Instance, InstanceKind
+from valverouter.rollout.disruption_permits import EnrollInstances
+from valverouter.rollout.operations import DesiredState, InstanceReported, OperationKind, Submit, SubmitResult
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo
+from valverouter.rollout.status import FleetStatus
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import Step, SupervisorState
 from valverouter.signalling import tap
 from valverouter.signalling.serverlist import Leave, Permits, Returns
 from valverouter.signalling.tap import Limited, Ordered, Row, Turned
@@ -244,30 +246,32 @@
 
 
 async def test_a_tool_is_shown_a_fleet_that_no_burst_of_pieces_holds(tmp_path: Path) -> None:
-    """Shown anew at each question, with other spans in it, the pieces of two answers never made one."""
+    """FleetStatus anew at each question, with other spans in it, the pieces of two answers never made one."""
     text = SEAT.replace(", c1 127.0.0.1:7001, c2 127.0.0.1:7002", "").replace("7000", str(free_port()))
     terms = load_seat(written(tmp_path, text))
-    store = CouncilStore(terms.store, 7)
+    store = RaftStore(terms.store, 7)
     task = RaftServer(terms, Sockets(), store, bootstrap=True)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
         with trio.fail_after(5):
-            while not task.node.councillor.confirmed:
+            while not task.node.raft.confirmed_round:
                 await trio.sleep(0.05)
         names = [f"edge-{at}" for at in range(900)]
-        units = tuple(Unit(name, Sort.EDGE, "north", 100) for name in names)
-        assert task.node.propose(round(trio.current_time() * 1e9), Enrol(units))
+        units = tuple(Instance(name, InstanceKind.EDGE, "north", 100) for name in names)
+        assert task.node.propose(round(trio.current_time() * 1e9), EnrollInstances(units))
         for name in names:
-            task.node.propose(round(trio.current_time() * 1e9), Runs(name, "v1", ("v1", "v2")))
+            task.node.propose(round(trio.current_time() * 1e9), InstanceReported(name, "v1", ("v1", "v2")))
         socket = Sockets().datagrams("127.0.0.1:0")
-        client = OperationsClient(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
-        shown = await client.request(RequestKind.SHOW, None, Shown, 15)
+        asker = OperationsClient(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
+        shown = await asker.request(RequestKind.SHOW, None, FleetStatus, 15)
         assert shown is not None
-        assert [unit.name for unit in shown.units] == sorted(names)
+        assert [unit.name for unit in shown.instances] == sorted(names)
         assert len(msgspec.msgpack.encode(shown)) > BURST_FRAGMENTS * FRAGMENT_BYTES
-        refused = await client.request(RequestKind.PLAN, Place("a", Kind.RESTART, ("nobody",)), Placed, 5)
+        refused = await asker.request(
+            RequestKind.PLAN, Submit("a", OperationKind.RESTART, ("nobody",)), SubmitResult, 5
+        )
         assert refused is not None
-        assert refused.why == "nobody is not enrolled"
+        assert refused.rejection == "nobody is not enrolled"
         nursery.cancel_scope.cancel()
     socket.close()
     store.close()
@@ -278,20 +282,22 @@
 
 def test_a_keeper_s_memory_is_kept_whole_and_a_damaged_one_is_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "store"
-    memory = Memory("v2", False, process="12 34", running="v2", turns=[Turn(7, 0, "r", "done")])
-    store, found, aside = opened(path)
+    memory = SupervisorState(
+        "v2", False, process="12 34", running_version="v2", steps=[Step(7, 0, "r", "done")]
+    )
+    store, found, aside = open_supervisor_store(path)
     assert (found, aside) == (None, "")
     store.save(memory)
     with pytest.raises(StoreLockedError):
-        KeeperStore(path)
+        SupervisorStore(path)
     store.close()
-    store, found, aside = opened(path)
+    store, found, aside = open_supervisor_store(path)
     assert found == memory
     assert not aside
     store.close()
     data = (path / "data.mdb").read_bytes()
     (path / "data.mdb").write_bytes(data.replace(b"12 34", b"12 35"))
-    store, found, aside = opened(path)
+    store, found, aside = open_supervisor_store(path)
     assert found is None
     assert "damaged" in aside
     store.close()
@@ -330,59 +336,61 @@
     assert permits.why_not(Leave("s0", 8)) == ""
 
 
-def server() -> Keeping:
-    one = Keeping(Facts("s0", Sort.SERVER, versions=("v1", "v2")), Memory("v1"))
-    assert one.act(0) is Do.START
-    one.started(0, "v1")
-    one.saved()
-    one.wanted(0, Want("v2", True, 7, 0, "r"), True)
-    assert one.act(0) is Do.SAVE
-    one.saved()
+def server() -> Supervisor:
+    one = Supervisor(
+        InstanceInfo("s0", InstanceKind.SERVER, available_versions=("v1", "v2")), SupervisorState("v1")
+    )
+    assert one.next_action(0) is SupervisorAction.START
+    one.on_started(0, "v1")
+    one.on_saved()
+    one.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), True)
+    assert one.next_action(0) is SupervisorAction.SAVE
+    one.on_saved()
     return one
 
 
 def test_a_server_s_program_goes_once_the_list_has_let_it() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE, "asked once, and waited for"
-    assert one.act(0) is None, "asked once, and waited for"
-    one.told(Counts(1, True, True))
+    assert one.next_action(0) is SupervisorAction.LEAVE_LIST, "asked once, and waited for"
+    assert one.next_action(0) is None, "asked once, and waited for"
+    one.on_counters(InstanceCounters(1, True, True))
     assert one.report().outcome == "", "it serves until it goes, and that is not the turn done"
-    one.left_list(True)
-    assert one.act(0) is Do.STOP
-    one.asked_to_stop()
-    one.ended(0)
-    assert one.act(0) is Do.START
-    one.started(0, "v2")
-    one.saved()
-    one.told(Counts(2, True, True))
-    one.saved()
+    one.on_list_answer(True)
+    assert one.next_action(0) is SupervisorAction.STOP
+    one.on_stop_requested()
+    one.on_exited(0)
+    assert one.next_action(0) is SupervisorAction.START
+    one.on_started(0, "v2")
+    one.on_saved()
+    one.on_counters(InstanceCounters(2, True, True))
+    one.on_saved()
     assert one.report().outcome == "done"
-    assert one.act(0) is Do.RETURN
-    assert one.act(0) is None
+    assert one.next_action(0) is SupervisorAction.REJOIN_LIST
+    assert one.next_action(0) is None
 
 
 def test_a_server_that_the_list_does_not_let_go_serves_on_and_its_turn_has_failed() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE
-    one.left_list(False, "permit 7 is over")
-    assert one.act(0) is Do.SAVE
-    one.saved()
-    one.told(Counts(1, True, True))
-    assert one.act(0) is None
-    assert one.runs
-    assert (one.report().outcome, one.report().why) == ("failed", "the list refuses: permit 7 is over")
-    one.wanted(0, Want("v1", True, 7, 1, "r"), True)
-    one.saved()
-    one.told(Counts(1, True, True))
-    one.saved()
+    assert one.next_action(0) is SupervisorAction.LEAVE_LIST
+    one.on_list_answer(False, "permit 7 is over")
+    assert one.next_action(0) is SupervisorAction.SAVE
+    one.on_saved()
+    one.on_counters(InstanceCounters(1, True, True))
+    assert one.next_action(0) is None
+    assert one.is_running
+    assert (one.report().outcome, one.report().reason) == ("failed", "the list refuses: permit 7 is over")
+    one.on_desired_state(0, DesiredState("v1", True, 7, 1, "r"), True)
+    one.on_saved()
+    one.on_counters(InstanceCounters(1, True, True))
+    one.on_saved()
     assert one.report().outcome == "done", "brought back, it had never gone"
 
 
 def test_a_machine_s_wish_waits_for_no_list() -> None:
     one = server()
-    assert one.act(0) is Do.LEAVE
-    one.leave()
-    assert one.act(0) is Do.STOP
+    assert one.next_action(0) is SupervisorAction.LEAVE_LIST
+    one.shut_down()
+    assert one.next_action(0) is SupervisorAction.STOP
 
 
 # The check of a day's orders
--- a/valverouter/fleet/client_requests.py
+++ b/valverouter/fleet/client_requests.py
@@ -14,10 +14,12 @@
 from valverouter.fleet.bounded_dict import BoundedDict
 from valverouter.fleet.incarnation import monotonic_ns
 from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
-from valverouter.rollout.orders import Book, Command, Place, Retire, Stop
-from valverouter.rollout.permits import Halt
-from valverouter.rollout.seat import Seat
-from valverouter.rollout.shown import shown
+from valverouter.rollout.control_plane_node import ControlPlaneNode
+from valverouter.rollout.disruption_permits import HaltDisruptions
+from valverouter.rollout.operation_log import OperationLog
+from valverouter.rollout.operation_planning import plan_operation
+from valverouter.rollout.operations import Cancel, Command, Retire, Submit
+from valverouter.rollout.status import fleet_status
 
 MAX_REMEMBERED_PROPOSALS = 1_024
 MAX_REMEMBERED_STATUSES = 16
@@ -30,7 +32,7 @@
 class ClientRequestHandler:
     """Answers requests from the node's state; responses may come later, through the `reply` callback."""
 
-    def __init__(self, node: Seat, reply: Reply) -> None:
+    def __init__(self, node: ControlPlaneNode, reply: Reply) -> None:
         """`reply` sends a response to an address."""
         self._node = node
         self._reply = reply
@@ -46,17 +48,21 @@
     def on_request(self, source: str, request: ClientRequest) -> None:
         """Handle a request from the address `source`; a retry of it has the same nonce."""
         node, command = self._node, request.command
-        if not node.leads:
-            self._reply(source, ClientResponse(request.nonce, node.name, False, node.leader))
-        elif request.kind == RequestKind.EXECUTE and isinstance(command, Place | Stop | Halt | Retire):
+        if not node.is_leader:
+            self._reply(source, ClientResponse(request.nonce, node.name, False, node.leader_id))
+        elif request.kind == RequestKind.EXECUTE and isinstance(
+            command, Submit | Cancel | HaltDisruptions | Retire
+        ):
             self._execute(source, request, command)
-        elif request.kind == RequestKind.PLAN and isinstance(command, Place):
+        elif request.kind == RequestKind.PLAN and isinstance(command, Submit):
             self._plan(source, request, command)
         elif request.kind == RequestKind.SHOW:
-            node.read(monotonic_ns(), lambda book: self._show(source, request, book))
+            node.read(monotonic_ns(), lambda log: self._show(source, request, log))
 
-    def _plan(self, source: str, request: ClientRequest, command: Place) -> None:
-        self._node.read(monotonic_ns(), lambda book: self._answer(source, request, book.plan(command)))
+    def _plan(self, source: str, request: ClientRequest, command: Submit) -> None:
+        self._node.read(
+            monotonic_ns(), lambda log: self._answer(source, request, plan_operation(log, command))
+        )
 
     def _execute(self, source: str, request: ClientRequest, command: Command) -> None:
         """Propose the command once per nonce, and answer retries once it is applied.
@@ -67,25 +73,25 @@
         index = self._proposals.get(request.nonce)
         if index is None:
             if self._node.propose(monotonic_ns(), command):
-                self._proposals[request.nonce] = self._node.councillor.last
-        elif self._node.applied >= index:
+                self._proposals[request.nonce] = self._node.raft.last_log_index
+        elif self._node.applied_index >= index:
             answer = self._result_of(command)
             if answer is not None:
                 self._node.read(monotonic_ns(), lambda book: self._answer(source, request, answer))
 
     def _result_of(self, command: Command) -> Any:
-        if isinstance(command, Place):
+        if isinstance(command, Submit):
             return self._node.answers.get(command.id)
         return DONE
 
-    def _show(self, source: str, request: ClientRequest, book: Book) -> None:
+    def _show(self, source: str, request: ClientRequest, book: OperationLog) -> None:
         """Answer every retry with the same bytes.
 
         A large fleet's status goes in many fragments; those that were lost could not be replaced by
         fragments of another status.
         """
         if request.nonce not in self._statuses:
-            status = shown(book, self._node, monotonic_ns(), request.operation)
+            status = fleet_status(book, self._node, monotonic_ns(), request.operation)
             self._statuses[request.nonce] = msgspec.msgpack.encode(status)
         self._answer(source, request, msgspec.Raw(self._statuses[request.nonce]))
 
--- a/valverouter/fleet/messages.py
+++ b/valverouter/fleet/messages.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.rollout.keeping import Report
-from valverouter.rollout.orders import Command, Want
-from valverouter.rollout.written import Sent
+from valverouter.rollout.operations import Command, DesiredState
+from valverouter.rollout.reports import SupervisorReport
+from valverouter.rollout.serialization import WireMessage
 
 NIL = msgspec.Raw(b"\xc0")
 
@@ -21,7 +21,7 @@
     """A raft message to the node named `recipient`."""
 
     recipient: str
-    message: Sent
+    message: WireMessage
 
 
 class NodeAnnouncement(Struct, frozen=True, array_like=True, tag="h"):
@@ -38,7 +38,7 @@
     there was none.
     """
 
-    report: Report
+    report: SupervisorReport
     incarnation: int = 0
     stamp: int = 0
 
@@ -54,7 +54,7 @@
     name: str
     incarnation: int
     stamp: int
-    desired: Want
+    desired: DesiredState
     is_open: bool
 
 
--- a/valverouter/fleet/operations_client.py
+++ b/valverouter/fleet/operations_client.py
@@ -11,7 +11,7 @@
 from valverouter.edge.surroundings import Datagrams
 from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
 from valverouter.fleet.transport import Transport
-from valverouter.rollout.orders import Command
+from valverouter.rollout.operations import Command
 from valverouter.terms.rollout import ToolTerms
 
 # Seconds to wait for the leader's reply before the request is sent again.
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -26,11 +26,11 @@
 from valverouter.fleet.orchestrator_config import orchestrator_config
 from valverouter.fleet.raft_membership import RaftMembershipReconciler
 from valverouter.fleet.transport import Transport
-from valverouter.ledger.councilstore import CouncilStore
-from valverouter.rollout.council import Durable, Entry, Members, SaveEntries
-from valverouter.rollout.seat import Seat, Word
-from valverouter.rollout.written import heard as from_wire
-from valverouter.rollout.written import sent as to_wire
+from valverouter.ledger.raft_store import RaftStore
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
+from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
+from valverouter.rollout.serialization import from_wire as from_wire
+from valverouter.rollout.serialization import to_wire as to_wire
 from valverouter.terms.rollout import SeatTerms
 
 # The longest sleep in seconds.
@@ -53,7 +53,7 @@
     """One node of the control plane, on a socket and a disk."""
 
     def __init__(
-        self, terms: SeatTerms, surroundings: Surroundings, store: CouncilStore, bootstrap: bool
+        self, terms: SeatTerms, surroundings: Surroundings, store: RaftStore, bootstrap: bool
     ) -> None:
         """Load the node's state from `store`.
 
@@ -71,7 +71,7 @@
         if bootstrap:
             _bootstrap(terms.name, durable, store)
         draw = IncarnationRandom(self._incarnation).draw
-        self.node = Seat(terms.name, durable, orchestrator_config(terms), draw, monotonic_ns())
+        self.node = ControlPlaneNode(terms.name, durable, orchestrator_config(terms), draw, monotonic_ns())
         # Replies that must not leave before what they rest on is on disk.
         self._replies: list[tuple[str, ControlMessage]] = []
         self._client_requests = ClientRequestHandler(self.node, self._reply)
@@ -104,7 +104,7 @@
 
     @property
     def _disk_id(self) -> int:
-        return self.node.councillor.durable.disk
+        return self.node.raft.persistent.disk_id
 
     def _receive_batch(self, transport: Transport) -> None:
         for _ in range(BATCH_SIZE):
@@ -118,7 +118,7 @@
         match message:
             case RaftEnvelope(recipient, content):
                 if recipient == self._terms.name:
-                    self.node.heard(monotonic_ns(), from_wire(content))
+                    self.node.on_message(monotonic_ns(), from_wire(content))
             case NodeAnnouncement(name, disk_id):
                 self._reconciler.on_announcement(name, disk_id)
             case ReportMessage():
@@ -129,16 +129,16 @@
     def _on_report(self, message: ReportMessage, source: str) -> None:
         is_answer = message.incarnation == self._incarnation
         made_after = message.stamp if is_answer else NO_STAMP
-        self.node.report(
+        self.node.on_report(
             monotonic_ns(),
             message.report,
             made_after,
             lambda desired: self._reply(source, self._desired_state_message(desired)),
         )
 
-    def _desired_state_message(self, reply: Word) -> DesiredStateMessage:
+    def _desired_state_message(self, reply: DesiredStateReply) -> DesiredStateMessage:
         return DesiredStateMessage(
-            self._terms.name, reply.name, self._incarnation, reply.stamp, reply.want, reply.is_open
+            self._terms.name, reply.instance, self._incarnation, reply.stamp, reply.desired, reply.is_open
         )
 
     def _reply(self, address: str, message: ControlMessage) -> None:
@@ -146,11 +146,11 @@
 
     def _flush(self, transport: Transport) -> None:
         """Write to disk first, then send."""
-        if self.node.saves:
-            self._store.commit(self.node.saves)
-            self.node.saves.clear()
-        outgoing = list(self.node.out)
-        self.node.out.clear()
+        if self.node.pending_saves:
+            self._store.commit(self.node.pending_saves)
+            self.node.pending_saves.clear()
+        outgoing = list(self.node.outgoing)
+        self.node.outgoing.clear()
         for name, message in outgoing:
             address = self._terms.council.get(name)
             if address is not None:
@@ -170,18 +170,18 @@
                 transport.send(address, announcement)
 
     def _log_changes(self) -> None:
-        if self.node.leads != self._was_leader:
-            self._was_leader = self.node.leads
+        if self.node.is_leader != self._was_leader:
+            self._was_leader = self.node.is_leader
             self._client_requests.on_leadership_changed()
             event = "raft-leadership-acquired" if self._was_leader else "raft-leadership-lost"
-            self._log.info(event, term=self.node.councillor.durable.term)
-        self._operation_events.log_changes(self.node.book.orders)
+            self._log.info(event, term=self.node.raft.persistent.current_term)
+        self._operation_events.log_changes(self.node.operation_log.operations)
 
 
-def _bootstrap(name: str, durable: Durable, store: CouncilStore) -> None:
+def _bootstrap(name: str, durable: PersistentState, store: RaftStore) -> None:
     """Write the first log entry of a new group, which names this node as its only member."""
-    if durable.entries or durable.snapshot or durable.term:
+    if durable.entries or durable.snapshot or durable.current_term:
         raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
-    save = SaveEntries(1, (Entry(1, Members(((name, durable.disk),))),))
+    save = SaveEntries(1, (LogEntry(1, Configuration(((name, durable.disk_id),))),))
     durable.apply(save)
     store.commit([save])
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -29,9 +29,11 @@
 from valverouter.fleet.managed_process import ManagedProcess
 from valverouter.fleet.messages import DesiredStateMessage
 from valverouter.fleet.transport import Transport
-from valverouter.ledger.keeperstore import KeeperStore
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
-from valverouter.rollout.limits import Sort
+from valverouter.ledger.supervisor_store import SupervisorStore
+from valverouter.rollout.disruption_limits import InstanceKind
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import SupervisorState
 from valverouter.signalling.serverlist import Leave, Returns
 from valverouter.terms.rollout import KeeperTerms
 
@@ -47,10 +49,14 @@
     """Supervises one instance."""
 
     def __init__(
-        self, terms: KeeperTerms, surroundings: Surroundings, store: KeeperStore, memory: Memory | None
+        self,
+        terms: KeeperTerms,
+        surroundings: Surroundings,
+        store: SupervisorStore,
+        memory: SupervisorState | None,
     ) -> None:
         """`memory` is what the store held at the start; None where it is new or was lost."""
-        self.supervisor = Keeping(_instance_info(terms), memory or Memory(terms.version))
+        self.supervisor = Supervisor(_instance_info(terms), memory or SupervisorState(terms.version))
         self._terms = terms
         self._surroundings = surroundings
         self._store = store
@@ -86,7 +92,7 @@
 
     def shut_down(self) -> None:
         """On the machine's request: stop the program, tell the control plane, and end `run`."""
-        self.supervisor.leave()
+        self.supervisor.shut_down()
 
     def _open_probe(self) -> InstanceProbe | None:
         address = self._terms.asks
@@ -105,7 +111,7 @@
                 self._update_counters(probe)
             self._act()
             link.report_if_due(self.supervisor.report)
-            if self.supervisor.leaving and not self.supervisor.runs:
+            if self.supervisor.is_leaving and not self.supervisor.is_running:
                 link.report(self.supervisor.report())
                 return
 
@@ -132,10 +138,10 @@
         counters = await probe.find_running() if probe is not None else None
         if counters is None:
             return
-        process = ManagedProcess.attach(counters.process)
-        state = self.supervisor.memory
+        process = ManagedProcess.attach(counters.pid)
+        state = self.supervisor.state
         state.process = process.identity if process is not None else ""
-        state.running = counters.label
+        state.running_version = counters.version_label
         if process is not None:
             process.close()
 
@@ -147,12 +153,12 @@
 
     def _on_desired_state(self, message: DesiredStateMessage) -> None:
         desired = message.desired
-        if self.supervisor.wanted(monotonic_ns(), desired, message.is_open):
+        if self.supervisor.on_desired_state(monotonic_ns(), desired, message.is_open):
             self._log.info(
                 "step-started",
-                number=desired.number,
-                step=desired.step,
-                order=desired.order,
+                number=desired.permit_number,
+                step=desired.step_index,
+                order=desired.operation,
                 version=desired.version,
                 up=desired.up,
             )
@@ -160,75 +166,79 @@
     def _update_counters(self, probe: InstanceProbe) -> None:
         for counters in probe.receive():
             memory = self._process.resident_bytes if self._process is not None else 0
-            self.supervisor.told(msgspec.structs.replace(counters, memory=memory))
-        if probe.is_timed_out and self.supervisor.counts.life:
-            self.supervisor.counts = Counts()
-        if self.supervisor.runs:
+            self.supervisor.on_counters(msgspec.structs.replace(counters, memory_bytes=memory))
+        if probe.is_timed_out and self.supervisor.counters.incarnation:
+            self.supervisor.counters = InstanceCounters()
+        if self.supervisor.is_running:
             probe.query_if_due()
 
     # Actions
 
     def _act(self) -> None:
-        while (action := self.supervisor.act(monotonic_ns())) is not None:
+        while (action := self.supervisor.next_action(monotonic_ns())) is not None:
             self._carry_out(action)
         self._log_outcome()
 
-    def _carry_out(self, action: Do) -> None:
+    def _carry_out(self, action: SupervisorAction) -> None:
         match action:
-            case Do.SAVE:
+            case SupervisorAction.SAVE:
                 # Not in a thread: a step that is not on disk must not begin, and nothing else waits here.
-                self._store.save(self.supervisor.memory)
-                self.supervisor.saved()
-            case Do.STOP:
+                self._store.save(self.supervisor.state)
+                self.supervisor.on_saved()
+            case SupervisorAction.STOP:
                 self._stop_process()
-            case Do.LEAVE:
+            case SupervisorAction.LEAVE_LIST:
                 self._start_task(self._leave_list, self._permit_number())
-            case Do.RETURN:
+            case SupervisorAction.REJOIN_LIST:
                 self._start_task(self._return_to_list, self._permit_number())
-            case Do.START:
+            case SupervisorAction.START:
                 self._start_process()
 
     def _permit_number(self) -> int:
-        steps = self.supervisor.memory.turns
-        return steps[-1].number if steps else 0
+        steps = self.supervisor.state.steps
+        return steps[-1].permit_number if steps else 0
 
     def _log_outcome(self) -> None:
         """Log the outcome of the latest step once."""
-        steps = self.supervisor.memory.turns
+        steps = self.supervisor.state.steps
         if not steps or not steps[-1].outcome:
             return
         step = steps[-1]
-        outcome = step.number, step.step, step.outcome
+        outcome = step.permit_number, step.index, step.outcome
         if outcome != self._logged_outcome:
             self._logged_outcome = outcome
             self._log.info(
-                "step-ended", number=step.number, step=step.step, outcome=step.outcome, why=step.why
+                "step-ended",
+                number=step.permit_number,
+                step=step.index,
+                outcome=step.outcome,
+                why=step.reason,
             )
 
     # The process
 
     def _resume_process(self) -> None:
         """Take over the process that a previous incarnation left running."""
-        state = self.supervisor.memory
+        state = self.supervisor.state
         process = ManagedProcess.reattach(state.process)
         if process is not None:
             self._process = process
-            self.supervisor.resumes(True)
-            self._log.info("process-adopted", version=state.running, process=process.pid)
+            self.supervisor.resume(True)
+            self._log.info("process-adopted", version=state.running_version, process=process.pid)
             self._start_task(self._await_exit, process)
 
     def _start_process(self) -> None:
-        version = self.supervisor.memory.version
+        version = self.supervisor.state.version
         try:
             child = self._spawn(version)
             self._children[child.pid] = child
             process = ManagedProcess(child.pid)
         except OSError as error:
             self._log.error("process-start-failed", version=version, why=str(error))
-            self.supervisor.could_not_start(monotonic_ns())
+            self.supervisor.on_start_failed(monotonic_ns())
             return
         self._process = process
-        self.supervisor.started(monotonic_ns(), version, process.identity)
+        self.supervisor.on_started(monotonic_ns(), version, process.identity)
         self._log.info("process-started", version=version, process=process.pid)
         self._start_task(self._await_exit, process)
 
@@ -250,10 +260,10 @@
         process.close()
         if self._process is process:
             self._process = None
-            self.supervisor.ended(monotonic_ns())
+            self.supervisor.on_exited(monotonic_ns())
 
     def _stop_process(self) -> None:
-        self.supervisor.asked_to_stop()
+        self.supervisor.on_stop_requested()
         process = self._process
         if process is not None:
             process.signal(signal.SIGTERM)
@@ -274,7 +284,7 @@
         self._log_list_answer(True, number, answer.given, answer.why)
         if answer.given:
             await trio.sleep(self._terms.drain_within / NS_PER_S)
-        self.supervisor.left_list(answer.given, answer.why)
+        self.supervisor.on_list_answer(answer.given, answer.why)
 
     async def _return_to_list(self, number: int) -> None:
         answer = await self._list_client.request_until_answered(Returns(self._terms.name, number))
@@ -300,10 +310,10 @@
     )
 
 
-def _instance_info(terms: KeeperTerms) -> Facts:
-    return Facts(
+def _instance_info(terms: KeeperTerms) -> InstanceInfo:
+    return InstanceInfo(
         terms.name,
-        Sort.SERVER if terms.is_server else Sort.EDGE,
+        InstanceKind.SERVER if terms.is_server else InstanceKind.EDGE,
         terms.region,
         terms.capacity,
         terms.processor,
