--- a/valverouter/ledger/dialog_store.py
+++ b/valverouter/ledger/dialog_store.py
@@ -22,11 +22,10 @@
 import msgspec
 
 from valverouter.ledger.storage import (
+    LockedEnvironment,
     StoreError,
     StoreLockedError,
-    acquire_lock,
     bytes_in_use,
-    extend_truncated_file,
     verified_body,
     with_checksum,
 )
@@ -76,19 +75,18 @@
         `max_bytes`: what entries may take. StoreLockedError, or StoreError where it can't be read.
         """
         self.path = path
-        self._lock = acquire_lock(path)
         syncs = sync == SYNC_EACH_COMMIT
+        self._environment = LockedEnvironment(
+            path, map_size=MAP_SIZE_FACTOR * max_bytes, max_dbs=3, sync=syncs, metasync=syncs
+        )
+        self._env = self._environment.lmdb
         try:
-            self._env = lmdb.open(
-                str(path), map_size=MAP_SIZE_FACTOR * max_bytes, max_dbs=3, sync=syncs, metasync=syncs
-            )
-            extend_truncated_file(path, self._env)
             self._meta = self._env.open_db(b"meta")
             self._dialogs = self._env.open_db(DIALOGS.encode())
             self._servers = self._env.open_db(SERVERS.encode())
             self._check_format()
         except lmdb.Error as error:
-            self._lock.close()
+            self.close()
             raise StoreError(f"{path}: {error}") from error
         except StoreError:
             self.close()
@@ -111,8 +109,7 @@
 
     def close(self) -> None:
         """Releases the store. Changes that were not committed are lost."""
-        self._env.close()
-        self._lock.close()
+        self._environment.close()
 
     def verify(self) -> None:
         """Walks every page once; StoreError where pages of the store are damaged.
--- a/valverouter/ledger/storage.py
+++ b/valverouter/ledger/storage.py
@@ -11,6 +11,8 @@
 from pathlib import Path
 from typing import Any, BinaryIO, Final, Generic, Protocol, TypeVar
 
+import lmdb
+
 LOCK_FILE: Final = "owner"
 DATA_FILE: Final = "data.mdb"
 # CRC-32, big-endian, before the body of each value.
@@ -40,6 +42,28 @@
     return lock
 
 
+class LockedEnvironment:
+    """An lmdb environment in a folder that this process holds until it is closed."""
+
+    def __init__(self, path: Path, **options: Any) -> None:
+        """Opens the folder, made where there is none, with `options` of lmdb.
+
+        StoreLockedError where another process holds it, StoreError where lmdb can't open it.
+        """
+        self._lock = acquire_lock(path)
+        try:
+            self.lmdb = lmdb.open(str(path), **options)
+            extend_truncated_file(path, self.lmdb)
+        except lmdb.Error as error:
+            self._lock.close()
+            raise StoreError(f"{path}: {error}") from error
+
+    def close(self) -> None:
+        """Closes the environment and lets other processes open it."""
+        self.lmdb.close()
+        self._lock.close()
+
+
 class Closable(Protocol):
     """A store, as far as opening it needs to know."""
 
