--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -594,7 +594,7 @@
                 yield f"{module.__name__.removeprefix('valverouter.')}.{name}", kind
 
 
-# Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
+# Said, OfLeg: bases only. _Kind: decoded alone. AppendEntries, InstallSnapshot: sent by their wire forms.
 NEVER_WRITTEN = (
     messages.FleetMessage,
     setup.OfLeg,
