--- a/valverouter/ledger/raft_store.py
+++ b/valverouter/ledger/raft_store.py
@@ -15,13 +15,7 @@
 import lmdb
 import msgspec
 
-from valverouter.ledger.storage import (
-    StoreError,
-    acquire_lock,
-    extend_truncated_file,
-    verified_body,
-    with_checksum,
-)
+from valverouter.ledger.storage import LockedEnvironment, StoreError, verified_body, with_checksum
 from valverouter.rollout.raft_log import (
     LogEntry,
     PersistentState,
@@ -57,15 +51,14 @@
     def __init__(self, path: Path, new_disk_id: int) -> None:
         """Opens the store at `path`; an empty one gets `new_disk_id`."""
         self.path = path
-        self._lock = acquire_lock(path)
+        self._environment = LockedEnvironment(path, map_size=MAP_SIZE, max_dbs=2, sync=True, metasync=True)
+        self._env = self._environment.lmdb
         try:
-            self._env = lmdb.open(str(path), map_size=MAP_SIZE, max_dbs=2, sync=True, metasync=True)
-            extend_truncated_file(path, self._env)
             self._metadata_db = self._env.open_db(b"meta")
             self._log_db = self._env.open_db(b"record")
             self._initialize(new_disk_id)
         except lmdb.Error as error:
-            self._lock.close()
+            self.close()
             raise StoreError(f"{path}: {error}") from error
         except StoreError:
             self.close()
@@ -73,8 +66,7 @@
 
     def close(self) -> None:
         """Closes the store and lets other processes open it."""
-        self._env.close()
-        self._lock.close()
+        self._environment.close()
 
     def load(self) -> PersistentState:
         """All that is stored, with every checksum verified."""
--- a/valverouter/ledger/supervisor_store.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -12,9 +12,8 @@
 import msgspec
 
 from valverouter.ledger.storage import (
+    LockedEnvironment,
     StoreError,
-    acquire_lock,
-    extend_truncated_file,
     open_or_set_aside,
     verified_body,
     with_checksum,
@@ -37,18 +36,12 @@
     def __init__(self, path: Path) -> None:
         """Opens the store at `path`, which is made where it does not exist."""
         self.path = path
-        self._lock = acquire_lock(path)
-        try:
-            self._env = lmdb.open(str(path), map_size=MAP_SIZE, sync=True, metasync=True)
-            extend_truncated_file(path, self._env)
-        except lmdb.Error as error:
-            self._lock.close()
-            raise StoreError(f"{path}: {error}") from error
+        self._environment = LockedEnvironment(path, map_size=MAP_SIZE, sync=True, metasync=True)
+        self._env = self._environment.lmdb
 
     def close(self) -> None:
         """Closes the store, for another process to open."""
-        self._env.close()
-        self._lock.close()
+        self._environment.close()
 
     def load(self) -> SupervisorState | None:
         """The state that was saved last; None where none was."""
