--- a/tests/test_membership_config.py
+++ b/tests/test_membership_config.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from tests.membership_rig import BETWEEN, DAY, EDGE, KEY, SECOND, key_file
+from tests.membership_service_rig import BETWEEN, DAY, EDGE, KEY, SECOND, key_file
 from valverouter.terms.between import KEY_LEAST
 from valverouter.terms.day import day
 from valverouter.terms.edge import edge_terms
--- a/tests/test_view_audit.py
+++ b/tests/test_view_audit.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.membership_rig import SECOND
+from tests.membership_service_rig import SECOND
 from valverouter.audit.views import judge_views
 from valverouter.signalling import tap
 from valverouter.signalling.tap import Fault, Found, Ran, Settles, Viewed
