--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -28,7 +28,7 @@
 import msgspec
 from click.testing import CliRunner
 
-from valverouter.cli import crossings, fleeting, ledgers
+from valverouter.cli import crossings, fleet_view, fleet_view_output, ledgers
 from valverouter.edge import listing
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
@@ -741,12 +741,12 @@
 
 def print_view(file: Path) -> None:
     with file.open("w") as out, redirect_stdout(out):
-        fleeting._json(heard())
+        fleet_view_output.print_json(heard(), fleet_view._exit_code(heard()) == 0)
 
 
 def print_view_metrics(file: Path) -> None:
     with file.open("w") as out, redirect_stdout(out):
-        fleeting._metrics(heard())
+        fleet_view_output.print_metrics(heard())
 
 
 def print_regions(file: Path) -> None:
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -225,11 +225,11 @@
     assert done.exit_code == 3
 
 
-@pytest.mark.parametrize("what", ["council", "keeper"])
+@pytest.mark.parametrize("what", ["raft-server", "council", "supervisor", "keeper"])
 def test_an_address_in_use_ends_the_start_with_3(tmp_path: Path, what: str) -> None:
     taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     taken.bind(("127.0.0.1", 0))
-    text = SEAT if what == "council" else KEEPER
+    text = SEAT if what in ("raft-server", "council") else KEEPER
     listen = text[text.index("listen") :].splitlines()[0]
     file = written(tmp_path, text.replace(listen, f"listen = 127.0.0.1:{taken.getsockname()[1]}"))
     done = subprocess.run(
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -24,7 +24,7 @@
     "day": "playing:play",
     "edge": "edging:edge",
     "experiment": "experimenting:experiment",
-    "fleet": "fleeting:fleet",
+    "fleet": "fleet:fleet",
     "ledger": "ledgers:ledger",
     "load": "playing:load",
     "regions": "crossings:regions",
--- /dev/null
+++ b/valverouter/cli/fleet.py
@@ -0,0 +1,57 @@
+"""`valverouter fleet ...`: the fleet as its instances see it, its processes, and operations on it."""
+
+from __future__ import annotations
+
+import copy
+import sys
+from pathlib import Path
+
+import click
+
+from valverouter.cli.common import BROKEN, FILE, console
+from valverouter.cli.fleet_processes import raft_server, supervisor
+from valverouter.cli.fleet_view import view
+from valverouter.cli.ordering import COMMANDS
+from valverouter.days.emulated_views import run_views
+from valverouter.terms.day import load_day
+
+NS_PER_S = 1e9
+
+
+@click.group()
+def fleet() -> None:
+    """The fleet as its instances see it."""
+
+
+@fleet.command("emulate")
+@click.argument("file", type=FILE)
+@click.option("--members", default=0, help="How many; 0: the day's own edge proxies.")
+def emulate(file: Path, members: int) -> None:
+    """Play the faults between edge proxies of the day in FILE on the emulator, the view alone.
+
+    Exits with 1 where the views did not become one in the time that the file allows.
+    """
+    result = run_views(load_day(file), members)
+    counts = ", ".join(f"{kind} {count}" for kind, count in sorted(result.found.items()))
+    console.print(f"{result.members} members; {counts}", highlight=False)
+    console.print(f"{result.messages:.1f} messages a second each", highlight=False)
+    allowed = result.allowed / NS_PER_S
+    if result.settled_after is None:
+        console.print(f"not one view {allowed:.1f} s after the last fault", highlight=False)
+        sys.exit(BROKEN)
+    after = result.settled_after / NS_PER_S
+    console.print(f"one view {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
+
+
+def _hidden_alias(command: click.Command, former_name: str) -> click.Command:
+    """The same command under its former name, which the help does not list."""
+    alias = copy.copy(command)
+    alias.name = former_name
+    alias.hidden = True
+    return alias
+
+
+for command in (view, raft_server, supervisor, *COMMANDS):
+    fleet.add_command(command)
+fleet.add_command(_hidden_alias(raft_server, "council"))
+fleet.add_command(_hidden_alias(supervisor, "keeper"))
--- /dev/null
+++ b/valverouter/cli/fleet_processes.py
@@ -0,0 +1,107 @@
+"""`valverouter fleet raft-server` and `fleet supervisor`: the processes beside the edge proxies."""
+
+from __future__ import annotations
+
+import secrets
+import signal
+import sys
+from collections.abc import Callable
+from pathlib import Path
+
+import click
+import structlog
+import trio
+
+from valverouter.cli.common import FAILED, FILE, leaf
+from valverouter.edge import logs
+from valverouter.edge.surroundings import Sockets
+from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
+from valverouter.fleet.supervisor_service import SupervisorService
+from valverouter.ledger.councilstore import CouncilStore
+from valverouter.ledger.keeperstore import opened
+from valverouter.ledger.storage import StoreError, open_or_set_aside
+from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
+
+log = structlog.get_logger()
+
+
+@click.command("raft-server")
+@click.argument("file", type=FILE)
+@click.option(
+    "--bootstrap",
+    "--found",
+    "bootstrap",
+    is_flag=True,
+    help="The first node of a new raft group; once, at one node.",
+)
+def raft_server(file: Path, bootstrap: bool) -> None:
+    """Run a node of the control plane by the settings in FILE until SIGTERM or SIGINT.
+
+    A node whose store is empty waits to be admitted by the others. Logs go to standard error.
+    """
+    terms = load_seat(file)
+    logs.set_up(terms.log)
+    try:
+        store = _open_store(terms)
+        try:
+            trio.run(_run_raft_server, terms, store, bootstrap)
+        finally:
+            store.close()
+    except* (OSError, StoreError, AlreadyBootstrappedError) as group:
+        log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
+        sys.exit(FAILED)
+
+
+def _open_store(terms: SeatTerms) -> CouncilStore:
+    """Open the store; one that can't be read whole is set aside, and the node is another member then."""
+    fresh = secrets.randbits(63)
+    opened = open_or_set_aside(terms.store, lambda: CouncilStore(terms.store, fresh), CouncilStore.load)
+    if opened.problem:
+        log.error("raft-store-set-aside", why=opened.problem, to=str(opened.set_aside_to))
+    return opened.store
+
+
+async def _run_raft_server(terms: SeatTerms, store: CouncilStore, bootstrap: bool) -> None:
+    server = RaftServer(terms, Sockets(), store, bootstrap)
+    async with trio.open_nursery() as nursery:
+        await nursery.start(server.run)
+        await _on_stop_signals(nursery.cancel_scope.cancel)
+
+
+@click.command("supervisor")
+@click.argument("file", type=FILE)
+def supervisor(file: Path) -> None:
+    """Supervise one instance by the settings in FILE until SIGTERM or SIGINT.
+
+    Asked to end, it stops its instance first, and reports that to the control plane, which counts the
+    instance as out without a permit. Killed, it leaves its instance running, and adopts it when it is started
+    again.
+    """
+    terms = load_keeper(file)
+    logs.set_up(terms.log)
+    try:
+        store, memory, aside = opened(terms.store)
+        if aside:
+            log.error("supervisor-state-set-aside", why=aside)
+        try:
+            service = SupervisorService(terms, Sockets(), store, memory)
+            trio.run(_run_supervisor, service)
+        finally:
+            store.close()
+    except* (OSError, StoreError) as group:
+        log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
+        sys.exit(FAILED)
+
+
+async def _run_supervisor(service: SupervisorService) -> None:
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(_on_stop_signals, service.shut_down)
+        await service.run()
+        nursery.cancel_scope.cancel()
+
+
+async def _on_stop_signals(callback: Callable[[], None]) -> None:
+    """Call back at each signal: a second one that met no handler would end the process at once."""
+    with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
+        async for _ in signals:
+            callback()
--- /dev/null
+++ b/valverouter/cli/fleet_view.py
@@ -0,0 +1,99 @@
+"""`valverouter fleet view`: instances are queried for their views, which are compared and shown."""
+
+from __future__ import annotations
+
+import random
+import secrets
+import sys
+import time
+from pathlib import Path
+
+import click
+import trio
+
+from valverouter.cli.common import BROKEN, FILE, UNUSABLE, console
+from valverouter.cli.fleet_view_output import by_incarnation, print_json, print_metrics, print_tables
+from valverouter.edge.surroundings import Sockets
+from valverouter.fleet.client import FleetClient
+from valverouter.fleet.view_comparison import ViewAnswer, is_converged
+from valverouter.membership.records import LIVE_STATES
+from valverouter.terms.between import Between
+from valverouter.terms.edge import load_edge_terms
+
+# Exit codes beside 0.
+NOT_CONVERGED, NO_ANSWER = BROKEN, UNUSABLE
+# Instances that one call queries at most, however large the fleet.
+MAX_QUERIED = 64
+WATCH_INTERVAL_S = 1.0
+
+
+@click.command("view")
+@click.argument("file", type=FILE)
+@click.option("--at", "at", multiple=True, metavar="IP:PORT", help="Ask there, and nobody else; several.")
+@click.option("--json", "as_json", is_flag=True, help="All answers as JSON.")
+@click.option("--metrics", is_flag=True, help="Counts and states in Prometheus' text form.")
+@click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
+@click.option("--most", default=MAX_QUERIED, show_default=True, help="How many instances are asked.")
+def view(file: Path, at: tuple[str, ...], as_json: bool, metrics: bool, watch: bool, most: int) -> None:
+    """Ask instances for their view of the fleet and show where they differ.
+
+    FILE is the terms of any instance: its key and its seeds are used. Asked are those, and whom they name.
+    Exits with 0 where all that were asked are settled on one view, 1 where not, 2 where nobody answered.
+    """
+    between = load_edge_terms(file).between
+    if between is None:
+        raise ValueError(f"{file}: has no [between], so its instance keeps no view")
+    while True:
+        answers = trio.run(_query, between, at, most)
+        code = _exit_code(answers)
+        if watch and console.is_terminal:
+            console.clear()
+        _print(answers, code == 0, as_json, metrics)
+        if not watch:
+            sys.exit(code)
+        time.sleep(WATCH_INTERVAL_S)
+
+
+def _print(answers: list[ViewAnswer], converged: bool, as_json: bool, metrics: bool) -> None:
+    if metrics:
+        print_metrics(answers)
+    elif as_json:
+        print_json(answers, converged)
+    else:
+        print_tables(answers, converged)
+
+
+async def _query(between: Between, at: tuple[str, ...], max_queried: int) -> list[ViewAnswer]:
+    """Query the addresses given, else the file's instance, its seeds and then the members that they name."""
+    addresses = list(at) or [
+        address
+        for address in (between.advertise or between.listen, *between.seeds)
+        if not address.endswith(":0")
+    ]
+    host = addresses[0].rpartition(":")[0] if addresses else "127.0.0.1"
+    socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
+    try:
+        client = FleetClient(between.keys, socket, random.Random(secrets.randbits(64)))
+        answers = await client.query_views(addresses[:max_queried])
+        if at:
+            return answers
+        named = _members_not_queried(answers)
+        return answers + await client.query_views(named[: max(0, max_queried - len(answers))])
+    finally:
+        socket.close()
+
+
+def _members_not_queried(answers: list[ViewAnswer]) -> list[str]:
+    queried = {answer.address for answer in answers}
+    named = [row.address for answer in answers for row in answer.rows if row.state in LIVE_STATES]
+    return [address for address in dict.fromkeys(named) if address not in queried]
+
+
+def _exit_code(answers: list[ViewAnswer]) -> int:
+    complete = by_incarnation(answers)
+    if not complete:
+        return NO_ANSWER
+    # A seed that is no member's address any more answers nothing, and says nothing of those who are live.
+    silent = {answer.address for answer in answers if answer.missing_page is not None}
+    live = {row.address for answer in complete.values() for row in answer.rows if row.state in LIVE_STATES}
+    return 0 if is_converged(list(complete.values())) and not silent & live else NOT_CONVERGED
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -224,7 +224,7 @@
 
     def start(self, name: str, *more: str) -> None:
         """A seat or a keeper; its log goes on in its file."""
-        what = "council" if name in SEATS else "keeper"
+        what = "raft-server" if name in SEATS else "supervisor"
         command = [*CLI, "fleet", what, str(self.folder / f"{name}.ini"), *more]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
@@ -234,7 +234,7 @@
     async def begin(self) -> None:
         """The council is founded, keepers start their edge proxies; returns once all are in."""
         for name in SEATS:
-            self.start(name, *(["--found"] if name == SEATS[0] else []))
+            self.start(name, *(["--bootstrap"] if name == SEATS[0] else []))
         for name in (*self.servers, *self.edges):
             self.start(keeper_of(name))
         with trio.fail_after(START_WITHIN_S):
