--- a/valverouter/fleet/raft_membership.py
+++ b/valverouter/fleet/raft_membership.py
@@ -23,7 +23,7 @@
         self._announced: dict[str, int] = {}
 
     def on_announcement(self, name: str, disk_id: int) -> None:
-        """MemberRecord which disk a node runs on."""
+        """Record which disk a node runs on."""
         if name in self._configured:
             self._announced[name] = disk_id
 
--- a/valverouter/fleet/replay_window.py
+++ b/valverouter/fleet/replay_window.py
@@ -18,7 +18,7 @@
         self._windows: BoundedDict[int, tuple[int, int]] = BoundedDict(MAX_INCARNATIONS)
 
     def accept(self, incarnation: int, counter: int) -> bool:
-        """MemberRecord the counter; False for one that was seen before or lies behind the window."""
+        """Record the counter; False for one that was seen before or lies behind the window."""
         window = self._windows.pop(incarnation, None)
         if window is None:
             self._windows[incarnation] = counter, 1
