--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -15,11 +15,11 @@
 import pytest
 
 from tests import stored_values
-from valverouter.ledger.councilstore import CouncilStore
 from valverouter.ledger.dialog_store import DialogStore
-from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.ledger.raft_store import RaftStore
+from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.recovery import lifecycle
-from valverouter.rollout.council import Durable
+from valverouter.rollout.raft_log import PersistentState
 from valverouter.signalling import tap
 from valverouter.terms.calls import read_calls
 from valverouter.terms.ini import IniFile
@@ -59,14 +59,14 @@
 
 
 def test_a_councils_store_of_before_gives_its_record_back(tmp_path: Path) -> None:
-    with closing(CouncilStore(copied_store("council", tmp_path), 1)) as store:
-        assert store.load() == Durable(
+    with closing(RaftStore(copied_store("council", tmp_path), 1)) as store:
+        assert store.load() == PersistentState(
             997, 1009, "c2", stored_values.snapshot(), list(stored_values.entries())
         )
 
 
 def test_a_keepers_store_of_before_gives_its_memory_back(tmp_path: Path) -> None:
-    with closing(KeeperStore(copied_store("keeper", tmp_path))) as store:
+    with closing(SupervisorStore(copied_store("keeper", tmp_path))) as store:
         assert store.load() == stored_values.MEMORY
 
 
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -17,9 +17,9 @@
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
 from valverouter.fleet.supervisor_service import SupervisorService
-from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.keeperstore import opened
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.storage import StoreError, open_or_set_aside
+from valverouter.ledger.supervisor_store import open_supervisor_store
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
 log = structlog.get_logger()
@@ -52,16 +52,16 @@
         sys.exit(FAILED)
 
 
-def _open_store(terms: SeatTerms) -> CouncilStore:
+def _open_store(terms: SeatTerms) -> RaftStore:
     """Open the store; one that can't be read whole is set aside, and the node is another member then."""
     fresh = secrets.randbits(63)
-    opened = open_or_set_aside(terms.store, lambda: CouncilStore(terms.store, fresh), CouncilStore.load)
+    opened = open_or_set_aside(terms.store, lambda: RaftStore(terms.store, fresh), RaftStore.load)
     if opened.problem:
         log.error("raft-store-set-aside", why=opened.problem, to=str(opened.set_aside_to))
     return opened.store
 
 
-async def _run_raft_server(terms: SeatTerms, store: CouncilStore, bootstrap: bool) -> None:
+async def _run_raft_server(terms: SeatTerms, store: RaftStore, bootstrap: bool) -> None:
     server = RaftServer(terms, Sockets(), store, bootstrap)
     async with trio.open_nursery() as nursery:
         await nursery.start(server.run)
@@ -80,11 +80,11 @@
     terms = load_keeper(file)
     logs.set_up(terms.log)
     try:
-        store, memory, aside = opened(terms.store)
-        if aside:
-            log.error("supervisor-state-set-aside", why=aside)
+        store, state, set_aside = open_supervisor_store(terms.store)
+        if set_aside:
+            log.error("supervisor-state-set-aside", why=set_aside)
         try:
-            service = SupervisorService(terms, Sockets(), store, memory)
+            service = SupervisorService(terms, Sockets(), store, state)
             trio.run(_run_supervisor, service)
         finally:
             store.close()
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -21,7 +21,7 @@
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.instance_status import VERSION_VARIABLE
 from valverouter.fleet.queries import CountersQuery, CountersReply
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import key_of
 
 
@@ -42,7 +42,9 @@
                 if isinstance(message, CountersQuery):
                     label = os.environ.get(VERSION_VARIABLE, "")
                     ready = state == b"warm"
-                    counts = Counts(life, serving=True, ready=ready, label=label, process=os.getpid())
+                    counts = InstanceCounters(
+                        life, serving=True, ready=ready, version_label=label, pid=os.getpid()
+                    )
                     socket.send(seal.sign(CountersReply(name, life, 0, message.nonce, counts)), came[1])
 
     async def hears() -> None:
--- a/valverouter/fleet/control_plane_link.py
+++ b/valverouter/fleet/control_plane_link.py
@@ -8,7 +8,7 @@
 
 from valverouter.fleet.messages import DesiredStateMessage, ReportMessage
 from valverouter.fleet.transport import Transport
-from valverouter.rollout.keeping import Report
+from valverouter.rollout.reports import SupervisorReport
 
 REPORT_INTERVAL_S = 0.5
 
@@ -47,12 +47,12 @@
         self.has_received = True
         return True
 
-    def report_if_due(self, make_report: Callable[[], Report]) -> None:
+    def report_if_due(self, make_report: Callable[[], SupervisorReport]) -> None:
         """Report, once per REPORT_INTERVAL_S at most."""
         if trio.current_time() - self._reported_at >= REPORT_INTERVAL_S:
             self.report(make_report())
 
-    def report(self, report: Report) -> None:
+    def report(self, report: SupervisorReport) -> None:
         """Send the report to every raft server: any of them may be the leader."""
         self._reported_at = trio.current_time()
         for name, address in self._servers.items():
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -22,7 +22,7 @@
     DatagramReader,
     MessageTooLongError,
 )
-from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
+from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
 from valverouter.fleet.transport import DropLogger
 from valverouter.fleet.view_pages import view_page
@@ -31,7 +31,8 @@
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.membership import Membership
 from valverouter.membership.records import MemberRecord, Phase
-from valverouter.rollout.keeping import Counts
+from valverouter.randomness import CounterRandom
+from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
 
@@ -67,7 +68,7 @@
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
         on_event: Callable[[MembershipEvent], None] = _ignore_event,
-        counters: Callable[[], Counts] = Counts,
+        counters: Callable[[], InstanceCounters] = InstanceCounters,
     ) -> None:
         """Prepare the service; `run` opens the socket.
 
@@ -127,7 +128,7 @@
             phase=phase,
         )
         config = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
-        draw = IncarnationRandom(self._incarnation).draw
+        draw = CounterRandom(self._incarnation).draw
         return Membership(own_record, config, draw, monotonic_ns(), between.seeds)
 
     async def _serve(self, socket: Datagrams, membership: Membership) -> None:
@@ -197,7 +198,7 @@
         self, socket: Datagrams, membership: Membership, query: CountersQuery, source: str
     ) -> None:
         counters = msgspec.structs.replace(
-            self._counters(), life=self._incarnation, trust=membership.view_health.value
+            self._counters(), incarnation=self._incarnation, view_health=membership.view_health.value
         )
         own_record = membership.own_record
         sender = own_record.name, own_record.incarnation, membership.view.digest
--- a/valverouter/fleet/operation_events.py
+++ b/valverouter/fleet/operation_events.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from valverouter.rollout.orders import Order
+from valverouter.rollout.operations import Operation
 
 
 class OperationEventLogger:
@@ -15,25 +15,25 @@
         self._log = logger
         self._logged: dict[str, tuple[str, int, str, str]] = {}
 
-    def log_changes(self, operations: dict[str, Order]) -> None:
+    def log_changes(self, operations: dict[str, Operation]) -> None:
         """Compare the operations, by id, with those of the last call."""
         for removed in self._logged.keys() - operations.keys():
             del self._logged[removed]
         for operation in operations.values():
-            progress = operation.phase.value, operation.wave, operation.result, operation.why
+            progress = operation.phase.value, operation.wave_index, operation.result, operation.halt_reason
             if self._logged.get(operation.id) != progress:
                 self._logged[operation.id] = progress
                 self._log_progress(operation)
 
-    def _log_progress(self, operation: Order) -> None:
-        level = self._log.warning if operation.why else self._log.info
+    def _log_progress(self, operation: Operation) -> None:
+        level = self._log.warning if operation.halt_reason else self._log.info
         level(
             "operation-changed",
             order=operation.id,
             kind=operation.kind.value,
             phase=operation.phase.value,
-            wave=operation.wave,
+            wave=operation.wave_index,
             result=operation.result,
-            why=operation.why,
-            **{f"members_{step.replace(' ', '_')}": count for step, count in operation.counts.items()},
+            why=operation.halt_reason,
+            **{f"members_{step.replace(' ', '_')}": count for step, count in operation.status_counts.items()},
         )
