--- a/tests/test_orders_processes.py
+++ b/tests/test_operation_processes.py
@@ -2,7 +2,7 @@
 
 One course runs with the others; the hard cases one by one take minutes and run by
 
-    python -m pytest -n 1 -m processes tests/test_orders_processes.py
+    python -m pytest -n 1 -m processes tests/test_operation_processes.py
 """
 
 from __future__ import annotations
