--- a/tests/test_fleet_transport.py
+++ b/tests/test_fragmentation.py
@@ -1,4 +1,4 @@
-"""Control messages over datagrams: fragmentation, reassembly, authentication."""
+"""Messages of the control plane in fragments, and who is heard by them."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 from valverouter.fleet.queries import CountersQuery
 from valverouter.fleet.transport import Transport
 
+SECOND = 10**9
 KEY = (b"k" * 32,)
 
 
@@ -102,6 +103,6 @@
     assert reader.dropped["replay"] == 1
 
 
-def test_a_client_request_is_decoded_as_it_was_encoded() -> None:
-    request = ClientRequest(3, RequestKind.SHOW)
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=ControlMessage) == request
+def test_a_client_request_is_read_as_it_was_written() -> None:
+    asks = ClientRequest(3, RequestKind.SHOW)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(asks), type=ControlMessage) == asks
