--- a/valverouter/fleet/client_requests.py
+++ b/valverouter/fleet/client_requests.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from valverouter.fleet.bounded_dict import BoundedDict
-from valverouter.fleet.incarnation import monotonic_ns
+from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
 from valverouter.rollout.control_plane_node import ControlPlaneNode
 from valverouter.rollout.disruption_permits import HaltDisruptions
@@ -23,6 +23,8 @@
 
 MAX_REMEMBERED_PROPOSALS = 1_024
 MAX_REMEMBERED_STATUSES = 16
+# The commands that clients may have executed; the others are the orchestrator's.
+CLIENT_COMMANDS = (Submit, Cancel, HaltDisruptions, Retire)
 # The answer to a command that yields nothing of its own.
 DONE = {"done": True}
 
@@ -50,9 +52,7 @@
         node, command = self._node, request.command
         if not node.is_leader:
             self._reply(source, ClientResponse(request.nonce, node.name, False, node.leader_id))
-        elif request.kind == RequestKind.EXECUTE and isinstance(
-            command, Submit | Cancel | HaltDisruptions | Retire
-        ):
+        elif request.kind == RequestKind.EXECUTE and isinstance(command, CLIENT_COMMANDS):
             self._execute(source, request, command)
         elif request.kind == RequestKind.PLAN and isinstance(command, Submit):
             self._plan(source, request, command)
@@ -77,21 +77,21 @@
         elif self._node.applied_index >= index:
             answer = self._result_of(command)
             if answer is not None:
-                self._node.read(monotonic_ns(), lambda book: self._answer(source, request, answer))
+                self._node.read(monotonic_ns(), lambda _: self._answer(source, request, answer))
 
     def _result_of(self, command: Command) -> Any:
         if isinstance(command, Submit):
             return self._node.answers.get(command.id)
         return DONE
 
-    def _show(self, source: str, request: ClientRequest, book: OperationLog) -> None:
+    def _show(self, source: str, request: ClientRequest, log: OperationLog) -> None:
         """Answer every retry with the same bytes.
 
         A large fleet's status goes in many fragments; those that were lost could not be replaced by
         fragments of another status.
         """
         if request.nonce not in self._statuses:
-            status = fleet_status(book, self._node, monotonic_ns(), request.operation)
+            status = fleet_status(log, self._node, monotonic_ns(), request.operation)
             self._statuses[request.nonce] = msgspec.msgpack.encode(status)
         self._answer(source, request, msgspec.Raw(self._statuses[request.nonce]))
 
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -22,7 +22,7 @@
     DatagramReader,
     MessageTooLongError,
 )
-from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
+from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.queries import CountersQuery, CountersReply, ViewPage, ViewQuery
 from valverouter.fleet.transport import DropLogger
 from valverouter.fleet.view_pages import view_page
@@ -31,6 +31,7 @@
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.membership import Membership
 from valverouter.membership.records import MemberRecord, Phase
+from valverouter.randomness import CounterRandom
 from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
@@ -127,7 +128,7 @@
             phase=phase,
         )
         config = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
-        draw = IncarnationRandom(self._incarnation).draw
+        draw = CounterRandom(self._incarnation).draw
         return Membership(own_record, config, draw, monotonic_ns(), between.seeds)
 
     async def _serve(self, socket: Datagrams, membership: Membership) -> None:
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -13,7 +13,7 @@
 
 from valverouter.edge.surroundings import Surroundings
 from valverouter.fleet.client_requests import ClientRequestHandler
-from valverouter.fleet.incarnation import IncarnationRandom, monotonic_ns
+from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.messages import (
     ClientRequest,
     ControlMessage,
@@ -27,10 +27,10 @@
 from valverouter.fleet.raft_membership import RaftMembershipReconciler
 from valverouter.fleet.transport import Transport
 from valverouter.ledger.raft_store import RaftStore
+from valverouter.randomness import CounterRandom
 from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
-from valverouter.rollout.serialization import from_wire as from_wire
-from valverouter.rollout.serialization import to_wire as to_wire
+from valverouter.rollout.serialization import from_wire, to_wire
 from valverouter.terms.rollout import SeatTerms
 
 # The longest sleep in seconds.
@@ -67,11 +67,11 @@
         self._announced_at = float("-inf")
         self._was_leader = False
         self._log = log.bind(seat=terms.name)
-        durable = store.load()
+        persistent = store.load()
         if bootstrap:
-            _bootstrap(terms.name, durable, store)
-        draw = IncarnationRandom(self._incarnation).draw
-        self.node = ControlPlaneNode(terms.name, durable, orchestrator_config(terms), draw, monotonic_ns())
+            _bootstrap(terms.name, persistent, store)
+        draw = CounterRandom(self._incarnation).draw
+        self.node = ControlPlaneNode(terms.name, persistent, orchestrator_config(terms), draw, monotonic_ns())
         # Replies that must not leave before what they rest on is on disk.
         self._replies: list[tuple[str, ControlMessage]] = []
         self._client_requests = ClientRequestHandler(self.node, self._reply)
@@ -178,10 +178,11 @@
         self._operation_events.log_changes(self.node.operation_log.operations)
 
 
-def _bootstrap(name: str, durable: PersistentState, store: RaftStore) -> None:
+def _bootstrap(name: str, persistent: PersistentState, store: RaftStore) -> None:
     """Write the first log entry of a new group, which names this node as its only member."""
-    if durable.entries or durable.snapshot or durable.current_term:
+    if persistent.entries or persistent.snapshot or persistent.current_term:
         raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
-    save = SaveEntries(1, (LogEntry(1, Configuration(((name, durable.disk_id),))),))
-    durable.apply(save)
+    only_member = Configuration(((name, persistent.disk_id),))
+    save = SaveEntries(1, (LogEntry(1, only_member),))
+    persistent.apply(save)
     store.commit([save])
