--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -26,7 +26,7 @@
 from valverouter.days.emulated import run_emulated
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
-from valverouter.emulator import edges
+from valverouter.emulator import edge_recovery
 from valverouter.experiments.figures import figures
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.terms.day import Day, day
@@ -129,7 +129,7 @@
     seed, size, share = job
     found = []
     for mode in ("without", "paced", "at once"):
-        edges.QueryPacer = AtOnce if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
+        edge_recovery.QueryPacer = AtOnce if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
         played = fleet_day(seed, size, share, mode != "without")
         rows = run_emulated(played).rows
         seen = figures(rows)
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -25,8 +25,6 @@
 FILE_CEILINGS: dict[str, int] = {
     "valverouter/days/ordering.py": 452,
     "valverouter/edge/proxy.py": 818,
-    "valverouter/emulator/edges.py": 698,
-    "valverouter/emulator/fleet.py": 476,
     "valverouter/emulator/rollouts.py": 580,
     "valverouter/rollout/council.py": 564,
     "valverouter/rollout/orders.py": 569,
@@ -43,8 +41,6 @@
     "valverouter/days/world.py::World._dials": 44,
     "valverouter/edge/proxy.py::EdgeProxy.__init__": 44,
     "valverouter/edge/proxy.py::EdgeProxy._turns": 55,
-    "valverouter/emulator/fleet.py::Fleet._source": 55,
-    "valverouter/experiments/daypage.py::day_page": 68,
     "valverouter/load/drive.py::drive": 83,
     "valverouter/relayedge/words.py::asked": 43,
     "valverouter/signalling/setup.py::SetupSession._pass": 50,
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,7 +18,8 @@
 from valverouter.days.emulated import plans, run_emulated
 from valverouter.days.virtual import run_virtual
 from valverouter.emulator.fleet import Fleet
-from valverouter.emulator.simulated import EPOCH, Chance, Simulated
+from valverouter.emulator.simulate import simulate_day
+from valverouter.emulator.simulation import EPOCH, RandomStream, Simulation
 from valverouter.experiments.daypage import day_page
 from valverouter.servermodel.arrivals import Pattern, Source, copies
 from valverouter.servermodel.server import Happens, Make, SetupServer
@@ -38,8 +39,8 @@
     make: Make, rate: float, length: float, arrivals: int, seed: int
 ) -> tuple[list[int], float, float]:
     """The waits that arrivals find, the share that finds the processor busy, the share without a line."""
-    sim, chance, lengths = Simulated(), Chance(seed, "arrivals"), Chance(seed, "lengths")
-    model = SetupServer(make, Chance(seed, "server").random)
+    sim, chance, lengths = Simulation(), RandomStream(seed, "arrivals"), RandomStream(seed, "lengths")
+    model = SetupServer(make, RandomStream(seed, "server").random)
     source, waits, busy, lost = Source(Pattern(), chance.exponential, EPOCH), list[int](), 0, 0
     now = EPOCH
     for at in range(arrivals):
@@ -92,7 +93,7 @@
 
 
 def gaps(pattern: Pattern, rate: float, count: int) -> list[int]:
-    chance, now, found = Chance(3, "arrivals"), EPOCH, list[int]()
+    chance, now, found = RandomStream(3, "arrivals"), EPOCH, list[int]()
     source = Source(pattern, chance.exponential, now)
     for _ in range(count):
         after = source.next(now, rate)
@@ -119,7 +120,7 @@
 
 @pytest.mark.parametrize(("times", "least", "most"), [(0.25, 0, 1), (1.0, 1, 1), (2.5, 2, 3)])
 def test_a_call_on_record_is_dialled_so_often_on_average(times: float, least: int, most: int) -> None:
-    chance = Chance(5, "copies")
+    chance = RandomStream(5, "copies")
     found = [copies(times, chance.random) for _ in range(4_000)]
     assert (min(found), max(found)) == (least, most)
     assert sum(found) / len(found) == pytest.approx(times, rel=0.08)
@@ -209,18 +210,18 @@
     assert booking.cancelled_after is not None
     assert booking.cancelled_after[1] <= 701 * MS
     fleet = Fleet(played := load_day(DAYS / "four-regions.ini"), plans(played))
-    assert all(edge.plan.crossing(EPOCH) is not None for edge in fleet.edges)
+    assert all(edge.plan.cross_region(EPOCH) is not None for edge in fleet.edges)
 
 
 def test_no_table_of_an_edge_proxy_keeps_what_has_ended() -> None:
     played = short("bad-day.ini")
     fleet = Fleet(played, plans(played))
-    fleet.run()
+    simulate_day(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)  # the longest dialogs end
     for edge in fleet.edges:
-        assert not edge._dialogs
-        assert not any(link.legs for link in edge._links.values())
-        assert edge.driver.open_dialogs == 0
+        assert not edge.open_dialogs
+        assert not any(link.attempts for link in edge.links.values())
+        assert edge.runtime.driver.open_dialogs == 0
 
 
 async def test_a_link_keeps_no_leg_that_was_cancelled(autojump_clock: MockClock) -> None:
@@ -239,9 +240,12 @@
 
 
 def test_a_day_is_drawn_second_by_second_on_a_page_that_needs_nothing() -> None:
-    emulated = run_emulated(short("bad-day.ini"), sample_every=SECOND)
-    assert {one.server for one in emulated.samples} >= {"s0", "s1", "s2", "s3"}
-    assert all(0 <= one.tokens <= 1 and one.window > 0 and one.wait >= 0 for one in emulated.samples)
+    emulated = run_emulated(short("bad-day.ini"), sample_interval=SECOND)
+    assert {sample.server for sample in emulated.samples} >= {"s0", "s1", "s2", "s3"}
+    assert all(
+        0 <= sample.token_fraction <= 1 and sample.window > 0 and sample.queue_delay >= 0
+        for sample in emulated.samples
+    )
     assert run_emulated(short("bad-day.ini")).rows == emulated.rows, "looking changes nothing"
     page = day_page("bad <day>", emulated)
     assert page.count("<polyline") > 10
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -28,6 +28,7 @@
 from valverouter.edge.owed import Owed
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.emulator.fleet import Fleet
+from valverouter.emulator.simulate import simulate_day
 from valverouter.interface import AttemptPolicy, Outcome
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
@@ -602,13 +603,13 @@
 def test_an_emulated_edge_proxy_and_its_servers_keep_nothing_that_has_ended() -> None:
     played = killed(3, 6)
     fleet = Fleet(played, plans(played))
-    fleet.run()
+    simulate_day(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)
     for edge in fleet.edges:
-        assert not edge._dialogs
-        assert not edge._left
-        assert not len(edge._pace)
-    assert not any(server.kept for server in fleet.servers.values())
+        assert not edge.open_dialogs
+        assert not edge.recovery.saved_dialogs
+        assert not edge.recovery.waiting_queries
+    assert not any(server.detached_legs for server in fleet.servers.values())
 
 
 # The store
--- a/valverouter/cli/experimenting.py
+++ b/valverouter/cli/experimenting.py
@@ -78,7 +78,7 @@
     from valverouter.experiments.daypage import day_page
 
     script = load_day(file)
-    emulated = run_emulated(script, sample_every=10**9)
+    emulated = run_emulated(script, sample_interval=10**9)
     html.write_text(day_page(script.name, emulated), "utf-8")
     show_verdict(emulated.rows)
 
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -2,46 +2,52 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from valverouter.driver import Driver
 from valverouter.edge.attempting import AttemptBook, own_terms
-from valverouter.emulator.edges import EdgePlan
-from valverouter.emulator.fleet import Emulated, Fleet
-from valverouter.interface import CrossRegionRule, Deployment
+from valverouter.emulator.edge_model import BuildDriver, EdgePlan
+from valverouter.emulator.fleet import Fleet
+from valverouter.emulator.simulate import DayResult, simulate_day
+from valverouter.interface import AttemptPolicy
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.terms.day import Day
 
-Decisions = Callable[[Deployment, int, int, CrossRegionRule | None], Driver]
-
 
-def plans(day: Day, decisions: Decisions = Driver) -> list[EdgePlan]:
+def plans(day: Day, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
     """Each edge proxy's plan, from the same file that it would be started with."""
-    return [_plan(day, place, decisions) for place in range(day.fleet.edge_proxies)]
+    return [_plan(day, fleet_index, build_driver) for fleet_index in range(day.fleet.edge_proxies)]
+
 
+def _plan(day: Day, fleet_index: int, build_driver: BuildDriver) -> EdgePlan:
+    terms = day.edge_terms(fleet_index, "edge:1", "list:1")
+    cross_region, deployment = terms.crossing, terms.deployment
+    traffic_types = deployment.traffic_types
+
+    def default_attempt_policy(traffic_type: str) -> AttemptPolicy | None:
+        if traffic_type not in traffic_types:
+            return None
+        return own_terms(deployment, traffic_types[traffic_type].latency_objective)
 
-def _plan(day: Day, place: int, decisions: Decisions) -> EdgePlan:
-    terms = day.edge_terms(place, "edge:1", "list:1")
-    crossing, deployment = terms.crossing, terms.deployment
-    types = deployment.traffic_types
     return EdgePlan(
-        place=place,
-        region=day.region_of_edge(place),
-        deployment=terms.deployment,
+        fleet_index=fleet_index,
+        region=day.region_of_edge(fleet_index),
+        deployment=deployment,
         seed=terms.seed,
         answer_margin=terms.answer_margin,
-        crossing=lambda now: CrossRegionLimiter(crossing, now) if crossing is not None else None,
-        attempts=AttemptBook(terms) if terms.attempts else None,
-        decisions=decisions,
-        ledger=day.ledger,
-        usual=lambda kind: own_terms(deployment, types[kind].latency_objective) if kind in types else None,
+        cross_region=lambda now: CrossRegionLimiter(cross_region, now) if cross_region is not None else None,
+        attempt_policies=AttemptBook(terms) if terms.attempts else None,
+        build_driver=build_driver,
+        has_ledger=day.ledger,
+        default_attempt_policy=default_attempt_policy,
     )
 
 
-def run_emulated(day: Day, decisions: Decisions = Driver, sample_every: int = 0) -> Emulated:
-    """The whole day; the same day gives the same rows every time. `sample_every`: ns between samples of what
-    the edge proxies know; 0: none."""
+def run_emulated(day: Day, build_driver: BuildDriver = Driver, sample_interval: int = 0) -> DayResult:
+    """Runs the whole day; the same day gives the same rows every time.
+
+    `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none. ValueError where
+    the day has a fault that is emulated for the view alone.
+    """
     for name, trouble in day.troubles.items():
         if trouble.kind == "balancer_late":
             raise ValueError(f"trouble {name}: {trouble.kind} is emulated for the view alone: fleet emulate")
-    return Fleet(day, plans(day, decisions), sample_every).run()
+    return simulate_day(Fleet(day, plans(day, build_driver)), sample_interval)
--- a/valverouter/days/planning.py
+++ b/valverouter/days/planning.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from valverouter.emulator.fleet import make_of
+from valverouter.emulator.server_profile import server_profile
 from valverouter.regions.planner import Demand, Plan, RateLimit, RegionCapacity, plan
 from valverouter.regions.time_sliced_quota import max_rate, with_default_burst
 from valverouter.signalling.tap import Passed, Placed, Row
@@ -34,7 +34,7 @@
 
 def capacities(day: Day, kept_lines: dict[str, float] | None = None) -> list[RegionCapacity]:
     """Each region's servers together; `kept_lines`: the share that a region keeps of its lines."""
-    make = make_of(day)
+    make = server_profile(day)
     work = (make.setup_work + make.answer_work + make.release_work) / 1e9
     kept = kept_lines or {}
     return [
--- a/valverouter/days/world.py
+++ b/valverouter/days/world.py
@@ -12,7 +12,8 @@
 
 import trio
 
-from valverouter.emulator.fleet import HOT_NUMBER, make_of
+from valverouter.emulator.call_load import HOT_CALLED_NUMBER
+from valverouter.emulator.server_profile import server_profile
 from valverouter.servermodel.arrivals import Pattern, Source, copies
 from valverouter.servermodel.server import CalledNumbers, SetupServer
 from valverouter.signalling import setup
@@ -84,7 +85,7 @@
     def _build(self, name: str, number: int) -> ServerStandIn:
         day = self.day
         chance = self.chance(f"server {name}")
-        model = SetupServer(make_of(day), chance.random, self.numbers)
+        model = SetupServer(server_profile(day), chance.random, self.numbers)
         region = day.region_of_server(number)
 
         def delay(edge: str) -> int:
@@ -185,7 +186,7 @@
             kind = chance.choices(kinds, shares)[0]
             hot = chance.random() < self.hot
             first = chance.choice(numbers)
-            number = HOT_NUMBER if hot else 100 + chance.randrange(10**6)
+            number = HOT_CALLED_NUMBER if hot else 100 + chance.randrange(10**6)
             no_answer = None
             if told is not None:
                 kind, no_answer = told.traffic_type, told.no_answer
@@ -355,7 +356,7 @@
 
     async def _hot_key(self, trouble: Trouble, chance: random.Random) -> None:
         self._fault(trouble, "callers")
-        self.numbers.lines[HOT_NUMBER] = trouble.lines
+        self.numbers.lines[HOT_CALLED_NUMBER] = trouble.lines
         self.hot = trouble.size
         await trio.sleep(trouble.length / 1e9)
         self.hot = 0.0
--- /dev/null
+++ b/valverouter/emulator/call_load.py
@@ -0,0 +1,111 @@
+"""The calls of a day: drawn arrivals or those on record, dialled by the callers of each edge proxy."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from valverouter.emulator.callers import EmulatedCallers
+from valverouter.emulator.edge_model import DialogRequest
+from valverouter.emulator.fleet import Fleet
+from valverouter.servermodel.arrivals import Pattern, Source, copies
+from valverouter.terms.calls import Call
+
+HOT_CALLED_NUMBER = 1
+MIN_CALLED_NUMBER = 100
+CALLED_NUMBERS = 10**6
+
+
+@dataclass(slots=True)
+class CallLoad:
+    """What faults change of the load, and how many calls were dialled.
+
+    `rate_factor` multiplies the day's rate; `hot_fraction` of the calls go to one number.
+    """
+
+    rate_factor: float = 1.0
+    hot_fraction: float = 0.0
+    dialled: int = 0
+
+
+class CallGenerator:
+    """Dials at one edge proxy from its start until `ends_at`, ns."""
+
+    def __init__(self, fleet: Fleet, load: CallLoad, callers: EmulatedCallers, ends_at: int) -> None:
+        day, fleet_index = fleet.day, callers.fleet_index
+        self._fleet = fleet
+        self._load = load
+        self._callers = callers
+        self._ends_at = ends_at
+        self._starts_at = fleet.sim.now()
+        self._arrival_draws = fleet.random_stream(f"arrivals {fleet_index}")
+        self._call_draws = fleet.random_stream(f"asks {fleet_index}")
+        settings = day.callers
+        pattern = Pattern(settings.on, settings.off, settings.drift, day.terms.length)
+        self._arrivals = Source(pattern, self._arrival_draws.exponential, self._starts_at)
+        self._traffic_types = list(day.mix)
+        self._weights = [day.mix[traffic_type].share for traffic_type in self._traffic_types]
+        self._server_numbers = self._preferred_numbers()
+
+    def _preferred_numbers(self) -> list[int]:
+        day = self._fleet.day
+        numbers = list(range(day.server_count))
+        if not day.callers.local:
+            return numbers
+        home_region = day.region_of_edge(self._callers.fleet_index)
+        return [number for number in numbers if day.region_of_server(number) == home_region] or numbers
+
+    def start(self) -> None:
+        """Schedules the first call; each schedules the next, so that the calendar holds one at a time."""
+        recorded = self._fleet.day.recorded
+        if recorded is None:
+            self._schedule_arrival()
+            return
+        self._recorded = (
+            call for call in recorded[self._callers.fleet_index] if self._starts_at + call.at < self._ends_at
+        )
+        self._schedule_recorded()
+
+    # Drawn arrivals
+
+    def _schedule_arrival(self) -> None:
+        fleet = self._fleet
+        rate = fleet.day.callers.rate / len(fleet.callers) * self._load.rate_factor
+        arrives_at = self._arrivals.next(fleet.sim.now(), rate)
+        if arrives_at < self._ends_at:
+            fleet.sim.call_at(arrives_at, self._on_arrival)
+
+    def _on_arrival(self) -> None:
+        self._dial(None)
+        self._schedule_arrival()
+
+    # Calls on record
+
+    def _schedule_recorded(self) -> None:
+        call = next(self._recorded, None)
+        if call is not None:
+            self._fleet.sim.call_at(self._starts_at + call.at, self._on_recorded, call)
+
+    def _on_recorded(self, call: Call) -> None:
+        times = self._fleet.day.callers.times * self._load.rate_factor
+        for _ in range(copies(times, self._arrival_draws.random)):
+            self._dial(call)
+        self._schedule_recorded()
+
+    # Dialing
+
+    def _dial(self, recorded: Call | None) -> None:
+        # What is on record is drawn all the same, so that a day's record with its seed is that day again.
+        traffic_type = self._traffic_types[self._call_draws.weighted_index(self._weights)]
+        called_number = MIN_CALLED_NUMBER + self._call_draws.integer_below(CALLED_NUMBERS)
+        is_hot = self._call_draws.random() < self._load.hot_fraction
+        preferred = self._server_numbers[self._call_draws.integer_below(len(self._server_numbers))]
+        no_answer_timeout = None
+        if recorded is not None:
+            traffic_type, no_answer_timeout = recorded.traffic_type, recorded.no_answer
+            called_number = called_number if recorded.number is None else recorded.number
+            preferred = preferred if recorded.first_choice is None else recorded.first_choice
+        if is_hot:
+            called_number = HOT_CALLED_NUMBER
+        no_answer_timeout = no_answer_timeout or self._fleet.day.mix[traffic_type].no_answer
+        self._load.dialled += 1
+        self._callers.dial(DialogRequest("-", traffic_type, no_answer_timeout, preferred, called_number))
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -1,131 +1,138 @@
-"""Emulated callers of one edge proxy: arrivals, patience, redials; rows of what passed, as the stand-ins."""
+"""Emulated callers of one edge proxy: patience, redials, and rows of their messages, as the stand-ins do."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
-from valverouter.emulator.edges import Asked, EmulatedEdge
-from valverouter.emulator.simulated import Chance, Simulated
+from valverouter.emulator.edge_model import CallerMessage, DialogRequest
+from valverouter.emulator.edges import EmulatedEdge
+from valverouter.emulator.servers import EndReason
+from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.signalling.tap import Lost, Passed, Tap
 from valverouter.terms.day import Callers
 
-# A connection that broke is made again after so long.
-RECONNECT = 50_000_000
+# A lost connection is made again after so long, ns.
+RECONNECT_DELAY = 50_000_000
 
 
 @dataclass(slots=True)
-class _Try:
-    asked: Asked
-    first: str
-    tries: int
-    stands: bool = False
+class _DialAttempt:
+    """One dialled dialog; `first_dialog` is the id of the first of its redials, `number` counts them."""
 
+    request: DialogRequest
+    first_dialog: str
+    number: int
+    is_established: bool = False
 
-class EmulatedCallers:
-    """`tries` holds what is under way or stands; each leaves with its end."""
 
-    def __init__(self, edge: EmulatedEdge, habits: Callers, sim: Simulated, tap: Tap, chance: Chance) -> None:
-        self.name = f"c{edge.plan.place}"
-        self.tries: dict[str, _Try] = {}
-        self.patience = habits.patience
-        self.unreached = 0
+class EmulatedCallers:
+    """`attempts` holds what is unanswered or established; each leaves with its end."""
+
+    def __init__(
+        self, edge: EmulatedEdge, behavior: Callers, sim: Simulation, tap: Tap, random: RandomStream
+    ) -> None:
+        self.fleet_index = edge.plan.fleet_index
+        self.name = f"c{self.fleet_index}"
+        self.attempts: dict[str, _DialAttempt] = {}
+        self.patience = behavior.patience
+        self.unreachable_count = 0
         self._edge = edge
-        self._habits = habits
+        self._behavior = behavior
         self._sim = sim
         self._tap = tap
-        self._chance = chance
-        self._serial = 0
-        self._ready_at = 0
-        edge.caller = self
+        self._random = random
+        self._last_serial = 0
+        self._reconnects_at = 0
+        edge.attach(self)
 
     @property
-    def waiting(self) -> bool:
-        """Whether any dialog still waits for its answer."""
-        return any(not made.stands for made in self.tries.values())
-
-    def _row(self, sent: bool, kind: str, dialog: str, span: int = 0, word: str = "") -> None:
-        rows = self._tap.rows
-        rows.append(
-            Passed(len(rows), self._sim.now(), self._edge.name, self.name, sent, kind, dialog, 0, span, word)
-        )
-
-    def dial(self, asked: Asked, first: str = "", tries: int = 1) -> None:
-        """One try, now; `first` names the first try that it belongs to."""
-        self._serial += 1
-        dialog = f"{first}.{tries}" if first else f"{self.name}-{self._serial}"
-        asked = Asked(
-            dialog,
-            asked.traffic_type,
-            asked.no_answer,
-            asked.first_choice,
-            asked.called_number,
-            asked.was_cut,
-        )
-        made = self.tries[dialog] = _Try(asked, first or dialog, tries)
-        if not self._edge.runs or self._sim.now() < self._ready_at:
-            self.unreached += 1
-            self._over(dialog, True)
+    def is_waiting(self) -> bool:
+        """Whether any dialog waits for its answer."""
+        return any(not attempt.is_established for attempt in self.attempts.values())
+
+    def _record(self, is_sent: bool, kind: str, dialog_id: str, duration: int = 0, details: str = "") -> None:
+        rows, now, edge = self._tap.rows, self._sim.now(), self._edge.name
+        rows.append(Passed(len(rows), now, edge, self.name, is_sent, kind, dialog_id, 0, duration, details))
+
+    # Dialing
+
+    def dial(self, request: DialogRequest, first_dialog: str = "", number: int = 1) -> None:
+        """Dials now, under an id of its own; `first_dialog` is the one that is redialled."""
+        self._last_serial += 1
+        dialog_id = f"{first_dialog}.{number}" if first_dialog else f"{self.name}-{self._last_serial}"
+        request = replace(request, dialog_id=dialog_id)
+        attempt = self.attempts[dialog_id] = _DialAttempt(request, first_dialog or dialog_id, number)
+        if not self._edge.is_running or self._sim.now() < self._reconnects_at:
+            self.unreachable_count += 1
+            self._close(dialog_id, may_redial=True)
             return
-        self._row(True, "setup", dialog, asked.no_answer, asked.traffic_type)
-        patience = int(asked.no_answer * self.patience)
-        if patience < asked.no_answer:
-            self._sim.after(patience, self._gives_up, dialog, made)
-        self._sim.after(asked.no_answer, self._times_out, dialog, made)
-        self._edge.turn(self._edge.take, asked)
-
-    def _gives_up(self, dialog: str, made: _Try) -> None:
-        if self.tries.get(dialog) is made and not made.stands:
-            if not self._edge.runs:
-                self._over(dialog, True)
+        no_answer_timeout = request.no_answer_timeout
+        self._record(True, "setup", dialog_id, no_answer_timeout, request.traffic_type)
+        patience = int(no_answer_timeout * self.patience)
+        if patience < no_answer_timeout:
+            self._sim.call_after(patience, self._on_impatient, dialog_id, attempt)
+        self._sim.call_after(no_answer_timeout, self._on_timeout, dialog_id, attempt)
+        self._edge.accept(request)
+
+    def _is_unanswered(self, dialog_id: str, attempt: _DialAttempt) -> bool:
+        return self.attempts.get(dialog_id) is attempt and not attempt.is_established
+
+    def _on_impatient(self, dialog_id: str, attempt: _DialAttempt) -> None:
+        if self._is_unanswered(dialog_id, attempt):
+            if not self._edge.is_running:
+                self._close(dialog_id, may_redial=True)
                 return
-            self._row(True, "cancel", dialog)
-            self._edge.turn(self._edge.cancelled, dialog)
+            self._record(True, "cancel", dialog_id)
+            self._edge.cancel(dialog_id)
 
-    def _times_out(self, dialog: str, made: _Try) -> None:
-        if self.tries.get(dialog) is made and not made.stands:
-            self._over(dialog, True)
+    def _on_timeout(self, dialog_id: str, attempt: _DialAttempt) -> None:
+        if self._is_unanswered(dialog_id, attempt):
+            self._close(dialog_id, may_redial=True)
 
-    def heard(self, kind: str, dialog: str, span: int = 0, word: str = "") -> None:
-        self._row(False, kind, dialog, span, word)
-        made = self.tries.get(dialog)
-        if made is None:
+    def _close(self, dialog_id: str, may_redial: bool, min_delay: int = 0) -> None:
+        attempt = self.attempts.pop(dialog_id)
+        if not may_redial or attempt.number > self._behavior.redials:
+            return
+        delay = min_delay or int(self._behavior.redial_wait * (0.5 + self._random.random()))
+        request = replace(attempt.request, was_interrupted=attempt.is_established)
+        self._sim.call_after(delay, self.dial, request, attempt.first_dialog, attempt.number + 1)
+
+    # What the edge proxy sends
+
+    def on_message(
+        self, message: CallerMessage, dialog_id: str, retry_after: int = 0, details: str = ""
+    ) -> None:
+        """An answer or an end; a rejected caller redials at the time it was given, if it complies."""
+        self._record(False, message.value, dialog_id, retry_after, details)
+        attempt = self.attempts.get(dialog_id)
+        if attempt is None:
             return
-        if kind == "stands":
-            made.stands = True
-        elif kind == "declined":
-            heeds = self._chance.random() < self._habits.heeds
-            self._over(dialog, True, span if heeds else 0)
+        if message is CallerMessage.ESTABLISHED:
+            attempt.is_established = True
+        elif message is CallerMessage.REJECTED:
+            complies = self._random.random() < self._behavior.heeds
+            self._close(dialog_id, may_redial=True, min_delay=retry_after if complies else 0)
         else:
-            self._over(dialog, kind == "aborted" or word == "cut")
+            was_interrupted = details == EndReason.INTERRUPTED.value
+            self._close(dialog_id, may_redial=message is CallerMessage.FAILED or was_interrupted)
 
-    def cut_off(self) -> None:
-        """The edge proxy is gone: everything here is lost, and may be tried again."""
+    def on_connection_lost(self) -> None:
+        """The edge proxy is gone: every dialog is lost, and may be redialled."""
         self._tap.row(Lost, edge=self._edge.name, peer=self.name)
-        self._ready_at = self._sim.now() + RECONNECT
-        for dialog in list(self.tries):
-            self._over(dialog, True)
+        self._reconnects_at = self._sim.now() + RECONNECT_DELAY
+        for dialog_id in list(self.attempts):
+            self._close(dialog_id, may_redial=True)
 
-    def away(self) -> None:
-        """The edge proxy is gone and keeps what it owes: we come back for it."""
+    def on_restart_expected(self) -> None:
+        """The edge proxy is gone, and its next process has the dialogs: they are resumed there."""
         self._tap.row(Lost, edge=self._edge.name, peer=self.name)
-        self._ready_at = self._sim.now() + RECONNECT
-        self._sim.after(RECONNECT, self._back)
-
-    def _back(self) -> None:
-        if not self._edge.runs:
-            self._sim.after(RECONNECT, self._back)
-            return
-        for dialog in list(self.tries):
-            self._row(True, "resume", dialog)
-            self._edge.turn(self._edge.resumed, dialog)
+        self._reconnects_at = self._sim.now() + RECONNECT_DELAY
+        self._sim.call_after(RECONNECT_DELAY, self._reconnect)
 
-    def _over(self, dialog: str, again: bool, least: int = 0) -> None:
-        made = self.tries.pop(dialog)
-        if not again or made.tries > self._habits.redials:
+    def _reconnect(self) -> None:
+        if not self._edge.is_running:
+            self._sim.call_after(RECONNECT_DELAY, self._reconnect)
             return
-        wait = least or int(self._habits.redial_wait * (0.5 + self._chance.random()))
-        asked = made.asked
-        next_ = Asked(
-            "-", asked.traffic_type, asked.no_answer, asked.first_choice, asked.called_number, made.stands
-        )
-        self._sim.after(wait, self.dial, next_, made.first, made.tries + 1)
+        for dialog_id in list(self.attempts):
+            self._record(True, "resume", dialog_id)
+            self._edge.resume(dialog_id)
--- /dev/null
+++ b/valverouter/emulator/edge_faults.py
@@ -0,0 +1,95 @@
+"""Faults of emulated edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
+
+from __future__ import annotations
+
+from valverouter.emulator.call_load import HOT_CALLED_NUMBER, CallLoad
+from valverouter.emulator.edges import EmulatedEdge
+from valverouter.emulator.fault_targets import FaultProcess, FaultStart, FaultTargets
+from valverouter.emulator.fleet import Fleet
+from valverouter.emulator.simulation import RandomStream
+from valverouter.terms.day import Trouble
+
+# How often draining edge proxies are looked at, ns.
+DRAIN_POLL_INTERVAL = 50_000_000
+CALLERS_TARGET = "callers"
+
+
+class EdgeFaults:
+    """The faults that a day's file may have at edge proxies and callers."""
+
+    def __init__(self, fleet: Fleet, targets: FaultTargets, load: CallLoad) -> None:
+        self._fleet = fleet
+        self._targets = targets
+        self._load = load
+
+    def by_kind(self) -> dict[str, FaultStart]:
+        """The process of each kind, by its name in a day's file."""
+        return {
+            "balancer_crash": self._crash,
+            "balancer_leave": self._restart,
+            "balancer_stall": self._stall,
+            "burst": self._burst,
+            "hot_key": self._hot_number,
+            "give_up": self._impatience,
+        }
+
+    # Edge proxies
+
+    def _crash(self, fault: Trouble, random: RandomStream) -> FaultProcess:
+        edges = self._targets.edges(fault, random)
+        for edge in edges:
+            self._targets.record(fault, edge.name)
+            edge.kill()
+        yield self._targets.wait(fault.length)
+        self._start(edges)
+
+    def _restart(self, fault: Trouble, random: RandomStream) -> FaultProcess:
+        """Drained, ended and started again; each ends once all its dialogs are answered, or at its limit."""
+        sim = self._fleet.sim
+        edges = self._targets.edges(fault, random)
+        for edge in edges:
+            self._targets.record(fault, edge.name)
+            edge.drain()
+        draining, deadline = edges, sim.now() + self._fleet.day.links.stop_within
+        while draining:
+            drained = [edge for edge in draining if not edge.has_unanswered_dialogs or sim.now() >= deadline]
+            for edge in drained:
+                edge.kill()
+            draining = [edge for edge in draining if edge not in drained]
+            if draining:
+                yield self._targets.wait(DRAIN_POLL_INTERVAL)
+        yield self._targets.wait(fault.length)
+        self._start(edges)
+
+    def _start(self, edges: list[EmulatedEdge]) -> None:
+        for edge in edges:
+            edge.start(self._fleet.endpoint_list.complete())
+
+    def _stall(self, fault: Trouble, random: RandomStream) -> FaultProcess:
+        for edge in self._targets.edges(fault, random):
+            self._targets.record(fault, edge.name)
+            edge.stall(fault.length)
+        yield self._targets.wait(fault.length)
+
+    # Callers
+
+    def _burst(self, fault: Trouble, random: RandomStream) -> FaultProcess:
+        self._targets.record(fault, CALLERS_TARGET)
+        self._load.rate_factor *= fault.size
+        yield self._targets.wait(fault.length)
+        self._load.rate_factor /= fault.size
+
+    def _hot_number(self, fault: Trouble, random: RandomStream) -> FaultProcess:
+        self._targets.record(fault, CALLERS_TARGET)
+        self._fleet.called_numbers.lines[HOT_CALLED_NUMBER] = fault.lines
+        self._load.hot_fraction = fault.size
+        yield self._targets.wait(fault.length)
+        self._load.hot_fraction = 0.0
+
+    def _impatience(self, fault: Trouble, random: RandomStream) -> FaultProcess:
+        self._targets.record(fault, CALLERS_TARGET)
+        for callers in self._fleet.callers:
+            callers.patience *= fault.size
+        yield self._targets.wait(fault.length)
+        for callers in self._fleet.callers:
+            callers.patience /= fault.size
--- /dev/null
+++ b/valverouter/emulator/edge_recovery.py
@@ -0,0 +1,191 @@
+"""What a process of an emulated edge proxy leaves, and how the next one recovers it, as with a dialog store.
+
+Established dialogs are queried at their servers, by the pace of `recovery.pacing`; all others wait for the
+release delay, since their server gave them up with the connection, and then for their caller.
+"""
+
+from __future__ import annotations
+
+from valverouter.emulator.edge_dialogs import DialogTable
+from valverouter.emulator.edge_model import CallerMessage, FailureReason, OpenDialog, ServerLink
+from valverouter.emulator.edge_runtime import EdgeRuntime
+from valverouter.emulator.servers import Connection, EndReason
+from valverouter.recovery.pacing import QueryPacer
+from valverouter.recovery.plan import RecoveryAction, remaining_attempt_policy
+from valverouter.servermodel.server import Key
+
+# How long an established dialog waits for its server's word after a restart, ns.
+QUERY_TIMEOUT = 5_000_000_000
+
+
+class EdgeRecovery:
+    """The dialogs of the previous process until each has what it needs."""
+
+    def __init__(self, runtime: EdgeRuntime, dialogs: DialogTable) -> None:
+        self._runtime = runtime
+        self._dialogs = dialogs
+        self._pacer = QueryPacer()
+        self._saved: list[OpenDialog] = []
+
+    @property
+    def saved_dialogs(self) -> int:
+        """How many dialogs of an ended process wait for the next one."""
+        return len(self._saved)
+
+    @property
+    def waiting_queries(self) -> int:
+        """How many queries wait for their server's window."""
+        return len(self._pacer)
+
+    def save(self) -> dict[ServerLink, list[Key]]:
+        """Keeps the open dialogs for the next process; the established legs that survive, by link."""
+        self._saved = list(self._dialogs.open.values())
+        legs_by_link: dict[ServerLink, list[Key]] = {}
+        for dialog in self._saved:
+            link, attempt = dialog.link, dialog.attempt
+            if not dialog.is_established or link is None or link.connection is None or attempt is None:
+                continue
+            dialog.server = link.server.name
+            dialog.leg = dialog.leg or (link.connection.peer, dialog.request.dialog_id, attempt)
+            legs_by_link.setdefault(link, []).append(dialog.leg)
+        return legs_by_link
+
+    def reset(self) -> None:
+        """Begins a process without queries."""
+        self._pacer = QueryPacer()
+
+    def restore(self) -> None:
+        """Takes over the dialogs of the previous process."""
+        saved, self._saved = self._saved, []
+        for dialog in saved:
+            self._restore(dialog)
+
+    def _restore(self, dialog: OpenDialog) -> None:
+        runtime = self._runtime
+        self._dialogs.open[dialog.request.dialog_id] = dialog
+        dialog.previous_attempts += dialog.attempts
+        dialog.attempts, dialog.attempt, dialog.link = 0, None, None
+        dialog.is_caller_connected = False
+        if dialog.is_established:
+            dialog.recovery_action = RecoveryAction.QUERY_SERVER
+            wait = QUERY_TIMEOUT
+        else:
+            dialog.recovery_action = RecoveryAction.AWAIT_RELEASE
+            wait = runtime.plan.deployment.release_delay
+        runtime.sim.call_after(wait, runtime.handle, self._on_waited, runtime.incarnation, dialog)
+
+    def _on_waited(self, incarnation: int, dialog: OpenDialog) -> None:
+        is_open = self._dialogs.open.get(dialog.request.dialog_id) is dialog
+        if incarnation != self._runtime.incarnation or not is_open:
+            return
+        if dialog.recovery_action is RecoveryAction.QUERY_SERVER:
+            self._dialogs.end(dialog, EndReason.INTERRUPTED.value)
+        elif dialog.recovery_action is RecoveryAction.AWAIT_RELEASE:
+            dialog.recovery_action = RecoveryAction.CONTINUE_ROUTING
+            if dialog.is_caller_connected:
+                self._continue_routing(dialog)
+
+    # Dialogs that were not established
+
+    def _continue_routing(self, dialog: OpenDialog) -> None:
+        dialog.recovery_action = None
+        plan, request = self._runtime.plan, dialog.request
+        policy = self._dialogs.attempt_policy(request)
+        if dialog.previous_attempts:
+            full_policy = policy or plan.default_attempt_policy(request.traffic_type)
+            if full_policy is not None:
+                max_attempts = plan.deployment.max_attempts
+                policy = remaining_attempt_policy(full_policy, dialog.previous_attempts, max_attempts)
+                if policy is None:
+                    self._dialogs.reject(dialog, plan.deployment.max_retry_after)
+                    return
+        deadline = dialog.deadline - plan.answer_margin
+        if deadline <= self._runtime.sim.now():
+            self._dialogs.fail(dialog, FailureReason.NO_TIME)
+            return
+        self._dialogs.start_flow(request, deadline, policy)
+
+    # Established dialogs
+
+    def query_server(self, link: ServerLink) -> None:
+        """A link is up: the dialogs established at its server are queried."""
+        for dialog_id, dialog in self._dialogs.open.items():
+            is_queried = dialog.recovery_action is RecoveryAction.QUERY_SERVER
+            if is_queried and dialog.link is None and link.server.name == dialog.server:
+                dialog.link = link
+                traffic_type = self._runtime.plan.deployment.traffic_types.get(dialog.request.traffic_type)
+                weight = traffic_type.priority_weight if traffic_type else 0.0
+                time_left = dialog.deadline - self._runtime.sim.now()
+                self._pacer.enqueue(dialog_id, dialog.server, time_left, weight)
+        self._send_queries()
+
+    def _send_queries(self) -> None:
+        runtime = self._runtime
+        for dialog_id, server in self._pacer.take_due(runtime.sim.now()):
+            dialog, link = self._dialogs.open.get(dialog_id), runtime.links.get(server)
+            if (
+                dialog is None
+                or link is None
+                or link.connection is None
+                or dialog.leg is None
+                or dialog.recovery_action is not RecoveryAction.QUERY_SERVER
+            ):
+                self._pacer.on_reply(server)
+                continue
+            runtime.sim.call_after(
+                runtime.delay(link.server),
+                self._on_query_arrived,
+                runtime.incarnation,
+                dialog_id,
+                link,
+                link.connection,
+                dialog.leg,
+            )
+
+    def _on_query_arrived(
+        self, incarnation: int, dialog_id: str, link: ServerLink, connection: Connection, leg: Key
+    ) -> None:
+        runtime = self._runtime
+        if incarnation == runtime.incarnation and connection.is_open:
+            end_reason = link.server.resume(leg, connection)
+            delay = runtime.delay(link.server)
+            runtime.sim.call_after(delay, self._on_reply_arrived, incarnation, dialog_id, link, end_reason)
+
+    def _on_reply_arrived(
+        self, incarnation: int, dialog_id: str, link: ServerLink, end_reason: EndReason | None
+    ) -> None:
+        if incarnation == self._runtime.incarnation:
+            self._runtime.handle(self._on_reply, dialog_id, link, end_reason)
+
+    def _on_reply(self, dialog_id: str, link: ServerLink, end_reason: EndReason | None) -> None:
+        """`end_reason`: how the dialog ended, None if it is established."""
+        self._pacer.on_reply(link.server.name)
+        dialog = self._dialogs.open.get(dialog_id)
+        if (
+            dialog is not None
+            and dialog.leg is not None
+            and dialog.recovery_action is RecoveryAction.QUERY_SERVER
+        ):
+            dialog.recovery_action = None
+            if end_reason is None:
+                _, _, dialog.attempt = dialog.leg
+                link.attempts[dialog_id, dialog.attempt] = False
+            else:
+                self._dialogs.end(dialog, end_reason.value)
+        self._send_queries()
+
+    # Callers
+
+    def on_caller_resumed(self, dialog_id: str) -> None:
+        """The caller of a dialog is back: it receives the answer on record, or the dialog's flow goes on."""
+        dialog = self._dialogs.open.get(dialog_id)
+        if dialog is None:
+            self._dialogs.notify(CallerMessage.UNKNOWN, dialog_id)
+            return
+        dialog.is_caller_connected = True
+        if dialog.is_established and self._dialogs.callers is not None:
+            self._dialogs.notify(CallerMessage.ESTABLISHED, dialog_id, details=dialog.server)
+            if dialog.recovery_action is RecoveryAction.RESEND_ANSWER_AND_END:
+                self._dialogs.end(dialog, dialog.end_reason)
+        elif dialog.recovery_action is RecoveryAction.CONTINUE_ROUTING:
+            self._continue_routing(dialog)
--- /dev/null
+++ b/valverouter/emulator/endpoint_list.py
@@ -0,0 +1,73 @@
+"""The endpoint list of an emulated fleet: which servers are in service, and updates to all edge proxies."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from enum import StrEnum
+
+from valverouter.emulator.edge_model import ListedEndpoint
+from valverouter.emulator.edges import EmulatedEdge
+from valverouter.emulator.servers import EmulatedServer
+from valverouter.emulator.simulation import Simulation
+from valverouter.interface import Endpoint, EndpointUpdateKind
+from valverouter.signalling.tap import Tap, Told
+
+
+class ServicePhase(StrEnum):
+    """What the list says of a server; the values are the words of the recorded rows."""
+
+    IN_SERVICE = "in-service"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class EmulatedEndpointList:
+    """The phase of each server by name; `servers` and `edges` are the fleet's own tables."""
+
+    def __init__(
+        self, sim: Simulation, tap: Tap, servers: dict[str, EmulatedServer], edges: list[EmulatedEdge]
+    ) -> None:
+        self._sim = sim
+        self._tap = tap
+        self._servers = servers
+        self._edges = edges
+        self._phases = dict.fromkeys(servers, ServicePhase.IN_SERVICE)
+        # Of servers that started during the day.
+        self._started_at: dict[str, int] = {}
+
+    def complete(self) -> list[ListedEndpoint]:
+        """All servers that are not gone."""
+        return [self._entry(name) for name, phase in self._phases.items() if phase is not ServicePhase.GONE]
+
+    def record_start(self, server: EmulatedServer) -> None:
+        """A process of a server starts now; what is announced says how long ago."""
+        self._started_at[server.name] = self._sim.now()
+
+    def announce(self, servers: Sequence[EmulatedServer], phase: ServicePhase) -> None:
+        """Sets the phase of servers and sends the update to all edge proxies that run."""
+        names = [server.name for server in servers]
+        for name in names:
+            self._phases[name] = phase
+        entries = [self._entry(name) for name in names]
+        for edge in self._edges:
+            if edge.is_running:
+                for name in names:
+                    self._tap.row(Told, edge=edge.name, server=name, phase=phase.value)
+                edge.update_endpoints(EndpointUpdateKind.INCREMENTAL, entries)
+
+    def announce_down(self, servers: Sequence[EmulatedServer]) -> None:
+        """Announces those that do not run as gone."""
+        if down := [server for server in servers if not server.model.runs]:
+            self.announce(down, ServicePhase.GONE)
+
+    def announce_up(self, servers: Sequence[EmulatedServer]) -> None:
+        """Announces those that run as in service."""
+        if up := [server for server in servers if server.model.runs]:
+            self.announce(up, ServicePhase.IN_SERVICE)
+
+    def _entry(self, name: str) -> ListedEndpoint:
+        server = self._servers[name]
+        age = self._sim.now() - self._started_at[name] if name in self._started_at else None
+        in_service = self._phases[name] is ServicePhase.IN_SERVICE
+        endpoint = Endpoint(name, server.number, in_service, 0, server.region)
+        return ListedEndpoint(endpoint, server.incarnation, age)
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -1,22 +1,25 @@
-"""Emulated servers round `servermodel`, and the wires between them and the edge proxies."""
+"""Emulated signalling servers round `servermodel`, and their connections to edge proxies."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
+from enum import StrEnum
 from typing import Protocol
 
-from valverouter.emulator.simulated import Chance, Simulated
+from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.interface import LoadReport, Outcome
 from valverouter.servermodel.server import Happening, Happens, Key, SetupServer
 from valverouter.signalling.tap import Began, Lost, Passed, Tap
 
-# So long a leg that is on record at its edge proxy outlives the connection.
-KEEPS = 10_000_000_000
+# How long a leg that is on record at its edge proxy survives the loss of its connection, ns.
+DETACHED_LEG_LIFETIME = 10_000_000_000
+ENDED_KIND = "ended"
 
+# By what the model reports: the outcome of the attempt, and the kind of message that carries it.
 OUTCOMES = {
     Happens.STANDS: (Outcome.ESTABLISHED, "stands"),
-    Happens.ENDED: (Outcome.ENDED, "ended"),
-    Happens.CUT: (Outcome.ENDED, "ended"),
+    Happens.ENDED: (Outcome.ENDED, ENDED_KIND),
+    Happens.CUT: (Outcome.ENDED, ENDED_KIND),
     Happens.LINE_BUSY: (Outcome.LINE_BUSY, "line-busy"),
     Happens.FULL: (Outcome.FULL, "full"),
     Happens.NO_AGENT: (Outcome.NO_AGENT, "no-agent"),
@@ -25,86 +28,111 @@
 }
 
 
-class Answered(Protocol):
-    """The edge's side of a wire."""
+class EndReason(StrEnum):
+    """Why an established dialog ended; the values are the words of the recorded rows."""
+
+    COMPLETED = "over"
+    INTERRUPTED = "cut"
+
+
+class ConnectionOwner(Protocol):
+    """The edge proxy's side of a connection."""
 
     name: str
 
-    def answered(
+    def on_attempt_answer(
         self,
-        wire: Wire,
-        dialog: str,
-        leg: int,
+        connection: Connection,
+        dialog_id: str,
+        attempt: int,
         outcome: Outcome,
-        asked_wait: int,
-        report: LoadReport,
-        word: str,
-    ) -> None: ...
+        retry_after: int,
+        load_report: LoadReport,
+        details: str,
+    ) -> None:
+        """A server's message has arrived; `details`: the reason where an established dialog ended."""
 
-    def wire_down(self, wire: Wire) -> None: ...
+    def on_connection_lost(self, connection: Connection) -> None:
+        """The connection is closed."""
 
 
-class Wire:
-    """One connection: words pass in order, each after a delay of its own. A row is written where the edge's
-    end of it is, as the stand-ins do."""
+class Connection:
+    """One connection between an edge proxy and a server.
 
-    def __init__(self, edge: Answered, server: EmulatedServer, serial: int, delay: Callable[[], int]) -> None:
-        self.edge = edge
+    Messages of one direction arrive in order, each after a delay of its own. A row is recorded when a message
+    passes the edge proxy's end, as with the stand-ins.
+    """
+
+    def __init__(
+        self, owner: ConnectionOwner, server: EmulatedServer, serial: int, delay: Callable[[], int]
+    ) -> None:
+        self.owner = owner
         self.server = server
-        self.peer = f"{edge.name}#{serial}"
-        self.up = True
+        self.peer = f"{owner.name}#{serial}"
+        self.is_open = True
         self._delay = delay
-        self._in = self._out = 0
+        self._last_arrival_at_server = self._last_arrival_at_edge = 0
 
-    def asks(self, kind: str, dialog: str, leg: int, act: Callable[[int, Key], None], word: str = "") -> None:
-        """Towards the server: a row now, and the act with the model when it arrives."""
+    def send(
+        self, kind: str, dialog_id: str, attempt: int, request: Callable[[int, Key], None], details: str = ""
+    ) -> None:
+        """Sends a request to the server: recorded now, `request(now, leg)` applied when it arrives."""
         server = self.server
         sim = server.sim
         now = sim.now()
-        server.row(now, self.edge.name, False, kind, dialog, leg, word)
-        self._in = max(self._in, now + self._delay())
-        sim.at(self._in, self._arrives, act, (self.peer, dialog, leg))
+        server.record_message(now, self.owner.name, False, kind, dialog_id, attempt, details)
+        self._last_arrival_at_server = max(self._last_arrival_at_server, now + self._delay())
+        sim.call_at(self._last_arrival_at_server, self._on_arrival, request, (self.peer, dialog_id, attempt))
 
-    def _arrives(self, act: Callable[[int, Key], None], key: Key) -> None:
-        if self.up and self.server.model.runs:
-            act(self.server.sim.now(), key)
+    def _on_arrival(self, request: Callable[[int, Key], None], leg: Key) -> None:
+        if self.is_open and self.server.model.runs:
+            request(self.server.sim.now(), leg)
             if not self.server.model.runs:
-                self.server.fell()
-            self.server.stirred()
+                self.server.close_connections()
+            self.server.deliver_events()
 
-    def tells(self, happening: Happening) -> None:
-        """Towards the edge: nothing is heard of what left before the wire went down and arrives after."""
+    def send_event(self, event: Happening) -> None:
+        """Sends to the edge proxy; what arrives after the connection closed is lost."""
         sim = self.server.sim
-        self._out = max(self._out, sim.now() + self._delay())
-        sim.at(self._out, self._heard, happening, self.server.load())
+        self._last_arrival_at_edge = max(self._last_arrival_at_edge, sim.now() + self._delay())
+        sim.call_at(self._last_arrival_at_edge, self._on_event, event, self.server.load_report())
 
-    def _heard(self, happening: Happening, report: LoadReport) -> None:
-        if not self.up:
+    def _on_event(self, event: Happening, load_report: LoadReport) -> None:
+        if not self.is_open:
             return
-        _, dialog, leg = happening.key
-        outcome, kind = OUTCOMES[happening.what]
-        word = "cut" if happening.what is Happens.CUT else "over" if kind == "ended" else ""
-        self.server.row(
-            self.server.sim.now(), self.edge.name, True, kind, dialog, leg, word, happening.asked_wait
+        server = self.server
+        _, dialog_id, attempt = event.key
+        outcome, kind = OUTCOMES[event.what]
+        details = ""
+        if kind == ENDED_KIND:
+            details = _end_reason(event).value
+        server.record_message(
+            server.sim.now(), self.owner.name, True, kind, dialog_id, attempt, details, event.asked_wait
+        )
+        self.owner.on_attempt_answer(
+            self, dialog_id, attempt, outcome, event.asked_wait, load_report, details
         )
-        self.edge.answered(self, dialog, leg, outcome, happening.asked_wait, report, word)
 
-    def cut(self, keeps: Sequence[Key] = ()) -> None:
-        """The connection breaks; the legs to keep outlive it for a while, to be resumed on another."""
-        if not self.up:
+    def close(self, surviving_legs: Sequence[Key] = ()) -> None:
+        """Closes the connection; the legs named survive it for a while, to be resumed on another."""
+        if not self.is_open:
             return
-        self.up = False
+        self.is_open = False
         server = self.server
-        server.wires.pop(self.peer, None)
-        server.tap.row(Lost, edge=self.edge.name, peer=server.name)
-        server.keep(keeps)
-        server.model.peer_lost(server.sim.now(), self.peer, server.kept)
-        server.stirred()
-        self.edge.wire_down(self)
+        server.connections.pop(self.peer, None)
+        server.tap.row(Lost, edge=self.owner.name, peer=server.name)
+        server.detach(surviving_legs)
+        server.model.peer_lost(server.sim.now(), self.peer, server.detached_legs)
+        server.deliver_events()
+        self.owner.on_connection_lost(self)
+
+
+def _end_reason(event: Happening) -> EndReason:
+    return EndReason.INTERRUPTED if event.what is Happens.CUT else EndReason.COMPLETED
 
 
 class EmulatedServer:
-    """One process at a time behind a name. `wires` by peer; each leaves with its connection."""
+    """A named server: one process at a time, with its open connections by peer."""
 
     def __init__(
         self,
@@ -112,11 +140,11 @@
         number: int,
         region: str,
         model: SetupServer,
-        sim: Simulated,
+        sim: Simulation,
         tap: Tap,
-        lengths: Chance,
-        mean_length: Callable[[str], int],
-        tells_lines: bool,
+        durations: RandomStream,
+        mean_duration: Callable[[str], int],
+        reports_lines: bool,
     ) -> None:
         self.name = name
         self.number = number
@@ -125,99 +153,123 @@
         self.sim = sim
         self.tap = tap
         self.incarnation = 1
-        self.silent = False
-        self.refuses: set[str] = set()
-        self.wires: dict[str, Wire] = {}
-        # Legs that outlived their connection, with the one that they are on now; each leaves with its end.
-        self.kept: dict[Key, Wire | None] = {}
-        # Ends of such legs that found nobody connected; each leaves when it is asked for, or in time.
-        self.untold: dict[Key, str] = {}
-        self._lengths = lengths
-        self._mean_length = mean_length
-        self._tells_lines = tells_lines
-        self._due: int | None = None
-
-    def row(
-        self, at: int, edge: str, sent: bool, kind: str, dialog: str, leg: int, word: str, span: int = 0
+        self.is_silent = False
+        self.refused_edges: set[str] = set()
+        self.connections: dict[str, Connection] = {}
+        # Legs that survived their connection, by the one that resumed them; each leaves with its end.
+        self.detached_legs: dict[Key, Connection | None] = {}
+        # Ends of such legs while nobody was connected; each leaves when it is asked for, or in time.
+        self.unreported_ends: dict[Key, EndReason] = {}
+        self._durations = durations
+        self._mean_duration = mean_duration
+        self._reports_lines = reports_lines
+        self._next_delivery_at: int | None = None
+
+    def record_message(
+        self,
+        at: int,
+        edge: str,
+        is_sent: bool,
+        kind: str,
+        dialog_id: str,
+        attempt: int,
+        details: str,
+        retry_after: int = 0,
     ) -> None:
+        """Records a message at an edge proxy; `is_sent`: by this server."""
         rows = self.tap.rows
-        rows.append(Passed(len(rows), at, edge, self.name, sent, kind, dialog, leg, span, word))
+        rows.append(
+            Passed(len(rows), at, edge, self.name, is_sent, kind, dialog_id, attempt, retry_after, details)
+        )
+
+    def setup_request(self, traffic_type: str, called_number: int) -> Callable[[int, Key], None]:
+        """The request that sets a dialog up; its duration is drawn when it arrives."""
 
-    def set_up(self, traffic_type: str, number: int) -> Callable[[int, Key], None]:
-        def act(now: int, key: Key) -> None:
-            length = int(self._lengths.exponential() * self._mean_length(traffic_type))
-            self.model.setup(now, key, number, length)
+        def request(now: int, leg: Key) -> None:
+            duration = int(self._durations.exponential() * self._mean_duration(traffic_type))
+            self.model.setup(now, leg, called_number, duration)
 
-        return act
+        return request
 
-    def load(self) -> LoadReport:
-        if not self._tells_lines:
+    def load_report(self) -> LoadReport:
+        """What a message to an edge proxy says of the server's load."""
+        if not self._reports_lines:
             return LoadReport()
         return LoadReport(free_lines=self.model.free_lines, lines=self.model.lines)
 
-    def stirred(self) -> None:
-        """Tells what happened by now, and comes back when the model next has something to do."""
+    def deliver_events(self) -> None:
+        """Sends the model's events up to now, and schedules itself for the model's next one."""
         now = self.sim.now()
-        for happening in self.model.advance(now):
-            wire = self.wires.get(happening.key[0])
-            if happening.key in self.kept:
-                wire = self.kept.pop(happening.key)
-                if wire is None:
-                    self.untold[happening.key] = "cut" if happening.what is Happens.CUT else "over"
-                    self.sim.after(KEEPS, self._forgets, happening.key)
-            if wire is not None and not self.silent and happening.what is not Happens.PROVISIONAL:
-                wire.tells(happening)
+        for event in self.model.advance(now):
+            connection = self.connections.get(event.key[0])
+            if event.key in self.detached_legs:
+                connection = self.detached_legs.pop(event.key)
+                if connection is None:
+                    self.unreported_ends[event.key] = _end_reason(event)
+                    self.sim.call_after(DETACHED_LEG_LIFETIME, self._forget_end, event.key)
+            if connection is not None and not self.is_silent and event.what is not Happens.PROVISIONAL:
+                connection.send_event(event)
         due = self.model.due()
-        if due is not None and (self._due is None or due < self._due or self._due <= now):
-            self._due = due
-            self.sim.at(due, self.stirred)
-
-    def keep(self, keys: Sequence[Key]) -> None:
-        for key in [*keys, *(key for key, wire in self.kept.items() if wire is not None and not wire.up)]:
-            self.kept[key] = None
-            self.sim.after(KEEPS, self._forsake, key)
-
-    def _forgets(self, key: Key) -> None:
-        self.untold.pop(key, None)
-
-    def _forsake(self, key: Key) -> None:
-        if key in self.kept and self.kept[key] is None:
-            del self.kept[key]
-            self.model.forsake(self.sim.now(), key)
-            self.stirred()
-
-    def resume(self, key: Key, wire: Wire) -> str:
-        """A later start asks for a leg on a connection of its own: "stands", or how it ended."""
+        scheduled = self._next_delivery_at
+        if due is not None and (scheduled is None or due < scheduled or scheduled <= now):
+            self._next_delivery_at = due
+            self.sim.call_at(due, self.deliver_events)
+
+    def detach(self, legs: Sequence[Key]) -> None:
+        """Lets legs survive without a connection for a while, with those whose new one has closed too."""
+        orphaned = [
+            leg
+            for leg, connection in self.detached_legs.items()
+            if connection is not None and not connection.is_open
+        ]
+        for leg in [*legs, *orphaned]:
+            self.detached_legs[leg] = None
+            self.sim.call_after(DETACHED_LEG_LIFETIME, self._abandon, leg)
+
+    def _forget_end(self, leg: Key) -> None:
+        self.unreported_ends.pop(leg, None)
+
+    def _abandon(self, leg: Key) -> None:
+        if leg in self.detached_legs and self.detached_legs[leg] is None:
+            del self.detached_legs[leg]
+            self.model.forsake(self.sim.now(), leg)
+            self.deliver_events()
+
+    def resume(self, leg: Key, connection: Connection) -> EndReason | None:
+        """Resumes a leg on a connection of a later process; how it ended, or None if it is established."""
         self.model.asked(self.sim.now())
-        self.stirred()
-        if key in self.kept and key in self.model.legs:
-            self.kept[key] = wire
-            return "stands"
-        return self.untold.pop(key, "cut")
-
-    def fell(self) -> None:
-        self.kept.clear()
-        self.untold.clear()
-        for wire in list(self.wires.values()):
-            wire.cut()
+        self.deliver_events()
+        if leg in self.detached_legs and leg in self.model.legs:
+            self.detached_legs[leg] = connection
+            return None
+        return self.unreported_ends.pop(leg, EndReason.INTERRUPTED)
+
+    def close_connections(self) -> None:
+        """Closes all connections; no leg survives."""
+        self.detached_legs.clear()
+        self.unreported_ends.clear()
+        for connection in list(self.connections.values()):
+            connection.close()
 
     def crash(self) -> None:
+        """The process ends, and its connections close."""
         self.model.crash(self.sim.now())
-        self.fell()
+        self.close_connections()
 
     def vanish(self) -> None:
-        """Gone without a word: nothing is answered, nothing is closed."""
+        """The machine is lost: nothing is answered, and no connection closes."""
         self.model.crash(self.sim.now())
-        self.silent = True
+        self.is_silent = True
 
     def start(self) -> None:
-        """A new process, cold; one that fell over stays down."""
-        self.fell()
-        self.silent = False
+        """Starts a new process, in slow start; a server that crashed by overload stays down."""
+        self.close_connections()
+        self.is_silent = False
         self.model.start(self.sim.now())
         if self.model.runs:
             self.incarnation += 1
-            self.began()
+            self.record_start()
 
-    def began(self) -> None:
+    def record_start(self) -> None:
+        """Records the start of a process with its slow-start parameters."""
         self.tap.row(Began, server=self.name, **self.model.make.cold_terms())
--- /dev/null
+++ b/valverouter/emulator/simulate.py
@@ -0,0 +1,121 @@
+"""Runs an emulated fleet through its day: settling, the calls with the day's faults, and the last answers."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from valverouter.emulator.call_load import CallGenerator, CallLoad
+from valverouter.emulator.edge_faults import EdgeFaults
+from valverouter.emulator.edge_model import ServerView
+from valverouter.emulator.fault_targets import FaultProcess, FaultTargets
+from valverouter.emulator.fleet import Fleet
+from valverouter.emulator.server_faults import ServerFaults
+from valverouter.emulator.servers import EmulatedServer
+from valverouter.signalling.tap import Opened, Row
+from valverouter.terms.day import Trouble
+
+SECOND = 1_000_000_000
+# How often edge proxies without events read the load reports, so that none is kept for long, ns.
+ADVANCE_INTERVAL = 2 * SECOND
+# How often it is looked whether all callers have their answers, and what is waited for afterwards, ns.
+ANSWER_POLL_INTERVAL = SECOND // 20
+FINAL_DELAY = 300_000_000
+
+
+@dataclass(frozen=True, slots=True)
+class ServerSample:
+    """What the edge proxies knew of a server at a time, on average.
+
+    `queue_delay` in ns, `window` their concurrency windows for it, `token_fraction` of retry tokens left.
+    """
+
+    at: int
+    server: str
+    queue_delay: float
+    window: float
+    token_fraction: float
+
+
+@dataclass(slots=True)
+class DayResult:
+    """What a day gave: its rows, the servers with their counters, how many calls were dialled, samples."""
+
+    rows: list[Row]
+    servers: dict[str, EmulatedServer] = field(default_factory=dict)
+    dialled: int = 0
+    samples: list[ServerSample] = field(default_factory=list)
+
+
+class _DayRun:
+    """One run of a fleet's day."""
+
+    def __init__(self, fleet: Fleet, sample_interval: int) -> None:
+        self._fleet = fleet
+        self._sample_interval = sample_interval
+        self._load = CallLoad()
+        self._samples: list[ServerSample] = []
+        targets = FaultTargets(fleet)
+        self._faults = ServerFaults(fleet, targets).by_kind()
+        self._faults |= EdgeFaults(fleet, targets, self._load).by_kind()
+
+    def run(self) -> DayResult:
+        """Runs the day, and on until every caller has its answer."""
+        fleet, sim = self._fleet, self._fleet.sim
+        for edge in fleet.edges:
+            edge.start(fleet.endpoint_list.complete())
+        settled_at = sim.now() + fleet.day.terms.settle
+        ends_at = settled_at + fleet.day.terms.length
+        sim.run(settled_at)
+        self._begin(ends_at)
+        sim.run(ends_at)
+        self._wait_for_answers(ends_at)
+        return DayResult(fleet.tap.rows, fleet.servers, self._load.dialled, self._samples)
+
+    def _begin(self, ends_at: int) -> None:
+        fleet = self._fleet
+        fleet.tap.row(Opened)
+        for name, fault in fleet.day.troubles.items():
+            fleet.sim.env.process(self._fault(name, fault))
+        for callers in fleet.callers:
+            CallGenerator(fleet, self._load, callers, ends_at).start()
+        self._advance_edges()
+        if self._sample_interval:
+            self._sample()
+
+    def _fault(self, name: str, fault: Trouble) -> FaultProcess:
+        yield self._fleet.sim.env.timeout(fault.start)
+        yield from self._faults[fault.kind](fault, self._fleet.random_stream(f"trouble {name}"))
+
+    def _wait_for_answers(self, ends_at: int) -> None:
+        fleet, sim = self._fleet, self._fleet.sim
+        for callers in fleet.callers:
+            callers.patience = 1.0
+        deadline = ends_at + max(mix.no_answer for mix in fleet.day.mix.values()) + SECOND
+        while sim.now() < deadline and any(callers.is_waiting for callers in fleet.callers):
+            sim.run(min(deadline, sim.now() + ANSWER_POLL_INTERVAL))
+        sim.run(sim.now() + FINAL_DELAY)
+
+    def _advance_edges(self) -> None:
+        for edge in self._fleet.edges:
+            edge.advance()
+        self._fleet.sim.call_after(ADVANCE_INTERVAL, self._advance_edges)
+
+    def _sample(self) -> None:
+        views: dict[str, list[ServerView]] = {}
+        for edge in self._fleet.edges:
+            if edge.is_running:
+                for server, view in edge.server_views().items():
+                    views.setdefault(server, []).append(view)
+        now = self._fleet.sim.now()
+        for server, server_views in sorted(views.items()):
+            means = [sum(values) / len(server_views) for values in zip(*server_views, strict=True)]
+            self._samples.append(ServerSample(now, server, *means))
+        self._fleet.sim.call_after(self._sample_interval, self._sample)
+
+
+def simulate_day(fleet: Fleet, sample_interval: int = 0) -> DayResult:
+    """Runs a fleet's day to the end.
+
+    `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none.
+    """
+    return _DayRun(fleet, sample_interval).run()
--- /dev/null
+++ b/valverouter/emulator/simulation.py
@@ -0,0 +1,80 @@
+"""Discrete-event simulation on simpy in whole nanoseconds, with one numpy random stream for each source."""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Callable
+from typing import Any
+
+import numpy as np
+import simpy
+
+# The start of every simulation. It lies well after 0, since the policy takes a start at 0 for long ago.
+EPOCH = 86_400 * 10**9
+DRAWS_PER_BATCH = 256
+
+
+class Simulation:
+    """The event calendar. Events due at one moment run in the order in which they were scheduled."""
+
+    def __init__(self) -> None:
+        self.env = simpy.Environment(initial_time=EPOCH)
+
+    def now(self) -> int:
+        """The simulated time, ns."""
+        return int(self.env.now)
+
+    def call_at(self, time: int, callback: Callable[..., None], *args: Any) -> None:
+        """Calls `callback(*args)` at `time`, ns; a time that has passed counts as now."""
+        due = simpy.Timeout(self.env, max(0, time - self.env.now))
+        assert due.callbacks is not None
+        due.callbacks.append(lambda event: callback(*args))
+
+    def call_after(self, delay: int, callback: Callable[..., None], *args: Any) -> None:
+        """Calls `callback(*args)` in `delay` ns."""
+        self.call_at(self.now() + delay, callback, *args)
+
+    def run(self, until: int) -> None:
+        """Runs all events before `until`, ns."""
+        self.env.run(until=until)
+
+
+class RandomStream:
+    """The draws of one source, the same on every machine.
+
+    How many draws another source makes changes nothing here.
+    """
+
+    def __init__(self, seed: int, source: str) -> None:
+        self._generator = np.random.Generator(np.random.PCG64([seed, zlib.crc32(source.encode())]))
+        self._uniform: list[float] = []
+        self._exponential: list[float] = []
+
+    def random(self) -> float:
+        """Uniform from 0 up to 1."""
+        if not self._uniform:
+            self._uniform = self._generator.random(DRAWS_PER_BATCH).tolist()
+        return self._uniform.pop()
+
+    def exponential(self) -> float:
+        """Exponential with mean 1."""
+        if not self._exponential:
+            self._exponential = self._generator.standard_exponential(DRAWS_PER_BATCH).tolist()
+        return self._exponential.pop()
+
+    def integer_below(self, count: int) -> int:
+        """Uniform among 0 to `count` - 1."""
+        return int(self.random() * count)
+
+    def weighted_index(self, weights: list[float]) -> int:
+        """An index, with a probability in proportion to its weight."""
+        remaining = self.random() * sum(weights)
+        for index, weight in enumerate(weights):
+            remaining -= weight
+            if remaining < 0:
+                return index
+        return len(weights) - 1
+
+    def sample(self, names: list[str], count: int) -> list[str]:
+        """`count` different names in random order."""
+        return [names[index] for index in self._generator.permutation(len(names))[:count].tolist()]
--- a/valverouter/experiments/daypage.py
+++ b/valverouter/experiments/daypage.py
@@ -1,15 +1,16 @@
-"""One emulated day as a page: service, waits, windows, tokens and legs by second, servers as a heat map."""
+"""One emulated day as a page: service, queue delays, windows, tokens and attempts by second, by server."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
 
 from jinja2 import Environment
 
-from valverouter.emulator.fleet import Emulated
+from valverouter.emulator.simulate import DayResult
 from valverouter.experiments.figures import by_second
-from valverouter.signalling.tap import Fault, Passed, Terms
+from valverouter.signalling.tap import Fault, Passed, Row, Terms
 
 SECOND = 1_000_000_000
 WIDE, HIGH, CELL = 900, 120, 14
@@ -36,91 +37,135 @@
 """
 
 
-def day_page(name: str, emulated: Emulated) -> str:
+ByServerAndSecond = Counter[tuple[str, int]]
+BySecond = dict[int, float]
+
+
+@dataclass(slots=True)
+class _Attempts:
+    """Attempts by server and second, how many of them failed, and all outcomes by kind and second."""
+
+    sent: ByServerAndSecond = field(default_factory=Counter)
+    failed: ByServerAndSecond = field(default_factory=Counter)
+    outcomes: Counter[tuple[str, int]] = field(default_factory=Counter)
+
+
+def day_page(name: str, result: DayResult) -> str:
     """The page, readable without any tool or network."""
-    rows = emulated.rows
+    rows = result.rows
     terms = next(row for row in rows if isinstance(row, Terms))
-    start = next((row.at for row in rows if isinstance(row, Passed)), 0)
-    served = {at: got / offered for at, (offered, got) in by_second(rows, terms).items() if offered}
-    sent, failed, outcomes = (
-        Counter[tuple[str, int]](),
-        Counter[tuple[str, int]](),
-        Counter[tuple[str, int]](),
+    starts_at = next((row.at for row in rows if isinstance(row, Passed)), 0)
+    service = {
+        second: served / offered for second, (offered, served) in by_second(rows, terms).items() if offered
+    }
+    attempts = _count_attempts(result, starts_at)
+    seconds = max([*service, *(second for _, second in attempts.sent)], default=0) + 1
+    page = Environment(autoescape=True).from_string(PAGE)
+    return page.render(
+        name=name,
+        seconds=seconds,
+        troubles=_fault_lines(rows, starts_at),
+        charts=_charts(result, service, attempts, seconds, starts_at),
+        heat=_heat_map(attempts, seconds),
+        wide=WIDE,
+        high=HIGH,
+        cell=CELL,
     )
-    for row in rows:
-        if isinstance(row, Passed) and row.peer in emulated.servers:
-            at = (row.at - start) // SECOND
-            if not row.sent and row.kind == "setup":
-                sent[row.peer, at] += 1
-            elif row.sent and row.kind in ENDS:
-                outcomes[row.kind, at] += 1
-                failed[row.peer, at] += row.kind != "stands"
-    seconds = max([*served, *(at for _, at in sent)], default=0) + 1
-    known: dict[str, dict[str, dict[int, float]]] = {"wait": {}, "window": {}, "tokens": {}}
-    for one in emulated.samples:
-        at = (one.at - start) // SECOND
-        for what, value in (("wait", one.wait / 1e6), ("window", one.window), ("tokens", one.tokens)):
-            known[what].setdefault(one.server, {})[at] = value
-    legs = {kind: {at: float(outcomes[kind, at]) for at in range(seconds)} for kind in ENDS}
-    charts = [
-        _chart("Service of dialogs first dialled in each second", {"service": served}, seconds, 1.0),
-        _chart("Legs by outcome", legs, seconds),
-        _chart("Waits that the edge proxies know, ms", known["wait"], seconds),
-        _chart("Windows for unanswered legs", known["window"], seconds),
-        _chart("Retry tokens left", known["tokens"], seconds, 1.0),
+
+
+def _count_attempts(result: DayResult, starts_at: int) -> _Attempts:
+    attempts = _Attempts()
+    for row in result.rows:
+        if not isinstance(row, Passed) or row.peer not in result.servers:
+            continue
+        second = (row.at - starts_at) // SECOND
+        if not row.sent and row.kind == "setup":
+            attempts.sent[row.peer, second] += 1
+        elif row.sent and row.kind in ENDS:
+            attempts.outcomes[row.kind, second] += 1
+            attempts.failed[row.peer, second] += row.kind != "stands"
+    return attempts
+
+
+def _fault_lines(rows: Sequence[Row], starts_at: int) -> list[str]:
+    return [
+        f"{row.kind} of {row.target} from {(row.at - starts_at) / 1e9:.0f} "
+        f"to {(row.until - starts_at) / 1e9:.0f} s"
+        for row in rows
+        if isinstance(row, Fault)
     ]
-    heat = []
-    for index, server in enumerate(sorted({server for server, _ in sent})):
-        spots = []
-        for at in range(seconds):
-            if sent[server, at]:
-                share = min(1.0, failed[server, at] / sent[server, at])
-                said = f"{server}, second {at}: {failed[server, at]} of {sent[server, at]}"
-                spots.append(
-                    {
-                        "x": round(at * WIDE / seconds, 1),
-                        "w": round(WIDE / seconds, 1),
-                        "shade": int(235 * (1 - share)),
-                        "said": said,
-                    }
-                )
-        heat.append({"name": server, "y": CELL * index, "spots": spots})
-    faults = [row for row in rows if isinstance(row, Fault)]
-    troubles = [
-        f"{row.kind} of {row.target} from {(row.at - start) / 1e9:.0f} to {(row.until - start) / 1e9:.0f} s"
-        for row in faults
+
+
+def _charts(
+    result: DayResult, service: BySecond, attempts: _Attempts, seconds: int, starts_at: int
+) -> list[dict[str, object]]:
+    delays, windows, tokens = _by_server(result, starts_at)
+    outcomes = {
+        kind: {second: float(attempts.outcomes[kind, second]) for second in range(seconds)} for kind in ENDS
+    }
+    return [
+        _chart("Service of dialogs first dialled in each second", {"service": service}, seconds, 1.0),
+        _chart("Legs by outcome", outcomes, seconds),
+        _chart("Waits that the edge proxies know, ms", delays, seconds),
+        _chart("Windows for unanswered legs", windows, seconds),
+        _chart("Retry tokens left", tokens, seconds, 1.0),
     ]
-    return (
-        Environment(autoescape=True)
-        .from_string(PAGE)
-        .render(
-            name=name,
-            seconds=seconds,
-            troubles=troubles,
-            charts=charts,
-            heat=heat,
-            wide=WIDE,
-            high=HIGH,
-            cell=CELL,
-        )
-    )
+
+
+def _by_server(result: DayResult, starts_at: int) -> tuple[dict[str, BySecond], ...]:
+    """Queue delays (ms), windows and token fractions, each by server and second."""
+    delays: dict[str, BySecond] = {}
+    windows: dict[str, BySecond] = {}
+    tokens: dict[str, BySecond] = {}
+    for sample in result.samples:
+        second = (sample.at - starts_at) // SECOND
+        delays.setdefault(sample.server, {})[second] = sample.queue_delay / 1e6
+        windows.setdefault(sample.server, {})[second] = sample.window
+        tokens.setdefault(sample.server, {})[second] = sample.token_fraction
+    return delays, windows, tokens
+
+
+def _heat_map(attempts: _Attempts, seconds: int) -> list[dict[str, object]]:
+    servers = sorted({server for server, _ in attempts.sent})
+    return [
+        {
+            "name": server,
+            "y": CELL * index,
+            "spots": [
+                _heat_spot(attempts, server, second, seconds)
+                for second in range(seconds)
+                if attempts.sent[server, second]
+            ],
+        }
+        for index, server in enumerate(servers)
+    ]
+
+
+def _heat_spot(attempts: _Attempts, server: str, second: int, seconds: int) -> dict[str, object]:
+    sent, failed = attempts.sent[server, second], attempts.failed[server, second]
+    return {
+        "x": round(second * WIDE / seconds, 1),
+        "w": round(WIDE / seconds, 1),
+        "shade": int(235 * (1 - min(1.0, failed / sent))),
+        "said": f"{server}, second {second}: {failed} of {sent}",
+    }
 
 
 def _chart(
-    title: str, lines: Mapping[str, Mapping[int, float]], seconds: int, most: float = 0.0
+    title: str, lines: Mapping[str, Mapping[int, float]], seconds: int, maximum: float = 0.0
 ) -> dict[str, object]:
-    top = most or max((value for line in lines.values() for value in line.values()), default=0.0) or 1.0
+    top = maximum or max((value for line in lines.values() for value in line.values()), default=0.0) or 1.0
     drawn = [
-        {"name": name, "colour": COLOURS[at % len(COLOURS)], "points": _points(line, seconds, top)}
-        for at, (name, line) in enumerate(lines.items())
+        {"name": name, "colour": COLOURS[index % len(COLOURS)], "points": _points(line, seconds, top)}
+        for index, (name, line) in enumerate(lines.items())
         if line
     ]
     return {"title": title, "most": f"{top:.3g}", "lines": drawn}
 
 
 def _points(line: Mapping[int, float], seconds: int, top: float) -> str:
-    spots: Sequence[tuple[float, float]] = [
-        (at * WIDE / max(1, seconds - 1), HIGH - value / top * (HIGH - 4))
-        for at, value in sorted(line.items())
+    points = [
+        (second * WIDE / max(1, seconds - 1), HIGH - value / top * (HIGH - 4))
+        for second, value in sorted(line.items())
     ]
-    return " ".join(f"{x:.1f},{y:.1f}" for x, y in spots)
+    return " ".join(f"{x:.1f},{y:.1f}" for x, y in points)
