--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -35,14 +35,25 @@
 from valverouter.fleet import authentication, fragmentation, queries, view_comparison
 from valverouter.fleet import messages as fleet_messages
 from valverouter.ledger import dialog_store
-from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.keeperstore import KeeperStore
+from valverouter.ledger.raft_store import RaftStore
+from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
 from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
 from valverouter.relayedge import words as relay_words
 from valverouter.relaywire import bus, lines
-from valverouter.rollout import council, keeping, limits, orders, permits, shown, written
+from valverouter.rollout import (
+    disruption_limits,
+    disruption_permits,
+    operation_log,
+    operations,
+    raft_log,
+    raft_messages,
+    reports,
+    serialization,
+    status,
+    supervisor_state,
+)
 from valverouter.signalling import framing, greeting, serverlist, setup, tap
 from valverouter.terms import calls
 
@@ -133,7 +144,7 @@
 
 # What an instance tells of itself, and of its view
 
-COUNTS = keeping.Counts(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+COUNTS = reports.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
 def view_row(state: records.MemberState = records.MemberState.LEFT) -> queries.MemberRow:
@@ -155,57 +166,63 @@
 # Orders and permits
 
 UNITS = (
-    limits.Unit("e5", limits.Sort.EDGE, "east", 199, 1.5),
-    limits.Unit("s6", limits.Sort.SERVER, "west", 211, 2.5),
+    disruption_limits.Instance("e5", disruption_limits.InstanceKind.EDGE, "east", 199, 1.5),
+    disruption_limits.Instance("s6", disruption_limits.InstanceKind.SERVER, "west", 211, 2.5),
 )
-LIMITS = limits.Limits(4, 2, {"east": 1}, 0.25, 0.75)
+LIMITS = disruption_limits.DisruptionLimits(4, 2, {"east": 1}, 0.25, 0.75)
 
 PERMIT_COMMANDS: dict[str, Any] = {
-    "ask": permits.Ask("o1/e5", "e5", "o1"),
-    "back": permits.Back("e8", 223),
-    "away": permits.Away("e10"),
-    "enrol": permits.Enrol(UNITS, ((limits.Sort.SERVER, LIMITS), (limits.Sort.EDGE, LIMITS))),
-    "halt": permits.Halt("as asked", True),
+    "ask": disruption_permits.RequestPermit("o1/e5", "e5", "o1"),
+    "back": disruption_permits.InstanceReturned("e8", 223),
+    "away": disruption_permits.InstanceLost("e10"),
+    "enrol": disruption_permits.EnrollInstances(
+        UNITS,
+        ((disruption_limits.InstanceKind.SERVER, LIMITS), (disruption_limits.InstanceKind.EDGE, LIMITS)),
+    ),
+    "halt": disruption_permits.HaltDisruptions("as asked", True),
 }
 ORDER_COMMANDS: dict[str, Any] = {
-    "place": orders.Place("o2", orders.Kind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
-    "went": orders.Went("o3", "e11", 229, orders.Step.DRAINED, "emptied"),
-    "next": orders.Next("o4", 3),
-    "stop": orders.Stop("o5", "evidence", False, 233),
-    "runs": orders.Runs("e12", "v6", ("v6", "v7"), 239, 2, False),
-    "retire": orders.Retire("e13"),
+    "place": operations.Submit("o2", operations.OperationKind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
+    "went": operations.StepReported("o3", "e11", 229, operations.StepStatus.DRAINED, "emptied"),
+    "next": operations.Advance("o4", 3),
+    "stop": operations.Cancel("o5", "evidence", False, 233),
+    "runs": operations.InstanceReported("e12", "v6", ("v6", "v7"), 239, 2, False),
+    "retire": operations.Retire("e13"),
 }
 COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
-MEMBERS = council.Members((("c1", 241), ("c2", 251)))
-WANT = orders.Want("v8", False, 257, 1, "o6")
-PERMIT = permits.Permit(263, "e14", "o7")
+MEMBERS = raft_log.Configuration((("c1", 241), ("c2", 251)))
+WANT = operations.DesiredState("v8", False, 257, 1, "o6")
+PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
-def member(step: orders.Step = orders.Step.OUT) -> orders.Member:
-    return orders.Member(step, 269, 3, "v9", "slow")
+def member(step: operations.StepStatus = operations.StepStatus.OUT) -> operations.Participant:
+    return operations.Participant(step, 269, 3, "v9", "slow")
 
 
-def order(kind: orders.Kind, phase: orders.Phase) -> orders.Order:
+def order(kind: operations.OperationKind, phase: operations.OperationPhase) -> operations.Operation:
     """With a member for each step."""
-    members = {f"m{at}": member(step) for at, step in enumerate(orders.Step)}
+    members = {f"m{at}": member(step) for at, step in enumerate(operations.StepStatus)}
     waves = [["m0"], list(members)[1:]]
     head = f"o-{kind.value}", kind, "v10", 271, "operator"
-    return orders.Order(*head, waves, members, [1], phase, 1, True, "halted", "partly")
+    return operations.Operation(*head, waves, members, [1], phase, 1, True, "halted", "partly")
 
 
-def book() -> orders.Book:
+def book() -> operation_log.OperationLog:
     """Every kind of order and every phase of one, at least once each."""
-    phases = list(orders.Phase)
-    kinds = [list(orders.Kind)[at % len(orders.Kind)] for at in range(len(phases))]
+    phases = list(operations.OperationPhase)
+    kinds = [list(operations.OperationKind)[at % len(operations.OperationKind)] for at in range(len(phases))]
     placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
-    register = permits.Register(
+    register = disruption_permits.PermitRegister(
         {unit.name: unit for unit in UNITS},
-        {limits.Sort.EDGE: LIMITS, limits.Sort.SERVER: LIMITS},
+        {disruption_limits.InstanceKind.EDGE: LIMITS, disruption_limits.InstanceKind.SERVER: LIMITS},
         {"e14": PERMIT, "e10": None},
-        {"o7/e14": permits.Answer("o7/e14", PERMIT, "given"), "o7/e15": permits.Answer("o7/e15", None, "no")},
+        {
+            "o7/e14": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
+            "o7/e15": disruption_permits.PermitDecision("o7/e15", None, "no"),
+        },
         "until noon",
     )
-    return orders.Book(
+    return operation_log.OperationLog(
         register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
     )
 
@@ -213,38 +230,41 @@
 # The council
 
 
-def entries() -> tuple[council.Entry, ...]:
+def entries() -> tuple[raft_log.LogEntry, ...]:
     """One of each command, the members, and a leader's first word."""
     what = [*COMMANDS.values(), MEMBERS, None]
-    return tuple(council.Entry(281 + at, one) for at, one in enumerate(what))
+    return tuple(raft_log.LogEntry(281 + at, one) for at, one in enumerate(what))
 
 
-def snapshot() -> council.Snapshot:
-    return council.Snapshot(283, 280, MEMBERS, book())
+def snapshot() -> raft_log.Snapshot:
+    return raft_log.Snapshot(283, 280, MEMBERS, book())
 
 
-def kept_entries() -> tuple[written.KeptEntry, ...]:
-    return tuple(written.kept_entry(entry) for entry in entries())
+def kept_entries() -> tuple[serialization.StoredEntry, ...]:
+    return tuple(serialization.to_stored_entry(entry) for entry in entries())
 
 
 COUNCIL: dict[str, Any] = {
-    "vote": council.Vote(293, "c1", 307, 311, 313, True),
-    "voted": council.Voted(317, "c2", 331, True, True),
-    "appended": council.Appended(337, "c3", 347, True, 349, 353),
-    "append": written.sent(council.Append(359, "c4", 367, 373, entries(), 379, 383)),
-    "install": written.sent(council.Install(389, "c5", snapshot())),
+    "vote": raft_messages.RequestVote(293, "c1", 307, 311, 313, True),
+    "voted": raft_messages.RequestVoteResponse(317, "c2", 331, True, True),
+    "appended": raft_messages.AppendEntriesResponse(337, "c3", 347, True, 349, 353),
+    "append": serialization.to_wire(raft_messages.AppendEntries(359, "c4", 367, 373, entries(), 379, 383)),
+    "install": serialization.to_wire(raft_messages.InstallSnapshot(389, "c5", snapshot())),
 }
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = keeping.Facts("e16", limits.Sort.SERVER, "north", 397, 3.5, ("v11", "v12"))
-REPORT = keeping.Report(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
-MEMORY = keeping.Memory(
+FACTS = reports.InstanceInfo("e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12"))
+REPORT = reports.SupervisorReport(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
+MEMORY = supervisor_state.SupervisorState(
     "v13",
     False,
     "409 boot",
     "v12",
-    [keeping.Turn(419, 1, "o8", "done", "in time"), keeping.Turn(421, 2, "o9", "failed", "late")],
+    [
+        supervisor_state.Step(419, 1, "o8", "done", "in time"),
+        supervisor_state.Step(421, 2, "o9", "failed", "late"),
+    ],
 )
 
 WORDS: dict[str, Any] = {
@@ -259,15 +279,19 @@
     "tells": fleet_messages.ClientResponse(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
-PLACED = orders.Placed("o10", (("e5",), ("e8", "e11")), "refused")
-TOOL_PAGE = shown.Shown(
+PLACED = operations.SubmitResult("o10", (("e5",), ("e8", "e11")), "refused")
+TOOL_PAGE = status.FleetStatus(
     "c1",
     463,
     ("c1", "c2"),
     "halted",
-    (shown.Unit("e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")),),
     (
-        shown.Order(
+        status.InstanceStatus(
+            "e5", "edge proxy", "east", "v14", "v15", "out", 467, "o11", 479, 5, ("v14", "v15")
+        ),
+    ),
+    (
+        status.OperationStatus(
             "o11",
             "release",
             "v15",
@@ -279,7 +303,7 @@
             "partly",
             "evidence",
             {"out": 1, "waiting": 2},
-            (shown.Member("e5", "out", 491, "v14", "slow"),),
+            (status.ParticipantStatus("e5", "out", 491, "v14", "slow"),),
         ),
     ),
     499,
@@ -486,10 +510,10 @@
         "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
         "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
         **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
-        "council.snapshot": written.kept_snapshot(snapshot()),
+        "council.snapshot": serialization.to_stored_snapshot(snapshot()),
         "orders.placed": PLACED,
         "orders.shown": TOOL_PAGE,
-        "permits.answer": permits.Answer("o7/e14", PERMIT, "given"),
+        "permits.answer": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
         "keeper.memory": MEMORY,
         "keeper.report": REPORT,
         **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in lifecycle.Phase},
@@ -520,10 +544,10 @@
     return {
         "membership.state": records.MemberState,
         "membership.phase": records.Phase,
-        "orders.kind": orders.Kind,
-        "orders.phase": orders.Phase,
-        "orders.step": orders.Step,
-        "limits.sort": limits.Sort,
+        "orders.kind": operations.OperationKind,
+        "orders.phase": operations.OperationPhase,
+        "orders.step": operations.StepStatus,
+        "limits.sort": disruption_limits.InstanceKind,
         "ledger.phase": lifecycle.Phase,
     }
 
@@ -537,13 +561,16 @@
     fragmentation,
     authentication,
     fleet_messages,
-    limits,
-    permits,
-    orders,
-    council,
-    written,
-    keeping,
-    shown,
+    disruption_limits,
+    disruption_permits,
+    operations,
+    operation_log,
+    raft_log,
+    raft_messages,
+    serialization,
+    reports,
+    supervisor_state,
+    status,
     lifecycle,
     learned_state,
     dialog_store,
@@ -568,7 +595,13 @@
 
 
 # Said, OfLeg: bases only. _Kind: decoded alone. Append, Install: sent as SentAppend and SentInstall.
-NEVER_WRITTEN = (messages.FleetMessage, setup.OfLeg, greeting._Kind, council.Append, council.Install)
+NEVER_WRITTEN = (
+    messages.FleetMessage,
+    setup.OfLeg,
+    greeting._Kind,
+    raft_messages.AppendEntries,
+    raft_messages.InstallSnapshot,
+)
 
 TAGS: dict[type[msgspec.Struct], str] = {
     messages.FleetMessage: "Said",
@@ -590,25 +623,25 @@
     fleet_messages.DesiredStateMessage: "w",
     fleet_messages.ClientRequest: "q",
     fleet_messages.ClientResponse: "t",
-    permits.Ask: "Ask",
-    permits.Back: "Back",
-    permits.Away: "Away",
-    permits.Enrol: "Enrol",
-    permits.Halt: "Halt",
-    orders.Place: "Place",
-    orders.Went: "Went",
-    orders.Next: "Next",
-    orders.Stop: "Stop",
-    orders.Runs: "Runs",
-    orders.Retire: "Retire",
-    council.Members: "Members",
-    council.Vote: "Vote",
-    council.Voted: "Voted",
-    council.Append: "Append",
-    council.Appended: "Appended",
-    council.Install: "Install",
-    written.SentAppend: "SentAppend",
-    written.SentInstall: "SentInstall",
+    disruption_permits.RequestPermit: "Ask",
+    disruption_permits.InstanceReturned: "Back",
+    disruption_permits.InstanceLost: "Away",
+    disruption_permits.EnrollInstances: "Enrol",
+    disruption_permits.HaltDisruptions: "Halt",
+    operations.Submit: "Place",
+    operations.StepReported: "Went",
+    operations.Advance: "Next",
+    operations.Cancel: "Stop",
+    operations.InstanceReported: "Runs",
+    operations.Retire: "Retire",
+    raft_log.Configuration: "Members",
+    raft_messages.RequestVote: "Vote",
+    raft_messages.RequestVoteResponse: "Voted",
+    raft_messages.AppendEntries: "Append",
+    raft_messages.AppendEntriesResponse: "Appended",
+    raft_messages.InstallSnapshot: "Install",
+    serialization.WireAppendEntries: "SentAppend",
+    serialization.WireInstallSnapshot: "SentInstall",
     greeting.Hello: "hello",
     greeting.Welcome: "welcome",
     greeting.Error: "error",
@@ -670,19 +703,19 @@
 
 
 def write_council(folder: Path) -> None:
-    with closing(CouncilStore(folder, 997)) as durable:
-        first = snapshot().index + 1
+    with closing(RaftStore(folder, 997)) as durable:
+        first = snapshot().last_included_index + 1
         durable.commit(
             [
-                council.SaveTerm(1009, "c2"),
-                council.SaveSnapshot(snapshot()),
-                council.SaveEntries(first, entries()),
+                raft_log.SaveTerm(1009, "c2"),
+                raft_log.SaveSnapshot(snapshot()),
+                raft_log.SaveEntries(first, entries()),
             ]
         )
 
 
 def write_keeper(folder: Path) -> None:
-    with closing(KeeperStore(folder)) as durable:
+    with closing(SupervisorStore(folder)) as durable:
         durable.save(MEMORY)
 
 
--- a/valverouter/cli/seating.py
+++ b/valverouter/cli/seating.py
@@ -17,9 +17,9 @@
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
 from valverouter.fleet.supervisor_service import SupervisorService
-from valverouter.ledger.councilstore import CouncilStore
-from valverouter.ledger.keeperstore import opened
+from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.storage import StoreError, open_or_set_aside
+from valverouter.ledger.supervisor_store import open_supervisor_store
 from valverouter.terms.rollout import SeatTerms, load_keeper, load_seat
 
 log = structlog.get_logger()
@@ -46,16 +46,16 @@
         sys.exit(FAILED)
 
 
-def _store(terms: SeatTerms) -> CouncilStore:
+def _store(terms: SeatTerms) -> RaftStore:
     """One that can't be read whole is a lost disk: set aside, and the seat comes back as another."""
     fresh = secrets.randbits(63)
-    opened = open_or_set_aside(terms.store, lambda: CouncilStore(terms.store, fresh), CouncilStore.load)
+    opened = open_or_set_aside(terms.store, lambda: RaftStore(terms.store, fresh), RaftStore.load)
     if opened.problem:
         log.error("record-set-aside", why=opened.problem, to=str(opened.set_aside_to))
     return opened.store
 
 
-async def _seat(terms: SeatTerms, store: CouncilStore, found: bool) -> None:
+async def _seat(terms: SeatTerms, store: RaftStore, found: bool) -> None:
     task = RaftServer(terms, Sockets(), store, found)
     async with trio.open_nursery() as nursery:
         await nursery.start(task.run)
@@ -73,7 +73,7 @@
     terms = load_keeper(file)
     logs.set_up(terms.log)
     try:
-        store, memory, aside = opened(terms.store)
+        store, memory, aside = open_supervisor_store(terms.store)
         if aside:
             log.error("memory-set-aside", why=aside)
         try:
--- a/valverouter/fleet/queries.py
+++ b/valverouter/fleet/queries.py
@@ -11,7 +11,7 @@
 
 from valverouter.membership.messages import FleetMessage
 from valverouter.membership.records import MemberState
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.reports import InstanceCounters
 
 # Bytes of a row's fields other than its texts, at most.
 FIXED_ROW_BYTES = 64
@@ -34,7 +34,7 @@
     """The reply to the CountersQuery of the same nonce."""
 
     nonce: int = 0
-    counters: Counts = Counts()
+    counters: InstanceCounters = InstanceCounters()
 
 
 class MemberRow(Struct, frozen=True, array_like=True):
