--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -37,7 +37,6 @@
     "valverouter/days/world.py::World._dials": 44,
     "valverouter/edge/proxy.py::EdgeProxy.__init__": 44,
     "valverouter/edge/proxy.py::EdgeProxy._turns": 55,
-    "valverouter/load/drive.py::drive": 83,
     "valverouter/relayedge/words.py::asked": 43,
     "valverouter/signalling/setup.py::SetupSession._pass": 50,
     "valverouter/standins/server.py::ServerStandIn.__init__": 45,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,8 +10,9 @@
 from trio.testing import MockClock
 
 from tests.test_days import valverouter
-from valverouter.load.drive import LoadFailedError, drive, mixed
-from valverouter.load.measure import Sample, highest
+from valverouter.load.drive import LoadFailedError, drive, traffic_of
+from valverouter.load.measure import LoadSample
+from valverouter.load.rate_search import highest_rate
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.terms.day import load_day
@@ -28,7 +29,7 @@
         asked.append(rate)
         return rate <= limit
 
-    found = await highest(holds, 20, 10_000)
+    found = await highest_rate(holds, 20, 10_000)
     if limit < 20:
         assert found == 0
         assert asked == [20]
@@ -45,27 +46,27 @@
     async def holds(rate: float) -> bool:
         return rate < 500 or (rate < 1_000 and chance.random() < 0.3)
 
-    found = [await highest(holds, 20, 10_000) for _ in range(30)]
+    found = [await highest_rate(holds, 20, 10_000) for _ in range(30)]
     assert all(400 <= rate < 1_000 for rate in found)
     assert sorted(found)[15] < 700
 
 
 def test_delays_count_from_when_a_dialog_was_due_and_what_never_stood_holds_nothing() -> None:
-    sample = Sample(10, offered=100)
+    sample = LoadSample(10, offered=100)
     for at in range(99):
-        sample.stands(at * 10 * MS, at * 10 * MS + (5 if at < 98 else 900) * MS)
-    assert sample.stood == 99
-    assert sample.at(50) == pytest.approx(5, rel=0.01)
-    assert sample.at(99.9) == pytest.approx(900, rel=0.01)
-    assert sample.holds(100 * MS, 0.98)
-    assert not sample.holds(100 * MS, 0.99)
-    assert sample.holds(SECOND, 0.99)
-    assert not Sample(1).holds(SECOND, 0.5)
+        sample.record_established(at * 10 * MS, at * 10 * MS + (5 if at < 98 else 900) * MS)
+    assert sample.established == 99
+    assert sample.latency_percentile(50) == pytest.approx(5, rel=0.01)
+    assert sample.latency_percentile(99.9) == pytest.approx(900, rel=0.01)
+    assert sample.meets(100 * MS, 0.98)
+    assert not sample.meets(100 * MS, 0.99)
+    assert sample.meets(SECOND, 0.99)
+    assert not LoadSample(1).meets(SECOND, 0.5)
 
 
 def test_types_come_by_their_shares() -> None:
     day = load_day(LOAD.parent / "bad-day.ini")
-    kinds = [mixed(day, at)[0] for at in range(1_000)]
+    kinds = [traffic_of(day, serial)[0] for serial in range(1_000)]
     total = sum(mix.share for mix in day.mix.values())
     for kind, mix in day.mix.items():
         assert kinds.count(kind) / 1_000 == pytest.approx(mix.share / total, abs=0.01)
@@ -95,9 +96,11 @@
         port = listeners[0].socket.getsockname()[1]
         sample = await drive(f"127.0.0.1:{port}", day, 100, 1.0)
         nursery.cancel_scope.cancel()
-    assert (sample.offered, sample.stood, sample.unanswered) == (100, 100, 0)
-    assert sample.at(99.9) >= 295
-    assert sample.at(90) > 100, "a quarter of the dialogs was due while the target was held up"
+    assert (sample.offered, sample.established, sample.unanswered) == (100, 100, 0)
+    assert sample.latency_percentile(99.9) >= 295
+    assert sample.latency_percentile(90) > 100, (
+        "a quarter of the dialogs was due while the target was held up"
+    )
 
 
 async def test_a_target_that_goes_away_fails_the_run() -> None:
--- a/valverouter/cli/loads.py
+++ b/valverouter/cli/loads.py
@@ -8,20 +8,23 @@
 from rich.console import Console
 
 from valverouter.experiments.compare import paired
-from valverouter.load.drive import drive, target
-from valverouter.load.measure import Sample, highest
+from valverouter.load.drive import drive
+from valverouter.load.measure import LoadSample
+from valverouter.load.rate_search import highest_rate
+from valverouter.load.target import target
 from valverouter.terms.day import load_day
 
 # How long stand-ins outlive what they were asked for; they end by themselves.
 SPARE_S = 60
 
 
-def said(sample: Sample) -> str:
+def said(sample: LoadSample) -> str:
+    p50, p99, p999 = (sample.latency_percentile(percent) for percent in (50, 99, 99.9))
     return (
-        f"{sample.rate:.0f}/s: {sample.offered} offered, {sample.stood} stood, {sample.declined} declined, "
-        f"{sample.aborted} aborted, {sample.unanswered} unanswered; p50 {sample.at(50):.2f} ms, "
-        f"p99 {sample.at(99):.2f} ms, p99.9 {sample.at(99.9):.2f} ms; "
-        f"dialled at most {sample.behind / 1e6:.1f} ms late"
+        f"{sample.rate:.0f}/s: {sample.offered} offered, {sample.established} stood, "
+        f"{sample.rejected} declined, {sample.failed} aborted, {sample.unanswered} unanswered; "
+        f"p50 {p50:.2f} ms, p99 {p99:.2f} ms, p99.9 {p999:.2f} ms; "
+        f"dialled at most {sample.max_dial_delay / 1e6:.1f} ms late"
     )
 
 
@@ -36,7 +39,7 @@
                 console.print(said(sample), highlight=False, soft_wrap=True)
     if histogram is not None:
         with histogram.open("wb") as out:
-            sample.delays.output_percentile_distribution(out, 1_000.0)
+            sample.latencies.output_percentile_distribution(out, 1_000.0)
 
 
 async def find(console: Console, file: Path, seconds: float, share: float, most: float) -> None:
@@ -48,13 +51,13 @@
         nonlocal runs
         runs += 1
         sample = await drive(address, day, rate, seconds, f"find{runs}")
-        held = sample.holds(objective, share)
+        held = sample.meets(objective, share)
         console.print(f"{'holds' if held else 'does not'}: {said(sample)}", highlight=False, soft_wrap=True)
         return held
 
     with tempfile.TemporaryDirectory() as folder:
         async with target(file, day, Path(folder), 25 * (seconds + 15)) as address:
-            found = await highest(holds, 20.0, most)
+            found = await highest_rate(holds, 20.0, most)
     console.print(
         f"highest rate at which {share:.1%} stand within {objective / 1e6:.0f} ms: {found:.0f}/s",
         highlight=False,
@@ -78,7 +81,7 @@
                     for side in (at % 2, 1 - at % 2):
                         address = (first, second)[side]
                         sample = await drive(address, days[side], rate, seconds, f"r{rate:.0f}-{at}")
-                        p99[side][at] = sample.at(99)
+                        p99[side][at] = sample.latency_percentile(99)
                         console.print(f"{files[side].stem}: {said(sample)}", highlight=False, soft_wrap=True)
                 if rounds > 1:
                     found = paired(*p99)
--- a/valverouter/load/drive.py
+++ b/valverouter/load/drive.py
@@ -1,164 +1,167 @@
-"""Drives one edge proxy open-loop, and brings one up with its stand-ins as processes of their own."""
+"""Drives one edge proxy open-loop: dialogs at a steady rate, whatever comes back."""
 
 from __future__ import annotations
 
-import subprocess
-import sys
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
-from pathlib import Path
+from typing import Any
 
 import trio
 
-from valverouter.days.loopback import START_WITHIN_S, ProcessEdge
-from valverouter.load.measure import Sample
+from valverouter.days.loopback import START_WITHIN_S
+from valverouter.load.measure import LoadSample
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
 from valverouter.terms.day import Day
 
 SECOND = 1_000_000_000
-READ = 256 * 1024
-# Set-ups due within one look leave in one write.
-LOOK_S = 0.001
+READ_SIZE = 256 * 1024
+MAX_OPEN_DIALOGS = 10**6
+FIRST_CALLED_NUMBER = 100
+# Set-ups due within one interval leave in one write.
+DIAL_INTERVAL_S = 0.001
+ANSWER_POLL_INTERVAL_S = 0.01
+# What the last answers may take beyond the longest no-answer time.
+ANSWER_GRACE_S = 0.1
+# Multiples of it are spread evenly over the unit interval.
+GOLDEN_RATIO_FRACTION = 0.618033988749895
 
 
 class LoadFailedError(RuntimeError):
     """The target could not be brought up, or went away in the middle."""
 
 
-def mixed(day: Day, serial: int) -> tuple[str, int]:
-    """The type and no-answer time of dialog number `serial`: types in turn by their shares."""
+def traffic_of(day: Day, serial: int) -> tuple[str, int]:
+    """The type and no-answer time (ns) of dialog number `serial`: types in turn by their shares."""
     total = sum(mix.share for mix in day.mix.values())
-    at = (serial * 0.618033988749895) % 1 * total
-    for kind, mix in day.mix.items():
-        at -= mix.share
-        if at < 0:
-            return kind, mix.no_answer
-    kind = next(reversed(day.mix))
-    return kind, day.mix[kind].no_answer
+    remaining = (serial * GOLDEN_RATIO_FRACTION) % 1 * total
+    for traffic_type, mix in day.mix.items():
+        remaining -= mix.share
+        if remaining < 0:
+            return traffic_type, mix.no_answer
+    traffic_type = next(reversed(day.mix))
+    return traffic_type, day.mix[traffic_type].no_answer
 
 
-async def drive(address: str, day: Day, rate: float, seconds: float, name: str = "load") -> Sample:
-    """Dialogs at a steady rate, whatever comes back; ends when all are answered or past their time.
+async def drive(address: str, day: Day, rate: float, seconds: float, name: str = "load") -> LoadSample:
+    """Dials at a steady rate; ends when all dialogs are answered or past their time.
 
-    Each that stands is released at once. LoadFailedError when the connection breaks.
+    Each that is established is released at once. LoadFailedError when the connection breaks.
     """
     host, _, port = address.rpartition(":")
-    sample, due = Sample(rate), dict[str, int]()
     stream = await trio.open_tcp_stream(host, int(port))
-    session = setup.SetupSession(Hello((OLDEST, NEWEST), "caller", name), open_most=10**6)
-    greeted, over = trio.Event(), trio.Event()
-    out: list[bytes] = []
-
-    def now() -> int:
-        return round(trio.current_time() * SECOND)
-
-    async def dials() -> None:
-        await greeted.wait()
-        began, gap, count = now(), SECOND / rate, int(rate * seconds)
-        while sample.offered < count:
-            while sample.offered < count and began + sample.offered * gap <= now():
-                at = began + int(sample.offered * gap)
-                dialog = f"{name}-{sample.offered}"
-                kind, no_answer = mixed(day, sample.offered)
-                due[dialog] = at
-                sample.late_dial(now() - at)
-                asked = setup.Setup(
-                    dialog=dialog,
-                    traffic_type=kind,
-                    no_answer=no_answer,
-                    first_choice=sample.offered % day.server_count,
-                    called_number=100 + sample.offered,
-                )
-                sample.offered += 1
-                out.append(session.send(asked))
-            await send()
-            await trio.sleep(LOOK_S)
-        longest = max(mix.no_answer for mix in day.mix.values()) / SECOND
-        with trio.move_on_after(longest + 0.1):
-            while due:
-                await trio.sleep(0.01)
-        sample.unanswered = len(due)
-        over.set()
-
-    async def send() -> None:
-        if out:
-            data = b"".join(out)
-            out.clear()
-            async with lock:
-                try:
-                    await stream.send_all(data)
-                except trio.BrokenResourceError as error:
-                    raise LoadFailedError(f"{address} broke the connection in the middle") from error
-
-    async def hears() -> None:
-        while data := await _received(stream, address):
-            heard = now()
-            for message in session.receive(data):
-                if isinstance(message, Welcome):
-                    greeted.set()
-                elif isinstance(message, setup.Stands):
-                    if (at := due.pop(message.dialog, None)) is not None:
-                        sample.stands(at, heard)
-                    out.append(session.send(setup.Release(message.dialog)))
-                elif isinstance(message, setup.Declined):
-                    sample.declined += due.pop(message.dialog, None) is not None
-                elif isinstance(message, setup.Aborted):
-                    sample.aborted += due.pop(message.dialog, None) is not None
-            await send()
-        if not over.is_set():
-            raise LoadFailedError(f"{address} closed the connection in the middle")
-
-    lock = trio.Lock()
-    async with stream, trio.open_nursery() as nursery:
-        await stream.send_all(session.opening())
-        nursery.start_soon(hears)
-        nursery.start_soon(dials)
-        with trio.move_on_after(START_WITHIN_S):
-            await greeted.wait()
-        if not greeted.is_set():
-            raise LoadFailedError(f"{address} did not greet")
-        await over.wait()
-        nursery.cancel_scope.cancel()
-    return sample
-
-
-async def _received(stream: trio.SocketStream, address: str) -> bytes:
-    try:
-        return bytes(await stream.receive_some(READ))
-    except trio.BrokenResourceError as error:
-        raise LoadFailedError(f"{address} broke the connection in the middle") from error
-
-
-@asynccontextmanager
-async def target(file: Path, day: Day, folder: Path, seconds: float) -> AsyncIterator[str]:
-    """An edge proxy of the day's with its stand-ins, each a process; gives the edge proxy's address.
-
-    The stand-ins end by themselves after so many seconds, whatever becomes of this process.
-    """
-    command = [sys.executable, "-m", "valverouter.cli", "standin", str(file), "--seconds", str(seconds)]
-    standins = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
-    try:
-        assert standins.stdout is not None
-        told = b""
-        with trio.move_on_after(START_WITHIN_S):
-            while b"\n" not in told.partition(b"list service at ")[2]:
-                data = await standins.stdout.receive_some(4_096)
-                if not data:
-                    break
-                told += data
-        list_at = told.partition(b"list service at ")[2].split(b"\n")[0].decode().strip()
-        if not list_at:
-            raise LoadFailedError(f"the stand-ins of {file} did not come up")
-        async with trio.open_nursery() as nursery:
-            edge = ProcessEdge(day, 0, list_at, folder, nursery)
-            await edge.start()
-            await trio.sleep(day.terms.settle / SECOND)
-            yield edge.address
-            await edge.stop()
+    return await _LoadRun(stream, address, day, rate, name).run(int(rate * seconds))
+
+
+class _LoadRun:
+    """One run on one connection; `_due` holds when each unanswered dialog was due, ns."""
+
+    def __init__(self, stream: trio.SocketStream, address: str, day: Day, rate: float, name: str) -> None:
+        self._stream = stream
+        self._address = address
+        self._day = day
+        self._name = name
+        self._sample = LoadSample(rate)
+        hello = Hello((OLDEST, NEWEST), "caller", name)
+        self._session = setup.SetupSession(hello, open_most=MAX_OPEN_DIALOGS)
+        self._due: dict[str, int] = {}
+        self._outgoing: list[bytes] = []
+        self._send_lock = trio.Lock()
+        self._welcomed = trio.Event()
+        self._finished = trio.Event()
+
+    async def run(self, dialogs: int) -> LoadSample:
+        """Dials so many dialogs."""
+        async with self._stream, trio.open_nursery() as nursery:
+            await self._stream.send_all(self._session.opening())
+            nursery.start_soon(self._receive)
+            nursery.start_soon(self._dial, dialogs)
+            with trio.move_on_after(START_WITHIN_S):
+                await self._welcomed.wait()
+            if not self._welcomed.is_set():
+                raise LoadFailedError(f"{self._address} did not greet")
+            await self._finished.wait()
             nursery.cancel_scope.cancel()
-    finally:
-        with trio.CancelScope(shield=True):
-            if standins.poll() is None:
-                standins.terminate()
-            await standins.wait()
+        return self._sample
+
+    # Sending
+
+    async def _dial(self, dialogs: int) -> None:
+        await self._welcomed.wait()
+        sample, starts_at, interval = self._sample, _now(), SECOND / self._sample.rate
+        while sample.offered < dialogs:
+            while sample.offered < dialogs and starts_at + sample.offered * interval <= _now():
+                self._queue_setup(starts_at + int(sample.offered * interval))
+            await self._flush()
+            await trio.sleep(DIAL_INTERVAL_S)
+        await self._wait_for_answers()
+        sample.unanswered = len(self._due)
+        self._finished.set()
+
+    def _queue_setup(self, due: int) -> None:
+        sample, serial = self._sample, self._sample.offered
+        dialog = f"{self._name}-{serial}"
+        traffic_type, no_answer = traffic_of(self._day, serial)
+        self._due[dialog] = due
+        sample.record_dial_delay(_now() - due)
+        message = setup.Setup(
+            dialog=dialog,
+            traffic_type=traffic_type,
+            no_answer=no_answer,
+            first_choice=serial % self._day.server_count,
+            called_number=FIRST_CALLED_NUMBER + serial,
+        )
+        sample.offered += 1
+        self._outgoing.append(self._session.send(message))
+
+    async def _wait_for_answers(self) -> None:
+        longest = max(mix.no_answer for mix in self._day.mix.values()) / SECOND
+        with trio.move_on_after(longest + ANSWER_GRACE_S):
+            while self._due:
+                await trio.sleep(ANSWER_POLL_INTERVAL_S)
+
+    async def _flush(self) -> None:
+        if not self._outgoing:
+            return
+        data = b"".join(self._outgoing)
+        self._outgoing.clear()
+        async with self._send_lock:
+            try:
+                await self._stream.send_all(data)
+            except trio.BrokenResourceError as error:
+                raise self._broken() from error
+
+    # Receiving
+
+    async def _receive(self) -> None:
+        while data := await self._read():
+            now = _now()
+            for message in self._session.receive(data):
+                self._on_message(message, now)
+            await self._flush()
+        if not self._finished.is_set():
+            raise LoadFailedError(f"{self._address} closed the connection in the middle")
+
+    async def _read(self) -> bytes:
+        try:
+            return bytes(await self._stream.receive_some(READ_SIZE))
+        except trio.BrokenResourceError as error:
+            raise self._broken() from error
+
+    def _on_message(self, message: Any, now: int) -> None:
+        if isinstance(message, Welcome):
+            self._welcomed.set()
+        elif isinstance(message, setup.Stands):
+            due = self._due.pop(message.dialog, None)
+            if due is not None:
+                self._sample.record_established(due, now)
+            self._outgoing.append(self._session.send(setup.Release(message.dialog)))
+        elif isinstance(message, setup.Declined):
+            self._sample.rejected += self._due.pop(message.dialog, None) is not None
+        elif isinstance(message, setup.Aborted):
+            self._sample.failed += self._due.pop(message.dialog, None) is not None
+
+    def _broken(self) -> LoadFailedError:
+        return LoadFailedError(f"{self._address} broke the connection in the middle")
+
+
+def _now() -> int:
+    return round(trio.current_time() * SECOND)
--- /dev/null
+++ b/valverouter/load/target.py
@@ -0,0 +1,58 @@
+"""Brings up an edge proxy with its stand-ins, each a process, as the target of a load run."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+
+import trio
+
+from valverouter.days.loopback import START_WITHIN_S, ProcessEdge
+from valverouter.load.drive import SECOND, LoadFailedError
+from valverouter.terms.day import Day
+
+# What the stand-ins print before the address of their list service.
+LIST_SERVICE_PROMPT = b"list service at "
+READ_SIZE = 4_096
+
+
+@asynccontextmanager
+async def target(file: Path, day: Day, folder: Path, seconds: float) -> AsyncIterator[str]:
+    """An edge proxy of the day's with its stand-ins; gives the edge proxy's address.
+
+    The stand-ins end by themselves after so many seconds, whatever becomes of this process.
+    """
+    command = [sys.executable, "-m", "valverouter.cli", "standin", str(file), "--seconds", str(seconds)]
+    standins = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+    try:
+        list_address = await _list_service_address(standins)
+        if not list_address:
+            raise LoadFailedError(f"the stand-ins of {file} did not come up")
+        async with trio.open_nursery() as nursery:
+            edge = ProcessEdge(day, 0, list_address, folder, nursery)
+            await edge.start()
+            await trio.sleep(day.terms.settle / SECOND)
+            yield edge.address
+            await edge.stop()
+            nursery.cancel_scope.cancel()
+    finally:
+        with trio.CancelScope(shield=True):
+            if standins.poll() is None:
+                standins.terminate()
+            await standins.wait()
+
+
+async def _list_service_address(standins: trio.Process) -> str:
+    """The address that the stand-ins print, empty where none comes in time."""
+    assert standins.stdout is not None
+    output = b""
+    with trio.move_on_after(START_WITHIN_S):
+        while b"\n" not in output.partition(LIST_SERVICE_PROMPT)[2]:
+            data = await standins.stdout.receive_some(READ_SIZE)
+            if not data:
+                break
+            output += data
+    return output.partition(LIST_SERVICE_PROMPT)[2].split(b"\n")[0].decode().strip()
