--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -30,9 +30,10 @@
 from valverouter.days.ordercourses import OrderCourse
 from valverouter.days.ordering import OrderRig, run_orders
 from valverouter.edge import logs
-from valverouter.emulator.rollouts import Broken, Rollout
+from valverouter.emulator.raft_group import InvariantViolationError
+from valverouter.emulator.rollout_simulation import RolloutSimulation
 from valverouter.rollout.disruption_limits import DisruptionLimits
-from valverouter.rollout.operations import OperationKind, OperationPhase, Submit
+from valverouter.rollout.operations import OperationKind, Submit
 from valverouter.rollout.raft import SECOND
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
@@ -99,12 +100,12 @@
 
 def one_simulated(case: tuple[int, int, float]) -> tuple[str, dict[str, int], dict[str, int]]:
     seed, instances, seconds = case
-    course = Rollout(seed, instances)
+    simulation = RolloutSimulation(seed, instances)
     try:
-        course.course(seconds)
-        return "", course.judge(), dict(course.found)
-    except Broken as broken:
-        return f"seed {seed}: {broken}", {}, dict(course.found)
+        simulation.run_randomly(seconds)
+        return "", simulation.check_results(), dict(simulation.counts)
+    except InvariantViolationError as violation:
+        return f"seed {seed}: {violation}", {}, dict(simulation.counts)
 
 
 def simulated(told: argparse.Namespace) -> None:
@@ -133,17 +134,18 @@
     limits = DisruptionLimits(
         max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
     )
-    course = Rollout(seed, instances, limits, loss=0.0, watching=rule)
-    place = Submit("r", OperationKind.RELEASE, tuple(sorted(course.fleet)), version)
-    course.at(10 * SECOND, course.order, place)
-    while course.now < 1_200 * SECOND:
-        course.run(course.now + SECOND)
-        leader = course.leader
-        order = leader.operation_log.operations.get("r") if leader is not None else None
-        if order is not None and order.phase is OperationPhase.ENDED:
-            took = course.now / SECOND - 10
-            return order.result == "halted", course.harmed / max(1, course.served), took
-    return False, course.harmed / max(1, course.served), 1_190.0
+    simulation = RolloutSimulation(seed, instances, limits, loss=0.0, evaluated_by=rule)
+    events, fleet = simulation.events, simulation.fleet
+    submit = Submit("r", OperationKind.RELEASE, tuple(sorted(fleet.instances)), version)
+    events.at(10 * SECOND, simulation.submit, submit)
+    while events.now < 1_200 * SECOND:
+        simulation.run_until(events.now + SECOND)
+        leader = simulation.leader
+        release = leader.operation_log.operations.get("r") if leader is not None else None
+        if release is not None and release.has_ended:
+            took = events.now / SECOND - 10
+            return release.result == "halted", fleet.rejected / max(1, fleet.served), took
+    return False, fleet.rejected / max(1, fleet.served), 1_190.0
 
 
 def releases(told: argparse.Namespace) -> None:
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -26,7 +26,6 @@
     "valverouter/edge/proxy.py": 818,
     "valverouter/emulator/edges.py": 698,
     "valverouter/emulator/fleet.py": 476,
-    "valverouter/emulator/rollouts.py": 580,
     "valverouter/servermodel/server.py": 512,
 }
 
--- /dev/null
+++ b/valverouter/emulator/rollout_simulation.py
@@ -0,0 +1,383 @@
+"""Operations on a fleet in simulated time, under faults drawn by a seed.
+
+Control plane nodes and supervisors are the program's own, with disks that outlive them. Simulated are the
+network, the supervised programs, and clients that submit operations and may be killed. Checked from outside:
+
+- never more instances are taken out at once than the limits allow, in all and by region;
+- a supervisor that kept its disk carries no step out twice;
+- an instance that an operation reports as done has carried out its step, and a drained one is down;
+- once faults are over, every release that was rolled back is back at one version.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from dataclasses import dataclass
+
+from valverouter.emulator.event_queue import EventQueue
+from valverouter.emulator.lossy_network import LossyNetwork
+from valverouter.emulator.raft_group import InvariantViolationError
+from valverouter.emulator.release_baselines import BASELINES
+from valverouter.emulator.supervised_fleet import VERSIONS, SimulatedInstance, SupervisedFleet
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
+from valverouter.rollout.disruption_permits import InstanceReturned
+from valverouter.rollout.operations import Cancel, Operation, OperationKind, StepStatus, Submit, SubmitResult
+from valverouter.rollout.orchestrator_config import OrchestratorConfig
+from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
+from valverouter.rollout.raft_messages import RaftMessage
+from valverouter.rollout.reports import SupervisorReport
+from valverouter.rollout.sequential_test import SequentialTestConfig
+from valverouter.servermodel.paths import PathFault
+
+SECOND = 10**9
+TICK_INTERVAL = SECOND // 10
+NODE_COUNT = 3
+# What evaluates releases unless a baseline of `release_baselines.py` does.
+PROGRAM = "program"
+# Between a client's repetitions, and until it looks for an answer.
+CLIENT_RETRY = 2 * SECOND
+CLIENT_ANSWER = SECOND
+CRASH_AFTER_SAVE_PROBABILITY = 0.0002
+# Of a planted fault: that a permit ends by time, at each tick.
+LAPSE_PROBABILITY = 0.02
+# Faults and operations are drawn up to this part of a random course.
+RESTLESS_FRACTION = 0.6
+FIRST_EVENT = 5 * SECOND
+UNDRAIN_AFTER_FAULTS = 8 * SECOND
+
+COMPLETED = (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
+NOT_ROLLED_BACK = (StepStatus.DONE, StepStatus.OUT, StepStatus.FAILED)
+
+
+@dataclass(slots=True)
+class SimulatedNode:
+    """The machine of a control plane node, whose disk outlives it. `node` is None while it is down."""
+
+    name: str
+    persistent: PersistentState
+    node: ControlPlaneNode | None = None
+    paused_until: int = 0
+    incarnation: int = 0
+
+
+class RolloutSimulation:
+    """One simulation.
+
+    `planted_fault` takes a rule out, so that the checks are seen to find it: "again" (a supervisor forgets
+    at a restart what it began, and asks for no permit), "lapse" (permits end by time). `evaluated_by`: what
+    evaluates releases, the program or a baseline.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        instances: int = 12,
+        limits: DisruptionLimits | None = None,
+        loss: float = 0.02,
+        planted_fault: str = "",
+        evaluated_by: str = PROGRAM,
+    ) -> None:
+        """`instances`: how many edge proxies; `loss`: the fraction of messages lost beside faults."""
+        self.events = EventQueue()
+        self.limits = limits or DisruptionLimits(
+            max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
+        )
+        self.config = _orchestrator_config(self.limits)
+        # What was caused, by kind.
+        self.counts: Counter[str] = Counter()
+        self.answers: dict[str, SubmitResult] = {}
+        self._draws = random.Random(f"rollout/{seed}")
+        self._planted_fault = planted_fault
+        self._evaluated_by = evaluated_by
+        members = tuple((f"c{index}", self._draws.getrandbits(64)) for index in range(NODE_COUNT))
+        self.nodes = {name: SimulatedNode(name, PersistentState(disk_id)) for name, disk_id in members}
+        for machine in self.nodes.values():
+            machine.persistent.apply(SaveEntries(1, (LogEntry(1, Configuration(members)),)))
+        forgets_steps = planted_fault == "again"
+        self.fleet = SupervisedFleet(
+            self.events, self._draws, self.limits, instances, self.counts, forgets_steps
+        )
+        self.fleet.send_report = self._send_report
+        self._network = LossyNetwork(self.events, self._draws, loss)
+        for name in self.nodes:
+            self.start_node(name)
+        for name in self.fleet.instances:
+            self.fleet.start(name)
+
+    @property
+    def leader(self) -> ControlPlaneNode | None:
+        """The node that leads in the highest term."""
+        leaders = [
+            machine.node
+            for machine in self.nodes.values()
+            if machine.node is not None and machine.node.is_leader
+        ]
+        return max(leaders, key=lambda node: node.raft.persistent.current_term, default=None)
+
+    # Nodes
+
+    def start_node(self, name: str) -> None:
+        """Starts a node, if it does not run."""
+        machine = self.nodes[name]
+        if machine.node is not None:
+            return
+        machine.incarnation += 1
+        machine.node = ControlPlaneNode(
+            name, machine.persistent, self.config, self._draws.random, self.events.now
+        )
+        if self._evaluated_by != PROGRAM:
+            machine.node.orchestrator_class = BASELINES[self._evaluated_by]
+        self.events.after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
+
+    def crash_node(self, name: str) -> None:
+        """Ends a node at once."""
+        self.nodes[name].node = None
+        self.counts["seat crashed"] += 1
+
+    def _is_paused(self, machine: SimulatedNode) -> bool:
+        return self.events.now < machine.paused_until
+
+    def _tick_node(self, machine: SimulatedNode, incarnation: int) -> None:
+        if machine.node is None or machine.incarnation != incarnation:
+            return
+        self.events.after(TICK_INTERVAL, self._tick_node, machine, incarnation)
+        if self._is_paused(machine):
+            return
+        if self._planted_fault == "lapse" and machine.node.orchestrator is not None:
+            self._lapse_permits(machine.node)
+        machine.node.tick(self.events.now)
+        self._carry_out(machine)
+
+    def _lapse_permits(self, node: ControlPlaneNode) -> None:
+        for name, permit in list(node.operation_log.permits.unavailable.items()):
+            if permit is not None and self._draws.random() < LAPSE_PROBABILITY:
+                node.propose(self.events.now, InstanceReturned(name, permit.number))
+
+    def _on_message(self, machine: SimulatedNode, message: RaftMessage) -> None:
+        if self._is_paused(machine):
+            self.events.at(machine.paused_until, self._on_message, machine, message)
+        elif machine.node is not None:
+            machine.node.on_message(self.events.now, message)
+            self._carry_out(machine)
+
+    def _carry_out(self, machine: SimulatedNode) -> None:
+        """Saves are on disk, then messages leave; between the two the node may crash."""
+        assert machine.node is not None
+        machine.node.pending_saves.clear()
+        outgoing = list(machine.node.outgoing)
+        machine.node.outgoing.clear()
+        if self._network.has_faults and self._draws.random() < CRASH_AFTER_SAVE_PROBABILITY:
+            self.crash_node(machine.name)
+            self.events.after(int(self._draws.uniform(0.1, 5) * SECOND), self.start_node, machine.name)
+            return
+        for receiver, message in outgoing:
+            if receiver in self.nodes:
+                self._network.send(machine.name, receiver, self._on_message, self.nodes[receiver], message)
+
+    # Reports
+
+    def _send_report(self, instance: SimulatedInstance, report: SupervisorReport) -> None:
+        for name, machine in self.nodes.items():
+            self._network.send(
+                instance.name,
+                name,
+                self._on_report,
+                machine,
+                instance,
+                instance.incarnation,
+                report,
+                instance.made_after(name),
+            )
+
+    def _on_report(
+        self,
+        machine: SimulatedNode,
+        instance: SimulatedInstance,
+        incarnation: int,
+        report: SupervisorReport,
+        made_after: int,
+    ) -> None:
+        if machine.node is None or self._is_paused(machine):
+            return
+
+        def answer(reply: DesiredStateReply) -> None:
+            self._network.send(
+                machine.name, instance.name, self.fleet.on_reply, instance, incarnation, machine.name, reply
+            )
+
+        machine.node.on_report(self.events.now, report, made_after, answer)
+        self._carry_out(machine)
+
+    # Clients
+
+    def submit(self, submit: Submit, attempts: int = 10) -> None:
+        """Sends it to all nodes until one answers; the client may be killed after any attempt."""
+        if submit.id in self.answers or not attempts:
+            return
+        for machine in self.nodes.values():
+            self._network.send("tool", machine.name, self._on_submit, machine, submit)
+        self.events.after(CLIENT_RETRY, self.submit, submit, attempts - 1)
+
+    def _on_submit(self, machine: SimulatedNode, submit: Submit) -> None:
+        if machine.node is None or self._is_paused(machine):
+            return
+        if machine.node.propose(self.events.now, submit):
+            self.events.after(CLIENT_ANSWER, self._take_answer, machine, submit)
+        self._carry_out(machine)
+
+    def _take_answer(self, machine: SimulatedNode, submit: Submit) -> None:
+        if machine.node is not None and submit.id in machine.node.answers:
+            answer = machine.node.answers[submit.id]
+            assert isinstance(answer, SubmitResult)
+            self.answers.setdefault(submit.id, answer)
+
+    def cancel(self, operation: str, reason: str, attempts: int = 5) -> None:
+        """Cancels an operation at whoever leads, several times over."""
+        for machine in self.nodes.values():
+            if machine.node is not None and not self._is_paused(machine):
+                machine.node.propose(self.events.now, Cancel(operation, reason))
+                self._carry_out(machine)
+        if attempts > 1:
+            self.events.after(CLIENT_RETRY, self.cancel, operation, reason, attempts - 1)
+
+    # Random courses
+
+    def run_until(self, end: int) -> None:
+        """Runs up to a moment, ns."""
+        self.events.run_until(end)
+
+    def run_randomly(self, seconds: float, fault_rate: float = 0.5, operation_rate: float = 0.1) -> None:
+        """Operations and faults at random (rates per second); then neither, until all is at rest."""
+        faults_end = int(seconds * SECOND * RESTLESS_FRACTION)
+        for rate, action in ((fault_rate, self._cause_fault), (operation_rate, self._submit_randomly)):
+            moment = FIRST_EVENT + int(self._draws.expovariate(rate) * SECOND)
+            while moment < faults_end:
+                self.events.at(moment, action)
+                moment += int(self._draws.expovariate(rate) * SECOND)
+        self.events.at(faults_end, self._end_faults)
+        self.run_until(int(seconds * SECOND))
+
+    def _submit_randomly(self) -> None:
+        draws = self._draws
+        kind = draws.choices(list(OperationKind), (2, 2, 2, 4))[0]
+        names = self._draw_names(kind)
+        if not names:
+            return
+        self.counts[f"order {kind.value}"] += 1
+        version = draws.choice(VERSIONS) if kind is OperationKind.RELEASE else ""
+        submit = Submit(f"o{self.counts.total()}", kind, tuple(names), version)
+        self.submit(submit, draws.randint(1, 6))
+        if draws.random() < 0.2:
+            self.events.after(int(draws.uniform(1, 20) * SECOND), self.cancel, submit.id, "by hand")
+        if draws.random() < 0.1:
+            self.events.after(int(draws.uniform(10, 40) * SECOND), self.submit, submit)
+
+    def _draw_names(self, kind: OperationKind) -> list[str]:
+        everybody = sorted(self.fleet.instances)
+        names = self._draws.sample(everybody, self._draws.randint(1, len(everybody)))
+        if kind is OperationKind.DRAIN:
+            return names[: self.limits.max_unavailable_per_region]
+        if kind is OperationKind.UNDRAIN:
+            return self.fleet.down_by_supervisor
+        if kind is OperationKind.RELEASE and self._draws.random() < 0.7:
+            return everybody
+        return names
+
+    def _cause_fault(self) -> None:
+        draws = self._draws
+        kind = draws.random()
+        name, node = draws.choice(sorted(self.fleet.instances)), draws.choice(sorted(self.nodes))
+        duration = int(draws.uniform(0.2, 6) * SECOND)
+        if kind < 0.15:
+            self.crash_node(node)
+            self.events.after(duration, self.start_node, node)
+        elif kind < 0.25:
+            self.nodes[node].paused_until = self.events.now + self._draw_pause()
+            self.counts["seat stopped"] += 1
+        elif kind < 0.45:
+            self.fleet.kill_program(name)
+        elif kind < 0.55:
+            self.fleet.crash(name)
+            self.events.after(duration, self.fleet.start, name)
+        elif kind < 0.6:
+            self.fleet.lose_disk(name)
+            self.events.after(duration, self.fleet.start, name)
+        elif kind < 0.7:
+            self.fleet.pause(name, self._draw_pause())
+        else:
+            self._cut_network(duration)
+
+    def _draw_pause(self) -> int:
+        return int(self._draws.uniform(0.5, 10) * SECOND)
+
+    def _cut_network(self, duration: int) -> None:
+        names = [*self.fleet.instances, *self.nodes]
+        size = self._draws.randint(1, len(self.fleet.instances))
+        side = frozenset(self._draws.sample(names, size))
+        rest = frozenset(names) - side
+        now, end = self.events.now, self.events.now + duration
+        if self._draws.random() < 0.5:
+            self._network.add_fault(PathFault("split", now, end, groups=(side, rest)))
+        else:
+            self._network.add_fault(PathFault("cut", now, end, senders=side, receivers=rest))
+        self.counts["cut"] += 1
+
+    def _end_faults(self) -> None:
+        self._network.heal()
+        for name, machine in self.nodes.items():
+            machine.paused_until = min(machine.paused_until, self.events.now)
+            self.start_node(name)
+        self.fleet.end_faults()
+        # Drained instances come back, and whatever waits for evidence goes on.
+        self.events.after(UNDRAIN_AFTER_FAULTS, self._undrain)
+
+    def _undrain(self) -> None:
+        names = tuple(self.fleet.down_by_supervisor)
+        if names:
+            self.submit(Submit(f"undrain/{self.events.now}", OperationKind.UNDRAIN, names))
+
+    # The end
+
+    def check_results(self) -> dict[str, int]:
+        """How the operations ended, by kind and result; raises InvariantViolationError."""
+        leader = self.leader
+        if leader is None:
+            raise InvariantViolationError("nobody leads at the end")
+        operations = list(leader.operation_log.operations.values())
+        results: Counter[str] = Counter()
+        for operation in operations:
+            results[f"{operation.kind.value}: {operation.result or operation.phase.value}"] += 1
+            self._check_reported_steps(operation)
+            self._check_rollback(operation, operations)
+        return dict(results)
+
+    def _check_reported_steps(self, operation: Operation) -> None:
+        for name, participant in operation.participants.items():
+            instance = self.fleet.instances[name]
+            if participant.status not in COMPLETED or instance.has_lost_disk:
+                continue
+            number = participant.permit_number
+            if not any(step_id.permit_number == number for step_id in instance.steps_done):
+                status = participant.status.value
+                raise InvariantViolationError(f"{name} is {status} by {operation.id}, and has not done it")
+
+    def _check_rollback(self, operation: Operation, operations: list[Operation]) -> None:
+        is_rolled_back = operation.kind is OperationKind.RELEASE and operation.result == "halted"
+        submitted_at = operation.submitted_at_ms
+        is_followed = any(other.submitted_at_ms > submitted_at for other in operations)
+        if not is_rolled_back or not operation.roll_back or is_followed:
+            return
+        for name, participant in operation.participants.items():
+            if participant.status in NOT_ROLLED_BACK:
+                status = participant.status.value
+                raise InvariantViolationError(f"{name} was not brought back by {operation.id}: {status}")
+
+
+def _orchestrator_config(limits: DisruptionLimits) -> OrchestratorConfig:
+    return OrchestratorConfig(
+        {InstanceKind.EDGE: limits},
+        sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
+        max_unsettled=10 * SECOND,
+    )
--- /dev/null
+++ b/valverouter/emulator/supervised_fleet.py
@@ -0,0 +1,316 @@
+"""Supervised edge proxies in simulated time: the program's own supervisors, round simulated programs.
+
+A supervisor's disk outlives it, and so does its program. What the programs really did is checked here, as it
+happens: the limits on those taken out, and that no step is carried out twice.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+import msgspec
+
+from valverouter.emulator.event_queue import EventQueue
+from valverouter.emulator.raft_group import InvariantViolationError
+from valverouter.rollout.control_plane_node import DesiredStateReply
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
+from valverouter.rollout.operations import StepId
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo, StepOutcome, SupervisorReport
+from valverouter.rollout.supervisor import STATE_LOST, Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import SupervisorState
+
+SECOND = 10**9
+TICK_INTERVAL = SECOND // 10
+REPORT_INTERVAL = SECOND // 2
+REGIONS = ("north", "south", "west")
+VERSIONS = ("v1", "v2", "crashes", "dies-late", "declines")
+# How long programs of those versions last, ns.
+CRASHES_AFTER = SECOND // 5
+DIES_AFTER = 12 * SECOND
+NEVER = 10**6 * SECOND
+DIALOGS_PER_SECOND = 10.0
+REJECTED_FRACTION = 0.01
+HARMFUL_REJECTED_FRACTION = 0.11
+# Before any message that a report could answer, ns.
+LONG_AGO = -(10**18)
+
+ReportSender = Callable[["SimulatedInstance", SupervisorReport], None]
+
+
+@dataclass(slots=True)
+class SimulatedInstance:
+    """A supervisor and its program. `disk`: the supervisor's state as it was saved last."""
+
+    info: InstanceInfo
+    disk: bytes
+    # None while the supervisor is down; the incarnation counts its starts.
+    supervisor: Supervisor | None = None
+    incarnation: int = 0
+    paused_until: int = 0
+    has_lost_disk: bool = False
+    # The program's process (0: none), when it serves, and when it ends (0: not known).
+    process: int = 0
+    version: str = ""
+    serves_at: int = 0
+    ends_at: int = 0
+    accepted: int = 0
+    rejected: int = 0
+    counted_until: int = 0
+    # The latest stamp of each node, which the next report gives back.
+    stamps: dict[str, int] = field(default_factory=dict)
+    # The step by which it is really out, and all steps that were carried out.
+    step_out: StepId | None = None
+    steps_done: list[StepId] = field(default_factory=list)
+
+    @property
+    def name(self) -> str:
+        """The instance's name."""
+        return self.info.name
+
+    def made_after(self, node: str) -> int:
+        """The stamp of a node's latest message."""
+        return self.stamps.get(node, LONG_AGO)
+
+    def is_current(self, incarnation: int) -> bool:
+        """Whether the supervisor of that incarnation still runs."""
+        return self.supervisor is not None and self.incarnation == incarnation
+
+    def counters(self) -> InstanceCounters:
+        """What the program answers to its supervisor."""
+        is_serving = not self.ends_at
+        return InstanceCounters(self.process, is_serving, True, self.accepted, self.rejected, 0, 0, "settled")
+
+
+class SupervisedFleet:
+    """All instances, by name. `served` and `rejected` count their dialogs.
+
+    `forgets_steps` plants a fault: supervisors forget at a restart what they began, and ask for no permit.
+    """
+
+    def __init__(
+        self,
+        events: EventQueue,
+        draws: random.Random,
+        limits: DisruptionLimits,
+        size: int,
+        counts: Counter[str],
+        forgets_steps: bool,
+    ) -> None:
+        """`counts` takes what was caused, by kind."""
+        self.events = events
+        self.instances = _new_instances(size)
+        self.served = 0
+        self.rejected = 0
+        # How a supervisor's report gets to the nodes; set by whoever has them.
+        self.send_report: ReportSender = lambda instance, report: None
+        self._draws = draws
+        self._limits = limits
+        self._counts = counts
+        self._forgets_steps = forgets_steps
+        self._processes = 0
+
+    @property
+    def down_by_supervisor(self) -> list[str]:
+        """Names of the instances whose supervisors keep them down."""
+        return [
+            name
+            for name, instance in self.instances.items()
+            if instance.supervisor is not None and not instance.supervisor.state.up
+        ]
+
+    # Faults
+
+    def start(self, name: str) -> None:
+        """Starts a supervisor, if it does not run."""
+        instance = self.instances[name]
+        if instance.supervisor is not None:
+            return
+        instance.incarnation += 1
+        instance.stamps.clear()
+        state = msgspec.msgpack.decode(instance.disk, type=SupervisorState)
+        instance.supervisor = Supervisor(instance.info, state)
+        # Its program may have outlived the supervisor before it.
+        instance.supervisor.resume(bool(instance.process))
+        if self._forgets_steps:
+            state.steps.clear()
+        first_report = int(self._draws.random() * REPORT_INTERVAL)
+        self.events.after(0, self._tick, instance, instance.incarnation)
+        self.events.after(first_report, self._report, instance, instance.incarnation)
+
+    def crash(self, name: str) -> None:
+        """Ends a supervisor at once; its program runs on."""
+        self.instances[name].supervisor = None
+        self._counts["keeper crashed"] += 1
+
+    def lose_disk(self, name: str) -> None:
+        """Ends a supervisor at once, and its disk is lost."""
+        instance = self.instances[name]
+        self.crash(name)
+        # The program that runs tells the next supervisor what it was started as.
+        instance.disk = msgspec.msgpack.encode(SupervisorState("v1", running_version=instance.version))
+        instance.has_lost_disk = True
+        self._counts["keeper disk lost"] += 1
+
+    def pause(self, name: str, duration: int) -> None:
+        """Stops a supervisor for a while; its program runs on."""
+        self.instances[name].paused_until = self.events.now + duration
+        self._counts["keeper stopped"] += 1
+
+    def kill_program(self, name: str) -> None:
+        """Ends an instance's program at once."""
+        instance = self.instances[name]
+        if instance.process:
+            self._on_program_ended(instance)
+            self._counts["killed"] += 1
+
+    def end_faults(self) -> None:
+        """Goes on with paused supervisors and starts those that are down."""
+        for name, instance in self.instances.items():
+            instance.paused_until = min(instance.paused_until, self.events.now)
+            self.start(name)
+
+    # Supervisors
+
+    def on_reply(
+        self, instance: SimulatedInstance, incarnation: int, node: str, reply: DesiredStateReply
+    ) -> None:
+        """A node's answer arrives at the supervisor of an incarnation."""
+        if instance.supervisor is None or not instance.is_current(incarnation):
+            return
+        if self._is_paused(instance):
+            self.events.at(instance.paused_until, self.on_reply, instance, incarnation, node, reply)
+            return
+        instance.stamps[node] = max(instance.stamps.get(node, 0), reply.stamp)
+        is_open = reply.is_open or self._forgets_steps
+        instance.supervisor.on_desired_state(self.events.now, reply.desired, is_open)
+        self._carry_out(instance, instance.supervisor)
+
+    def _is_paused(self, instance: SimulatedInstance) -> bool:
+        return self.events.now < instance.paused_until
+
+    def _tick(self, instance: SimulatedInstance, incarnation: int) -> None:
+        if not instance.is_current(incarnation):
+            return
+        self.events.after(TICK_INTERVAL, self._tick, instance, incarnation)
+        self._run_program(instance)
+        if not self._is_paused(instance):
+            assert instance.supervisor is not None
+            self._carry_out(instance, instance.supervisor)
+
+    def _report(self, instance: SimulatedInstance, incarnation: int) -> None:
+        if instance.supervisor is None or not instance.is_current(incarnation):
+            return
+        self.events.after(REPORT_INTERVAL, self._report, instance, incarnation)
+        if not self._is_paused(instance):
+            self.send_report(instance, instance.supervisor.report())
+
+    def _carry_out(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
+        """Does all that the supervisor asks for."""
+        now = self.events.now
+        if instance.process and now >= instance.serves_at:
+            supervisor.on_counters(instance.counters())
+        while (action := supervisor.next_action(now)) is not None:
+            if action is SupervisorAction.SAVE:
+                instance.disk = msgspec.msgpack.encode(supervisor.state)
+                supervisor.on_saved()
+                self._check_saved(instance, supervisor.state)
+            elif action is SupervisorAction.STOP:
+                supervisor.on_stop_requested()
+                instance.ends_at = now + int(self._draws.uniform(0.1, 1.5) * SECOND)
+            else:
+                self._start_program(instance, supervisor)
+
+    # Programs
+
+    def _start_program(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
+        now = self.events.now
+        self._processes += 1
+        instance.process, instance.version = self._processes, supervisor.state.version
+        instance.accepted = instance.rejected = 0
+        instance.serves_at = now + int(self._draws.uniform(0.2, 1.0) * SECOND)
+        instance.counted_until = instance.serves_at
+        instance.ends_at = 0
+        if instance.version == "crashes":
+            instance.serves_at, instance.ends_at = now + NEVER, now + CRASHES_AFTER
+        elif instance.version == "dies-late":
+            instance.ends_at = now + DIES_AFTER
+        supervisor.on_started(now, instance.version)
+
+    def _run_program(self, instance: SimulatedInstance) -> None:
+        """What the program does, whatever its supervisor knows."""
+        now = self.events.now
+        if instance.ends_at and now >= instance.ends_at:
+            self._on_program_ended(instance)
+            return
+        if not instance.process or now < instance.serves_at:
+            return
+        duration = now - max(instance.counted_until, instance.serves_at)
+        instance.counted_until = now
+        dialogs = int(DIALOGS_PER_SECOND * duration / SECOND + self._draws.random())
+        is_harmful = instance.version == "declines"
+        fraction = HARMFUL_REJECTED_FRACTION if is_harmful else REJECTED_FRACTION
+        rejected = sum(self._draws.random() < fraction for _ in range(dialogs))
+        instance.accepted += dialogs
+        instance.rejected += rejected
+        self.served += dialogs
+        self.rejected += rejected
+
+    def _on_program_ended(self, instance: SimulatedInstance) -> None:
+        instance.process = instance.ends_at = 0
+        if instance.supervisor is None:
+            return
+        if self._is_paused(instance):
+            self.events.at(instance.paused_until, self._on_late_exit, instance, instance.incarnation)
+        else:
+            instance.supervisor.on_exited(self.events.now)
+
+    def _on_late_exit(self, instance: SimulatedInstance, incarnation: int) -> None:
+        if instance.supervisor is None or not instance.is_current(incarnation):
+            return
+        if not instance.process and instance.supervisor.is_running:
+            instance.supervisor.on_exited(self.events.now)
+
+    # Checks
+
+    def _check_saved(self, instance: SimulatedInstance, state: SupervisorState) -> None:
+        """What is on disk is what has happened: a step that was begun, or one that has ended."""
+        step = state.latest_step
+        if step is None or step.reason == STATE_LOST:
+            return
+        if not step.outcome and instance.step_out != step.step_id:
+            if step.step_id in instance.steps_done and not instance.has_lost_disk:
+                at = f"at {self.events.now / SECOND:.1f}"
+                raise InvariantViolationError(f"{instance.name} carries out {step.step_id} twice, {at}")
+            instance.step_out = step.step_id
+            self._counts["out"] += 1
+            self._check_limits()
+        elif step.outcome == StepOutcome.DONE:
+            if step.step_id not in instance.steps_done:
+                instance.steps_done.append(step.step_id)
+            if state.up:
+                instance.step_out = None
+
+    def _check_limits(self) -> None:
+        out = Counter(
+            instance.info.region for instance in self.instances.values() if instance.step_out is not None
+        )
+        at = f"by operations at {self.events.now / SECOND:.1f}"
+        if out.total() > self._limits.max_unavailable:
+            limit = self._limits.max_unavailable
+            raise InvariantViolationError(f"{out.total()} are out {at}, {limit} may be")
+        for region, count in out.items():
+            limit = self._limits.max_unavailable_in(region)
+            if count > limit:
+                raise InvariantViolationError(f"{count} of {region} are out {at}, {limit} may be")
+
+
+def _new_instances(size: int) -> dict[str, SimulatedInstance]:
+    instances = {}
+    for index in range(size):
+        region = REGIONS[index % len(REGIONS)]
+        info = InstanceInfo(f"e{index}", InstanceKind.EDGE, region, 100, 0.0, VERSIONS)
+        instances[info.name] = SimulatedInstance(info, msgspec.msgpack.encode(SupervisorState("v1")))
+    return instances
