--- a/tests/test_supervisor_store.py
+++ b/tests/test_supervisor_service.py
@@ -1,4 +1,4 @@
-"""A supervisor's store, and processes that outlive their supervisor."""
+"""What a supervisor keeps over its own restart: its state on disk, and the process that it started."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from valverouter.rollout.supervisor_state import Step, SupervisorState
 
 
-def test_a_supervisor_state_is_kept_whole_and_a_damaged_store_is_set_aside(tmp_path: Path) -> None:
+def test_a_supervisor_s_state_is_stored_and_a_damaged_store_is_set_aside(tmp_path: Path) -> None:
     path = tmp_path / "store"
-    memory = SupervisorState(
+    state = SupervisorState(
         "v2", False, process="12 34", running_version="v2", steps=[Step(7, 0, "r", "done")]
     )
     store, found, aside = open_supervisor_store(path)
     assert (found, aside) == (None, "")
-    store.save(memory)
+    store.save(state)
     with pytest.raises(StoreLockedError):
         SupervisorStore(path)
     store.close()
     store, found, aside = open_supervisor_store(path)
-    assert found == memory
+    assert found == state
     assert not aside
     store.close()
     data = (path / "data.mdb").read_bytes()
@@ -38,7 +38,7 @@
     store.close()
 
 
-async def test_a_process_is_recognized_by_its_pid_and_start_time() -> None:
+async def test_a_process_is_reattached_by_its_number_and_its_start_time() -> None:
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
     first = ManagedProcess(child.pid)
     again = ManagedProcess.reattach(first.identity)
@@ -50,7 +50,7 @@
     child.kill()
     with trio.fail_after(5):
         await again.wait()
-    assert ManagedProcess.reattach(first.identity) is None, "ended, though nobody has heard of it yet"
+    assert ManagedProcess.reattach(first.identity) is None, "ended, though nobody has waited for it yet"
     child.wait()
     first.close()
     again.close()
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -80,11 +80,11 @@
     terms = load_keeper(file)
     logs.set_up(terms.log)
     try:
-        store, memory, aside = open_supervisor_store(terms.store)
-        if aside:
-            log.error("supervisor-state-set-aside", why=aside)
+        store, state, set_aside = open_supervisor_store(terms.store)
+        if set_aside:
+            log.error("supervisor-state-set-aside", why=set_aside)
         try:
-            service = SupervisorService(terms, Sockets(), store, memory)
+            service = SupervisorService(terms, Sockets(), store, state)
             trio.run(_run_supervisor, service)
         finally:
             store.close()
