--- /dev/null
+++ b/tests/test_fleet_transport.py
@@ -0,0 +1,107 @@
+"""Control messages over datagrams: fragmentation, reassembly, authentication."""
+
+from __future__ import annotations
+
+import os
+from typing import Any
+
+import msgspec
+import pytest
+import trio
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from valverouter.edge.surroundings import Sockets
+from valverouter.fleet.authentication import (
+    MAX_DATAGRAM_BYTES,
+    Authenticator,
+    DatagramReader,
+    FragmentEnvelope,
+)
+from valverouter.fleet.fragmentation import (
+    BURST_FRAGMENTS,
+    FRAGMENT_BYTES,
+    MAX_PARTIAL_MESSAGES,
+    Fragment,
+    Fragmenter,
+    Reassembler,
+    TooManyFragmentsError,
+)
+from valverouter.fleet.messages import ClientRequest, ControlMessage, NodeAnnouncement, RequestKind
+from valverouter.fleet.queries import CountersQuery
+from valverouter.fleet.transport import Transport
+
+KEY = (b"k" * 32,)
+
+
+@given(st.binary(max_size=5 * FRAGMENT_BYTES), st.randoms())
+@settings(max_examples=50, deadline=None)
+def test_fragments_in_any_order_make_the_message(body: bytes, chance: Any) -> None:
+    reassembler = Reassembler()
+    fragments = Fragmenter("a", 1).split("x:1", body)
+    chance.shuffle(fragments)
+    messages = [message for fragment in fragments if (message := reassembler.add(fragment)) is not None]
+    assert messages == [body]
+
+
+def test_a_long_message_is_sent_in_bursts_and_fills_its_gaps() -> None:
+    fragmenter, reassembler = Fragmenter("a", 1), Reassembler()
+    body = os.urandom(3 * BURST_FRAGMENTS * FRAGMENT_BYTES)
+    message, transmissions = None, 0
+    while message is None:
+        transmissions += 1
+        fragments = fragmenter.split("x:1", body)
+        assert len(fragments) == BURST_FRAGMENTS
+        for index, fragment in enumerate(fragments):
+            if (index + transmissions) % 7:  # one in seven is lost
+                message = reassembler.add(fragment) or message
+    assert message == body
+    assert transmissions <= 9
+
+
+def test_partial_messages_are_bounded_and_invalid_fragments_are_ignored() -> None:
+    reassembler = Reassembler()
+    for message_id in range(10 * MAX_PARTIAL_MESSAGES):
+        assert reassembler.add(Fragment("a", 1, message_id, 0, 2, b"x")) is None
+    assert len(reassembler._partial) <= MAX_PARTIAL_MESSAGES
+    for index, count in ((0, 0), (2, 2), (-1, 1), (0, 10**9)):
+        assert reassembler.add(Fragment("a", 1, 1, index, count, b"x")) is None
+    with pytest.raises(TooManyFragmentsError):
+        Fragmenter("b", 2).split("x:1", bytes(10**7))
+
+
+async def test_only_holders_of_the_key_are_heard_on_the_control_plane() -> None:
+    sockets = Sockets()
+    first, second, stranger = (sockets.datagrams("127.0.0.1:0") for _ in range(3))
+    ours, theirs = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
+    theirs.send(first.address, NodeAnnouncement("c1", 7))
+    Transport(stranger, (b"x" * 32,), "c1", 3).send(first.address, NodeAnnouncement("c1", 8))
+    stranger.send(b"rubbish", first.address)
+    # Membership messages are under the same key, and are not messages of the control plane.
+    stranger.send(Authenticator(KEY).sign(CountersQuery("", 9, 0, 1)), first.address)
+    received: list[tuple[ControlMessage, str]] = []
+    with trio.move_on_after(0.3):
+        while True:
+            await first.readable()
+            while (message := ours.receive()) is not None:
+                received.append(message)
+    assert [message for message, _ in received] == [NodeAnnouncement("c1", 7)]
+    assert second.take() is None, "and nobody is answered"
+    assert stranger.take() is None, "and nobody is answered"
+    for each in (first, second, stranger):
+        each.close()
+
+
+def test_the_longest_fragment_fits_a_datagram_and_a_replay_is_dropped() -> None:
+    fragment = Fragment("n" * 60, 2**64 - 1, 2**64 - 1, 2_047, 2_048, bytes(FRAGMENT_BYTES))
+    data = Authenticator(KEY).sign(fragment)
+    assert len(data) <= MAX_DATAGRAM_BYTES
+    reader = DatagramReader(Authenticator(KEY), FragmentEnvelope)
+    assert reader.read(data) is not None
+    assert reader.read(data) is None
+    assert reader.dropped["replay"] == 1
+
+
+def test_a_client_request_is_decoded_as_it_was_encoded() -> None:
+    request = ClientRequest(3, RequestKind.SHOW)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(request), type=ControlMessage) == request
