--- a/tests/rollout_settings.py
+++ b/tests/rollout_settings.py
@@ -1,11 +1,11 @@
-"""Settings of a control plane node and a supervisor that tests begin with."""
+"""Settings files of a raft server and of a supervisor, for the tests of the control plane."""
 
 from __future__ import annotations
 
 import socket
 from pathlib import Path
 
-SEAT = """[seat]
+RAFT_SERVER = """[seat]
 name = c0
 listen = 127.0.0.1:7000
 key = key
@@ -16,7 +16,7 @@
 most = 4
 in_region = 2
 """
-KEEPER = """[keeper]
+SUPERVISOR = """[keeper]
 name = e0
 listen = 127.0.0.1:7100
 key = key
@@ -31,15 +31,16 @@
 
 
 def free_port() -> int:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        return int(one.getsockname()[1])
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
-def written(tmp_path: Path, text: str) -> Path:
-    key = tmp_path / "key"
+def write_settings(folder: Path, text: str) -> Path:
+    """A settings file with the key that it names beside it."""
+    key = folder / "key"
     key.write_bytes(b"s" * 40)
     key.chmod(0o600)
-    file = tmp_path / "file.ini"
+    file = folder / "file.ini"
     file.write_text(text)
     return file
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,10 +1,9 @@
-"""What a supervisor decides: steps, starts and restarts, and servers that leave by the list service."""
+"""What a supervisor decides: steps, starts and restarts."""
 
 from __future__ import annotations
 
 import msgspec
 
-from valverouter.rollout.disruption_limits import InstanceKind
 from valverouter.rollout.operations import DesiredState
 from valverouter.rollout.reports import InstanceCounters, InstanceInfo
 from valverouter.rollout.supervisor import Supervisor, SupervisorAction
@@ -153,63 +152,3 @@
     assert supervisor.is_running
     assert supervisor.report().outcome == "failed"
     assert "v9" in supervisor.report().reason
-
-
-def server_with_step() -> Supervisor:
-    supervisor = Supervisor(
-        InstanceInfo("s0", InstanceKind.SERVER, available_versions=("v1", "v2")), SupervisorState("v1")
-    )
-    assert supervisor.next_action(0) is SupervisorAction.START
-    supervisor.on_started(0, "v1")
-    supervisor.on_saved()
-    supervisor.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), True)
-    assert supervisor.next_action(0) is SupervisorAction.SAVE
-    supervisor.on_saved()
-    return supervisor
-
-
-def test_a_server_is_stopped_once_the_list_service_has_granted_its_leave() -> None:
-    supervisor = server_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.LEAVE_LIST, "asked once, and waited for"
-    assert supervisor.next_action(0) is None, "asked once, and waited for"
-    supervisor.on_counters(InstanceCounters(1, True, True))
-    assert supervisor.report().outcome == "", "it serves until it goes, and that is not the turn done"
-    supervisor.on_list_answer(True)
-    assert supervisor.next_action(0) is SupervisorAction.STOP
-    supervisor.on_stop_requested()
-    supervisor.on_exited(0)
-    assert supervisor.next_action(0) is SupervisorAction.START
-    supervisor.on_started(0, "v2")
-    supervisor.on_saved()
-    supervisor.on_counters(InstanceCounters(2, True, True))
-    supervisor.on_saved()
-    assert supervisor.report().outcome == "done"
-    assert supervisor.next_action(0) is SupervisorAction.REJOIN_LIST
-    assert supervisor.next_action(0) is None
-
-
-def test_a_server_refused_by_the_list_service_serves_on_and_its_step_fails() -> None:
-    supervisor = server_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.LEAVE_LIST
-    supervisor.on_list_answer(False, "permit 7 is over")
-    assert supervisor.next_action(0) is SupervisorAction.SAVE
-    supervisor.on_saved()
-    supervisor.on_counters(InstanceCounters(1, True, True))
-    assert supervisor.next_action(0) is None
-    assert supervisor.is_running
-    assert (supervisor.report().outcome, supervisor.report().reason) == (
-        "failed",
-        "the list refuses: permit 7 is over",
-    )
-    supervisor.on_desired_state(0, DesiredState("v1", True, 7, 1, "r"), True)
-    supervisor.on_saved()
-    supervisor.on_counters(InstanceCounters(1, True, True))
-    supervisor.on_saved()
-    assert supervisor.report().outcome == "done", "brought back, it had never gone"
-
-
-def test_a_shutdown_does_not_wait_for_the_list_service() -> None:
-    supervisor = server_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.LEAVE_LIST
-    supervisor.shut_down()
-    assert supervisor.next_action(0) is SupervisorAction.STOP
