--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -21,7 +21,7 @@
 
 import structlog
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
 from valverouter.days.loopback import run_loopback
@@ -78,7 +78,7 @@
 
 
 def judged(played: Day, rows: list[Row]) -> tuple[float, bool]:
-    return service(account(rows), played.importance), audit(rows).kept
+    return weighted_service_level(account_by_type(rows), played.importance), audit(rows).passed
 
 
 def one(job: tuple[str, int, bool]) -> tuple[str, tuple[float, bool], tuple[float, bool]]:
--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -18,14 +18,14 @@
 
 import msgspec
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
-from valverouter.audit.views import judge_views
+from valverouter.audit.views import check_views
 from valverouter.days.courses import course
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
 from valverouter.edge import logs
-from valverouter.signalling.tap import Found, Row, Terms
+from valverouter.signalling.tap import AuditConfigRow, MembershipEventRow, Row
 from valverouter.terms.day import Day, day
 from valverouter.terms.edge import Log
 from valverouter.terms.ini import IniFile
@@ -50,8 +50,8 @@
 
 
 def worth(rows: list[Row]) -> float:
-    terms = next(row for row in rows if isinstance(row, Terms))
-    return service(account(rows), terms.importance)
+    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
+    return weighted_service_level(account_by_type(rows), terms.priority_weights)
 
 
 def main() -> None:
@@ -73,20 +73,22 @@
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
         rows = played(script, told.virtual, folder)
-        views, verdict = judge_views(rows), audit(rows)
+        views, verdict = check_views(rows), audit(rows)
         assert views is not None
-        bad += not (views.kept and verdict.kept)
-        periods = float("inf") if views.settled_after is None else views.settled_after / script.between.period
+        bad += not (views.passed and verdict.passed)
+        periods = (
+            float("inf") if views.converged_after is None else views.converged_after / script.between.period
+        )
         after.append(periods)
-        line = f"seed {seed}: one view after {periods:.1f} periods, rules kept: {verdict.kept}"
-        line += f", false deaths: {len(views.false_deaths)}"
-        line += f", gone: {sum(isinstance(row, Found) and row.what == 'gone' for row in rows)}"
+        line = f"seed {seed}: one view after {periods:.1f} periods, rules kept: {verdict.passed}"
+        line += f", false deaths: {len(views.false_failures)}"
+        line += f", gone: {sum(isinstance(row, MembershipEventRow) and row.kind == 'gone' for row in rows)}"
         if not told.alone:
             without = msgspec.structs.replace(script, between=None, paths={})
             with_view, plain = worth(rows), worth(played(without, told.virtual, None))
             differences.append(with_view - plain)
             line += f", service {with_view:.3f} and {plain:.3f} without"
-        print(line if views.kept else f"{line}; {views.why or views.gone_back}", flush=True)
+        print(line if views.passed else f"{line}; {views.reason or views.regressions}", flush=True)
     after.sort()
     middle = statistics.median(after)
     print(f"{len(after)} courses, {bad} bad; periods: median {middle:.1f}, most {after[-1]:.1f}")
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -15,7 +15,7 @@
 import sys
 import time
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
 from valverouter.terms.day import Day, day
@@ -91,10 +91,11 @@
         took = time.process_time() - began
         rows = emulated.rows
         verdict = audit(rows)
+        service = weighted_service_level(account_by_type(rows), {"plain": 1.0})
         print(
             f"{edges} edge proxies, {rate} dialogs/s: {took:.1f} s for {emulated.dialled} dialogs, "
             f"{took / emulated.dialled * 1e6:.0f} us each; service "
-            f"{service(account(rows), {'plain': 1.0}):.3f}, rules kept: {verdict.kept}; "
+            f"{service:.3f}, rules kept: {verdict.passed}; "
             f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024} MiB at most",
             flush=True,
         )
--- a/benchmarks/leg_time_out.py
+++ b/benchmarks/leg_time_out.py
@@ -17,7 +17,7 @@
 
 import structlog
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.days.virtual import run_virtual
 from valverouter.terms.day import Day, day
@@ -54,7 +54,7 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     played = script(*job)
     rows = run_virtual(played)
-    return job, service(account(rows), played.importance), audit(rows).kept
+    return job, weighted_service_level(account_by_type(rows), played.importance), audit(rows).passed
 
 
 def main() -> None:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -23,8 +23,8 @@
 from multiprocessing import Pool
 from pathlib import Path
 
-from valverouter.audit.account import account, service
-from valverouter.audit.orders import judge_orders
+from valverouter.audit.account import account_by_type, weighted_service_level
+from valverouter.audit.operations import check_operations
 from valverouter.audit.rules import audit
 from valverouter.days.loopback import run_loopback
 from valverouter.days.ordercourses import OrderCourse
@@ -61,17 +61,18 @@
             folder = told.logs / str(seed) if told.logs else Path(passing)
             folder.mkdir(parents=True, exist_ok=True)
             rows = run_orders(script, folder, course.play, most, here, servers=told.servers)
-        orders, rules = judge_orders(rows), audit(rows)
+        orders, rules = check_operations(rows), audit(rows)
         assert orders is not None
-        good = orders.kept and rules.kept
+        good = orders.passed and rules.passed
         bad += not good
         resting += course.rested
-        ends.update(orders.ends)
-        turns += orders.turns
-        line = f"seed {seed}: {course.orders} told, {course.faults} faults, {orders.turns} turns, "
-        line += f"most out {orders.most_out} of {most}, rules kept: {rules.kept}, at rest: {course.rested}, "
+        ends.update(orders.outcomes)
+        turns += orders.steps_started
+        line = f"seed {seed}: {course.orders} told, {course.faults} faults, {orders.steps_started} turns, "
+        line += f"most out {orders.max_unavailable} of {most}, rules kept: {rules.passed}, "
+        line += f"at rest: {course.rested}, "
         line += f"{time.monotonic() - began:.0f} s"
-        print(line if good else f"{line}; {orders.broken} {rules.breaches}", flush=True)
+        print(line if good else f"{line}; {orders.violations} {rules.violations}", flush=True)
     print(f"{told.seeds} courses, {bad} bad, {resting} at rest, {turns} turns; {dict(ends)}")
 
 
@@ -86,7 +87,7 @@
                     rows = run_orders(script, Path(passing), nothing)
                 else:
                     rows = run_loopback(script, Path(passing))
-            served.append(service(account(rows), {"booking": 1.0}))
+            served.append(weighted_service_level(account_by_type(rows), {"booking": 1.0}))
         differences.append(served[0] - served[1])
         print(f"seed {seed}: {served[0]:.4f} with, {served[1]:.4f} without", flush=True)
     mean, spread = statistics.mean(differences), statistics.stdev(differences)
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -18,8 +18,8 @@
 
 import structlog
 
-from valverouter.audit.account import account, service
-from valverouter.audit.crossings import crossings, most_in_window
+from valverouter.audit.account import account_by_type, weighted_service_level
+from valverouter.audit.cross_region import cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
 from valverouter.days.planning import plan_of
 from valverouter.days.virtual import run_virtual
@@ -59,23 +59,25 @@
     variant, seed, edges = job
     played = script(variant, seed, edges)
     rows = run_virtual(played)
-    accounts = account(rows)
-    routine = [one.at for one in crossings(rows) if one.traffic_type == "booking" and one.home == "sofia"]
+    accounts = account_by_type(rows)
+    routine = [
+        one.at for one in cross_region_setups(rows) if one.traffic_type == "booking" and one.home == "sofia"
+    ]
     can = 0.0
     if variant == "budget":
         # The lines are short for half of the day.
         can = (
             plan_of(played, rows).served_fraction + plan_of(played, rows, {"sofia": 40**-0.5}).served_fraction
         ) / 2
-    urgent = accounts["urgent-referral"].service
-    whole = service(accounts, {kind: 1.0 for kind in accounts})
+    urgent = accounts["urgent-referral"].service_level
+    whole = weighted_service_level(accounts, {kind: 1.0 for kind in accounts})
     return (
         variant,
         seed,
         urgent,
         whole,
-        most_in_window(routine, BUDGETS.get(edges, LARGE)[1] * 10**9),
-        audit(rows).kept,
+        max_in_window(routine, BUDGETS.get(edges, LARGE)[1] * 10**9),
+        audit(rows).passed,
         can,
     )
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,7 +21,7 @@
 
 import structlog
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
 from valverouter.days.loopback import run_loopback
@@ -68,10 +68,10 @@
         verdict = audit(rows)
         found.append(
             (
-                len(verdict.breaches),
-                verdict.resumed,
-                verdict.forgotten,
-                service(account(rows), played.importance),
+                len(verdict.violations),
+                verdict.resumptions,
+                verdict.forgotten_dialogs,
+                weighted_service_level(account_by_type(rows), played.importance),
             )
         )
     return found
@@ -96,12 +96,14 @@
         with tempfile.TemporaryDirectory() as folder:
             rows = run_loopback(played, Path(folder))
         verdict = audit(rows)
+        service = weighted_service_level(account_by_type(rows), played.importance)
         print(
             f"loopback, {'ledger' if ledger else 'without'}: {seconds} s, {kills} SIGKILL, "
-            f"{verdict.checked[1]} dialogs, {verdict.resumed} resumed, {verdict.forgotten} forgotten, "
-            f"{len(verdict.breaches)} breaches, service {service(account(rows), played.importance):.4f}"
+            f"{verdict.check_counts[1]} dialogs, {verdict.resumptions} resumed, "
+            f"{verdict.forgotten_dialogs} forgotten, "
+            f"{len(verdict.violations)} breaches, service {service:.4f}"
         )
-        for breach in verdict.breaches[:10]:
+        for breach in verdict.violations[:10]:
             print(" ", breach)
 
 
@@ -133,7 +135,7 @@
         played = fleet_day(seed, size, share, mode != "without")
         rows = run_emulated(played).rows
         seen = figures(rows)
-        found.append((seen["service"], seen["worst-10s"], len(audit(rows).breaches)))
+        found.append((seen["service"], seen["worst-10s"], len(audit(rows).violations)))
     return found
 
 
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -16,7 +16,7 @@
 import statistics
 from multiprocessing import Pool
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
 from valverouter.rollout.limits import Limits, Sort, Unit, waves
@@ -127,9 +127,9 @@
     for with_it in (False, True):
         script, took = scripted(what, kind, rule, edges, rate, seed, with_it)
         emulated = run_emulated(script)
-        served.append(service(account(emulated.rows), {"plain": 1.0}))
+        served.append(weighted_service_level(account_by_type(emulated.rows), {"plain": 1.0}))
         dialled = emulated.dialled
-        kept = kept and audit(emulated.rows).kept
+        kept = kept and audit(emulated.rows).passed
     return served[0] - served[1], dialled, took, kept
 
 
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -29,7 +29,7 @@
 from valverouter.membership.messages import Gossip, Message
 from valverouter.membership.records import MemberRecord, MemberState, as_reported, next_own_record
 from valverouter.membership.view import MembershipView
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 BASELINES = ("program", "heartbeats", "unsuspecting", "trusting")
 SEEDS = ("e0:1", "e1:1", "e2:1")
@@ -123,7 +123,7 @@
     make = Heartbeats if case.baseline == "heartbeats" else Membership
     views = Views(
         config_of(case.baseline),
-        Paths(
+        NetworkPaths(
             faults or [], chance.random, lambda a, b: 500_000 + int(chance.random() * 1_500_000), case.loss
         ),
         case.seed,
--- a/tests/membershiprig.py
+++ b/tests/membershiprig.py
@@ -9,7 +9,7 @@
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.records import MemberRecord, next_own_record
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 SEEDS = ("e0:1", "e1:1", "e2:1")
 
@@ -33,7 +33,7 @@
         def delay(sender: str, receiver: str) -> int:
             return 500_000 + int(chance.random() * 1_500_000)
 
-        paths = Paths(faults or [], chance.random, delay, loss)
+        paths = NetworkPaths(faults or [], chance.random, delay, loss)
         self.views = Views(config or MembershipConfig(), paths, 1, watch)
         self.views.full(count, SEEDS)
 
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -433,22 +433,24 @@
 # The rows of a record
 
 ROWS: dict[str, Any] = {
-    "passed": tap.Passed(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
-    "told": tap.Told(2, 797, "e1", "s1", "draining"),
-    "lost": tap.Lost(3, 809, "e1", "s1"),
-    "began": tap.Began(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
-    "fault": tap.Fault(5, 829, 839, "stall", "e1"),
-    "placed": tap.Placed(6, 853, "e1", "north"),
-    "opened": tap.Opened(7, 857),
-    "terms": tap.Terms(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
-    "ran": tap.Ran(9, 883, "e1", "life-1", True),
-    "found": tap.Found(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
-    "viewed": tap.Viewed(11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}),
-    "settles": tap.Settles(12, 911, 919, 929),
-    "limited": tap.Limited(13, 937, 2, 1),
-    "turned": tap.Turned(14, 941, "e1", 947, 2, True, "done"),
-    "runs": tap.Runs(15, 953, "e1", "v16"),
-    "ordered": tap.Ordered(16, 967, "o12", "release", "v17", "ended", "done", {"e1": ("done", 971, "v16")}),
+    "passed": tap.MessageRow(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
+    "told": tap.EndpointUpdateRow(2, 797, "e1", "s1", "draining"),
+    "lost": tap.ConnectionLostRow(3, 809, "e1", "s1"),
+    "began": tap.ServerStartedRow(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
+    "fault": tap.FaultRow(5, 829, 839, "stall", "e1"),
+    "placed": tap.PlacementRow(6, 853, "e1", "north"),
+    "opened": tap.CallersStartedRow(7, 857),
+    "terms": tap.AuditConfigRow(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
+    "ran": tap.EdgeProcessRow(9, 883, "e1", "life-1", True),
+    "found": tap.MembershipEventRow(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
+    "viewed": tap.MembershipViewRow(11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}),
+    "settles": tap.ConvergenceDeadlineRow(12, 911, 919, 929),
+    "limited": tap.DisruptionLimitsRow(13, 937, 2, 1),
+    "turned": tap.StepRow(14, 941, "e1", 947, 2, True, "done"),
+    "runs": tap.ProgramVersionRow(15, 953, "e1", "v16"),
+    "ordered": tap.OperationRow(
+        16, 967, "o12", "release", "v17", "ended", "done", {"e1": ("done", 971, "v16")}
+    ),
 }
 
 # Files in text
@@ -465,7 +467,7 @@
 
 
 CALLS = [calls.Call(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991), calls.Call(2_000_000_000, "info")]
-PASSED_DEFAULTS = tap.Passed(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
+PASSED_DEFAULTS = tap.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
 LINE_DEFAULTS = lines.Line("ping", "", {}, None, None)
 RUN = Run({"decisions": "first", "callers": "40"}, 3, "[day]\nlength = 1 s\n")
 FIGURES = {"declined": 0.125, "wasted": 0.5}
@@ -636,22 +638,22 @@
     serverlist.Leave: "leave",
     serverlist.Returns: "returns",
     serverlist.Left: "left",
-    tap.Passed: "passed",
-    tap.Told: "told",
-    tap.Lost: "lost",
-    tap.Began: "began",
-    tap.Fault: "fault",
-    tap.Placed: "placed",
-    tap.Opened: "opened",
-    tap.Terms: "terms",
-    tap.Ran: "ran",
-    tap.Found: "found",
-    tap.Viewed: "viewed",
-    tap.Settles: "settles",
-    tap.Limited: "limited",
-    tap.Turned: "turned",
-    tap.Runs: "runs",
-    tap.Ordered: "ordered",
+    tap.MessageRow: "passed",
+    tap.EndpointUpdateRow: "told",
+    tap.ConnectionLostRow: "lost",
+    tap.ServerStartedRow: "began",
+    tap.FaultRow: "fault",
+    tap.PlacementRow: "placed",
+    tap.CallersStartedRow: "opened",
+    tap.AuditConfigRow: "terms",
+    tap.EdgeProcessRow: "ran",
+    tap.MembershipEventRow: "found",
+    tap.MembershipViewRow: "viewed",
+    tap.ConvergenceDeadlineRow: "settles",
+    tap.DisruptionLimitsRow: "limited",
+    tap.StepRow: "turned",
+    tap.ProgramVersionRow: "runs",
+    tap.OperationRow: "ordered",
     relay_words.Asked: "setup",
     relay_words.Answered: "stands",
 }
@@ -716,7 +718,7 @@
 
 
 def write_record(file: Path) -> None:
-    tap.write(file, ROWS.values())
+    tap.write_rows(file, ROWS.values())
 
 
 def write_calls(file: Path) -> None:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -31,7 +31,7 @@
     resolve,
 )
 from valverouter.attempts.worst_case import backoff_delay, longest_timeline, policy_problems, timelines
-from valverouter.audit.attempts import seen
+from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
 from valverouter.days.virtual import run_virtual
 from valverouter.edge.attempting import AttemptBook
@@ -544,12 +544,12 @@
 def test_a_day_shows_the_servers_the_legs_time_outs_and_gaps_of_the_file_by_class() -> None:
     path = Path(__file__).parent.parent / "deploy" / "days" / "attempts.ini"
     rows = run_virtual(load_day(path))
-    assert audit(rows).kept
-    hasty, patient = seen(rows)["booking"], seen(rows)["reschedule"]
-    assert hasty.legs_most == 2
+    assert audit(rows).passed
+    hasty, patient = attempt_statistics(rows)["booking"], attempt_statistics(rows)["reschedule"]
+    assert hasty.max_attempts == 2
     assert hasty.cancelled_after is not None
-    assert hasty.gap is not None
+    assert hasty.min_retry_gap is not None
     assert 600 * MS <= hasty.cancelled_after[0] <= hasty.cancelled_after[1] <= 701 * MS
-    assert 450 * MS <= hasty.gap < 1000 * MS
+    assert 450 * MS <= hasty.min_retry_gap < 1000 * MS
     assert patient.cancelled_after is not None
     assert patient.cancelled_after[1] == pytest.approx(2 * SECOND, abs=MS)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -7,10 +7,18 @@
 
 import pytest
 
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.signalling import tap
-from valverouter.signalling.tap import Began, Fault, Lost, Passed, Row, Terms, Told
+from valverouter.signalling.tap import (
+    AuditConfigRow,
+    ConnectionLostRow,
+    EndpointUpdateRow,
+    FaultRow,
+    MessageRow,
+    Row,
+    ServerStartedRow,
+)
 
 MS, SECOND = 10**6, 10**9
 RELEASE = 300 * MS
@@ -21,20 +29,25 @@
     told = [
         (
             0,
-            Terms,
-            {"release_wait": RELEASE, "slack": slack, "objectives": {"p": SECOND}, "importance": {"p": 2.0}},
+            AuditConfigRow,
+            {
+                "release_wait": RELEASE,
+                "slack": slack,
+                "latency_objectives": {"p": SECOND},
+                "priority_weights": {"p": 2.0},
+            },
         )
     ]
-    end = [(1_000 * SECOND, Lost, {"edge": "-", "peer": "-"})]
+    end = [(1_000 * SECOND, ConnectionLostRow, {"edge": "-", "peer": "-"})]
     return [sort(seq=seq, at=at, **fields) for seq, (at, sort, fields) in enumerate([*told, *rows, *end])]
 
 
 def caller(at: int, kind: str, dialog: str = "d", sent: bool = False, **more: Any) -> Any:
-    return at, Passed, {"edge": "e0", "peer": "c0", "sent": sent, "kind": kind, "dialog": dialog, **more}
+    return at, MessageRow, {"edge": "e0", "peer": "c0", "sent": sent, "kind": kind, "dialog": dialog, **more}
 
 
 def dials(at: int, dialog: str = "d", span: int = 9 * SECOND) -> Any:
-    return caller(at, "setup", dialog, sent=True, span=span, word="p")
+    return caller(at, "setup", dialog, sent=True, duration=span, detail="p")
 
 
 def server(
@@ -46,37 +59,46 @@
     dialog: str = "d",
     edge: str = "e0",
 ) -> Any:
-    return at, Passed, {"edge": edge, "peer": peer, "sent": sent, "kind": kind, "dialog": dialog, "leg": leg}
+    return (
+        at,
+        MessageRow,
+        {"edge": edge, "peer": peer, "sent": sent, "kind": kind, "dialog": dialog, "leg": leg},
+    )
 
 
 def told(at: int, phase: str, name: str = "s0") -> Any:
-    return at, Told, {"edge": "e0", "server": name, "phase": phase}
+    return at, EndpointUpdateRow, {"edge": "e0", "server": name, "phase": phase}
 
 
 def began(at: int, name: str = "s0") -> Any:
     make = {
         "setup_work": 100 * MS,
-        "cold_share": 0.5,
-        "warm_after": 10 * SECOND,
-        "tip_multiple": 2.0,
-        "tip_span": SECOND,
+        "slow_start_fraction": 0.5,
+        "slow_start_duration": 10 * SECOND,
+        "overload_multiple": 2.0,
+        "overload_window": SECOND,
     }
-    return at, Began, {"server": name, **make}
+    return at, ServerStartedRow, {"server": name, **make}
 
 
 def fault(at: int, until: int, kind: str, target: str = "e0") -> Any:
-    return at, Fault, {"until": until, "kind": kind, "target": target}
+    return at, FaultRow, {"until": until, "kind": kind, "target": target}
 
 
 LEG = [server(10, "setup")]
-TAKEN = [dials(0), caller(1, "provisional"), (5, Lost, {"edge": "e0", "peer": "c0"})]
+TAKEN = [dials(0), caller(1, "provisional"), (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})]
 BACK = caller(6, "resume", sent=True)
-STOOD = [dials(0), caller(1, "provisional"), caller(2, "stands"), (5, Lost, {"edge": "e0", "peer": "c0"})]
+STOOD = [
+    dials(0),
+    caller(1, "provisional"),
+    caller(2, "stands"),
+    (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"}),
+]
 CASES: list[tuple[str, set[int], list[Any]]] = [
     ("answered at the last moment", set(), [dials(0), caller(9 * SECOND, "declined")]),
     ("answered 1 ns late", {1}, [dials(0), caller(9 * SECOND + 1, "declined")]),
     ("never answered", {1}, [dials(0)]),
-    ("its connection lost first", set(), [dials(0), (5, Lost, {"edge": "e0", "peer": "c0"})]),
+    ("its connection lost first", set(), [dials(0), (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})]),
     ("answered twice", {1}, [dials(0), caller(5, "aborted"), caller(6, "aborted")]),
     ("two answers of different kinds", {1}, [dials(0), caller(5, "declined"), caller(6, "stands")]),
     ("a word after the answer", {1}, [dials(0), caller(5, "declined"), caller(6, "provisional")]),
@@ -109,17 +131,17 @@
     (
         "reset 300 ms",
         set(),
-        [*LEG, (20, Lost, {"edge": "e0", "peer": "s0"}), server(20 + RELEASE, "setup", "s1", 1)],
+        [*LEG, (20, ConnectionLostRow, {"edge": "e0", "peer": "s0"}), server(20 + RELEASE, "setup", "s1", 1)],
     ),
     (
         "reset 300 ms less 1 ns",
         {5},
-        [*LEG, (20, Lost, {"edge": "e0", "peer": "s0"}), server(19 + RELEASE, "setup", "s1", 1)],
+        [*LEG, (20, ConnectionLostRow, {"edge": "e0", "peer": "s0"}), server(19 + RELEASE, "setup", "s1", 1)],
     ),
     (
         "another edge's link lost",
         {2},
-        [*LEG, (20, Lost, {"edge": "e1", "peer": "s0"}), server(9 * SECOND, "setup", "s1", 1)],
+        [*LEG, (20, ConnectionLostRow, {"edge": "e1", "peer": "s0"}), server(9 * SECOND, "setup", "s1", 1)],
     ),
     ("at the moment of the word", set(), [told(10, "draining"), server(10, "setup")]),
     ("1 ns after the word", {3}, [told(9, "draining"), server(10, "setup")]),
@@ -163,19 +185,19 @@
 
 @pytest.mark.parametrize(("name", "broken", "rows"), CASES, ids=[name for name, _, _ in CASES])
 def test_rules(name: str, broken: set[int], rows: list[Any]) -> None:
-    assert audit(record(*rows)).broken() == broken
+    assert audit(record(*rows)).violated_rules() == broken
 
 
 def test_the_clocks_looseness_is_granted_and_no_more() -> None:
     rows = [*LEG, server(20, "cancel"), server(20 + RELEASE - 5, "setup", "s1", 1)]
-    assert audit(record(*rows, slack=5)).kept
-    assert not audit(record(*rows, slack=4)).kept
+    assert audit(record(*rows, slack=5)).passed
+    assert not audit(record(*rows, slack=4)).passed
 
 
 def test_what_a_held_server_reads_late_is_not_held_against_the_edge() -> None:
     late = [told(9, "draining"), server(100, "setup")]
-    assert not audit(record(*late)).kept
-    assert audit(record(fault(0, 200, "held", "s0"), *late)).kept
+    assert not audit(record(*late)).passed
+    assert audit(record(fault(0, 200, "held", "s0"), *late)).passed
 
 
 def test_a_record_without_terms_is_no_record() -> None:
@@ -185,11 +207,11 @@
 
 def test_records_are_kept_and_read_again(tmp_path: Path) -> None:
     rows = record(*CASES[0][2], began(5), told(6, "gone"), fault(1, 2, "slow"))
-    tap.write(tmp_path / "rows", rows)
-    assert tap.read(tmp_path / "rows") == rows
+    tap.write_rows(tmp_path / "rows", rows)
+    assert tap.read_rows(tmp_path / "rows") == rows
     (tmp_path / "rows").write_bytes((tmp_path / "rows").read_bytes() + b'{"row":"passed"}\n')
     with pytest.raises(ValueError, match=f"rows:{len(rows) + 1}: "):
-        tap.read(tmp_path / "rows")
+        tap.read_rows(tmp_path / "rows")
 
 
 def test_a_callers_later_tries_count_with_its_first() -> None:
@@ -201,22 +223,22 @@
             caller(SECOND, "stands", "a.2"),
         ],
         *[dials(0, "b"), caller(SECOND + 1, "stands", "b")],
-        *[dials(0, "c"), caller(5, "stands", "c"), caller(6, "ended", "c", word="cut")],
-        *[dials(0, "f"), caller(5, "stands", "f"), caller(6, "ended", "f", word="cut")],
+        *[dials(0, "c"), caller(5, "stands", "c"), caller(6, "ended", "c", detail="cut")],
+        *[dials(0, "f"), caller(5, "stands", "f"), caller(6, "ended", "f", detail="cut")],
         *[dials(7 * SECOND, "f.2"), caller(8 * SECOND, "stands", "f.2")],
     )
-    one = account(rows)["p"]
-    assert (one.offered, one.tries, one.in_objective, one.late) == (4, 6, 2, 1)
+    one = account_by_type(rows)["p"]
+    assert (one.offered, one.dial_attempts, one.within_objective, one.late) == (4, 6, 2, 1)
     assert one.answers == {"declined": 1, "stands": 5, "cut": 2}
-    assert service(account(rows), {"p": 2.0}) == 0.5
+    assert weighted_service_level(account_by_type(rows), {"p": 2.0}) == 0.5
 
 
 def test_what_stood_is_counted_once_however_often_it_is_told_and_a_later_try_anew() -> None:
-    lost = (5, Lost, {"edge": "e0", "peer": "c0"})
+    lost = (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})
     back = [caller(2 * SECOND, "resume", sent=True), caller(3 * SECOND, "stands")]
-    one = account(record(dials(0), caller(4, "stands"), lost, *back))["p"]
-    assert (one.in_objective, one.late, one.answers["stands"]) == (1, 0, 1)
+    one = account_by_type(record(dials(0), caller(4, "stands"), lost, *back))["p"]
+    assert (one.within_objective, one.late, one.answers["stands"]) == (1, 0, 1)
     # Its edge proxy died without a word: no `ended` tells of the cut, the try that stood in its place does.
     again = [dials(2 * SECOND, "d.2"), caller(3 * SECOND, "stands", "d.2")]
-    one = account(record(dials(0), caller(4, "stands"), lost, *again))["p"]
-    assert (one.in_objective, one.late, one.answers["stands"]) == (0, 1, 2)
+    one = account_by_type(record(dials(0), caller(4, "stands"), lost, *again))["p"]
+    assert (one.within_objective, one.late, one.answers["stands"]) == (0, 1, 2)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -20,7 +20,7 @@
 from valverouter.experiments.plan import Run
 from valverouter.experiments.search import load_search
 from valverouter.signalling import tap
-from valverouter.signalling.tap import Passed, Row
+from valverouter.signalling.tap import MessageRow, Row
 from valverouter.terms.calls import FLAWS_TOLD, Call, read_calls, write_calls
 from valverouter.terms.day import Day, day, load_day
 from valverouter.terms.ini import FlawedTermsError, IniFile
@@ -53,11 +53,11 @@
 
 
 def first_tries(rows: list[Row]) -> list[tuple[int, str, str, int]]:
-    began = next(row.at for row in rows if isinstance(row, tap.Opened))
+    began = next(row.at for row in rows if isinstance(row, tap.CallersStartedRow))
     return [
-        (row.at - began, row.edge, row.word, row.span)
+        (row.at - began, row.edge, row.detail, row.duration)
         for row in rows
-        if isinstance(row, Passed) and row.sent and row.kind == "setup" and row.peer[0] == "c"
+        if isinstance(row, MessageRow) and row.sent and row.kind == "setup" and row.peer[0] == "c"
         if "." not in row.dialog
     ]
 
@@ -166,7 +166,7 @@
     assert write_calls(tmp_path / "calls.csv", calls_of(rows)) > 400
     again = run_emulated(replay(tmp_path)).rows
     assert again == rows
-    assert audit(again).kept
+    assert audit(again).passed
     other = run_emulated(replay(tmp_path, ("seed = 7", "seed = 8"))).rows
     assert first_tries(other) == first_tries(rows), "the moments stay, chance does not"
     assert other != rows, "the moments stay, chance does not"
@@ -176,7 +176,7 @@
     rows = run_emulated(day(IniFile(DAY, "day"), "day")).rows
     write_calls(tmp_path / "calls.csv", calls_of(rows))
     played = run_virtual(replay(tmp_path))
-    assert audit(played).kept
+    assert audit(played).passed
     # Ids number first tries at each edge proxy in their order, whatever came between.
     wanted, found = sorted(first_tries(rows)), sorted(first_tries(played))
     assert [one[1:] for one in found] == [one[1:] for one in wanted]
@@ -238,7 +238,7 @@
 
 def test_from_kept_rows_to_a_day_that_plays_them(tmp_path: Path) -> None:
     rows = run_emulated(day(IniFile(DAY, "day"), "day")).rows
-    tap.write(tmp_path / "rows.jsonl", rows)
+    tap.write_rows(tmp_path / "rows.jsonl", rows)
     words = ["calls", str(tmp_path / "rows.jsonl"), "--out", str(tmp_path / "calls.csv")]
     ran = CliRunner().invoke(main, words)
     assert ran.exit_code == 0
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -35,7 +35,7 @@
 
 FUNCTION_CEILINGS: dict[str, int] = {
     "valverouter/audit/account.py::account": 45,
-    "valverouter/audit/orders.py::judge_orders": 47,
+    "valverouter/audit/operations.py::judge_orders": 47,
     "valverouter/audit/rules.py::_one_answer": 80,
     "valverouter/audit/rules.py::_one_leg_and_release": 42,
     "valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52,
@@ -48,7 +48,7 @@
     "valverouter/load/drive.py::drive": 83,
     "valverouter/relayedge/words.py::asked": 43,
     "valverouter/signalling/setup.py::SetupSession._pass": 50,
-    "valverouter/standins/server.py::ServerStandIn.__init__": 45,
+    "valverouter/fakes/server.py::ServerStandIn.__init__": 45,
     "valverouter/terms/attempts.py::attempt_sections": 45,
     "valverouter/terms/day.py::day": 68,
     "valverouter/terms/edge.py::edge_terms": 51,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -16,7 +16,7 @@
 import structlog
 import trio
 
-from valverouter.audit.account import account
+from valverouter.audit.account import account_by_type
 from valverouter.audit.rules import Verdict, audit
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
@@ -56,13 +56,13 @@
     once, again = run_virtual(script), run_virtual(script)
     assert once == again
     verdict = audit(once)
-    assert verdict.kept, verdict.breaches[:5]
-    assert all(verdict.checked.values()), f"every rule was tried: {verdict.checked}"
-    assert 0.2 < verdict.cold_margin_used < 1
-    accounts = account(once)
+    assert verdict.passed, verdict.violations[:5]
+    assert all(verdict.check_counts.values()), f"every rule was tried: {verdict.check_counts}"
+    assert 0.2 < verdict.slow_start_budget_used < 1
+    accounts = account_by_type(once)
     offered = sum(one.offered for one in accounts.values())
     assert offered > 1_000
-    assert sum(one.in_objective for one in accounts.values()) > 0.7 * offered
+    assert sum(one.within_objective for one in accounts.values()) > 0.7 * offered
 
 
 def test_another_seed_is_another_day() -> None:
@@ -110,11 +110,11 @@
 def test_each_kind_of_trouble_with_the_rules_kept(kind: str) -> None:
     rows = run_virtual(small((kind, HOW[kind])))
     verdict = audit(rows)
-    assert verdict.kept, verdict.breaches[:5]
-    struck = [row for row in rows if isinstance(row, tap.Fault) and row.kind == kind]
-    words = {row.kind for row in rows if isinstance(row, tap.Passed)}
-    words |= {f"{row.kind} {row.word}" for row in rows if isinstance(row, tap.Passed)}
-    words |= {"lost" for row in rows if isinstance(row, tap.Lost)}
+    assert verdict.passed, verdict.violations[:5]
+    struck = [row for row in rows if isinstance(row, tap.FaultRow) and row.kind == kind]
+    words = {row.kind for row in rows if isinstance(row, tap.MessageRow)}
+    words |= {f"{row.kind} {row.detail}" for row in rows if isinstance(row, tap.MessageRow)}
+    words |= {"lost" for row in rows if isinstance(row, tap.ConnectionLostRow)}
     assert struck, words
     assert kind not in SHOWS or SHOWS[kind] in words, words
 
@@ -126,8 +126,8 @@
         ("balancer_crash", {"start": 3 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
     verdict = audit(run_virtual(small(*troubles)))
-    assert verdict.kept
-    assert verdict.checked[4] > 20
+    assert verdict.passed
+    assert verdict.check_counts[4] > 20
 
 
 # Planted failures: each breaks the edge in one place, and the audit must name the rule.
@@ -149,7 +149,7 @@
             other.set_up((dialog_id, 60), asked)
 
     monkeypatch.setattr(EdgeProxy, "_send_leg", twice)
-    assert 2 in verdict_of(small(length=3)).broken()
+    assert 2 in verdict_of(small(length=3)).violated_rules()
 
 
 def test_a_planted_late_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -161,7 +161,7 @@
     monkeypatch.setattr(EdgeProxy, "_take", generous)
     script = small(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
     patient = msgspec.structs.replace(script.callers, patience=1.0)
-    assert verdict_of(msgspec.structs.replace(script, callers=patient)).broken() == {1}
+    assert verdict_of(msgspec.structs.replace(script, callers=patient)).violated_rules() == {1}
 
 
 def test_a_planted_send_to_a_draining_server_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -172,7 +172,7 @@
         sound(self, type(heard)(heard.scope, rows))
 
     monkeypatch.setattr(EdgeProxy, "_listed", deaf)
-    assert 3 in verdict_of(small(("deploy", HOW["deploy"]), length=5)).broken()
+    assert 3 in verdict_of(small(("deploy", HOW["deploy"]), length=5)).violated_rules()
 
 
 @pytest.mark.parametrize(("cut", "broken"), [(0, set()), (1 * MS, {5})])
@@ -184,8 +184,8 @@
             edge.proxy._driver.policy.deployment = _with(terms, release_delay=terms.release_delay - cut)
 
     verdict = verdict_of(small(("answer_lost", HOW["answer_lost"])), hasty)
-    assert verdict.checked[5] > 3
-    assert verdict.broken() == broken
+    assert verdict.check_counts[5] > 3
+    assert verdict.violated_rules() == broken
 
 
 def _with(terms: Any, **more: Any) -> Any:
@@ -204,7 +204,7 @@
         ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
     verdict = verdict_of(small(*troubles, length=10, tip_multiple=0.8))
-    assert verdict.broken() == broken, verdict.cold_margin_used
+    assert verdict.violated_rules() == broken, verdict.slow_start_budget_used
 
 
 def test_outcomes_are_all_mapped() -> None:
@@ -269,8 +269,8 @@
     assert ran.returncode == 0, ran.stdout + ran.stderr
     assert "service weighted by importance" in ran.stdout
     assert "BROKEN" not in ran.stdout
-    rows = tap.read(records)
-    assert sum(one.answers["stands"] for one in account(rows).values()) > 20
+    rows = tap.read_rows(records)
+    assert sum(one.answers["stands"] for one in account_by_type(rows).values()) > 20
     starts = [
         line
         for line in (logs / "e1.log").read_text().splitlines()
@@ -282,9 +282,9 @@
     cut = next(
         row
         for row in rows
-        if isinstance(row, tap.Passed) and row.kind in ("stands", "declined") and not row.sent
+        if isinstance(row, tap.MessageRow) and row.kind in ("stands", "declined") and not row.sent
     )
-    tap.write(records, [row for row in rows if row is not cut])
+    tap.write_rows(records, [row for row in rows if row is not cut])
     broken = valverouter("audit", str(records))
     assert broken.returncode == 1
     assert "BROKEN" in broken.stdout
@@ -324,7 +324,7 @@
 
 
 def test_the_short_day_runs_in_virtual_time_too() -> None:
-    assert audit(run_virtual(day(IniFile(SHORT, "short"), "short"))).kept
+    assert audit(run_virtual(day(IniFile(SHORT, "short"), "short"))).passed
 
 
 # Faults on request at the stand-ins' end
@@ -342,44 +342,44 @@
 
         return drop
 
-    world.servers["s0"].on_wire = lambda wire: setattr(wire, "drop_on", ninth(setup.Stands, True))
-    world.servers["s1"].on_wire = lambda wire: setattr(wire, "drop_on", ninth(setup.Setup, False))
-    for wire in (*world.servers["s0"].wires, *world.servers["s1"].wires):
-        wire.cut()
+    world.servers["s0"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Stands, True))
+    world.servers["s1"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Setup, False))
+    for wire in (*world.servers["s0"].connections, *world.servers["s1"].connections):
+        wire.close()
 
 
 def trickles(world: World, edges: list[MemoryEdge]) -> None:
-    for wire in world.servers["s0"].wires:
-        wire.byte_gap = 0.05
+    for wire in world.servers["s0"].connections:
+        wire.byte_interval = 0.05
 
 
 def stops_reading(world: World, edges: list[MemoryEdge]) -> None:
     """s0 reads nothing for two seconds; what it reads late had left long before."""
-    world.tap.row(tap.Fault, until=world.now() + 4 * SECOND, kind="held", target="s0")
-    for wire in world.servers["s0"].wires:
-        wire.reads = trio.Event()
-        world.agenda.at(world.now() + 3 * SECOND, wire.reads.set)
+    world.tap.record(tap.FaultRow, until=world.now() + 4 * SECOND, kind="held", target="s0")
+    for wire in world.servers["s0"].connections:
+        wire.reading_allowed = trio.Event()
+        world.agenda.call_at(world.now() + 3 * SECOND, wire.reading_allowed.set)
 
 
 def list_loses_words(world: World, edges: list[MemoryEdge]) -> None:
-    world.list.skips = 2
+    world.list.updates_to_drop = 2
 
 
 def list_contradicts_itself(world: World, edges: list[MemoryEdge]) -> None:
     def again(number: int) -> None:
         phase: Any = "draining" if number % 2 else "in-service"
         world.tell(["s0"], phase)
-        world.list.tell_late(1, [world.row("s1", "gone")])  # an old word, come late
+        world.list.announce_stale(1, [world.row("s1", "gone")])  # an old word, come late
 
     for number in range(6):
-        world.agenda.at(world.now() + (2 + number) * SECOND, lambda number=number: again(number))  # type: ignore[misc]
+        world.agenda.call_at(world.now() + (2 + number) * SECOND, lambda number=number: again(number))  # type: ignore[misc]
 
 
 def list_goes_down(world: World, edges: list[MemoryEdge]) -> None:
     assert world._nursery is not None
     nursery = world._nursery
-    world.agenda.at(world.now() + 2 * SECOND, world.list.down)
-    world.agenda.at(world.now() + 4 * SECOND, lambda: nursery.start_soon(world.list.up))
+    world.agenda.call_at(world.now() + 2 * SECOND, world.list.stop_listening)
+    world.agenda.call_at(world.now() + 4 * SECOND, lambda: nursery.start_soon(world.list.start_listening))
 
 
 @pytest.mark.parametrize(
@@ -391,6 +391,6 @@
     script = small(("deploy", HOW["deploy"]))
     rows = run_virtual(script, fault)
     verdict = audit(rows)
-    assert verdict.kept, verdict.breaches[:5]
-    served = sum(one.in_objective for one in account(rows).values())
-    assert served > 0.4 * sum(one.offered for one in account(rows).values())
+    assert verdict.passed, verdict.violations[:5]
+    served = sum(one.within_objective for one in account_by_type(rows).values())
+    assert served > 0.4 * sum(one.offered for one in account_by_type(rows).values())
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,18 +12,20 @@
 from trio.testing import MockClock
 
 from tests.rig import dial, rigged
-from valverouter.audit.account import account, service
-from valverouter.audit.attempts import seen
+from valverouter.audit.account import account_by_type, weighted_service_level
+from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import plans, run_emulated
 from valverouter.days.virtual import run_virtual
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulated import EPOCH, Chance, Simulated
 from valverouter.experiments.daypage import day_page
-from valverouter.servermodel.arrivals import Pattern, Source, copies
-from valverouter.servermodel.server import Happens, Make, SetupServer
+from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
+from valverouter.servermodel.events import ServerEventKind
+from valverouter.servermodel.profile import ServerProfile
+from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
-from valverouter.signalling.tap import Passed
+from valverouter.signalling.tap import MessageRow
 from valverouter.terms.day import Day, day, load_day
 from valverouter.terms.ini import IniFile
 
@@ -35,17 +37,17 @@
 
 
 def served(
-    make: Make, rate: float, length: float, arrivals: int, seed: int
+    make: ServerProfile, rate: float, length: float, arrivals: int, seed: int
 ) -> tuple[list[int], float, float]:
     """The waits that arrivals find, the share that finds the processor busy, the share without a line."""
     sim, chance, lengths = Simulated(), Chance(seed, "arrivals"), Chance(seed, "lengths")
     model = SetupServer(make, Chance(seed, "server").random)
-    source, waits, busy, lost = Source(Pattern(), chance.exponential, EPOCH), list[int](), 0, 0
+    source, waits, busy, lost = ArrivalProcess(ArrivalPattern(), chance.exponential, EPOCH), list[int](), 0, 0
     now = EPOCH
     for at in range(arrivals):
-        now = source.next(now, rate)
-        lost += sum(happening.what is Happens.NO_AGENT for happening in model.advance(now))
-        waits.append(model.wait(now))
+        now = source.next_arrival(now, rate)
+        lost += sum(happening.kind is ServerEventKind.NO_AGENT for happening in model.advance(now))
+        waits.append(model.queue_delay(now))
         busy += waits[-1] > 0
         model.setup(now, ("p", str(at), 0), at, int(lengths.exponential() * length * SECOND))
     assert sim.now() == EPOCH
@@ -59,13 +61,13 @@
     return mean, 4.44 * spread / math.sqrt(len(values))
 
 
-FREE: dict[str, Any] = {"answer_work": 0, "release_work": 0, "most_wait": 1 << 60, "lines": 10**9}
+FREE: dict[str, Any] = {"answer_work": 0, "release_work": 0, "max_queue_delay": 1 << 60, "lines": 10**9}
 
 
 @pytest.mark.parametrize(("spread", "name"), [(0.0, "M/D/1"), (1.0, "M/M/1")])
 @pytest.mark.parametrize("rho", [0.5, 0.8])
 def test_waits_at_the_processor_are_those_of_the_closed_form(spread: float, name: str, rho: float) -> None:
-    make = Make(setup_work=10 * MS, spread=spread, **FREE)
+    make = ServerProfile(setup_work=10 * MS, random_work_fraction=spread, **FREE)
     runs = [served(make, rho * 100, 0, 4_000, seed) for seed in range(12)]
     mean, error = bounds([sum(waits) / len(waits) for waits, _, _ in runs])
     # Pollaczek and Khinchine: rho s (1 + c^2) / 2 (1 - rho), c^2 0 for fixed work and 1 for exponential.
@@ -78,7 +80,7 @@
 
 @pytest.mark.parametrize(("lines", "load"), [(8, 6.0), (20, 20.0), (3, 1.0)])
 def test_losses_for_want_of_a_line_are_erlang_b(lines: int, load: float) -> None:
-    make = Make(setup_work=1, answer_work=0, release_work=0, most_wait=1 << 60, lines=lines)
+    make = ServerProfile(setup_work=1, answer_work=0, release_work=0, max_queue_delay=1 << 60, lines=lines)
     runs = [served(make, load, 1.0, 4_000, seed) for seed in range(12)]
     mean, error = bounds([lost for _, _, lost in runs])
     blocked = 1.0
@@ -91,18 +93,21 @@
 # Arrivals
 
 
-def gaps(pattern: Pattern, rate: float, count: int) -> list[int]:
+def gaps(pattern: ArrivalPattern, rate: float, count: int) -> list[int]:
     chance, now, found = Chance(3, "arrivals"), EPOCH, list[int]()
-    source = Source(pattern, chance.exponential, now)
+    source = ArrivalProcess(pattern, chance.exponential, now)
     for _ in range(count):
-        after = source.next(now, rate)
+        after = source.next_arrival(now, rate)
         found.append(after - now)
         now = after
     return found
 
 
 def test_arrivals_keep_their_mean_rate_and_on_off_ones_come_in_crowds() -> None:
-    even, crowds = gaps(Pattern(), 50, 20_000), gaps(Pattern(SECOND // 2, SECOND // 2), 50, 20_000)
+    even, crowds = (
+        gaps(ArrivalPattern(), 50, 20_000),
+        gaps(ArrivalPattern(SECOND // 2, SECOND // 2), 50, 20_000),
+    )
     variation = []
     for found in (even, crowds):
         mean = sum(found) / len(found)
@@ -113,14 +118,14 @@
 
 
 def test_a_drift_is_reached_at_the_end() -> None:
-    pattern = Pattern(drift=3.0, over=10 * SECOND)
+    pattern = ArrivalPattern(drift=3.0, drift_duration=10 * SECOND)
     assert [pattern.rate(10, at * SECOND) for at in (0, 5, 10, 20)] == [10, 20, 30, 30]
 
 
 @pytest.mark.parametrize(("times", "least", "most"), [(0.25, 0, 1), (1.0, 1, 1), (2.5, 2, 3)])
 def test_a_call_on_record_is_dialled_so_often_on_average(times: float, least: int, most: int) -> None:
     chance = Chance(5, "copies")
-    found = [copies(times, chance.random) for _ in range(4_000)]
+    found = [draw_repetitions(times, chance.random) for _ in range(4_000)]
     assert (min(found), max(found)) == (least, most)
     assert sum(found) / len(found) == pytest.approx(times, rel=0.08)
 
@@ -149,13 +154,13 @@
         played, servers=msgspec.structs.replace(played.servers, report_every=250 * MS)
     )
     dialled = [
-        [row.at for row in run_emulated(one).rows if isinstance(row, Passed) and first_try(row)]
+        [row.at for row in run_emulated(one).rows if isinstance(row, MessageRow) and first_try(row)]
         for one in (played, often)
     ]
     assert dialled[0] == dialled[1]
 
 
-def first_try(row: Passed) -> bool:
+def first_try(row: MessageRow) -> bool:
     return row.sent and row.kind == "setup" and "." not in row.dialog
 
 
@@ -182,9 +187,9 @@
     text = text[: text.index("[trouble ")].replace("length = 30s", "length = 6s")
     played = day(IniFile(text + EVERY.format(kind=kind, size=SIZES.get(kind, 1)), kind), kind)
     verdict = audit(run_emulated(played).rows)
-    assert verdict.kept, verdict.breaches[:3]
-    assert verdict.checked[1] > 100
-    assert verdict.checked[2] > 80
+    assert verdict.passed, verdict.violations[:3]
+    assert verdict.check_counts[1] > 100
+    assert verdict.check_counts[2] > 80
 
 
 def test_the_emulator_and_the_edge_proxy_agree_on_a_day() -> None:
@@ -194,7 +199,8 @@
     text += "[trouble slow]\nkind = slow\nstart = 2s\nlength = 4s\nsize = 4\non = s0, s3\n"
     played = day(IniFile(text, "slow"), "slow")
     got = [
-        service(account(rows), played.importance) for rows in (run_emulated(played).rows, run_virtual(played))
+        weighted_service_level(account_by_type(rows), played.importance)
+        for rows in (run_emulated(played).rows, run_virtual(played))
     ]
     assert abs(got[0] - got[1]) < 0.08
     assert min(got) > 0.8
@@ -202,10 +208,10 @@
 
 def test_attempt_terms_and_crossing_act_in_the_emulator_too() -> None:
     rows = run_emulated(load_day(DAYS / "attempts.ini")).rows
-    booking = seen(rows)["booking"]
-    assert booking.legs_most <= 2
-    assert booking.gap is not None
-    assert booking.gap >= 450 * MS
+    booking = attempt_statistics(rows)["booking"]
+    assert booking.max_attempts <= 2
+    assert booking.min_retry_gap is not None
+    assert booking.min_retry_gap >= 450 * MS
     assert booking.cancelled_after is not None
     assert booking.cancelled_after[1] <= 701 * MS
     fleet = Fleet(played := load_day(DAYS / "four-regions.ini"), plans(played))
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -17,7 +17,7 @@
 from valverouter.experiments.runner import Store, play, run_all
 from valverouter.experiments.variants import BASELINES, VARIANTS, variant
 from valverouter.policy import routing, tuning
-from valverouter.signalling.tap import Passed, Row, Terms
+from valverouter.signalling.tap import AuditConfigRow, MessageRow, Row
 from valverouter.terms.ini import FlawedTermsError
 
 SECOND = 10**9
@@ -152,12 +152,12 @@
         assert found != play(run) | {"cpu": found["cpu"]}
 
 
-def said(at: int, sent: bool, kind: str, dialog: str, word: str = "") -> Passed:
-    return Passed(at, at * SECOND // 10, "e0", "c0", sent, kind, dialog, 0, 0, word)
+def said(at: int, sent: bool, kind: str, dialog: str, word: str = "") -> MessageRow:
+    return MessageRow(at, at * SECOND // 10, "e0", "c0", sent, kind, dialog, 0, 0, word)
 
 
 def test_the_worst_ten_seconds_are_those_in_which_dialogs_were_first_dialled() -> None:
-    rows: list[Row] = [Terms(0, 0, 0, 0, {"plain": SECOND}, {"plain": 1.0})]
+    rows: list[Row] = [AuditConfigRow(0, 0, 0, 0, {"plain": SECOND}, {"plain": 1.0})]
     for at in range(0, 300):
         rows.append(said(at, True, "setup", f"d{at}", "plain"))
         if not 100 <= at < 150:
@@ -165,7 +165,7 @@
     rows.append(said(320, True, "setup", "d120.2", "plain"))
     rows.append(said(321, False, "stands", "d120.2"))
     terms = rows[0]
-    assert isinstance(terms, Terms)
+    assert isinstance(terms, AuditConfigRow)
     assert worst(rows, terms) == pytest.approx(0.5)
     assert by_second(rows, terms)[10] == (10, 0)
     assert by_second(rows, terms)[3] == (10, 10)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 
 from tests.rig import terms
 from valverouter.audit.rules import audit
-from valverouter.audit.views import judge_views
+from valverouter.audit.views import ViewReport, check_views
 from valverouter.cli.__main__ import main
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import MemoryEdge, MemoryPlace, MemorySurroundings, run_virtual
@@ -47,7 +47,15 @@
 from valverouter.membership.messages import Gossip, Ping, PingReq, SyncDigests
 from valverouter.membership.records import MemberRecord, MemberState, Phase
 from valverouter.signalling import tap
-from valverouter.signalling.tap import Fault, Found, Opened, Passed, Ran, Settles, Viewed
+from valverouter.signalling.tap import (
+    CallersStartedRow,
+    ConvergenceDeadlineRow,
+    EdgeProcessRow,
+    FaultRow,
+    MembershipEventRow,
+    MembershipViewRow,
+    MessageRow,
+)
 from valverouter.terms.between import KEY_LEAST, Between, key_of
 from valverouter.terms.day import Day, day, load_day
 from valverouter.terms.edge import edge_terms
@@ -479,12 +487,12 @@
 
 def test_a_day_of_faults_between_them_in_virtual_time() -> None:
     rows = run_virtual(load_day(DAY))
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None, views
-    assert views.kept, views
-    assert not views.false_deaths
-    assert audit(rows).kept
-    assert {row.what for row in rows if isinstance(row, Found)} >= {
+    assert views.passed, views
+    assert not views.false_failures
+    assert audit(rows).passed
+    assert {row.kind for row in rows if isinstance(row, MembershipEventRow)} >= {
         "joined",
         "suspect",
         "gone",
@@ -498,11 +506,11 @@
     """Six processes of the program for 22 s: loss, delay, repeats, a region cut off, a one-way cut, a kill, a
     stop, a late join."""
     rows = run_loopback(load_day(DAY), tmp_path)
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None, views
-    assert views.kept, views
-    assert audit(rows).kept
-    found = {row.what for row in rows if isinstance(row, Found)}
+    assert views.passed, views
+    assert audit(rows).passed
+    found = {row.kind for row in rows if isinstance(row, MembershipEventRow)}
     assert found >= {"joined", "suspect", "gone", "refuted", "restarted", "stalled", "settled"}
 
 
@@ -526,12 +534,13 @@
 
     def passed(one: Day) -> list[tuple[Any, ...]]:
         rows = run_virtual(one)
-        (opened,) = [row.at for row in rows if isinstance(row, Opened)]
+        (opened,) = [row.at for row in rows if isinstance(row, CallersStartedRow)]
         # Past that the day with the view goes on for as long as settling may take.
         until = opened + one.terms.length
-        said = [row for row in rows if isinstance(row, Passed) and row.at < until]
+        said = [row for row in rows if isinstance(row, MessageRow) and row.at < until]
         return sorted(
-            (row.at, row.edge, row.peer, row.sent, row.kind, row.dialog, row.leg, row.span) for row in said
+            (row.at, row.edge, row.peer, row.sent, row.kind, row.dialog, row.leg, row.duration)
+            for row in said
         )
 
     with_view = passed(script)
@@ -547,7 +556,7 @@
 
     monkeypatch.setattr(MemorySurroundings, "datagrams", refused)
     script = msgspec.structs.replace(changed(length=3 * SECOND), between=None, paths={}, troubles={})
-    assert audit(run_virtual(script)).kept
+    assert audit(run_virtual(script)).passed
 
 
 def test_a_clock_set_back_an_hour_and_a_restart_of_the_program() -> None:
@@ -557,9 +566,9 @@
         edges[4].wall_back = 3_600 * SECOND
 
     rows = run_virtual(script, prepare)
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None, views
-    assert views.kept, views
+    assert views.passed, views
 
 
 def test_asked_to_end_it_leaves_and_nobody_has_to_find_out() -> None:
@@ -567,10 +576,10 @@
     script = msgspec.structs.replace(changed(leave), paths={})
     script = msgspec.structs.replace(script, troubles={"back": script.troubles["back"]})
     rows = run_virtual(script)
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None
-    assert views.kept
-    words = {row.what for row in rows if isinstance(row, Found) and row.member == "e4"}
+    assert views.passed
+    words = {row.kind for row in rows if isinstance(row, MembershipEventRow) and row.member == "e4"}
     assert "left" in words
     assert "gone" not in words
 
@@ -602,38 +611,49 @@
 # The check of the views
 
 
-def judged(*rows: tuple[type, dict[str, Any]]) -> Any:
+def judged(*rows: tuple[type, dict[str, Any]]) -> ViewReport:
     kept = tap.Tap(lambda: 0)
     for when, (sort, fields) in enumerate(rows):
         kept.now = lambda when=when: when * SECOND  # type: ignore[misc]
-        kept.row(sort, **fields)
-    return judge_views(kept.rows)
+        kept.record(sort, **fields)
+    report = check_views(kept.rows)
+    assert report is not None
+    return report
 
 
 def ran(edge: str, life: str, begins: bool = True) -> tuple[type, dict[str, Any]]:
-    return Ran, {"edge": edge, "life": life, "begins": begins}
+    return EdgeProcessRow, {"edge": edge, "incarnation": life, "is_start": begins}
 
 
 def viewed(edge: str, life: str, digest: str, **members: str) -> tuple[type, dict[str, Any]]:
-    return Viewed, {"edge": edge, "life": life, "digest": digest, "trust": "settled", "members": members}
+    return MembershipViewRow, {
+        "edge": edge,
+        "incarnation": life,
+        "digest": digest,
+        "view_health": "settled",
+        "members": members,
+    }
 
 
 def test_the_check_finds_what_it_is_there_for() -> None:
-    begin = (Settles, {"within": 3 * SECOND, "every": 0})
+    begin = (ConvergenceDeadlineRow, {"max_duration": 3 * SECOND, "poll_interval": 0})
     both = [ran("e0", "a"), ran("e1", "b"), begin]
     good = [viewed("e0", "a", "x", e0="a", e1="b"), viewed("e1", "b", "x", e0="a", e1="b")]
-    assert judged(*both, *good).kept
-    assert judged(*both, good[0], viewed("e1", "b", "y", e0="a", e1="b")).settled_after is None
-    assert judged(*both, good[0], viewed("e1", "b", "x", e1="b")).settled_after is None
-    assert judged(*both, good[0]).settled_after is None, "one was never heard of"
-    assert not judged(*both, *[good[0]] * 9, good[1]).kept, "too late"
+    assert judged(*both, *good).passed
+    assert judged(*both, good[0], viewed("e1", "b", "y", e0="a", e1="b")).converged_after is None
+    assert judged(*both, good[0], viewed("e1", "b", "x", e1="b")).converged_after is None
+    assert judged(*both, good[0]).converged_after is None, "one was never heard of"
+    assert not judged(*both, *[good[0]] * 9, good[1]).passed, "too late"
     fresh = [ran("e1", "b", False), ran("e1", "c"), viewed("e0", "a", "x", e0="a", e1="c")]
     back = judged(*both, *good, *fresh, good[0])
-    assert back.gone_back == (("e0", "e1"),)
-    wrong = (Found, {"edge": "e0", "life": "a", "what": "gone", "member": "e1", "member_life": "b"})
-    assert judged(*both, *good, wrong).false_deaths == (("e0", "e1"),)
-    cut = (Fault, {"until": 60 * SECOND, "kind": "path-cut", "target": "paths"})
-    assert judged(*both, cut, *good, wrong).false_deaths == ()
+    assert back.regressions == (("e0", "e1"),)
+    wrong = (
+        MembershipEventRow,
+        {"edge": "e0", "incarnation": "a", "kind": "gone", "member": "e1", "member_incarnation": "b"},
+    )
+    assert judged(*both, *good, wrong).false_failures == (("e0", "e1"),)
+    cut = (FaultRow, {"until": 60 * SECOND, "kind": "path-cut", "target": "paths"})
+    assert judged(*both, cut, *good, wrong).false_failures == ()
 
 
 def test_a_query_has_no_name_and_its_head_is_as_short_as_any() -> None:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -18,7 +18,7 @@
 from trio.testing import MockClock
 
 from tests.rig import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
-from valverouter.audit.account import account, service
+from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import Verdict, audit
 from valverouter.days.emulated import plans, run_emulated
 from valverouter.days.loopback import run_loopback
@@ -318,8 +318,8 @@
         async def at_times() -> None:
             for at in range(6):
                 await trio.sleep(0.8)
-                for wire in list(world.servers[f"s{at % 4}"].wires):
-                    wire.cut()
+                for wire in list(world.servers[f"s{at % 4}"].connections):
+                    wire.close()
 
         assert world._nursery is not None
         world._nursery.start_soon(at_times)
@@ -328,7 +328,7 @@
     for ledger in (True, False):
         rows = run_virtual(killed(4, 0, ledger=ledger), breaks)
         accounted(rows)
-        cut.append(sum(one.answers["cut"] for one in account(rows).values()))
+        cut.append(sum(one.answers["cut"] for one in account_by_type(rows).values()))
     # What stood within the way to its server and back before a break is not on record there yet.
     assert cut[0] < cut[1] / 20
     assert cut[1] > 50
@@ -475,15 +475,15 @@
 
 def accounted(rows: list[tap.Row]) -> Verdict:
     verdict = audit(rows)
-    assert verdict.kept, verdict.breaches[:5]
-    assert verdict.forgotten == 0
+    assert verdict.passed, verdict.violations[:5]
+    assert verdict.forgotten_dialogs == 0
     return verdict
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
 def test_days_with_kills_account_for_every_dialog(seed: int) -> None:
     rows = run_virtual(killed(seed))
-    assert accounted(rows).resumed > 20
+    assert accounted(rows).resumptions > 20
     assert rows == run_virtual(killed(seed)), "the same rows every time"
 
 
@@ -501,7 +501,10 @@
     served = []
     for ledger in (False, True):
         pairs = [(one := killed(seed, 6, ledger=ledger), run_virtual(one)) for seed in range(20, 24)]
-        served.append(sum(service(account(rows), one.importance) for one, rows in pairs) / len(pairs))
+        served.append(
+            sum(weighted_service_level(account_by_type(rows), one.importance) for one, rows in pairs)
+            / len(pairs)
+        )
     assert served[1] > served[0] + 0.01
 
 
@@ -509,7 +512,7 @@
     """Kills e0 as the far ends see its n-th message of dialogs pass, and starts it again 50 ms later."""
 
     def prepare(world: World, edges: list[MemoryEdge]) -> None:
-        passes: Any = world.tap.message
+        passes: Any = world.tap.record_message
         count = 0
 
         def message_(edge: str, peer: str, sent: bool, message: Any) -> None:
@@ -526,7 +529,7 @@
             await trio.sleep(0.05)
             await edges[0].start()
 
-        world.tap.message = message_  # type: ignore[method-assign]
+        world.tap.record_message = message_  # type: ignore[method-assign]
 
     return prepare
 
@@ -554,7 +557,7 @@
         assert world._nursery is not None
         world._nursery.start_soon(kills)
 
-    assert accounted(run_virtual(killed(5, 0, 4), prepare)).resumed > 5
+    assert accounted(run_virtual(killed(5, 0, 4), prepare)).resumptions > 5
 
 
 def test_a_planted_restart_without_the_release_time_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -568,19 +571,19 @@
     monkeypatch.setattr(KeepingProxy, "_fate", hasty)
     broken: set[int] = set()
     for seed in range(1, 6):
-        broken |= audit(run_virtual(killed(seed, 6, more=SLOW))).broken()
+        broken |= audit(run_virtual(killed(seed, 6, more=SLOW))).violated_rules()
     assert 5 in broken
 
 
 def test_a_planted_store_that_forgets_answers_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemoryStore, "records", lambda self: [])
-    assert 1 in audit(run_virtual(killed(1))).broken()
+    assert 1 in audit(run_virtual(killed(1))).violated_rules()
 
 
 def test_sigkill_under_load_on_loopback(tmp_path: Path) -> None:
     played = killed(2, kills=5, length=5)
     verdict = accounted(run_loopback(played, tmp_path))
-    assert verdict.resumed > 10
+    assert verdict.resumptions > 10
     for place in range(3):
         assert (tmp_path / f"e{place}.ledger" / "data.mdb").exists()
 
@@ -590,10 +593,12 @@
     for seed in range(30, 38):
         played = killed(seed, 6, more=SLOW)
         for name, rows in (("emulated", run_emulated(played).rows), ("program", run_virtual(played))):
-            assert accounted(rows).resumed > 10
-            served[name].append(service(account(rows), played.importance))
+            assert accounted(rows).resumptions > 10
+            served[name].append(weighted_service_level(account_by_type(rows), played.importance))
         without = killed(seed, 6, more=SLOW, ledger=False)
-        served["without"].append(service(account(run_emulated(without).rows), without.importance))
+        served["without"].append(
+            weighted_service_level(account_by_type(run_emulated(without).rows), without.importance)
+        )
     means = {name: sum(one) / len(one) for name, one in served.items()}
     assert abs(means["emulated"] - means["program"]) < 0.04
     assert means["emulated"] > means["without"] + 0.01
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
 from valverouter.membership.events import EventKind
 from valverouter.membership.messages import Gossip, Ping, SyncDigests, updates_of
 from valverouter.membership.records import MemberState, as_reported, next_own_record
-from valverouter.servermodel.paths import KINDS, PathFault, Paths
+from valverouter.servermodel.paths import PATH_FAULT_KINDS, NetworkPaths, PathFault
 from valverouter.terms.day import PATH_KINDS
 
 
@@ -119,7 +119,7 @@
 
 
 def test_a_member_whose_every_answer_comes_300_ms_late_is_not_suspected() -> None:
-    late = PathFault("late", 0, 120 * SECOND, frozenset({"e5"}), frozenset(), span=300_000_000)
+    late = PathFault("late", 0, 120 * SECOND, frozenset({"e5"}), frozenset(), delay=300_000_000)
     fleet = SimulatedFleet(24, [late])
     fleet.views.run(120 * SECOND)
     assert fleet.count(EventKind.GONE) == 0
@@ -127,7 +127,7 @@
 
 
 def test_30_percent_loss_everywhere_causes_suspicions_and_no_death() -> None:
-    fleet = SimulatedFleet(24, [PathFault("loss", 0, 60 * SECOND, share=0.3)])
+    fleet = SimulatedFleet(24, [PathFault("loss", 0, 60 * SECOND, probability=0.3)])
     fleet.views.run(60 * SECOND)
     assert fleet.count(EventKind.GONE) == 0
     assert fleet.count(EventKind.SUSPECT) > 0
@@ -136,8 +136,8 @@
 
 def test_duplicated_and_reordered_messages_change_nothing() -> None:
     mixed = [
-        PathFault("twice", 0, 60 * SECOND, share=0.5, span=3 * SECOND),
-        PathFault("swapped", 0, 60 * SECOND, share=0.5, span=200_000_000),
+        PathFault("twice", 0, 60 * SECOND, probability=0.5, delay=3 * SECOND),
+        PathFault("swapped", 0, 60 * SECOND, probability=0.5, delay=200_000_000),
     ]
     fleet = SimulatedFleet(24, mixed)
     fleet.views.run(40 * SECOND)
@@ -352,12 +352,21 @@
     chance = random.Random(seed)
     faults = []
     for _ in range(5):
-        kind = chance.choice(KINDS)
+        kind = chance.choice(PATH_FAULT_KINDS)
         start = int(chance.uniform(2, 30) * SECOND)
         members = frozenset(chance.sample(sorted(member_names(16)), chance.randint(1, 8)))
         until = start + int(chance.uniform(1, 15) * SECOND)
         faults.append(
-            PathFault(kind, start, until, members, both=True, share=0.4, span=SECOND // 4, groups=(members,))
+            PathFault(
+                kind,
+                start,
+                until,
+                members,
+                bidirectional=True,
+                probability=0.4,
+                delay=SECOND // 4,
+                groups=(members,),
+            )
         )
     fleet = SimulatedFleet(16, faults)
     seen: dict[tuple[int, str], list[int]] = {}
@@ -388,15 +397,17 @@
 
 
 def test_path_faults_affect_only_the_named_pairs() -> None:
-    assert PATH_KINDS == KINDS
+    assert PATH_KINDS == PATH_FAULT_KINDS
     cut = PathFault("cut", 10, 20, frozenset({"a"}), frozenset({"b"}))
-    both = PathFault("cut", 30, 40, frozenset({"a"}), frozenset({"b"}), both=True)
+    both = PathFault("cut", 30, 40, frozenset({"a"}), frozenset({"b"}), bidirectional=True)
     halves = PathFault("split", 50, 60, groups=(frozenset({"a", "b"}), frozenset({"c"})))
-    paths = Paths([halves, cut, both], random.Random(1).random)
+    paths = NetworkPaths([halves, cut, both], random.Random(1).random)
 
     def connected(time: int) -> set[str]:
         pairs = itertools.permutations("abc", 2)
-        return {sender + receiver for sender, receiver in pairs if paths.arrivals(sender, receiver, time)}
+        return {
+            sender + receiver for sender, receiver in pairs if paths.delivery_delays(sender, receiver, time)
+        }
 
     every = {"ab", "ac", "ba", "bc", "ca", "cb"}
     assert connected(5) == every
--- a/tests/test_orders_parts.py
+++ b/tests/test_orders_parts.py
@@ -17,7 +17,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from valverouter.audit.orders import judge_orders
+from valverouter.audit.operations import check_operations
 from valverouter.cli.__main__ import main
 from valverouter.edge.surroundings import Sockets
 from valverouter.fleet.authentication import (
@@ -51,7 +51,7 @@
 from valverouter.rollout.shown import Shown
 from valverouter.signalling import tap
 from valverouter.signalling.serverlist import Leave, Permits, Returns
-from valverouter.signalling.tap import Limited, Ordered, Row, Turned
+from valverouter.signalling.tap import DisruptionLimitsRow, OperationRow, Row, StepRow
 from valverouter.terms.ini import FlawedTermsError
 from valverouter.terms.rollout import ToolTerms, load_keeper, load_seat, load_tool
 
@@ -389,53 +389,57 @@
 
 
 def rows(*told: Row) -> list[Row]:
-    head: list[Row] = [Limited(0, 0, 1, 1), tap.Placed(0, 0, "e0", "north"), tap.Placed(0, 0, "e1", "south")]
+    head: list[Row] = [
+        DisruptionLimitsRow(0, 0, 1, 1),
+        tap.PlacementRow(0, 0, "e0", "north"),
+        tap.PlacementRow(0, 0, "e1", "south"),
+    ]
     return [*head, *told]
 
 
-def turned(at: int, edge: str, number: int, outcome: str = "", up: bool = True, step: int = 0) -> Turned:
-    return Turned(at, at, edge, number, step, up, outcome)
+def turned(at: int, edge: str, number: int, outcome: str = "", up: bool = True, step: int = 0) -> StepRow:
+    return StepRow(at, at, edge, number, step, up, outcome)
 
 
 def test_the_check_finds_each_breach_and_nothing_in_a_sound_record() -> None:
     sound = rows(
-        tap.Runs(1, 1, "e0", "v1"),
+        tap.ProgramVersionRow(1, 1, "e0", "v1"),
         turned(2, "e0", 7),
-        tap.Runs(3, 3, "e0", "v2"),
+        tap.ProgramVersionRow(3, 3, "e0", "v2"),
         turned(4, "e0", 7, "done"),
         turned(5, "e1", 9),
         turned(6, "e1", 9, "done"),
-        Ordered(9, 9, "r", "release", "v2", "ended", "done", {"e0": ("done", 7, "v1")}),
+        OperationRow(9, 9, "r", "release", "v2", "ended", "done", {"e0": ("done", 7, "v1")}),
     )
-    judged = judge_orders(sound)
+    judged = check_operations(sound)
     assert judged is not None
-    assert judged.kept
-    assert judged.turns == 2
-    assert judged.most_out == 1
-    assert judge_orders([]) is None
+    assert judged.passed
+    assert judged.steps_started == 2
+    assert judged.max_unavailable == 1
+    assert check_operations([]) is None
     for bad, word in (
         (rows(turned(1, "e0", 7), turned(2, "e1", 9)), "limits"),
         (rows(turned(1, "e0", 7), turned(2, "e0", 7, "done"), turned(3, "e0", 7)), "once"),
-        (rows(Ordered(9, 9, "r", "restart", "", "ended", "done", {"e0": ("done", 7, "v1")})), "told"),
+        (rows(OperationRow(9, 9, "r", "restart", "", "ended", "done", {"e0": ("done", 7, "v1")})), "told"),
         (
             rows(
-                tap.Runs(1, 1, "e0", "v2"),
-                Ordered(9, 9, "r", "release", "v2", "ended", "halted", {"e0": ("out", 7, "v1")}),
+                tap.ProgramVersionRow(1, 1, "e0", "v2"),
+                OperationRow(9, 9, "r", "release", "v2", "ended", "halted", {"e0": ("out", 7, "v1")}),
             ),
             "back",
         ),
     ):
-        judged = judge_orders(bad)
+        judged = check_operations(bad)
         assert judged is not None, (word, judged)
-        assert any(one.startswith(word) for one in judged.broken), (word, judged)
+        assert any(one.startswith(word) for one in judged.violations), (word, judged)
 
 
 def test_a_drained_one_stays_out_in_the_check() -> None:
-    judged = judge_orders(
+    judged = check_operations(
         rows(turned(1, "e0", 7, up=False), turned(2, "e0", 7, "done", up=False), turned(3, "e1", 9))
     )
     assert judged is not None
-    assert not judged.kept
+    assert not judged.passed
 
 
 def test_a_tool_s_words_are_read_as_they_were_written() -> None:
--- a/tests/test_orders_processes.py
+++ b/tests/test_orders_processes.py
@@ -16,7 +16,7 @@
 import pytest
 import trio
 
-from valverouter.audit.orders import Orders, judge_orders
+from valverouter.audit.operations import OperationsReport, check_operations
 from valverouter.audit.rules import audit
 from valverouter.days.ordering import SEATS, OrderRig, run_orders
 from valverouter.rollout.shown import Shown
@@ -36,14 +36,14 @@
     return day(IniFile(text + troubles, "orders"), "orders")
 
 
-def played(tmp_path: Path, script: Script, length: int = 15, **more: object) -> Orders:
+def played(tmp_path: Path, script: Script, length: int = 15, **more: object) -> OperationsReport:
     """The rules and the orders' own are kept, whatever the script did."""
     troubles = str(more.pop("troubles", ""))
     rows = run_orders(scripted(length, troubles=troubles), tmp_path, script, **more)  # type: ignore[arg-type]
-    judged, rules = judge_orders(rows), audit(rows)
+    judged, rules = check_operations(rows), audit(rows)
     assert judged is not None, judged
-    assert judged.broken == (), judged
-    assert rules.kept, rules
+    assert judged.violations == (), judged
+    assert rules.passed, rules
     return judged
 
 
@@ -90,8 +90,8 @@
         assert {unit.version for unit in shown.units} == {"v1"}
 
     judged = played(tmp_path, script, 30)
-    assert judged.turns >= 8
-    assert judged.most_out <= 2
+    assert judged.steps_started >= 8
+    assert judged.max_unavailable <= 2
 
 
 @processes
@@ -103,7 +103,7 @@
         assert code == 0
         assert result(await rig.settled(30), "all") == "done"
 
-    assert played(tmp_path, script, 30).turns == 6
+    assert played(tmp_path, script, 30).steps_started == 6
 
 
 @processes
@@ -120,7 +120,7 @@
             rig.start("k1")
         assert result(await rig.settled(30), "one") == "done"
 
-    assert played(tmp_path, script).turns == 1
+    assert played(tmp_path, script).steps_started == 1
 
 
 @processes
@@ -132,7 +132,7 @@
         assert code == 0
         assert result(await rig.settled(30), "one") == "done"
 
-    assert played(tmp_path, script, 25).turns == 2
+    assert played(tmp_path, script, 25).steps_started == 2
 
 
 @processes
@@ -171,7 +171,7 @@
             rig.start(seat)
         assert result(await rig.settled(60), "all") == "done"
 
-    assert played(tmp_path, script, 40).turns == 6
+    assert played(tmp_path, script, 40).steps_started == 6
 
 
 @processes
@@ -184,7 +184,7 @@
         assert code == 2
         assert (await rig.status() or pytest.fail("nobody tells the status")).orders == ()
 
-    assert played(tmp_path, script, 10, most=4, in_region=2, least=0.5).turns == 0
+    assert played(tmp_path, script, 10, most=4, in_region=2, least=0.5).steps_started == 0
 
 
 @processes
@@ -231,7 +231,7 @@
         assert code == 0, said
 
     slow = "\n[trouble slow]\nkind = slow\nstart = 1s\nlength = 60s\nsize = 6\non = s0\n"
-    assert played(tmp_path, script, 60, troubles=slow).ends == {"release: done": 1}
+    assert played(tmp_path, script, 60, troubles=slow).outcomes == {"release: done": 1}
 
 
 @processes
@@ -287,7 +287,7 @@
             await trio.sleep(2)
         assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
 
-    assert played(tmp_path, script, 20).turns == 1
+    assert played(tmp_path, script, 20).steps_started == 1
 
 
 @processes
@@ -303,7 +303,7 @@
         assert (await rig.tool("restart", "e1", "--id", "two"))[0] == 0
         assert rig._pid("e1") != before
 
-    assert played(tmp_path, script, 20).turns == 2
+    assert played(tmp_path, script, 20).steps_started == 2
 
 
 @processes
@@ -315,7 +315,7 @@
         assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 0
         assert (await rig.tool("undrain", "--all"))[0] == 0
 
-    assert played(tmp_path, script, 20).turns == 4
+    assert played(tmp_path, script, 20).steps_started == 4
 
 
 @processes
@@ -328,7 +328,7 @@
         assert code == 0
         assert "done" in said
 
-    assert played(tmp_path, script).turns == 1
+    assert played(tmp_path, script).steps_started == 1
 
 
 @processes
@@ -338,13 +338,13 @@
         assert code == 0, said
 
     rows = run_orders(msgspec.structs.replace(scripted(60)), tmp_path, script, servers=True)
-    judged, rules = judge_orders(rows), audit(rows)
+    judged, rules = check_operations(rows), audit(rows)
     assert judged is not None, judged
-    assert judged.kept, judged
-    assert judged.most_out == 1, judged
-    assert rules.kept
-    assert rules.checked[3] > 0
-    assert rules.checked[4] > 0
+    assert judged.passed, judged
+    assert judged.max_unavailable == 1, judged
+    assert rules.passed
+    assert rules.check_counts[3] > 0
+    assert rules.check_counts[4] > 0
 
 
 @processes
@@ -364,4 +364,4 @@
         rig.start("k1")
         assert {unit.state for unit in (await rig.settled(20)).units} == {"in"}
 
-    assert played(tmp_path, script).turns == 0
+    assert played(tmp_path, script).steps_started == 0
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -21,8 +21,8 @@
 from tests.helpers import Rig
 from tests.rig import rigged
 from tests.test_days import valverouter
-from valverouter.audit.account import account
-from valverouter.audit.crossings import crossings, lines, most_in_window
+from valverouter.audit.account import account_by_type
+from valverouter.audit.cross_region import count_by_route, cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
 from valverouter.days.planning import plan_of
 from valverouter.days.virtual import MemoryEdge, run_virtual
@@ -115,7 +115,7 @@
                 sharers[at].used_slots
                 <= slot_lifetime(budget, skew) // (slot_spacing(budget) * budget.edge_proxies) + 1
             )
-    assert most_in_window(sent, budget.window) <= budget.attempts
+    assert max_in_window(sent, budget.window) <= budget.attempts
 
 
 @pytest.mark.parametrize("edges", [1, 4, 281])
@@ -575,14 +575,14 @@
 def test_a_region_that_loses_lines_spills_within_its_budget() -> None:
     script = four_regions()
     rows, books = played(script)
-    found = crossings(rows)
-    assert audit(rows).kept
+    found = cross_region_setups(rows)
+    assert audit(rows).passed
     routine = [one.at for one in found if one.traffic_type == "booking"]
     assert len(routine) > 20
-    assert most_in_window(routine, 2 * SECOND) <= 24
-    assert books == dict(lines(found)), "accounts equal the servers' counts"
-    accounts_ = account(rows)
-    assert accounts_["urgent-referral"].service > 0.95
+    assert max_in_window(routine, 2 * SECOND) <= 24
+    assert books == dict(count_by_route(found)), "accounts equal the servers' counts"
+    accounts_ = account_by_type(rows)
+    assert accounts_["urgent-referral"].service_level > 0.95
     assert plan_of(script, rows, {"sofia": 40**-0.5}).served_fraction <= 1
 
 
@@ -610,11 +610,13 @@
 def test_hard_cases_keep_the_budget_and_the_rules(name: str) -> None:
     text = (DAYS / "four-regions.ini").read_text() + TROUBLES[name]
     rows = run_virtual(day(IniFile(text, name), name))
-    assert audit(rows).kept
+    assert audit(rows).passed
     for home in ("sofia", "plovdiv", "varna", "burgas"):
-        legs = [one.at for one in crossings(rows) if one.traffic_type == "booking" and one.home == home]
-        assert most_in_window(legs, 2 * SECOND) <= 24
-    assert account(rows)["urgent-referral"].service > 0.8
+        legs = [
+            one.at for one in cross_region_setups(rows) if one.traffic_type == "booking" and one.home == home
+        ]
+        assert max_in_window(legs, 2 * SECOND) <= 24
+    assert account_by_type(rows)["urgent-referral"].service_level > 0.8
 
 
 def test_the_same_on_loopback_and_its_report(tmp_path: Path) -> None:
@@ -624,14 +626,16 @@
     records, logs = tmp_path / "rows.jsonl", tmp_path / "logs"
     ran = valverouter("day", str(tmp_path / "day.ini"), "--records", str(records), "--logs", str(logs))
     assert ran.returncode == 0, ran.stdout + ran.stderr
-    found = crossings(tap.read(records))
+    found = cross_region_setups(tap.read_rows(records))
     routine = [one.at for one in found if one.traffic_type == "booking"]
     assert routine
-    assert most_in_window(routine, 2 * SECOND) <= 24
+    assert max_in_window(routine, 2 * SECOND) <= 24
     files = [str(path) for path in sorted(logs.glob("*.accounts"))]
     told = valverouter("regions", "report", "--json", "--edges", "7", *files)
     books = msgspec.json.decode(told.stdout)
-    assert {tuple(one["line"]): one["legs"] for one in books["lines"] if one["legs"]} == dict(lines(found))
+    assert {tuple(one["line"]): one["legs"] for one in books["lines"] if one["legs"]} == dict(
+        count_by_route(found)
+    )
     assert books["missing"] == ["1 of 7 edge proxies left no record"]
     assert "What crossed" in valverouter("regions", "report", *files).stdout
     assert "can be had" in valverouter("regions", "plan", str(tmp_path / "day.ini"), str(records)).stdout
@@ -657,9 +661,9 @@
 def test_the_receiving_regions_own_callers_keep_their_first_claim_and_nothing_swings() -> None:
     kept: list[MemoryEdge] = []
     rows = run_virtual(four_regions(), lambda world, edges: kept.extend(edges))
-    own = [row for row in rows if not isinstance(row, tap.Passed) or row.edge not in ("e0", "e1")]
-    others = account(own)
-    assert sum(one.in_objective for one in others.values()) > 0.97 * sum(
+    own = [row for row in rows if not isinstance(row, tap.MessageRow) or row.edge not in ("e0", "e1")]
+    others = account_by_type(own)
+    assert sum(one.within_objective for one in others.values()) > 0.97 * sum(
         one.offered for one in others.values()
     )
     rules = [
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -84,7 +84,7 @@
     path.write_text(found_file(one, small, 100.0, "Found: +0.100"))
     played = day(IniFile.load(path), "found")
     assert path.read_text().startswith("# Found")
-    assert audit(run_emulated(played).rows).kept
+    assert audit(run_emulated(played).rows).passed
     judge = Judge(Search(day="-", against=("any-server",)), small, 100.0)
     assert -1 <= judge(one) <= 1
     rules = Judge(Search(day="-", seeks="rules"), small, 100.0)
--- a/tests/test_slowmodel.py
+++ b/tests/test_slowmodel.py
@@ -392,50 +392,50 @@
         self.first_at = -1
 
     def __call__(self, world: World, edges: list[MemoryEdge]) -> None:
-        sound = world.tap.row
+        sound = world.tap.record
 
-        def stepped(sort: type[Any], **fields: Any) -> None:
-            sound(sort, **fields)
+        def stepped(row_type: type[Any], **fields: Any) -> None:
+            sound(row_type, **fields)
             before = len(self.rules.broken)
             self.row(world.tap.rows[-1])
             if len(self.rules.broken) > before and self.first_at < 0:
                 self.first_at = world.tap.rows[-1].at
 
-        world.tap.row = stepped  # type: ignore[method-assign]
+        world.tap.record = stepped  # type: ignore[method-assign]
 
     def step(self, at: int, kind: str, **fields: Any) -> None:
         self.rules.step(Step(at, kind, **fields))
 
     def row(self, row: tap.Row) -> None:
         match row:
-            case tap.Told():
+            case tap.EndpointUpdateRow():
                 self.step(row.at, "told", server=row.server, edge=row.edge, word=row.phase)
-            case tap.Began():
-                terms = {"cold_share": row.cold_share, "warm_after": row.warm_after}
-                terms |= {"multiple": row.tip_multiple, "window": row.tip_span}
+            case tap.ServerStartedRow():
+                terms = {"cold_share": row.slow_start_fraction, "warm_after": row.slow_start_duration}
+                terms |= {"multiple": row.overload_multiple, "window": row.overload_window}
                 self.step(row.at, "began", server=row.server, per_second=SECOND / row.setup_work, **terms)
-            case tap.Fault(kind="balancer_crash"):
+            case tap.FaultRow(kind="balancer_crash"):
                 self.step(row.at, "restarted", edge=row.target)
-            case tap.Fault(kind="balancer_stall"):
+            case tap.FaultRow(kind="balancer_stall"):
                 self.step(row.at, "held", edge=row.target, until=row.until)
-            case tap.Lost() if row.peer.startswith("c"):
+            case tap.ConnectionLostRow() if row.peer.startswith("c"):
                 for dialog in [name for name, caller in self.callers.items() if caller == row.peer]:
                     del self.callers[dialog]
                     self.step(row.at, "caller-gone", dialog=dialog)
-            case tap.Lost():
+            case tap.ConnectionLostRow():
                 for dialog, (server, leg, edge) in list(self.leg.items()):
                     if (server, edge) == (row.peer, row.edge):
                         del self.leg[dialog]
                         self.step(row.at, "reset", dialog=dialog, leg=leg, server=server)
-            case tap.Passed() if row.dialog and row.peer.startswith("c"):
+            case tap.MessageRow() if row.dialog and row.peer.startswith("c"):
                 self.of_caller(row)
-            case tap.Passed() if row.dialog and row.peer.startswith("s"):
+            case tap.MessageRow() if row.dialog and row.peer.startswith("s"):
                 self.of_server(row)
 
-    def of_caller(self, row: tap.Passed) -> None:
+    def of_caller(self, row: tap.MessageRow) -> None:
         if row.sent and row.kind == "setup":
             self.callers[row.dialog] = row.peer
-            self.step(row.at, "taken", dialog=row.dialog, edge=row.edge, until=row.at + row.span)
+            self.step(row.at, "taken", dialog=row.dialog, edge=row.edge, until=row.at + row.duration)
         elif not row.sent and row.kind in ("stands", "declined", "aborted"):
             self.step(row.at, "answered", dialog=row.dialog, word=row.kind)
             if row.kind != "stands":
@@ -444,7 +444,7 @@
             self.callers.pop(row.dialog, None)
             self.step(row.at, "ended", dialog=row.dialog)
 
-    def of_server(self, row: tap.Passed) -> None:
+    def of_server(self, row: tap.MessageRow) -> None:
         about = {"dialog": row.dialog, "leg": row.leg, "server": row.peer}
         ours = self.leg.get(row.dialog) == (row.peer, row.leg, row.edge)
         if not row.sent and row.kind == "setup":
@@ -473,7 +473,7 @@
 
     rows = run_virtual(script, prepared)
     beside.step(rows[-1].at + 1, "passing")
-    return beside, audit(rows).broken()
+    return beside, audit(rows).violated_rules()
 
 
 def reloads(world: World, edges: list[MemoryEdge]) -> None:
@@ -487,9 +487,9 @@
                 new = AttemptSections((section,))
                 edge.proxy.reload(msgspec.structs.replace(edge.proxy.terms, attempts=new))
         if times < 10:
-            world.agenda.at(world.now() + 700 * MS, lambda: again(times + 1))
+            world.agenda.call_at(world.now() + 700 * MS, lambda: again(times + 1))
 
-    world.agenda.at(world.now() + SECOND, lambda: again(0))
+    world.agenda.call_at(world.now() + SECOND, lambda: again(0))
 
 
 @pytest.fixture
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -71,7 +71,7 @@
 
 
 def test_a_days_rows_of_before_are_read() -> None:
-    assert tap.read(KEPT / "record.jsonl") == list(stored_values.ROWS.values())
+    assert tap.read_rows(KEPT / "record.jsonl") == list(stored_values.ROWS.values())
 
 
 def test_calls_on_record_of_before_are_read() -> None:
--- a/valverouter/audit/crossings.py
+++ b/valverouter/audit/cross_region.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from valverouter.signalling.tap import Passed, Placed, Row
+from valverouter.signalling.tap import MessageRow, PlacementRow, Row
 
 
 @dataclass(frozen=True, slots=True)
-class Crossed:
+class CrossRegionSetup:
     """A set-up that came from another region."""
 
     at: int
@@ -19,21 +19,21 @@
     away: str
 
 
-def crossings(rows: Iterable[Row]) -> list[Crossed]:
+def cross_region_setups(rows: Iterable[Row]) -> list[CrossRegionSetup]:
     """Every set-up that a server heard from an edge proxy of another region, in order."""
-    found: list[Crossed] = []
+    found: list[CrossRegionSetup] = []
     regions: dict[str, str] = {}
     for row in sorted(rows, key=lambda row: (row.at, row.seq)):
-        if isinstance(row, Placed):
+        if isinstance(row, PlacementRow):
             regions[row.name] = row.region
-        elif isinstance(row, Passed) and not row.sent and row.kind == "setup" and row.peer in regions:
+        elif isinstance(row, MessageRow) and not row.sent and row.kind == "setup" and row.peer in regions:
             home, away = regions.get(row.edge, ""), regions[row.peer]
             if home != away:
-                found.append(Crossed(row.at, row.word, home, away))
+                found.append(CrossRegionSetup(row.at, row.detail, home, away))
     return found
 
 
-def most_in_window(times: list[int], window: int) -> int:
+def max_in_window(times: list[int], window: int) -> int:
     """The most of these moments that any window of that length holds."""
     most = first = 0
     for at, time in enumerate(times):
@@ -43,6 +43,6 @@
     return most
 
 
-def lines(found: Iterable[Crossed]) -> Counter[tuple[str, str, str]]:
+def count_by_route(found: Iterable[CrossRegionSetup]) -> Counter[tuple[str, str, str]]:
     """How many crossed, by traffic type, home and away."""
     return Counter((one.traffic_type, one.home, one.away) for one in found)
--- a/valverouter/audit/views.py
+++ b/valverouter/audit/views.py
@@ -12,69 +12,78 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from valverouter.signalling.tap import Fault, Found, Ran, Row, Settles, Viewed
+from valverouter.signalling.tap import (
+    ConvergenceDeadlineRow,
+    EdgeProcessRow,
+    FaultRow,
+    MembershipEventRow,
+    MembershipViewRow,
+    Row,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Views:
+class ViewReport:
     """`settled_after`: ns from the last fault's end, None: never; `allowed`: as stated. `gone_back`: observer
     and member. `false_deaths`: what was found wrongly, by whom and of whom."""
 
-    settled_after: int | None
-    allowed: int
-    last_fault: int
-    gone_back: tuple[tuple[str, str], ...]
-    false_deaths: tuple[tuple[str, str], ...]
+    converged_after: int | None
+    max_duration: int
+    last_fault_at: int
+    regressions: tuple[tuple[str, str], ...]
+    false_failures: tuple[tuple[str, str], ...]
     conflicts: tuple[str, ...]
-    why: str = ""
+    reason: str = ""
 
     @property
-    def kept(self) -> bool:
-        settled = self.settled_after is not None and self.settled_after <= self.allowed
-        return settled and not self.gone_back
+    def passed(self) -> bool:
+        settled = self.converged_after is not None and self.converged_after <= self.max_duration
+        return settled and not self.regressions
 
 
-def judge_views(rows: Sequence[Row]) -> Views | None:
+def check_views(rows: Sequence[Row]) -> ViewReport | None:
     """None where no view was kept on that day."""
-    settles = next((row for row in rows if isinstance(row, Settles)), None)
+    settles = next((row for row in rows if isinstance(row, ConvergenceDeadlineRow)), None)
     if settles is None:
         return None
-    faults = [row for row in rows if isinstance(row, Fault)]
+    faults = [row for row in rows if isinstance(row, FaultRow)]
     last = max((fault.until for fault in faults if _touches(fault)), default=settles.at)
     # A process that a fault has started again settles from its own start on, if that is later.
-    begins = [row.at for row in rows if isinstance(row, Ran) and row.begins]
+    begins = [row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start]
     last = max([last, *(at for at in begins if at > last)], default=last)
     settled_at, why = _settled_at(rows, last)
     after = None if settled_at is None else max(0, settled_at - last)
-    return Views(
-        settled_after=after,
-        allowed=settles.within + 2 * settles.every,
-        last_fault=last,
-        gone_back=tuple(_gone_back(rows)),
-        false_deaths=tuple(_false_deaths(rows, faults, settles.within)),
-        conflicts=tuple(sorted({r.edge for r in rows if isinstance(r, Found) and r.what == "conflict"})),
-        why=why,
+    return ViewReport(
+        converged_after=after,
+        max_duration=settles.max_duration + 2 * settles.poll_interval,
+        last_fault_at=last,
+        regressions=tuple(_gone_back(rows)),
+        false_failures=tuple(_false_deaths(rows, faults, settles.max_duration)),
+        conflicts=tuple(
+            sorted({r.edge for r in rows if isinstance(r, MembershipEventRow) and r.kind == "conflict"})
+        ),
+        reason=why,
     )
 
 
-def _touches(fault: Fault) -> bool:
+def _touches(fault: FaultRow) -> bool:
     return fault.kind.startswith(("path-", "balancer_"))
 
 
 def _settled_at(rows: Sequence[Row], last: int) -> tuple[int | None, str]:
     """The earliest moment from `last` on after which every view that was asked is the one right one."""
     running: dict[str, str] = {}
-    latest: dict[str, Viewed] = {}
+    latest: dict[str, MembershipViewRow] = {}
     good_since: int | None = None
     why = "no view was asked"
     for row in rows:
-        if isinstance(row, Ran):
-            if row.begins:
-                running[row.edge] = row.life
-            elif running.get(row.edge) == row.life:
+        if isinstance(row, EdgeProcessRow):
+            if row.is_start:
+                running[row.edge] = row.incarnation
+            elif running.get(row.edge) == row.incarnation:
                 del running[row.edge]
             latest.pop(row.edge, None)
-        elif isinstance(row, Viewed):
+        elif isinstance(row, MembershipViewRow):
             latest[row.edge] = row
         else:
             continue
@@ -86,7 +95,7 @@
     return (None if good_since is None else max(good_since, last)), why
 
 
-def _flaw(running: dict[str, str], latest: dict[str, Viewed]) -> str:
+def _flaw(running: dict[str, str], latest: dict[str, MembershipViewRow]) -> str:
     for edge in running:
         if edge not in latest:
             return f"{edge} was not heard of yet"
@@ -101,13 +110,13 @@
 
 def _gone_back(rows: Sequence[Row]) -> list[tuple[str, str]]:
     """Who, having seen a member's later process, took an earlier one for present again."""
-    began = {row.life: row.at for row in rows if isinstance(row, Ran) and row.begins}
+    began = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
     seen: dict[tuple[str, str], dict[str, str]] = defaultdict(dict)
     wrong = []
     for row in rows:
-        if not isinstance(row, Viewed):
+        if not isinstance(row, MembershipViewRow):
             continue
-        known = seen[row.edge, row.life]
+        known = seen[row.edge, row.incarnation]
         for name, life in row.members.items():
             before = known.get(name)
             if before is not None and began.get(life, 0) < began.get(before, 0):
@@ -116,15 +125,19 @@
     return wrong
 
 
-def _false_deaths(rows: Sequence[Row], faults: list[Fault], after: int) -> list[tuple[str, str]]:
+def _false_deaths(rows: Sequence[Row], faults: list[FaultRow], after: int) -> list[tuple[str, str]]:
     """Of those that ran and were not struck, nor their paths, at that time or shortly before."""
-    lives = {row.life for row in rows if isinstance(row, Ran) and row.begins}
-    ends = {row.life: row.at for row in rows if isinstance(row, Ran) and not row.begins}
+    lives = {row.incarnation for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
+    ends = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and not row.is_start}
     wrong = []
     for row in rows:
-        if not isinstance(row, Found) or row.what != "gone" or row.member_life not in lives:
+        if (
+            not isinstance(row, MembershipEventRow)
+            or row.kind != "gone"
+            or row.member_incarnation not in lives
+        ):
             continue
-        if row.at >= ends.get(row.member_life, row.at + 1):
+        if row.at >= ends.get(row.member_incarnation, row.at + 1):
             continue
         struck = any(
             _touches(fault) and fault.target in (row.member, row.edge, "paths")
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -9,7 +9,7 @@
 import click
 
 from valverouter.attempts.worst_case import longest_timeline, timelines
-from valverouter.audit.attempts import seen
+from valverouter.audit.attempts import attempt_statistics
 from valverouter.cli import tables
 from valverouter.cli.common import BROKEN, FILE, console
 from valverouter.edge.attempting import AttemptBook
@@ -150,11 +150,11 @@
 @click.argument("records", type=FILE)
 def terms_seen(records: Path) -> None:
     """Legs, time-outs and gaps by class in kept RECORDS, as the servers saw them."""
-    for kind, one in seen(tap.read(records)).items():
+    for kind, one in attempt_statistics(tap.read_rows(records)).items():
         over = "none" if one.cancelled_after is None else " to ".join(map(show_span, one.cancelled_after))
-        gap = "none" if one.gap is None else show_span(one.gap)
+        gap = "none" if one.min_retry_gap is None else show_span(one.min_retry_gap)
         console.print(
-            f"{kind}: {one.dialogs} dialogs, {one.legs} legs, at most {one.legs_most} each; "
+            f"{kind}: {one.dialogs} dialogs, {one.attempts} legs, at most {one.max_attempts} each; "
             f"let go after {over}; shortest wait after that {gap}",
             highlight=False,
             soft_wrap=True,
--- a/valverouter/cli/common.py
+++ b/valverouter/cli/common.py
@@ -8,9 +8,9 @@
 import click
 from rich.console import Console
 
-from valverouter.audit.account import account
+from valverouter.audit.account import account_by_type
 from valverouter.audit.rules import audit
-from valverouter.audit.views import judge_views
+from valverouter.audit.views import check_views
 from valverouter.cli import tables
 from valverouter.signalling import tap
 
@@ -21,14 +21,14 @@
 
 
 def show_verdict(rows: list[tap.Row]) -> None:
-    terms = next(row for row in rows if isinstance(row, tap.Terms))
+    terms = next(row for row in rows if isinstance(row, tap.AuditConfigRow))
     verdict = audit(rows)
-    tables.print_accounts(console, account(rows), terms.importance)
+    tables.print_accounts(console, account_by_type(rows), terms.priority_weights)
     tables.print_verdict(console, verdict)
-    views = judge_views(rows)
+    views = check_views(rows)
     if views is not None:
         tables.print_views(console, views)
-    if not verdict.kept or (views is not None and not views.kept):
+    if not verdict.passed or (views is not None and not views.passed):
         sys.exit(BROKEN)
 
 
--- a/valverouter/cli/crossings.py
+++ b/valverouter/cli/crossings.py
@@ -49,4 +49,4 @@
 
     It advises; nothing is steered by it.
     """
-    tables.print_plan(console, plan_of(load_day(file), tap.read(records)))
+    tables.print_plan(console, plan_of(load_day(file), tap.read_rows(records)))
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/playing.py
@@ -46,7 +46,7 @@
     else:
         rows = _on_loopback(script, folder)
     if records is not None:
-        tap.write(records, rows)
+        tap.write_rows(records, rows)
     show_verdict(rows)
 
 
@@ -63,8 +63,8 @@
 @click.argument("records", type=FILE)
 def check_records(records: Path) -> None:
     """Check the five rules over kept RECORDS; exits with 1 when one was broken."""
-    rows = tap.read(records)
-    if not any(isinstance(row, tap.Terms) for row in rows):
+    rows = tap.read_rows(records)
+    if not any(isinstance(row, tap.AuditConfigRow) for row in rows):
         raise ValueError(f"{records}: holds no terms row, so there is nothing to check it against")
     show_verdict(rows)
 
@@ -74,7 +74,7 @@
 @click.option("--out", type=FILE, required=True, help="The calls go here, as CSV.")
 def kept_calls(records: Path, out: Path) -> None:
     """The first tries in kept RECORDS as a file that a day's `record` plays again."""
-    count = write_calls(out, calls_of(tap.read(records)))
+    count = write_calls(out, calls_of(tap.read_rows(records)))
     console.print(f"{count} calls; {out}", highlight=False, soft_wrap=True)
 
 
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -9,9 +9,9 @@
 from rich.table import Table
 
 from valverouter.attempts.worst_case import AttemptTimeline, StepKind
-from valverouter.audit.account import Account, service
+from valverouter.audit.account import TrafficAccount, weighted_service_level
 from valverouter.audit.rules import Verdict
-from valverouter.audit.views import Views
+from valverouter.audit.views import ViewReport
 from valverouter.regions.usage import USAGE_COLUMNS, UsageCounters, UsageKey
 from valverouter.terms.ini import show_span
 
@@ -28,7 +28,9 @@
 }
 
 
-def print_accounts(console: Console, accounts: dict[str, Account], importance: dict[str, float]) -> None:
+def print_accounts(
+    console: Console, accounts: dict[str, TrafficAccount], importance: dict[str, float]
+) -> None:
     # Ten columns whole in 80: no lines between them, and one space.
     table = Table(title="Dialogs by traffic type", box=None, pad_edge=False, padding=(0, 1, 0, 0))
     heads = (
@@ -47,28 +49,34 @@
         table.add_column(head, justify="left" if head == "type" else "right", overflow="fold")
     for kind, one in accounts.items():
         said = one.answers
-        counts = (one.offered, one.tries, one.in_objective, one.late)
-        rest = (said["declined"], said["aborted"], said["cut"], one.legs)
-        table.add_row(kind, *map(str, counts + rest), f"{one.service:.3f}")
+        counts = (one.offered, one.dial_attempts, one.within_objective, one.late)
+        rest = (said["declined"], said["aborted"], said["cut"], one.attempts)
+        table.add_row(kind, *map(str, counts + rest), f"{one.service_level:.3f}")
     console.print(table)
-    console.print(f"service weighted by importance: {service(accounts, importance):.3f}")
+    console.print(f"service weighted by importance: {weighted_service_level(accounts, importance):.3f}")
 
 
 def print_verdict(console: Console, verdict: Verdict, most: int = 20) -> None:
     table = Table(title="The five rules, from what passed over the sockets")
     for head in ("rule", "", "checked", "verdict"):
         table.add_column(head, justify="right" if head == "checked" else "left")
-    broken = verdict.broken()
+    broken = verdict.violated_rules()
     for rule, text in RULES.items():
-        count = sum(breach.rule == rule for breach in verdict.breaches)
-        word = f"BROKEN {count} times" if rule in broken else "kept" if verdict.checked[rule] else "not tried"
-        table.add_row(str(rule), text, str(verdict.checked[rule]), word)
+        count = sum(breach.rule == rule for breach in verdict.violations)
+        word = (
+            f"BROKEN {count} times"
+            if rule in broken
+            else "kept"
+            if verdict.check_counts[rule]
+            else "not tried"
+        )
+        table.add_row(str(rule), text, str(verdict.check_counts[rule]), word)
     console.print(table)
-    console.print(f"most of a cold server's budget used in any window: {verdict.cold_margin_used:.2f}")
-    for breach in verdict.breaches[:most]:
+    console.print(f"most of a cold server's budget used in any window: {verdict.slow_start_budget_used:.2f}")
+    for breach in verdict.violations[:most]:
         console.print(f"  rule {breach.rule} at {breach.at}: {breach.subject}: {breach.text}")
-    if len(verdict.breaches) > most:
-        console.print(f"  and {len(verdict.breaches) - most} more")
+    if len(verdict.violations) > most:
+        console.print(f"  and {len(verdict.violations) - most} more")
 
 
 def print_crossings(console: Console, totals: dict[UsageKey, UsageCounters], minutes: dict[int, int]) -> None:
@@ -145,15 +153,15 @@
     console.print(table)
 
 
-def print_views(console: Console, views: Views) -> None:
+def print_views(console: Console, views: ViewReport) -> None:
     """Whether the edge proxies' views of their fleet became one, and how soon."""
-    allowed = views.allowed / 1e9
-    if views.settled_after is None:
-        console.print(f"views: not one {allowed:.1f} s after the last fault; {views.why}", highlight=False)
+    allowed = views.max_duration / 1e9
+    if views.converged_after is None:
+        console.print(f"views: not one {allowed:.1f} s after the last fault; {views.reason}", highlight=False)
     else:
-        after = views.settled_after / 1e9
+        after = views.converged_after / 1e9
         console.print(f"views: one {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
-    for observer, member in views.gone_back:
+    for observer, member in views.regressions:
         console.print(f"views: {observer} took a former {member} for present again", highlight=False)
-    for observer, member in views.false_deaths:
+    for observer, member in views.false_failures:
         console.print(f"views: {observer} took {member} for gone, which ran", highlight=False)
--- a/valverouter/days/courses.py
+++ b/valverouter/days/courses.py
@@ -4,7 +4,7 @@
 
 import random
 
-from valverouter.servermodel.paths import KINDS
+from valverouter.servermodel.paths import PATH_FAULT_KINDS
 
 # Shares of the course's length: faults begin after the first and have ended by the second.
 FIRST, LAST = 0.08, 0.9
@@ -34,7 +34,7 @@
 
 def _path(chance: random.Random, name: str, edges: int, regions: tuple[str, ...], length_s: float) -> str:
     start, span = _span(chance, length_s)
-    kind = chance.choice(KINDS)
+    kind = chance.choice(PATH_FAULT_KINDS)
     rows = [
         f"[path {name}]",
         f"kind = {kind}",
--- a/valverouter/days/ordercourses.py
+++ b/valverouter/days/ordercourses.py
@@ -111,6 +111,6 @@
         elif kind == "cut":
             rig.strike(PathFault("cut", now, until, senders=some, receivers=rest))
         elif kind == "loss":
-            rig.strike(PathFault("loss", now, until, senders=some, share=chance.uniform(0.1, 0.5)))
+            rig.strike(PathFault("loss", now, until, senders=some, probability=chance.uniform(0.1, 0.5)))
         else:
-            rig.strike(PathFault("late", now, until, senders=some, span=300_000_000, jitter=0.5))
+            rig.strike(PathFault("late", now, until, senders=some, delay=300_000_000, jitter=0.5))
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -25,10 +25,17 @@
 from valverouter.days.viewing import SECRET
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
+from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.shown import Order, Shown
-from valverouter.servermodel.paths import PathFault, Paths
-from valverouter.signalling.tap import Fault, Limited, Ordered, Row, Runs, Turned
-from valverouter.standins.paths import PathStandIn
+from valverouter.servermodel.paths import NetworkPaths, PathFault
+from valverouter.signalling.tap import (
+    DisruptionLimitsRow,
+    FaultRow,
+    OperationRow,
+    ProgramVersionRow,
+    Row,
+    StepRow,
+)
 from valverouter.terms.day import Day
 
 START_WITHIN_S = 30
@@ -89,7 +96,7 @@
         self._least = least
         self.faults: list[PathFault] = []
         self._draw = random.Random(f"{day.terms.seed}/paths").random
-        self._paths = PathStandIn(Sockets().datagrams, world.now, Paths([], self._draw))
+        self._paths = FakeDatagramNetwork(Sockets().datagrams, world.now, NetworkPaths([], self._draw))
         self._fronts: dict[str, str] = {}
         self._real: dict[str, str] = {}
         self._listen: dict[str, str] = {}
@@ -104,12 +111,12 @@
         names = [*SEATS, *map(keeper_of, (*self.edges, *self.servers)), *self.edges, *self.servers]
         if self.servers:
             self._control = await nursery.start(Sockets().serve, "127.0.0.1:0", self._agent)
-            self.world.list.leaves = lambda server: self.world.tell([server], "draining")
+            self.world.list.on_leave = lambda server: self.world.tell([server], "draining")
             nursery.start_soon(self._warms)
         for name, port in zip(names, _free(len(names), socket.SOCK_DGRAM), strict=True):
             self._real[name] = f"127.0.0.1:{port}"
             self._fronts[name] = self._paths.open_front(name)
-            self._paths.stands(name, self._real[name])
+            self._paths.set_process_address(name, self._real[name])
         for name, port in zip(self.edges, _free(len(self.edges), socket.SOCK_STREAM), strict=True):
             self._listen[name] = f"127.0.0.1:{port}"
         key = self.folder / "fleet.key"
@@ -117,7 +124,7 @@
             file.write(SECRET)
         self._write_files()
         most, in_region = self.limits
-        self.world.tap.row(Limited, most=most, in_region=in_region)
+        self.world.tap.record(DisruptionLimitsRow, max_unavailable=most, max_unavailable_per_region=in_region)
 
     def _write_files(self) -> None:
         most, in_region = self.limits
@@ -180,8 +187,8 @@
         """A server runs for as long as its agent does."""
         name, world = (await stream.receive_some(64)).decode().strip(), self.world
         self._agents[name] = stream
-        if not world.servers[name].model.runs:
-            world.list.born[name] = world.now()
+        if not world.servers[name].model.is_running:
+            world.list.started_at[name] = world.now()
             await world.servers[name].start()
             world.tell([name], "in-service")
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
@@ -197,7 +204,7 @@
         while True:
             await trio.sleep(0.2)
             for name, stream in list(self._agents.items()):
-                born = self.world.list.born.get(name)
+                born = self.world.list.started_at.get(name)
                 warm = born is None or self.world.now() - born >= self.day.fleet.warm_after
                 with suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
                     await stream.send_all(b"warm\n" if warm else b"cold\n")
@@ -290,13 +297,15 @@
     def strike(self, fault: PathFault) -> None:
         """A fault of paths; its moments are the world's."""
         self.faults = [one for one in self.faults if one.until > self.world.now()] + [fault]
-        self._paths.paths = Paths(self.faults, self._draw)
-        self.world.tap.row(Fault, until=fault.until + FAULT_SLACK, kind=f"path-{fault.kind}", target="paths")
+        self._paths.paths = NetworkPaths(self.faults, self._draw)
+        self.world.tap.record(
+            FaultRow, until=fault.until + FAULT_SLACK, kind=f"path-{fault.kind}", target="paths"
+        )
 
     def _fault(self, kind: str, name: str, seconds: float = 0.0) -> None:
         until = self.world.now() + round(seconds * 1e9) + FAULT_SLACK
         target = kept_by(name) if name[0] == "k" else name
-        self.world.tap.row(Fault, until=until, kind=kind, target=target)
+        self.world.tap.record(FaultRow, until=until, kind=kind, target=target)
 
     # The tool
 
@@ -346,9 +355,9 @@
         self._read_logs()
         for one in orders:
             members = {m.name: (m.step, m.number, m.former) for m in one.members}
-            self.world.tap.row(
-                Ordered,
-                order=one.id,
+            self.world.tap.record(
+                OperationRow,
+                operation=one.id,
                 kind=one.kind,
                 version=one.version,
                 phase=one.phase,
@@ -374,14 +383,14 @@
                 seq, turn = len(rows), (said.number, said.step)
                 if said.event == "step-started":
                     turns[turn] = said.up
-                    rows.append(Turned(seq, at, name, said.number, said.step, said.up))
+                    rows.append(StepRow(seq, at, name, said.number, said.step, said.up))
                 elif said.event == "step-ended":
                     up = turns.get(turn, True)
-                    rows.append(Turned(seq, at, name, said.number, said.step, up, said.outcome))
+                    rows.append(StepRow(seq, at, name, said.number, said.step, up, said.outcome))
                 elif said.event in ("process-started", "process-adopted"):
-                    rows.append(Runs(seq, at, name, said.version))
+                    rows.append(ProgramVersionRow(seq, at, name, said.version))
                 elif said.event == "process-exited":
-                    rows.append(Runs(seq, at, name, ""))
+                    rows.append(ProgramVersionRow(seq, at, name, ""))
 
 
 def _ends_with_us() -> None:
--- a/valverouter/days/paths.py
+++ b/valverouter/days/paths.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 from valverouter.terms.day import Day
 
 
@@ -18,9 +18,9 @@
             until=origin + one.start + one.length,
             senders=day.edges_of(one.senders, regions),
             receivers=day.edges_of(one.receivers, regions),
-            both=one.both,
-            share=one.share,
-            span=one.span,
+            bidirectional=one.both,
+            probability=one.share,
+            delay=one.span,
             jitter=one.jitter,
             groups=tuple(day.edges_of((group,), regions) for group in one.groups),
         )
@@ -30,7 +30,7 @@
 
 def paths_of(
     day: Day, draw: Callable[[], float], origin: int = 0, regions: Mapping[str, str] | None = None
-) -> Paths:
+) -> NetworkPaths:
     """Every pair's path, with the day's own delays within and between regions."""
     places = day.edge_regions if regions is None else regions
 
@@ -39,4 +39,4 @@
         base = day.delays.same if near else day.delays.cross
         return int(base * (1 + day.delays.jitter * (2 * draw() - 1)))
 
-    return Paths(path_faults(day, origin, places), draw, delay)
+    return NetworkPaths(path_faults(day, origin, places), draw, delay)
--- a/valverouter/days/planning.py
+++ b/valverouter/days/planning.py
@@ -6,10 +6,10 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from valverouter.emulator.fleet import make_of
+from valverouter.emulator.profiles import server_profile_of
 from valverouter.regions.planner import Demand, Plan, RateLimit, RegionCapacity, plan
 from valverouter.regions.time_sliced_quota import max_rate, with_default_burst
-from valverouter.signalling.tap import Passed, Placed, Row
+from valverouter.signalling.tap import MessageRow, PlacementRow, Row
 from valverouter.terms.day import Day
 
 
@@ -19,10 +19,10 @@
     seen: Counter[tuple[str, str]] = Counter()
     times: list[int] = []
     for row in rows:
-        if isinstance(row, Placed):
+        if isinstance(row, PlacementRow):
             regions[row.name] = row.region
-        elif isinstance(row, Passed) and row.sent and row.kind == "setup" and "." not in row.dialog:
-            seen[row.word, regions.get(row.edge, "")] += 1
+        elif isinstance(row, MessageRow) and row.sent and row.kind == "setup" and "." not in row.dialog:
+            seen[row.detail, regions.get(row.edge, "")] += 1
             times.append(row.at)
     span = max(1e-9, (max(times) - min(times)) / 1e9) if times else 1.0
     return [
@@ -34,7 +34,7 @@
 
 def capacities(day: Day, kept_lines: dict[str, float] | None = None) -> list[RegionCapacity]:
     """Each region's servers together; `kept_lines`: the share that a region keeps of its lines."""
-    make = make_of(day)
+    make = server_profile_of(day)
     work = (make.setup_work + make.answer_work + make.release_work) / 1e9
     kept = kept_lines or {}
     return [
--- a/valverouter/days/recorded.py
+++ b/valverouter/days/recorded.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from valverouter.signalling.tap import Opened, Passed, Row
+from valverouter.signalling.tap import CallersStartedRow, MessageRow, Row
 from valverouter.terms.calls import Call
 
 
@@ -13,11 +13,11 @@
     of the day that plays it dial again by what they meet there."""
     began: int | None = None
     for row in rows:
-        if isinstance(row, Opened):
+        if isinstance(row, CallersStartedRow):
             began = row.at
-        elif isinstance(row, Passed) and row.sent and row.kind == "setup" and row.peer.startswith("c"):
+        elif isinstance(row, MessageRow) and row.sent and row.kind == "setup" and row.peer.startswith("c"):
             if "." in row.dialog or not row.edge[1:].isdigit():
                 continue
             # Rows that an earlier version kept do not say when their day began: its first call does.
             began = row.at if began is None else began
-            yield Call(row.at - began, row.word, int(row.edge[1:]), row.span)
+            yield Call(row.at - began, row.detail, int(row.edge[1:]), row.duration)
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -19,15 +19,20 @@
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.surroundings import Sockets, Surroundings
+from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.instance_status import membership_facts
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.fleet.view_comparison import ViewAnswer
 from valverouter.membership.events import MembershipEvent
 from valverouter.membership.records import LIVE_STATES
-from valverouter.servermodel.paths import Paths
-from valverouter.signalling.tap import Found, Ran, Settles, Viewed
-from valverouter.standins.paths import PathStandIn
+from valverouter.servermodel.paths import NetworkPaths
+from valverouter.signalling.tap import (
+    ConvergenceDeadlineRow,
+    EdgeProcessRow,
+    MembershipEventRow,
+    MembershipViewRow,
+)
 from valverouter.terms.between import Between, key_of
 from valverouter.terms.day import Day, DayBetween
 from valverouter.terms.edge import EdgeTerms
@@ -63,22 +68,29 @@
 
     def began_at(self, name: str, life: str, address: str) -> None:
         self._lives[name], self._where[name] = life, address
-        self._world.tap.row(Ran, edge=name, life=life, begins=True)
+        self._world.tap.record(EdgeProcessRow, edge=name, incarnation=life, is_start=True)
 
     def over(self, name: str) -> None:
         if name in self._lives and not self._closed:
             self._where.pop(name, None)
-            self._world.tap.row(Ran, edge=name, life=self._lives.pop(name), begins=False)
+            self._world.tap.record(
+                EdgeProcessRow, edge=name, incarnation=self._lives.pop(name), is_start=False
+            )
 
     def found(self, name: str, what: str, member: str, life: str) -> None:
         if name in self._lives and not self._closed:
-            self._world.tap.row(
-                Found, edge=name, life=self._lives[name], what=what, member=member, member_life=life
+            self._world.tap.record(
+                MembershipEventRow,
+                edge=name,
+                incarnation=self._lives[name],
+                kind=what,
+                member=member,
+                member_incarnation=life,
             )
 
     def begins(self) -> None:
         """The day's moments count from here."""
-        self._world.tap.row(Settles, within=self.within, every=self.every)
+        self._world.tap.record(ConvergenceDeadlineRow, max_duration=self.within, poll_interval=self.every)
 
     async def settle(self) -> None:
         """Waits as long as settling may take, so that it is on record whether it did."""
@@ -101,12 +113,12 @@
     def _row(self, one: ViewAnswer) -> None:
         if one.missing_page is not None or self._closed:
             return
-        self._world.tap.row(
-            Viewed,
+        self._world.tap.record(
+            MembershipViewRow,
             edge=one.name,
-            life=f"{one.incarnation:016x}",
+            incarnation=f"{one.incarnation:016x}",
             digest=f"{one.digest:016x}",
-            trust=one.view_health,
+            view_health=one.view_health,
             members={row.name: f"{row.incarnation:016x}" for row in one.rows if row.state in LIVE_STATES},
         )
 
@@ -128,7 +140,7 @@
         with os.fdopen(os.open(self._key_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
             file.write(SECRET)
         self._draw = self._chance("paths")
-        self._paths = PathStandIn(place.datagrams, world.now, Paths([], self._draw))
+        self._paths = FakeDatagramNetwork(place.datagrams, world.now, NetworkPaths([], self._draw))
         self._fronts: dict[str, str] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -158,7 +170,7 @@
     def heard(self, name: str, event: str, address: str, member: str, life: str) -> None:
         """A line of its log."""
         if event == "membership-started":
-            self._paths.stands(name, address)
+            self._paths.set_process_address(name, address)
             self.began_at(name, life, address)
         elif event.startswith(SAYS):
             self.found(name, event.partition("-")[2], member, life)
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -19,7 +19,7 @@
 from valverouter.edge.keeping import edge_proxy
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.recovery.lifecycle import DialogRecord, Timestamp
-from valverouter.servermodel.paths import Paths
+from valverouter.servermodel.paths import NetworkPaths
 from valverouter.signalling.tap import Row
 from valverouter.terms.day import Day
 
@@ -104,7 +104,7 @@
         self.refused: set[str] = set()
         self.bound: dict[str, MemoryDatagrams] = {}
         # By which ways datagrams go, and who stands at an address; without, each arrives at once.
-        self.paths: Paths | None = None
+        self.paths: NetworkPaths | None = None
         self.names: dict[str, str] = {}
         self.carrier: trio.Nursery | None = None
         self.unstruck: frozenset[str] = frozenset()
@@ -115,7 +115,7 @@
             self._arrive(source, address, data)
             return
         pair = self.names.get(source, source), self.names.get(address, address)
-        for span in self.paths.arrivals(*pair, round(trio.current_time() * 1e9)):
+        for span in self.paths.delivery_delays(*pair, round(trio.current_time() * 1e9)):
             self.carrier.start_soon(self._arrive_after, span, source, address, data)
 
     async def _arrive_after(self, span: int, source: str, address: str, data: bytes) -> None:
--- a/valverouter/days/world.py
+++ b/valverouter/days/world.py
@@ -12,16 +12,18 @@
 
 import trio
 
-from valverouter.emulator.fleet import HOT_NUMBER, make_of
-from valverouter.servermodel.arrivals import Pattern, Source, copies
-from valverouter.servermodel.server import CalledNumbers, SetupServer
+from valverouter.emulator.fleet import HOT_NUMBER
+from valverouter.emulator.profiles import server_profile_of
+from valverouter.fakes.callers import CallerBehavior, FakeCallers, with_scaled_patience
+from valverouter.fakes.connection import Network, Scheduler
+from valverouter.fakes.endpoint_list import FakeEndpointList
+from valverouter.fakes.server import FakeServer
+from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
+from valverouter.servermodel.lines import CalledNumbers
+from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
 from valverouter.signalling.serverlist import PhaseWord, Row
-from valverouter.signalling.tap import Fault, Opened, Placed, Tap, Terms
-from valverouter.standins.callers import CallerStandIn, Habits, patient
-from valverouter.standins.listservice import ListStandIn
-from valverouter.standins.server import ServerStandIn
-from valverouter.standins.wires import Agenda, Place
+from valverouter.signalling.tap import AuditConfigRow, CallersStartedRow, FaultRow, PlacementRow, Tap
 from valverouter.terms.calls import Call
 from valverouter.terms.day import Day, PathTerms, Trouble
 
@@ -46,16 +48,16 @@
     """All that an edge proxy meets in a day. Draws come from one stream for each source."""
 
     def __init__(
-        self, day: Day, place: Place, slack: int, addresses: Callable[[str], str], fault_slack: int = 0
+        self, day: Day, place: Network, slack: int, addresses: Callable[[str], str], fault_slack: int = 0
     ) -> None:
         self.day = day
         self.began = trio.current_time()
         self.tap = Tap(self.now)
-        self.agenda = Agenda(self.now)
+        self.agenda = Scheduler(self.now)
         self.numbers = CalledNumbers()
-        self.servers: dict[str, ServerStandIn] = {}
+        self.servers: dict[str, FakeServer] = {}
         self.numbers_of: dict[str, int] = {}
-        self.callers: list[CallerStandIn] = []
+        self.callers: list[FakeCallers] = []
         self.edges: list[EdgeHandle] = []
         self.rate = 1.0
         self.hot = 0.0
@@ -63,13 +65,13 @@
         self._place = place
         self._fault_slack = fault_slack
         self._nursery: trio.Nursery | None = None
-        self.list = ListStandIn(addresses("list"), place, self.tap, self.agenda)
-        self.tap.row(
-            Terms,
+        self.list = FakeEndpointList(addresses("list"), place, self.tap, self.agenda)
+        self.tap.record(
+            AuditConfigRow,
             release_wait=day.fleet.release_wait,
             slack=slack,
-            objectives=day.objectives,
-            importance=day.importance,
+            latency_objectives=day.objectives,
+            priority_weights=day.importance,
         )
         for number in range(day.server_count):
             self._build(f"s{number}", number)
@@ -81,10 +83,10 @@
     def chance(self, source: str) -> random.Random:
         return random.Random(f"{self.day.terms.seed}/{source}")
 
-    def _build(self, name: str, number: int) -> ServerStandIn:
+    def _build(self, name: str, number: int) -> FakeServer:
         day = self.day
         chance = self.chance(f"server {name}")
-        model = SetupServer(make_of(day), chance.random, self.numbers)
+        model = SetupServer(server_profile_of(day), chance.random, self.numbers)
         region = day.region_of_server(number)
 
         def delay(edge: str) -> int:
@@ -92,7 +94,7 @@
             base = day.delays.same if near else day.delays.cross
             return int(base * (1 + day.delays.jitter * (2 * chance.random() - 1)))
 
-        server = ServerStandIn(
+        server = FakeServer(
             name,
             self._addresses(name),
             model,
@@ -107,7 +109,7 @@
         )
         self.servers[name] = server
         self.numbers_of[name] = number
-        self.tap.row(Placed, name=name, region=region)
+        self.tap.record(PlacementRow, name=name, region=region)
         return server
 
     # A day's course
@@ -123,25 +125,25 @@
 
     def row(self, name: str, phase: PhaseWord) -> Row:
         server = self.servers[name]
-        age = 0 if name in self.list.born else None
+        age = 0 if name in self.list.started_at else None
         region = self.day.region_of_server(self.numbers_of[name])
         return Row(name, self.numbers_of[name], phase, server.address, region, server.incarnation, age)
 
     def tell(self, names: list[str], phase: PhaseWord) -> None:
-        self.list.tell([self.row(name, phase) for name in names])
+        self.list.announce([self.row(name, phase) for name in names])
 
     def add_callers(self, place: int, edge: EdgeHandle) -> None:
         assert self._nursery is not None
-        self.tap.row(Placed, name=f"e{place}", region=self.day.region_of_edge(place))
+        self.tap.record(PlacementRow, name=f"e{place}", region=self.day.region_of_edge(place))
         habits = self.day.callers
-        caller = CallerStandIn(
+        caller = FakeCallers(
             f"c{place}",
             lambda: edge.address,
             self._place,
             self.tap,
             self.agenda,
             self.chance(f"caller {place}"),
-            Habits(habits.redials, habits.redial_wait, habits.patience, habits.heeds),
+            CallerBehavior(habits.redials, habits.redial_wait, habits.patience, habits.heeds),
         )
         self.callers.append(caller)
         self.edges.append(edge)
@@ -149,7 +151,7 @@
 
     async def play(self, tick: Callable[[float], None] = lambda share: None) -> None:
         """The day itself: arrivals and troubles, then until all has its answer."""
-        self.tap.row(Opened)
+        self.tap.record(CallersStartedRow)
         async with trio.open_nursery() as nursery:
             for name, trouble in self.day.troubles.items():
                 nursery.start_soon(self._trouble, name, trouble)
@@ -164,14 +166,16 @@
                         await trio.sleep(0.25)
                         tick((trio.current_time() - began) * 1e9 / self.day.terms.length)
         for caller in self.callers:
-            caller.habits = patient(caller.habits, 1.0)
+            caller.behavior = with_scaled_patience(caller.behavior, 1.0)
         longest = max(mix.no_answer for mix in self.day.mix.values())
         with trio.move_on_after(longest / 1e9 + 1):
-            while any(not made.stands for caller in self.callers for made in caller.tries.values()):
+            while any(
+                not made.is_established for caller in self.callers for made in caller.attempts.values()
+            ):
                 await trio.sleep(0.05)
         await trio.sleep(LATE_S)  # so that an answer that comes too late is on record
 
-    async def _dials(self, place: int, caller: CallerStandIn) -> None:
+    async def _dials(self, place: int, caller: FakeCallers) -> None:
         day, chance = self.day, self.chance(f"arrivals {place}")
         kinds = list(day.mix)
         shares = [day.mix[kind].share for kind in kinds]
@@ -205,15 +209,15 @@
             began = self.now()
             for told in day.recorded[place]:
                 await trio.sleep(max(0, began + told.at - self.now()) / 1e9)
-                for _ in range(copies(terms.times * self.rate, chance.random)):
+                for _ in range(draw_repetitions(terms.times * self.rate, chance.random)):
                     dial(told)
             return
-        pattern = Pattern(terms.on, terms.off, terms.drift, day.terms.length)
-        source = Source(pattern, lambda: chance.expovariate(1), self.now())
+        pattern = ArrivalPattern(terms.on, terms.off, terms.drift, day.terms.length)
+        source = ArrivalProcess(pattern, lambda: chance.expovariate(1), self.now())
         share = terms.rate / len(self.callers)
         while True:
             now = self.now()
-            await trio.sleep((source.next(now, share * self.rate) - now) / 1e9)
+            await trio.sleep((source.next_arrival(now, share * self.rate) - now) / 1e9)
             dial(None)
 
     # Troubles
@@ -231,14 +235,16 @@
         return sorted(chance.sample(names, min(count, len(names))))
 
     def _servers(self, trouble: Trouble, chance: random.Random) -> list[str]:
-        return self._struck(trouble, chance, [name for name, one in self.servers.items() if one.model.runs])
+        return self._struck(
+            trouble, chance, [name for name, one in self.servers.items() if one.model.is_running]
+        )
 
     def _fault(self, trouble: Trouble, target: str, span: int | None = None) -> None:
         until = self.now() + (trouble.length if span is None else span) + self._fault_slack
-        self.tap.row(Fault, until=until, kind=trouble.kind, target=target)
+        self.tap.record(FaultRow, until=until, kind=trouble.kind, target=target)
 
     def _later(self, span: int, act: Callable[[], None]) -> None:
-        self.agenda.at(self.now() + span, act)
+        self.agenda.call_at(self.now() + span, act)
 
     async def _burst(self, trouble: Trouble, chance: random.Random) -> None:
         self._fault(trouble, "callers")
@@ -256,17 +262,17 @@
         await self._restart(struck)
 
     def _if_down(self, names: list[str]) -> None:
-        if down := [name for name in names if not self.servers[name].model.runs]:
+        if down := [name for name in names if not self.servers[name].model.is_running]:
             self.tell(down, "gone")
 
     async def _restart(self, names: list[str]) -> None:
         for name in names:
-            self.list.born[name] = self.now()
+            self.list.started_at[name] = self.now()
             await self.servers[name].start()
         self._later(self.day.list_terms.add, lambda: self._if_up(names))
 
     def _if_up(self, names: list[str]) -> None:
-        if up := [name for name in names if self.servers[name].model.runs]:
+        if up := [name for name in names if self.servers[name].model.is_running]:
             self.tell(up, "in-service")
 
     async def _vanish(self, trouble: Trouble, chance: random.Random) -> None:
@@ -297,10 +303,10 @@
                 new = f"{name}n"
                 server = self._build(new, self.numbers_of[name])
                 server.model.start(self.now())
-                self.list.born[new] = self.now()
+                self.list.started_at[new] = self.now()
                 assert self._nursery is not None
                 await self._nursery.start(server.run)
-                server.began()
+                server.record_start()
                 fresh.append(new)
             self.tell(group, "gone")
             self._later(self.day.list_terms.add, lambda fresh=fresh: self._if_up(fresh))  # type: ignore[misc]
@@ -310,29 +316,29 @@
         struck = self._servers(trouble, chance)
         for name in struck:
             self._fault(trouble, name)
-            self.servers[name].model.slow(self.now(), trouble.size)
+            self.servers[name].model.set_slowdown(trouble.size)
         await trio.sleep(trouble.length / 1e9)
         for name in struck:
-            self.servers[name].model.slow(self.now(), 1.0)
+            self.servers[name].model.set_slowdown(1.0)
 
     async def _ageing(self, trouble: Trouble, chance: random.Random) -> None:
         struck = self._servers(trouble, chance)
         for name in struck:
             self._fault(trouble, name)
-            self.servers[name].model.age(self.now(), trouble.size, trouble.length)
+            self.servers[name].model.start_degrading(self.now(), trouble.size, trouble.length)
         await trio.sleep(trouble.length / 1e9)
         for name in struck:
-            self.servers[name].model.age(self.now(), 1.0, 1)
+            self.servers[name].model.start_degrading(self.now(), 1.0, 1)
 
     async def _hang(self, trouble: Trouble, chance: random.Random) -> None:
         struck = self._servers(trouble, chance)
         for name in struck:
             self._fault(trouble, name)
-            self.servers[name].model.hang(self.now(), True)
+            self.servers[name].model.set_hung(self.now(), True)
         await trio.sleep(trouble.length / 1e9)
         for name in struck:
-            self.servers[name].model.hang(self.now(), False)
-            self.servers[name].stirred()
+            self.servers[name].model.set_hung(self.now(), False)
+            self.servers[name].deliver_events()
 
     async def _origin_slow(self, trouble: Trouble, chance: random.Random) -> None:
         """One region's servers keep only a part of their lines."""
@@ -341,21 +347,21 @@
         struck = [n for n, number in self.numbers_of.items() if self.day.region_of_server(number) == region]
         for name in struck:
             self._fault(trouble, name)
-            self.servers[name].model.keep_lines(self.now(), trouble.size**-0.5)
-            self.servers[name].stirred()
+            self.servers[name].model.limit_lines(self.now(), trouble.size**-0.5)
+            self.servers[name].deliver_events()
         await trio.sleep(trouble.length / 1e9)
         for name in struck:
-            self.servers[name].model.keep_lines(self.now(), 1.0)
+            self.servers[name].model.limit_lines(self.now(), 1.0)
 
     async def _reconnect(self, trouble: Trouble, chance: random.Random) -> None:
         for name, server in self.servers.items():
             self._fault(trouble, name)
-            server.model.cut_standing(self.now(), trouble.size)
-            server.stirred()
+            server.model.cut_established(self.now(), trouble.size)
+            server.deliver_events()
 
     async def _hot_key(self, trouble: Trouble, chance: random.Random) -> None:
         self._fault(trouble, "callers")
-        self.numbers.lines[HOT_NUMBER] = trouble.lines
+        self.numbers.capacities[HOT_NUMBER] = trouble.lines
         self.hot = trouble.size
         await trio.sleep(trouble.length / 1e9)
         self.hot = 0.0
@@ -363,19 +369,19 @@
     async def _give_up(self, trouble: Trouble, chance: random.Random) -> None:
         self._fault(trouble, "callers")
         for caller in self.callers:
-            caller.habits = patient(caller.habits, trouble.size)
+            caller.behavior = with_scaled_patience(caller.behavior, trouble.size)
         await trio.sleep(trouble.length / 1e9)
         for caller in self.callers:
-            caller.habits = patient(caller.habits, 1 / trouble.size)
+            caller.behavior = with_scaled_patience(caller.behavior, 1 / trouble.size)
 
     async def _answer_lost(self, trouble: Trouble, chance: random.Random) -> None:
         struck = self._servers(trouble, chance)
         for name in struck:
             self._fault(trouble, name)
-            self.servers[name].model.lose_answers(trouble.size)
+            self.servers[name].model.set_answer_loss(trouble.size)
         await trio.sleep(trouble.length / 1e9)
         for name in struck:
-            self.servers[name].model.lose_answers(0.0)
+            self.servers[name].model.set_answer_loss(0.0)
 
     def _edges(self, trouble: Trouble, chance: random.Random) -> list[int]:
         names = [f"e{place}" for place in range(len(self.edges))]
@@ -394,7 +400,7 @@
         """Its row; the paths themselves are struck where they are kept."""
         await trio.sleep(path.start / 1e9)
         until = self.now() + path.length + self._fault_slack
-        self.tap.row(Fault, until=until, kind=f"path-{path.kind}", target="paths")
+        self.tap.record(FaultRow, until=until, kind=f"path-{path.kind}", target="paths")
 
     async def _balancer_late(self, trouble: Trouble, chance: random.Random) -> None:
         """Those that were not started with the others."""
@@ -424,10 +430,10 @@
         struck = [self.servers[name] for name in self._struck(trouble, chance, list(self.servers))]
         for server in struck:
             self._fault(trouble, server.name)
-            server.refuses |= edges
-            for wire in list(server.wires):
-                if wire.edge in edges:
-                    wire.cut()
+            server.refused_edges |= edges
+            for wire in list(server.connections):
+                if wire.edge_name in edges:
+                    wire.close()
         await trio.sleep(trouble.length / 1e9)
         for server in struck:
-            server.refuses -= edges
+            server.refused_edges -= edges
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -6,7 +6,7 @@
 
 from valverouter.emulator.edges import Asked, EmulatedEdge
 from valverouter.emulator.simulated import Chance, Simulated
-from valverouter.signalling.tap import Lost, Passed, Tap
+from valverouter.signalling.tap import ConnectionLostRow, MessageRow, Tap
 from valverouter.terms.day import Callers
 
 # A connection that broke is made again after so long.
@@ -46,7 +46,9 @@
     def _row(self, sent: bool, kind: str, dialog: str, span: int = 0, word: str = "") -> None:
         rows = self._tap.rows
         rows.append(
-            Passed(len(rows), self._sim.now(), self._edge.name, self.name, sent, kind, dialog, 0, span, word)
+            MessageRow(
+                len(rows), self._sim.now(), self._edge.name, self.name, sent, kind, dialog, 0, span, word
+            )
         )
 
     def dial(self, asked: Asked, first: str = "", tries: int = 1) -> None:
@@ -100,14 +102,14 @@
 
     def cut_off(self) -> None:
         """The edge proxy is gone: everything here is lost, and may be tried again."""
-        self._tap.row(Lost, edge=self._edge.name, peer=self.name)
+        self._tap.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
         self._ready_at = self._sim.now() + RECONNECT
         for dialog in list(self.tries):
             self._over(dialog, True)
 
     def away(self) -> None:
         """The edge proxy is gone and keeps what it owes: we come back for it."""
-        self._tap.row(Lost, edge=self._edge.name, peer=self.name)
+        self._tap.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
         self._ready_at = self._sim.now() + RECONNECT
         self._sim.after(RECONNECT, self._back)
 
--- a/valverouter/emulator/councils.py
+++ b/valverouter/emulator/councils.py
@@ -28,7 +28,7 @@
 )
 from valverouter.rollout.limits import Limits, Sort, Unit
 from valverouter.rollout.permits import Ask, Away, Back, Enrol, Fence, Permit, Register
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 
 class Broken(Exception):  # noqa: N818 - a property that a course broke
@@ -95,7 +95,7 @@
         self._decided: dict[int, Any] = {}
         self._leaders: dict[int, str] = {}
         self._faults: list[PathFault] = []
-        self._paths = Paths([], self.chance.random, self._delay, loss)
+        self._paths = NetworkPaths([], self.chance.random, self._delay, loss)
         self._faulty = True
         for name in names:
             self.start(name)
@@ -193,7 +193,7 @@
                 continue
             copies = 2 if self.chance.random() < 0.02 else 1
             for _ in range(copies):
-                for span in self._paths.arrivals(seat.name, to, self.now):
+                for span in self._paths.delivery_delays(seat.name, to, self.now):
                     self.at(self.now + span, self._hears, there, message)
         for index, what in decided:
             self._apply(seat, index, what)
@@ -404,7 +404,7 @@
             span = int(chance.uniform(0.5, 6) * SECOND)
             self._faults = [one for one in self._faults if one.until > self.now]
             self._faults.append(PathFault("split", self.now, self.now + span, groups=(side,)))
-            self._paths = Paths(self._faults, chance.random, self._delay, 0.02)
+            self._paths = NetworkPaths(self._faults, chance.random, self._delay, 0.02)
             self.found["cut"] += 1
         elif kind < 0.9:
             self.die(chance.choice(sorted(self.holders)))
@@ -424,7 +424,7 @@
     def _calm(self) -> None:
         self._faulty = False
         self._faults.clear()
-        self._paths = Paths([], self.chance.random, self._delay, 0.0)
+        self._paths = NetworkPaths([], self.chance.random, self._delay, 0.0)
         for name, seat in self.seats.items():
             seat.stopped_until = min(seat.stopped_until, self.now)
             self.start(name)
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -32,7 +32,7 @@
 from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.recovery.plan import RecoveryAction, remaining_attempt_policy
-from valverouter.servermodel.server import Key
+from valverouter.servermodel.events import LegKey
 
 # What connecting and greeting take beside the way there and back.
 CONNECT = 2_000_000
@@ -101,7 +101,7 @@
     # `need`: what it waits for before its course goes on; `back`: its caller came back.
     used: int = 0
     at: str = ""
-    held: Key | None = None
+    held: LegKey | None = None
     need: RecoveryAction | None = None
     back: bool = True
     word: str = ""
@@ -233,7 +233,7 @@
             delay = self._delay(link.server)
             self._sim.after(delay, self._asked, self._life, dialog, link, link.wire, one.held)
 
-    def _asked(self, life: int, dialog: str, link: _Link, wire: Wire, held: Key) -> None:
+    def _asked(self, life: int, dialog: str, link: _Link, wire: Wire, held: LegKey) -> None:
         if life == self._life and wire.up:
             word = link.server.resume(held, wire)
             self._sim.after(self._delay(link.server), self._told, life, dialog, link, word)
@@ -280,7 +280,7 @@
         self._late.clear()
         self._late_list.clear()
         links, self._links = self._links, {}
-        by_link: dict[_Link, list[Key]] = {}
+        by_link: dict[_Link, list[LegKey]] = {}
         if self.plan.ledger:
             self._left = list(self._dialogs.values())
             for one in self._left:
@@ -617,7 +617,7 @@
             return
         server = link.server
         link.connecting = True
-        if server.model.runs and self.name not in server.refuses:
+        if server.model.is_running and self.name not in server.refuses:
             self._sim.after(2 * self._delay(server) + CONNECT, self._up, life, link, server.incarnation)
         else:
             self._sim.after(HELLO_WITHIN if server.silent else CONNECT, self._failed, life, link)
@@ -637,7 +637,7 @@
         server = link.server
         if life != self._life or not self.runs or link.wire is not None:
             return
-        if not server.model.runs or self.name in server.refuses or server.incarnation != incarnation:
+        if not server.model.is_running or self.name in server.refuses or server.incarnation != incarnation:
             self._failed(life, link)
             return
         self._serial += 1
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -6,16 +6,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-import msgspec
-
 from valverouter.emulator.callers import EmulatedCallers
 from valverouter.emulator.edges import Asked, EdgePlan, EmulatedEdge
+from valverouter.emulator.profiles import server_profile_of
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulated import Chance, Simulated
 from valverouter.interface import Endpoint, EndpointUpdateKind, LoadReport
-from valverouter.servermodel.arrivals import Pattern, Source, copies
-from valverouter.servermodel.server import CalledNumbers, Make, SetupServer
-from valverouter.signalling.tap import Fault, Opened, Placed, Row, Tap, Terms, Told
+from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
+from valverouter.servermodel.lines import CalledNumbers
+from valverouter.servermodel.server import SetupServer
+from valverouter.signalling.tap import (
+    AuditConfigRow,
+    CallersStartedRow,
+    EndpointUpdateRow,
+    FaultRow,
+    PlacementRow,
+    Row,
+    Tap,
+)
 from valverouter.terms.calls import Call
 from valverouter.terms.day import Day, Trouble
 
@@ -30,20 +38,6 @@
 Process = Generator[Any, Any, None]
 
 
-def make_of(day: Day) -> Make:
-    """What the day's servers are made of, in the model's words."""
-    told = msgspec.structs.asdict(day.servers)
-    del told["tells_lines"], told["report_every"]
-    fleet = day.fleet
-    return Make(
-        **told,
-        cold_share=fleet.cold_share,
-        warm_after=fleet.warm_after,
-        tip_multiple=fleet.tip_multiple,
-        tip_span=fleet.tip_span,
-    )
-
-
 @dataclass(frozen=True, slots=True)
 class Sampled:
     """What the edge proxies knew of a server at a moment, on average: its wait (ns), their windows for it,
@@ -86,14 +80,14 @@
         self._born: dict[str, int] = {}
         self._reports: list[tuple[int, str, LoadReport]] = []
         self._network = self.chance("network")
-        self._make = make_of(day)
+        self._server_profile = server_profile_of(day)
         self._ends = self.sim.now() + day.terms.length
-        self.tap.row(
-            Terms,
+        self.tap.record(
+            AuditConfigRow,
             release_wait=day.fleet.release_wait,
             slack=0,
-            objectives=day.objectives,
-            importance=day.importance,
+            latency_objectives=day.objectives,
+            priority_weights=day.importance,
         )
         for number in range(day.server_count):
             self._build(f"s{number}", number)
@@ -107,7 +101,7 @@
     def _build(self, name: str, number: int) -> EmulatedServer:
         day = self.day
         region = day.region_of_server(number)
-        model = SetupServer(self._make, self.chance(f"server {name}").random, self._numbers)
+        model = SetupServer(self._server_profile, self.chance(f"server {name}").random, self._numbers)
         server = self.servers[name] = EmulatedServer(
             name,
             number,
@@ -119,7 +113,7 @@
             lambda kind: day.traffic[kind].length if kind in day.traffic else 0,
             day.servers.tells_lines,
         )
-        self.tap.row(Placed, name=name, region=region)
+        self.tap.record(PlacementRow, name=name, region=region)
         if day.servers.report_every:
             self._report(server, self.chance(f"report {name}"))
         return server
@@ -133,14 +127,14 @@
             return int(base * (1 + day.delays.jitter * (2 * network.random() - 1)))
 
         edge = EmulatedEdge(plan, self.sim, lambda name: self.servers[name], delay, self._reports)
-        self.tap.row(Placed, name=edge.name, region=plan.region)
+        self.tap.record(PlacementRow, name=edge.name, region=plan.region)
         chance = self.chance(f"caller {plan.place}")
         self.edges.append(edge)
         self.callers.append(EmulatedCallers(edge, day.callers, self.sim, self.tap, chance))
 
     def _report(self, server: EmulatedServer, chance: Chance) -> None:
         """Reports go to one log for all edge proxies, which read on in it: no event for each of them."""
-        if server.model.runs and server.wires:
+        if server.model.is_running and server.wires:
             lag = max(self.day.delays.same, self.day.delays.cross if len(self.day.regions) > 1 else 0)
             self._reports.append((self.sim.now() + lag, server.name, server.load()))
         span = int(self.day.servers.report_every * (0.9 + 0.2 * chance.random()))
@@ -154,7 +148,7 @@
         settle = sim.now() + day.terms.settle
         self._ends = settle + day.terms.length
         sim.run(settle)
-        self.tap.row(Opened)
+        self.tap.record(CallersStartedRow)
         for name, trouble in day.troubles.items():
             sim.env.process(self._trouble(name, trouble))
         for callers in self.callers:
@@ -192,8 +186,8 @@
         day, place = self.day, int(callers.name[1:])
         chance, asks = self.chance(f"arrivals {place}"), self.chance(f"asks {place}")
         terms = day.callers
-        pattern = Pattern(terms.on, terms.off, terms.drift, day.terms.length)
-        source = Source(pattern, chance.exponential, self.sim.now())
+        pattern = ArrivalPattern(terms.on, terms.off, terms.drift, day.terms.length)
+        source = ArrivalProcess(pattern, chance.exponential, self.sim.now())
         kinds = list(day.mix)
         shares = [day.mix[kind].share for kind in kinds]
         home = day.region_of_edge(place)
@@ -221,7 +215,7 @@
             again()
 
         def again() -> None:
-            at = source.next(self.sim.now(), terms.rate / len(self.callers) * self.rate)
+            at = source.next_arrival(self.sim.now(), terms.rate / len(self.callers) * self.rate)
             if at < self._ends:
                 self.sim.at(at, call)
 
@@ -230,7 +224,7 @@
             calls = (one for one in day.recorded[place] if began + one.at < self._ends)
 
             def replay(told: Call) -> None:
-                for _ in range(copies(terms.times * self.rate, chance.random)):
+                for _ in range(draw_repetitions(terms.times * self.rate, chance.random)):
                     dial(told)
                 go_on()
 
@@ -263,7 +257,7 @@
         for edge in self.edges:
             if edge.runs:
                 for name in names:
-                    self.tap.row(Told, edge=edge.name, server=name, phase=phase)
+                    self.tap.record(EndpointUpdateRow, edge=edge.name, server=name, phase=phase)
                 edge.listed(EndpointUpdateKind.INCREMENTAL, rows)
 
     # Troubles
@@ -280,7 +274,7 @@
         return sorted(chance.sample(names, min(count, len(names))))
 
     def _of_servers(self, trouble: Trouble, chance: Chance) -> list[EmulatedServer]:
-        running = [name for name, server in self.servers.items() if server.model.runs]
+        running = [name for name, server in self.servers.items() if server.model.is_running]
         struck = self._struck(trouble, chance, running)
         for name in struck:
             self._fault(trouble, name)
@@ -293,7 +287,7 @@
 
     def _fault(self, trouble: Trouble, target: str, span: int | None = None) -> None:
         until = self.sim.now() + (trouble.length if span is None else span)
-        self.tap.row(Fault, until=until, kind=trouble.kind, target=target)
+        self.tap.record(FaultRow, until=until, kind=trouble.kind, target=target)
 
     def _wait(self, span: int) -> Any:
         return self.sim.env.timeout(span)
@@ -313,7 +307,7 @@
         self._restart(struck)
 
     def _if_down(self, struck: Sequence[EmulatedServer]) -> None:
-        if down := [server.name for server in struck if not server.model.runs]:
+        if down := [server.name for server in struck if not server.model.is_running]:
             self.tell(down, "gone")
 
     def _restart(self, struck: Sequence[EmulatedServer]) -> None:
@@ -323,7 +317,7 @@
         self.sim.after(self.day.list_terms.add, self._if_up, struck)
 
     def _if_up(self, struck: Sequence[EmulatedServer]) -> None:
-        if up := [server.name for server in struck if server.model.runs]:
+        if up := [server.name for server in struck if server.model.is_running]:
             self.tell(up, "in-service")
 
     def _vanish(self, trouble: Trouble, chance: Chance) -> Process:
@@ -337,7 +331,7 @@
 
     def _deploy(self, trouble: Trouble, chance: Chance) -> Process:
         """Each struck server drains, stops, and a new machine under a new name takes its number."""
-        running = [name for name, server in self.servers.items() if server.model.runs]
+        running = [name for name, server in self.servers.items() if server.model.is_running]
         struck = [self.servers[name] for name in self._struck(trouble, chance, running)]
         batch = max(1, round(trouble.size))
         groups = [struck[at : at + batch] for at in range(0, len(struck), batch)]
@@ -363,26 +357,26 @@
     def _slow(self, trouble: Trouble, chance: Chance) -> Process:
         struck = self._of_servers(trouble, chance)
         for server in struck:
-            server.model.slow(self.sim.now(), trouble.size)
+            server.model.set_slowdown(trouble.size)
         yield self._wait(trouble.length)
         for server in struck:
-            server.model.slow(self.sim.now(), 1.0)
+            server.model.set_slowdown(1.0)
 
     def _ageing(self, trouble: Trouble, chance: Chance) -> Process:
         struck = self._of_servers(trouble, chance)
         for server in struck:
-            server.model.age(self.sim.now(), trouble.size, trouble.length)
+            server.model.start_degrading(self.sim.now(), trouble.size, trouble.length)
         yield self._wait(trouble.length)
         for server in struck:
-            server.model.age(self.sim.now(), 1.0, 1)
+            server.model.start_degrading(self.sim.now(), 1.0, 1)
 
     def _hang(self, trouble: Trouble, chance: Chance) -> Process:
         struck = self._of_servers(trouble, chance)
         for server in struck:
-            server.model.hang(self.sim.now(), True)
+            server.model.set_hung(self.sim.now(), True)
         yield self._wait(trouble.length)
         for server in struck:
-            server.model.hang(self.sim.now(), False)
+            server.model.set_hung(self.sim.now(), False)
             server.stirred()
 
     def _origin_slow(self, trouble: Trouble, chance: Chance) -> Process:
@@ -392,22 +386,22 @@
         struck = [server for server in self.servers.values() if server.region == region]
         for server in struck:
             self._fault(trouble, server.name)
-            server.model.keep_lines(self.sim.now(), trouble.size**-0.5)
+            server.model.limit_lines(self.sim.now(), trouble.size**-0.5)
             server.stirred()
         yield self._wait(trouble.length)
         for server in struck:
-            server.model.keep_lines(self.sim.now(), 1.0)
+            server.model.limit_lines(self.sim.now(), 1.0)
 
     def _reconnect(self, trouble: Trouble, chance: Chance) -> Process:
         for server in self.servers.values():
             self._fault(trouble, server.name)
-            server.model.cut_standing(self.sim.now(), trouble.size)
+            server.model.cut_established(self.sim.now(), trouble.size)
             server.stirred()
         yield self._wait(0)
 
     def _hot_key(self, trouble: Trouble, chance: Chance) -> Process:
         self._fault(trouble, "callers")
-        self._numbers.lines[HOT_NUMBER] = trouble.lines
+        self._numbers.capacities[HOT_NUMBER] = trouble.lines
         self.hot = trouble.size
         yield self._wait(trouble.length)
         self.hot = 0.0
@@ -423,10 +417,10 @@
     def _answer_lost(self, trouble: Trouble, chance: Chance) -> Process:
         struck = self._of_servers(trouble, chance)
         for server in struck:
-            server.model.lose_answers(trouble.size)
+            server.model.set_answer_loss(trouble.size)
         yield self._wait(trouble.length)
         for server in struck:
-            server.model.lose_answers(0.0)
+            server.model.set_answer_loss(0.0)
 
     def _balancer_crash(self, trouble: Trouble, chance: Chance) -> Process:
         struck = self._of_edges(trouble, chance)
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -41,7 +41,7 @@
 )
 from valverouter.rollout.permits import Back
 from valverouter.rollout.seat import Seat, Word
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 TICK = SECOND // 10
 REPORTS = SECOND // 2
@@ -182,7 +182,7 @@
         self._serial = 0
         self._processes = 0
         self._faults: list[PathFault] = []
-        self._paths = Paths([], self.chance.random, self._delay, loss)
+        self._paths = NetworkPaths([], self.chance.random, self._delay, loss)
         self._loss = loss
         for name in self.seats:
             self.start_seat(name)
@@ -200,7 +200,7 @@
     def _send(self, sender: str, receiver: str, act: Callable[..., None], *args: Any) -> None:
         copies = 2 if self.chance.random() < 0.01 else 1
         for _ in range(copies):
-            for span in self._paths.arrivals(sender, receiver, self.now):
+            for span in self._paths.delivery_delays(sender, receiver, self.now):
                 self.at(self.now + span, act, *args)
 
     # Seats
@@ -534,12 +534,12 @@
             else:
                 fault = PathFault("cut", self.now, later, senders=cut, receivers=rest)
             self._faults = [one for one in self._faults if one.until > self.now] + [fault]
-            self._paths = Paths(self._faults, self.chance.random, self._delay, self._loss)
+            self._paths = NetworkPaths(self._faults, self.chance.random, self._delay, self._loss)
             self.found["cut"] += 1
 
     def _calm(self) -> None:
         self._faults.clear()
-        self._paths = Paths([], self.chance.random, self._delay, 0.0)
+        self._paths = NetworkPaths([], self.chance.random, self._delay, 0.0)
         for name, machine in self.seats.items():
             machine.stopped_until = min(machine.stopped_until, self.now)
             self.start_seat(name)
--- a/valverouter/emulator/views.py
+++ b/valverouter/emulator/views.py
@@ -17,7 +17,7 @@
 from valverouter.membership.messages import Message
 from valverouter.membership.records import MemberRecord
 from valverouter.membership.view import MembershipView
-from valverouter.servermodel.paths import Paths
+from valverouter.servermodel.paths import NetworkPaths
 
 SECOND = 10**9
 # Wall clock at the start, ms: the generation of a process that starts then.
@@ -61,7 +61,7 @@
     def __init__(
         self,
         config: MembershipConfig,
-        paths: Paths,
+        paths: NetworkPaths,
         seed: int = 1,
         watch: Callable[[Node, MembershipEvent], None] = lambda node, event: None,
         size: Callable[[Message], int] | None = None,
@@ -201,7 +201,7 @@
             there = self._at_address.get(address)
             if there is None:
                 continue
-            for span in self._paths.arrivals(node.name, there.name, self.now):
+            for span in self._paths.delivery_delays(node.name, there.name, self.now):
                 self.at(self.now + span, self._deliver, there, node.address, message)
 
     # Observation
--- a/valverouter/experiments/daypage.py
+++ b/valverouter/experiments/daypage.py
@@ -9,7 +9,7 @@
 
 from valverouter.emulator.fleet import Emulated
 from valverouter.experiments.figures import by_second
-from valverouter.signalling.tap import Fault, Passed, Terms
+from valverouter.signalling.tap import AuditConfigRow, FaultRow, MessageRow
 
 SECOND = 1_000_000_000
 WIDE, HIGH, CELL = 900, 120, 14
@@ -39,8 +39,8 @@
 def day_page(name: str, emulated: Emulated) -> str:
     """The page, readable without any tool or network."""
     rows = emulated.rows
-    terms = next(row for row in rows if isinstance(row, Terms))
-    start = next((row.at for row in rows if isinstance(row, Passed)), 0)
+    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
+    start = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
     served = {at: got / offered for at, (offered, got) in by_second(rows, terms).items() if offered}
     sent, failed, outcomes = (
         Counter[tuple[str, int]](),
@@ -48,7 +48,7 @@
         Counter[tuple[str, int]](),
     )
     for row in rows:
-        if isinstance(row, Passed) and row.peer in emulated.servers:
+        if isinstance(row, MessageRow) and row.peer in emulated.servers:
             at = (row.at - start) // SECOND
             if not row.sent and row.kind == "setup":
                 sent[row.peer, at] += 1
@@ -85,7 +85,7 @@
                     }
                 )
         heat.append({"name": server, "y": CELL * index, "spots": spots})
-    faults = [row for row in rows if isinstance(row, Fault)]
+    faults = [row for row in rows if isinstance(row, FaultRow)]
     troubles = [
         f"{row.kind} of {row.target} from {(row.at - start) / 1e9:.0f} to {(row.until - start) / 1e9:.0f} s"
         for row in faults
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -62,8 +62,8 @@
         emulated = run_emulated(run.played(), decisions.build)
     took = time.process_time() - began
     models = [server.model for server in emulated.servers.values()]
-    work = sum(model.counts.work for model in models)
-    wasted = sum(model.counts.wasted for model in models) / max(1, work)
+    work = sum(model.counters.work for model in models)
+    wasted = sum(model.counters.wasted_work for model in models) / max(1, work)
     return figures(emulated.rows) | {"wasted": wasted, "cpu": took}
 
 
--- a/valverouter/standins/wires.py
+++ b/valverouter/fakes/connection.py
@@ -15,12 +15,12 @@
 
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Session
-from valverouter.signalling.tap import Lost, Tap
+from valverouter.signalling.tap import ConnectionLostRow, Tap
 
 Handler = Callable[[trio.abc.Stream], Awaitable[object]]
 
 
-class Place(Protocol):
+class Network(Protocol):
     """Where streams come from; sockets, or memory in virtual time."""
 
     async def connect(self, address: str) -> trio.abc.Stream: ...
@@ -28,7 +28,7 @@
     async def serve(self, address: str, handler: Handler, task_status: trio.TaskStatus[str]) -> None: ...
 
 
-class Agenda:
+class Scheduler:
     """Acts at their times, one task for all of them. Emptied as they come."""
 
     def __init__(self, now: Callable[[], int]) -> None:
@@ -37,7 +37,7 @@
         self._serial = 0
         self._stirred = trio.Event()
 
-    def at(self, at: int, act: Callable[[], None]) -> None:
+    def call_at(self, at: int, act: Callable[[], None]) -> None:
         self._serial += 1
         heapq.heappush(self._heap, (at, self._serial, act))
         self._stirred.set()
@@ -53,7 +53,7 @@
                 await self._stirred.wait()
 
 
-class Wire:
+class FakePeerConnection:
     """One connection at a stand-in's end; what is heard goes to `heard`, after the delay.
 
     `drop_on` is asked for each message that passes, with whether this end sends it: True cuts the line there,
@@ -65,17 +65,17 @@
         stream: trio.abc.Stream,
         session: Session,
         tap: Tap,
-        agenda: Agenda,
+        agenda: Scheduler,
         name: str,
-        heard: Callable[[Wire, Any], None],
+        heard: Callable[[FakePeerConnection, Any], None],
         delay: Callable[[str], int] = lambda edge: 0,
     ) -> None:
-        self.edge = ""
+        self.edge_name = ""
         self.session = session
         self.drop_on: Callable[[bool, Any], bool] = lambda sent, message: False
-        self.reads = trio.Event()
-        self.reads.set()
-        self.byte_gap = 0.0
+        self.reading_allowed = trio.Event()
+        self.reading_allowed.set()
+        self.byte_interval = 0.0
         self.error: ProtocolError | None = None
         self.scope = trio.CancelScope()
         self._stream = stream
@@ -90,14 +90,16 @@
 
     def send(self, message: Any, delayed: bool = True) -> None:
         """Towards the edge; it passes the socket after the delay, in order."""
-        self._last_out = max(self._last_out, self._agenda.now() + (self._delay(self.edge) if delayed else 0))
-        self._agenda.at(self._last_out, lambda: self._leaves(message))
+        self._last_out = max(
+            self._last_out, self._agenda.now() + (self._delay(self.edge_name) if delayed else 0)
+        )
+        self._agenda.call_at(self._last_out, lambda: self._leaves(message))
 
     def _leaves(self, message: Any) -> None:
         self._out.append(message)
         self._stirred.set()
 
-    def cut(self) -> None:
+    def close(self) -> None:
         self.scope.cancel()
 
     async def run(self) -> None:
@@ -115,7 +117,7 @@
                     pass
         finally:
             # Also where the whole process is taken down round us: a peer sees its connection break at once.
-            self._tap.row(Lost, edge=self.edge, peer=self._name)
+            self._tap.record(ConnectionLostRow, edge=self.edge_name, peer=self._name)
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(self._stream)
 
@@ -123,14 +125,14 @@
         try:
             while data := await self._stream.receive_some(65_536):
                 for message in self.session.receive(data):
-                    self.edge = self.session.peer or self.edge
-                    self._tap.message(self.edge, self._name, False, message)
+                    self.edge_name = self.session.peer or self.edge_name
+                    self._tap.record_message(self.edge_name, self._name, False, message)
                     if self.drop_on(False, message):
-                        self.cut()
+                        self.close()
                         return
-                    self._last_in = max(self._last_in, self._agenda.now() + self._delay(self.edge))
-                    self._agenda.at(self._last_in, lambda message=message: self._heard(self, message))  # type: ignore[misc]
-                await self.reads.wait()
+                    self._last_in = max(self._last_in, self._agenda.now() + self._delay(self.edge_name))
+                    self._agenda.call_at(self._last_in, lambda message=message: self._heard(self, message))  # type: ignore[misc]
+                await self.reading_allowed.wait()
         except ProtocolError as error:
             self.error = error
             await self._stream.send_all(self.session.farewell(error))
@@ -142,16 +144,16 @@
                 await self._stirred.wait()
             message = self._out.pop(0)
             if self.drop_on(True, message):
-                self.cut()
+                self.close()
                 return
             try:
                 data = self.session.send(message)
             except ProtocolError:
                 continue  # it crossed what closed the leg
-            self._tap.message(self.edge, self._name, True, message)
-            if not self.byte_gap:
+            self._tap.record_message(self.edge_name, self._name, True, message)
+            if not self.byte_interval:
                 await self._stream.send_all(data)
                 continue
             for byte in data:
                 await self._stream.send_all(bytes([byte]))
-                await trio.sleep(self.byte_gap)
+                await trio.sleep(self.byte_interval)
--- a/valverouter/standins/paths.py
+++ b/valverouter/fakes/datagrams.py
@@ -12,10 +12,10 @@
 
 import trio
 
-from valverouter.servermodel.paths import Paths
+from valverouter.servermodel.paths import NetworkPaths
 
 
-class Socket(Protocol):
+class DatagramSocket(Protocol):
     address: str
 
     def send(self, data: bytes, address: str) -> bool: ...
@@ -27,15 +27,17 @@
     def close(self) -> None: ...
 
 
-class PathStandIn:
+class FakeDatagramNetwork:
     """The fronts of a fleet. `paths` may be exchanged at any time; `open_front` gives one more address."""
 
-    def __init__(self, bind: Callable[[str], Socket], now: Callable[[], int], paths: Paths) -> None:
+    def __init__(
+        self, bind: Callable[[str], DatagramSocket], now: Callable[[], int], paths: NetworkPaths
+    ) -> None:
         self.paths = paths
         self._bind = bind
         self._now = now
         self._nursery: trio.Nursery | None = None
-        self._fronts: dict[str, Socket] = {}
+        self._fronts: dict[str, DatagramSocket] = {}
         # Where the processes really are, and who is there.
         self._real: dict[str, str] = {}
         self._at: dict[str, str] = {}
@@ -53,13 +55,13 @@
         self._nursery.start_soon(self._serve, name, front)
         return front.address
 
-    def stands(self, name: str, address: str) -> None:
+    def set_process_address(self, name: str, address: str) -> None:
         """A process of `name` has its socket there."""
         self._at.pop(self._real.get(name, ""), None)
         self._real[name] = address
         self._at[address] = name
 
-    async def _serve(self, name: str, front: Socket) -> None:
+    async def _serve(self, name: str, front: DatagramSocket) -> None:
         assert self._nursery is not None
         try:
             while True:
@@ -69,7 +71,7 @@
                     sender = self._at.get(source)
                     if sender is None or self._fronts.get(name) is not front:
                         continue
-                    for span in self.paths.arrivals(sender, name, self._now()):
+                    for span in self.paths.delivery_delays(sender, name, self._now()):
                         if span:
                             self._nursery.start_soon(self._later, span, sender, name, data)
                         else:
--- a/valverouter/standins/listservice.py
+++ b/valverouter/fakes/endpoint_list.py
@@ -9,6 +9,7 @@
 import msgspec
 import trio
 
+from valverouter.fakes.connection import FakePeerConnection, Network, Scheduler
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import (
     Change,
@@ -21,22 +22,21 @@
     Row,
     Watch,
 )
-from valverouter.signalling.tap import Tap, Told
-from valverouter.standins.wires import Agenda, Place, Wire
+from valverouter.signalling.tap import EndpointUpdateRow, Tap
 
 
-class ListStandIn:
+class FakeEndpointList:
     """The service. Ages are reckoned at the moment of telling from `born`, when each server started."""
 
-    def __init__(self, address: str, place: Place, tap: Tap, agenda: Agenda, epoch: str = "e1") -> None:
+    def __init__(self, address: str, place: Network, tap: Tap, agenda: Scheduler, epoch: str = "e1") -> None:
         self.address = address
         self.register = Register(epoch)
-        self.born: dict[str, int] = {}
-        self.skips = 0
+        self.started_at: dict[str, int] = {}
+        self.updates_to_drop = 0
         self.permits = Permits()
         # What a server's leave does, beside being answered.
-        self.leaves: Callable[[str], None] = lambda server: None
-        self.wires: dict[Wire, bool] = {}
+        self.on_leave: Callable[[str], None] = lambda server: None
+        self.watching_by_connection: dict[FakePeerConnection, bool] = {}
         self._place = place
         self._tap = tap
         self._agenda = agenda
@@ -55,18 +55,18 @@
             await self._place.serve(self.address, self._serve, task_status)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
-        wire = Wire(stream, ListSession(), self._tap, self._agenda, "list", self._heard)
-        self.wires[wire] = False
+        wire = FakePeerConnection(stream, ListSession(), self._tap, self._agenda, "list", self._heard)
+        self.watching_by_connection[wire] = False
         try:
             await wire.run()
         finally:
-            del self.wires[wire]
+            del self.watching_by_connection[wire]
 
-    def _heard(self, wire: Wire, message: Any) -> None:
+    def _heard(self, wire: FakePeerConnection, message: Any) -> None:
         if isinstance(message, Hello):
             wire.send(Welcome(wire.session.version, "list"))
         elif isinstance(message, Watch):
-            self.wires[wire] = True
+            self.watching_by_connection[wire] = True
             for answer in self.register.answer(message):
                 self._tell(wire, answer)
         elif isinstance(message, Leave):
@@ -74,43 +74,45 @@
             if not why and message.server not in self.register.rows:
                 why = f"{message.server} is not on the list"
             if not why:
-                self.leaves(message.server)
+                self.on_leave(message.server)
             wire.send(Left(message.server, message.number, not why, why))
         elif isinstance(message, Returns):
             self.permits.over(message)
             wire.send(Left(message.server, message.number, True))
 
-    def _tell(self, wire: Wire, word: Any, late: bool = False) -> None:
+    def _tell(self, wire: FakePeerConnection, word: Any, late: bool = False) -> None:
         now = self._agenda.now()
         rows = [
-            msgspec.structs.replace(row, age=now - self.born[row.server]) if row.server in self.born else row
+            msgspec.structs.replace(row, age=now - self.started_at[row.server])
+            if row.server in self.started_at
+            else row
             for row in word.rows
         ]
         for row in rows if not late else ():
-            self._tap.row(Told, edge=wire.edge, server=row.server, phase=row.phase)
+            self._tap.record(EndpointUpdateRow, edge=wire.edge_name, server=row.server, phase=row.phase)
         wire.send(msgspec.structs.replace(word, rows=rows))
 
-    def tell(self, rows: list[Row]) -> None:
+    def announce(self, rows: list[Row]) -> None:
         """A change, to every edge proxy that watches; `skips` of them are lost on the way."""
         change: Change = self.register.change(rows)
-        if self.skips:
-            self.skips -= 1
+        if self.updates_to_drop:
+            self.updates_to_drop -= 1
             return
-        for wire, watches in self.wires.items():
+        for wire, watches in self.watching_by_connection.items():
             if watches:
                 self._tell(wire, change)
 
-    def tell_late(self, number: int, rows: list[Row]) -> None:
+    def announce_stale(self, number: int, rows: list[Row]) -> None:
         """A change whose number has gone by, as if delayed on the way: it tells nothing that still holds."""
-        for wire, watches in self.wires.items():
+        for wire, watches in self.watching_by_connection.items():
             if watches:
                 self._tell(wire, Change(self.register.epoch, number, rows), late=True)
 
-    def down(self) -> None:
+    def stop_listening(self) -> None:
         self._listening.cancel()
-        for wire in list(self.wires):
-            wire.cut()
+        for wire in list(self.watching_by_connection):
+            wire.close()
 
-    async def up(self) -> None:
+    async def start_listening(self) -> None:
         assert self._nursery is not None
         await self._nursery.start(self._listen)
--- a/valverouter/servermodel/__init__.py
+++ b/valverouter/servermodel/__init__.py
@@ -1,1 +1,4 @@
-"""The model of a setup server: pure, driven by a clock that is handed in."""
+"""Models of signalling servers, call arrivals and network paths.
+
+They do no I/O; the time and the random draws are passed in.
+"""
--- a/valverouter/servermodel/paths.py
+++ b/valverouter/servermodel/paths.py
@@ -1,8 +1,8 @@
-"""The model of the paths between instances: which datagram arrives, when, and how often.
+"""Model of the network paths between instances: which datagram arrives, after how long, and how often.
 
-One model for loopback, virtual time and simulation. Every pair of instances has a path in each direction;
-faults come and go at given moments and say whom they strike, by name. What is struck by several loses by
-each.
+Loopback runs, virtual time and the simulations share it. Every pair of instances has a path in each
+direction. Faults are active between two times and name the instances that they affect; where several affect a
+path, a datagram passes them all.
 """
 
 from __future__ import annotations
@@ -10,17 +10,20 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-KINDS = ("loss", "late", "twice", "swapped", "cut", "split")
+PATH_FAULT_KINDS = ("loss", "late", "twice", "swapped", "cut", "split")
+# Nothing passes a path with one of these.
+BLOCKING_KINDS = ("cut", "split")
 
 
 @dataclass(frozen=True, slots=True)
 class PathFault:
-    """From `start` until `until`, on datagrams of `senders` to `receivers`; an empty set is everybody.
+    """A fault from `start` until `until` on datagrams of `senders` to `receivers`; empty sets mean everybody.
 
-    loss: each is lost with chance `share`. late: `span` ns later, and up to `jitter` of it more or less.
-    twice: with chance `share` it comes again within `span`. swapped: with chance `share` it is held back by
-    up to `span`, past those sent after it. cut: nothing arrives, with `both` in neither direction. split:
-    nothing arrives between two of `groups`; whoever is in none of them reaches all.
+    loss: a datagram is lost with `probability`. late: it arrives `delay` ns later, give or take the fraction
+    `jitter` of that. twice: with `probability` it arrives again within `delay`. swapped: with `probability`
+    it is held back by up to `delay`, and those sent later overtake it. cut: nothing arrives, if
+    `bidirectional` in neither direction. split: nothing arrives between two of `groups`; an instance of no
+    group reaches all.
     """
 
     kind: str
@@ -28,31 +31,36 @@
     until: int
     senders: frozenset[str] = frozenset()
     receivers: frozenset[str] = frozenset()
-    both: bool = False
-    share: float = 0.0
-    span: int = 0
+    bidirectional: bool = False
+    probability: float = 0.0
+    delay: int = 0
     jitter: float = 0.0
     groups: tuple[frozenset[str], ...] = ()
 
-    def strikes(self, sender: str, receiver: str) -> bool:
+    def affects(self, sender: str, receiver: str) -> bool:
+        """Whether the fault, while active, affects datagrams between these two."""
         if self.kind == "split":
-            return _group(self.groups, sender) != _group(self.groups, receiver)
-        if self._meets(sender, receiver):
+            return _group_of(self.groups, sender) != _group_of(self.groups, receiver)
+        if self._names(sender, receiver):
             return True
-        return self.both and self._meets(receiver, sender)
+        return self.bidirectional and self._names(receiver, sender)
 
-    def _meets(self, sender: str, receiver: str) -> bool:
+    def _names(self, sender: str, receiver: str) -> bool:
         return (not self.senders or sender in self.senders) and (
             not self.receivers or receiver in self.receivers
         )
 
 
-def _group(groups: tuple[frozenset[str], ...], name: str) -> int | None:
-    return next((at for at, group in enumerate(groups) if name in group), None)
+def _group_of(groups: tuple[frozenset[str], ...], name: str) -> int | None:
+    return next((index for index, group in enumerate(groups) if name in group), None)
 
 
-class Paths:
-    """All pairs' paths. `delay` gives the plain one-way span in ns of a pair; `draw` is the chance."""
+class NetworkPaths:
+    """The paths of all pairs.
+
+    `draw` gives random numbers evenly from 0 up to 1, `delay` the one-way delay of a pair in ns, `loss` the
+    probability of a loss without any fault. A fault is dropped when it is over.
+    """
 
     def __init__(
         self,
@@ -65,37 +73,41 @@
         self._delay = delay
         self._loss = loss
         self._active: list[PathFault] = []
-        self._coming = sorted(faults, key=lambda fault: fault.start)[::-1]
-        self._ends = 0
-
-    def arrivals(self, sender: str, receiver: str, now: int) -> tuple[int, ...]:
-        """How long each copy of a datagram sent now is under way; none: it is lost. `now` never goes back."""
-        self._turn_to(now)
-        draw = self._draw
-        if self._loss and draw() < self._loss:
+        self._upcoming = sorted(faults, key=lambda fault: fault.start)[::-1]
+        # When the first of the active faults is over.
+        self._next_end = 0
+
+    def delivery_delays(self, sender: str, receiver: str, now: int) -> tuple[int, ...]:
+        """The delay of each copy of a datagram sent now, ns; none if it is lost. `now` never goes back."""
+        self._update_active(now)
+        if self._loss and self._draw() < self._loss:
             return ()
         delay = self._delay(sender, receiver)
         if not self._active:
             return (delay,)
-        again = None
+        return self._pass_faults(sender, receiver, delay)
+
+    def _pass_faults(self, sender: str, receiver: str, delay: int) -> tuple[int, ...]:
+        draw = self._draw
+        copy_delay = None
         for fault in self._active:
-            if not fault.strikes(sender, receiver):
+            if not fault.affects(sender, receiver):
                 continue
-            if fault.kind in ("cut", "split") or (fault.kind == "loss" and draw() < fault.share):
+            if fault.kind in BLOCKING_KINDS or (fault.kind == "loss" and draw() < fault.probability):
                 return ()
             if fault.kind == "late":
-                delay += int(fault.span * (1 + fault.jitter * (2 * draw() - 1)))
-            elif fault.kind == "swapped" and draw() < fault.share:
-                delay += int(fault.span * draw())
-            elif fault.kind == "twice" and draw() < fault.share:
-                again = int(fault.span * draw())
-        return (delay,) if again is None else (delay, delay + again)
-
-    def _turn_to(self, now: int) -> None:
-        while self._coming and self._coming[-1].start <= now:
-            fault = self._coming.pop()
+                delay += int(fault.delay * (1 + fault.jitter * (2 * draw() - 1)))
+            elif fault.kind == "swapped" and draw() < fault.probability:
+                delay += int(fault.delay * draw())
+            elif fault.kind == "twice" and draw() < fault.probability:
+                copy_delay = int(fault.delay * draw())
+        return (delay,) if copy_delay is None else (delay, delay + copy_delay)
+
+    def _update_active(self, now: int) -> None:
+        while self._upcoming and self._upcoming[-1].start <= now:
+            fault = self._upcoming.pop()
             self._active.append(fault)
-            self._ends = min(self._ends, fault.until) if len(self._active) > 1 else fault.until
-        if self._active and self._ends <= now:
+            self._next_end = min(self._next_end, fault.until) if len(self._active) > 1 else fault.until
+        if self._active and self._next_end <= now:
             self._active = [fault for fault in self._active if fault.until > now]
-            self._ends = min((fault.until for fault in self._active), default=0)
+            self._next_end = min((fault.until for fault in self._active), default=0)
