--- a/valverouter/signalling/tap.py
+++ b/valverouter/signalling/tap.py
@@ -1,7 +1,9 @@
-"""What passed over a stream, as rows: written by whoever holds the far end, read by the audit.
+"""The rows of a traffic record, written at the callers' and servers' ends of streams and read by the audit.
 
-A row says when bytes left or reached the socket at that end, never what anybody meant by them. `at` is whole
-nanoseconds of one clock for all rows of a record; `seq` orders rows of the same moment.
+A row states when bytes left or reached the socket at that end, never what either side intended. In every row
+`at` is the time in whole nanoseconds of one clock for the whole record, and `seq` is the row's position in
+it. A record is a file of JSON lines. The tags and the field names in it are fixed, older files stay readable:
+where a class or a field is named otherwise here, the stored name is given by `tag` and `rename`.
 """
 
 from __future__ import annotations
@@ -14,8 +16,19 @@
 from msgspec import Struct
 
 
-class Passed(Struct, tag_field="row", tag="passed", frozen=True, omit_defaults=True):
-    """A message between `edge` and `peer` (caller, server): `sent` by the peer, else heard by it."""
+class MessageRow(
+    Struct,
+    tag_field="row",
+    tag="passed",
+    frozen=True,
+    omit_defaults=True,
+    rename={"duration": "span", "detail": "word"},
+):
+    """A message between an edge proxy and a caller or server (`peer`).
+
+    `sent`: the peer sent it, otherwise the peer received it. `duration`: the time limit or retry delay that
+    the message carries, ns. `detail`: its traffic type, reason or server.
+    """
 
     seq: int
     at: int
@@ -25,12 +38,12 @@
     kind: str
     dialog: str = ""
     leg: int = 0
-    span: int = 0
-    word: str = ""
+    duration: int = 0
+    detail: str = ""
 
 
-class Told(Struct, tag_field="row", tag="told", frozen=True):
-    """The list service told an edge of a server's phase."""
+class EndpointUpdateRow(Struct, tag_field="row", tag="told", frozen=True):
+    """The endpoint-list service sent an edge proxy the phase of a server."""
 
     seq: int
     at: int
@@ -39,8 +52,8 @@
     phase: str
 
 
-class Lost(Struct, tag_field="row", tag="lost", frozen=True):
-    """The connection between `edge` and `peer` ended."""
+class ConnectionLostRow(Struct, tag_field="row", tag="lost", frozen=True):
+    """The connection between `edge` and `peer` was closed or broke."""
 
     seq: int
     at: int
@@ -48,21 +61,32 @@
     peer: str
 
 
-class Began(Struct, tag_field="row", tag="began", frozen=True):
-    """A server's process started; what it can do then, and what pushes it over while it is cold."""
+class ServerStartedRow(
+    Struct,
+    tag_field="row",
+    tag="began",
+    frozen=True,
+    rename={
+        "slow_start_fraction": "cold_share",
+        "slow_start_duration": "warm_after",
+        "overload_multiple": "tip_multiple",
+        "overload_window": "tip_span",
+    },
+):
+    """A server process started, with its slow-start parameters (see servermodel/profile.py); times in ns."""
 
     seq: int
     at: int
     server: str
     setup_work: int
-    cold_share: float
-    warm_after: int
-    tip_multiple: float
-    tip_span: int
+    slow_start_fraction: float
+    slow_start_duration: int
+    overload_multiple: float
+    overload_window: int
 
 
-class Fault(Struct, tag_field="row", tag="fault", frozen=True):
-    """A trouble that was caused on purpose to `target` from `at` until `until`."""
+class FaultRow(Struct, tag_field="row", tag="fault", frozen=True):
+    """A fault injected into `target` from `at` until `until`."""
 
     seq: int
     at: int
@@ -71,8 +95,8 @@
     target: str
 
 
-class Placed(Struct, tag_field="row", tag="placed", frozen=True):
-    """In which region an edge proxy or a server stands."""
+class PlacementRow(Struct, tag_field="row", tag="placed", frozen=True):
+    """The region of an edge proxy or a server."""
 
     seq: int
     at: int
@@ -80,91 +104,125 @@
     region: str
 
 
-class Opened(Struct, tag_field="row", tag="opened", frozen=True):
-    """The day's callers begin: what a record's moments are counted from."""
+class CallersStartedRow(Struct, tag_field="row", tag="opened", frozen=True):
+    """The callers start: times of a replayed call record count from here."""
 
     seq: int
     at: int
 
 
-class Terms(Struct, tag_field="row", tag="terms", frozen=True):
-    """What the audit holds the fleet to, and the clock's looseness: 0 in virtual time."""
+class AuditConfigRow(
+    Struct,
+    tag_field="row",
+    tag="terms",
+    frozen=True,
+    rename={"latency_objectives": "objectives", "priority_weights": "importance"},
+):
+    """The limits that the audit checks against; times in ns.
+
+    `release_wait`: the minimum time between the cancellation of an attempt and the next attempt. `slack`: the
+    tolerance between clock readings of two processes, 0 in virtual time. The maps are keyed by traffic type.
+    """
 
     seq: int
     at: int
     release_wait: int
     slack: int
-    objectives: dict[str, int]
-    importance: dict[str, float]
+    latency_objectives: dict[str, int]
+    priority_weights: dict[str, float]
 
 
-class Ran(Struct, tag_field="row", tag="ran", frozen=True):
-    """An edge proxy's process that keeps a view: its `life`, and whether it began or ended here."""
+class EdgeProcessRow(
+    Struct, tag_field="row", tag="ran", frozen=True, rename={"incarnation": "life", "is_start": "begins"}
+):
+    """A process of an edge proxy that is a member of the fleet started (`is_start`) or ended."""
 
     seq: int
     at: int
     edge: str
-    life: str
-    begins: bool
+    incarnation: str
+    is_start: bool
 
 
-class Found(Struct, tag_field="row", tag="found", frozen=True):
-    """What an edge proxy (its `life`) says that it found of `member`, another life or its own."""
+class MembershipEventRow(
+    Struct,
+    tag_field="row",
+    tag="found",
+    frozen=True,
+    rename={"incarnation": "life", "kind": "what", "member_incarnation": "member_life"},
+):
+    """A membership event about `member` (itself or another), reported by one incarnation of an edge proxy."""
 
     seq: int
     at: int
     edge: str
-    life: str
-    what: str
+    incarnation: str
+    kind: str
     member: str
-    member_life: str
+    member_incarnation: str
 
 
-class Viewed(Struct, tag_field="row", tag="viewed", frozen=True):
-    """An edge proxy's view when it was asked: who lives, by name with its life, and how far it trusts it."""
+class MembershipViewRow(
+    Struct, tag_field="row", tag="viewed", frozen=True, rename={"incarnation": "life", "view_health": "trust"}
+):
+    """An edge proxy's view when it was polled: `members` maps names of live members to incarnations."""
 
     seq: int
     at: int
     edge: str
-    life: str
+    incarnation: str
     digest: str
-    trust: str
+    view_health: str
     members: dict[str, str]
 
 
-class Settles(Struct, tag_field="row", tag="settles", frozen=True):
-    """Within so many ns after the last fault all views are to be one; asked every `every` ns."""
+class ConvergenceDeadlineRow(
+    Struct,
+    tag_field="row",
+    tag="settles",
+    frozen=True,
+    rename={"max_duration": "within", "poll_interval": "every"},
+):
+    """All views must be equal `max_duration` ns after the last fault; polled every `poll_interval` ns."""
 
     seq: int
     at: int
-    within: int
-    every: int
+    max_duration: int
+    poll_interval: int
 
 
-class Limited(Struct, tag_field="row", tag="limited", frozen=True):
-    """How many edge proxies may be out by orders at once, in all and in a region."""
+class DisruptionLimitsRow(
+    Struct,
+    tag_field="row",
+    tag="limited",
+    frozen=True,
+    rename={"max_unavailable": "most", "max_unavailable_per_region": "in_region"},
+):
+    """How many edge proxies operations may take out of service at once, in total and in one region."""
 
     seq: int
     at: int
-    most: int
-    in_region: int
+    max_unavailable: int
+    max_unavailable_per_region: int
 
 
-class Turned(Struct, tag_field="row", tag="turned", frozen=True):
-    """From a keeper's own log: a turn was begun (`outcome` empty) or is over. `up`: whether its instance is
-    to run after it."""
+class StepRow(Struct, tag_field="row", tag="turned", frozen=True, rename={"runs_after": "up"}):
+    """From a supervisor's log: a step started (`outcome` is empty) or ended.
+
+    `number`: that of the disruption permit. `runs_after`: the instance is to run once the step has ended.
+    """
 
     seq: int
     at: int
     edge: str
     number: int
     step: int
-    up: bool
+    runs_after: bool
     outcome: str = ""
 
 
-class Runs(Struct, tag_field="row", tag="runs", frozen=True):
-    """From a keeper's own log: its program was started by a version, or has ended (empty)."""
+class ProgramVersionRow(Struct, tag_field="row", tag="runs", frozen=True):
+    """From a supervisor's log: its program started in a version, or ended (`version` is empty)."""
 
     seq: int
     at: int
@@ -172,13 +230,15 @@
     version: str
 
 
-class Ordered(Struct, tag_field="row", tag="ordered", frozen=True):
-    """What the fleet tells of an order in the end: by instance its step, the permit's number and the version
-    that it had before."""
+class OperationRow(Struct, tag_field="row", tag="ordered", frozen=True, rename={"operation": "order"}):
+    """The state of an operation at the end of a run.
+
+    `members` maps each instance to its step, the number of its permit and the version that it ran before.
+    """
 
     seq: int
     at: int
-    order: str
+    operation: str
     kind: str
     version: str
     phase: str
@@ -187,78 +247,75 @@
 
 
 Row = (
-    Passed
-    | Told
-    | Lost
-    | Began
-    | Fault
-    | Placed
-    | Opened
-    | Terms
-    | Ran
-    | Found
-    | Viewed
-    | Settles
-    | Limited
-    | Turned
-    | Runs
-    | Ordered
+    MessageRow
+    | EndpointUpdateRow
+    | ConnectionLostRow
+    | ServerStartedRow
+    | FaultRow
+    | PlacementRow
+    | CallersStartedRow
+    | AuditConfigRow
+    | EdgeProcessRow
+    | MembershipEventRow
+    | MembershipViewRow
+    | ConvergenceDeadlineRow
+    | DisruptionLimitsRow
+    | StepRow
+    | ProgramVersionRow
+    | OperationRow
 )
 
 
+# Attributes of protocol messages that become a row's `duration` and `detail`.
+DURATION_ATTRIBUTES = ("no_answer", "come_back", "asked_wait")
+DETAIL_ATTRIBUTES = ("traffic_type", "reason", "server")
+
+
 class Tap:
-    """Collects rows in their order."""
+    """Collects the rows of a record in order; `now` gives the time in nanoseconds."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         self.now = now
         self.rows: list[Row] = []
 
-    def row(self, sort: type[Any], **fields: Any) -> None:
-        self.rows.append(sort(seq=len(self.rows), at=self.now(), **fields))
+    def record(self, row_type: type[Any], **fields: Any) -> None:
+        """Appends a row of that type, at the current time."""
+        self.rows.append(row_type(seq=len(self.rows), at=self.now(), **fields))
 
-    def message(self, edge: str, peer: str, sent: bool, message: Any) -> None:
-        self.row(
-            Passed,
+    def record_message(self, edge: str, peer: str, sent: bool, message: Any) -> None:
+        """Appends a row for a protocol message; `sent` is true for one that `peer` sends."""
+        self.record(
+            MessageRow,
             edge=edge,
             peer=peer,
             sent=sent,
             kind=type(message).__struct_config__.tag,
             dialog=getattr(message, "dialog", ""),
             leg=getattr(message, "leg", 0),
-            span=next(
-                (
-                    getattr(message, key)
-                    for key in ("no_answer", "come_back", "asked_wait")
-                    if hasattr(message, key)
-                ),
-                0,
-            ),
-            word=next(
-                (
-                    getattr(message, key)
-                    for key in ("traffic_type", "reason", "server")
-                    if hasattr(message, key)
-                ),
-                "",
-            ),
+            duration=_first_attribute(message, DURATION_ATTRIBUTES, 0),
+            detail=_first_attribute(message, DETAIL_ATTRIBUTES, ""),
         )
 
 
-def write(path: Path, rows: Iterable[Row]) -> None:
-    """Rows as JSON lines."""
+def _first_attribute(message: Any, names: Iterable[str], default: Any) -> Any:
+    return next((getattr(message, name) for name in names if hasattr(message, name)), default)
+
+
+def write_rows(path: Path, rows: Iterable[Row]) -> None:
+    """Writes rows as JSON lines."""
     encoder = msgspec.json.Encoder()
     with path.open("wb") as file:
         for row in rows:
             file.write(encoder.encode(row) + b"\n")
 
 
-def read(path: Path) -> list[Row]:
-    """Rows as written; ValueError names the line that is not one."""
+def read_rows(path: Path) -> list[Row]:
+    """Reads rows that `write_rows` wrote; raises ValueError with the line number of an invalid one."""
     decoder = msgspec.json.Decoder(Row)
     rows: list[Row] = []
-    for at, line in enumerate(path.read_bytes().splitlines(), 1):
+    for number, line in enumerate(path.read_bytes().splitlines(), 1):
         try:
             rows.append(decoder.decode(line))
         except msgspec.DecodeError as error:
-            raise ValueError(f"{path}:{at}: {error}") from None
+            raise ValueError(f"{path}:{number}: {error}") from None
     return rows
