--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -26,18 +26,13 @@
     "valverouter/days/ordering.py": 452,
     "valverouter/edge/proxy.py": 818,
     "valverouter/emulator/edges.py": 698,
-    "valverouter/emulator/fleet.py": 476,
+    "valverouter/emulator/fleet.py": 470,
     "valverouter/emulator/rollouts.py": 580,
     "valverouter/rollout/council.py": 564,
     "valverouter/rollout/orders.py": 569,
-    "valverouter/servermodel/server.py": 512,
 }
 
 FUNCTION_CEILINGS: dict[str, int] = {
-    "valverouter/audit/account.py::account": 45,
-    "valverouter/audit/operations.py::judge_orders": 47,
-    "valverouter/audit/rules.py::_one_answer": 80,
-    "valverouter/audit/rules.py::_one_leg_and_release": 42,
     "valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52,
     "valverouter/days/ordering.py::OrderRig._write_files": 54,
     "valverouter/days/world.py::World._dials": 44,
@@ -48,7 +43,7 @@
     "valverouter/load/drive.py::drive": 83,
     "valverouter/relayedge/words.py::asked": 43,
     "valverouter/signalling/setup.py::SetupSession._pass": 50,
-    "valverouter/fakes/server.py::ServerStandIn.__init__": 45,
+    "valverouter/fakes/server.py::FakeServer.__init__": 45,
     "valverouter/terms/attempts.py::attempt_sections": 45,
     "valverouter/terms/day.py::day": 68,
     "valverouter/terms/edge.py::edge_terms": 51,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -17,7 +17,8 @@
 import trio
 
 from valverouter.audit.account import account_by_type
-from valverouter.audit.rules import Verdict, audit
+from valverouter.audit.rules import audit
+from valverouter.audit.verdict import Verdict
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.edge.proxy import OUTCOMES, EdgeProxy
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -19,7 +19,8 @@
 
 from tests.rig import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
 from valverouter.audit.account import account_by_type, weighted_service_level
-from valverouter.audit.rules import Verdict, audit
+from valverouter.audit.rules import audit
+from valverouter.audit.verdict import Verdict
 from valverouter.days.emulated import plans, run_emulated
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import MemoryEdge, MemoryStore, MemorySurroundings, run_virtual
--- a/valverouter/audit/__init__.py
+++ b/valverouter/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The five rules checked from what passed over the sockets; knows nothing of the edge's own books."""
+"""Checks of a traffic record, which read its rows alone and nothing of the edge proxies' own state."""
--- a/valverouter/audit/account.py
+++ b/valverouter/audit/account.py
@@ -1,18 +1,24 @@
-"""What callers got, counted from the same rows as the audit: service by traffic type, answers, legs."""
+"""The service that callers got, counted from the rows that the audit reads: by traffic type."""
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from enum import Enum, auto
 
-from valverouter.audit.rules import FINAL_ANSWERS
+from valverouter.audit.records import FINAL_ANSWERS, callers_in, in_order, is_received_setup, is_sent_setup
 from valverouter.signalling.tap import AuditConfigRow, MessageRow, Row
 
 
 @dataclass(slots=True)
 class TrafficAccount:
-    """One traffic type. `offered` counts first tries; a caller's later tries belong to its first."""
+    """Counts of one traffic type.
+
+    `offered`: calls, each with all its redials. `dial_attempts`: calls and redials. `within_objective`: calls
+    that were established within the latency objective and not cut; `late`: established after it. `answers`:
+    final answers by kind, and dialogs that were "cut". `attempts`: set-ups at servers.
+    """
 
     offered: int = 0
     dial_attempts: int = 0
@@ -23,65 +29,107 @@
 
     @property
     def service_level(self) -> float:
+        """The fraction of the calls that were served within the objective."""
         return self.within_objective / self.offered if self.offered else 1.0
 
 
+class _Service(Enum):
+    NONE = auto()
+    WITHIN_OBJECTIVE = auto()
+    LATE = auto()
+    CUT = auto()
+
+
 @dataclass(slots=True)
-class _Chain:
-    kind: str
-    first_at: int
-    served: str = ""
+class _Call:
+    """A caller's first dialling with its redials; `since`: from when its latency counts, ns."""
+
+    traffic_type: str
+    since: int
+    service: _Service = _Service.NONE
 
 
 def account_by_type(rows: Iterable[Row]) -> dict[str, TrafficAccount]:
-    """Accounts by traffic type, from the callers' first dialling on.
+    """Accounts by traffic type, in alphabetical order.
 
-    A dialog serves when it stood within the objective, reckoned from the first try, and was not cut; one that
-    was cut and came again is reckoned from that try.
+    The latency of a call counts from its first dialling; if its dialog was cut and the caller dialled again,
+    from then on.
     """
-    whole = sorted(rows, key=lambda row: (row.at, row.seq))
-    terms = next(row for row in whole if isinstance(row, AuditConfigRow))
-    callers = {row.peer for row in whole if isinstance(row, MessageRow) and row.sent and row.kind == "setup"}
-    accounts: dict[str, TrafficAccount] = defaultdict(TrafficAccount)
-    chains: dict[str, _Chain] = {}
-    stood: set[str] = set()
-    for row in whole:
+    ordered = in_order(rows)
+    config = next(row for row in ordered if isinstance(row, AuditConfigRow))
+    callers = callers_in(ordered)
+    accounting = _Accounting(config.latency_objectives)
+    for row in ordered:
         if not isinstance(row, MessageRow) or not row.dialog:
             continue
-        first = row.dialog.rpartition(".")[0] or row.dialog
-        if row.peer not in callers:
-            if not row.sent and row.kind == "setup":
-                accounts[row.detail].attempts += 1
-            continue
-        if row.sent and row.kind == "setup":
-            accounts[row.detail].dial_attempts += 1
-            if first not in chains:
-                accounts[row.detail].offered += 1
-                chains[first] = _Chain(row.detail, row.at)
-            elif chains[first].served == "cut":
-                chains[first].first_at = row.at
-        elif not row.sent and row.kind in (*FINAL_ANSWERS, "ended") and first in chains:
-            chain = chains[first]
-            if row.kind == "stands":
-                if row.dialog in stood:
-                    continue  # told again to a caller that came back; a later try that stands is another
-                stood.add(row.dialog)
-            if row.kind in FINAL_ANSWERS:
-                accounts[chain.kind].answers[row.kind] += 1
-            if row.kind == "stands":
-                soon = row.at - chain.first_at <= terms.latency_objectives.get(chain.kind, 0)
-                chain.served = "in" if soon else "late"
-            elif (row.kind == "ended" and row.detail == "cut") or (row.kind == "unknown" and chain.served):
-                chain.served = "cut"
-                accounts[chain.kind].answers["cut"] += 1
-    for chain in chains.values():
-        accounts[chain.kind].within_objective += chain.served == "in"
-        accounts[chain.kind].late += chain.served == "late"
-    return dict(sorted(accounts.items()))
-
-
-def weighted_service_level(accounts: dict[str, TrafficAccount], importance: dict[str, float]) -> float:
-    """All types together, weighted by their importance."""
-    offered = sum(one.offered * importance.get(kind, 1.0) for kind, one in accounts.items())
-    served = sum(one.within_objective * importance.get(kind, 1.0) for kind, one in accounts.items())
+        if row.peer in callers:
+            accounting.on_caller_message(row)
+        elif is_received_setup(row):
+            accounting.accounts[row.detail].attempts += 1
+    return accounting.finish()
+
+
+class _Accounting:
+    """The calls while a record is read."""
+
+    def __init__(self, latency_objectives: Mapping[str, int]) -> None:
+        self.accounts: dict[str, TrafficAccount] = defaultdict(TrafficAccount)
+        self._latency_objectives = latency_objectives
+        # By the first dialog of each call.
+        self._calls: dict[str, _Call] = {}
+        self._established: set[str] = set()
+
+    def on_caller_message(self, row: MessageRow) -> None:
+        """A message between a caller and its edge proxy."""
+        first_dialog = row.dialog.rpartition(".")[0] or row.dialog
+        if is_sent_setup(row):
+            self._on_dialled(row, first_dialog)
+        elif not row.sent and first_dialog in self._calls:
+            self._on_response(row, self._calls[first_dialog])
+
+    def _on_dialled(self, row: MessageRow, first_dialog: str) -> None:
+        account = self.accounts[row.detail]
+        account.dial_attempts += 1
+        if first_dialog not in self._calls:
+            account.offered += 1
+            self._calls[first_dialog] = _Call(row.detail, row.at)
+        elif self._calls[first_dialog].service is _Service.CUT:
+            self._calls[first_dialog].since = row.at
+
+    def _on_response(self, row: MessageRow, call: _Call) -> None:
+        if row.kind == "stands":
+            if row.dialog in self._established:
+                return  # A caller that resumed the dialog is told again; a redial has another dialog.
+            self._established.add(row.dialog)
+        account = self.accounts[call.traffic_type]
+        if row.kind in FINAL_ANSWERS:
+            account.answers[row.kind] += 1
+        if row.kind == "stands":
+            objective = self._latency_objectives.get(call.traffic_type, 0)
+            is_within = row.at - call.since <= objective
+            call.service = _Service.WITHIN_OBJECTIVE if is_within else _Service.LATE
+        elif _is_cut(row, call):
+            call.service = _Service.CUT
+            account.answers["cut"] += 1
+
+    def finish(self) -> dict[str, TrafficAccount]:
+        """The accounts, with the calls that were served."""
+        for call in self._calls.values():
+            account = self.accounts[call.traffic_type]
+            account.within_objective += call.service is _Service.WITHIN_OBJECTIVE
+            account.late += call.service is _Service.LATE
+        return dict(sorted(self.accounts.items()))
+
+
+def _is_cut(row: MessageRow, call: _Call) -> bool:
+    """Whether a dialog was cut, or is unknown to an edge proxy after it was established."""
+    if row.kind == "ended":
+        return row.detail == "cut"
+    return row.kind == "unknown" and call.service is not _Service.NONE
+
+
+def weighted_service_level(accounts: Mapping[str, TrafficAccount], weights: Mapping[str, float]) -> float:
+    """The service level of all types together, each weighted; a type without a weight has 1."""
+    offered = sum(account.offered * weights.get(kind, 1.0) for kind, account in accounts.items())
+    served = sum(account.within_objective * weights.get(kind, 1.0) for kind, account in accounts.items())
     return served / offered if offered else 1.0
--- /dev/null
+++ b/valverouter/audit/answer_rule.py
@@ -0,0 +1,147 @@
+"""Rule 1.
+
+A caller gets exactly one final answer in time, and after it only the end of an established dialog.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Sequence
+
+from valverouter.audit.records import FINAL_ANSWERS, callers_in, faults_of, is_during
+from valverouter.audit.verdict import Rule, Verdict
+from valverouter.signalling.tap import AuditConfigRow, ConnectionLostRow, MessageRow, Row
+
+# An entry in the history of a dialog: its caller's connection was lost.
+LOST = "lost"
+# Final answers that a caller may receive once more after it resumed the dialog.
+REPEATABLE_ANSWERS = ("stands", "declined", "aborted")
+
+
+def check_answers(rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
+    """Checks rule 1 over rows in order."""
+    check = _AnswerCheck(rows, config, verdict)
+    for row in rows:
+        if isinstance(row, ConnectionLostRow):
+            check.on_connection_lost(row)
+        elif isinstance(row, MessageRow) and row.peer in check.callers and row.dialog:
+            check.on_message(row)
+    check.finish(rows[-1].at if rows else 0)
+
+
+def _from_earlier_connection(kind: str) -> str:
+    """The entry in a history for an answer of an earlier connection, which may come again."""
+    return f"{kind} before"
+
+
+class _AnswerCheck:
+    """The state of all dialogs while a record is read.
+
+    No answer is due while the caller's connection is gone, until it resumes the dialog on another one: then
+    the answer is due as before, and one that was given may come again, the same. An accepted or established
+    dialog must be known when the caller asks for it. No answer can be expected from a process that was
+    stalled when the answer was due, yet an answer that comes too late is a violation all the same.
+    """
+
+    def __init__(self, rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
+        self.callers = callers_in(rows)
+        self._slack = config.slack
+        self._verdict = verdict
+        self._stalls = faults_of(rows, "balancer_stall")
+        # Set-ups without a final answer, by dialog: on a connection, and of lost connections.
+        self._open: dict[str, MessageRow] = {}
+        self._disconnected: dict[str, MessageRow] = {}
+        self._dialogs_by_caller: dict[str, set[str]] = defaultdict(set)
+        # By dialog: the kinds of the messages that its caller received, and LOST.
+        self._history: dict[str, list[str]] = {}
+        # Dialogs whose caller received a provisional answer.
+        self._accepted: set[str] = set()
+
+    def on_connection_lost(self, row: ConnectionLostRow) -> None:
+        """A caller's connection is gone, with its dialogs."""
+        if row.peer not in self.callers:
+            return
+        for dialog in sorted(self._dialogs_by_caller.pop(row.peer, set())):
+            # An answer that was overdue by then stays so: every record ends with the loss of the callers'
+            # connections, and without this check no answer that never came would be found.
+            if (setup := self._open.pop(dialog, None)) is not None:
+                self._check_overdue(setup, row.at)
+                self._disconnected[dialog] = setup
+            self._history.setdefault(dialog, []).append(LOST)
+
+    def on_message(self, row: MessageRow) -> None:
+        """A message between a caller and its edge proxy."""
+        if row.sent:
+            self._on_request(row)
+        else:
+            self._on_response(row)
+
+    def finish(self, end: int) -> None:
+        """The record ends; every answer that was due by then must have come."""
+        for setup in self._open.values():
+            self._check_overdue(setup, end)
+
+    def _on_request(self, row: MessageRow) -> None:
+        if row.kind == "setup":
+            self._verdict.add_check(Rule.ONE_ANSWER)
+            self._open[row.dialog] = row
+            self._dialogs_by_caller[row.peer].add(row.dialog)
+            self._history[row.dialog] = []
+        elif row.kind == "resume":
+            self._on_resume(row)
+
+    def _on_resume(self, row: MessageRow) -> None:
+        self._verdict.resumptions += 1
+        history = self._history.setdefault(row.dialog, [])
+        if history and history[-1] == LOST:
+            history.pop()
+        if (setup := self._disconnected.pop(row.dialog, None)) is not None:
+            self._open[row.dialog] = setup
+        elif len(history) == 1 and history[0] in REPEATABLE_ANSWERS:
+            history[0] = _from_earlier_connection(history[0])
+        self._dialogs_by_caller[row.peer].add(row.dialog)
+
+    def _on_response(self, row: MessageRow) -> None:
+        history = self._history.get(row.dialog, [])
+        if row.kind == "provisional" and not history:
+            self._accepted.add(row.dialog)
+        elif history == [_from_earlier_connection(row.kind)]:
+            self._history[row.dialog] = [row.kind]
+        elif row.kind == "unknown" and history == [_from_earlier_connection("stands")]:
+            self._history[row.dialog] = ["stands", "ended"]
+            self._verdict.forgotten_dialogs += 1
+        elif row.kind in FINAL_ANSWERS:
+            self._on_final_answer(row)
+        else:
+            self._on_other_response(row, history)
+
+    def _on_final_answer(self, row: MessageRow) -> None:
+        if row.kind == "unknown" and row.dialog in self._accepted:
+            self._add_violation(row.at, row.dialog, "unknown after it was told as taken")
+        history = self._history.setdefault(row.dialog, [])
+        setup = self._open.pop(row.dialog, None)
+        self._dialogs_by_caller[row.peer].discard(row.dialog)
+        if history:
+            self._add_violation(row.at, row.dialog, f"{row.kind} after {history[-1]}")
+        elif setup is not None and row.at > setup.at + setup.duration + self._slack:
+            overdue = row.at - setup.at - setup.duration
+            self._add_violation(row.at, row.dialog, f"{row.kind} {overdue} ns after its time")
+        history.append(row.kind)
+
+    def _on_other_response(self, row: MessageRow, history: list[str]) -> None:
+        """A provisional answer is due before the final one only, an end after establishment only."""
+        is_end = row.kind == "ended"
+        if (history or is_end) and (not is_end or history != ["stands"]):
+            self._add_violation(
+                row.at, row.dialog, f"{row.kind} after {history[-1] if history else 'no answer'}"
+            )
+        if history:
+            history.append(row.kind)
+
+    def _check_overdue(self, setup: MessageRow, now: int) -> None:
+        until = setup.at + setup.duration
+        if until + self._slack < now and not is_during(self._stalls, setup.edge, until):
+            self._add_violation(until, setup.dialog, "no final answer in its time")
+
+    def _add_violation(self, at: int, dialog: str, text: str) -> None:
+        self._verdict.add_violation(Rule.ONE_ANSWER, at, dialog, text)
--- /dev/null
+++ b/valverouter/audit/attempt_rules.py
@@ -0,0 +1,96 @@
+"""Rules 2 and 5: one attempt at a time for each dialog, and the release time between two attempts."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from collections.abc import Sequence
+
+from valverouter.audit.records import faults_of, is_during, servers_in
+from valverouter.audit.verdict import Rule, Verdict
+from valverouter.signalling.tap import AuditConfigRow, ConnectionLostRow, MessageRow, Row
+
+# Messages by which a server closes an attempt, and by which an edge proxy does.
+CLOSED_BY_SERVER = ("ended", "line-busy", "full", "no-agent", "fault", "cancelled", "unknown")
+CLOSED_BY_EDGE = ("cancel", "release")
+
+
+def check_attempts(rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
+    """Checks rules 2 and 5 over rows in order."""
+    check = _AttemptCheck(rows, config, verdict)
+    for row in rows:
+        if isinstance(row, ConnectionLostRow):
+            check.on_connection_lost(row)
+        elif isinstance(row, MessageRow) and row.peer in check.servers and row.dialog:
+            check.on_message(row)
+
+
+class _AttemptCheck:
+    """The attempts in flight while a record is read.
+
+    An attempt is in flight from its set-up at a server until the server closes it, or it is cancelled, or its
+    connection is lost. After the latter two, unless it was established, the release time has to pass before
+    the next attempt of the dialog.
+    """
+
+    def __init__(self, rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
+        self.servers = servers_in(rows)
+        self._config = config
+        self._verdict = verdict
+        # While a server's process is held it reads late what was sent in time.
+        self._held = faults_of(rows, "held")
+        # All by dialog: the attempt in flight, those that are established, and since when an attempt was
+        # given up, with the reason.
+        self._in_flight: dict[str, MessageRow] = {}
+        self._established: set[str] = set()
+        self._given_up: dict[str, tuple[int, str]] = {}
+        # Dialogs by edge proxy and server.
+        self._by_connection: dict[tuple[str, str], set[str]] = defaultdict(set)
+
+    def on_connection_lost(self, row: ConnectionLostRow) -> None:
+        """A connection to a server is gone, with its attempts."""
+        if row.peer not in self.servers:
+            return
+        for dialog in self._by_connection.pop((row.edge, row.peer), set()):
+            attempt = self._in_flight.pop(dialog, None)
+            if attempt is not None and dialog not in self._established:
+                self._given_up[dialog] = row.at, "its connection was lost"
+
+    def on_message(self, row: MessageRow) -> None:
+        """A message between an edge proxy and a server."""
+        attempt = self._in_flight.get(row.dialog)
+        if not row.sent and row.kind == "setup":
+            self._on_setup(row, attempt)
+        elif attempt is None or (attempt.leg, attempt.peer) != (row.leg, row.peer):
+            return
+        elif row.sent and row.kind == "stands":
+            self._established.add(row.dialog)
+        elif row.kind in (CLOSED_BY_SERVER if row.sent else CLOSED_BY_EDGE):
+            self._on_closed(row)
+
+    def _on_setup(self, row: MessageRow, previous: MessageRow | None) -> None:
+        self._verdict.add_check(Rule.ONE_ATTEMPT)
+        if previous is not None:
+            text = f"leg {row.leg} at {row.peer} while leg {previous.leg} is out at {previous.peer}"
+            self._verdict.add_violation(Rule.ONE_ATTEMPT, row.at, row.dialog, text)
+        if row.dialog in self._given_up and not self._is_held(row):
+            self._check_release_time(row)
+        self._in_flight[row.dialog] = row
+        self._by_connection[row.edge, row.peer].add(row.dialog)
+        self._established.discard(row.dialog)
+
+    def _check_release_time(self, row: MessageRow) -> None:
+        self._verdict.add_check(Rule.RELEASE_TIME)
+        since, reason = self._given_up.pop(row.dialog)
+        if row.at - since < self._config.release_wait - self._config.slack:
+            text = f"sent again {row.at - since} ns after {reason}"
+            self._verdict.add_violation(Rule.RELEASE_TIME, row.at, row.dialog, text)
+
+    def _on_closed(self, row: MessageRow) -> None:
+        del self._in_flight[row.dialog]
+        self._by_connection[row.edge, row.peer].discard(row.dialog)
+        if row.kind == "cancel" and not self._is_held(row):
+            self._given_up[row.dialog] = row.at, "it was let go"
+        self._established.discard(row.dialog)
+
+    def _is_held(self, row: MessageRow) -> bool:
+        return is_during(self._held, row.peer, row.at, self._config.slack)
--- a/valverouter/audit/attempts.py
+++ b/valverouter/audit/attempts.py
@@ -1,19 +1,24 @@
-"""Legs, time-outs and gaps by traffic type, as the servers saw them: what a file of attempt terms did."""
+"""Attempts, time-outs and retry gaps by traffic type as the servers saw them.
+
+The effect of attempt policies.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from valverouter.audit.records import in_order, is_received_setup, servers_in
 from valverouter.signalling.tap import ConnectionLostRow, MessageRow, Row
 
 
 @dataclass(slots=True)
 class AttemptStatistics:
-    """Of one type: dialogs that reached a server, the most legs of one; spans in ns, None: none was seen.
+    """Of one traffic type; times in ns, None: there was none.
 
-    `cancelled_after`: the shortest and longest time after which a leg was told to be let go. `gap`: the
-    shortest time from that, or from a lost connection, to the dialog's next leg.
+    `dialogs`: those that reached a server. `max_attempts`: of one dialog. `cancelled_after`: the shortest and
+    the longest time from an attempt to its cancellation. `min_retry_gap`: the shortest time from a
+    cancellation or a lost connection to the next attempt of the dialog.
     """
 
     dialogs: int = 0
@@ -22,41 +27,70 @@
     cancelled_after: tuple[int, int] | None = None
     min_retry_gap: int | None = None
 
+    def add_attempt(self, number: int) -> None:
+        """Counts the attempt of that number, from 1, of a dialog."""
+        self.dialogs += number == 1
+        self.attempts += 1
+        self.max_attempts = max(self.max_attempts, number)
+
+    def add_retry_gap(self, gap: int) -> None:
+        """Takes in the time between two attempts."""
+        self.min_retry_gap = gap if self.min_retry_gap is None else min(self.min_retry_gap, gap)
+
+    def add_cancellation(self, after: int) -> None:
+        """Takes in the time after which an attempt was cancelled."""
+        shortest, longest = self.cancelled_after or (after, after)
+        self.cancelled_after = min(shortest, after), max(longest, after)
+
 
 def attempt_statistics(rows: Iterable[Row]) -> dict[str, AttemptStatistics]:
-    """By traffic type; a dialog's entries leave with the record's end only, which is bounded itself."""
-    whole = sorted(rows, key=lambda row: (row.at, row.seq))
-    servers = {
-        row.peer for row in whole if isinstance(row, MessageRow) and not row.sent and row.kind == "setup"
-    }
-    found: dict[str, AttemptStatistics] = {}
-    kinds: dict[str, AttemptStatistics] = {}
-    legs: dict[str, int] = {}
-    out: dict[str, MessageRow] = {}
-    let_go: dict[str, int] = {}
-    for row in whole:
+    """Statistics by traffic type, in the order in which the types first reached a server."""
+    ordered = in_order(rows)
+    servers = servers_in(ordered)
+    reader = _AttemptReader()
+    for row in ordered:
         if isinstance(row, ConnectionLostRow) and row.peer in servers:
-            for dialog, leg in list(out.items()):
-                if (leg.edge, leg.peer) == (row.edge, row.peer):
-                    let_go[dialog] = row.at
-                    del out[dialog]
-        if not isinstance(row, MessageRow) or row.peer not in servers or not row.dialog:
-            continue
-        if not row.sent and row.kind == "setup":
-            one = kinds[row.dialog] = found.setdefault(row.detail, AttemptStatistics())
-            legs[row.dialog] = legs.get(row.dialog, 0) + 1
-            one.dialogs += legs[row.dialog] == 1
-            one.attempts += 1
-            one.max_attempts = max(one.max_attempts, legs[row.dialog])
-            if (since := let_go.pop(row.dialog, None)) is not None:
-                gap = row.at - since
-                one.min_retry_gap = gap if one.min_retry_gap is None else min(one.min_retry_gap, gap)
-            out[row.dialog] = row
-        elif not row.sent and row.kind == "cancel" and row.dialog in out:
-            leg, one = out.pop(row.dialog), kinds[row.dialog]
-            let_go[row.dialog] = row.at
-            least, most = one.cancelled_after or (row.at - leg.at, row.at - leg.at)
-            one.cancelled_after = min(least, row.at - leg.at), max(most, row.at - leg.at)
+            reader.on_connection_lost(row)
+        elif isinstance(row, MessageRow) and row.peer in servers and row.dialog:
+            reader.on_message(row)
+    return reader.by_type
+
+
+class _AttemptReader:
+    """The dialogs while a record is read; their entries stay to its end."""
+
+    def __init__(self) -> None:
+        self.by_type: dict[str, AttemptStatistics] = {}
+        # All by dialog.
+        self._statistics: dict[str, AttemptStatistics] = {}
+        self._attempt_counts: dict[str, int] = {}
+        self._in_flight: dict[str, MessageRow] = {}
+        self._given_up_at: dict[str, int] = {}
+
+    def on_connection_lost(self, row: ConnectionLostRow) -> None:
+        """The attempts of a connection are given up."""
+        for dialog, attempt in list(self._in_flight.items()):
+            if (attempt.edge, attempt.peer) == (row.edge, row.peer):
+                self._given_up_at[dialog] = row.at
+                del self._in_flight[dialog]
+
+    def on_message(self, row: MessageRow) -> None:
+        """A message between an edge proxy and a server."""
+        if is_received_setup(row):
+            self._on_attempt(row)
+        elif not row.sent and row.kind == "cancel" and row.dialog in self._in_flight:
+            attempt = self._in_flight.pop(row.dialog)
+            self._given_up_at[row.dialog] = row.at
+            self._statistics[row.dialog].add_cancellation(row.at - attempt.at)
         elif row.sent and row.kind != "provisional":
-            out.pop(row.dialog, None)
-    return found
+            self._in_flight.pop(row.dialog, None)
+
+    def _on_attempt(self, row: MessageRow) -> None:
+        statistics = self.by_type.setdefault(row.detail, AttemptStatistics())
+        number = self._attempt_counts.get(row.dialog, 0) + 1
+        self._statistics[row.dialog] = statistics
+        self._attempt_counts[row.dialog] = number
+        statistics.add_attempt(number)
+        if (since := self._given_up_at.pop(row.dialog, None)) is not None:
+            statistics.add_retry_gap(row.at - since)
+        self._in_flight[row.dialog] = row
--- a/valverouter/audit/cross_region.py
+++ b/valverouter/audit/cross_region.py
@@ -1,4 +1,4 @@
-"""Legs that crossed from one region to another, counted at the servers' end."""
+"""Set-ups that crossed from one region to another, counted at the servers."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from valverouter.signalling.tap import MessageRow, PlacementRow, Row
+from valverouter.audit.records import in_order, is_received_setup
+from valverouter.signalling.tap import PlacementRow, Row
 
 
 @dataclass(frozen=True, slots=True)
 class CrossRegionSetup:
-    """A set-up that came from another region."""
+    """A set-up at time `at`, ns, from an edge proxy in region `home` at a server in region `away`."""
 
     at: int
     traffic_type: str
@@ -20,13 +21,13 @@
 
 
 def cross_region_setups(rows: Iterable[Row]) -> list[CrossRegionSetup]:
-    """Every set-up that a server heard from an edge proxy of another region, in order."""
+    """Every set-up that a server received from an edge proxy of another region, in order."""
     found: list[CrossRegionSetup] = []
     regions: dict[str, str] = {}
-    for row in sorted(rows, key=lambda row: (row.at, row.seq)):
+    for row in in_order(rows):
         if isinstance(row, PlacementRow):
             regions[row.name] = row.region
-        elif isinstance(row, MessageRow) and not row.sent and row.kind == "setup" and row.peer in regions:
+        elif is_received_setup(row) and row.peer in regions:
             home, away = regions.get(row.edge, ""), regions[row.peer]
             if home != away:
                 found.append(CrossRegionSetup(row.at, row.detail, home, away))
@@ -34,15 +35,15 @@
 
 
 def max_in_window(times: list[int], window: int) -> int:
-    """The most of these moments that any window of that length holds."""
-    most = first = 0
-    for at, time in enumerate(times):
+    """The highest number of these times that lie within any window of that length, ns."""
+    highest = first = 0
+    for index, time in enumerate(times):
         while times[first] <= time - window:
             first += 1
-        most = max(most, at - first + 1)
-    return most
+        highest = max(highest, index - first + 1)
+    return highest
 
 
-def count_by_route(found: Iterable[CrossRegionSetup]) -> Counter[tuple[str, str, str]]:
-    """How many crossed, by traffic type, home and away."""
-    return Counter((one.traffic_type, one.home, one.away) for one in found)
+def count_by_route(setups: Iterable[CrossRegionSetup]) -> Counter[tuple[str, str, str]]:
+    """How many there were by traffic type, home and away."""
+    return Counter((setup.traffic_type, setup.home, setup.away) for setup in setups)
--- /dev/null
+++ b/valverouter/audit/verdict.py
@@ -0,0 +1,59 @@
+"""The result of checking a traffic record against the five rules."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from enum import IntEnum
+
+
+class Rule(IntEnum):
+    """The rules, by their numbers."""
+
+    ONE_ANSWER = 1
+    ONE_ATTEMPT = 2
+    DRAINING = 3
+    SLOW_START = 4
+    RELEASE_TIME = 5
+
+
+@dataclass(frozen=True, slots=True)
+class Violation:
+    """A rule broken at a time by a dialog or at a server (`subject`); `text` says how the record shows it."""
+
+    rule: int
+    at: int
+    subject: str
+    text: str
+
+
+@dataclass(slots=True)
+class Verdict:
+    """All violations, and how much there was to check by rule; without anything to check it means nothing.
+
+    `slow_start_budget_used`: the highest load of a server in slow start, 1 at the limit. `resumptions`: how
+    often a caller asked for a dialog on another connection; `forgotten_dialogs`: how often an established one
+    was then unknown.
+    """
+
+    violations: list[Violation] = field(default_factory=list)
+    check_counts: dict[int, int] = field(default_factory=lambda: {int(rule): 0 for rule in Rule})
+    slow_start_budget_used: float = 0.0
+    resumptions: int = 0
+    forgotten_dialogs: int = 0
+
+    @property
+    def passed(self) -> bool:
+        """Whether no rule was violated."""
+        return not self.violations
+
+    def violated_rules(self) -> set[int]:
+        """The numbers of the rules that were violated."""
+        return {violation.rule for violation in self.violations}
+
+    def add_check(self, rule: Rule, count: int = 1) -> None:
+        """Counts occasions on which a rule could have been violated."""
+        self.check_counts[int(rule)] += count
+
+    def add_violation(self, rule: Rule, at: int, subject: str, text: str) -> None:
+        """Adds a violation."""
+        self.violations.append(Violation(int(rule), at, subject, text))
--- a/valverouter/audit/views.py
+++ b/valverouter/audit/views.py
@@ -1,9 +1,9 @@
-"""Whether the views of a day's edge proxies became one, judged from rows and from nothing of their own.
+"""Whether the membership views of a day's edge proxies converged, judged from rows alone.
 
-settled    within the stated span after the last fault, and from then on, all who run have one digest, and
-           believe exactly those to be there who run
-former     nobody who had a member's later process in view goes back to an earlier one
-false      how often a process that ran, and that no fault had struck, was said to be gone
+converged     within the stated time after the last fault, and from then on, all running edge proxies have the
+              same digest and take exactly the running ones for live
+regressions   an observer that had seen a later incarnation of a member went back to an earlier one
+false         how often a running process that no fault had affected was declared failed
 """
 
 from __future__ import annotations
@@ -21,11 +21,20 @@
     Row,
 )
 
+# Kinds of faults that affect membership begin with one of these.
+MEMBERSHIP_FAULT_PREFIXES = ("path-", "balancer_")
+# The target of a fault on all paths between edge proxies.
+ALL_PATHS = "paths"
+
 
 @dataclass(frozen=True, slots=True)
 class ViewReport:
-    """`settled_after`: ns from the last fault's end, None: never; `allowed`: as stated. `gone_back`: observer
-    and member. `false_deaths`: what was found wrongly, by whom and of whom."""
+    """How the views of a day converged; times in ns.
+
+    `converged_after`: after the last fault, None: never, for `reason`; `max_duration`: the time allowed.
+    `regressions` and `false_failures`: pairs of observer and member. `conflicts`: edge proxies that found a
+    name conflict.
+    """
 
     converged_after: int | None
     max_duration: int
@@ -37,65 +46,76 @@
 
     @property
     def passed(self) -> bool:
-        settled = self.converged_after is not None and self.converged_after <= self.max_duration
-        return settled and not self.regressions
+        """Whether the views converged in time and never went back."""
+        converged = self.converged_after is not None and self.converged_after <= self.max_duration
+        return converged and not self.regressions
 
 
 def check_views(rows: Sequence[Row]) -> ViewReport | None:
-    """None where no view was kept on that day."""
-    settles = next((row for row in rows if isinstance(row, ConvergenceDeadlineRow)), None)
-    if settles is None:
+    """The report of a day; None where it has no views."""
+    deadline = next((row for row in rows if isinstance(row, ConvergenceDeadlineRow)), None)
+    if deadline is None:
         return None
     faults = [row for row in rows if isinstance(row, FaultRow)]
-    last = max((fault.until for fault in faults if _touches(fault)), default=settles.at)
-    # A process that a fault has started again settles from its own start on, if that is later.
-    begins = [row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start]
-    last = max([last, *(at for at in begins if at > last)], default=last)
-    settled_at, why = _settled_at(rows, last)
-    after = None if settled_at is None else max(0, settled_at - last)
+    last_fault = _last_fault_at(rows, faults, deadline.at)
+    converged_at, reason = _converged_at(rows, last_fault)
+    conflicts = {row.edge for row in rows if isinstance(row, MembershipEventRow) and row.kind == "conflict"}
     return ViewReport(
-        converged_after=after,
-        max_duration=settles.max_duration + 2 * settles.poll_interval,
-        last_fault_at=last,
-        regressions=tuple(_gone_back(rows)),
-        false_failures=tuple(_false_deaths(rows, faults, settles.max_duration)),
-        conflicts=tuple(
-            sorted({r.edge for r in rows if isinstance(r, MembershipEventRow) and r.kind == "conflict"})
-        ),
-        reason=why,
+        converged_after=None if converged_at is None else max(0, converged_at - last_fault),
+        max_duration=deadline.max_duration + 2 * deadline.poll_interval,
+        last_fault_at=last_fault,
+        regressions=tuple(_regressions(rows)),
+        false_failures=tuple(_false_failures(rows, faults, deadline.max_duration)),
+        conflicts=tuple(sorted(conflicts)),
+        reason=reason,
     )
 
 
-def _touches(fault: FaultRow) -> bool:
-    return fault.kind.startswith(("path-", "balancer_"))
+def _last_fault_at(rows: Sequence[Row], faults: Sequence[FaultRow], default: int) -> int:
+    """When the last fault ended.
+
+    A process that a fault restarted converges from its start on, if that is later.
+    """
+    last = max((fault.until for fault in faults if _affects_membership(fault)), default=default)
+    starts = [row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start]
+    return max([last, *starts])
+
+
+def _affects_membership(fault: FaultRow) -> bool:
+    return fault.kind.startswith(MEMBERSHIP_FAULT_PREFIXES)
 
 
-def _settled_at(rows: Sequence[Row], last: int) -> tuple[int | None, str]:
-    """The earliest moment from `last` on after which every view that was asked is the one right one."""
+def _converged_at(rows: Sequence[Row], last_fault: int) -> tuple[int | None, str]:
+    """The earliest time after the last fault from which all polled views are correct, and why they weren't."""
     running: dict[str, str] = {}
     latest: dict[str, MembershipViewRow] = {}
-    good_since: int | None = None
-    why = "no view was asked"
+    correct_since: int | None = None
+    reason = "no view was asked"
     for row in rows:
         if isinstance(row, EdgeProcessRow):
-            if row.is_start:
-                running[row.edge] = row.incarnation
-            elif running.get(row.edge) == row.incarnation:
-                del running[row.edge]
+            _update_running(running, row)
             latest.pop(row.edge, None)
         elif isinstance(row, MembershipViewRow):
             latest[row.edge] = row
         else:
             continue
-        flaw = _flaw(running, latest)
-        if flaw:
-            good_since, why = None, f"at {row.at}: {flaw}"
-        elif good_since is None:
-            good_since = row.at
-    return (None if good_since is None else max(good_since, last)), why
+        if problem := _problem(running, latest):
+            correct_since, reason = None, f"at {row.at}: {problem}"
+        elif correct_since is None:
+            correct_since = row.at
+    return (None if correct_since is None else max(correct_since, last_fault)), reason
 
 
-def _flaw(running: dict[str, str], latest: dict[str, MembershipViewRow]) -> str:
+def _update_running(running: dict[str, str], row: EdgeProcessRow) -> None:
+    """Takes a start or an end into the incarnations of the running edge proxies."""
+    if row.is_start:
+        running[row.edge] = row.incarnation
+    elif running.get(row.edge) == row.incarnation:
+        del running[row.edge]
+
+
+def _problem(running: dict[str, str], latest: dict[str, MembershipViewRow]) -> str:
+    """Why the latest views are not yet the correct one; empty if they are."""
     for edge in running:
         if edge not in latest:
             return f"{edge} was not heard of yet"
@@ -108,42 +128,43 @@
     return ""
 
 
-def _gone_back(rows: Sequence[Row]) -> list[tuple[str, str]]:
-    """Who, having seen a member's later process, took an earlier one for present again."""
-    began = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
-    seen: dict[tuple[str, str], dict[str, str]] = defaultdict(dict)
-    wrong = []
+def _regressions(rows: Sequence[Row]) -> list[tuple[str, str]]:
+    """Observer and member where a view that held a later incarnation holds an earlier one again."""
+    started_at = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
+    last_seen: dict[tuple[str, str], dict[str, str]] = defaultdict(dict)
+    found = []
     for row in rows:
         if not isinstance(row, MembershipViewRow):
             continue
-        known = seen[row.edge, row.incarnation]
-        for name, life in row.members.items():
-            before = known.get(name)
-            if before is not None and began.get(life, 0) < began.get(before, 0):
-                wrong.append((row.edge, name))
-            known[name] = life
-    return wrong
-
-
-def _false_deaths(rows: Sequence[Row], faults: list[FaultRow], after: int) -> list[tuple[str, str]]:
-    """Of those that ran and were not struck, nor their paths, at that time or shortly before."""
-    lives = {row.incarnation for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
-    ends = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and not row.is_start}
-    wrong = []
+        known = last_seen[row.edge, row.incarnation]
+        for name, incarnation in row.members.items():
+            previous = known.get(name)
+            if previous is not None and started_at.get(incarnation, 0) < started_at.get(previous, 0):
+                found.append((row.edge, name))
+            known[name] = incarnation
+    return found
+
+
+def _false_failures(rows: Sequence[Row], faults: Sequence[FaultRow], grace: int) -> list[tuple[str, str]]:
+    """Observer and member where a process was declared failed that ran, with no fault then or `grace` before."""
+    processes = [row for row in rows if isinstance(row, EdgeProcessRow)]
+    started = {row.incarnation for row in processes if row.is_start}
+    ended_at = {row.incarnation: row.at for row in processes if not row.is_start}
+    found = []
     for row in rows:
-        if (
-            not isinstance(row, MembershipEventRow)
-            or row.kind != "gone"
-            or row.member_incarnation not in lives
-        ):
+        if not isinstance(row, MembershipEventRow) or row.kind != "gone":
             continue
-        if row.at >= ends.get(row.member_incarnation, row.at + 1):
+        if row.member_incarnation not in started:
             continue
-        struck = any(
-            _touches(fault) and fault.target in (row.member, row.edge, "paths")
-            for fault in faults
-            if fault.at <= row.at <= fault.until + after
-        )
-        if not struck:
-            wrong.append((row.edge, row.member))
-    return wrong
+        was_running = row.at < ended_at.get(row.member_incarnation, row.at + 1)
+        if was_running and not _had_fault(row, faults, grace):
+            found.append((row.edge, row.member))
+    return found
+
+
+def _had_fault(event: MembershipEventRow, faults: Sequence[FaultRow], grace: int) -> bool:
+    targets = (event.member, event.edge, ALL_PATHS)
+    return any(
+        _affects_membership(fault) and fault.target in targets and fault.at <= event.at <= fault.until + grace
+        for fault in faults
+    )
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -10,7 +10,7 @@
 
 from valverouter.attempts.worst_case import AttemptTimeline, StepKind
 from valverouter.audit.account import TrafficAccount, weighted_service_level
-from valverouter.audit.rules import Verdict
+from valverouter.audit.verdict import Verdict
 from valverouter.audit.views import ViewReport
 from valverouter.regions.usage import USAGE_COLUMNS, UsageCounters, UsageKey
 from valverouter.terms.ini import show_span
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -28,14 +28,7 @@
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.shown import Order, Shown
 from valverouter.servermodel.paths import NetworkPaths, PathFault
-from valverouter.signalling.tap import (
-    DisruptionLimitsRow,
-    FaultRow,
-    OperationRow,
-    ProgramVersionRow,
-    Row,
-    StepRow,
-)
+from valverouter.signalling import tap
 from valverouter.terms.day import Day
 
 START_WITHIN_S = 30
@@ -124,7 +117,7 @@
             file.write(SECRET)
         self._write_files()
         most, in_region = self.limits
-        self.world.tap.record(DisruptionLimitsRow, max_unavailable=most, max_unavailable_per_region=in_region)
+        self.world.tap.record(tap.DisruptionLimitsRow, max_unavailable=most, max_per_region=in_region)
 
     def _write_files(self) -> None:
         most, in_region = self.limits
@@ -298,14 +291,13 @@
         """A fault of paths; its moments are the world's."""
         self.faults = [one for one in self.faults if one.until > self.world.now()] + [fault]
         self._paths.paths = NetworkPaths(self.faults, self._draw)
-        self.world.tap.record(
-            FaultRow, until=fault.until + FAULT_SLACK, kind=f"path-{fault.kind}", target="paths"
-        )
+        until = fault.until + FAULT_SLACK
+        self.world.tap.record(tap.FaultRow, until=until, kind=f"path-{fault.kind}", target="paths")
 
     def _fault(self, kind: str, name: str, seconds: float = 0.0) -> None:
         until = self.world.now() + round(seconds * 1e9) + FAULT_SLACK
         target = kept_by(name) if name[0] == "k" else name
-        self.world.tap.record(FaultRow, until=until, kind=kind, target=target)
+        self.world.tap.record(tap.FaultRow, until=until, kind=kind, target=target)
 
     # The tool
 
@@ -356,7 +348,7 @@
         for one in orders:
             members = {m.name: (m.step, m.number, m.former) for m in one.members}
             self.world.tap.record(
-                OperationRow,
+                tap.OperationRow,
                 operation=one.id,
                 kind=one.kind,
                 version=one.version,
@@ -383,14 +375,13 @@
                 seq, turn = len(rows), (said.number, said.step)
                 if said.event == "step-started":
                     turns[turn] = said.up
-                    rows.append(StepRow(seq, at, name, said.number, said.step, said.up))
+                    rows.append(tap.StepRow(seq, at, name, said.number, said.step, said.up))
                 elif said.event == "step-ended":
-                    up = turns.get(turn, True)
-                    rows.append(StepRow(seq, at, name, said.number, said.step, up, said.outcome))
+                    rows.append(tap.StepRow(seq, at, name, *turn, turns.get(turn, True), said.outcome))
                 elif said.event in ("process-started", "process-adopted"):
-                    rows.append(ProgramVersionRow(seq, at, name, said.version))
+                    rows.append(tap.ProgramVersionRow(seq, at, name, said.version))
                 elif said.event == "process-exited":
-                    rows.append(ProgramVersionRow(seq, at, name, ""))
+                    rows.append(tap.ProgramVersionRow(seq, at, name, ""))
 
 
 def _ends_with_us() -> None:
@@ -434,11 +425,11 @@
     in_region: int = 1,
     servers: bool = False,
     least: float = 0.0,
-) -> list[Row]:
+) -> list[tap.Row]:
     """Plays the day with `script` beside its callers; the rows of what passed and of the keepers' logs.
     `servers`: they have keepers too. `least`: the share of a region's edge proxies that must stay."""
 
-    async def main() -> list[Row]:
+    async def main() -> list[tap.Row]:
         world = World(day, Sockets(), day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
--- a/valverouter/signalling/tap.py
+++ b/valverouter/signalling/tap.py
@@ -196,14 +196,14 @@
     tag_field="row",
     tag="limited",
     frozen=True,
-    rename={"max_unavailable": "most", "max_unavailable_per_region": "in_region"},
+    rename={"max_unavailable": "most", "max_per_region": "in_region"},
 ):
     """How many edge proxies operations may take out of service at once, in total and in one region."""
 
     seq: int
     at: int
     max_unavailable: int
-    max_unavailable_per_region: int
+    max_per_region: int
 
 
 class StepRow(Struct, tag_field="row", tag="turned", frozen=True, rename={"runs_after": "up"}):
