--- a/valverouter/audit/views.py
+++ b/valverouter/audit/views.py
@@ -86,7 +86,7 @@
 
 
 def _converged_at(rows: Sequence[Row], last_fault: int) -> tuple[int | None, str]:
-    """The earliest time after the last fault from which all polled views are correct, and why they weren't."""
+    """The earliest time after the last fault from which all polled views are correct, and why not before."""
     running: dict[str, str] = {}
     latest: dict[str, MembershipViewRow] = {}
     correct_since: int | None = None
@@ -146,7 +146,7 @@
 
 
 def _false_failures(rows: Sequence[Row], faults: Sequence[FaultRow], grace: int) -> list[tuple[str, str]]:
-    """Observer and member where a process was declared failed that ran, with no fault then or `grace` before."""
+    """Observer and member where a process was declared failed that ran, without a fault near that time."""
     processes = [row for row in rows if isinstance(row, EdgeProcessRow)]
     started = {row.incarnation for row in processes if row.is_start}
     ended_at = {row.incarnation: row.at for row in processes if not row.is_start}
--- a/valverouter/emulator/rollouts.py
+++ b/valverouter/emulator/rollouts.py
@@ -1,8 +1,9 @@
 """Orders to a fleet in simulated time, under faults drawn by a seed: seats, keepers, programs, tools.
 
-Seats and keepers are the program's own (`rollout/seat.py`, `rollout/keeping.py`), with disks that outlive
-them; what is modelled is the rest: programs that come up, serve, fail by their version, and are killed; words
-that are lost, late, repeated or cut. What is judged is what the programs really did, from a log of its own:
+Control plane nodes and supervisors are the program's own (`rollout/control_plane_node.py`,
+`rollout/supervisor.py`), with disks that outlive them. The rest is simulated: programs that come up, serve,
+fail by their version, and are killed; messages that are lost, late, repeated or cut off. What the programs
+really did is judged from the simulation's own log:
 
     out       never more taken out by orders at once than the limits let, in all and by region
     once      no turn is carried out twice by a keeper that kept its disk
@@ -21,30 +22,23 @@
 
 import msgspec
 
-from valverouter.rollout.conducting import Conductor, Looked, Rules
-from valverouter.rollout.council import SECOND, Durable, Entry, Members, SaveEntries
-from valverouter.rollout.evidence import Evidence, Rule
-from valverouter.rollout.keeping import Counts, Do, Facts, Keeping, Memory
-from valverouter.rollout.limits import Limits, Sort
-from valverouter.rollout.orders import (
-    Book,
-    Command,
-    Kind,
-    Next,
-    Order,
-    Phase,
-    Place,
-    Placed,
-    Step,
-    Stop,
-    released,
-)
-from valverouter.rollout.permits import Back
-from valverouter.rollout.seat import Seat, Word
+from valverouter.emulator.release_baselines import BASELINES
+from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
+from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
+from valverouter.rollout.disruption_permits import InstanceReturned
+from valverouter.rollout.operations import Cancel, Operation, OperationKind, StepStatus, Submit, SubmitResult
+from valverouter.rollout.orchestrator_config import OrchestratorConfig
+from valverouter.rollout.raft import SECOND
+from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
+from valverouter.rollout.reports import InstanceCounters, InstanceInfo
+from valverouter.rollout.sequential_test import SequentialTestConfig
+from valverouter.rollout.supervisor import Supervisor, SupervisorAction
+from valverouter.rollout.supervisor_state import SupervisorState
 from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 TICK = SECOND // 10
 REPORTS = SECOND // 2
+REGIONS = ("north", "south", "west")
 VERSIONS = ("v1", "v2", "crashes", "dies-late", "declines")
 # A program that dies late does so after this.
 DIES_AFTER = 12 * SECOND
@@ -59,8 +53,8 @@
     """A seat's: its disk outlives it. `seat` None: it is down."""
 
     name: str
-    durable: Durable
-    seat: Seat | None = None
+    durable: PersistentState
+    seat: ControlPlaneNode | None = None
     stopped_until: int = 0
     life: int = 0
 
@@ -69,9 +63,9 @@
 class Instance:
     """A keeper with its program. `disk`: the memory as it was last saved."""
 
-    facts: Facts
+    facts: InstanceInfo
     disk: bytes
-    keeping: Keeping | None = None
+    keeping: Supervisor | None = None
     life: int = 0
     stopped_until: int = 0
     # The program: 0, none; when it came up; until when a stop takes.
@@ -91,58 +85,6 @@
     lost_disk: bool = False
 
 
-class Threshold(Conductor):
-    """A baseline: after ten seconds, on if the released ones decline at most 1.5 times what the others do,
-    and halted if not."""
-
-    def _look(self, now: int, book: Book, order: Order) -> list[Command]:
-        released_ones, others = released(book, order)
-        if order.phase is not Phase.WATCHING:
-            return []
-        looked = self._looked
-        if looked is None or (looked.order, looked.stage) != (order.id, order.stage):
-            counts = {name: seen.report.counts for name, seen in self.watch.seen.items()}
-            self._looked = Looked(
-                order.id, order.stage, now, Evidence(("declined",), Rule(), self._draw), counts, {}, now
-            )
-            return []
-        if now - looked.began < 10 * SECOND:
-            return []
-        ours, theirs = self._share(looked, released_ones), self._share(looked, others)
-        return (
-            [Stop(order.id, f"{ours:.3f} of {theirs:.3f}")]
-            if ours > 1.5 * theirs
-            else [Next(order.id, order.wave)]
-        )
-
-    def _share(self, looked: Looked, names: list[str]) -> float:
-        bad = whole = 0
-        for name in names:
-            before, seen = looked.counts.get(name), self.watch.seen.get(name)
-            if before is not None and seen is not None and before.life == seen.report.counts.life:
-                bad += seen.report.counts.declined - before.declined
-                whole += seen.report.counts.taken - before.taken
-        return bad / whole if whole else 0.0
-
-
-class Timer(Conductor):
-    """A baseline: ten seconds after a wave the next goes."""
-
-    def _look(self, now: int, book: Book, order: Order) -> list[Command]:
-        if order.phase is not Phase.WATCHING:
-            return []
-        looked = self._looked
-        if looked is None or (looked.order, looked.stage) != (order.id, order.stage):
-            self._looked = Looked(
-                order.id, order.stage, now, Evidence(("declined",), Rule(), self._draw), {}, {}, now
-            )
-            return []
-        return [Next(order.id, order.wave)] if now - looked.began >= 10 * SECOND else []
-
-
-BASELINES: dict[str, type[Conductor]] = {"threshold": Threshold, "timer": Timer}
-
-
 class Rollout:
     """One course. `plant` takes a rule out, so that the watch is seen to find it: `again` (a keeper forgets
     what it began, and asks for no open permit), `lapse` (a leader takes whoever is silent for in).
@@ -152,9 +94,9 @@
         self,
         seed: int,
         instances: int = 12,
-        limits: Limits | None = None,
+        limits: DisruptionLimits | None = None,
         loss: float = 0.02,
-        rules: Rules | None = None,
+        rules: OrchestratorConfig | None = None,
         plant: str = "",
         watching: str = "program",
     ) -> None:
@@ -162,22 +104,19 @@
         self._watching = watching
         self.chance = random.Random(f"rollout/{seed}")
         self.plant = plant
-        self.limits = limits or Limits(most=max(2, instances // 6), in_region=max(1, instances // 8))
-        self.rules = rules or Rules(
-            {Sort.EDGE: self.limits}, evidence=Rule(0.001, 0.05, 3.0, 150), unsettled=10 * SECOND
+        self.limits = limits or DisruptionLimits(
+            max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
         )
+        self.rules = rules or _default_config(self.limits)
         self.found: Counter[str] = Counter()
-        self.answers: dict[str, Placed] = {}
+        self.answers: dict[str, SubmitResult] = {}
         self.harmed = 0
         self.served = 0
         disks = tuple((f"c{at}", self.chance.getrandbits(64)) for at in range(3))
-        self.seats = {name: Machine(name, Durable(disk)) for name, disk in disks}
+        self.seats = {name: Machine(name, PersistentState(disk)) for name, disk in disks}
         for one in self.seats.values():
-            one.durable.apply(SaveEntries(1, (Entry(1, Members(disks)),)))
-        self.fleet: dict[str, Instance] = {}
-        for at in range(instances):
-            facts = Facts(f"e{at}", Sort.EDGE, ("north", "south", "west")[at % 3], 100, 0.0, VERSIONS)
-            self.fleet[facts.name] = Instance(facts, msgspec.msgpack.encode(Memory("v1")))
+            one.durable.apply(SaveEntries(1, (LogEntry(1, Configuration(disks)),)))
+        self.fleet = _new_fleet(instances)
         self._events: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self._serial = 0
         self._processes = 0
@@ -209,9 +148,9 @@
         one = self.seats[name]
         if one.seat is None:
             one.life += 1
-            one.seat = Seat(name, one.durable, self.rules, self.chance.random, self.now)
+            one.seat = ControlPlaneNode(name, one.durable, self.rules, self.chance.random, self.now)
             if self._watching != "program":
-                one.seat.make = BASELINES[self._watching]
+                one.seat.orchestrator_class = BASELINES[self._watching]
             self.at(self.now + TICK, self._tick_seat, one, one.life)
 
     def crash_seat(self, name: str) -> None:
@@ -223,31 +162,31 @@
             return
         self.at(self.now + TICK, self._tick_seat, one, life)
         if self.now >= one.stopped_until:
-            if self.plant == "lapse" and one.seat.conductor is not None:
+            if self.plant == "lapse" and one.seat.orchestrator is not None:
                 self._lapses(one.seat)
             one.seat.tick(self.now)
             self._after(one)
 
-    def _lapses(self, seat: Seat) -> None:
+    def _lapses(self, seat: ControlPlaneNode) -> None:
         """Planted: out becomes in by time."""
-        assert seat.conductor is not None
-        for name, held in list(seat.book.register.out.items()):
+        assert seat.orchestrator is not None
+        for name, held in list(seat.operation_log.permits.unavailable.items()):
             if held is not None and self.chance.random() < 0.02:
-                seat.propose(self.now, Back(name, held.number))
+                seat.propose(self.now, InstanceReturned(name, held.number))
 
     def _hears(self, one: Machine, message: Any) -> None:
         if self.now < one.stopped_until:
             self.at(one.stopped_until, self._hears, one, message)
         elif one.seat is not None:
-            one.seat.heard(self.now, message)
+            one.seat.on_message(self.now, message)
             self._after(one)
 
     def _after(self, one: Machine) -> None:
         """Saves are durable, then words leave; between the two it may crash."""
         assert one.seat is not None
-        one.seat.saves.clear()
-        out = list(one.seat.out)
-        one.seat.out.clear()
+        one.seat.pending_saves.clear()
+        out = list(one.seat.outgoing)
+        one.seat.outgoing.clear()
         if self._faults and self.chance.random() < 0.0002:
             self.crash_seat(one.name)
             self.at(self.now + int(self.chance.uniform(0.1, 5) * SECOND), self.start_seat, one.name)
@@ -257,10 +196,10 @@
                 self._send(one.name, to, self._hears, self.seats[to], message)
 
     @property
-    def leader(self) -> Seat | None:
+    def leader(self) -> ControlPlaneNode | None:
         """Whoever leads by the highest term."""
-        ones = [m.seat for m in self.seats.values() if m.seat is not None and m.seat.leads]
-        return max(ones, key=lambda seat: seat.councillor.durable.term, default=None)
+        ones = [m.seat for m in self.seats.values() if m.seat is not None and m.seat.is_leader]
+        return max(ones, key=lambda seat: seat.raft.persistent.current_term, default=None)
 
     # Keepers
 
@@ -270,12 +209,12 @@
             return
         one.life += 1
         one.stamps.clear()
-        memory = msgspec.msgpack.decode(one.disk, type=Memory)
-        one.keeping = Keeping(one.facts, memory)
+        memory = msgspec.msgpack.decode(one.disk, type=SupervisorState)
+        one.keeping = Supervisor(one.facts, memory)
         # Its program may have outlived it: then it is taken over.
-        one.keeping.resumes(bool(one.process))
+        one.keeping.resume(bool(one.process))
         if self.plant == "again":
-            memory.turns.clear()
+            memory.steps.clear()
         self.at(self.now, self._tick_keeper, one, one.life)
         self.at(self.now + int(self.chance.random() * REPORTS), self._reports, one, one.life)
 
@@ -287,7 +226,7 @@
         one = self.fleet[name]
         self.crash_keeper(name)
         # What runs tells the new keeper what it was started as.
-        one.disk = msgspec.msgpack.encode(Memory("v1", running=one.version))
+        one.disk = msgspec.msgpack.encode(SupervisorState("v1", running_version=one.version))
         one.lost_disk = True
         self.found["keeper disk lost"] += 1
 
@@ -302,13 +241,13 @@
         one.process = 0
         one.ends_at = 0
         if one.keeping is not None and self.now >= one.stopped_until:
-            one.keeping.ended(self.now)
+            one.keeping.on_exited(self.now)
         elif one.keeping is not None:
             self.at(one.stopped_until, self._over_late, one, one.life)
 
     def _over_late(self, one: Instance, life: int) -> None:
-        if one.keeping is not None and one.life == life and not one.process and one.keeping.runs:
-            one.keeping.ended(self.now)
+        if one.keeping is not None and one.life == life and not one.process and one.keeping.is_running:
+            one.keeping.on_exited(self.now)
 
     def _tick_keeper(self, one: Instance, life: int) -> None:
         if one.keeping is None or one.life != life:
@@ -337,25 +276,27 @@
         keeping = one.keeping
         assert keeping is not None
         if one.process and self.now >= one.up_at:
-            keeping.told(Counts(one.process, not one.ends_at, True, one.taken, one.declined, 0, 0, "settled"))
-        while (do := keeping.act(self.now)) is not None:
-            if do is Do.SAVE:
-                one.disk = msgspec.msgpack.encode(keeping.memory)
-                keeping.saved()
+            keeping.on_counters(
+                InstanceCounters(one.process, not one.ends_at, True, one.taken, one.declined, 0, 0, "settled")
+            )
+        while (do := keeping.next_action(self.now)) is not None:
+            if do is SupervisorAction.SAVE:
+                one.disk = msgspec.msgpack.encode(keeping.state)
+                keeping.on_saved()
                 self._saved(one, keeping)
-            elif do is Do.STOP:
-                keeping.asked_to_stop()
+            elif do is SupervisorAction.STOP:
+                keeping.on_stop_requested()
                 one.ends_at = self.now + int(self.chance.uniform(0.1, 1.5) * SECOND)
             else:
                 self._starts(one, keeping)
 
-    def _saved(self, one: Instance, keeping: Keeping) -> None:
+    def _saved(self, one: Instance, keeping: Supervisor) -> None:
         """What the disk holds is what has happened: a turn that was begun, one that was ended."""
-        if not keeping.memory.turns:
+        if not keeping.state.steps:
             return
-        last = keeping.memory.turns[-1]
-        turn = last.number, last.step
-        if last.why == "of a former memory":
+        last = keeping.state.steps[-1]
+        turn = last.permit_number, last.index
+        if last.reason == "of a former memory":
             return
         if not last.outcome and one.turn != turn:
             if turn in one.done and not one.lost_disk:
@@ -366,12 +307,12 @@
         elif last.outcome == "done":
             if turn not in one.done:
                 one.done.append(turn)
-            if keeping.memory.up:
+            if keeping.state.up:
                 one.turn = None
 
-    def _starts(self, one: Instance, keeping: Keeping) -> None:
+    def _starts(self, one: Instance, keeping: Supervisor) -> None:
         self._processes += 1
-        one.process, one.version = self._processes, keeping.memory.version
+        one.process, one.version = self._processes, keeping.state.version
         one.taken = one.declined = 0
         one.up_at = self.now + int(self.chance.uniform(0.2, 1.0) * SECOND)
         one.looked_at = one.up_at
@@ -380,7 +321,7 @@
             one.up_at, one.ends_at = self.now + 10**6 * SECOND, self.now + SECOND // 5
         elif one.version == "dies-late":
             one.ends_at = self.now + DIES_AFTER
-        keeping.started(self.now, one.version)
+        keeping.on_started(self.now, one.version)
 
     def _reports(self, one: Instance, life: int) -> None:
         if one.keeping is None or one.life != life:
@@ -405,36 +346,39 @@
         if machine.seat is None or self.now < machine.stopped_until:
             return
 
-        def answer(word: Word) -> None:
+        def answer(word: DesiredStateReply) -> None:
             self._send(machine.name, one.facts.name, self._worded, one, life, machine.name, word)
 
-        machine.seat.report(self.now, report, since, answer)
+        machine.seat.on_report(self.now, report, since, answer)
         self._after(machine)
 
-    def _worded(self, one: Instance, life: int, seat: str, word: Word) -> None:
+    def _worded(self, one: Instance, life: int, seat: str, word: DesiredStateReply) -> None:
         if one.keeping is None or one.life != life:
             return
         if self.now < one.stopped_until:
             self.at(one.stopped_until, self._worded, one, life, seat, word)
             return
         one.stamps[seat] = max(one.stamps.get(seat, 0), word.stamp)
-        one.keeping.wanted(self.now, word.want, word.is_open or self.plant == "again")
+        one.keeping.on_desired_state(self.now, word.desired, word.is_open or self.plant == "again")
         self._acts(one)
 
     def _watch(self) -> None:
         out = [one for one in self.fleet.values() if one.turn is not None]
-        if len(out) > self.limits.most:
+        if len(out) > self.limits.max_unavailable:
             raise Broken(
-                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, {self.limits.most} may be"
+                f"{len(out)} are out by orders at {self.now / SECOND:.1f}, "
+                f"{self.limits.max_unavailable} may be"
             )
         for region in {one.facts.region for one in out}:
             here = sum(one.facts.region == region for one in out)
-            if here > self.limits.of(region):
-                raise Broken(f"{here} of {region} are out by orders, {self.limits.of(region)} may be")
+            if here > self.limits.max_unavailable_in(region):
+                raise Broken(
+                    f"{here} of {region} are out by orders, {self.limits.max_unavailable_in(region)} may be"
+                )
 
     # Tools
 
-    def order(self, place: Place, tries: int = 10) -> None:
+    def order(self, place: Submit, tries: int = 10) -> None:
         """Told to all seats until one answers: the tool may be killed after any of them."""
         if place.id in self.answers or not tries:
             return
@@ -442,23 +386,23 @@
             self._send("tool", machine.name, self._ordered, machine, place)
         self.at(self.now + 2 * SECOND, self.order, place, tries - 1)
 
-    def _ordered(self, machine: Machine, place: Place) -> None:
+    def _ordered(self, machine: Machine, place: Submit) -> None:
         if machine.seat is None or self.now < machine.stopped_until:
             return
         if machine.seat.propose(self.now, place):
             self.at(self.now + SECOND, self._answers, machine, place)
         self._after(machine)
 
-    def _answers(self, machine: Machine, place: Place) -> None:
+    def _answers(self, machine: Machine, place: Submit) -> None:
         if machine.seat is not None and place.id in machine.seat.answers:
             answer = machine.seat.answers[place.id]
-            assert isinstance(answer, Placed)
+            assert isinstance(answer, SubmitResult)
             self.answers.setdefault(place.id, answer)
 
     def stop_order(self, order: str, why: str, tries: int = 5) -> None:
         for machine in self.seats.values():
             if machine.seat is not None and self.now >= machine.stopped_until:
-                machine.seat.propose(self.now, Stop(order, why))
+                machine.seat.propose(self.now, Cancel(order, why))
                 self._after(machine)
         if tries > 1:
             self.at(self.now + 2 * SECOND, self.stop_order, order, why, tries - 1)
@@ -484,19 +428,19 @@
 
     def _some_order(self) -> None:
         chance = self.chance
-        kind = chance.choices(list(Kind), (2, 2, 2, 4))[0]
+        kind = chance.choices(list(OperationKind), (2, 2, 2, 4))[0]
         names = chance.sample(sorted(self.fleet), chance.randint(1, len(self.fleet)))
-        if kind is Kind.DRAIN:
-            names = names[: self.limits.in_region]
-        if kind is Kind.UNDRAIN:
-            names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.memory.up]
-        if kind is Kind.RELEASE and chance.random() < 0.7:
+        if kind is OperationKind.DRAIN:
+            names = names[: self.limits.max_unavailable_per_region]
+        if kind is OperationKind.UNDRAIN:
+            names = [name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up]
+        if kind is OperationKind.RELEASE and chance.random() < 0.7:
             names = sorted(self.fleet)
         if not names:
             return
         self.found[f"order {kind.value}"] += 1
-        version = chance.choice(VERSIONS) if kind is Kind.RELEASE else ""
-        place = Place(f"o{self.found.total()}", kind, tuple(names), version)
+        version = chance.choice(VERSIONS) if kind is OperationKind.RELEASE else ""
+        place = Submit(f"o{self.found.total()}", kind, tuple(names), version)
         self.order(place, chance.randint(1, 6))
         if chance.random() < 0.2:
             self.at(self.now + int(chance.uniform(1, 20) * SECOND), self.stop_order, place.id, "by hand")
@@ -550,9 +494,9 @@
         self.at(self.now + 8 * SECOND, self._undrain)
 
     def _undrain(self) -> None:
-        names = tuple(name for name, one in self.fleet.items() if one.keeping and not one.keeping.memory.up)
+        names = tuple(name for name, one in self.fleet.items() if one.keeping and not one.keeping.state.up)
         if names:
-            self.order(Place(f"undrain/{self.now}", Kind.UNDRAIN, names))
+            self.order(Submit(f"undrain/{self.now}", OperationKind.UNDRAIN, names))
 
     # At its end
 
@@ -562,19 +506,40 @@
         if leader is None:
             raise Broken("nobody leads at the end")
         ends: Counter[str] = Counter()
-        for order in leader.book.orders.values():
+        for order in leader.operation_log.operations.values():
             ends[f"{order.kind.value}: {order.result or order.phase.value}"] += 1
-            self._judge(order, list(leader.book.orders.values()))
+            self._judge(order, list(leader.operation_log.operations.values()))
         return dict(ends)
 
-    def _judge(self, order: Order, orders: list[Order]) -> None:
-        for name, member in order.members.items():
+    def _judge(self, order: Operation, orders: list[Operation]) -> None:
+        for name, member in order.participants.items():
             one = self.fleet[name]
-            told = member.step in (Step.DONE, Step.DRAINED, Step.RETURNED)
-            if told and not one.lost_disk and not any(turn[0] == member.number for turn in one.done):
-                raise Broken(f"{name} is told as {member.step.value} by {order.id}, and has not done it")
-        if order.kind is Kind.RELEASE and order.result == "halted":
-            later = any(one.at > order.at for one in orders)
-            for name, member in order.members.items():
-                if member.step in (Step.DONE, Step.OUT, Step.FAILED) and order.back and not later:
-                    raise Broken(f"{name} was not brought back by {order.id}: {member.step.value}")
+            told = member.status in (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
+            if told and not one.lost_disk and not any(turn[0] == member.permit_number for turn in one.done):
+                raise Broken(f"{name} is told as {member.status.value} by {order.id}, and has not done it")
+        if order.kind is OperationKind.RELEASE and order.result == "halted":
+            later = any(one.submitted_at_ms > order.submitted_at_ms for one in orders)
+            for name, member in order.participants.items():
+                if (
+                    member.status in (StepStatus.DONE, StepStatus.OUT, StepStatus.FAILED)
+                    and order.roll_back
+                    and not later
+                ):
+                    raise Broken(f"{name} was not brought back by {order.id}: {member.status.value}")
+
+
+def _default_config(limits: DisruptionLimits) -> OrchestratorConfig:
+    return OrchestratorConfig(
+        {InstanceKind.EDGE: limits},
+        sequential_test=SequentialTestConfig(0.001, 0.05, 3.0, 150),
+        max_unsettled=10 * SECOND,
+    )
+
+
+def _new_fleet(size: int) -> dict[str, Instance]:
+    fleet = {}
+    for index in range(size):
+        region = REGIONS[index % len(REGIONS)]
+        info = InstanceInfo(f"e{index}", InstanceKind.EDGE, region, 100, 0.0, VERSIONS)
+        fleet[info.name] = Instance(info, msgspec.msgpack.encode(SupervisorState("v1")))
+    return fleet
--- a/valverouter/fleet/instance_probe.py
+++ b/valverouter/fleet/instance_probe.py
@@ -10,7 +10,7 @@
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.fleet.transport import received_messages
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.reports import InstanceCounters
 
 QUERY_INTERVAL_S = 0.25
 # An instance that has not replied for so long counts as serving nobody.
@@ -35,18 +35,18 @@
         """Close the socket."""
         self._socket.close()
 
-    async def find_running(self) -> Counts | None:
+    async def find_running(self) -> InstanceCounters | None:
         """Return what a running instance tells that names its process; None where none does in time."""
         self._send_query()
         with trio.move_on_after(QUERY_INTERVAL_S):
             while True:
                 await self._socket.readable()
                 for message in received_messages(self._socket, self._reader):
-                    if isinstance(message, CountersReply) and message.counters.process:
+                    if isinstance(message, CountersReply) and message.counters.pid:
                         return message.counters
         return None
 
-    def receive(self) -> Iterator[Counts]:
+    def receive(self) -> Iterator[InstanceCounters]:
         """Yield the counters from replies that have arrived."""
         for message in received_messages(self._socket, self._reader):
             if isinstance(message, CountersReply) and message.nonce == self._nonce:
--- a/valverouter/fleet/instance_status.py
+++ b/valverouter/fleet/instance_status.py
@@ -6,7 +6,7 @@
 
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.membership.records import Phase
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.reports import InstanceCounters
 
 # The environment variable that holds the version label as which a supervisor started the process.
 VERSION_VARIABLE = "VALVEROUTER_VERSION"
@@ -17,18 +17,18 @@
     return Phase.DRAINING if proxy.stopping else Phase.SERVING, proxy.terms.digest
 
 
-def instance_counters(proxy: EdgeProxy) -> Counts:
+def instance_counters(proxy: EdgeProxy) -> InstanceCounters:
     """Return the counters since the process's start; incarnation and view health are left to be filled in."""
     answers = proxy.tally.answers
     declined = answers["declined"] + answers["declined-here"]
     lost = answers["aborted"] + proxy.tally.withheld
-    return Counts(
+    return InstanceCounters(
         serving=not proxy.stopping,
         ready=proxy.ready,
-        taken=answers["stands"] + declined + lost,
-        declined=declined,
+        accepted=answers["stands"] + declined + lost,
+        rejected=declined,
         lost=lost,
         late=proxy.tally.late,
-        label=os.environ.get(VERSION_VARIABLE, ""),
-        process=os.getpid(),
+        version_label=os.environ.get(VERSION_VARIABLE, ""),
+        pid=os.getpid(),
     )
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -31,7 +31,7 @@
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.membership import Membership
 from valverouter.membership.records import MemberRecord, Phase
-from valverouter.rollout.keeping import Counts
+from valverouter.rollout.reports import InstanceCounters
 from valverouter.terms.between import Between
 from valverouter.terms.edge import EdgeTerms
 
@@ -67,7 +67,7 @@
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
         on_event: Callable[[MembershipEvent], None] = _ignore_event,
-        counters: Callable[[], Counts] = Counts,
+        counters: Callable[[], InstanceCounters] = InstanceCounters,
     ) -> None:
         """Prepare the service; `run` opens the socket.
 
@@ -197,7 +197,7 @@
         self, socket: Datagrams, membership: Membership, query: CountersQuery, source: str
     ) -> None:
         counters = msgspec.structs.replace(
-            self._counters(), life=self._incarnation, trust=membership.view_health.value
+            self._counters(), incarnation=self._incarnation, view_health=membership.view_health.value
         )
         own_record = membership.own_record
         sender = own_record.name, own_record.incarnation, membership.view.digest
--- /dev/null
+++ b/valverouter/rollout/permit_model.py
@@ -0,0 +1,293 @@
+"""A model checker: every order of steps of three replicas and the holders of their permits.
+
+The replicas' consensus is that of `raft.py` with its exchanges as single steps, each of which may reach any
+part of the others. An election takes the votes of any set of replicas that grants them. What a leader sends
+in its term are prefixes of its log, any of which may reach anybody once, repeatedly, late (after the leader
+has lost its term, too), or never. The decisions are those of `PermitRegister` over any committed prefix, and
+reach a holder likewise. A holder acts by `Fence`. A leader that stops and wakes is thus one whose messages
+come later than others.
+
+Two properties are checked in every state:
+
+    out      the holders that are really out, whatever anybody believes, are at most `max_unavailable`
+    one      what was committed at an index stays the same for all time
+
+`planted_fault` takes a rule out: "fence" (a holder acts on any permit), "lapse" (a permit ends though its
+holder is out), "twice" (a replica's vote counts twice), "memory" (a crash loses what was on disk). That an
+entry of a former term is committed only along with one of the leader's own term takes five terms to matter;
+the tests of the Raft node step that by hand.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+from itertools import combinations
+from typing import TypeVar
+
+from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
+from valverouter.rollout.disruption_permits import (
+    EnrollInstances,
+    Fence,
+    InstanceReturned,
+    Permit,
+    PermitRegister,
+    RequestPermit,
+)
+
+PLANTED_FAULTS = ("fence", "lapse", "twice", "memory")
+REPLICAS = 3
+QUORUM = 2
+NO_VOTE = -1
+
+Command = RequestPermit | InstanceReturned
+# A term and a command.
+Entry = tuple[int, Command]
+Log = tuple[Entry, ...]
+Item = TypeVar("Item")
+
+
+class SafetyViolationError(Exception):
+    """A reachable state breaks a property; the text says which and how."""
+
+
+@dataclass(frozen=True, slots=True)
+class Replica:
+    """What is on a replica's disk, and the term that it leads; 0: none."""
+
+    term: int = 0
+    voted_for: int = NO_VOTE
+    log: Log = ()
+    leading_term: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class Holder:
+    """Numbers of permits: by which the holder is out (0: it is not), and what its fence has seen."""
+
+    out_by: int = 0
+    highest_seen: int = 0
+    highest_ended: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class State:
+    """All replicas and holders, and what was sent between them.
+
+    `leader_logs` holds the log of each term's leader as far as it grew. `acknowledged` holds, by term and
+    replica, the longest prefix of that which the replica has on disk. `proposed` are commands that any leader
+    may append, any number of times.
+    """
+
+    replicas: tuple[Replica, ...] = (Replica(),) * REPLICAS
+    holders: tuple[Holder, ...] = ()
+    leader_logs: tuple[Log, ...] = ()
+    acknowledged: frozenset[tuple[int, int, int]] = frozenset()
+    committed: Log = ()
+    proposed: frozenset[Command] = frozenset()
+    crashes: int = 0
+
+    def with_replica(self, index: int, replica: Replica) -> State:
+        """This state, with another replica at `index`."""
+        return replace(self, replicas=_replaced(self.replicas, index, replica))
+
+    def with_holder(self, index: int, holder: Holder) -> State:
+        """This state, with another holder at `index`."""
+        return replace(self, holders=_replaced(self.holders, index, holder))
+
+    def with_leader_log(self, term: int, log: Log) -> State:
+        """This state, with the log that the leader of `term` has now."""
+        return replace(self, leader_logs=_replaced(self.leader_logs, term - 1, log))
+
+
+@dataclass(frozen=True, slots=True)
+class PermitModel:
+    """The bounds of the exploration, and a planted fault.
+
+    `depth_first` goes on from the newest state: a violation that is many steps away is found sooner.
+    """
+
+    holders: int = 2
+    max_unavailable: int = 1
+    max_terms: int = 2
+    max_log_length: int = 3
+    max_crashes: int = 1
+    planted_fault: str = ""
+    depth_first: bool = False
+
+    def explore(self, max_states: int = 3_000_000) -> int:
+        """How many states are reachable.
+
+        Raises SafetyViolationError at the first that breaks a property, MemoryError over `max_states`.
+        """
+        initial = State(
+            holders=(Holder(),) * self.holders,
+            leader_logs=((),) * self.max_terms,
+            proposed=frozenset(
+                RequestPermit(f"a{index}", _holder_name(index)) for index in range(self.holders)
+            ),
+        )
+        seen, waiting = {initial}, deque([initial])
+        while waiting:
+            state = waiting.pop() if self.depth_first else waiting.popleft()
+            for successor in self._successors(state):
+                if successor in seen:
+                    continue
+                self._check(successor)
+                seen.add(successor)
+                waiting.append(successor)
+                if len(seen) > max_states:
+                    raise MemoryError(f"over {max_states} states")
+        return len(seen)
+
+    def _check(self, state: State) -> None:
+        out_by = [holder.out_by for holder in state.holders]
+        out = sum(number > 0 for number in out_by)
+        if out > self.max_unavailable:
+            raise SafetyViolationError(f"out: {out} are out by permits {out_by}")
+
+    def _successors(self, state: State) -> Iterator[State]:
+        for index, replica in enumerate(state.replicas):
+            yield from self._elections(state, index, replica)
+            if replica.leading_term:
+                yield from self._appends(state, index, replica)
+                yield from self._commits(state, index, replica)
+            if state.crashes < self.max_crashes:
+                yield self._crashed(state, index, replica)
+        yield from self._replications(state)
+        for index, holder in enumerate(state.holders):
+            yield from self._holder_steps(state, index, holder)
+
+    # Replicas
+
+    def _elections(self, state: State, index: int, candidate: Replica) -> Iterator[State]:
+        """The candidate becomes the leader of its next term, by every sufficient set of votes."""
+        term = candidate.term + 1
+        if term > self.max_terms:
+            return
+        willing = [
+            other
+            for other, replica in enumerate(state.replicas)
+            if other != index and _grants_vote(replica, term, candidate.log)
+        ]
+        votes_needed = QUORUM - 1 if self.planted_fault != "twice" else 0
+        for voters in combinations(willing, votes_needed):
+            elected = state.with_replica(
+                index, replace(candidate, term=term, voted_for=index, leading_term=term)
+            )
+            for voter in voters:
+                vote = replace(state.replicas[voter], term=term, voted_for=index, leading_term=0)
+                elected = elected.with_replica(voter, vote)
+            yield elected.with_leader_log(term, candidate.log)
+
+    def _crashed(self, state: State, index: int, replica: Replica) -> State:
+        restarted = Replica() if self.planted_fault == "memory" else replace(replica, leading_term=0)
+        return replace(state.with_replica(index, restarted), crashes=state.crashes + 1)
+
+    def _appends(self, state: State, index: int, leader: Replica) -> Iterator[State]:
+        """The leader appends a command that it does not have yet.
+
+        Appended twice, a command changes nothing: the tests of the register show that.
+        """
+        if len(leader.log) >= self.max_log_length:
+            return
+        present = {command for _, command in leader.log}
+        for command in state.proposed:
+            if command not in present:
+                log = (*leader.log, (leader.leading_term, command))
+                grown = state.with_replica(index, replace(leader, log=log))
+                yield grown.with_leader_log(leader.leading_term, log)
+
+    def _commits(self, state: State, index: int, leader: Replica) -> Iterator[State]:
+        """The leader commits a prefix that a majority has, if its last entry is of the leader's term."""
+        for length in range(1, len(leader.log) + 1):
+            holding = {
+                replica
+                for term, replica, acknowledged in state.acknowledged
+                if term == leader.leading_term and acknowledged >= length
+            }
+            last_term, _ = leader.log[length - 1]
+            if len(holding | {index}) < QUORUM or last_term != leader.leading_term:
+                continue
+            prefix = leader.log[:length]
+            if prefix[: len(state.committed)] != state.committed[:length]:
+                raise SafetyViolationError(f"one: {state.committed} was committed, and now {prefix}")
+            if length > len(state.committed):
+                yield replace(state, committed=prefix)
+
+    def _replications(self, state: State) -> Iterator[State]:
+        """Every prefix of every leader's log reaches every replica that has not acknowledged it."""
+        for term, log in enumerate(state.leader_logs, 1):
+            for length in range(1, len(log) + 1):
+                for index, replica in enumerate(state.replicas):
+                    is_held = replica.log[:length] == log[:length]
+                    if not (is_held and (term, index, length) in state.acknowledged):
+                        yield from self._replication(state, index, term, log[:length])
+
+    def _replication(self, state: State, index: int, term: int, prefix: Log) -> Iterator[State]:
+        """A prefix of the log of the leader of `term`, as it was when it was sent, reaches a replica."""
+        replica = state.replicas[index]
+        if replica.term > term or replica.leading_term == term:
+            return
+        log = replica.log if replica.log[: len(prefix)] == prefix else prefix
+        voted_for = replica.voted_for if replica.term == term else NO_VOTE
+        # The longest prefix that it acknowledged in a term says all that the shorter ones do.
+        former = [length for t, other, length in state.acknowledged if (t, other) == (term, index)]
+        longest = max([len(prefix), *former])
+        others = frozenset(entry for entry in state.acknowledged if entry[:2] != (term, index))
+        followed = state.with_replica(index, Replica(term, voted_for, log))
+        yield replace(followed, acknowledged=others | {(term, index, longest)})
+
+    # Holders
+
+    def _holder_steps(self, state: State, index: int, holder: Holder) -> Iterator[State]:
+        """A holder that is out comes back, any other goes out by any permit that its fence accepts."""
+        name = _holder_name(index)
+        if holder.out_by:
+            returned = replace(holder, out_by=0, highest_ended=holder.out_by)
+            proposed = state.proposed | {InstanceReturned(name, holder.out_by)}
+            yield replace(state.with_holder(index, returned), proposed=proposed)
+            if self.planted_fault == "lapse":
+                yield replace(state, proposed=proposed)
+            return
+        for permit in self._permits(state.committed):
+            if permit.name == name and self._accepts(holder, permit):
+                gone = replace(holder, out_by=permit.number, highest_seen=permit.number)
+                yield state.with_holder(index, gone)
+
+    def _accepts(self, holder: Holder, permit: Permit) -> bool:
+        fence = Fence({permit.name: holder.highest_seen}, {permit.name: holder.highest_ended})
+        return self.planted_fault == "fence" or fence.accepts(permit)
+
+    def _permits(self, committed: Log) -> list[Permit]:
+        """Every permit that the register gave over the committed entries."""
+        register = PermitRegister()
+        instances = tuple(
+            Instance(_holder_name(index), InstanceKind.EDGE, "", 1) for index in range(self.holders)
+        )
+        limits = DisruptionLimits(self.max_unavailable, self.max_unavailable)
+        register.apply(0, EnrollInstances(instances, ((InstanceKind.EDGE, limits),)))
+        decisions = (register.apply(number, command) for number, (_, command) in enumerate(committed, 1))
+        return [
+            decision.permit for decision in decisions if decision is not None and decision.permit is not None
+        ]
+
+
+def _holder_name(index: int) -> str:
+    return f"h{index}"
+
+
+def _grants_vote(voter: Replica, term: int, candidate_log: Log) -> bool:
+    """One vote a term, for a log that is at least as up to date as the voter's."""
+    has_vote_left = voter.term < term or (voter.term == term and voter.voted_for == NO_VOTE)
+    return has_vote_left and _freshness(candidate_log) >= _freshness(voter.log)
+
+
+def _freshness(log: Log) -> tuple[int, int]:
+    """The last entry's term, and the length."""
+    return (log[-1][0] if log else 0), len(log)
+
+
+def _replaced(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
+    return (*items[:index], item, *items[index + 1 :])
