--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -39,7 +39,6 @@
     "valverouter/load/drive.py::drive": 83,
     "valverouter/relayedge/words.py::asked": 43,
     "valverouter/signalling/setup.py::SetupSession._pass": 50,
-    "valverouter/fakes/server.py::FakeServer.__init__": 45,
     "valverouter/terms/attempts.py::attempt_sections": 45,
     "valverouter/terms/day.py::day": 68,
     "valverouter/terms/edge.py::edge_terms": 51,
--- a/valverouter/days/world.py
+++ b/valverouter/days/world.py
@@ -15,9 +15,9 @@
 from valverouter.emulator.fleet import HOT_NUMBER
 from valverouter.emulator.profiles import server_profile_of
 from valverouter.fakes.callers import CallerBehavior, FakeCallers, with_scaled_patience
-from valverouter.fakes.connection import Network, Scheduler
 from valverouter.fakes.endpoint_list import FakeEndpointList
-from valverouter.fakes.server import FakeServer
+from valverouter.fakes.environment import Environment, Network, Scheduler
+from valverouter.fakes.server import FakeServer, FakeServerOptions
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
@@ -48,7 +48,7 @@
     """All that an edge proxy meets in a day. Draws come from one stream for each source."""
 
     def __init__(
-        self, day: Day, place: Network, slack: int, addresses: Callable[[str], str], fault_slack: int = 0
+        self, day: Day, network: Network, slack: int, addresses: Callable[[str], str], fault_slack: int = 0
     ) -> None:
         self.day = day
         self.began = trio.current_time()
@@ -62,10 +62,10 @@
         self.rate = 1.0
         self.hot = 0.0
         self._addresses = addresses
-        self._place = place
+        self._environment = Environment(network, self.tap, self.agenda)
         self._fault_slack = fault_slack
         self._nursery: trio.Nursery | None = None
-        self.list = FakeEndpointList(addresses("list"), place, self.tap, self.agenda)
+        self.list = FakeEndpointList(addresses("list"), self._environment)
         self.tap.record(
             AuditConfigRow,
             release_wait=day.fleet.release_wait,
@@ -94,19 +94,14 @@
             base = day.delays.same if near else day.delays.cross
             return int(base * (1 + day.delays.jitter * (2 * chance.random() - 1)))
 
-        server = FakeServer(
-            name,
-            self._addresses(name),
-            model,
-            self._place,
-            self.tap,
-            self.agenda,
-            self.chance(f"length {name}"),
-            lambda kind: day.traffic[kind].length if kind in day.traffic else 0,
-            delay,
-            day.servers.tells_lines,
-            day.servers.report_every,
+        options = FakeServerOptions(
+            mean_duration=lambda kind: day.traffic[kind].length if kind in day.traffic else 0,
+            delay=delay,
+            reports_lines=day.servers.tells_lines,
+            report_interval=day.servers.report_every,
         )
+        rng = self.chance(f"length {name}")
+        server = FakeServer(name, self._addresses(name), model, self._environment, rng, options)
         self.servers[name] = server
         self.numbers_of[name] = number
         self.tap.record(PlacementRow, name=name, region=region)
@@ -139,9 +134,7 @@
         caller = FakeCallers(
             f"c{place}",
             lambda: edge.address,
-            self._place,
-            self.tap,
-            self.agenda,
+            self._environment,
             self.chance(f"caller {place}"),
             CallerBehavior(habits.redials, habits.redial_wait, habits.patience, habits.heeds),
         )
--- a/valverouter/fakes/__init__.py
+++ b/valverouter/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in setup servers, list service and callers on streams, round valverouter.servermodel."""
+"""Fake servers, endpoint-list service and callers on streams, and faulty datagram paths, for test runs."""
--- a/valverouter/fakes/callers.py
+++ b/valverouter/fakes/callers.py
@@ -1,23 +1,33 @@
-"""Stand-in callers: dialogs at an open-loop pace, patience, redials, and no books but what passed."""
+"""Fake callers of an edge proxy: they dial at given times, wait, give up and redial."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, replace
 from typing import Any
 
+import msgspec
 import trio
 
-from valverouter.fakes.connection import FakePeerConnection, Network, Scheduler
+from valverouter.fakes.connection import FakePeerConnection
+from valverouter.fakes.environment import Environment
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
-from valverouter.signalling.tap import Tap
+
+RECONNECT_AFTER_S = 0.05
+# The dialog of a set-up that is yet to be dialled.
+NO_DIALOG = "-"
 
 
 @dataclass(frozen=True, slots=True)
 class CallerBehavior:
-    """How callers behave. `patience`: the share of the no-answer time after which a try is given up."""
+    """How callers behave.
+
+    They redial at most `redials` times, after `redial_wait` ns times a random factor from 0.5 to 1.5.
+    `patience`: the fraction of the no-answer time after which they give up. `retry_after_compliance`: the
+    probability with which they wait for as long as the edge proxy asks them to.
+    """
 
     redials: int = 0
     redial_wait: int = 800_000_000
@@ -25,154 +35,162 @@
     retry_after_compliance: float = 1.0
 
 
+def with_scaled_patience(behavior: CallerBehavior, factor: float) -> CallerBehavior:
+    """The same behavior with `factor` times the patience."""
+    return replace(behavior, patience=behavior.patience * factor)
+
+
 @dataclass(slots=True)
 class DialAttempt:
-    """One dialog that is under way or stands; it leaves the table with its end."""
+    """A dialog that is being set up or is established; `attempt_number` counts from 1 within a call.
+
+    `has_hung_up`: its caller gave up. That is sent again on a new connection, as it may have been lost.
+    """
 
     setup: setup.Setup
     first_dialog: str
     attempt_number: int
     is_established: bool = False
-    # Its caller has given up: told again where the first word may have been lost with a connection.
     has_hung_up: bool = False
 
 
-@dataclass(slots=True)
 class FakeCallers:
-    """The callers of one edge proxy, on one connection that is made again when it breaks."""
-
-    name: str
-    address: Callable[[], str]
-    network: Network
-    tap: Tap
-    scheduler: Scheduler
-    random: random.Random
-    behavior: CallerBehavior = field(default_factory=CallerBehavior)
-    attempts: dict[str, DialAttempt] = field(default_factory=dict)
-    connection: FakePeerConnection | None = None
-    on_connection: Callable[[FakePeerConnection], None] = lambda wire: None
-    is_ready: bool = False
-    # Whether the edge proxy keeps what it takes over a break: then it is asked what became of it.
-    can_resume: bool = False
-    unreachable_count: int = 0
-    _serial: int = 0
+    """The callers of one edge proxy, on one connection that is reopened when it breaks.
+
+    `address` gives the edge proxy's current address. `attempts` by dialog; an entry is removed with the
+    dialog's end. `can_resume`: the edge proxy keeps dialogs over a lost connection, so that they are asked
+    for on the next one. `unreachable_count`: dial attempts without a connection.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        address: Callable[[], str],
+        environment: Environment,
+        rng: random.Random,
+        behavior: CallerBehavior,
+    ) -> None:
+        self.name = name
+        self.behavior = behavior
+        self.attempts: dict[str, DialAttempt] = {}
+        self.connection: FakePeerConnection | None = None
+        self.on_connection: Callable[[FakePeerConnection], None] = lambda connection: None
+        self.is_ready = False
+        self.can_resume = False
+        self.unreachable_count = 0
+        self._address = address
+        self._environment = environment
+        self._scheduler = environment.scheduler
+        self._rng = rng
+        self._dialled_count = 0
 
     async def run(self) -> None:
+        """Keeps a connection to the edge proxy, until cancelled."""
         while True:
             try:
-                stream = await self.network.connect(self.address())
+                stream = await self._environment.network.connect(self._address())
             except OSError:
-                await trio.sleep(0.05)
+                await trio.sleep(RECONNECT_AFTER_S)
                 continue
-            session = setup.SetupSession(Hello((OLDEST, NEWEST), "caller", self.name))
-            self.connection = FakePeerConnection(
-                stream, session, self.tap, self.scheduler, self.name, self._heard
-            )
-            self.on_connection(self.connection)
-            await self.connection.run()
-            self.connection, self.is_ready = None, False
-            if not self.can_resume:
-                self._lose()
-            await trio.sleep(0.05)
-
-    def _lose(self) -> None:
-        for dialog_id in list(self.attempts):
-            self._over(dialog_id, come_again=True)
-
-    def _greeted(self, wire: FakePeerConnection, welcome: Welcome) -> None:
-        self.is_ready, self.can_resume = True, welcome.epoch > 0
+            await self._run_connection(stream)
+            await trio.sleep(RECONNECT_AFTER_S)
+
+    async def _run_connection(self, stream: trio.abc.Stream) -> None:
+        session = setup.SetupSession(Hello((OLDEST, NEWEST), "caller", self.name))
+        self.connection = FakePeerConnection(stream, session, self._environment, self.name, self._on_message)
+        self.on_connection(self.connection)
+        await self.connection.run()
+        self.connection, self.is_ready = None, False
         if not self.can_resume:
-            self._lose()
-        for dialog_id, made in self.attempts.items():
-            wire.send(setup.Resume(dialog_id), delayed=False)
-            if made.has_hung_up:
-                wire.send(setup.Cancel(dialog_id), delayed=False)
-
-    def dial(self, asked: setup.Setup, first: str = "", tries: int = 1) -> str:
-        """One try, now. The id is new; `first` names the first try that it belongs to."""
-        self._serial += 1
-        dialog_id = f"{first}.{tries}" if first else f"{self.name}-{self._serial}"
-        asked = setup.Setup(
-            dialog=dialog_id,
-            traffic_type=asked.traffic_type,
-            no_answer=asked.no_answer,
-            first_choice=asked.first_choice,
-            called_number=asked.called_number,
-            was_cut=asked.was_cut,
-        )
-        made = self.attempts[dialog_id] = DialAttempt(asked, first or dialog_id, tries)
+            self._end_all()
+
+    def _end_all(self) -> None:
+        for dialog in list(self.attempts):
+            self._end(dialog, may_redial=True)
+
+    def dial(self, request: setup.Setup, first_dialog: str = "", attempt_number: int = 1) -> str:
+        """Dials now and returns the new dialog.
+
+        For a redial `first_dialog` is that of the call's first attempt.
+        """
+        self._dialled_count += 1
+        dialog = f"{first_dialog}.{attempt_number}" if first_dialog else f"{self.name}-{self._dialled_count}"
+        request = msgspec.structs.replace(request, dialog=dialog)
+        attempt = DialAttempt(request, first_dialog or dialog, attempt_number)
+        self.attempts[dialog] = attempt
         if self.connection is None or not self.is_ready:
             self.unreachable_count += 1
-            self._over(dialog_id, come_again=True)
-            return dialog_id
-        self.connection.send(asked, delayed=False)
-        patience = int(asked.no_answer * self.behavior.patience)
-        if patience < asked.no_answer:
-            self.scheduler.call_at(self.scheduler.now() + patience, lambda: self._gives_up(dialog_id))
-        self.scheduler.call_at(
-            self.scheduler.now() + asked.no_answer, lambda: self._times_out(dialog_id, made)
-        )
-        return dialog_id
-
-    def hang_up(self, dialog_id: str) -> None:
-        """The caller leaves: cancels what is under way, releases what stands."""
-        made = self.attempts.get(dialog_id)
-        if made is None:
+            self._end(dialog, may_redial=True)
+            return dialog
+        self.connection.send(request, delayed=False)
+        self._set_timers(dialog, attempt)
+        return dialog
+
+    def _set_timers(self, dialog: str, attempt: DialAttempt) -> None:
+        now, no_answer = self._scheduler.now(), attempt.setup.no_answer
+        patience = int(no_answer * self.behavior.patience)
+        if patience < no_answer:
+            self._scheduler.call_at(now + patience, lambda: self._on_patience_over(dialog))
+        self._scheduler.call_at(now + no_answer, lambda: self._on_no_answer(dialog, attempt))
+
+    def hang_up(self, dialog: str) -> None:
+        """The caller leaves: cancels what is being set up, releases what is established."""
+        attempt = self.attempts.get(dialog)
+        if attempt is None:
             return
-        made.has_hung_up = made.has_hung_up or not made.is_established
+        attempt.has_hung_up = attempt.has_hung_up or not attempt.is_established
         if self.connection is None or not self.is_ready:
             return
-        self.connection.send(
-            setup.Release(dialog_id) if made.is_established else setup.Cancel(dialog_id), delayed=False
-        )
+        message = setup.Release(dialog) if attempt.is_established else setup.Cancel(dialog)
+        self.connection.send(message, delayed=False)
 
-    def _gives_up(self, dialog_id: str) -> None:
-        made = self.attempts.get(dialog_id)
-        if made is not None and not made.is_established:
-            self.hang_up(dialog_id)
+    def _on_patience_over(self, dialog: str) -> None:
+        attempt = self.attempts.get(dialog)
+        if attempt is not None and not attempt.is_established:
+            self.hang_up(dialog)
 
-    def _times_out(self, dialog_id: str, made: DialAttempt) -> None:
-        # The leg stays open in the session, so that an answer that comes too late is on record.
-        if self.attempts.get(dialog_id) is made and not made.is_established:
-            self._over(dialog_id, come_again=True)
+    def _on_no_answer(self, dialog: str, attempt: DialAttempt) -> None:
+        # The leg stays open in the session, so that an answer that comes too late is recorded.
+        if self.attempts.get(dialog) is attempt and not attempt.is_established:
+            self._end(dialog, may_redial=True)
 
-    def _heard(self, wire: FakePeerConnection, message: Any) -> None:
+    def _on_message(self, connection: FakePeerConnection, message: Any) -> None:
         if isinstance(message, Welcome):
-            self._greeted(wire, message)
-        made = self.attempts.get(getattr(message, "dialog", ""))
-        if made is None:
+            self._on_welcome(connection, message)
+        attempt = self.attempts.get(getattr(message, "dialog", ""))
+        if attempt is None:
             return
-        if isinstance(message, setup.Stands):
-            made.is_established = True
-        elif isinstance(message, setup.Declined):
-            heeds = self.random.random() < self.behavior.retry_after_compliance
-            self._over(message.dialog, come_again=True, least=message.come_back if heeds else 0)
-        elif isinstance(message, setup.Aborted):
-            self._over(message.dialog, come_again=True)
-        elif isinstance(message, setup.Ended):
-            self._over(message.dialog, come_again=message.reason == "cut")
-        elif isinstance(message, setup.Unknown):
-            self._over(message.dialog, come_again=True)
-
-    def _over(self, dialog_id: str, come_again: bool, least: int = 0) -> None:
-        made = self.attempts.pop(dialog_id)
-        if not come_again or made.attempt_number > self.behavior.redials:
+        match message:
+            case setup.Stands():
+                attempt.is_established = True
+            case setup.Declined():
+                complies = self._rng.random() < self.behavior.retry_after_compliance
+                self._end(message.dialog, may_redial=True, retry_after=message.come_back if complies else 0)
+            case setup.Aborted() | setup.Unknown():
+                self._end(message.dialog, may_redial=True)
+            case setup.Ended():
+                self._end(message.dialog, may_redial=message.reason == "cut")
+
+    def _on_welcome(self, connection: FakePeerConnection, welcome: Welcome) -> None:
+        self.is_ready, self.can_resume = True, welcome.epoch > 0
+        if not self.can_resume:
+            self._end_all()
+        for dialog, attempt in self.attempts.items():
+            connection.send(setup.Resume(dialog), delayed=False)
+            if attempt.has_hung_up:
+                connection.send(setup.Cancel(dialog), delayed=False)
+
+    def _end(self, dialog: str, may_redial: bool, retry_after: int = 0) -> None:
+        """A dialog is over; its caller redials after `retry_after` ns, or 0: after its own wait."""
+        attempt = self.attempts.pop(dialog)
+        if not may_redial or attempt.attempt_number > self.behavior.redials:
             return
-        wait = least or int(self.behavior.redial_wait * (0.5 + self.random.random()))
-        asked = setup.Setup(
-            dialog="-",
-            traffic_type=made.setup.traffic_type,
-            no_answer=made.setup.no_answer,
-            first_choice=made.setup.first_choice,
-            called_number=made.setup.called_number,
-            was_cut=made.is_established,
+        wait = retry_after or int(self.behavior.redial_wait * (0.5 + self._rng.random()))
+        request = msgspec.structs.replace(attempt.setup, dialog=NO_DIALOG, was_cut=attempt.is_established)
+        self._scheduler.call_at(
+            self._scheduler.now() + wait,
+            lambda: self._redial(request, attempt.first_dialog, attempt.attempt_number + 1),
         )
-        self.scheduler.call_at(self.scheduler.now() + wait, lambda: self._dials_again(asked, made))
-
-    def _dials_again(self, asked: setup.Setup, made: DialAttempt) -> None:
-        self.dial(asked, made.first_dialog, made.attempt_number + 1)
-
 
-def with_scaled_patience(habits: CallerBehavior, size: float) -> CallerBehavior:
-    """The same callers, giving up after `size` of their usual patience."""
-    return replace(habits, patience=habits.patience * size)
+    def _redial(self, request: setup.Setup, first_dialog: str, attempt_number: int) -> None:
+        self.dial(request, first_dialog, attempt_number)
--- a/valverouter/fakes/datagrams.py
+++ b/valverouter/fakes/datagrams.py
@@ -1,8 +1,9 @@
-"""The paths between real edge proxies on loopback: a socket in front of each, and faults behind the sockets.
+"""Faulty network paths between real edge proxies on loopback: a relay socket in front of each.
 
-An edge proxy advertises its front. What another sends there is known by where it came from, goes by the
-modelled path of that pair, and reaches the process from its sender's own front, so that answers come back by
-the same way. Nothing in the program knows of it: it is an address behind another, as any relay gives.
+An edge proxy advertises the address of its relay socket. A datagram that arrives there is attributed to a
+sender by its source address, passes the modelled path of that pair, and is sent to the process from its
+sender's relay socket, so that responses come back the same way. The program itself knows nothing of it: to an
+edge proxy the others are just behind other addresses.
 """
 
 from __future__ import annotations
@@ -16,19 +17,29 @@
 
 
 class DatagramSocket(Protocol):
+    """A datagram socket as the edge proxies have it."""
+
     address: str
 
-    def send(self, data: bytes, address: str) -> bool: ...
+    def send(self, data: bytes, address: str) -> bool:
+        """Sends a datagram without waiting; returns whether it was taken."""
+        ...
 
-    def take(self) -> tuple[bytes, str] | None: ...
+    def take(self) -> tuple[bytes, str] | None:
+        """The next datagram that has arrived, with its source; None if there is none."""
+        ...
 
-    async def readable(self) -> None: ...
+    async def readable(self) -> None:
+        """Waits until a datagram has arrived."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Closes the socket."""
+        ...
 
 
 class FakeDatagramNetwork:
-    """The fronts of a fleet. `paths` may be exchanged at any time; `open_front` gives one more address."""
+    """The relay sockets of a fleet. `paths` may be replaced at any time; `now` gives the time in ns."""
 
     def __init__(
         self, bind: Callable[[str], DatagramSocket], now: Callable[[], int], paths: NetworkPaths
@@ -37,52 +48,55 @@
         self._bind = bind
         self._now = now
         self._nursery: trio.Nursery | None = None
-        self._fronts: dict[str, DatagramSocket] = {}
-        # Where the processes really are, and who is there.
-        self._real: dict[str, str] = {}
-        self._at: dict[str, str] = {}
+        self._relays: dict[str, DatagramSocket] = {}
+        # Address by instance, and instance by address.
+        self._process_addresses: dict[str, str] = {}
+        self._instances: dict[str, str] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Relays datagrams until cancelled; reports when relay sockets can be opened."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             await trio.sleep_forever()
 
     def open_front(self, name: str) -> str:
-        """The address that `name` is to advertise from now on; a former one stays open and leads nowhere."""
+        """The address that an instance is to advertise from now on; an earlier one stays open, and dead."""
         assert self._nursery is not None
-        self._fronts[name] = front = self._bind("127.0.0.1:0")
-        self._nursery.start_soon(self._serve, name, front)
-        return front.address
+        self._relays[name] = relay = self._bind("127.0.0.1:0")
+        self._nursery.start_soon(self._serve, name, relay)
+        return relay.address
 
     def set_process_address(self, name: str, address: str) -> None:
-        """A process of `name` has its socket there."""
-        self._at.pop(self._real.get(name, ""), None)
-        self._real[name] = address
-        self._at[address] = name
+        """A process of the instance has its socket at that address."""
+        self._instances.pop(self._process_addresses.get(name, ""), None)
+        self._process_addresses[name] = address
+        self._instances[address] = name
 
-    async def _serve(self, name: str, front: DatagramSocket) -> None:
-        assert self._nursery is not None
+    async def _serve(self, name: str, relay: DatagramSocket) -> None:
         try:
             while True:
-                await front.readable()
-                while (came := front.take()) is not None:
-                    data, source = came
-                    sender = self._at.get(source)
-                    if sender is None or self._fronts.get(name) is not front:
-                        continue
-                    for span in self.paths.delivery_delays(sender, name, self._now()):
-                        if span:
-                            self._nursery.start_soon(self._later, span, sender, name, data)
-                        else:
-                            self._deliver(sender, name, data)
+                await relay.readable()
+                while (received := relay.take()) is not None:
+                    data, source = received
+                    sender = self._instances.get(source)
+                    if sender is not None and self._relays.get(name) is relay:
+                        self._forward(sender, name, data)
         finally:
-            front.close()
+            relay.close()
 
-    async def _later(self, span: int, sender: str, receiver: str, data: bytes) -> None:
-        await trio.sleep(span / 1e9)
+    def _forward(self, sender: str, receiver: str, data: bytes) -> None:
+        assert self._nursery is not None
+        for delay in self.paths.delivery_delays(sender, receiver, self._now()):
+            if delay:
+                self._nursery.start_soon(self._deliver_later, delay, sender, receiver, data)
+            else:
+                self._deliver(sender, receiver, data)
+
+    async def _deliver_later(self, delay: int, sender: str, receiver: str, data: bytes) -> None:
+        await trio.sleep(delay / 1e9)
         self._deliver(sender, receiver, data)
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        if (there := self._real.get(receiver)) is not None:
-            self._fronts[sender].send(data, there)
+        if (address := self._process_addresses.get(receiver)) is not None:
+            self._relays[sender].send(data, address)
--- a/valverouter/fakes/endpoint_list.py
+++ b/valverouter/fakes/endpoint_list.py
@@ -1,5 +1,7 @@
-"""A stand-in list service: tells every edge proxy what the day's script says of the servers, late or
-wrong."""
+"""A fake endpoint-list service.
+
+Sends edge proxies what the scenario says of the servers, late or wrong as well.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +11,8 @@
 import msgspec
 import trio
 
-from valverouter.fakes.connection import FakePeerConnection, Network, Scheduler
+from valverouter.fakes.connection import FakePeerConnection
+from valverouter.fakes.environment import Environment
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import (
     Change,
@@ -20,30 +23,36 @@
     Register,
     Returns,
     Row,
+    Snapshot,
     Watch,
 )
-from valverouter.signalling.tap import EndpointUpdateRow, Tap
+from valverouter.signalling.tap import EndpointUpdateRow
+
+NAME = "list"
 
 
 class FakeEndpointList:
-    """The service. Ages are reckoned at the moment of telling from `born`, when each server started."""
+    """The service. The ages that it sends count from `started_at`, when each server started, ns.
 
-    def __init__(self, address: str, place: Network, tap: Tap, agenda: Scheduler, epoch: str = "e1") -> None:
+    `updates_to_drop`: so many of the next updates are lost. `on_leave` is called with a server that asks to
+    leave, beside the answer. `watching_by_connection`: the open connections, and whether the peer asked for
+    updates.
+    """
+
+    def __init__(self, address: str, environment: Environment, epoch: str = "e1") -> None:
         self.address = address
         self.register = Register(epoch)
         self.started_at: dict[str, int] = {}
         self.updates_to_drop = 0
         self.permits = Permits()
-        # What a server's leave does, beside being answered.
         self.on_leave: Callable[[str], None] = lambda server: None
         self.watching_by_connection: dict[FakePeerConnection, bool] = {}
-        self._place = place
-        self._tap = tap
-        self._agenda = agenda
+        self._environment = environment
         self._nursery: trio.Nursery | None = None
         self._listening = trio.CancelScope()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serves edge proxies until cancelled; reports when it listens."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.address = await nursery.start(self._listen)
@@ -52,67 +61,79 @@
 
     async def _listen(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         with trio.CancelScope() as self._listening:
-            await self._place.serve(self.address, self._serve, task_status)
+            await self._environment.network.serve(self.address, self._serve, task_status)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
-        wire = FakePeerConnection(stream, ListSession(), self._tap, self._agenda, "list", self._heard)
-        self.watching_by_connection[wire] = False
+        connection = FakePeerConnection(stream, ListSession(), self._environment, NAME, self._on_message)
+        self.watching_by_connection[connection] = False
         try:
-            await wire.run()
+            await connection.run()
         finally:
-            del self.watching_by_connection[wire]
-
-    def _heard(self, wire: FakePeerConnection, message: Any) -> None:
-        if isinstance(message, Hello):
-            wire.send(Welcome(wire.session.version, "list"))
-        elif isinstance(message, Watch):
-            self.watching_by_connection[wire] = True
-            for answer in self.register.answer(message):
-                self._tell(wire, answer)
-        elif isinstance(message, Leave):
-            why = self.permits.why_not(message)
-            if not why and message.server not in self.register.rows:
-                why = f"{message.server} is not on the list"
-            if not why:
-                self.on_leave(message.server)
-            wire.send(Left(message.server, message.number, not why, why))
-        elif isinstance(message, Returns):
-            self.permits.over(message)
-            wire.send(Left(message.server, message.number, True))
-
-    def _tell(self, wire: FakePeerConnection, word: Any, late: bool = False) -> None:
-        now = self._agenda.now()
-        rows = [
-            msgspec.structs.replace(row, age=now - self.started_at[row.server])
-            if row.server in self.started_at
-            else row
-            for row in word.rows
-        ]
-        for row in rows if not late else ():
-            self._tap.record(EndpointUpdateRow, edge=wire.edge_name, server=row.server, phase=row.phase)
-        wire.send(msgspec.structs.replace(word, rows=rows))
+            del self.watching_by_connection[connection]
+
+    def _on_message(self, connection: FakePeerConnection, message: Any) -> None:
+        match message:
+            case Hello():
+                connection.send(Welcome(connection.session.version, NAME))
+            case Watch():
+                self.watching_by_connection[connection] = True
+                for update in self.register.answer(message):
+                    self._send_update(connection, update)
+            case Leave():
+                self._on_leave_request(connection, message)
+            case Returns():
+                self.permits.over(message)
+                connection.send(Left(message.server, message.number, True))
+
+    def _on_leave_request(self, connection: FakePeerConnection, request: Leave) -> None:
+        refusal = self.permits.why_not(request)
+        if not refusal and request.server not in self.register.rows:
+            refusal = f"{request.server} is not on the list"
+        if not refusal:
+            self.on_leave(request.server)
+        connection.send(Left(request.server, request.number, not refusal, refusal))
+
+    def _send_update(
+        self, connection: FakePeerConnection, update: Snapshot | Change, is_stale: bool = False
+    ) -> None:
+        now = self._environment.scheduler.now()
+        rows = [self._with_age(row, now) for row in update.rows]
+        if not is_stale:
+            for row in rows:
+                self._environment.tap.record(
+                    EndpointUpdateRow, edge=connection.edge_name, server=row.server, phase=row.phase
+                )
+        connection.send(msgspec.structs.replace(update, rows=rows))
+
+    def _with_age(self, row: Row, now: int) -> Row:
+        if row.server not in self.started_at:
+            return row
+        return msgspec.structs.replace(row, age=now - self.started_at[row.server])
 
     def announce(self, rows: list[Row]) -> None:
-        """A change, to every edge proxy that watches; `skips` of them are lost on the way."""
+        """Sends a change to every edge proxy that watches, unless it is to be dropped."""
         change: Change = self.register.change(rows)
         if self.updates_to_drop:
             self.updates_to_drop -= 1
             return
-        for wire, watches in self.watching_by_connection.items():
-            if watches:
-                self._tell(wire, change)
+        self._send_to_watchers(change)
 
     def announce_stale(self, number: int, rows: list[Row]) -> None:
-        """A change whose number has gone by, as if delayed on the way: it tells nothing that still holds."""
-        for wire, watches in self.watching_by_connection.items():
-            if watches:
-                self._tell(wire, Change(self.register.epoch, number, rows), late=True)
+        """Sends a change under a number that has passed, as if it had been delayed on the way."""
+        self._send_to_watchers(Change(self.register.epoch, number, rows), is_stale=True)
+
+    def _send_to_watchers(self, change: Change, is_stale: bool = False) -> None:
+        for connection, is_watching in self.watching_by_connection.items():
+            if is_watching:
+                self._send_update(connection, change, is_stale)
 
     def stop_listening(self) -> None:
+        """Closes the port and all connections."""
         self._listening.cancel()
-        for wire in list(self.watching_by_connection):
-            wire.close()
+        for connection in list(self.watching_by_connection):
+            connection.close()
 
     async def start_listening(self) -> None:
+        """Opens the port again."""
         assert self._nursery is not None
         await self._nursery.start(self._listen)
--- a/valverouter/fakes/server.py
+++ b/valverouter/fakes/server.py
@@ -1,25 +1,25 @@
-"""A stand-in setup server: valverouter.servermodel behind the set-up protocol."""
+"""A fake signalling server: the server model behind the set-up protocol."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Callable
-from functools import partial
+from dataclasses import dataclass
 from typing import Any
 
 import trio
 
-from valverouter.fakes.connection import FakePeerConnection, Network, Scheduler
+from valverouter.fakes.connection import FakePeerConnection
+from valverouter.fakes.environment import Environment
+from valverouter.fakes.retained_legs import RetainedLegs
 from valverouter.servermodel.events import LegKey, ServerEvent, ServerEventKind
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import Hello, NotUnderstood, Welcome
-from valverouter.signalling.tap import ServerStartedRow, Tap
+from valverouter.signalling.tap import ServerStartedRow
 
-# So long a leg that is on record at its edge proxy outlives the connection, for that one to come back.
-KEEPS = 10_000_000_000
-
-ANSWERS: dict[ServerEventKind, Callable[[str, int, setup.Load, int], Any]] = {
+# Builds the message of an event from dialog, leg, load and retry delay.
+MESSAGE_BUILDERS: dict[ServerEventKind, Callable[[str, int, setup.Load, int], Any]] = {
     ServerEventKind.ESTABLISHED: lambda dialog, leg, load, wait: setup.Stands(dialog, leg, report=load),
     ServerEventKind.ENDED: lambda dialog, leg, load, wait: setup.Ended(dialog, leg, "over", load),
     ServerEventKind.CUT: lambda dialog, leg, load, wait: setup.Ended(dialog, leg, "cut", load),
@@ -32,239 +32,256 @@
 }
 
 
+@dataclass(frozen=True, slots=True)
+class FakeServerOptions:
+    """Times in ns. `mean_duration` of dialogs, by traffic type; `delay` to an edge proxy, by its name.
+
+    `reports_lines`: load reports say how many lines are free. `report_interval`: the mean interval of reports
+    outside dialogs; 0: there are none.
+    """
+
+    mean_duration: Callable[[str], int]
+    delay: Callable[[str], int]
+    reports_lines: bool = False
+    report_interval: int = 0
+
+
 class FakeServer:
-    """One process at a time behind a name and an address. `wires` holds the connections that are up."""
+    """A server's name and address, with one process at a time. `connections` holds the open ones.
+
+    `incarnation` counts the processes. Edge proxies in `refused_edges` get no welcome. `is_silent`: the
+    machine is gone, without any message or closed connection.
+    """
 
     def __init__(
         self,
         name: str,
         address: str,
         model: SetupServer,
-        place: Network,
-        tap: Tap,
-        agenda: Scheduler,
-        chance: random.Random,
-        mean_length: Callable[[str], int],
-        delay: Callable[[str], int],
-        tells_lines: bool = False,
-        report_every: int = 0,
+        environment: Environment,
+        rng: random.Random,
+        options: FakeServerOptions,
     ) -> None:
         self.name = name
         self.address = address
         self.model = model
         self.incarnation = 1
         self.connections: list[FakePeerConnection] = []
-        self._serials: dict[FakePeerConnection, int] = {}
-        self._served = 0
-        # Connections that have been sent their welcome.
-        self._greeted: set[FakePeerConnection] = set()
-        # The latest start of each edge proxy that keeps a ledger; one entry for each of a day's.
-        self._epochs: dict[str, int] = {}
-        # Legs that outlive their connection, by edge proxy, dialog and leg: their name in the model and the
-        # connection that they are on now. Each leaves with its end.
-        self._kept: dict[LegKey, tuple[LegKey, FakePeerConnection | None]] = {}
-        # Ends of such legs that found nobody connected: told when asked for, else they leave in time.
-        self._untold: dict[LegKey, ServerEvent] = {}
         self.refused_edges: set[str] = set()
         self.is_silent = False
-        self.on_connection: Callable[[FakePeerConnection], None] = lambda wire: None
-        self._place = place
-        self._tap = tap
-        self._agenda = agenda
-        self._chance = chance
-        self._mean_length = mean_length
-        self._delay = delay
-        self._tells_lines = tells_lines
-        self._report_every = report_every
+        self.on_connection: Callable[[FakePeerConnection], None] = lambda connection: None
+        self._environment = environment
+        self._scheduler = environment.scheduler
+        self._rng = rng
+        self._options = options
+        self._connection_numbers: dict[FakePeerConnection, int] = {}
+        self._connection_count = 0
+        # Connections that have been sent their welcome.
+        self._welcomed: set[FakePeerConnection] = set()
+        # The latest start of each edge proxy with a recovery log; there are as many entries as edge proxies.
+        self._epochs: dict[str, int] = {}
+        self._retained = RetainedLegs(environment.scheduler, self._abandon)
         self._nursery: trio.Nursery | None = None
         self._listening = trio.CancelScope()
-        self._closed = trio.Event()
-        self._due: int | None = None
+        self._stopped_listening = trio.Event()
+        self._next_event_at: int | None = None
+
+    # Connections
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Serves edge proxies until cancelled; reports when it listens."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.address = await nursery.start(self._listen)
             task_status.started()
-            while self._report_every:
-                await trio.sleep(self._report_every * (0.9 + 0.2 * self._chance.random()) / 1e9)
-                self._report()
+            while self._options.report_interval:
+                await trio.sleep(self._options.report_interval * (0.9 + 0.2 * self._rng.random()) / 1e9)
+                self._send_load_reports()
             await trio.sleep_forever()
 
-    def _report(self) -> None:
-        if self.model.is_running:
-            report = setup.Reported(self._load(self._agenda.now()))
-            for wire in self.connections:
-                # Its hello may be read and not answered: a report ahead of the welcome breaks the protocol.
-                if wire in self._greeted:
-                    wire.send(report)
+    def _send_load_reports(self) -> None:
+        if not self.model.is_running:
+            return
+        report = setup.Reported(self._load(self._scheduler.now()))
+        for connection in self.connections:
+            # A report ahead of the welcome would break the protocol.
+            if connection in self._welcomed:
+                connection.send(report)
 
     async def _listen(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        self._closed = trio.Event()
+        self._stopped_listening = trio.Event()
         try:
             with trio.CancelScope() as self._listening:
-                await self._place.serve(self.address, self._serve, task_status)
+                await self._environment.network.serve(self.address, self._serve, task_status)
         finally:
-            self._closed.set()
+            self._stopped_listening.set()
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
-        wire = FakePeerConnection(
-            stream, setup.SetupSession(), self._tap, self._agenda, self.name, self._heard, self._delay
+        connection = FakePeerConnection(
+            stream, setup.SetupSession(), self._environment, self.name, self._on_message, self._options.delay
         )
-        self.connections.append(wire)
-        self._served += 1
-        self._serials[wire] = self._served
-        self.on_connection(wire)
+        self.connections.append(connection)
+        self._connection_count += 1
+        self._connection_numbers[connection] = self._connection_count
+        self.on_connection(connection)
         try:
-            await wire.run()
+            await connection.run()
         finally:
-            self._lost(wire)
-
-    def _lost(self, wire: FakePeerConnection) -> None:
-        self.connections.remove(wire)
-        self._greeted.discard(wire)
-        now, kept = self._agenda.now(), {name for name, _ in self._kept.values()}
-        self.model.on_connection_lost(now, self._peer(wire), kept)
-        for leg, (name, on) in list(self._kept.items()):
-            if on is wire:
-                self._kept[leg] = name, None
-                self._agenda.call_at(now + KEEPS, lambda leg=leg, name=name: self._forsake(leg, name))  # type: ignore[misc]
-        del self._serials[wire]
+            self._on_connection_lost(connection)
+
+    def _on_connection_lost(self, connection: FakePeerConnection) -> None:
+        self.connections.remove(connection)
+        self._welcomed.discard(connection)
+        self._remove_legs(connection)
+        self._retained.on_connection_lost(connection)
+        del self._connection_numbers[connection]
         self.deliver_events()
 
-    def _forsake(self, leg: LegKey, name: LegKey) -> None:
-        if self._kept.get(leg) == (name, None):
-            del self._kept[leg]
-            self.model.abandon(self._agenda.now(), name)
-            self.deliver_events()
+    def _remove_legs(self, connection: FakePeerConnection) -> None:
+        """Removes the legs of a connection from the model, except for retained ones."""
+        now = self._scheduler.now()
+        self.model.on_connection_lost(now, self._peer_of(connection), self._retained.model_keys())
 
-    def _forgets(self, leg: LegKey) -> None:
-        self._untold.pop(leg, None)
+    def _abandon(self, key: LegKey) -> None:
+        self.model.abandon(self._scheduler.now(), key)
+        self.deliver_events()
 
-    def _welcomed(self, wire: FakePeerConnection, hello: Hello, now: int) -> None:
-        """A later start of an edge proxy fences off the former one: what that still sends is not heard, and
-        what was under way there is given up before the new one can ask for it."""
-        if hello.epoch < self._epochs.get(wire.edge_name, 0):
-            wire.close()
-            return
-        self._epochs[wire.edge_name] = hello.epoch
-        former = [one for one in self.connections if one.edge_name == wire.edge_name and one is not wire]
-        for one in former if hello.epoch else ():
-            one.close()
-            kept = {name for name, _ in self._kept.values()}
-            self.model.on_connection_lost(now, self._peer(one), kept)
-        self._greeted.add(wire)
-        age = max(0, now - self.model.started_at)
-        wire.send(Welcome(wire.session.version, self.name, self.incarnation, age))
-
-    def _resumed(self, wire: FakePeerConnection, leg: LegKey) -> None:
-        self.model.on_resume_request(self._agenda.now())
-        name = self._kept.get(leg, (leg, None))[0]
-        if (ended := self._untold.pop(leg, None)) is not None:
-            wire.send(setup.Stands(leg[1], leg[2], report=self._load(self._agenda.now())))
-            self._tell(wire, ended, self._agenda.now())
-            return
-        if leg not in self._kept or name not in self.model.legs:
-            wire.send(setup.Unknown(leg[1], leg[2]))
-            return
-        self._kept[leg] = name, wire
-        wire.send(setup.Stands(leg[1], leg[2], report=self._load(self._agenda.now())))
+    def _peer_of(self, connection: FakePeerConnection) -> str:
+        """The peer of a connection's legs in the model: one edge proxy may have several connections."""
+        return f"{connection.edge_name}#{self._connection_numbers[connection]}"
 
-    def _peer(self, wire: FakePeerConnection) -> str:
-        return f"{wire.edge_name}#{self._serials[wire]}"
+    # Messages
 
-    def _heard(self, wire: FakePeerConnection, message: Any) -> None:
-        now = self._agenda.now()
-        if wire not in self.connections or not self.model.is_running:
+    def _on_message(self, connection: FakePeerConnection, message: Any) -> None:
+        if connection not in self.connections or not self.model.is_running:
             return
         if isinstance(message, Hello):
-            if wire.edge_name in self.refused_edges:
-                wire.close()
-                return
-            self._welcomed(wire, message, now)
-            return
-        if isinstance(message, NotUnderstood):
-            wire.send(message)
-            return
-        leg = (wire.edge_name, message.dialog, message.leg)
-        if isinstance(message, setup.Resume):
-            self._resumed(wire, leg)
+            if connection.edge_name in self.refused_edges:
+                connection.close()
+            else:
+                self._on_hello(connection, message)
+        elif isinstance(message, NotUnderstood):
+            connection.send(message)
+        elif isinstance(message, setup.Resume):
+            self._on_resume(connection, (connection.edge_name, message.dialog, message.leg))
+        else:
+            self._on_leg_message(connection, message)
+            self.deliver_events()
+
+    def _on_hello(self, connection: FakePeerConnection, hello: Hello) -> None:
+        """A later start of an edge proxy fences off earlier ones: their connections are closed and their legs
+        removed before the new one can ask for them."""
+        edge_name = connection.edge_name
+        if hello.epoch < self._epochs.get(edge_name, 0):
+            connection.close()
             return
-        key = self._kept[leg][0] if leg in self._kept else (self._peer(wire), message.dialog, message.leg)
-        if isinstance(message, setup.Kept):
-            if key in self.model.legs:
-                self._kept[leg] = key, wire
-        elif isinstance(message, setup.Setup):
-            length = int(self._chance.expovariate(1) * self._mean_length(message.traffic_type))
-            self.model.setup(now, key, message.called_number, length)
-            if not self.model.is_running:
-                self._fell()
-        elif isinstance(message, setup.Cancel):
-            self.model.cancel(now, key)
-        elif isinstance(message, setup.Release):
-            self.model.release(now, key)
-        self.deliver_events()
+        self._epochs[edge_name] = hello.epoch
+        if hello.epoch:
+            for other in self.connections:
+                if other.edge_name == edge_name and other is not connection:
+                    other.close()
+                    self._remove_legs(other)
+        self._welcomed.add(connection)
+        age = max(0, self._scheduler.now() - self.model.started_at)
+        connection.send(Welcome(connection.session.version, self.name, self.incarnation, age))
+
+    def _on_resume(self, connection: FakePeerConnection, key: LegKey) -> None:
+        now, (_, dialog, leg) = self._scheduler.now(), key
+        self.model.on_resume_request(now)
+        model_key = self._retained.model_key(key)
+        if (end := self._retained.take_undelivered_end(key)) is not None:
+            connection.send(setup.Stands(dialog, leg, report=self._load(now)))
+            self._send_event(connection, end, now)
+        elif model_key is None or model_key not in self.model.legs:
+            connection.send(setup.Unknown(dialog, leg))
+        else:
+            self._retained.retain(key, model_key, connection)
+            connection.send(setup.Stands(dialog, leg, report=self._load(now)))
+
+    def _on_leg_message(self, connection: FakePeerConnection, message: Any) -> None:
+        now = self._scheduler.now()
+        key = (connection.edge_name, message.dialog, message.leg)
+        model_key = self._retained.model_key(key) or (self._peer_of(connection), message.dialog, message.leg)
+        match message:
+            case setup.Kept():
+                if model_key in self.model.legs:
+                    self._retained.retain(key, model_key, connection)
+            case setup.Setup():
+                mean_duration = self._options.mean_duration(message.traffic_type)
+                duration = int(self._rng.expovariate(1) * mean_duration)
+                self.model.setup(now, model_key, message.called_number, duration)
+                if not self.model.is_running:
+                    self._stop_process()
+            case setup.Cancel():
+                self.model.cancel(now, model_key)
+            case setup.Release():
+                self.model.release(now, model_key)
+
+    # Events of the model
 
     def deliver_events(self) -> None:
-        """Tells what happened in the model by now, and comes back when it next has something to do."""
-        now = self._agenda.now()
-        by_peer = {self._peer(wire): wire for wire in self.connections}
-        for happening in self.model.advance(now):
-            peer, dialog, number = happening.key
-            wire, leg = by_peer.get(peer), (peer.rpartition("#")[0], dialog, number)
-            if self._kept and leg in self._kept and self._kept[leg][0] == happening.key:
-                wire = self._kept.pop(leg)[1]
-                if wire is None:
-                    self._untold[leg] = happening
-                    self._agenda.call_at(now + KEEPS, partial(self._forgets, leg))
-            if wire is not None and not self.is_silent:
-                self._tell(wire, happening, now)
-        due = self.model.next_event_at()
-        if due is not None and (self._due is None or due < self._due or self._due <= now):
-            self._due = due
-            self._agenda.call_at(due, self.deliver_events)
-
-    def _tell(self, wire: FakePeerConnection, happening: ServerEvent, now: int) -> None:
-        _, dialog, leg = happening.key
-        wire.send(ANSWERS[happening.kind](dialog, leg, self._load(now), happening.retry_after))
+        """Sends what has happened in the model, and comes back when it next has something to do."""
+        now = self._scheduler.now()
+        by_peer = {self._peer_of(connection): connection for connection in self.connections}
+        for event in self.model.advance(now):
+            connection = self._connection_for(event, by_peer)
+            if connection is not None and not self.is_silent:
+                self._send_event(connection, event, now)
+        self._schedule_delivery(now)
+
+    def _connection_for(
+        self, event: ServerEvent, by_peer: dict[str, FakePeerConnection]
+    ) -> FakePeerConnection | None:
+        peer, dialog, leg = event.key
+        key = (peer.rpartition("#")[0], dialog, leg)
+        if self._retained.model_key(key) == event.key:
+            return self._retained.end(key, event)
+        return by_peer.get(peer)
+
+    def _schedule_delivery(self, now: int) -> None:
+        at, scheduled = self.model.next_event_at(), self._next_event_at
+        if at is not None and (scheduled is None or at < scheduled or scheduled <= now):
+            self._next_event_at = at
+            self._scheduler.call_at(at, self.deliver_events)
+
+    def _send_event(self, connection: FakePeerConnection, event: ServerEvent, now: int) -> None:
+        _, dialog, leg = event.key
+        connection.send(MESSAGE_BUILDERS[event.kind](dialog, leg, self._load(now), event.retry_after))
 
     def _load(self, now: int) -> setup.Load:
-        model = self.model
+        model, reports_lines = self.model, self._options.reports_lines
         return setup.Load(
             util=round(model.utilization(now), 3),
             queue=model.queued_setups,
-            free_lines=model.free_lines if self._tells_lines else None,
-            lines=model.line_count if self._tells_lines else None,
+            free_lines=model.free_lines if reports_lines else None,
+            lines=model.line_count if reports_lines else None,
         )
 
-    # Troubles
+    # Life cycle
 
     def crash(self) -> None:
         """The process is gone: its connections break, its port refuses."""
-        self._kept.clear()
-        self._untold.clear()
-        self.model.crash(self._agenda.now())
-        self._fell()
+        self._retained.clear()
+        self.model.crash(self._scheduler.now())
+        self._stop_process()
 
-    def _fell(self) -> None:
+    def _stop_process(self) -> None:
         self._listening.cancel()
-        for wire in list(self.connections):
-            wire.close()
+        for connection in list(self.connections):
+            connection.close()
 
     def vanish(self) -> None:
-        """The machine is gone without a word: nothing is answered, nothing is closed."""
-        self._kept.clear()
-        self._untold.clear()
-        self.model.crash(self._agenda.now())
+        """The machine is gone without a message: nothing is answered, nothing is closed."""
+        self._retained.clear()
+        self.model.crash(self._scheduler.now())
         self.is_silent = True
 
     async def start(self) -> None:
-        """A new process under the same name and address, cold."""
-        self._fell()
-        await self._closed.wait()
-        now = self._agenda.now()
+        """Starts a new process under the same name and address, in slow start."""
+        self._stop_process()
+        await self._stopped_listening.wait()
         self.is_silent = False
-        self.model.start(now)
+        self.model.start(self._scheduler.now())
         if not self.model.is_running:
             return
         self.incarnation += 1
@@ -273,4 +290,6 @@
         await self._nursery.start(self._listen)
 
     def record_start(self) -> None:
-        self._tap.record(ServerStartedRow, server=self.name, **self.model.profile.slow_start_parameters())
+        """Records that a process has started."""
+        parameters = self.model.profile.slow_start_parameters()
+        self._environment.tap.record(ServerStartedRow, server=self.name, **parameters)
