--- a/valverouter/audit/views.py
+++ b/valverouter/audit/views.py
@@ -1,9 +1,9 @@
-"""Whether the views of a day's edge proxies became one, judged from rows and from nothing of their own.
+"""Whether the membership views of a day's edge proxies converged, judged from rows alone.
 
-settled    within the stated span after the last fault, and from then on, all who run have one digest, and
-           believe exactly those to be there who run
-former     nobody who had a member's later process in view goes back to an earlier one
-false      how often a process that ran, and that no fault had struck, was said to be gone
+converged     within the stated time after the last fault, and from then on, all running edge proxies have the
+              same digest and take exactly the running ones for live
+regressions   an observer that had seen a later incarnation of a member went back to an earlier one
+false         how often a running process that no fault had affected was declared failed
 """
 
 from __future__ import annotations
@@ -12,81 +12,110 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from valverouter.signalling.tap import Fault, Found, Ran, Row, Settles, Viewed
+from valverouter.signalling.tap import (
+    ConvergenceDeadlineRow,
+    EdgeProcessRow,
+    FaultRow,
+    MembershipEventRow,
+    MembershipViewRow,
+    Row,
+)
+
+# Kinds of faults that affect membership begin with one of these.
+MEMBERSHIP_FAULT_PREFIXES = ("path-", "balancer_")
+# The target of a fault on all paths between edge proxies.
+ALL_PATHS = "paths"
 
 
 @dataclass(frozen=True, slots=True)
-class Views:
-    """`settled_after`: ns from the last fault's end, None: never; `allowed`: as stated. `gone_back`: observer
-    and member. `false_deaths`: what was found wrongly, by whom and of whom."""
-
-    settled_after: int | None
-    allowed: int
-    last_fault: int
-    gone_back: tuple[tuple[str, str], ...]
-    false_deaths: tuple[tuple[str, str], ...]
+class ViewReport:
+    """How the views of a day converged; times in ns.
+
+    `converged_after`: after the last fault, None: never, for `reason`; `max_duration`: the time allowed.
+    `regressions` and `false_failures`: pairs of observer and member. `conflicts`: edge proxies that found a
+    name conflict.
+    """
+
+    converged_after: int | None
+    max_duration: int
+    last_fault_at: int
+    regressions: tuple[tuple[str, str], ...]
+    false_failures: tuple[tuple[str, str], ...]
     conflicts: tuple[str, ...]
-    why: str = ""
+    reason: str = ""
 
     @property
-    def kept(self) -> bool:
-        settled = self.settled_after is not None and self.settled_after <= self.allowed
-        return settled and not self.gone_back
+    def passed(self) -> bool:
+        """Whether the views converged in time and never went back."""
+        converged = self.converged_after is not None and self.converged_after <= self.max_duration
+        return converged and not self.regressions
 
 
-def judge_views(rows: Sequence[Row]) -> Views | None:
-    """None where no view was kept on that day."""
-    settles = next((row for row in rows if isinstance(row, Settles)), None)
-    if settles is None:
+def check_views(rows: Sequence[Row]) -> ViewReport | None:
+    """The report of a day; None where it has no views."""
+    deadline = next((row for row in rows if isinstance(row, ConvergenceDeadlineRow)), None)
+    if deadline is None:
         return None
-    faults = [row for row in rows if isinstance(row, Fault)]
-    last = max((fault.until for fault in faults if _touches(fault)), default=settles.at)
-    # A process that a fault has started again settles from its own start on, if that is later.
-    begins = [row.at for row in rows if isinstance(row, Ran) and row.begins]
-    last = max([last, *(at for at in begins if at > last)], default=last)
-    settled_at, why = _settled_at(rows, last)
-    after = None if settled_at is None else max(0, settled_at - last)
-    return Views(
-        settled_after=after,
-        allowed=settles.within + 2 * settles.every,
-        last_fault=last,
-        gone_back=tuple(_gone_back(rows)),
-        false_deaths=tuple(_false_deaths(rows, faults, settles.within)),
-        conflicts=tuple(sorted({r.edge for r in rows if isinstance(r, Found) and r.what == "conflict"})),
-        why=why,
+    faults = [row for row in rows if isinstance(row, FaultRow)]
+    last_fault = _last_fault_at(rows, faults, deadline.at)
+    converged_at, reason = _converged_at(rows, last_fault)
+    conflicts = {row.edge for row in rows if isinstance(row, MembershipEventRow) and row.kind == "conflict"}
+    return ViewReport(
+        converged_after=None if converged_at is None else max(0, converged_at - last_fault),
+        max_duration=deadline.max_duration + 2 * deadline.poll_interval,
+        last_fault_at=last_fault,
+        regressions=tuple(_regressions(rows)),
+        false_failures=tuple(_false_failures(rows, faults, deadline.max_duration)),
+        conflicts=tuple(sorted(conflicts)),
+        reason=reason,
     )
 
 
-def _touches(fault: Fault) -> bool:
-    return fault.kind.startswith(("path-", "balancer_"))
+def _last_fault_at(rows: Sequence[Row], faults: Sequence[FaultRow], default: int) -> int:
+    """When the last fault ended.
+
+    A process that a fault restarted converges from its start on, if that is later.
+    """
+    last = max((fault.until for fault in faults if _affects_membership(fault)), default=default)
+    starts = [row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start]
+    return max([last, *starts])
+
 
+def _affects_membership(fault: FaultRow) -> bool:
+    return fault.kind.startswith(MEMBERSHIP_FAULT_PREFIXES)
 
-def _settled_at(rows: Sequence[Row], last: int) -> tuple[int | None, str]:
-    """The earliest moment from `last` on after which every view that was asked is the one right one."""
+
+def _converged_at(rows: Sequence[Row], last_fault: int) -> tuple[int | None, str]:
+    """The earliest time after the last fault from which all polled views are correct, and why not before."""
     running: dict[str, str] = {}
-    latest: dict[str, Viewed] = {}
-    good_since: int | None = None
-    why = "no view was asked"
+    latest: dict[str, MembershipViewRow] = {}
+    correct_since: int | None = None
+    reason = "no view was asked"
     for row in rows:
-        if isinstance(row, Ran):
-            if row.begins:
-                running[row.edge] = row.life
-            elif running.get(row.edge) == row.life:
-                del running[row.edge]
+        if isinstance(row, EdgeProcessRow):
+            _update_running(running, row)
             latest.pop(row.edge, None)
-        elif isinstance(row, Viewed):
+        elif isinstance(row, MembershipViewRow):
             latest[row.edge] = row
         else:
             continue
-        flaw = _flaw(running, latest)
-        if flaw:
-            good_since, why = None, f"at {row.at}: {flaw}"
-        elif good_since is None:
-            good_since = row.at
-    return (None if good_since is None else max(good_since, last)), why
+        if problem := _problem(running, latest):
+            correct_since, reason = None, f"at {row.at}: {problem}"
+        elif correct_since is None:
+            correct_since = row.at
+    return (None if correct_since is None else max(correct_since, last_fault)), reason
+
 
+def _update_running(running: dict[str, str], row: EdgeProcessRow) -> None:
+    """Takes a start or an end into the incarnations of the running edge proxies."""
+    if row.is_start:
+        running[row.edge] = row.incarnation
+    elif running.get(row.edge) == row.incarnation:
+        del running[row.edge]
 
-def _flaw(running: dict[str, str], latest: dict[str, Viewed]) -> str:
+
+def _problem(running: dict[str, str], latest: dict[str, MembershipViewRow]) -> str:
+    """Why the latest views are not yet the correct one; empty if they are."""
     for edge in running:
         if edge not in latest:
             return f"{edge} was not heard of yet"
@@ -99,38 +128,43 @@
     return ""
 
 
-def _gone_back(rows: Sequence[Row]) -> list[tuple[str, str]]:
-    """Who, having seen a member's later process, took an earlier one for present again."""
-    began = {row.life: row.at for row in rows if isinstance(row, Ran) and row.begins}
-    seen: dict[tuple[str, str], dict[str, str]] = defaultdict(dict)
-    wrong = []
+def _regressions(rows: Sequence[Row]) -> list[tuple[str, str]]:
+    """Observer and member where a view that held a later incarnation holds an earlier one again."""
+    started_at = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
+    last_seen: dict[tuple[str, str], dict[str, str]] = defaultdict(dict)
+    found = []
     for row in rows:
-        if not isinstance(row, Viewed):
+        if not isinstance(row, MembershipViewRow):
             continue
-        known = seen[row.edge, row.life]
-        for name, life in row.members.items():
-            before = known.get(name)
-            if before is not None and began.get(life, 0) < began.get(before, 0):
-                wrong.append((row.edge, name))
-            known[name] = life
-    return wrong
-
-
-def _false_deaths(rows: Sequence[Row], faults: list[Fault], after: int) -> list[tuple[str, str]]:
-    """Of those that ran and were not struck, nor their paths, at that time or shortly before."""
-    lives = {row.life for row in rows if isinstance(row, Ran) and row.begins}
-    ends = {row.life: row.at for row in rows if isinstance(row, Ran) and not row.begins}
-    wrong = []
+        known = last_seen[row.edge, row.incarnation]
+        for name, incarnation in row.members.items():
+            previous = known.get(name)
+            if previous is not None and started_at.get(incarnation, 0) < started_at.get(previous, 0):
+                found.append((row.edge, name))
+            known[name] = incarnation
+    return found
+
+
+def _false_failures(rows: Sequence[Row], faults: Sequence[FaultRow], grace: int) -> list[tuple[str, str]]:
+    """Observer and member where a process was declared failed that ran, without a fault near that time."""
+    processes = [row for row in rows if isinstance(row, EdgeProcessRow)]
+    started = {row.incarnation for row in processes if row.is_start}
+    ended_at = {row.incarnation: row.at for row in processes if not row.is_start}
+    found = []
     for row in rows:
-        if not isinstance(row, Found) or row.what != "gone" or row.member_life not in lives:
+        if not isinstance(row, MembershipEventRow) or row.kind != "gone":
             continue
-        if row.at >= ends.get(row.member_life, row.at + 1):
+        if row.member_incarnation not in started:
             continue
-        struck = any(
-            _touches(fault) and fault.target in (row.member, row.edge, "paths")
-            for fault in faults
-            if fault.at <= row.at <= fault.until + after
-        )
-        if not struck:
-            wrong.append((row.edge, row.member))
-    return wrong
+        was_running = row.at < ended_at.get(row.member_incarnation, row.at + 1)
+        if was_running and not _had_fault(row, faults, grace):
+            found.append((row.edge, row.member))
+    return found
+
+
+def _had_fault(event: MembershipEventRow, faults: Sequence[FaultRow], grace: int) -> bool:
+    targets = (event.member, event.edge, ALL_PATHS)
+    return any(
+        _affects_membership(fault) and fault.target in targets and fault.at <= event.at <= fault.until + grace
+        for fault in faults
+    )
--- a/valverouter/emulator/call_load.py
+++ b/valverouter/emulator/call_load.py
@@ -7,7 +7,7 @@
 from valverouter.emulator.callers import EmulatedCallers
 from valverouter.emulator.edge_model import DialogRequest
 from valverouter.emulator.fleet import Fleet
-from valverouter.servermodel.arrivals import Pattern, Source, copies
+from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 from valverouter.terms.calls import Call
 
 HOT_CALLED_NUMBER = 1
@@ -40,8 +40,8 @@
         self._arrival_draws = fleet.random_stream(f"arrivals {fleet_index}")
         self._call_draws = fleet.random_stream(f"asks {fleet_index}")
         settings = day.callers
-        pattern = Pattern(settings.on, settings.off, settings.drift, day.terms.length)
-        self._arrivals = Source(pattern, self._arrival_draws.exponential, self._starts_at)
+        pattern = ArrivalPattern(settings.on, settings.off, settings.drift, day.terms.length)
+        self._arrivals = ArrivalProcess(pattern, self._arrival_draws.exponential, self._starts_at)
         self._traffic_types = list(day.mix)
         self._weights = [day.mix[traffic_type].share for traffic_type in self._traffic_types]
         self._server_numbers = self._preferred_numbers()
@@ -70,7 +70,7 @@
     def _schedule_arrival(self) -> None:
         fleet = self._fleet
         rate = fleet.day.callers.rate / len(fleet.callers) * self._load.rate_factor
-        arrives_at = self._arrivals.next(fleet.sim.now(), rate)
+        arrives_at = self._arrivals.next_arrival(fleet.sim.now(), rate)
         if arrives_at < self._ends_at:
             fleet.sim.call_at(arrives_at, self._on_arrival)
 
@@ -87,7 +87,7 @@
 
     def _on_recorded(self, call: Call) -> None:
         times = self._fleet.day.callers.times * self._load.rate_factor
-        for _ in range(copies(times, self._arrival_draws.random)):
+        for _ in range(draw_repetitions(times, self._arrival_draws.random)):
             self._dial(call)
         self._schedule_recorded()
 
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -8,8 +8,9 @@
 
 from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.interface import LoadReport, Outcome
-from valverouter.servermodel.server import Happening, Happens, Key, SetupServer
-from valverouter.signalling.tap import Began, Lost, Passed, Tap
+from valverouter.servermodel.events import LegKey, ServerEvent, ServerEventKind
+from valverouter.servermodel.server import SetupServer
+from valverouter.signalling.tap import ConnectionLostRow, MessageRow, ServerStartedRow, Tap
 
 # How long a leg that is on record at its edge proxy survives the loss of its connection, ns.
 DETACHED_LEG_LIFETIME = 10_000_000_000
@@ -17,14 +18,14 @@
 
 # By what the model reports: the outcome of the attempt, and the kind of message that carries it.
 OUTCOMES = {
-    Happens.STANDS: (Outcome.ESTABLISHED, "stands"),
-    Happens.ENDED: (Outcome.ENDED, ENDED_KIND),
-    Happens.CUT: (Outcome.ENDED, ENDED_KIND),
-    Happens.LINE_BUSY: (Outcome.LINE_BUSY, "line-busy"),
-    Happens.FULL: (Outcome.FULL, "full"),
-    Happens.NO_AGENT: (Outcome.NO_AGENT, "no-agent"),
-    Happens.FAULT: (Outcome.FAULT, "fault"),
-    Happens.CANCELLED: (Outcome.CANCELLED, "cancelled"),
+    ServerEventKind.ESTABLISHED: (Outcome.ESTABLISHED, "stands"),
+    ServerEventKind.ENDED: (Outcome.ENDED, ENDED_KIND),
+    ServerEventKind.CUT: (Outcome.ENDED, ENDED_KIND),
+    ServerEventKind.LINE_BUSY: (Outcome.LINE_BUSY, "line-busy"),
+    ServerEventKind.FULL: (Outcome.FULL, "full"),
+    ServerEventKind.NO_AGENT: (Outcome.NO_AGENT, "no-agent"),
+    ServerEventKind.FAULT: (Outcome.FAULT, "fault"),
+    ServerEventKind.CANCELLED: (Outcome.CANCELLED, "cancelled"),
 }
 
 
@@ -74,7 +75,12 @@
         self._last_arrival_at_server = self._last_arrival_at_edge = 0
 
     def send(
-        self, kind: str, dialog_id: str, attempt: int, request: Callable[[int, Key], None], details: str = ""
+        self,
+        kind: str,
+        dialog_id: str,
+        attempt: int,
+        request: Callable[[int, LegKey], None],
+        details: str = "",
     ) -> None:
         """Sends a request to the server: recorded now, `request(now, leg)` applied when it arrives."""
         server = self.server
@@ -84,51 +90,51 @@
         self._last_arrival_at_server = max(self._last_arrival_at_server, now + self._delay())
         sim.call_at(self._last_arrival_at_server, self._on_arrival, request, (self.peer, dialog_id, attempt))
 
-    def _on_arrival(self, request: Callable[[int, Key], None], leg: Key) -> None:
-        if self.is_open and self.server.model.runs:
+    def _on_arrival(self, request: Callable[[int, LegKey], None], leg: LegKey) -> None:
+        if self.is_open and self.server.model.is_running:
             request(self.server.sim.now(), leg)
-            if not self.server.model.runs:
+            if not self.server.model.is_running:
                 self.server.close_connections()
             self.server.deliver_events()
 
-    def send_event(self, event: Happening) -> None:
+    def send_event(self, event: ServerEvent) -> None:
         """Sends to the edge proxy; what arrives after the connection closed is lost."""
         sim = self.server.sim
         self._last_arrival_at_edge = max(self._last_arrival_at_edge, sim.now() + self._delay())
         sim.call_at(self._last_arrival_at_edge, self._on_event, event, self.server.load_report())
 
-    def _on_event(self, event: Happening, load_report: LoadReport) -> None:
+    def _on_event(self, event: ServerEvent, load_report: LoadReport) -> None:
         if not self.is_open:
             return
         server = self.server
         _, dialog_id, attempt = event.key
-        outcome, kind = OUTCOMES[event.what]
+        outcome, kind = OUTCOMES[event.kind]
         details = ""
         if kind == ENDED_KIND:
             details = _end_reason(event).value
         server.record_message(
-            server.sim.now(), self.owner.name, True, kind, dialog_id, attempt, details, event.asked_wait
+            server.sim.now(), self.owner.name, True, kind, dialog_id, attempt, details, event.retry_after
         )
         self.owner.on_attempt_answer(
-            self, dialog_id, attempt, outcome, event.asked_wait, load_report, details
+            self, dialog_id, attempt, outcome, event.retry_after, load_report, details
         )
 
-    def close(self, surviving_legs: Sequence[Key] = ()) -> None:
+    def close(self, surviving_legs: Sequence[LegKey] = ()) -> None:
         """Closes the connection; the legs named survive it for a while, to be resumed on another."""
         if not self.is_open:
             return
         self.is_open = False
         server = self.server
         server.connections.pop(self.peer, None)
-        server.tap.row(Lost, edge=self.owner.name, peer=server.name)
+        server.tap.record(ConnectionLostRow, edge=self.owner.name, peer=server.name)
         server.detach(surviving_legs)
-        server.model.peer_lost(server.sim.now(), self.peer, server.detached_legs)
+        server.model.on_connection_lost(server.sim.now(), self.peer, server.detached_legs)
         server.deliver_events()
         self.owner.on_connection_lost(self)
 
 
-def _end_reason(event: Happening) -> EndReason:
-    return EndReason.INTERRUPTED if event.what is Happens.CUT else EndReason.COMPLETED
+def _end_reason(event: ServerEvent) -> EndReason:
+    return EndReason.INTERRUPTED if event.kind is ServerEventKind.CUT else EndReason.COMPLETED
 
 
 class EmulatedServer:
@@ -157,9 +163,9 @@
         self.refused_edges: set[str] = set()
         self.connections: dict[str, Connection] = {}
         # Legs that survived their connection, by the one that resumed them; each leaves with its end.
-        self.detached_legs: dict[Key, Connection | None] = {}
+        self.detached_legs: dict[LegKey, Connection | None] = {}
         # Ends of such legs while nobody was connected; each leaves when it is asked for, or in time.
-        self.unreported_ends: dict[Key, EndReason] = {}
+        self.unreported_ends: dict[LegKey, EndReason] = {}
         self._durations = durations
         self._mean_duration = mean_duration
         self._reports_lines = reports_lines
@@ -179,13 +185,15 @@
         """Records a message at an edge proxy; `is_sent`: by this server."""
         rows = self.tap.rows
         rows.append(
-            Passed(len(rows), at, edge, self.name, is_sent, kind, dialog_id, attempt, retry_after, details)
+            MessageRow(
+                len(rows), at, edge, self.name, is_sent, kind, dialog_id, attempt, retry_after, details
+            )
         )
 
-    def setup_request(self, traffic_type: str, called_number: int) -> Callable[[int, Key], None]:
+    def setup_request(self, traffic_type: str, called_number: int) -> Callable[[int, LegKey], None]:
         """The request that sets a dialog up; its duration is drawn when it arrives."""
 
-        def request(now: int, leg: Key) -> None:
+        def request(now: int, leg: LegKey) -> None:
             duration = int(self._durations.exponential() * self._mean_duration(traffic_type))
             self.model.setup(now, leg, called_number, duration)
 
@@ -195,7 +203,7 @@
         """What a message to an edge proxy says of the server's load."""
         if not self._reports_lines:
             return LoadReport()
-        return LoadReport(free_lines=self.model.free_lines, lines=self.model.lines)
+        return LoadReport(free_lines=self.model.free_lines, lines=self.model.line_count)
 
     def deliver_events(self) -> None:
         """Sends the model's events up to now, and schedules itself for the model's next one."""
@@ -207,15 +215,19 @@
                 if connection is None:
                     self.unreported_ends[event.key] = _end_reason(event)
                     self.sim.call_after(DETACHED_LEG_LIFETIME, self._forget_end, event.key)
-            if connection is not None and not self.is_silent and event.what is not Happens.PROVISIONAL:
+            if (
+                connection is not None
+                and not self.is_silent
+                and event.kind is not ServerEventKind.PROVISIONAL
+            ):
                 connection.send_event(event)
-        due = self.model.due()
+        due = self.model.next_event_at()
         scheduled = self._next_delivery_at
         if due is not None and (scheduled is None or due < scheduled or scheduled <= now):
             self._next_delivery_at = due
             self.sim.call_at(due, self.deliver_events)
 
-    def detach(self, legs: Sequence[Key]) -> None:
+    def detach(self, legs: Sequence[LegKey]) -> None:
         """Lets legs survive without a connection for a while, with those whose new one has closed too."""
         orphaned = [
             leg
@@ -226,18 +238,18 @@
             self.detached_legs[leg] = None
             self.sim.call_after(DETACHED_LEG_LIFETIME, self._abandon, leg)
 
-    def _forget_end(self, leg: Key) -> None:
+    def _forget_end(self, leg: LegKey) -> None:
         self.unreported_ends.pop(leg, None)
 
-    def _abandon(self, leg: Key) -> None:
+    def _abandon(self, leg: LegKey) -> None:
         if leg in self.detached_legs and self.detached_legs[leg] is None:
             del self.detached_legs[leg]
-            self.model.forsake(self.sim.now(), leg)
+            self.model.abandon(self.sim.now(), leg)
             self.deliver_events()
 
-    def resume(self, leg: Key, connection: Connection) -> EndReason | None:
+    def resume(self, leg: LegKey, connection: Connection) -> EndReason | None:
         """Resumes a leg on a connection of a later process; how it ended, or None if it is established."""
-        self.model.asked(self.sim.now())
+        self.model.on_resume_request(self.sim.now())
         self.deliver_events()
         if leg in self.detached_legs and leg in self.model.legs:
             self.detached_legs[leg] = connection
@@ -266,10 +278,10 @@
         self.close_connections()
         self.is_silent = False
         self.model.start(self.sim.now())
-        if self.model.runs:
+        if self.model.is_running:
             self.incarnation += 1
             self.record_start()
 
     def record_start(self) -> None:
         """Records the start of a process with its slow-start parameters."""
-        self.tap.row(Began, server=self.name, **self.model.make.cold_terms())
+        self.tap.record(ServerStartedRow, server=self.name, **self.model.profile.slow_start_parameters())
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -11,7 +11,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.server_faults import ServerFaults
 from valverouter.emulator.servers import EmulatedServer
-from valverouter.signalling.tap import Opened, Row
+from valverouter.signalling.tap import CallersStartedRow, Row
 from valverouter.terms.day import Trouble
 
 SECOND = 1_000_000_000
@@ -73,7 +73,7 @@
 
     def _begin(self, ends_at: int) -> None:
         fleet = self._fleet
-        fleet.tap.row(Opened)
+        fleet.tap.record(CallersStartedRow)
         for name, fault in fleet.day.troubles.items():
             fleet.sim.env.process(self._fault(name, fault))
         for callers in fleet.callers:
--- a/valverouter/standins/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Stand-in setup servers, list service and callers on streams, round valverouter.servermodel."""
