--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -22,11 +22,7 @@
 FILE_LINES = 450
 FUNCTION_LINES = 40
 
-FILE_CEILINGS: dict[str, int] = {
-    "valverouter/edge/proxy.py": 818,
-    "valverouter/emulator/rollouts.py": 580,
-    "valverouter/servermodel/server.py": 512,
-}
+FILE_CEILINGS: dict[str, int] = {"valverouter/edge/proxy.py": 818, "valverouter/servermodel/server.py": 512}
 
 FUNCTION_CEILINGS: dict[str, int] = {
     "valverouter/audit/account.py::account": 45,
