--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -64,7 +64,7 @@
     parser.add_argument("--alone", action="store_true", help="not beside a run without the view")
     parser.add_argument("--logs", type=Path, help="keep the edge proxies' files here")
     told = parser.parse_args()
-    logs.set_up(Log(level="error"))
+    logs.configure_logging(Log(level="error"))
     after, differences, bad = [], [], 0
     for seed in range(told.first, told.first + told.seeds):
         script = scripted(seed, told.edges, told.length)
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -32,10 +32,11 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
-from valverouter.edge.keeping import edge_proxy
-from valverouter.edge.logs import set_up
+from valverouter.edge.garbage_collection import tune_garbage_collector
+from valverouter.edge.logs import configure_logging
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.edge.surroundings import Sockets, long_lived
+from valverouter.edge.resumable_proxy import make_edge_proxy
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.membership.records import Phase
@@ -196,7 +197,7 @@
     terms = edge_terms(IniFile(INI.format(port=port).replace("name = e0", f"name = {name}"), "bench"))
     between = Between("127.0.0.1:0", (KEY,), seeds)
     return MembershipService(
-        terms, between, Sockets(), random.getrandbits(64), lambda: (Phase.SERVING, terms.digest)
+        terms, between, SocketRuntime(), random.getrandbits(64), lambda: (Phase.SERVING, terms.digest)
     )
 
 
@@ -219,21 +220,21 @@
             told.put(f"{membership.view.live_count} members, {membership.view_health.value}")
             await trio.sleep_forever()
 
-    set_up(edge_terms(IniFile(INI.format(port=1), "bench")).log)
+    configure_logging(edge_terms(IniFile(INI.format(port=1), "bench")).log)
     trio.run(main)
 
 
 def edge(port: int, told: Any, profile: str, folder: str = "", sync: str = "none", seed: str = "") -> None:
     terms = edge_terms(IniFile(INI.format(port=port), "bench"))
-    set_up(terms.log)
+    configure_logging(terms.log)
     store = DialogStore(Path(folder), sync=sync) if folder else None
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            proxy: EdgeProxy = await nursery.start(edge_proxy(terms, Sockets(), store).run)
+            proxy: EdgeProxy = await nursery.start(make_edge_proxy(terms, SocketRuntime(), store).run)
             if seed:
                 await nursery.start(member("e0", (seed,), port).run)
-            long_lived()
+            tune_garbage_collector()
             told.put(proxy.address)
             with trio.open_signal_receiver(15) as signals:
                 async for _ in signals:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -177,7 +177,7 @@
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--logs", type=Path, help="keep the processes' files here")
     told = parser.parse_args()
-    logs.set_up(Log(level="error"))
+    logs.configure_logging(Log(level="error"))
     runs = {"loopback": loopback, "simulated": simulated, "releases": releases, "pairs": pairs}
     runs[told.what](told)
 
--- a/tests/drilling.py
+++ b/tests/drilling.py
@@ -19,7 +19,7 @@
 import trio
 
 from tests.rig import Peer
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import ListSession, Register, Row, Watch
 from valverouter.signalling.setup import Aborted, Declined, Provisional, Setup, SetupSession, Stands
@@ -57,7 +57,7 @@
         self.answer: Callable[[Setup], Any] = lambda asked: Stands(asked.dialog, asked.leg)
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        await Sockets().serve(self.address, self._serve, task_status)
+        await SocketRuntime().serve(self.address, self._serve, task_status)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         self.links.append(peer := Peer(stream, SetupSession()))
@@ -97,7 +97,7 @@
         for number in range(servers):
             far = self.servers[f"s{number}"] = Far(f"s{number}", number)
             far.address = await self.nursery.start(far.run)
-        self.list_at = await self.nursery.start(Sockets().serve, "127.0.0.1:0", self._list)
+        self.list_at = await self.nursery.start(SocketRuntime().serve, "127.0.0.1:0", self._list)
         self.register.change([far.row() for far in self.servers.values()])
 
     async def _list(self, stream: trio.abc.Stream) -> None:
@@ -118,7 +118,7 @@
         self.file.write_text(text, "utf-8")
         self.spawn(["valverouter.cli", "edge", str(self.file)], stderr=stderr)
         if stderr is None:
-            self.address = (await self.event("listening"))["address"]
+            self.address = (await self.event("edge-listening"))["address"]
             await self.event("link-up", many=len(self.servers))
 
     async def relay(self, told: dict[str, Any]) -> None:
@@ -126,7 +126,7 @@
         self.file = self.folder / "config.json"
         self.file.write_bytes(msgspec.json.encode(told))
         self.spawn(["valverouter.relayedge"], {"RELAY_CONFIG": str(self.file)})
-        await self.event("listening")
+        await self.event("edge-listening")
         self.address = told["listen"]
 
     def spawn(
@@ -164,7 +164,7 @@
         return found[many - 1]
 
     async def caller(self, name: str = "c0") -> Peer:
-        stream = await Sockets().connect(self.address)
+        stream = await SocketRuntime().connect(self.address)
         peer = Peer(stream, SetupSession(Hello((1, 1), "caller", name)))
         await stream.send_all(peer.session.opening())
         self.nursery.start_soon(peer.read)
--- a/tests/membership_service_rig.py
+++ b/tests/membership_service_rig.py
@@ -12,7 +12,7 @@
 import trio
 
 from tests.rig import terms
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.membership.messages import Ping
 from valverouter.membership.records import Phase
@@ -52,7 +52,7 @@
     config = edge_config(name)
     between = Between(listen, keys, seeds, period=100 * MS)
     return MembershipService(
-        config, between, Sockets(), random.Random(name).getrandbits(64), lambda: (Phase.SERVING, "")
+        config, between, SocketRuntime(), random.Random(name).getrandbits(64), lambda: (Phase.SERVING, "")
     )
 
 
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -14,8 +14,9 @@
 import h11
 import trio
 
-from valverouter.days.virtual import EPOCH, MemoryPlace, MemorySurroundings
-from valverouter.edge.surroundings import Handler, Sockets
+from valverouter.days.virtual import EPOCH, MemoryPlace, MemoryRuntime
+from valverouter.edge.runtime import Handler
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.relayedge.proxy import RelayProxy
 from valverouter.relaywire import isup
 from valverouter.relaywire.lines import Line, LineReader
@@ -69,10 +70,10 @@
     return isup.write(isup.IAM, id_, told)
 
 
-class Loopback(Sockets):
+class Loopback(SocketRuntime):
     """Loopback sockets under the rig's names: what serves at `s0:1` has some free port of this machine.
 
-    As an edge proxy's surroundings: no turn begins while `turns` is not set, no dial to a name in `dials`
+    As an edge proxy's runtime: no turn begins while `turns` is not set, no dial to a name in `dials`
     ends before its event is.
     """
 
@@ -103,8 +104,8 @@
             self.ports[address] = await nursery.start(super().serve, "127.0.0.1:0", handler)
             task_status.started(address)
 
-    async def turn(self) -> None:
-        await super().turn()
+    async def checkpoint(self) -> None:
+        await super().checkpoint()
         await self.turns.wait()
         at_turn, self.at_turn = self.at_turn, None
         if at_turn is not None:
@@ -265,7 +266,7 @@
         self.place = (
             Loopback(self.network.ports)
             if isinstance(self.network, Loopback)
-            else MemorySurroundings(self.network)
+            else MemoryRuntime(self.network)
         )
         self.edge = RelayProxy(self.platform(), self.place)
 
@@ -300,10 +301,10 @@
         else:
             await rig.until(
                 lambda: (
-                    len(rig.edge._links) == len(rig.servers)
+                    len(rig.edge.links.by_server) == len(rig.servers)
                     and all(
-                        link.takes and not getattr(link, "_connecting", 0)
-                        for link in rig.edge._links.values()
+                        link.is_writable and not getattr(link, "_connecting", 0)
+                        for link in rig.edge.links.by_server.values()
                     )
                 )
             )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from valverouter.days.virtual import MemoryPlace, MemorySurroundings
+from valverouter.days.virtual import MemoryPlace, MemoryRuntime
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
@@ -157,7 +157,7 @@
     def __init__(self, nursery: trio.Nursery, edge: EdgeTerms) -> None:
         self.nursery = nursery
         self.network = MemoryPlace()
-        self.surroundings = MemorySurroundings(self.network)
+        self.runtime = MemoryRuntime(self.network)
         self.terms = edge
         self.register = Register("rig")
         self.list: Peer | None = None
@@ -166,7 +166,7 @@
         self.scope = trio.CancelScope()
 
     def make_edge(self) -> EdgeProxy:
-        return EdgeProxy(self.terms, self.surroundings)
+        return EdgeProxy(self.terms, self.runtime)
 
     async def server(self, name: str, number: int, **more: int) -> FakeServer:
         server = self.servers[name] = FakeServer(self, name, number, **more)
@@ -204,7 +204,7 @@
         """The edge's process is killed and another started; what it held is gone, its files stay."""
         self.scope.cancel()
         await trio.sleep(0.01)
-        self.surroundings = MemorySurroundings(self.network)
+        self.runtime = MemoryRuntime(self.network)
         self.edge = self.make_edge()
         await self.nursery.start(self.run_edge)
 
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -29,7 +29,7 @@
 from click.testing import CliRunner
 
 from valverouter.cli import crossings, fleet_view, fleet_view_output, ledgers
-from valverouter.edge import listing
+from valverouter.edge import endpoint_cache
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
 from valverouter.fleet import authentication, fragmentation, queries, view_comparison
@@ -40,7 +40,7 @@
 from valverouter.membership import messages, records
 from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
-from valverouter.relayedge import words as relay_words
+from valverouter.relayedge import translation as relay_words
 from valverouter.relaywire import bus, lines
 from valverouter.rollout import (
     disruption_limits,
@@ -427,11 +427,11 @@
     "change": serverlist.Change("epoch-3", 701, [serverlist.Row("s5", 1, "gone", "", "", 0, None)]),
     "left": serverlist.Left("s10", 727, True, ""),
 }
-LIST_CACHE = listing.Kept(733, LIST_ROWS[:2])
+LIST_CACHE = endpoint_cache.CachedEndpoints(733, LIST_ROWS[:2])
 
 # The platform's
 
-ASKED = relay_words.Asked(
+ASKED = relay_words.RelaySetup(
     *LEG,
     traffic_type="booking",
     no_answer=739,
@@ -445,7 +445,7 @@
 PLATFORM: dict[str, Any] = {
     "asked": ASKED,
     "answered": relay_words.Answered(*LEG, "s11", LOAD, description="v=1"),
-    "stood": relay_words.Stood(ASKED, "s12"),
+    "stood": relay_words.EstablishedDialog(ASKED, "s12"),
     "batch": bus.Batch(
         751,
         [bus.BusEvent(757, bus.Topology([bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)], True))],
@@ -576,7 +576,7 @@
     lifecycle,
     learned_state,
     dialog_store,
-    listing,
+    endpoint_cache,
     greeting,
     setup,
     serverlist,
@@ -687,7 +687,7 @@
     tap.StepRow: "turned",
     tap.ProgramVersionRow: "runs",
     tap.OperationRow: "ordered",
-    relay_words.Asked: "setup",
+    relay_words.RelaySetup: "setup",
     relay_words.Answered: "stands",
 }
 
--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_files.py
@@ -17,7 +17,7 @@
 from tests.rig import INI, MS, SECOND, terms
 from tests.test_days import valverouter
 from valverouter.attempts.worst_case import policy_problems, timelines
-from valverouter.edge.attempting import AttemptBook
+from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.interface import (
     AttemptPolicy,
     Dialog,
@@ -38,8 +38,8 @@
 SETS = "[server-set near]\nservers = 0, 1\n[server-set far]\nservers = 2-4\n[trunk-group gw]\npeers = gw-*\n"
 
 
-def book(text: str) -> AttemptBook:
-    return AttemptBook(terms(f"{INI}\n{text}"))
+def book(text: str) -> AttemptPolicies:
+    return AttemptPolicies(terms(f"{INI}\n{text}"))
 
 
 # One line a file: its sections in short, and what its flaw says. A bare line of keys is one section.
@@ -195,13 +195,13 @@
     found = book(
         "[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\nfraction = 0.2\n" + SETS
     )
-    assert found.budgets() == {
+    assert found.retry_budgets() == {
         0: RetryBudgetConfig(6_000, 200),
         1: RetryBudgetConfig(6_000, 200),
         **{number: RetryBudgetConfig(4_000, 100) for number in (2, 3, 4)},
     }
-    assert found.budget_elsewhere() == RetryBudgetConfig(4_000, 100)
-    assert book("[attempts a]\nlegs = 2").budgets() == {}
+    assert found.default_retry_budget() == RetryBudgetConfig(4_000, 100)
+    assert book("[attempts a]\nlegs = 2").retry_budgets() == {}
 
 
 @pytest.mark.parametrize(
@@ -230,7 +230,7 @@
     assert not matches_peer("gw-*", "g")
     groups = "[trunk-group any]\npeers = *\n[trunk-group one]\npeers = gw-1*\n[attempts a]\nlegs = 2\n"
     found = book(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
-    assert found.asked("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
+    assert found.match_input("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
     assert found.explain("plain", 1, "gw-12")["legs"].value == 5
     assert found.explain("plain", 1, "gw-2")["legs"].value == 2
 
@@ -252,7 +252,7 @@
 )
 def test_a_fuzzed_file_gives_flaws_with_lines_or_terms_that_keep_the_rules(parts: list[str]) -> None:
     try:
-        found = book("\n".join(parts)).of("plain", 21, "gw-1", 1)
+        found = book("\n".join(parts)).policy_for("plain", 21, "gw-1", 1)
     except FlawedTermsError as error:
         assert error.flaws
         return
@@ -275,8 +275,8 @@
         assert error.flaws
 
 
-def random_files(chance: random.Random, many: int) -> list[AttemptBook]:
-    taken: list[AttemptBook] = []
+def random_files(chance: random.Random, many: int) -> list[AttemptPolicies]:
+    taken: list[AttemptPolicies] = []
     while len(taken) < many:
         sections = [
             "\n".join([f"[attempts {name}]", *chance.sample(PIECES[:-4], chance.randint(1, 5))])
@@ -297,11 +297,11 @@
     chance = random.Random(seed)
     for at, found in enumerate(random_files(chance, 25)):
         rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # the same file in small fleets and large
-        rig.driver.set_retry_budgets(found.budgets(), found.budget_elsewhere())
+        rig.driver.set_retry_budgets(found.retry_budgets(), found.default_retry_budget())
         for dialog in range(50):
             number, peer, first = chance.choice([7, 21]), chance.choice(["", "gw-1"]), chance.randint(-1, 4)
             no_answer = chance.choice([1, 3, 9]) * SECOND
-            terms_ = found.of("plain", number, peer, first)
+            terms_ = found.policy_for("plain", number, peer, first)
             if terms_ is not None and terms_.no_answer_timeout:
                 no_answer = min(no_answer, terms_.no_answer_timeout)
             one_course(rig, chance, found, f"d{dialog}", (number, peer, first), no_answer)
@@ -316,16 +316,16 @@
 def one_course(
     rig: Rig,
     chance: random.Random,
-    found: AttemptBook,
+    found: AttemptPolicies,
     name: str,
     route: tuple[int, str, int],
     no_answer: int,
 ) -> None:
     """One dialog to its answer, the wire played by chance; asserts the rules on what was wished."""
-    reckoned = found.reckoned("plain", route[0], no_answer, *route[1:])
+    reckoned = found.worst_case_policy("plain", route[0], no_answer, *route[1:])
     latest, legs_most = ends_of(reckoned)
     began, legs, released_at, no_agents = rig.now, 0, 0, False
-    attempts = found.of("plain", *route)
+    attempts = found.policy_for("plain", *route)
     rig.driver.start_dialog(
         Dialog(name, "plain", began + no_answer, route[2], route[0], attempt_policy=attempts)
     )
@@ -387,7 +387,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(rest)
         found = await load_settled(path)
-    assert AttemptBook(found).explain("plain", 1)["legs"].value == 2
+    assert AttemptPolicies(found).explain("plain", 1)["legs"].value == 2
     assert not found.ends
     path.write_text(f"{text}{END}\n")
     assert (await load_settled(path)).ends
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,7 +34,7 @@
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
 from valverouter.days.virtual import run_virtual
-from valverouter.edge.attempting import AttemptBook
+from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.interface import AttemptPolicy, Outcome, RetryBudgetConfig
 from valverouter.policy import tuning
 from valverouter.policy.retry import retry_delay
@@ -234,8 +234,8 @@
     return INI + "\n" + "\n".join(sections)
 
 
-def book(text: str) -> AttemptBook:
-    return AttemptBook(terms(text))
+def book(text: str) -> AttemptPolicies:
+    return AttemptPolicies(terms(text))
 
 
 def test_good_files_are_explained_by_line() -> None:
@@ -244,8 +244,8 @@
     line = text.splitlines().index("leg_time_out = 700ms") + 1
     assert found["leg_time_out"] == EffectiveSetting(700 * MS, f"rig.ini:{line} [attempts b]")
     assert found["retry_cap"].source == "the decisions' own"
-    assert book(text).of("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
-    assert book(ini("[attempts a]\nprefix = 9\nlegs = 2")).of("plain", 3) is None
+    assert book(text).policy_for("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
+    assert book(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
 
 
 async def test_legs_and_time_outs_on_the_wire_are_those_of_the_file(autojump_clock: MockClock) -> None:
@@ -282,7 +282,7 @@
         assert over - sent == pytest.approx(1.4, abs=0.005)
         rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=terms_with_ties()))
         await trio.sleep(0.05)
-        assert rig.edge._attempts is not None, "a refused file leaves the old one acting"
+        assert rig.edge.context.attempt_policies is not None, "a refused file leaves the old one acting"
 
 
 def terms_with_ties() -> Any:
@@ -380,9 +380,9 @@
                 await trio.sleep(0.1)
             served = len(caller.all(setup.Stands))
             assert rig.edge.generation == 3
-            assert not rig.edge.terms.attempts
+            assert not rig.edge.config.attempts
     assert served > 120
-    assert [e["event"] for e in logged].count("terms-harm") == 1
+    assert [e["event"] for e in logged].count("configuration-harmful") == 1
 
 
 # Changes while running
@@ -481,11 +481,11 @@
             rig.edge.reload(terms(whole[: whole.index("[attempts b]")]))  # passes every check by itself
             await trio.sleep(0.1)
             assert rig.edge.generation == 1
-            assert len(rig.edge.terms.attempts.sections) == 2
+            assert len(rig.edge.config.attempts.sections) == 2
             rig.edge.reload(terms(whole.replace("legs = 2", "legs = 3")))
             await trio.sleep(0.1)
             assert rig.edge.generation == 2
-    (refused,) = [e for e in logged if e["event"] == "reload-refused"]
+    (refused,) = [e for e in logged if e["event"] == "configuration-rejected"]
     assert "cut off" in refused["why"]
 
 
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -22,14 +22,11 @@
 FILE_LINES = 450
 FUNCTION_LINES = 40
 
-FILE_CEILINGS: dict[str, int] = {"valverouter/edge/proxy.py": 818}
+FILE_CEILINGS: dict[str, int] = {}
 
 FUNCTION_CEILINGS: dict[str, int] = {
     "valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52,
     "valverouter/days/world.py::World._dials": 44,
-    "valverouter/edge/proxy.py::EdgeProxy.__init__": 44,
-    "valverouter/edge/proxy.py::EdgeProxy._turns": 55,
-    "valverouter/relayedge/words.py::asked": 43,
     "valverouter/signalling/setup.py::SetupSession._pass": 50,
     "valverouter/terms/attempts.py::attempt_sections": 45,
     "valverouter/terms/day.py::day": 68,
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -21,7 +21,9 @@
 from valverouter.audit.verdict import Verdict
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
-from valverouter.edge.proxy import OUTCOMES, EdgeProxy
+from valverouter.edge.attempts import OUTCOMES, AttemptHandler
+from valverouter.edge.caller_requests import CallerRequests
+from valverouter.edge.server_links import ServerLinks
 from valverouter.interface import Outcome
 from valverouter.policy import tuning
 from valverouter.signalling import setup, tap
@@ -139,40 +141,42 @@
 
 
 def test_a_planted_second_leg_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = EdgeProxy._send_leg
-
-    def twice(self: EdgeProxy, dialog_id: str, wish: Any) -> None:
-        sound(self, dialog_id, wish)
-        taken = self._dialogs[dialog_id]
-        other = next((link for link in self._links.values() if link is not taken.link and link.takes), None)
+    sound = AttemptHandler.start
+
+    def twice(self: AttemptHandler, dialog_id: str, action: Any) -> None:
+        sound(self, dialog_id, action)
+        taken = self._entries[dialog_id]
+        other = next(
+            (link for link in self._links.values() if link is not taken.link and link.is_writable), None
+        )
         if other is not None and dialog_id.endswith("7"):
             asked = msgspec.structs.replace(taken.setup, leg=60)
-            other.set_up((dialog_id, 60), asked)
+            other.start_attempt((dialog_id, 60), asked)
 
-    monkeypatch.setattr(EdgeProxy, "_send_leg", twice)
+    monkeypatch.setattr(AttemptHandler, "start", twice)
     assert 2 in verdict_of(small(length=3)).violated_rules()
 
 
 def test_a_planted_late_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = EdgeProxy._take
+    sound = CallerRequests.accept
 
-    def generous(self: EdgeProxy, caller: Any, asked: setup.Setup) -> None:
-        sound(self, caller, msgspec.structs.replace(asked, no_answer=asked.no_answer + 51 * MS))
+    def generous(self: CallerRequests, caller: Any, asked: setup.Setup, received_at: int) -> None:
+        sound(self, caller, msgspec.structs.replace(asked, no_answer=asked.no_answer + 51 * MS), received_at)
 
-    monkeypatch.setattr(EdgeProxy, "_take", generous)
+    monkeypatch.setattr(CallerRequests, "accept", generous)
     script = small(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
     patient = msgspec.structs.replace(script.callers, patience=1.0)
     assert verdict_of(msgspec.structs.replace(script, callers=patient)).violated_rules() == {1}
 
 
 def test_a_planted_send_to_a_draining_server_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = EdgeProxy._listed
+    sound = ServerLinks.on_endpoint_update
 
-    def deaf(self: EdgeProxy, heard: Any) -> None:
-        rows = [msgspec.structs.replace(row, phase="in-service") for row in heard.rows]
-        sound(self, type(heard)(heard.scope, rows))
+    def deaf(self: ServerLinks, update: Any) -> None:
+        rows = [msgspec.structs.replace(row, phase="in-service") for row in update.rows]
+        sound(self, type(update)(update.kind, rows))
 
-    monkeypatch.setattr(EdgeProxy, "_listed", deaf)
+    monkeypatch.setattr(ServerLinks, "on_endpoint_update", deaf)
     assert 3 in verdict_of(small(("deploy", HOW["deploy"]), length=5)).violated_rules()
 
 
@@ -181,8 +185,10 @@
     def hasty(world: World, edges: list[MemoryEdge]) -> None:
         for edge in edges:
             assert edge.proxy is not None
-            terms = edge.proxy._driver.policy.deployment
-            edge.proxy._driver.policy.deployment = _with(terms, release_delay=terms.release_delay - cut)
+            terms = edge.proxy.context.driver.policy.deployment
+            edge.proxy.context.driver.policy.deployment = _with(
+                terms, release_delay=terms.release_delay - cut
+            )
 
     verdict = verdict_of(small(("answer_lost", HOW["answer_lost"])), hasty)
     assert verdict.check_counts[5] > 3
@@ -275,10 +281,10 @@
     starts = [
         line
         for line in (logs / "e1.log").read_text().splitlines()
-        if json.loads(line)["event"] == "listening"
+        if json.loads(line)["event"] == "edge-listening"
     ]
     assert len(starts) == 2, "killed and started again"
-    assert json.loads((logs / "e0.log").read_text().splitlines()[-1])["event"] == "stopped"
+    assert json.loads((logs / "e0.log").read_text().splitlines()[-1])["event"] == "edge-stopped"
     assert valverouter("audit", str(records)).returncode == 0
     cut = next(
         row
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -27,12 +27,13 @@
 from tests.test_regions import GOOD as REGIONS
 from valverouter.days.virtual import EPOCH, ROOM
 from valverouter.edge.clock import Clock
-from valverouter.edge.links import say_farewell
-from valverouter.edge.listing import Incarnations, ListLink
-from valverouter.edge.logs import Lines
-from valverouter.edge.mail import Inbox
+from valverouter.edge.connections import send_farewell
+from valverouter.edge.discovery import DiscoveryClient
+from valverouter.edge.incarnations import IncarnationTracker
+from valverouter.edge.logs import LogWriter
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.edge.surroundings import PlainStream, Sockets
+from valverouter.edge.queues import EventQueue
+from valverouter.edge.sockets import PlainSocketStream, SocketRuntime
 from valverouter.interface import CancelAttempt, DialogAction, LoadReport, Outcome
 from valverouter.regions import cross_region_limiter
 from valverouter.regions.time_sliced_quota import TimeSlicedQuota
@@ -71,11 +72,11 @@
 
 async def test_a_caller_that_reads_nothing_and_sends_rubbish_costs_itself_alone() -> None:
     near, far = socket.socketpair()
-    stream = PlainStream(trio.SocketStream(trio.socket.from_stdlib_socket(near)))
+    stream = PlainSocketStream(trio.SocketStream(trio.socket.from_stdlib_socket(near)))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(stream.send_all, b"x" * 10_000_000)
         await trio.testing.wait_all_tasks_blocked()
-        await say_farewell(stream, SetupSession(), ProtocolError("malformed", "rubbish"))
+        await send_farewell(stream, SetupSession(), ProtocolError("malformed", "rubbish"))
         nursery.cancel_scope.cancel()
     await stream.aclose()
     far.close()
@@ -115,7 +116,7 @@
         await trio.sleep(1)
         await rig.tell(server.row("gone"))
         await trio.sleep(10)
-        assert list(rig.edge._links) == ["s1"]
+        assert list(rig.edge.links.by_server) == ["s1"]
         server.incarnation += 1
         await rig.nursery.start(server.run)
         await rig.tell(server.row())
@@ -132,22 +133,22 @@
         await caller.send(dial(no_answer=3 * SECOND))
         await rig.servers["s0"].link.next(Setup)
         rig.servers["s0"].stops_reading()
-        outbox = rig.edge._links["s0"]._outbox
+        outbox = rig.edge.links.by_server["s0"]._send_queue
         assert outbox is not None
         outbox.put(bytes(3 * ROOM))  # more than the stream takes: what follows waits behind it
         answer = await caller.next(Aborted | Declined)
         assert trio.current_time() - began <= 3
         assert answer.dialog == "d1"
-        assert "d1" not in rig.edge._dialogs
+        assert "d1" not in rig.edge.dialogs.entries
 
 
 async def test_every_reader_held_by_a_full_inbox_goes_on(autojump_clock: MockClock) -> None:
-    inbox, went = Inbox(most=2), []
+    inbox, went = EventQueue(capacity=2), []
 
     async def reader(name: int) -> None:
         inbox.put(name)
         inbox.put(name)
-        await inbox.room()
+        await inbox.wait_for_space()
         went.append(name)
 
     async with trio.open_nursery() as nursery:
@@ -219,17 +220,19 @@
             one.file.unlink() if data is None else one.file.write_bytes(data)
             for _ in range(5):  # repeated quickly it is read once more at most
                 one.process.send_signal(signal.SIGHUP)
-            told = await one.event("reload-refused", many=len(one.events("reload-refused")) + 1)
+            told = await one.event(
+                "configuration-rejected", many=len(one.events("configuration-rejected")) + 1
+            )
             assert told["generation"] == 1
             assert told["file"] == str(one.file)
             assert told["why"]
             await one.stands(f"d{at}", caller)
             await trio.sleep(0.3)
-        assert len(one.events("reload-refused")) <= 2 * len(flawed)
-        assert not one.events("reloaded")
+        assert len(one.events("configuration-rejected")) <= 2 * len(flawed)
+        assert not one.events("configuration-reloaded")
         one.file.write_text(good.replace("legs = 2", "legs = 1"))
         one.process.send_signal(signal.SIGHUP)
-        assert (await one.event("reloaded"))["generation"] == 2
+        assert (await one.event("configuration-reloaded"))["generation"] == 2
         await one.stands("d-after", caller)
         assert await held.next(Declined | Aborted)  # whose leg was out all the while
         after = await one.settled()
@@ -246,9 +249,9 @@
     ini = REGIONS.replace("127.0.0.1:1", "edge:1", 1).replace("127.0.0.1:2", "list:1")
     with capture_logs() as logs:
         async with rigged(1, ini) as rig:
-            rule = rig.edge.crossing
+            rule = rig.edge.cross_region
             assert rule is not None
-            before = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.terms, rig.edge.generation)
+            before = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.config, rig.edge.generation)
             other = terms(ini.replace("legs = 10", "legs = 20"))
             for at in range(1, 20):
                 made = 0
@@ -266,11 +269,15 @@
                 await trio.sleep(0.1)
                 if made < at:
                     break  # nothing was short any more: it was taken
-                now = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.terms, rig.edge.generation)
+                now = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.config, rig.edge.generation)
                 assert now == before
-    told = [line["event"] for line in logs if line["event"] in ("reload-refused", "reloaded", "turn-failed")]
+    told = [
+        line["event"]
+        for line in logs
+        if line["event"] in ("configuration-rejected", "configuration-reloaded", "event-handling-failed")
+    ]
     assert at > 3
-    assert told == ["reload-refused"] * (at - 1) + ["reloaded"]
+    assert told == ["configuration-rejected"] * (at - 1) + ["configuration-reloaded"]
 
 
 # Running out
@@ -278,7 +285,7 @@
 
 async def refused(one: Drill) -> str:
     """What a new caller hears, told apart from silence; the moment it hears it is at most a second."""
-    stream = await Sockets().connect(one.address)
+    stream = await SocketRuntime().connect(one.address)
     peer = Peer(stream, SetupSession(Hello((1, 1), "caller", "more")))
     await stream.send_all(peer.session.opening())
     with trio.fail_after(1):
@@ -301,7 +308,7 @@
         one.limit(resource.RLIMIT_NOFILE, 4)
         for link in (*one.servers["s0"].links, *one.lists):
             await link.cut()  # no descriptor for a new connection to either
-        await one.event("list-down")
+        await one.event("discovery-down")
         await one.event("link-down", many=2)
         one.limit(resource.RLIMIT_NOFILE, 1_000)
         await one.event("link-up", many=2)
@@ -424,7 +431,7 @@
 
 def test_lines_past_the_bound_are_lost_counted_and_told_in_order() -> None:
     read, write = os.pipe()
-    lines = Lines(write, most=500_000)
+    lines = LogWriter(write, max_bytes=500_000)
     for at in range(100_000):  # nobody reads yet, so that most of them find no room
         lines.msg(f"{at:060}")
     with open(read, "rb") as told, ThreadPoolExecutor() as threads:
@@ -432,7 +439,7 @@
         while lines.lost:
             lines.msg("again")
             time.sleep(0.01)
-        lines.end()
+        lines.close()
         os.close(write)
         rows = rest.result().splitlines()
     numbers = [int(row) for row in rows if row.isdigit()]
@@ -452,13 +459,13 @@
     async with rigged(1) as rig:
         fresh = await rig.server("s1", 1, incarnation=5, age=0)
         await rig.tell(fresh.row())
-        again = ListLink(rig.terms, rig.surroundings, Inbox(), Clock(0), lambda tries: 0)
-        rig.surroundings.wall = lambda: EPOCH + 3_600 * SECOND  # type: ignore[method-assign]
+        again = DiscoveryClient(rig.terms, rig.runtime, EventQueue(), Clock(0), lambda tries: 0)
+        rig.runtime.wall_time = lambda: EPOCH + 3_600 * SECOND  # type: ignore[method-assign]
         if kept == "before":
-            rows = {row.server: row for row in await again.cached()}
+            rows = {row.server: row for row in await again.load_cached()}
         await rig.tell(rig.servers["s0"].row())  # kept once more, by the wrong clock
         if kept == "after":
-            rows = {row.server: row for row in await again.cached()}
+            rows = {row.server: row for row in await again.load_cached()}
         assert rows["s1"].age is not None
         assert rows["s1"].age < SECOND
         assert rows["s0"].age is not None
@@ -473,7 +480,7 @@
         async def hangs(path: str, data: bytes) -> None:
             await trio.sleep_forever()
 
-        rig.surroundings.keep = hangs  # type: ignore[method-assign]
+        rig.runtime.write_file = hangs  # type: ignore[method-assign]
         await rig.tell(rig.servers["s1"].row())
         await rig.tell(rig.servers["s0"].row("draining"))
         caller = await rig.caller()
@@ -490,20 +497,20 @@
 ) -> None:
     with capture_logs() as logs:
         async with rigged(1) as rig:
-            whole = rig.surroundings.keep
+            whole = rig.runtime.write_file
 
             async def refuses(path: str, data: bytes) -> None:
                 raise error
 
-            rig.surroundings.keep = refuses  # type: ignore[method-assign]
+            rig.runtime.write_file = refuses  # type: ignore[method-assign]
             for _ in range(3):
                 await rig.tell(rig.servers["s0"].row())
-            rig.surroundings.keep = whole  # type: ignore[method-assign]
+            rig.runtime.write_file = whole  # type: ignore[method-assign]
             await rig.tell(rig.servers["s0"].row("draining"))
             assert b"draining" in rig.network.files["cache"]
-            assert rig.edge._list.is_up
-    told = [line["event"] for line in logs if "list-cache" in line["event"]]
-    assert told == ["list-cache-not-kept", "list-cache-kept"]
+            assert rig.edge.source.is_up
+    told = [line["event"] for line in logs if "endpoint-cache" in line["event"]]
+    assert told == ["endpoint-cache-write-failed", "endpoint-cache-written"]
 
 
 async def test_a_list_service_that_closes_after_each_word_is_not_stormed(autojump_clock: MockClock) -> None:
@@ -544,11 +551,11 @@
         await trio.sleep(100)
         fresh.age = 100 * SECOND
         rig.register.change([fresh.row()])
-        rig.edge = EdgeProxy(rig.terms, rig.surroundings)
+        rig.edge = EdgeProxy(rig.terms, rig.runtime)
         await rig.nursery.start(rig.run_edge)
         await trio.sleep(0.1)
-        far = rig.edge._driver.policy.table.servers["s1"]
-        assert rig.edge._clock.now() - far.endpoint.started_at > 99 * SECOND
+        far = rig.edge.context.driver.policy.table.servers["s1"]
+        assert rig.edge.context.clock.now() - far.endpoint.started_at > 99 * SECOND
 
 
 # Links that look up and are not
@@ -572,8 +579,8 @@
 
 async def test_connections_on_sockets_are_watched_by_the_kernel() -> None:
     listener = socket.create_server(("127.0.0.1", 0))
-    stream = await Sockets(silence=20 * SECOND).connect(f"127.0.0.1:{listener.getsockname()[1]}")
-    assert isinstance(stream, PlainStream)
+    stream = await SocketRuntime(silence=20 * SECOND).connect(f"127.0.0.1:{listener.getsockname()[1]}")
+    assert isinstance(stream, PlainSocketStream)
     options = [socket.TCP_KEEPIDLE, socket.TCP_KEEPINTVL, socket.TCP_KEEPCNT, socket.TCP_USER_TIMEOUT]
     assert stream._socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
     assert [stream._socket.getsockopt(socket.IPPROTO_TCP, one) for one in options] == [10, 3, 3, 20_000]
@@ -591,8 +598,8 @@
             await trio.sleep(1)
             await rig.tell(fresh.row("gone"))  # and its machine closes nothing
         await trio.sleep(5)
-        assert list(rig.edge._links) == ["s0"]
-        assert not rig.edge._leaving
+        assert list(rig.edge.links.by_server) == ["s0"]
+        assert not rig.edge.links.leaving
         assert all(rig.servers[f"s{number}"].link.ended for number in range(1, 20))
 
 
@@ -666,11 +673,11 @@
         await caller.send(dial(no_answer=2 * SECOND))
         await rig.servers["s0"].link.next(Setup)
         # The link has gone down and the instance has not heard so yet, when the decisions cancel its leg.
-        rig.edge._links["s0"]._went_down("reset")
-        rig.edge._guarded("d1", rig.edge._do, DialogAction("d1", CancelAttempt(0)))
+        rig.edge.links.by_server["s0"]._on_down("reset")
+        rig.edge.context.run_decision("d1", rig.edge._execute, DialogAction("d1", CancelAttempt(0)))
         await trio.sleep(3)
         assert len(caller.all(Stands | Declined | Aborted)) == 1
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
 
 
 def test_a_failure_after_a_quiet_half_hour_does_not_shut_a_server_out_for_good() -> None:
@@ -709,11 +716,11 @@
         await trio.sleep(1)
         edge = rig.edge
         assert len(caller.all(Stands | Declined)) == 3_000
-        assert len(edge._alarms) <= 1_100  # an hour's time-outs of legs long ended
-        assert len(edge._guard.baseline) <= 3
-        assert len(edge.tally.answers) <= 6
-        assert not edge._dialogs
-        assert not edge._links["s0"].legs
+        assert len(edge.context.timers) <= 1_100  # an hour's time-outs of legs long ended
+        assert len(edge.reloader.guard.baseline) <= 3
+        assert len(edge.counters.answers) <= 6
+        assert not edge.dialogs.entries
+        assert not edge.links.by_server["s0"].attempts
 
 
 @pytest.mark.parametrize("how", ["no-thread", "hangs"])
@@ -729,30 +736,30 @@
                     await trio.sleep_forever()
                 raise RuntimeError("can't start new thread")
 
-            rig.surroundings.keep = keep  # type: ignore[method-assign]
+            rig.runtime.write_file = keep  # type: ignore[method-assign]
             await trio.sleep(25)
             rig.edge.stop()
             began = trio.current_time()
             with trio.fail_after(10):
-                while not any(line["event"] == "stopped" for line in logs):
+                while not any(line["event"] == "edge-stopped" for line in logs):
                     await trio.sleep(0.1)
             assert trio.current_time() - began <= 3
-    assert how == "hangs" or [line["event"] for line in logs].count("accounts-not-kept") >= 2
+    assert how == "hangs" or [line["event"] for line in logs].count("accounts-write-failed") >= 2
 
 
 async def test_many_callers_at_once_do_not_fill_the_inbox_past_its_bound(autojump_clock: MockClock) -> None:
     async with rigged(1) as rig:
         most = 0
-        whole = Inbox.put
+        whole = EventQueue.put
 
-        def put(inbox: Inbox, event: Any) -> None:
+        def put(inbox: EventQueue, event: Any) -> None:
             nonlocal most
             whole(inbox, event)
             most = max(most, len(inbox))
 
         callers = [await rig.caller(f"c{at}") for at in range(20)]
         with pytest.MonkeyPatch.context() as patched:
-            patched.setattr(Inbox, "put", put)
+            patched.setattr(EventQueue, "put", put)
             for at, caller in enumerate(callers):
                 asked = [dial(f"d{at}-{n}", kind="unknown") for n in range(700)]
                 rig.nursery.start_soon(caller.send, *asked)
@@ -779,11 +786,11 @@
 
 
 def test_a_server_started_again_under_a_smaller_incarnation_is_cold() -> None:
-    known = Incarnations(warm_after=15 * SECOND)
-    known.entry(Row("s0", 0, "in-service", "s0:1", "", 900, 3_600 * SECOND), 10_000 * SECOND)
-    fresh = known.entry(Row("s0", 0, "in-service", "s0:1", "", 800, 0), 20_000 * SECOND)
+    known = IncarnationTracker(slow_start_duration=15 * SECOND)
+    known.endpoint(Row("s0", 0, "in-service", "s0:1", "", 900, 3_600 * SECOND), 10_000 * SECOND)
+    fresh = known.endpoint(Row("s0", 0, "in-service", "s0:1", "", 800, 0), 20_000 * SECOND)
     assert fresh.started_at == 20_000 * SECOND
-    late = known.entry(Row("s0", 0, "in-service", "s0:1", "", 900, 13_600 * SECOND), 20_001 * SECOND)
+    late = known.endpoint(Row("s0", 0, "in-service", "s0:1", "", 900, 13_600 * SECOND), 20_001 * SECOND)
     assert late.started_at == 20_000 * SECOND, "late word of the former self does not make it warm"
     assert known.started_at("s0", 950, 0, 30_000 * SECOND) == 30_000 * SECOND, "the next start counts as ever"
 
@@ -793,7 +800,7 @@
         assert rig.list is not None
         rig.list.reads = False
         await trio.sleep(600)
-        assert not rig.edge._list.is_up
+        assert not rig.edge.source.is_up
         rig.list.reads = True
 
 
@@ -802,7 +809,7 @@
         assert rig.list is not None
         first = rig.list
         await trio.sleep(600)
-        assert rig.edge._list.is_up
+        assert rig.edge.source.is_up
         assert rig.list is first
         asked = [at for at, message in first.heard if isinstance(message, Watch)]
         assert 10 <= len(asked) <= 21, "once for each half minute in which nothing was told"
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -13,9 +13,9 @@
 
 from tests.rig import INI, MS, SECOND, Rig, dial, rigged, terms
 from valverouter.days.virtual import ROOM
-from valverouter.edge.mail import Departures, Outbox
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.edge.surroundings import PlainStream, Sockets, split
+from valverouter.edge.queues import SendBatch, SendQueue
+from valverouter.edge.sockets import PlainSocketStream, SocketRuntime, split_address
 from valverouter.interface import DialogAction, StartAttempt
 from valverouter.policy.routing import RoutingPolicy
 from valverouter.signalling import setup
@@ -54,7 +54,7 @@
         assert await rig.servers["s0"].link.next(Release)
         await rig.servers["s0"].link.send(Ended("d1", reason="released"))
         assert (await caller.next(Ended)).reason == "released"
-        assert rig.edge.open_dialogs == rig.edge.standing == 0
+        assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
 
 
 @pytest.mark.parametrize("said", [[], [Provisional("d1")], [Provisional("d1"), Stands("d1")]])
@@ -123,7 +123,7 @@
         caller = await rig.caller()
         link = rig.servers["s0"].link
         if when == "before":
-            await rig.surroundings.connect("edge:1")  # a connection that never says hello
+            await rig.runtime.connect("edge:1")  # a connection that never says hello
             await caller.send(dial())
             await caller.cut()
             await trio.sleep(0.1)
@@ -142,8 +142,8 @@
             await trio.sleep(0.1)
             assert len(link.all(Release)) == (when == "stands"), "let go once"
         await trio.sleep(1)
-        assert rig.edge.open_dialogs == rig.edge.standing == 0
-        assert not any(far.in_flight for far in rig.edge._driver.policy.table.servers.values())
+        assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
+        assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
 
 
 async def test_an_answer_for_a_leg_already_ended_costs_only_that_connection(
@@ -195,17 +195,22 @@
 ) -> None:
     async with rigged(1) as rig:
         server = rig.servers["s0"]
-        far = rig.edge._driver.policy.table.servers["s0"]
-        assert rig.edge._driver.policy.table.slow_start.fraction(far, rig.edge._driver.policy.now) == 1.0
+        far = rig.edge.context.driver.policy.table.servers["s0"]
+        assert (
+            rig.edge.context.driver.policy.table.slow_start.fraction(far, rig.edge.context.driver.policy.now)
+            == 1.0
+        )
         server.incarnation, server.age = 2, 100 * MS
         await server.link.cut()
         await trio.sleep(3)
         assert len(server.links) == 2
-        far = rig.edge._driver.policy.table.servers["s0"]
-        share = rig.edge._driver.policy.table.slow_start.fraction(far, rig.edge._driver.policy.now)
+        far = rig.edge.context.driver.policy.table.servers["s0"]
+        share = rig.edge.context.driver.policy.table.slow_start.fraction(
+            far, rig.edge.context.driver.policy.now
+        )
         assert 0.35 < share < 0.6
         await rig.tell(server.row())  # the list's own word of that start, late: no second fresh start
-        assert rig.edge._driver.policy.table.servers["s0"] is far
+        assert rig.edge.context.driver.policy.table.servers["s0"] is far
 
 
 async def test_a_leg_in_the_write_buffer_does_not_leave_once_its_server_drains(
@@ -213,14 +218,14 @@
 ) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
-        link = rig.edge._links["s0"]
+        link = rig.edge.links.by_server["s0"]
         server = rig.servers["s0"]
-        assert link._outbox is not None
-        held = link._outbox
-        waits, held._waits = held._waits, trio.Event()  # the writer sleeps on
+        assert link._send_queue is not None
+        held = link._send_queue
+        waits, held._writer_wakeup = held._writer_wakeup, trio.Event()  # the writer sleeps on
         await caller.send(dial())
         await trio.sleep(0.01)
-        assert held.holds(("d1", 0))
+        assert held.is_queued(("d1", 0))
         assert not server.link.all(Setup)
         await rig.tell(server.row("draining"))
         assert waits is not None
@@ -235,32 +240,32 @@
 async def test_a_half_written_leg_to_a_draining_server_costs_the_link(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
-        server, link = rig.servers["s0"], rig.edge._links["s0"]
+        server, link = rig.servers["s0"], rig.edge.links.by_server["s0"]
         server.stops_reading()
-        assert link._outbox is not None
-        link._outbox.put(bytes(3 * ROOM), key="filler")  # more than the stream takes: the writer blocks
+        assert link._send_queue is not None
+        link._send_queue.put(bytes(3 * ROOM), key="filler")  # more than the stream takes: the writer blocks
         await caller.send(dial())
         await trio.sleep(0.01)
-        assert link.half_out("filler")  # type: ignore[arg-type]
-        assert link._outbox.holds(("d1", 0))
-        link.legs["d0", 0] = False
-        link._outbox.in_hand = {**link._outbox.in_hand, ("d0", 0): (b"", None)}
+        assert link.is_partly_sent("filler")  # type: ignore[arg-type]
+        assert link._send_queue.is_queued(("d1", 0))
+        link.attempts["d0", 0] = False
+        link._send_queue.in_flight = {**link._send_queue.in_flight, ("d0", 0): (b"", None)}
         former = server.link
         await rig.tell(server.row("draining"))
         assert (await rig.servers["s1"].link.next(Setup)).dialog == "d1"
-        assert rig.edge._links.get("s0") is None
+        assert rig.edge.links.by_server.get("s0") is None
         assert not former.all(Setup)
 
 
 async def test_the_answer_leaves_in_time_though_a_link_write_blocks(autojump_clock: MockClock) -> None:
     async with rigged(1) as rig:
         caller = await rig.caller()
-        link = rig.edge._links["s0"]
-        assert link._outbox is not None
+        link = rig.edge.links.by_server["s0"]
+        assert link._send_queue is not None
         rig.servers["s0"].stops_reading()
         await caller.send(dial("warm", no_answer=2 * SECOND))
         await trio.sleep(0.01)
-        link._outbox.put(bytes(3 * ROOM))
+        link._send_queue.put(bytes(3 * ROOM))
         dialled = trio.current_time()
         await caller.send(dial(no_answer=2 * SECOND))
         await trio.sleep(3)
@@ -293,7 +298,7 @@
     """Found by courses of stops: reckoned from the wake, a stand was told after its caller's time."""
     async with rigged(1) as rig:
         caller = await rig.caller()
-        rig.nursery.start_soon(rig.surroundings.hold, 3 * SECOND)
+        rig.nursery.start_soon(rig.runtime.hold, 3 * SECOND)
         await trio.sleep(0.5)
         await caller.send(dial(no_answer=5 * SECOND))
         asked = await rig.servers["s0"].link.next(setup.Setup)
@@ -307,14 +312,14 @@
 async def test_a_stall_of_the_edge_hears_the_list_before_it_sends(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
-        rig.nursery.start_soon(rig.surroundings.hold, 3 * SECOND)
+        rig.nursery.start_soon(rig.runtime.hold, 3 * SECOND)
         await trio.sleep(0.2)
         await caller.send(dial("short", no_answer=1 * SECOND), dial("long", no_answer=9 * SECOND))
         assert rig.list is not None
         await rig.list.send(rig.register.change([rig.servers["s0"].row("draining")]))
         await trio.sleep(4)
         assert not rig.servers["s0"].link.all(Setup)
-        assert rig.edge.tally.stalls == 1
+        assert rig.edge.counters.stalls == 1
         assert rig.servers["s1"].link.all(Setup)[-1].dialog == "long"
 
 
@@ -323,14 +328,14 @@
         caller = await rig.caller()
         await caller.send(dial(no_answer=1 * SECOND))
         await rig.servers["s0"].link.next(Setup)
-        rig.nursery.start_soon(rig.surroundings.hold, 3 * SECOND)
+        rig.nursery.start_soon(rig.runtime.hold, 3 * SECOND)
         await trio.sleep(0.5)
         await rig.servers["s0"].link.send(Stands("d1"))
         await trio.sleep(4)
         assert finals(caller) == []
-        assert rig.edge.tally.withheld == 1
+        assert rig.edge.counters.withheld == 1
         assert await rig.servers["s0"].link.next(Release)
-        assert rig.edge.open_dialogs == rig.edge.standing == 0
+        assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
 
 
 async def test_an_exception_in_the_decisions_ends_that_dialog_alone(
@@ -357,8 +362,8 @@
                 "odd3": Aborted,
                 "d1": Stands,
             }
-            assert rig.edge.tally.failures == 3
-            assert rig.edge._failures_alike == 2
+            assert rig.edge.counters.failures == 3
+            assert rig.edge.context._repeated_failures == 2
     failed = [entry for entry in logged if entry["event"] == "decision-failed"]
     assert [(entry["dialog"], entry["again"]) for entry in failed] == [("odd1", 0), ("odd2", 1), ("odd3", 2)]
 
@@ -368,7 +373,7 @@
         caller = await rig.caller()
         await caller.send(dial())
         await rig.servers["s0"].link.next(Setup)
-        rig.edge._driver.commands.append(DialogAction("d1", StartAttempt("s1", 10**19)))
+        rig.edge.context.driver.commands.append(DialogAction("d1", StartAttempt("s1", 10**19)))
         await trio.sleep(0.2)
         assert not rig.servers["s1"].link.all(Setup)
         assert [type(message) for message in finals(caller)] == [Aborted]
@@ -385,7 +390,7 @@
         rig.network.serving.pop("list:1")
         await rig.restart()
         await trio.sleep(0.1)
-        assert set(rig.edge._driver.policy.table.servers) == {"s1"}, (
+        assert set(rig.edge.context.driver.policy.table.servers) == {"s1"}, (
             "a draining server is not sent to after a start"
         )
         caller = await rig.caller()
@@ -401,9 +406,9 @@
         assert rig.list is not None
         await rig.list.send(change)
         await trio.sleep(0.05)
-        fars = rig.edge._driver.policy.table.servers
+        fars = rig.edge.context.driver.policy.table.servers
         assert set(fars) == {"s0"}, "the gap is healed by a snapshot; s2 left at once"
-        assert rig.edge._list.replica.gaps == 1
+        assert rig.edge.source.replica.gaps == 1
 
 
 async def test_a_contradictory_list_is_taken_word_by_word(autojump_clock: MockClock) -> None:
@@ -456,7 +461,7 @@
         assert await good.next(Stands)
         await trio.sleep(0.1)
         assert rig.edge.open_dialogs == 0
-        assert rig.edge.standing == 1
+        assert rig.edge.established_dialogs == 1
 
 
 async def test_unknown_messages_are_answered_and_unknown_fields_ignored(autojump_clock: MockClock) -> None:
@@ -496,13 +501,13 @@
         rig = Rig(nursery, terms(ini))
         await nursery.start(rig.run_edge)
         await trio.sleep(3)
-        tries = rig.edge._list.tries
+        tries = rig.edge.source.tries
         assert tries >= 2, "asked again after full-jitter waits"
         await rig.server("s0", 0)
         rig.register.change([rig.servers["s0"].row()])
         await nursery.start(rig.network.serve, "list:1", rig.serve_list)
         await trio.sleep(5)
-        assert set(rig.edge._driver.policy.table.servers) == {"s0"}
+        assert set(rig.edge.context.driver.policy.table.servers) == {"s0"}
         nursery.cancel_scope.cancel()
 
 
@@ -517,8 +522,8 @@
         await link.next(Cancel)
         await link.send(Cancelled("d1"))
         await trio.sleep(0.1)
-        edge_link = rig.edge._links["s0"]
-        assert not edge_link.legs
+        edge_link = rig.edge.links.by_server["s0"]
+        assert not edge_link.attempts
         assert edge_link._session is not None
         assert not edge_link._session.legs
 
@@ -536,7 +541,7 @@
         asked = await rig.servers["s1"].link.next(Setup)
         await rig.servers["s1"].link.send(Stands("d1", asked.leg))
         assert await second.next(Stands)
-        assert rig.edge.tally.failures == 0
+        assert rig.edge.counters.failures == 0
 
 
 async def test_a_setup_that_trickles_in_is_taken_when_it_is_whole(autojump_clock: MockClock) -> None:
@@ -556,8 +561,8 @@
         .replace("list_cache = cache\n", "")
     )
     async with trio.open_nursery() as nursery:
-        proxy: EdgeProxy = await nursery.start(EdgeProxy(terms(ini), Sockets()).run)
-        host, port = split(proxy.address)
+        proxy: EdgeProxy = await nursery.start(EdgeProxy(terms(ini), SocketRuntime()).run)
+        host, port = split_address(proxy.address)
         stream = await trio.open_tcp_stream(host, port)
         await stream.send_all(frame(Hello((1, 1), "caller", "c")) + frame(dial()))
         await stream.send_eof()
@@ -592,32 +597,36 @@
 async def test_what_a_turn_put_leaves_at_its_end_whole_and_in_order(
     room: int, autojump_clock: MockClock
 ) -> None:
-    stream, departures, left = Reluctant(room), Departures(), list[int]()
-    outbox = Outbox(1000, departures)
+    stream, departures, left = Reluctant(room), SendBatch(), list[int]()
+    outbox = SendQueue(1000, departures)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(outbox.run, stream)
         await trio.sleep(0.1)
         departures.begin()
         outbox.put(b"first", key="a")
         outbox.put(b"taken back", key="b")
-        outbox.put(b"second", left=lambda: left.append(1))
+        outbox.put(b"second", on_sent=lambda: left.append(1))
         assert outbox.withdraw("b")
         assert not left
         assert not stream.got
         departures.end()
         assert bool(left) == (room == 100)
-        assert outbox.holds("a") == (room == 0)  # of what the stream took nothing of, all may be withdrawn
+        assert outbox.is_queued("a") == (
+            room == 0
+        )  # of what the stream took nothing of, all may be withdrawn
         outbox.put(b"third")
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     assert stream.got == b"firstsecondthird"
     assert left == [1]
-    assert not outbox.in_hand
+    assert not outbox.in_flight
 
 
 async def test_a_plain_stream_carries_bytes_both_ways_and_tells_its_end_as_trio_does() -> None:
     here, there = socket.socketpair()
-    near, far = (PlainStream(trio.SocketStream(trio.socket.from_stdlib_socket(end))) for end in (here, there))
+    near, far = (
+        PlainSocketStream(trio.SocketStream(trio.socket.from_stdlib_socket(end))) for end in (here, there)
+    )
     bulk = bytes(range(256)) * 20_000
     assert near.send_now(b"now") == 3
     async with trio.open_nursery() as nursery:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -242,7 +242,7 @@
         await link.send(setup.Cancelled("d1"))
         await caller.next(setup.Aborted)
         await trio.sleep(0.1)
-        assert not rig.edge._links["s0"].legs
+        assert not rig.edge.links.by_server["s0"].attempts
 
 
 def test_a_day_is_drawn_second_by_second_on_a_page_that_needs_nothing() -> None:
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.authentication import (
     MAX_DATAGRAM_BYTES,
     Authenticator,
@@ -71,8 +71,8 @@
 
 
 async def test_only_holders_of_the_key_are_heard_on_the_control_plane() -> None:
-    sockets = Sockets()
-    first, second, stranger = (sockets.datagrams("127.0.0.1:0") for _ in range(3))
+    sockets = SocketRuntime()
+    first, second, stranger = (sockets.bind_datagrams("127.0.0.1:0") for _ in range(3))
     ours, theirs = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
     theirs.send(first.address, NodeAnnouncement("c1", 7))
     Transport(stranger, (b"x" * 32,), "c1", 3).send(first.address, NodeAnnouncement("c1", 8))
@@ -82,12 +82,12 @@
     received: list[tuple[ControlMessage, str]] = []
     with trio.move_on_after(0.3):
         while True:
-            await first.readable()
+            await first.wait_readable()
             while (message := ours.receive()) is not None:
                 received.append(message)
     assert [message for message, _ in received] == [NodeAnnouncement("c1", 7)]
-    assert second.take() is None, "and nobody is answered"
-    assert stranger.take() is None, "and nobody is answered"
+    assert second.receive() is None, "and nobody is answered"
+    assert stranger.receive() is None, "and nobody is answered"
     for each in (first, second, stranger):
         each.close()
 
--- a/tests/test_gone_callers.py
+++ b/tests/test_gone_callers.py
@@ -13,8 +13,8 @@
 import trio
 
 from tests.relayrig import Client, Loopback, Rig, relayed, release
-from valverouter.relayedge.callers import HELD
-from valverouter.relayedge.links import CONNECTIONS
+from valverouter.relayedge.callers import MAX_PENDING_SETUPS
+from valverouter.relayedge.link import CONNECTIONS
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
 GOES = ["closes", "cancels"]
@@ -48,10 +48,10 @@
 
 async def asks(client: Client, ids: list[str], rig: Rig) -> None:
     """Sends set-ups; returns once all lie in the inbox."""
-    before = len(rig.edge._inbox)
+    before = len(rig.edge.context.events)
     for id_ in ids:
         await client.ask(id_)
-    await rig.until(lambda: len(rig.edge._inbox) == before + len(ids))
+    await rig.until(lambda: len(rig.edge.context.events) == before + len(ids))
 
 
 async def refused_once(rig: Rig, place: Loopback, client: Client) -> None:
@@ -62,20 +62,20 @@
     await rig.until(lambda: server.of("setup") == [A])
     place.hold()
     await server.say(server.at[A], release(A, 34))
-    await rig.until(lambda: len(rig.edge._inbox) == 1)
+    await rig.until(lambda: len(rig.edge.context.events) == 1)
     place.go()
-    await rig.until(lambda: A in rig.edge._dialogs and rig.edge._dialogs[A].leg is None)
+    await rig.until(lambda: A in rig.edge.dialogs.entries and rig.edge.dialogs.entries[A].attempt is None)
     place.hold()
 
 
 async def unread(rig: Rig, client: Client) -> None:
     """Closes a connection whose reader waits for room, behind its own set-ups: the kernel has the close."""
-    caller = next(one for one in rig.edge._connected._useful if one.waiting)
+    caller = next(one for one in rig.edge.connected._useful if one.pending_setups)
     await client.ask(B)
     await client.stream.aclose()
-    await rig.until(lambda: getattr(caller._stream, "has_left"))  # noqa: B009 - the seam names no such stream
-    assert not caller.is_lost
-    assert B not in caller.waiting
+    await rig.until(lambda: getattr(caller._stream, "peer_has_closed"))  # noqa: B009 - the seam names no such stream
+    assert not caller.is_closed
+    assert B not in caller.pending_setups
 
 
 @pytest.mark.parametrize("how", GOES)
@@ -86,11 +86,11 @@
         await asks(client, [A], rig)
         await asks(crowd, CROWD, rig)
         await goes(client, A, how)
-        await rig.until(lambda: len(rig.edge._inbox) == len(CROWD) + 2)
+        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD) + 2)
         place.go()
         await last_of_all(rig)
         assert A not in set_ups(rig)
-        assert A not in rig.edge._dialogs
+        assert A not in rig.edge.dialogs.entries
         assert not client.said
 
 
@@ -98,27 +98,27 @@
     async with held() as (rig, place):
         client = await rig.client()
         place.hold()
-        rig.edge._inbox._most = 1
-        await asks(client, CROWD[:HELD], rig)
+        rig.edge.context.events._capacity = 1
+        await asks(client, CROWD[:MAX_PENDING_SETUPS], rig)
         await unread(rig, client)
         place.go()
         await last_of_all(rig)
         assert set_ups(rig) == [LAST]
-        assert set(rig.edge._dialogs) == {LAST}
+        assert set(rig.edge.dialogs.entries) == {LAST}
 
 
 async def test_a_close_that_nobody_has_read_is_seen_before_a_further_attempt() -> None:
     async with held() as (rig, place):
         client = await rig.client()
         await refused_once(rig, place, client)
-        rig.edge._inbox._most = 1
-        await asks(client, CROWD[:HELD], rig)
+        rig.edge.context.events._capacity = 1
+        await asks(client, CROWD[:MAX_PENDING_SETUPS], rig)
         await unread(rig, client)
         await trio.sleep(0.25)  # past the longest first retry wait
         place.go()
         await last_of_all(rig)
         assert set_ups(rig) == [A, LAST]
-        assert set(rig.edge._dialogs) == {LAST}
+        assert set(rig.edge.dialogs.entries) == {LAST}
 
 
 @pytest.mark.parametrize("how", GOES)
@@ -129,14 +129,14 @@
         await refused_once(rig, place, client)
         for id_ in CROWD:
             await crowd.release(id_)
-        await rig.until(lambda: len(rig.edge._inbox) == len(CROWD))
+        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD))
         await goes(client, A, how)
-        await rig.until(lambda: len(rig.edge._inbox) == len(CROWD) + 1)
+        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD) + 1)
         await trio.sleep(0.25)  # past the longest first retry wait
         place.go()
         await last_of_all(rig)
         assert set_ups(rig).count(A) == 1
-        assert A not in rig.edge._dialogs
+        assert A not in rig.edge.dialogs.entries
 
 
 @pytest.mark.parametrize("how", GOES)
@@ -144,12 +144,12 @@
     async with held() as (rig, place):
         client, crowd = await rig.client(), await rig.client()
         place.hold()
-        rig.edge._inbox._most = 4
+        rig.edge.context.events._capacity = 4
         await asks(crowd, CROWD[:5], rig)
         await client.ask(A)
         await goes(client, A, how)
         # The set-up and the word on it are both here, though the inbox is full.
-        await rig.until(lambda: len(rig.edge._inbox) == 7)
+        await rig.until(lambda: len(rig.edge.context.events) == 7)
         place.go()
         await last_of_all(rig)
         assert A not in set_ups(rig)
@@ -161,12 +161,12 @@
         server, client = rig.servers["s0"], await rig.client()
         place.dials["s0:1"] = trio.Event()
         await server.reset()
-        link = rig.edge._links["s0"]
+        link = rig.edge.links.by_server["s0"]
         await rig.until(lambda: getattr(link, "_connecting") == CONNECTIONS)  # noqa: B009
         await client.ask(A)
-        await rig.until(lambda: A in rig.edge._dialogs and rig.edge._dialogs[A].leg == 0)
+        await rig.until(lambda: A in rig.edge.dialogs.entries and rig.edge.dialogs.entries[A].attempt == 0)
         await goes(client, A, how)
-        await rig.until(lambda: not rig.edge._dialogs)
+        await rig.until(lambda: not rig.edge.dialogs.entries)
         place.dials.pop("s0:1").set()
         await last_of_all(rig)
         assert set_ups(rig) == [LAST]
@@ -180,11 +180,11 @@
         await rig.until(lambda: server.of("setup") == [A])
         place.hold()
         await server.say(server.at[A], {"type": "answer", "id": A, "fields": {}, "sdp": "v=0"})
-        await rig.until(lambda: len(rig.edge._inbox) == 1)
+        await rig.until(lambda: len(rig.edge.context.events) == 1)
         await client.release(A)
-        await rig.until(lambda: len(rig.edge._inbox) == 2)
+        await rig.until(lambda: len(rig.edge.context.events) == 2)
         place.go()
         await rig.until(lambda: server.of("release") == [A])
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
         assert not client.said
-        assert not rig.edge._links["s0"].legs
+        assert not rig.edge.links.by_server["s0"].attempts
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -23,11 +23,12 @@
 from valverouter.audit.verdict import Verdict
 from valverouter.days.emulated import plans, run_emulated
 from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import MemoryEdge, MemoryStore, MemorySurroundings, run_virtual
+from valverouter.days.virtual import MemoryEdge, MemoryRuntime, MemoryStore, run_virtual
 from valverouter.days.world import World
-from valverouter.edge.keeping import KeepingProxy
-from valverouter.edge.owed import Owed
 from valverouter.edge.proxy import EdgeProxy
+from valverouter.edge.recovery_log import RecoveryLog
+from valverouter.edge.resumable_attempts import ResumableAttempts
+from valverouter.edge.resumable_proxy import ResumableProxy
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import simulate_day
 from valverouter.interface import AttemptPolicy, Outcome
@@ -58,16 +59,16 @@
     def make_edge(self) -> EdgeProxy:
         # The store outlives each edge proxy: made with the first, before the rig is whole.
         self.store: MemoryStore = getattr(self, "store", None) or MemoryStore()
-        return KeepingProxy(self.terms, self.surroundings, self.store)
+        return ResumableProxy(self.terms, self.runtime, self.store)
 
     async def again(self, moved: int = 0, boot: str = "memory") -> None:
         """Kills the edge proxy and starts another on its store; `moved`: the wall clock in between."""
         self.scope.cancel()
         await trio.sleep(0.01)
-        self.surroundings = MemorySurroundings(self.network)
+        self.runtime = MemoryRuntime(self.network)
         if moved or boot != "memory":
-            now = self.surroundings.moment
-            self.surroundings.moment = lambda: Timestamp(now().wall + moved, now().monotonic, boot)  # type: ignore[method-assign]
+            now = self.runtime.moment
+            self.runtime.moment = lambda: Timestamp(now().wall + moved, now().monotonic, boot)  # type: ignore[method-assign]
         self.edge = self.make_edge()
         await self.nursery.start(self.run_edge)
         await trio.sleep(0.1)
@@ -153,8 +154,8 @@
         stands = await back.next(setup.Stands)
         assert (stands.dialog, stands.leg) == ("d1", 0)
         assert (await leg_at(rig, setup.Kept))[1] == setup.Kept("d1", second.leg)
-        assert rig.edge._driver.open_dialogs == 0
-        assert not any(far.in_flight for far in rig.edge._driver.policy.table.servers.values())
+        assert rig.edge.context.driver.open_dialogs == 0
+        assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
 
 
 async def test_what_stands_outlives_the_kill_and_its_end_is_told(autojump_clock: MockClock) -> None:
@@ -171,7 +172,7 @@
         assert (await back.next(setup.Ended)).reason == "over"
         await trio.sleep(0.1)
         assert not rig.store.kept
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
 
 
 @pytest.mark.parametrize("how", ["unknown", "older version", "another process"])
@@ -235,7 +236,7 @@
         assert not any(server.link.all(setup.Setup) for server in rig.servers.values())
         await rig.servers["s1"].link.send(setup.Ended("up", 0, "released"))
         await trio.sleep(0.2)
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
 
 
 async def test_another_caller_gets_nothing_of_it(autojump_clock: MockClock) -> None:
@@ -256,11 +257,11 @@
     # Nobody was told that it was taken; taken all the same, it would be nobody's.
     async with kept() as rig:
         caller = await rig.caller()
-        rig.nursery.start_soon(rig.surroundings.hold, SECOND)
+        rig.nursery.start_soon(rig.runtime.hold, SECOND)
         await caller.send(dial())
         await caller.stream.aclose()
         await trio.sleep(2)
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
         assert not any(server.link.all(setup.Setup) for server in rig.servers.values())
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
@@ -311,8 +312,8 @@
             assert trio.current_time() - began < 1, "told at once, so that its caller may dial again"
         await trio.sleep(0.1)
         assert not rig.store.kept
-        assert not rig.edge._dialogs
-        assert rig.edge.tally.failures == 0
+        assert not rig.edge.dialogs.entries
+        assert rig.edge.counters.failures == 0
 
 
 def test_more_stands_on_where_links_break_and_servers_live(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -352,7 +353,7 @@
         assert (await back.next(setup.Ended)).reason == reason
         await trio.sleep(0.1)
         assert not rig.store.kept
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
 
 
 @pytest.mark.parametrize(
@@ -373,7 +374,7 @@
             await back.next(setup.Provisional)
         else:
             await back.next(setup.Unknown)
-            assert not rig.edge._dialogs
+            assert not rig.edge.dialogs.entries
 
 
 async def test_a_dialog_that_has_used_its_legs_is_declined_with_a_time_to_come_back(
@@ -425,14 +426,14 @@
 async def test_no_word_leaves_before_its_record(autojump_clock: MockClock, monkeypatch: Any) -> None:
     async with kept() as rig:
         seen: list[tuple[str, bool]] = []
-        departs = rig.edge._departures.end
+        departs = rig.edge.context.send_batch.end
 
         def end() -> None:
-            waiting = [box for box in rig.edge._departures._outboxes if box._waiting]
+            waiting = [box for box in rig.edge.context.send_batch._queues if box._queued]
             seen.append(("departs" if waiting else "idle", bool(rig.store._puts)))
             departs()
 
-        monkeypatch.setattr(rig.edge._departures, "end", end)
+        monkeypatch.setattr(rig.edge.context.send_batch, "end", end)
         await stood(rig)
         assert seen
         assert not any(pending for _, pending in seen)
@@ -450,13 +451,13 @@
         link = rig.servers["s0"].link
         leg = await link.next(setup.Setup)
         await trio.sleep(0.8)
-        rig.nursery.start_soon(rig.surroundings.hold, 170 * MS)
+        rig.nursery.start_soon(rig.runtime.hold, 170 * MS)
         await trio.sleep(0.05)
         await link.send(*[setup.Reported(setup.Load(lines=9, free_lines=9))] * 40)
         await link.send(closing("d1", leg.leg))
         await caller.next(setup.Aborted | setup.Declined, within=1)
         await trio.sleep(0.2)
-        assert rig.edge.tally.failures == 0
+        assert rig.edge.counters.failures == 0
 
 
 # Whole days with kills
@@ -563,14 +564,20 @@
 
 
 def test_a_planted_restart_without_the_release_time_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = KeepingProxy._fate
+    sound, init = ResumableAttempts.on_peer_status, ResumableProxy.__init__
+    proxies: dict[ResumableAttempts, ResumableProxy] = {}
 
-    def hasty(self: KeepingProxy, taken: Any, word: Any, same: bool) -> None:
-        sound(self, taken, word, same)
-        if not taken.stands and taken.setup.dialog in self._needs:
-            self._go_on(taken)
+    def known(self: ResumableProxy, *args: Any) -> None:
+        init(self, *args)
+        proxies[self.attempts] = self
 
-    monkeypatch.setattr(KeepingProxy, "_fate", hasty)
+    def hasty(self: ResumableAttempts, entry: Any, status: Any, is_same_process: bool) -> None:
+        sound(self, entry, status, is_same_process)
+        if not entry.is_established and entry.setup.dialog in self._pending:
+            proxies[self].requests.continue_dialog(entry)
+
+    monkeypatch.setattr(ResumableProxy, "__init__", known)
+    monkeypatch.setattr(ResumableAttempts, "on_peer_status", hasty)
     broken: set[int] = set()
     for seed in range(1, 6):
         broken |= audit(run_virtual(killed(seed, 6, more=SLOW))).violated_rules()
@@ -642,8 +649,8 @@
         store.commit()
         with store._env.begin(write=True, db=store._dialogs) as txn:
             txn.put(b"d\xff", b"no checksum fits this")
-        owed = Owed(store, lambda: moment)
-        assert [record.dialog_id for record, _ in owed.found(300 * MS)] == ["sound"]
+        owed = RecoveryLog(store, lambda: moment)
+        assert [record.dialog_id for record, _ in owed.take_over(300 * MS)] == ["sound"]
         owed.commit(0)
         assert [one.dialog_id for one in store.records() if isinstance(one, DialogRecord)] == ["sound"]
         assert not list(store.repair())
@@ -652,14 +659,14 @@
 
 def test_a_record_of_a_release_time_counts_as_let_go() -> None:
     store = MemoryStore()
-    owed = Owed(store, lambda: Timestamp(1, 1, "b"))
-    owed.took(dial(), "c0", SECOND, 0)
-    owed.leg_out("d1", 0, "s0", 1)
-    owed.leg_over("d1", Outcome.TIMED_OUT)
+    owed = RecoveryLog(store, lambda: Timestamp(1, 1, "b"))
+    owed.on_accepted(dial(), "c0", SECOND, 0)
+    owed.on_attempt_sent("d1", 0, "s0", 1)
+    owed.on_attempt_ended("d1", Outcome.TIMED_OUT)
     owed.commit(0)
     phases = [store.kept["d1"].phase]
-    owed.leg_out("d1", 1, "s1", 1)
-    owed.leg_over("d1", Outcome.FULL)
+    owed.on_attempt_sent("d1", 1, "s1", 1)
+    owed.on_attempt_ended("d1", Outcome.FULL)
     owed.commit(0)
     assert [*phases, store.kept["d1"].phase] == [Phase.CANCELLED, Phase.WAITING]
 
@@ -689,7 +696,7 @@
         assert ran.stderr is not None
         for line in ran.stderr:
             said.append(line)
-            if '"listening"' in line and not asked:
+            if '"edge-listening"' in line and not asked:
                 ran.terminate()
                 asked = True
     return ran.returncode, "".join(said)
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -14,7 +14,7 @@
 from valverouter.audit.views import check_views
 from valverouter.cli.__main__ import main
 from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import MemoryEdge, MemorySurroundings, run_virtual
+from valverouter.days.virtual import MemoryEdge, MemoryRuntime, run_virtual
 from valverouter.days.world import World
 from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
 from valverouter.terms.day import Day, day, load_day
@@ -93,7 +93,7 @@
     def refused(*args: Any) -> Any:
         raise AssertionError("nobody asked for datagrams")
 
-    monkeypatch.setattr(MemorySurroundings, "datagrams", refused)
+    monkeypatch.setattr(MemoryRuntime, "datagrams", refused)
     script = msgspec.structs.replace(changed_day(length=3 * SECOND), between=None, paths={}, troubles={})
     assert audit(run_virtual(script)).passed
 
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -30,8 +30,8 @@
     view_health,
 )
 from valverouter.cli.__main__ import main
-from valverouter.days.virtual import MemoryPlace, MemorySurroundings
-from valverouter.edge.surroundings import Sockets
+from valverouter.days.virtual import MemoryPlace, MemoryRuntime
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.authentication import Authenticator
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.membership_service import MembershipService
@@ -124,7 +124,7 @@
         for number in range(1, 60):
             record = MemberRecord(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
             first.membership.view.put(record, 0)
-        client = FleetClient((KEY,), Sockets().datagrams("127.0.0.1:0"), random.Random(1))
+        client = FleetClient((KEY,), SocketRuntime().bind_datagrams("127.0.0.1:0"), random.Random(1))
         first.membership.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
         answer, silent = await client.query_views([address_of(first), "127.0.0.1:9"])
         assert answer.missing_page is None
@@ -211,8 +211,8 @@
 
 async def test_after_a_pause_it_reads_first_and_accuses_nobody(autojump_clock: MockClock) -> None:
     network = MemoryPlace()
-    held = MemorySurroundings(network)
-    places = [held, *(MemorySurroundings(network) for _ in range(3))]
+    held = MemoryRuntime(network)
+    places = [held, *(MemoryRuntime(network) for _ in range(3))]
     services = []
     async with trio.open_nursery() as nursery:
         network.carrier = nursery
--- a/tests/test_raft_server.py
+++ b/tests/test_raft_server.py
@@ -15,7 +15,7 @@
 
 from tests.rollout_settings import RAFT_SERVER, SUPERVISOR, free_port, write_settings
 from valverouter.cli.__main__ import main
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.fragmentation import BURST_FRAGMENTS, FRAGMENT_BYTES
 from valverouter.fleet.messages import RequestKind
 from valverouter.fleet.operations_client import OperationsClient
@@ -52,7 +52,7 @@
     text = RAFT_SERVER.replace(", c1 127.0.0.1:7001, c2 127.0.0.1:7002", "").replace("7000", str(free_port()))
     terms = load_seat(write_settings(tmp_path, text))
     store = RaftStore(terms.store, 7)
-    server = RaftServer(terms, Sockets(), store, bootstrap=True)
+    server = RaftServer(terms, SocketRuntime(), store, bootstrap=True)
     async with trio.open_nursery() as nursery:
         await nursery.start(server.run)
         with trio.fail_after(5):
@@ -63,7 +63,7 @@
         assert server.node.propose(round(trio.current_time() * 1e9), EnrollInstances(instances))
         for name in names:
             server.node.propose(round(trio.current_time() * 1e9), InstanceReported(name, "v1", ("v1", "v2")))
-        socket = Sockets().datagrams("127.0.0.1:0")
+        socket = SocketRuntime().bind_datagrams("127.0.0.1:0")
         client = OperationsClient(ToolTerms(terms.keys, terms.council), socket, random.Random(1))
         status = await client.request(RequestKind.SHOW, None, FleetStatus, 15)
         assert status is not None
--- a/tests/test_rare_moments.py
+++ b/tests/test_rare_moments.py
@@ -25,9 +25,9 @@
 
 from tests.drilling import Drill, drill
 from tests.relayrig import SETTINGS, Bus, Loopback, Rig, Server, configuration, host, relayed, release, set_up
-from valverouter.edge.surroundings import Sockets
-from valverouter.relayedge import proxy as relayproxy
-from valverouter.relayedge.links import RelayLink
+from valverouter.edge.sockets import SocketRuntime
+from valverouter.relayedge import dialogs as relaydialogs
+from valverouter.relayedge.link import RelayLink
 from valverouter.relaywire import isup
 from valverouter.signalling import setup
 from valverouter.terms import platform
@@ -58,7 +58,7 @@
         with socket.socket() as raw:
             if connected:
                 raw.connect((host_, int(port)))
-                await rig.until(lambda: rig.edge._callers == 1)
+                await rig.until(lambda: rig.edge.listener.open_connections == 1)
 
             def comes() -> None:
                 if not connected:
@@ -108,7 +108,7 @@
         await s0.say(first, release(A, 34, note="no_path"))
         await s0.say(first, {"type": "ping", "id": B, "fields": {}, "cause": 0}, {"type": "state", "id": B})
         await trio.sleep(0.05)
-        assert rig.edge._dialogs[A].leg == 2
+        assert rig.edge.dialogs.entries[A].attempt == 2
         assert s1.of("setup") == [A]
         await s0.say(s0.at[A], {"type": "answer", "id": A, "fields": {}, "sdp": "v=0"})
         await rig.until(lambda: client.said == [(isup.ANM, A, -1)])
@@ -121,16 +121,16 @@
         assert isinstance(rig.place, Loopback)
         client, (s0, s1) = await rig.client(), rig.servers.values()
         s0.answers = False
-        link = rig.edge._links["s0"]
+        link = rig.edge.links.by_server["s0"]
         assert isinstance(link, RelayLink)
         first, second = ends_of(link, s0)
         rig.place.hold()
-        rig.edge._inbox._most = 1
+        rig.edge.context.events._capacity = 1
         await client.ask(A)
-        await rig.until(lambda: len(rig.edge._inbox) == 1)
-        heard_at = link._lines[1].heard_at
+        await rig.until(lambda: len(rig.edge.context.events) == 1)
+        heard_at = link._connections[1].received_at
         await s0.say(second, {"type": "state", "id": B})
-        await rig.until(lambda: link._lines[1].heard_at > heard_at)  # and waits for room
+        await rig.until(lambda: link._connections[1].received_at > heard_at)  # and waits for room
 
         def closes() -> None:
             first.close_now()
@@ -149,7 +149,7 @@
 
 def ends_of(link: RelayLink, server: Server) -> list[Any]:
     """The server's ends of a link's connections, in the link's order."""
-    ours = [getattr(line.outbox._stream, "_socket").getsockname() for line in link._lines]  # noqa: B009
+    ours = [getattr(line.send_queue._stream, "_socket").getsockname() for line in link._connections]  # noqa: B009
     theirs = {getattr(stream, "_socket").getpeername(): stream for stream in server.streams}  # noqa: B009
     return [theirs[name] for name in ours]
 
@@ -167,7 +167,7 @@
         asked, most = len(rig.bus.asked) - before, (time.monotonic() - began) * 1e9 / platform.BUS_AGAIN
         assert 1 < asked <= most + 2
         rig.bus.tell(host("s0", 0, "Gone"))
-        await rig.until(lambda: not rig.edge._links)
+        await rig.until(lambda: not rig.edge.links.by_server)
 
 
 async def test_a_bus_that_lost_events_takes_nothing_back(autojump_clock: MockClock) -> None:
@@ -180,20 +180,20 @@
         await client.ask(A, "dest:1")
         await rig.until(lambda: client.said == [(isup.ANM, A, -1)])
         assert rig.servers["s1"].of("setup") == []
-        assert rig.edge._list.number == 2  # type: ignore[attr-defined]
+        assert rig.edge.source.number == 2
 
 
 async def test_ends_that_find_nobody_are_kept_for_a_while_only(autojump_clock: MockClock) -> None:
     async with relayed() as rig:
         client = await rig.client()
-        await rig.until(lambda: rig.edge._callers == 1)
-        caller = next(iter(rig.edge._connected._fresh))
+        await rig.until(lambda: rig.edge.listener.open_connections == 1)
+        caller = next(iter(rig.edge.connected._unproven))
         await client.stream.aclose()
-        await rig.until(lambda: caller.is_lost)
+        await rig.until(lambda: caller.is_closed)
         for at in range(50):
-            rig.edge._tell_end(caller, setup.Ended(f"{at:016x}", 0, "over"))
+            rig.edge.end_notifier.notify(caller, setup.Ended(f"{at:016x}", 0, "over"))
             await trio.sleep(1)
-        assert len(rig.edge._untold) <= relayproxy.UNTOLD_S + 1
+        assert len(rig.edge.end_notifier._pending) <= relaydialogs.PENDING_END_LIFETIME_S + 1
 
 
 # Customers
@@ -237,7 +237,7 @@
     """A bus and core servers for a process: their addresses are told as they are."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
-        self.nursery, self.network, self.bus = nursery, Sockets(), Bus()
+        self.nursery, self.network, self.bus = nursery, SocketRuntime(), Bus()
         self.addresses: dict[str, str] = {}
 
     async def server(self, name: str) -> Server:
@@ -251,7 +251,7 @@
 
 async def passed(address: str) -> trio.abc.Stream:
     """A caller's connection that has passed a test."""
-    stream = await Sockets().connect(address)
+    stream = await SocketRuntime().connect(address)
     await stream.send_all(isup.write(isup.TEST, A, {isup.CAUSE: b"\0"}))
     with trio.fail_after(20):
         assert await stream.receive_some() == isup.write(isup.TESTED, A, {isup.CAUSE: b"\1"})
@@ -323,9 +323,9 @@
         one.process.send_signal(signal.SIGHUP)
         os.close(there)
         # The first read has ended by then: a second writer who comes before would add to what it reads.
-        await one.event("listening")
+        await one.event("edge-listening")
         os.close(await piped(path, msgspec.json.encode(configuration([], listen, "127.0.0.1:2"))))
-        assert (await one.event("reconfigured"))["bus"] == "127.0.0.1:2"
+        assert (await one.event("configuration-reloaded"))["bus"] == "127.0.0.1:2"
 
 
 UNUSABLE: list[tuple[str, dict[str, Any]]] = [
@@ -355,7 +355,7 @@
     for many, content in enumerate(contents, start=1):
         one.file.write_bytes(content)
         one.process.send_signal(signal.SIGHUP)
-        await one.event("configuration-refused", many=many)
+        await one.event("configuration-rejected", many=many)
         await (await passed(one.address)).aclose()
 
 
@@ -367,10 +367,10 @@
         spoilt = [msgspec.json.encode(told | {"bus": "127.0.0.1:2"} | change) for _, change in UNUSABLE[:1]]
         another = msgspec.json.encode(told | {"bus": "127.0.0.1:2", "name": "n1"})
         await refused(one, [whole[: len(whole) // 2], *spoilt, another])
-        assert not one.events("reconfigured")
+        assert not one.events("configuration-reloaded")
         one.file.write_bytes(whole)
         one.process.send_signal(signal.SIGHUP)
-        await one.event("reconfigured")
+        await one.event("configuration-reloaded")
         one.process.send_signal(signal.SIGTERM)
         one.process.send_signal(signal.SIGTERM)
         one.process.send_signal(signal.SIGHUP)
--- a/tests/test_regions.py
+++ b/tests/test_regions.py
@@ -555,9 +555,9 @@
 def told(edges: list[MemoryEdge]) -> dict[tuple[str, str, str], int]:
     """The edges' own accounts: legs that left, less those whose connection broke under them."""
     books = [
-        edge.proxy.crossing.usage.to_rows(edge.terms.name, 0, 0)
+        edge.proxy.cross_region.usage.to_rows(edge.terms.name, 0, 0)
         for edge in edges
-        if edge.proxy is not None and edge.proxy.crossing is not None
+        if edge.proxy is not None and edge.proxy.cross_region is not None
     ]
     return {line: tally.attempts for line, tally in merge_totals(books).items() if tally.attempts}
 
@@ -595,7 +595,7 @@
         msgspec.structs.replace(script, terms=msgspec.structs.replace(script.terms, length=SECOND)),
         lambda world, edges: kept.extend(edges),
     )
-    assert all(edge.proxy is not None and edge.proxy.crossing is None for edge in kept)
+    assert all(edge.proxy is not None and edge.proxy.cross_region is None for edge in kept)
 
 
 TROUBLES = {
@@ -649,12 +649,12 @@
             more = edge_terms(IniFile(ini.replace("legs = 10", "legs = 20"), "e.ini"))
             rig.edge.reload(more)
             await trio.sleep(0.1)
-            assert rig.edge.crossing is not None
-            assert rig.edge.crossing.config == more.crossing
+            assert rig.edge.cross_region is not None
+            assert rig.edge.cross_region.config == more.crossing
             late = msgspec.structs.replace(more, answer_margin=1)
             rig.edge.reload(late)
             await trio.sleep(0.1)
-    told = [entry for entry in logged if entry["event"] == "reloaded"]
+    told = [entry for entry in logged if entry["event"] == "configuration-reloaded"]
     assert [entry["waits_for_a_start"] for entry in told] == [[], ["answer_margin"]]
 
 
@@ -667,7 +667,9 @@
         one.offered for one in others.values()
     )
     rules = [
-        edge.proxy.crossing for edge in kept if edge.proxy is not None and edge.proxy.crossing is not None
+        edge.proxy.cross_region
+        for edge in kept
+        if edge.proxy is not None and edge.proxy.cross_region is not None
     ]
     assert [rule.gate.openings for rule in rules[2:]] == [0] * 4, "no evidence, no opening"
     assert all(1 <= rule.gate.openings <= 2 for rule in rules[:2])
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -44,7 +44,7 @@
         await rig.until(lambda: client.said == [ANSWERED, OVER])
         await trio.sleep(10)
         assert client.said == [ANSWERED, OVER]
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
         assert client.ended is None
 
 
@@ -75,7 +75,7 @@
         await other.release(A)
         await rig.until(lambda: server.of("release") == [A], 1)
         assert client.said == [ANSWERED]
-        assert not rig.edge._dialogs
+        assert not rig.edge.dialogs.entries
 
 
 async def test_what_stands_outlives_a_reset_and_ends_on_the_next_connection(
@@ -161,8 +161,8 @@
         await server.say(server.at[A], answer(A))
         await trio.sleep(10)
         assert not client.said
-        assert not rig.edge._dialogs
-        assert not any(link.legs for link in rig.edge._links.values())
+        assert not rig.edge.dialogs.entries
+        assert not any(link.attempts for link in rig.edge.links.by_server.values())
 
 
 async def test_a_dialog_with_no_answer_is_given_up_in_its_time(autojump_clock: MockClock) -> None:
@@ -251,7 +251,7 @@
         await client.ask(A)
         await rig.until(lambda: client.said == [ANSWERED], 1)
         assert set(server.of("setup")) == {A}
-        assert not rig.edge._driver.policy.table.servers["s0"].consecutive_failures
+        assert not rig.edge.context.driver.policy.table.servers["s0"].consecutive_failures
 
 
 @pytest.mark.parametrize(
@@ -290,11 +290,11 @@
         await idle.ask("c" * 16, left=300)
         await idle.release("c" * 16)
         await trio.sleep(0.1)
-        rig.nursery.start_soon(rig.edge._surroundings.hold, 10**8)  # type: ignore[attr-defined]
+        rig.nursery.start_soon(rig.edge.context.runtime.hold, 10**8)  # type: ignore[attr-defined]
         await asking.ask("d" * 16)
         await trio.sleep(0.05)
         for _ in range(3):  # its own turn has not come yet
-            await rig.edge._refuse(await rig.network.connect("s1:1"))
+            await rig.edge.listener.refuse(await rig.network.connect("s1:1"))
         await rig.until(lambda: (isup.ANM, "d" * 16, -1) in asking.said, 2)
         assert idle.ended is not None
         assert asking.ended is None
@@ -349,7 +349,7 @@
         rig.told["bus"] = "bus:2"
         rig.edge.reconfigure(rig.platform())
         rig.bus.tell(host("s1", 1, "Gone"))
-        await rig.until(lambda: "s1" not in rig.edge._links, 2)
+        await rig.until(lambda: "s1" not in rig.edge.links.by_server, 2)
         assert [number for _, number in asked[before:]][:1] == [2]
 
 
@@ -391,7 +391,7 @@
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             path.write_text(json.dumps(configuration([], listen, "127.0.0.1:2")))
-            while "reconfigured" not in process.stderr.readline():
+            while "configuration-reloaded" not in process.stderr.readline():
                 assert process.poll() is None
             host_, port = listen.split(":")
             with socket.create_connection((host_, int(port)), timeout=10) as caller:
--- a/tests/test_relaywire.py
+++ b/tests/test_relaywire.py
@@ -11,7 +11,7 @@
 
 from tests.helpers import TERMS, TYPES
 from valverouter.interface import Deployment
-from valverouter.relayedge import words
+from valverouter.relayedge import translation
 from valverouter.relaywire import isup, lines
 from valverouter.relaywire.bus import Batch, BusSession
 from valverouter.signalling import setup
@@ -81,8 +81,8 @@
     try:
         for line in lines.LineReader().feed(data):
             assert isinstance(line.type, str)
-            words.load(line)
-            words.refusal(line, 0)
+            translation.parse_load(line)
+            translation.parse_rejection(line, 0)
     except ProtocolError:
         pass
 
@@ -105,7 +105,7 @@
     ],
 )
 def test_reports_are_read_by_either_name(text: str, told: tuple[int | None, ...]) -> None:
-    load = words.load(lines.Line("state", fields={"load": text}))
+    load = translation.parse_load(lines.Line("state", fields={"load": text}))
     assert load is not None
     assert (load.free_lines, load.lines, load.queue) == told
 
@@ -127,7 +127,7 @@
     ],
 )
 def test_a_server_s_refusal_in_our_words(cause: int | None, note: str, said: type | None) -> None:
-    made = words.refusal(lines.Line("release", ID, {"note": note}, cause), 2)
+    made = translation.parse_rejection(lines.Line("release", ID, {"note": note}, cause), 2)
     assert made is None if said is None else (type(made) is said and made is not None and made.leg == 2)
 
 
@@ -140,19 +140,19 @@
 }
 
 
-def asked(id_: str = ID, **changes: bytes) -> words.Asked | words.Stood:
+def asked(id_: str = ID, **changes: bytes) -> translation.RelaySetup | translation.EstablishedDialog:
     told = SOUND | {int(code[1:]): value for code, value in changes.items()}
-    return words.asked(isup.Message(isup.IAM, id_, told), DEPLOYMENT, {"only-1": 1})
+    return translation.parse_setup(isup.Message(isup.IAM, id_, told), DEPLOYMENT, {"only-1": 1})
 
 
 def test_a_setup_in_our_words() -> None:
     made = asked(p139=b"dest:1;width:1;via:-1;again:1")
-    assert isinstance(made, words.Asked)
+    assert isinstance(made, translation.RelaySetup)
     assert (made.dialog, made.first_choice, made.was_cut, made.no_answer) == (ID, 1, True, 1500 * 10**6)
     assert made.called_number == int("7f3a9c21e0b4d655", 16)
-    assert b"7f3a9c21e0b4d655" in words.to_server(made)
+    assert b"7f3a9c21e0b4d655" in translation.to_server(made)
     stood = asked(p139=b"dest:1;width:1;at:s-00c41f7a")
-    assert isinstance(stood, words.Stood)
+    assert isinstance(stood, translation.EstablishedDialog)
     assert stood.server == "s-00c41f7a"
 
 
@@ -196,21 +196,21 @@
         (setup.Aborted(ID), isup.REL, 41),
         (setup.Ended(ID), isup.REL, 16),
         (setup.Ended(ID, 0, "cut"), isup.REL, 41),
-        (words.Answered(ID, description="v=0\r\n"), isup.ANM, -1),
+        (translation.Answered(ID, description="v=0\r\n"), isup.ANM, -1),
     ],
 )
 def test_answers_on_the_wire(message: setup.OfLeg, kind: int, cause: int) -> None:
-    (heard,) = isup.MessageReader().feed(words.to_caller(message))
+    (heard,) = isup.MessageReader().feed(translation.to_caller(message))
     assert (heard.type, heard.id, heard.cause) == (kind, ID, cause)
     if isinstance(message, setup.Declined):
         assert heard.parameters[isup.COME_BACK] == b"150"
-    if isinstance(message, words.Answered):
+    if isinstance(message, translation.Answered):
         assert heard.parameters[isup.DESCRIPTION] == b"v=0\r\n"
 
 
 @pytest.mark.parametrize("reason", ["cancelled", "caller-gone"])
 def test_a_caller_that_gave_up_is_owed_nothing(reason: str) -> None:
-    assert words.to_caller(setup.Aborted(ID, 0, reason)) == b""
+    assert translation.to_caller(setup.Aborted(ID, 0, reason)) == b""
 
 
 BODY = (
@@ -250,6 +250,6 @@
 def test_a_host_as_a_row() -> None:
     hosts = msgspec.json.decode(BODY, type=Batch).batch[0].topology
     assert hosts is not None
-    assert words.row(hosts.hosts[0], 10**18).phase == "draining"
+    assert translation.endpoint_row(hosts.hosts[0], 10**18).phase == "draining"
     started = msgspec.structs.replace(hosts.hosts[0], born_ms=10**12 - 3_000, health="Ready")
-    assert words.row(started, 10**18).age == 3 * 10**9
+    assert translation.endpoint_row(started, 10**18).age == 3 * 10**9
--- a/tests/test_slowmodel.py
+++ b/tests/test_slowmodel.py
@@ -22,7 +22,9 @@
 from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.driver import Driver
-from valverouter.edge.proxy import EdgeProxy
+from valverouter.edge.attempts import AttemptHandler
+from valverouter.edge.dialogs import DialogTable
+from valverouter.edge.server_links import ServerLinks
 from valverouter.interface import AttemptResult, Endpoint, EndpointUpdateKind, LoadReport, Outcome
 from valverouter.policy import tuning
 from valverouter.policy.capacity import SlowStart
@@ -485,7 +487,7 @@
                 keys = AttemptKeys(legs=1 + times % 3, leg_time_out=(300 + 100 * (times % 4)) * MS)
                 section = AttemptSection("a", "day", 1, keys, {})
                 new = AttemptSections((section,))
-                edge.proxy.reload(msgspec.structs.replace(edge.proxy.terms, attempts=new))
+                edge.proxy.reload(msgspec.structs.replace(edge.proxy.config, attempts=new))
         if times < 10:
             world.agenda.call_at(world.now() + 700 * MS, lambda: again(times + 1))
 
@@ -534,32 +536,32 @@
     """One fault in the edge proxy; what it returns prepares the day."""
     match rule:
         case 1:
-            sound = EdgeProxy._answer
+            sound = DialogTable.answer
 
-            def mute(self: EdgeProxy, taken: Any, message: Any) -> None:
+            def mute(self: DialogTable, taken: Any, message: Any) -> None:
                 if not message.dialog.endswith("5"):
                     sound(self, taken, message)
 
-            monkeypatch.setattr(EdgeProxy, "_answer", mute)
+            monkeypatch.setattr(DialogTable, "answer", mute)
         case 2:
-            sends = EdgeProxy._send_leg
+            sends = AttemptHandler.start
 
-            def twice(self: EdgeProxy, dialog_id: str, wish: Any) -> None:
-                sends(self, dialog_id, wish)
-                taken = self._dialogs[dialog_id]
-                links = (link for link in self._links.values() if link is not taken.link and link.takes)
+            def twice(self: AttemptHandler, dialog_id: str, action: Any) -> None:
+                sends(self, dialog_id, action)
+                taken = self._entries[dialog_id]
+                links = (link for link in self._links.values() if link is not taken.link and link.is_writable)
                 if (other := next(links, None)) is not None and dialog_id.endswith("7"):
-                    other.set_up((dialog_id, 60), msgspec.structs.replace(taken.setup, leg=60))
+                    other.start_attempt((dialog_id, 60), msgspec.structs.replace(taken.setup, leg=60))
 
-            monkeypatch.setattr(EdgeProxy, "_send_leg", twice)
+            monkeypatch.setattr(AttemptHandler, "start", twice)
         case 3:
-            listed = EdgeProxy._listed
+            listed = ServerLinks.on_endpoint_update
 
-            def deaf(self: EdgeProxy, heard: Any) -> None:
-                rows = [msgspec.structs.replace(row, phase="in-service") for row in heard.rows]
-                listed(self, type(heard)(heard.scope, rows))
+            def deaf(self: ServerLinks, update: Any) -> None:
+                rows = [msgspec.structs.replace(row, phase="in-service") for row in update.rows]
+                listed(self, type(update)(update.kind, rows))
 
-            monkeypatch.setattr(EdgeProxy, "_listed", deaf)
+            monkeypatch.setattr(ServerLinks, "on_endpoint_update", deaf)
         case 4:
             monkeypatch.setattr(tuning, "SLOW_START_MARGIN", 2 * tuning.SLOW_START_MARGIN)
         case 5:
@@ -567,7 +569,7 @@
             def hasty(world: World, edges: list[MemoryEdge]) -> None:
                 for edge in edges:
                     assert edge.proxy is not None
-                    decides = edge.proxy._driver.policy
+                    decides = edge.proxy.context.driver.policy
                     decides.deployment = dataclasses.replace(decides.deployment, release_delay=0)
 
             return hasty
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -12,7 +12,7 @@
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.cli import tables
 from valverouter.cli.common import BROKEN, FILE, console
-from valverouter.edge.attempting import AttemptBook
+from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.signalling import tap
 from valverouter.terms.edge import load_edge_terms
 from valverouter.terms.ini import FlawedTermsError, show_span, span
@@ -44,14 +44,16 @@
     flaws = []
     for file in files:
         try:
-            book = AttemptBook(loaded := load_edge_terms(file))
+            book = AttemptPolicies(loaded := load_edge_terms(file))
         except FlawedTermsError as error:
             flaws += error.flaws
             continue
         sections = len(loaded.attempts.sections)
         console.print(f"{file}: sound, {sections} sections of attempts", highlight=False, soft_wrap=True)
         for kind in loaded.deployment.traffic_types:
-            most = max(course.attempts for course in timelines(book.reckoned(kind, 0, SHOWN_NO_ANSWER)))
+            most = max(
+                course.attempts for course in timelines(book.worst_case_policy(kind, 0, SHOWN_NO_ANSWER))
+            )
             console.print(f"  {kind}: {most} legs at most", highlight=False)
     if flaws:
         raise FlawedTermsError(flaws)
@@ -66,7 +68,7 @@
     loaded = load_edge_terms(file)
     if traffic_type not in loaded.deployment.traffic_types:
         raise ValueError(f"{file}: there is no [traffic {traffic_type}]")
-    for key, one in AttemptBook(loaded).explain(traffic_type, number, peer, first_choice).items():
+    for key, one in AttemptPolicies(loaded).explain(traffic_type, number, peer, first_choice).items():
         console.print(
             f"{key:14} {_shown(key, one.value):10} {one.source}",
             highlight=False,
@@ -89,12 +91,12 @@
 def terms_courses(file: Path, no_answer: str, chart: bool, number: int, peer: str, first_choice: int) -> None:
     """The longest course that FILE's terms allow each traffic type, step by step."""
     loaded = load_edge_terms(file)
-    book = AttemptBook(loaded)
+    book = AttemptPolicies(loaded)
     within = span(no_answer) - loaded.answer_margin
     if within <= 0:
         raise ValueError(f"no-answer time {no_answer} leaves nothing past the answer margin")
     found = {
-        kind: longest_timeline(book.reckoned(kind, number, within, peer, first_choice))
+        kind: longest_timeline(book.worst_case_policy(kind, number, within, peer, first_choice))
         for kind in loaded.deployment.traffic_types
     }
     if chart:
@@ -121,7 +123,7 @@
     By class, and for each of them by each route that a section of either file names.
     """
     before, after = load_edge_terms(old), load_edge_terms(new)
-    books, changed = (AttemptBook(before), AttemptBook(after)), False
+    books, changed = (AttemptPolicies(before), AttemptPolicies(after)), False
     for kind in {**before.deployment.traffic_types, **after.deployment.traffic_types}:
         gone = [terms for terms in (before, after) if kind not in terms.deployment.traffic_types]
         if gone:
@@ -129,7 +131,7 @@
             console.print(f"{kind}: {'new' if gone == [before] else 'gone'}", highlight=False)
             continue
         routes = {str(number): (number, peer, first_choice)} | {
-            name: route for book in books for name, route in book.routes().items()
+            name: route for book in books for name, route in book.sample_routes().items()
         }
         for name, route in routes.items():
             one, two = (book.explain(kind, *route) for book in books)
--- a/valverouter/cli/edging.py
+++ b/valverouter/cli/edging.py
@@ -16,9 +16,10 @@
 
 from valverouter.cli.common import FAILED, FILE, leaf
 from valverouter.edge import logs
-from valverouter.edge.keeping import edge_proxy
+from valverouter.edge.garbage_collection import tune_garbage_collector
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.edge.surroundings import Sockets, long_lived
+from valverouter.edge.resumable_proxy import make_edge_proxy
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.instance_status import instance_counters, membership_facts
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.ledger.dialog_store import DialogStore
@@ -38,7 +39,7 @@
     their answers, and ends.
     """
     terms = load_edge_terms(file)
-    logs.set_up(terms.log)
+    logs.configure_logging(terms.log)
     try:
         trio.run(_edge, terms, file)
     except* (OSError, StoreError) as group:
@@ -48,8 +49,8 @@
 
 async def _edge(terms: EdgeTerms, file: Path) -> None:
     with _store(terms) as store:
-        surroundings = Sockets(terms.links.silence)
-        proxy = edge_proxy(terms, surroundings, store)
+        runtime = SocketRuntime(terms.links.silence)
+        proxy = make_edge_proxy(terms, runtime, store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_signals, proxy, file)
             fleet = None
@@ -57,14 +58,14 @@
                 fleet = MembershipService(
                     terms,
                     terms.between,
-                    surroundings,
+                    runtime,
                     secrets.randbits(64),
                     lambda: membership_facts(proxy),
                     version("valverouter"),
                     counters=lambda: instance_counters(proxy),
                 )
                 await nursery.start(fleet.run)
-            long_lived()
+            tune_garbage_collector()
             await proxy.run()
             if fleet is not None:
                 fleet.leave()
@@ -112,8 +113,8 @@
     async for _ in asked:
         try:
             terms = await load_settled(file)
-            proxy.reload(terms, await trio.to_thread.run_sync(proxy.book_of, terms), str(file))
+            proxy.reload(terms, await trio.to_thread.run_sync(proxy.policies_of, terms), str(file))
         except FlawedTermsError as error:
-            proxy.refuse_reload(str(file), str(error), flaws=len(error.flaws))
+            proxy.reject_reload(str(file), str(error), flaws=len(error.flaws))
         except Exception as error:
-            proxy.refuse_reload(str(file), f"{type(error).__name__}: {error}", exc_info=True)
+            proxy.reject_reload(str(file), f"{type(error).__name__}: {error}", exc_info=True)
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -14,7 +14,7 @@
 
 from valverouter.cli.common import FAILED, FILE, leaf
 from valverouter.edge import logs
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
 from valverouter.fleet.supervisor_service import SupervisorService
 from valverouter.ledger.raft_store import RaftStore
@@ -40,7 +40,7 @@
     A node whose store is empty waits to be admitted by the others. Logs go to standard error.
     """
     terms = load_seat(file)
-    logs.set_up(terms.log)
+    logs.configure_logging(terms.log)
     try:
         store = _open_store(terms)
         try:
@@ -62,7 +62,7 @@
 
 
 async def _run_raft_server(terms: SeatTerms, store: RaftStore, bootstrap: bool) -> None:
-    server = RaftServer(terms, Sockets(), store, bootstrap)
+    server = RaftServer(terms, SocketRuntime(), store, bootstrap)
     async with trio.open_nursery() as nursery:
         await nursery.start(server.run)
         await _on_stop_signals(nursery.cancel_scope.cancel)
@@ -78,13 +78,13 @@
     again.
     """
     terms = load_keeper(file)
-    logs.set_up(terms.log)
+    logs.configure_logging(terms.log)
     try:
         store, state, set_aside = open_supervisor_store(terms.store)
         if set_aside:
             log.error("supervisor-state-set-aside", why=set_aside)
         try:
-            service = SupervisorService(terms, Sockets(), store, state)
+            service = SupervisorService(terms, SocketRuntime(), store, state)
             trio.run(_run_supervisor, service)
         finally:
             store.close()
--- a/valverouter/cli/fleet_view.py
+++ b/valverouter/cli/fleet_view.py
@@ -13,7 +13,7 @@
 
 from valverouter.cli.common import BROKEN, FILE, UNUSABLE, console
 from valverouter.cli.fleet_view_output import by_incarnation, print_json, print_metrics, print_tables
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.view_comparison import ViewAnswer, is_converged
 from valverouter.membership.records import LIVE_STATES
@@ -71,7 +71,7 @@
         if not address.endswith(":0")
     ]
     host = addresses[0].rpartition(":")[0] if addresses else "127.0.0.1"
-    socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
+    socket = SocketRuntime().bind_datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
     try:
         client = FleetClient(between.keys, socket, random.Random(secrets.randbits(64)))
         answers = await client.query_views(addresses[:max_queried])
--- a/valverouter/cli/ordering.py
+++ b/valverouter/cli/ordering.py
@@ -20,7 +20,7 @@
 from rich.table import Table
 
 from valverouter.cli.common import BROKEN, FAILED, FILE, UNUSABLE, console
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.messages import RequestKind
 from valverouter.fleet.operations_client import OperationsClient
 from valverouter.rollout.disruption_permits import HaltDisruptions
@@ -302,7 +302,7 @@
 
     async def asked() -> Answer | None:
         host = next(iter(terms.council.values())).rpartition(":")[0]
-        socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
+        socket = SocketRuntime().bind_datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
             client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
             return await client.request(request, command, kind, WITHIN_S, about)
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/playing.py
@@ -16,8 +16,8 @@
 from valverouter.days.virtual import run_virtual
 from valverouter.days.world import World
 from valverouter.edge import logs
-from valverouter.edge.attempting import AttemptBook
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.attempt_policies import AttemptPolicies
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.signalling import tap
 from valverouter.terms.calls import write_calls
@@ -39,7 +39,7 @@
     Exits with 1 when a rule was broken.
     """
     script = load_day(file)
-    logs.set_up(Log(level="error"))
+    logs.configure_logging(Log(level="error"))
     if virtual:
         with console.status(f"{script.name} in virtual time"):
             rows = run_virtual(script)
@@ -85,7 +85,7 @@
     ini = IniFile.load(file)
     if "edge" in ini.sections:
         terms = edge_terms(ini)
-        AttemptBook(terms)
+        AttemptPolicies(terms)
         if terms.crossing is not None:
             CrossRegionLimiter(terms.crossing, 0)
         console.print(
@@ -110,7 +110,7 @@
 
 async def _standins(script: Day, list_at: str, seconds: float) -> None:
     at = {"list": list_at}
-    world = World(script, Sockets(), script.terms.slack, lambda name: at.get(name, "127.0.0.1:0"))
+    world = World(script, SocketRuntime(), script.terms.slack, lambda name: at.get(name, "127.0.0.1:0"))
     with trio.move_on_after(seconds):
         async with trio.open_nursery() as nursery:
             await world.open(nursery)
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from valverouter.driver import Driver
-from valverouter.edge.attempting import AttemptBook, own_terms
+from valverouter.edge.attempt_policies import AttemptPolicies, default_policy
 from valverouter.emulator.edge_model import BuildDriver, EdgePlan
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import DayResult, simulate_day
@@ -25,7 +25,7 @@
     def default_attempt_policy(traffic_type: str) -> AttemptPolicy | None:
         if traffic_type not in traffic_types:
             return None
-        return own_terms(deployment, traffic_types[traffic_type].latency_objective)
+        return default_policy(deployment, traffic_types[traffic_type].latency_objective)
 
     return EdgePlan(
         fleet_index=fleet_index,
@@ -34,7 +34,7 @@
         seed=terms.seed,
         answer_margin=terms.answer_margin,
         cross_region=lambda now: CrossRegionLimiter(cross_region, now) if cross_region is not None else None,
-        attempt_policies=AttemptBook(terms) if terms.attempts else None,
+        attempt_policies=AttemptPolicies(terms) if terms.attempts else None,
         build_driver=build_driver,
         has_ledger=day.ledger,
         default_attempt_policy=default_attempt_policy,
--- a/valverouter/days/loopback.py
+++ b/valverouter/days/loopback.py
@@ -14,7 +14,7 @@
 
 from valverouter.days.viewing import LoopbackViews
 from valverouter.days.world import World
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.signalling.tap import Row
 from valverouter.terms.day import Day
 
@@ -96,7 +96,7 @@
                     *lines, rest = (rest + data).split(b"\n")
                     for line in lines:
                         said = _said(line)
-                        if said.event == "listening" and not told:
+                        if said.event == "edge-listening" and not told:
                             told = True
                             task_status.started(said.address)
                         elif self._views is not None:
@@ -156,7 +156,7 @@
     """Plays the day; the rows of what passed. Files and logs of the edge proxies are left in the folder."""
 
     async def main() -> list[Row]:
-        place = Sockets()
+        place = SocketRuntime()
         world = World(day, place, day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -23,7 +23,7 @@
 
 from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
 from valverouter.days.world import World
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.status import FleetStatus, OperationStatus
 from valverouter.servermodel.paths import NetworkPaths, PathFault
@@ -91,7 +91,9 @@
         self._least = least
         self.faults: list[PathFault] = []
         self._draw = random.Random(f"{day.terms.seed}/paths").random
-        self._paths = FakeDatagramNetwork(Sockets().datagrams, world.now, NetworkPaths([], self._draw))
+        self._paths = FakeDatagramNetwork(
+            SocketRuntime().bind_datagrams, world.now, NetworkPaths([], self._draw)
+        )
         self._fronts: dict[str, str] = {}
         self._real: dict[str, str] = {}
         self._listen: dict[str, str] = {}
@@ -105,7 +107,7 @@
         await nursery.start(self._paths.run)
         names = [*NODES, *map(supervisor_of, (*self.edges, *self.servers)), *self.edges, *self.servers]
         if self.servers:
-            self._control = await nursery.start(Sockets().serve, "127.0.0.1:0", self._agent)
+            self._control = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", self._agent)
             self.world.list.on_leave = lambda server: self.world.tell([server], "draining")
             nursery.start_soon(self._warms)
         for name, port in zip(names, _free(len(names), socket.SOCK_DGRAM), strict=True):
@@ -195,7 +197,7 @@
 
     def _listens(self, name: str) -> bool:
         log = self.folder / f"{name}.log"
-        return log.exists() and b'"listening"' in log.read_bytes()
+        return log.exists() and b'"edge-listening"' in log.read_bytes()
 
     def kill(self, name: str) -> None:
         """SIGKILL: a seat, a keeper, or an edge proxy behind its keeper."""
@@ -371,7 +373,7 @@
     `servers`: they have keepers too. `least`: the share of a region's edge proxies that must stay."""
 
     async def main() -> list[Row]:
-        world = World(day, Sockets(), day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
+        world = World(day, SocketRuntime(), day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 await world.open(nursery)
--- a/valverouter/days/serveragent.py
+++ b/valverouter/days/serveragent.py
@@ -17,7 +17,7 @@
 
 import trio
 
-from valverouter.edge.surroundings import UdpSocket, split
+from valverouter.edge.sockets import UdpSocket, split_address
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.instance_status import VERSION_VARIABLE
 from valverouter.fleet.queries import CountersQuery, CountersReply
@@ -27,7 +27,7 @@
 
 async def serve(name: str, control: str, asked: str, key: Path) -> None:
     """Until SIGTERM, or until the day's process is gone."""
-    host, port = split(control)
+    host, port = split_address(control)
     stream = await trio.open_tcp_stream(host, port)
     await stream.send_all(name.encode() + b"\n")
     life, state = secrets.randbits(63), bytearray(b"cold")
@@ -36,8 +36,8 @@
 
     async def answers() -> None:
         while True:
-            await socket.readable()
-            while (came := socket.take()) is not None:
+            await socket.wait_readable()
+            while (came := socket.receive()) is not None:
                 message = opener.read(came[0])
                 if isinstance(message, CountersQuery):
                     label = os.environ.get(VERSION_VARIABLE, "")
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -18,7 +18,8 @@
 from valverouter.days.paths import path_faults, paths_of
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
-from valverouter.edge.surroundings import Sockets, Surroundings
+from valverouter.edge.runtime import Runtime
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.instance_status import membership_facts
@@ -125,22 +126,24 @@
     def _chance(self, what: str) -> Callable[[], float]:
         return random.Random(f"{self.day.terms.seed}/{what}").random
 
-    def _asker(self, surroundings: Surroundings, address: str) -> FleetClient:
+    def _asker(self, runtime: Runtime, address: str) -> FleetClient:
         chance = random.Random(f"{self.day.terms.seed}/asker")
-        return FleetClient(self._keys, surroundings.datagrams(address), chance)
+        return FleetClient(self._keys, runtime.bind_datagrams(address), chance)
 
 
 class LoopbackViews(Views):
     """Of real processes, with the paths between them."""
 
-    def __init__(self, day: Day, between: DayBetween, world: World, place: Sockets, folder: Path) -> None:
+    def __init__(
+        self, day: Day, between: DayBetween, world: World, place: SocketRuntime, folder: Path
+    ) -> None:
         super().__init__(day, between, world, (key_of(SECRET),))
         self._place = place
         self._key_file = folder.absolute() / "between.key"
         with os.fdopen(os.open(self._key_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
             file.write(SECRET)
         self._draw = self._chance("paths")
-        self._paths = FakeDatagramNetwork(place.datagrams, world.now, NetworkPaths([], self._draw))
+        self._paths = FakeDatagramNetwork(place.bind_datagrams, world.now, NetworkPaths([], self._draw))
         self._fronts: dict[str, str] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -180,7 +183,7 @@
     """Of edge proxies in virtual time."""
 
     def __init__(
-        self, day: Day, between: DayBetween, world: World, network: MemoryPlace, asks: Surroundings
+        self, day: Day, between: DayBetween, world: World, network: MemoryPlace, asks: Runtime
     ) -> None:
         super().__init__(day, between, world, (key_of(SECRET),))
         self._network = network
@@ -205,9 +208,7 @@
         self._network.paths = paths
         self._network.unstruck = frozenset({"asker:1"})
 
-    def task(
-        self, name: str, terms: EdgeTerms, surroundings: Surroundings, proxy: EdgeProxy
-    ) -> MembershipService:
+    def task(self, name: str, terms: EdgeTerms, runtime: Runtime, proxy: EdgeProxy) -> MembershipService:
         self._starts += 1
         life = random.Random(f"{self.day.terms.seed}/life/{name}/{self._starts}").getrandbits(64)
         seeds = tuple(f"between{place}:1" for place in range(self.between.seeds))
@@ -221,7 +222,7 @@
         task = MembershipService(
             msgspec.structs.replace(terms, between=told),
             told,
-            surroundings,
+            runtime,
             life,
             lambda: membership_facts(proxy),
             "virtual",
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -16,8 +16,8 @@
 
 from valverouter.days.viewing import MemoryViews
 from valverouter.days.world import World
-from valverouter.edge.keeping import edge_proxy
 from valverouter.edge.proxy import EdgeProxy
+from valverouter.edge.resumable_proxy import make_edge_proxy
 from valverouter.recovery.lifecycle import DialogRecord, Timestamp
 from valverouter.servermodel.paths import NetworkPaths
 from valverouter.signalling.tap import Row
@@ -156,8 +156,8 @@
             del self.serving[address]
 
 
-class MemorySurroundings(MemoryPlace):
-    """One edge proxy's surroundings on a shared network; `hold` stalls it, as a stopped process is."""
+class MemoryRuntime(MemoryPlace):
+    """One edge proxy's runtime on a shared network; `hold` stalls it, as a stopped process is."""
 
     def __init__(self, place: MemoryPlace, wall_back: int = 0) -> None:
         super().__init__()
@@ -167,11 +167,11 @@
         self._runs.set()
         self._began = trio.current_time()
 
-    def wall(self) -> int:
+    def wall_time(self) -> int:
         return EPOCH + round(trio.current_time() * 1e9) - self._wall_back
 
     def moment(self) -> Timestamp:
-        return Timestamp(self.wall(), round(trio.current_time() * 1e9), "memory")
+        return Timestamp(self.wall_time(), round(trio.current_time() * 1e9), "memory")
 
     async def connect(self, address: str) -> trio.abc.Stream:
         return await self._place.connect(address)
@@ -185,21 +185,21 @@
     ) -> None:
         await self._place.serve(address, handler, task_status)
 
-    def datagrams(self, address: str) -> MemoryDatagrams:
+    def bind_datagrams(self, address: str) -> MemoryDatagrams:
         return MemoryDatagrams(self._place, address)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         return 1_000_000
 
-    async def turn(self) -> None:
+    async def checkpoint(self) -> None:
         await trio.lowlevel.checkpoint()
         await self._runs.wait()
 
-    async def load(self, path: str) -> bytes | None:
+    async def read_file(self, path: str) -> bytes | None:
         await trio.lowlevel.checkpoint()
         return self._place.files.get(path)
 
-    async def keep(self, path: str, data: bytes) -> None:
+    async def write_file(self, path: str, data: bytes) -> None:
         await trio.lowlevel.checkpoint()
         self._place.files[path] = data
 
@@ -229,10 +229,10 @@
         self.held.append((data, source))
         self._came.set()
 
-    def take(self) -> tuple[bytes, str] | None:
+    def receive(self) -> tuple[bytes, str] | None:
         return self.held.popleft() if self.held else None
 
-    async def readable(self) -> None:
+    async def wait_readable(self) -> None:
         while not self.held:
             self._came = trio.Event()
             await self._came.wait()
@@ -299,7 +299,7 @@
         self._network = network
         self._nursery = nursery
         self._scope = trio.CancelScope()
-        self._surroundings: MemorySurroundings | None = None
+        self._runtime: MemoryRuntime | None = None
         self._views = views
         # How far its clock is set back.
         self.wall_back = 0
@@ -309,21 +309,21 @@
 
     async def _run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
         with trio.CancelScope() as self._scope:
-            self._surroundings = MemorySurroundings(self._network, self.wall_back)
-            self.proxy = edge_proxy(self.terms, self._surroundings, self.store)
+            self._runtime = MemoryRuntime(self._network, self.wall_back)
+            self.proxy = make_edge_proxy(self.terms, self._runtime, self.store)
             if self._views is None:
                 await self.proxy.run(task_status)
             else:
-                await self._run_viewed(self._views, self._surroundings, self.proxy, task_status)
+                await self._run_viewed(self._views, self._runtime, self.proxy, task_status)
 
     async def _run_viewed(
         self,
         views: MemoryViews,
-        surroundings: MemorySurroundings,
+        runtime: MemoryRuntime,
         proxy: EdgeProxy,
         task_status: trio.TaskStatus[EdgeProxy],
     ) -> None:
-        fleet = views.task(self.name, self.terms, surroundings, proxy)
+        fleet = views.task(self.name, self.terms, runtime, proxy)
         try:
             async with trio.open_nursery() as nursery:
                 await nursery.start(fleet.run)
@@ -339,8 +339,8 @@
         await trio.lowlevel.checkpoint()
 
     async def stall(self, span: int) -> None:
-        if self._surroundings is not None:
-            await self._surroundings.hold(span)
+        if self._runtime is not None:
+            await self._runtime.hold(span)
 
     async def stop(self) -> None:
         if self.proxy is not None:
@@ -381,7 +381,7 @@
                 edges = []
                 views = None
                 if day.between is not None:
-                    views = MemoryViews(day, day.between, world, network, MemorySurroundings(network))
+                    views = MemoryViews(day, day.between, world, network, MemoryRuntime(network))
                     await nursery.start(views.run)
                 for place in range(day.fleet.edge_proxies):
                     edge = MemoryEdge(day, place, network, nursery, world.list.address, views)
--- a/valverouter/edge/listener.py
+++ b/valverouter/edge/caller.py
@@ -10,9 +10,9 @@
 import structlog
 import trio
 
-from valverouter.edge.links import costs_this_alone, say_farewell
-from valverouter.edge.mail import Departures, Inbox, Outbox, Overfull
-from valverouter.edge.surroundings import READ
+from valverouter.edge.connections import isolate_failure, send_farewell
+from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
+from valverouter.edge.runtime import READ_SIZE
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Hello, NotUnderstood, Welcome
@@ -23,22 +23,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FromCaller:
+class CallerMessage:
     """A caller asks: Setup, Cancel or Release. `came_at`: when its last byte was read, 0: with its turn."""
 
-    caller: Caller
+    caller: CallerConnection
     message: setup.OfLeg
-    came_at: int = 0
+    received_at: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class CallerLost:
+class CallerDisconnected:
     """A caller's connection is gone: nobody is left to hear the answers to its dialogs."""
 
-    caller: Caller
+    caller: CallerConnection
 
 
-class Caller:
+class CallerConnection:
     """One caller's connection. `dialogs` are its open and standing ones; each leaves when it is over.
 
     `waiting` are its set-ups that were read and have not had their turn, by id; `taken_back` those of them
@@ -48,60 +48,60 @@
     def __init__(
         self,
         stream: trio.abc.Stream,
-        terms: Links,
-        inbox: Inbox,
+        config: Links,
+        events: EventQueue,
         welcome: Welcome,
-        departures: Departures | None = None,
+        batch: SendBatch | None = None,
     ) -> None:
         self.dialogs: set[str] = set()
-        self.waiting: Counter[str] = Counter()
-        self.taken_back: set[str] = set()
+        self.pending_setups: Counter[str] = Counter()
+        self.cancelled_setups: set[str] = set()
         self.name = ""
-        self._lost = False
+        self._has_ended = False
         self._stream = stream
-        self._terms = terms
-        self._inbox = inbox
+        self._config = config
+        self._events = events
         self._welcome = welcome
-        self._session = SetupSession(open_most=terms.open_dialogs)
-        self._outbox = Outbox(terms.waiting_bytes, departures)
+        self._session = SetupSession(open_most=config.open_dialogs)
+        self._send_queue = SendQueue(config.waiting_bytes, batch)
         self._scope = trio.CancelScope()
 
     @property
-    def resumes(self) -> bool:
+    def can_resume(self) -> bool:
         """Whether it was told that it may come back for its dialogs, and can."""
         return self._welcome.epoch > 0 and self._session.version >= 2
 
     @property
-    def is_there(self) -> bool:
+    def is_reachable(self) -> bool:
         """Whether somebody may still wait for its dialogs. Asked where an attempt begins: a close may lie
         behind bytes that nobody has read yet, or wait in the kernel while this process is busy."""
-        return self.resumes or not (self.is_lost or getattr(self._stream, "has_left", False))
+        return self.can_resume or not (self.is_closed or getattr(self._stream, "peer_has_closed", False))
 
     @property
-    def is_lost(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether this connection is over, as far as its reader knows."""
-        return self._lost or self._scope.cancel_called
+        return self._has_ended or self._scope.cancel_called
 
-    def asks(self, message: setup.OfLeg, came_at: int = 0) -> None:
+    def enqueue(self, message: setup.OfLeg, received_at: int = 0) -> None:
         """Hands a message of this caller to the instance. One that takes a dialog back does not wait behind
         the others, nor does the dialog's own set-up get its turn as if nothing had been said."""
         if isinstance(message, setup.Setup):
-            self.waiting[message.dialog] += 1
+            self.pending_setups[message.dialog] += 1
         elif isinstance(message, setup.Cancel):
-            if message.dialog in self.waiting:
-                self.taken_back.add(message.dialog)
+            if message.dialog in self.pending_setups:
+                self.cancelled_setups.add(message.dialog)
             if message.dialog in self.dialogs:
-                self._inbox.put_left(FromCaller(self, message, came_at))
+                self._events.put_cancellation(CallerMessage(self, message, received_at))
                 return
-        self._inbox.put(FromCaller(self, message, came_at))
+        self._events.put(CallerMessage(self, message, received_at))
 
-    def has_turn(self, dialog_id: str) -> bool:
+    def begin_setup(self, dialog_id: str) -> bool:
         """A set-up of its has its turn; whether it is still wanted."""
-        wanted = dialog_id not in self.taken_back
-        self.waiting[dialog_id] -= 1
-        if self.waiting[dialog_id] <= 0:
-            del self.waiting[dialog_id]
-            self.taken_back.discard(dialog_id)
+        wanted = dialog_id not in self.cancelled_setups
+        self.pending_setups[dialog_id] -= 1
+        if self.pending_setups[dialog_id] <= 0:
+            del self.pending_setups[dialog_id]
+            self.cancelled_setups.discard(dialog_id)
         return wanted
 
     def send(self, message: Any) -> None:
@@ -109,8 +109,8 @@
         if self._scope.cancel_called:
             return
         try:
-            self._outbox.put(self._session.send(message))
-        except Overfull as error:
+            self._send_queue.put(self._session.send(message))
+        except SendQueueFullError as error:
             log.warning("caller-too-slow", caller=self.name, why=str(error))
             self._scope.cancel()
 
@@ -121,47 +121,47 @@
     def refuse(self, error: ProtocolError) -> None:
         """What this connection asked for can't be: it ends with one clear error."""
         log.warning("caller-refused", caller=self.name, code=error.code, why=str(error))
-        self._outbox.put(self._session.farewell(error), left=self._scope.cancel)
+        self._send_queue.put(self._session.farewell(error), on_sent=self._scope.cancel)
 
     async def run(self) -> None:
         """Serves until either side ends; whatever happens here costs this connection alone."""
-        with costs_this_alone("caller", lambda: self.name), self._scope:
+        with isolate_failure("caller", lambda: self.name), self._scope:
             async with self._stream as stream, trio.open_nursery() as nursery:
                 nursery.start_soon(self._write, stream)
                 try:
                     await self._read(stream)
                 except ProtocolError as error:
-                    await self._part(stream, error)
+                    await self._on_protocol_error(stream, error)
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
                     pass
                 except trio.TooSlowError:
-                    self._silent()
-                self._lost = True
+                    self._on_silent()
+                self._has_ended = True
                 nursery.cancel_scope.cancel()
-        self._lost = True
+        self._has_ended = True
         self._scope.cancel()
-        self._inbox.put_left(CallerLost(self))
+        self._events.put_cancellation(CallerDisconnected(self))
 
-    def _silent(self) -> None:
+    def _on_silent(self) -> None:
         log.warning("caller-silent", why="no hello in time")
 
-    async def _part(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
+    async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
         """The last word to a caller that broke the protocol."""
         log.warning("caller-refused", caller=self.name, code=error.code, why=str(error))
-        await say_farewell(stream, self._session, error)
+        await send_farewell(stream, self._session, error)
 
     async def _write(self, stream: trio.abc.Stream) -> None:
         try:
-            await self._outbox.run(stream)
+            await self._send_queue.run(stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             self._scope.cancel()
 
     async def _read(self, stream: trio.abc.Stream) -> None:
-        with trio.fail_after(self._terms.hello_within / 1e9) as patience:
-            while data := await stream.receive_some(READ):
+        with trio.fail_after(self._config.hello_within / 1e9) as patience:
+            while data := await stream.receive_some(READ_SIZE):
                 # Before its messages are taken apart: ten thousand callers' reads at once would each go past
                 # the bound by hundreds of events, here they hold their bytes.
-                await self._inbox.room()
+                await self._events.wait_for_space()
                 for message in self._session.receive(data):
                     if isinstance(message, Hello):
                         patience.deadline = float("inf")
@@ -170,27 +170,27 @@
                     elif isinstance(message, NotUnderstood):
                         self.send(message)
                     else:
-                        self.asks(message)
+                        self.enqueue(message)
             self._session.end()
 
 
-class Absent(Caller):
+class DetachedCaller(CallerConnection):
     """Stands in for a caller whose connection is gone and that may come back: what it is told goes nowhere,
     and is told again when it asks."""
 
     def __init__(self, name: str, back_by: int) -> None:
         self.dialogs = set()
-        self.waiting = Counter()
-        self.taken_back = set()
+        self.pending_setups = Counter()
+        self.cancelled_setups = set()
         self.name = name
-        self.back_by = back_by
+        self.resume_deadline = back_by
 
     @property
-    def resumes(self) -> bool:
+    def can_resume(self) -> bool:
         return True
 
     @property
-    def is_there(self) -> bool:
+    def is_reachable(self) -> bool:
         """Its dialogs go on until it has had its time to come back."""
         return True
 
--- /dev/null
+++ b/valverouter/edge/caller_requests.py
@@ -0,0 +1,128 @@
+"""What callers ask for: dialogs accepted and handed to the decisions, cancelled, released, or left behind."""
+
+from __future__ import annotations
+
+from valverouter.edge.attempts import AttemptHandler
+from valverouter.edge.caller import CallerConnection
+from valverouter.edge.context import ProxyContext
+from valverouter.edge.dialogs import DialogEntry, DialogTable
+from valverouter.edge.events import CallerDisconnected, CallerMessage
+from valverouter.interface import AttemptPolicy, Dialog
+from valverouter.signalling import setup
+from valverouter.signalling.framing import ProtocolError
+
+
+class CallerRequests:
+    """Carries out callers' messages."""
+
+    def __init__(self, context: ProxyContext, dialogs: DialogTable, attempts: AttemptHandler) -> None:
+        """Puts accepted dialogs into `dialogs`; `attempts` ends those that are cancelled."""
+        self._context = context
+        self._dialogs = dialogs
+        self._entries = dialogs.entries
+        self._attempts = attempts
+
+    def on_caller_message(self, event: CallerMessage) -> None:
+        """A caller asks for a dialog, or cancels or releases one."""
+        message = event.message
+        if isinstance(message, setup.Setup):
+            context = self._context
+            unread = context.unread_since and self._received_during_stall(message.no_answer)
+            self.accept(event.caller, message, event.received_at or unread or context.now)
+        else:
+            self.on_cancel_or_release(event.caller, message)
+
+    def _received_during_stall(self, no_answer: int) -> int:
+        """When a set-up came that lay unread while this process was stopped; 0 where that can't be said.
+
+        Nothing tells how long it lay there, so it counts as having come at the stop's beginning: counted from
+        the wake, its answer came after its caller's time. Of a stop longer than that time nothing can be said
+        at all; such a caller gets its answer as soon as can be.
+        """
+        context = self._context
+        since = context.unread_since
+        return since if since + no_answer - context.config.answer_margin > context.now else 0
+
+    def on_caller_disconnected(self, event: CallerDisconnected) -> None:
+        """A caller's connection is gone, and with it whoever waited for its dialogs."""
+        for dialog_id in list(event.caller.dialogs):
+            self._attempts.abort_dialog(dialog_id, "caller-gone")
+
+    def accept(self, caller: CallerConnection, request: setup.Setup, received_at: int) -> None:
+        """A set-up has its turn: it is accepted, or rejected where this proxy takes none."""
+        context = self._context
+        is_wanted = caller.begin_setup(request.dialog)
+        if self._is_abandoned(caller, request):
+            return
+        if request.dialog in self._entries:
+            caller.refuse(ProtocolError("out-of-state", f"dialog {request.dialog!r} is open here already"))
+            return
+        if context.shutdown.is_draining or len(self._entries) >= context.config.links.open_dialogs:
+            # Not a choice among dialogs: this instance takes none.
+            retry_after = context.config.deployment.max_retry_after
+            caller.send(setup.Declined(request.dialog, request.leg, retry_after))
+            context.counters.answers["declined-here"] += 1
+            return
+        caller.send(setup.Provisional(request.dialog, request.leg))
+        deadline = received_at + request.no_answer
+        entry = DialogEntry(request, caller, deadline, generation=context.generation)
+        self._dialogs.accept(entry)
+        if not is_wanted:
+            self._dialogs.answer(entry, setup.Aborted(request.dialog, request.leg, "cancelled"))
+            return
+        self._start(entry, received_at)
+
+    def _is_abandoned(self, caller: CallerConnection, request: setup.Setup) -> bool:
+        """Whether who sent a set-up has gone before its turn, connection and all; nothing is owed then."""
+        if caller.is_reachable and not caller.is_closed:
+            return False
+        self._context.counters.answers["gone-before-its-turn"] += 1
+        self._context.log.debug("setup-abandoned", dialog=request.dialog)
+        return True
+
+    def _start(self, entry: DialogEntry, received_at: int) -> None:
+        """Hands an accepted dialog to the decisions, with the time that caller and policy leave it."""
+        request = entry.setup
+        time_limit = request.no_answer - self._context.config.answer_margin
+        if received_at + time_limit <= self._context.now:
+            self._dialogs.answer(entry, setup.Aborted(request.dialog, request.leg, "no-time"))
+            return
+        policy = self.policy_for(request, entry.caller.name)
+        if policy is not None and policy.no_answer_timeout:
+            time_limit = min(time_limit, policy.no_answer_timeout)
+        self.start_dialog(request, received_at + time_limit, policy)
+
+    def policy_for(self, request: setup.Setup, caller: str) -> AttemptPolicy | None:
+        """The attempt policy of a dialog; None: the decisions' default."""
+        policies = self._context.attempt_policies
+        if policies is None:
+            return None
+        return policies.policy_for(request.traffic_type, request.called_number, caller, request.first_choice)
+
+    def start_dialog(self, request: setup.Setup, deadline: int, policy: AttemptPolicy | None) -> None:
+        """Hands a dialog to the decisions."""
+        dialog = Dialog(
+            id=request.dialog,
+            traffic_type=request.traffic_type,
+            deadline=deadline,
+            preferred_server_number=request.first_choice,
+            called_number=request.called_number,
+            was_interrupted=request.was_cut,
+            attempt_policy=policy,
+        )
+        context = self._context
+        context.run_decision(request.dialog, context.driver.start_dialog, dialog)
+
+    def on_cancel_or_release(self, caller: CallerConnection, message: setup.OfLeg) -> None:
+        """The caller cancels an open dialog, or releases an established one.
+
+        Its session drops those that crossed our answer.
+        """
+        entry = self._entries.get(message.dialog)
+        if entry is None or entry.caller is not caller:
+            return
+        if not entry.is_established:
+            self._attempts.abort_dialog(message.dialog, "cancelled")
+        else:
+            # Ended follows from the server; should the link go first, it is cut.
+            self._dialogs.release(entry)
--- a/valverouter/edge/clock.py
+++ b/valverouter/edge/clock.py
@@ -15,41 +15,41 @@
     The decisions take a start time of 0 for 'long ago', so no moment of this clock may come close to it.
     """
 
-    def __init__(self, wall: int) -> None:
-        self._from = wall
-        self._began = trio.current_time()
+    def __init__(self, wall_time: int) -> None:
+        self._wall_at_start = wall_time
+        self._started_at = trio.current_time()
 
     def now(self) -> int:
-        return self._from + round((trio.current_time() - self._began) * 1e9)
+        return self._wall_at_start + round((trio.current_time() - self._started_at) * 1e9)
 
     def trio_time(self, at: int) -> float:
         """When trio should wake us for a moment; a rounding early is made up by looking at `now` again."""
-        return self._began + (at - self._from) / 1e9
+        return self._started_at + (at - self._wall_at_start) / 1e9
 
 
-class Alarms:
+class TimerQueue:
     """What is due when. An entry leaves when its time comes, or with `keep` where it is no longer wanted."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Any]] = []
         self._serial = 0
 
-    def set(self, at: int, what: Any) -> None:
+    def schedule(self, at: int, timer: Any) -> None:
         self._serial += 1
-        heapq.heappush(self._heap, (at, self._serial, what))
+        heapq.heappush(self._heap, (at, self._serial, timer))
 
     def __len__(self) -> int:
         return len(self._heap)
 
-    def keep(self, wanted: Callable[[Any], bool]) -> None:
+    def retain(self, wanted: Callable[[Any], bool]) -> None:
         self._heap = [entry for entry in self._heap if wanted(entry[2])]
         heapq.heapify(self._heap)
 
     @property
-    def next(self) -> int | None:
+    def next_due_at(self) -> int | None:
         return self._heap[0][0] if self._heap else None
 
-    def due(self, now: int) -> Any | None:
+    def pop_due(self, now: int) -> Any | None:
         """One entry whose time has come, in the order of their times."""
         if self._heap and self._heap[0][0] <= now:
             return heapq.heappop(self._heap)[2]
--- /dev/null
+++ b/valverouter/edge/connections.py
@@ -0,0 +1,39 @@
+"""What every connection task does with its faults and its last word."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager, suppress
+
+import structlog
+import trio
+
+from valverouter.signalling.framing import ProtocolError
+from valverouter.signalling.greeting import Session
+
+log = structlog.get_logger()
+
+
+@contextmanager
+def isolate_failure(kind: str, peer: Callable[[], str]) -> Iterator[None]:
+    """A fault nobody thought of, in one connection's task: without this net it would end the instance, and
+    every dialog here would lose its answer."""
+    try:
+        yield
+    except Exception:
+        log.critical("connection-failed", what=kind, peer=peer(), exc_info=True)
+
+
+async def send_farewell(stream: trio.abc.Stream, session: Session, error: ProtocolError) -> None:
+    """The one clear error, if the peer still reads; it is given up either way, and costs no more than
+    this.
+
+    A peer that does not read has its writer waiting on the stream already, and trio lets only one wait: such
+    a peer gets no word, which it would not read.
+    """
+    with (
+        trio.move_on_after(0.1),
+        suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError),
+    ):
+        if farewell := session.farewell(error):
+            await stream.send_all(farewell)
--- a/valverouter/edge/events.py
+++ b/valverouter/edge/events.py
@@ -7,62 +7,73 @@
 
 from dataclasses import dataclass
 
-from valverouter.edge.attempting import AttemptBook
-from valverouter.edge.links import FromServer, LinkDown, LinkUp
-from valverouter.edge.listener import CallerLost, FromCaller
-from valverouter.edge.listing import ListHeard
+from valverouter.edge.attempt_policies import AttemptPolicies
+from valverouter.edge.caller import CallerDisconnected, CallerMessage
+from valverouter.edge.discovery import EndpointUpdate
+from valverouter.edge.link import LinkDown, LinkUp, ServerMessage
 from valverouter.interface import Outcome
 from valverouter.recovery.plan import RecoveryAction
 from valverouter.terms.edge import EdgeTerms
 
 __all__ = [
-    "CallerLost",
+    "AttemptEnded",
+    "CallerDisconnected",
+    "CallerMessage",
+    "EndpointUpdate",
     "Event",
-    "FromCaller",
-    "FromServer",
-    "LegOver",
     "LinkDown",
     "LinkUp",
-    "ListHeard",
-    "Mend",
-    "Reload",
-    "Stop",
+    "RecoveryTimer",
+    "ReloadRequested",
+    "ServerMessage",
+    "StopRequested",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class LegOver:
+class AttemptEnded:
     """A leg ended at this side: not sent, cancelled, or its time is up."""
 
     dialog_id: str
-    leg: int
+    attempt: int
     server: str
     outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Mend:
+class RecoveryTimer:
     """An alarm on a dialog of a former self, or of a caller that is away: its `need` has had its time."""
 
     dialog_id: str
-    need: RecoveryAction
+    action: RecoveryAction
 
 
 @dataclass(frozen=True, slots=True)
-class Reload:
+class ReloadRequested:
     """Other terms, whole and checked; what can't change while running is told and left as it is.
 
     `book`: made of them outside the turn, which it would hold up for as long as their check takes.
     """
 
-    terms: EdgeTerms
-    book: AttemptBook | None = None
+    config: EdgeTerms
+    policies: AttemptPolicies | None = None
     file: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class StopRequested:
     """Take no more dialogs, finish those that are here, end."""
 
 
-Event = FromCaller | CallerLost | FromServer | LinkUp | LinkDown | ListHeard | LegOver | Mend | Reload | Stop
+Event = (
+    CallerMessage
+    | CallerDisconnected
+    | ServerMessage
+    | LinkUp
+    | LinkDown
+    | EndpointUpdate
+    | AttemptEnded
+    | RecoveryTimer
+    | ReloadRequested
+    | StopRequested
+)
--- a/valverouter/edge/logs.py
+++ b/valverouter/edge/logs.py
@@ -20,91 +20,91 @@
 
 from valverouter.terms.edge import Log
 
-MOST_BYTES = 1024 * 1024
+MAX_QUEUED_BYTES = 1024 * 1024
 # Before a write that failed is tried again, and for how long the last lines may take at the end.
-AGAIN_S = 0.25
-LAST_LINES_S = 1.0
+WRITE_RETRY_S = 0.25
+CLOSE_TIMEOUT_S = 1.0
 
 
-class Lines:
+class LogWriter:
     """Lines for one descriptor; `lost` counts those that never left. Emptied by its thread."""
 
-    def __init__(self, descriptor: int, most: int = MOST_BYTES) -> None:
+    def __init__(self, descriptor: int, max_bytes: int = MAX_QUEUED_BYTES) -> None:
         self.lost = 0
         self._descriptor = descriptor
-        self._most = most
-        self._waiting: deque[bytes] = deque()
-        self._bytes = 0
-        self._half = False
-        self._stirred = threading.Condition()
-        self._ends = False
+        self._max_bytes = max_bytes
+        self._queued: deque[bytes] = deque()
+        self._queued_bytes = 0
+        self._is_mid_line = False
+        self._changed = threading.Condition()
+        self._is_closing = False
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
 
     def msg(self, line: str) -> None:
         data = line.encode("utf-8", "replace") + b"\n"
-        with self._stirred:
-            if self._bytes + len(data) > self._most:
+        with self._changed:
+            if self._queued_bytes + len(data) > self._max_bytes:
                 self.lost += 1
                 return
-            self._waiting.append(data)
-            self._bytes += len(data)
-            self._stirred.notify()
+            self._queued.append(data)
+            self._queued_bytes += len(data)
+            self._changed.notify()
 
     log = debug = info = warn = warning = error = critical = fatal = exception = failure = msg
 
-    def end(self) -> None:
+    def close(self) -> None:
         """The last lines leave, if they can in LAST_LINES_S."""
-        with self._stirred:
-            self._ends = True
-            self._stirred.notify()
-        self._thread.join(LAST_LINES_S)
+        with self._changed:
+            self._is_closing = True
+            self._changed.notify()
+        self._thread.join(CLOSE_TIMEOUT_S)
 
     def _run(self) -> None:
         while True:
-            with self._stirred:
-                while not self._waiting:
-                    if self._ends:
+            with self._changed:
+                while not self._queued:
+                    if self._is_closing:
                         return
-                    self._stirred.wait()
-                lines = list(self._waiting)
-                self._waiting.clear()
+                    self._changed.wait()
+                lines = list(self._queued)
+                self._queued.clear()
             data = b"".join(lines)
             rest = self._write(data)
-            with self._stirred:
-                self._bytes -= len(data)
+            with self._changed:
+                self._queued_bytes -= len(data)
                 self.lost += rest.count(b"\n")
                 lost = self.lost
             if rest:
-                time.sleep(AGAIN_S)
+                time.sleep(WRITE_RETRY_S)
             elif lost and not self._write(
                 b'{"event": "logs-lost", "level": "warning", "lines": %d}\n' % lost
             ):
-                with self._stirred:
+                with self._changed:
                     self.lost -= lost
 
     def _write(self, data: bytes) -> bytes:
         """What could not be written. After half a line the next begins on a line of its own."""
         rest = memoryview(data)
         try:
-            if self._half:
+            if self._is_mid_line:
                 os.write(self._descriptor, b"\n")
-                self._half = False
+                self._is_mid_line = False
             while rest:
                 rest = rest[os.write(self._descriptor, rest) :]
         except OSError:
             left = data[: len(data) - len(rest)]
-            self._half = self._half or (bool(left) and not left.endswith(b"\n"))
+            self._is_mid_line = self._is_mid_line or (bool(left) and not left.endswith(b"\n"))
         return bytes(rest)
 
 
-def set_up(log: Log) -> None:
+def configure_logging(config: Log) -> None:
     """Every event carries its time, its level and what it is about: edge, dialog, leg, server."""
     last: structlog.typing.Processor = structlog.processors.JSONRenderer()
-    if log.form == "console":
+    if config.form == "console":
         last = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
-    lines = Lines(sys.stderr.fileno())
-    atexit.register(lines.end)
+    lines = LogWriter(sys.stderr.fileno())
+    atexit.register(lines.close)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -114,7 +114,7 @@
             last,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(
-            logging.getLevelNamesMapping()[log.level.upper()]
+            logging.getLevelNamesMapping()[config.level.upper()]
         ),
         logger_factory=lambda *args: lines,
         cache_logger_on_first_use=True,
--- a/valverouter/edge/owed.py
+++ b/valverouter/edge/recovery_log.py
@@ -25,16 +25,16 @@
 
 SECOND = 1_000_000_000
 # A store that failed is tried again after so long.
-AGAIN = 10 * SECOND
+STORE_RETRY_INTERVAL = 10 * SECOND
 # Answers whose time has passed leave the store together, no oftener than this.
-SWEEP = SECOND
+SWEEP_INTERVAL = SECOND
 # The server closed these itself, or they never ran; of all others the release time runs.
-CLOSED = frozenset(
+CLOSED_OUTCOMES = frozenset(
     (Outcome.FULL, Outcome.NO_AGENT, Outcome.UNREACHABLE, Outcome.FAULT, Outcome.LINE_BUSY, Outcome.NOT_SENT)
 )
 
 
-class Keeps(Protocol):
+class RecordStore(Protocol):
     """The store that records go to."""
 
     def begin_epoch(self, minimum: int = 0) -> int: ...
@@ -52,26 +52,26 @@
         """Takes out all that it holds, pending changes too."""
 
 
-class Owed:
+class RecoveryLog:
     """The records of what is open, stands, or was answered within its time; each leaves with that."""
 
-    def __init__(self, store: Keeps, moment: Callable[[], Timestamp]) -> None:
+    def __init__(self, store: RecordStore, moment: Callable[[], Timestamp]) -> None:
         self._store = store
         self._clock = moment
         # One moment for all that a turn does.
-        self._at: Timestamp | None = None
+        self._turn_moment: Timestamp | None = None
         self._records: dict[str, DialogRecord] = {}
         # Answered dialogs by when their caller's time is over, kept until then in case it asks again.
         self._answered: deque[tuple[int, str]] = deque()
         self._swept_at = 0
-        self._fails_until = 0
+        self._suspended_until = 0
         # Wall seconds, so that an epoch after a store that was lost is later than those before it.
         self.epoch = store.begin_epoch(moment().wall // SECOND)
 
     def _moment(self) -> Timestamp:
-        if self._at is None:
-            self._at = self._clock()
-        return self._at
+        if self._turn_moment is None:
+            self._turn_moment = self._clock()
+        return self._turn_moment
 
     def __len__(self) -> int:
         return len(self._records)
@@ -81,7 +81,7 @@
 
     # At the start
 
-    def found(self, release_wait: int) -> list[tuple[DialogRecord, RecoveryPlan]]:
+    def take_over(self, release_wait: int) -> list[tuple[DialogRecord, RecoveryPlan]]:
         """What a former self left, taken over, with what each needs; what can't be read is told and void."""
         now = self._moment()
         kept: list[tuple[DialogRecord, RecoveryPlan]] = []
@@ -103,8 +103,8 @@
 
     # Moves
 
-    def took(self, asked: setup.Setup, caller: str, left: int, now: int) -> None:
-        if now < self._fails_until:
+    def on_accepted(self, asked: setup.Setup, caller: str, left: int, now: int) -> None:
+        if now < self._suspended_until:
             return
         self._put(
             DialogRecord(
@@ -120,32 +120,32 @@
             )
         )
 
-    def leg_out(self, dialog: str, leg: int, server: str, start: int) -> None:
+    def on_attempt_sent(self, dialog: str, leg: int, server: str, start: int) -> None:
         if (record := self._records.get(dialog)) is not None:
             now = self._moment()
             if record.phase is Phase.CANCELLED:
                 record = lifecycle.end_attempt(record, now)  # the decisions have waited for the release time
             self._put(lifecycle.start_attempt(record, leg, server, start, now))
 
-    def let_go(self, dialog: str) -> None:
+    def on_attempt_cancelled(self, dialog: str) -> None:
         record = self._records.get(dialog)
         if record is not None and record.phase in (Phase.IN_FLIGHT, Phase.CANCELLED):
             self._put(lifecycle.cancel_attempt(record, self._moment()))
 
-    def leg_over(self, dialog: str, outcome: Outcome) -> None:
+    def on_attempt_ended(self, dialog: str, outcome: Outcome) -> None:
         record = self._records.get(dialog)
         if record is None or record.phase not in (Phase.IN_FLIGHT, Phase.CANCELLED):
             return
-        if outcome in CLOSED:
+        if outcome in CLOSED_OUTCOMES:
             self._put(lifecycle.end_attempt(record, self._moment()))
         elif record.phase is Phase.IN_FLIGHT:
             self._put(lifecycle.cancel_attempt(record, self._moment()))
 
-    def stands(self, dialog: str) -> None:
+    def on_established(self, dialog: str) -> None:
         if (record := self._records.get(dialog)) is not None and record.phase is Phase.IN_FLIGHT:
             self._put(lifecycle.establish(record, self._moment()))
 
-    def answered(self, dialog: str, answer: str, span: int, deadline: int) -> None:
+    def on_answered(self, dialog: str, answer: str, span: int, deadline: int) -> None:
         """Declined or aborted: on record until the caller's time is over."""
         if (record := self._records.get(dialog)) is None:
             return
@@ -155,16 +155,16 @@
         self._put(lifecycle.conclude(record, answer, span, now))
         self._answered.append((deadline, dialog))
 
-    def expires(self, dialog: str, deadline: int) -> None:
+    def keep_answer_until(self, dialog: str, deadline: int) -> None:
         """A former self's answer: kept until its caller's time is over."""
         self._answered.append((deadline, dialog))
 
-    def over(self, dialog: str) -> None:
+    def on_dialog_closed(self, dialog: str) -> None:
         """The instance holds it no more: an answer stays until its time is over, all else leaves."""
         if (record := self._records.get(dialog)) is not None and record.phase is not Phase.CONCLUDED:
-            self.forget(dialog)
+            self.remove(dialog)
 
-    def forget(self, dialog: str) -> None:
+    def remove(self, dialog: str) -> None:
         """Nothing is owed: what stood is over, or its time has passed without an answer."""
         if self._records.pop(dialog, None) is not None:
             self._store.delete(dialog)
@@ -177,14 +177,14 @@
 
     def commit(self, now: int) -> None:
         """Before a turn's words leave. After it they are on record, or nothing is."""
-        self._at = None
-        if now >= self._swept_at + SWEEP:
+        self._turn_moment = None
+        if now >= self._swept_at + SWEEP_INTERVAL:
             self._swept_at = now
             self._sweep(now)
         try:
             self._store.commit()
         except Exception as error:  # whatever a store raises, calls go on without it
-            self._failed(now, error)
+            self._on_store_failed(now, error)
 
     def _sweep(self, now: int) -> None:
         # Deadlines are nearly in order: one that is not waits behind the others, for as long as they do.
@@ -192,14 +192,14 @@
             dialog = self._answered.popleft()[1]
             record = self._records.get(dialog)
             if record is not None and record.phase is Phase.CONCLUDED:
-                self.forget(dialog)
+                self.remove(dialog)
 
-    def _failed(self, now: int, error: Exception) -> None:
-        self._fails_until = now + AGAIN
+    def _on_store_failed(self, now: int, error: Exception) -> None:
+        self._suspended_until = now + STORE_RETRY_INTERVAL
         held = len(self._records)
         self._records.clear()
         self._answered.clear()
-        log.error("ledger-fails", why=str(error), without_record=held)
+        log.error("ledger-failed", why=str(error), without_record=held)
         try:
             self._store.clear()
         except Exception as worse:
--- /dev/null
+++ b/valverouter/edge/resumable_dialogs.py
@@ -0,0 +1,54 @@
+"""The table of dialogs whose records outlive a restart of this process."""
+
+from __future__ import annotations
+
+from valverouter.edge.caller import DetachedCaller
+from valverouter.edge.context import ProxyContext
+from valverouter.edge.dialogs import DialogEntry, DialogTable, FinalAnswer
+from valverouter.edge.recovery_state import RecoveryState
+from valverouter.edge.reload import ConfigReloader
+from valverouter.recovery.plan import RecoveryAction
+from valverouter.signalling import setup
+
+
+class ResumableDialogs(DialogTable):
+    """Moves a dialog's record as it moves the dialog."""
+
+    def __init__(self, context: ProxyContext, reloader: ConfigReloader, state: RecoveryState) -> None:
+        """`state` holds the records."""
+        super().__init__(context, reloader)
+        self._state = state
+
+    def accept(self, entry: DialogEntry) -> None:
+        """Records that an answer is owed."""
+        super().accept(entry)
+        now = self._context.now
+        self._state.log.on_accepted(entry.setup, entry.caller.name, entry.deadline - now, now)
+
+    def answer(self, entry: DialogEntry, message: FinalAnswer) -> None:
+        """Records an answer that ends the dialog, in case its caller asks for it again."""
+        if self._context.now < entry.deadline and not isinstance(message, setup.Stands):
+            retry_after = message.come_back if isinstance(message, setup.Declined) else 0
+            kind = type(message).__name__.lower()
+            self._state.log.on_answered(message.dialog, kind, retry_after, entry.deadline)
+        super().answer(entry, message)
+
+    def end(self, entry: DialogEntry, reason: str) -> None:
+        """Ends a dialog, or remembers its end for a caller that is away.
+
+        Told that nothing is known of it, such a caller would dial again.
+        """
+        dialog_id = entry.setup.dialog
+        if isinstance(entry.caller, DetachedCaller) and reason != "released":
+            self._state.unreported_ends[dialog_id], entry.attempt = reason, None
+            self._state.pending[dialog_id] = RecoveryAction.RESEND_ANSWER_AND_END
+            return
+        super().end(entry, reason)
+
+    def remove(self, entry: DialogEntry) -> None:
+        """Nothing more is owed for a dialog: what is known of it leaves."""
+        super().remove(entry)
+        dialog_id = entry.setup.dialog
+        self._state.log.on_dialog_closed(dialog_id)
+        self._state.pending.pop(dialog_id, None)
+        self._state.unreported_ends.pop(dialog_id, None)
--- /dev/null
+++ b/valverouter/edge/resumable_requests.py
@@ -0,0 +1,115 @@
+"""Callers whose connection is gone and that may come back for their dialogs."""
+
+from __future__ import annotations
+
+from valverouter.edge.attempt_policies import default_policy
+from valverouter.edge.caller import CallerConnection, DetachedCaller
+from valverouter.edge.caller_requests import CallerRequests
+from valverouter.edge.context import ProxyContext
+from valverouter.edge.dialogs import DialogEntry, DialogTable
+from valverouter.edge.events import CallerDisconnected, CallerMessage, RecoveryTimer
+from valverouter.edge.recovery_state import RecoveryState
+from valverouter.edge.resumable_attempts import ResumableAttempts
+from valverouter.recovery.lifecycle import Phase
+from valverouter.recovery.plan import RecoveryAction, remaining_attempt_policy
+from valverouter.signalling import setup
+
+
+class ResumableRequests(CallerRequests):
+    """Keeps the dialogs of callers that are away; a dialog goes on once its caller has come back for it."""
+
+    def __init__(
+        self, context: ProxyContext, dialogs: DialogTable, attempts: ResumableAttempts, state: RecoveryState
+    ) -> None:
+        """`state` holds the records, and what dialogs wait for."""
+        super().__init__(context, dialogs, attempts)
+        self._resumable_attempts = attempts
+        self._state = state
+
+    def on_caller_disconnected(self, event: CallerDisconnected) -> None:
+        """A caller's connection is gone: its dialogs are kept for as long as it has to come back."""
+        context = self._context
+        if not event.caller.can_resume or context.shutdown.is_draining:
+            super().on_caller_disconnected(event)
+            return
+        deadline = context.now + context.config.ledger.resume_within
+        absent = DetachedCaller(event.caller.name, deadline)
+        for dialog_id in list(event.caller.dialogs):
+            self._attach(self._entries[dialog_id], absent)
+            context.timers.schedule(deadline, RecoveryTimer(dialog_id, RecoveryAction.FORGET))
+
+    def _attach(self, entry: DialogEntry, caller: CallerConnection) -> None:
+        entry.caller.dialogs.discard(entry.setup.dialog)
+        entry.caller = caller
+        caller.dialogs.add(entry.setup.dialog)
+
+    def on_caller_message(self, event: CallerMessage) -> None:
+        """A caller asks, or comes back for a dialog."""
+        if isinstance(event.message, setup.Resume):
+            self._resume(event.caller, event.message.dialog)
+        else:
+            super().on_caller_message(event)
+
+    def on_cancel_or_release(self, caller: CallerConnection, message: setup.OfLeg) -> None:
+        """Releases an established dialog that is in doubt without waiting for its server's word."""
+        entry = self._entries.get(message.dialog)
+        is_in_doubt = self._state.pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
+        if entry is None or not entry.is_established or not is_in_doubt:
+            super().on_cancel_or_release(caller, message)
+        elif entry.caller is caller:
+            self._resumable_attempts.withdraw(entry)
+            self._dialogs.end(entry, "released")
+
+    def _resume(self, caller: CallerConnection, dialog_id: str) -> None:
+        """A caller comes back for a dialog: it hears what it is owed, and the dialog's flow goes on."""
+        entry = self._entries.get(dialog_id)
+        if entry is None or entry.caller.name != caller.name:
+            caller.send(self._recorded_answer(caller, dialog_id))
+            return
+        self._attach(entry, caller)
+        action = self._state.pending.get(dialog_id)
+        if entry.is_established:
+            server = entry.link.server if entry.link is not None else ""
+            caller.send(setup.Stands(dialog_id, 0, server))
+            if action is RecoveryAction.RESEND_ANSWER_AND_END:
+                self._dialogs.end(entry, self._state.unreported_ends[dialog_id])
+            return
+        caller.send(setup.Provisional(dialog_id))
+        if action is RecoveryAction.CONTINUE_ROUTING:
+            self.continue_dialog(entry)
+
+    def _recorded_answer(
+        self, caller: CallerConnection, dialog_id: str
+    ) -> setup.Unknown | setup.Declined | setup.Aborted:
+        record = self._state.log.record(dialog_id)
+        if record is None or record.phase is not Phase.CONCLUDED or record.caller != caller.name:
+            return setup.Unknown(dialog_id)
+        if record.final_answer == "declined":
+            return setup.Declined(dialog_id, 0, record.retry_after)
+        return setup.Aborted(dialog_id, 0, "failed")
+
+    def continue_dialog(self, entry: DialogEntry) -> None:
+        """Nothing of the previous incarnation is in the way any more: the decisions get the dialog.
+
+        Without its caller it waits, since nobody would hear the answer.
+        """
+        request = entry.setup
+        if isinstance(entry.caller, DetachedCaller):
+            self._state.pending[request.dialog] = RecoveryAction.CONTINUE_ROUTING
+            return
+        self._state.pending.pop(request.dialog, None)
+        deployment = self._context.config.deployment
+        policy = self.policy_for(request, entry.caller.name)
+        traffic_type = deployment.traffic_types.get(request.traffic_type)
+        if entry.attempts_started and traffic_type is not None:
+            policy = policy or default_policy(deployment, traffic_type.latency_objective)
+            policy = remaining_attempt_policy(policy, entry.attempts_started, deployment.max_attempts)
+            if policy is None:
+                retry_after = deployment.max_retry_after
+                self._dialogs.answer(entry, setup.Declined(request.dialog, request.leg, retry_after))
+                return
+        deadline = entry.deadline - self._context.config.answer_margin
+        if deadline <= self._context.now:
+            self._dialogs.answer(entry, setup.Aborted(request.dialog, request.leg, "no-time"))
+            return
+        self.start_dialog(request, deadline, policy)
--- a/valverouter/edge/surroundings.py
+++ b/valverouter/edge/sockets.py
@@ -1,115 +1,43 @@
-"""The one seam between an edge proxy and the machine: streams, wall time, a file or two, and the turn.
-
-`Sockets` is the machine itself. Tests and days in virtual time hand in surroundings of their own, so that the
-same edge runs under trio's MockClock on streams in memory, with the same result every run.
-"""
+"""The machine as an edge proxy's runtime: TCP and UDP sockets, files, and the system's clocks."""
 
 from __future__ import annotations
 
 import errno
-import gc
 import os
 import resource
 import select
 import socket
 import time
-from collections.abc import Awaitable, Callable, Iterator
+from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 from pathlib import Path
-from typing import Protocol
 
 import trio
 
+from valverouter.edge.runtime import MAX_DATAGRAM_SIZE, READ_SIZE, DatagramSocket, Handler
 from valverouter.recovery.lifecycle import Timestamp
 
-READ = 64 * 1024
-DATAGRAM_MOST = 2_048
 # What the kernel keeps of datagrams while this process does not run, as far as it allows so much.
-DATAGRAMS_KEPT = 1024 * 1024
+DATAGRAM_BUFFER_SIZE = 1024 * 1024
 # What accept says when this process or the machine has nothing left for another connection.
-SHORT = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS))
+RESOURCE_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS))
+# Before accepting is tried again then, in seconds.
+ACCEPT_RETRY_S = 0.1
 KEEPALIVE_PROBES = 3
-# What poll says of a far side that has closed; Linux alone knows it apart from bytes to be read.
-LEFT = getattr(select, "POLLRDHUP", 0)
-# Before accepting is tried again then.
-AGAIN_S = 0.1
-
-Handler = Callable[[trio.abc.Stream], Awaitable[object]]
-
-
-class Datagrams(Protocol):
-    """A socket for datagrams; nothing here ever waits but `readable`. Addresses are IP:PORT."""
-
-    address: str
-
-    def send(self, data: bytes, address: str) -> bool:
-        """Whether it left; one that does not at once is dropped, as the network may drop any."""
-
-    def take(self) -> tuple[bytes, str] | None:
-        """A datagram that is here, cut off after DATAGRAM_MOST bytes, and where it came from."""
-
-    async def readable(self) -> None:
-        """Returns when one may be here."""
-
-    def close(self) -> None: ...
-
-
-class Surroundings(Protocol):
-    """What an edge proxy asks of the place where it runs. Addresses are HOST:PORT."""
-
-    def wall(self) -> int:
-        """Wall time in ns since 1970: to date what a former self wrote, never to measure a span."""
-
-    def moment(self) -> Timestamp:
-        """Wall time and the monotonic clock of this boot, as records keep them over a restart."""
-
-    async def connect(self, address: str) -> trio.abc.Stream:
-        """A stream to a peer; OSError when there is none. The caller limits the wait."""
-
-    async def serve(
-        self, address: str, handler: Handler, task_status: trio.TaskStatus[str], refuse: Handler | None = None
-    ) -> None:
-        """Serves until cancelled, a task for each stream; `started` with the address in use.
-
-        `refuse` gets, one at a time, those that came while there was no descriptor for another.
-        """
-
-    def datagrams(self, address: str) -> Datagrams:
-        """A socket bound there; OSError when it can't be."""
-
-    def descriptors(self) -> int:
-        """How many this process may hold at present."""
-
-    async def turn(self) -> None:
-        """Before each turn of the instance: a checkpoint, and where a test holds it up."""
-
-    async def load(self, path: str) -> bytes | None:
-        """A file that an earlier start kept; None when there is none to read."""
-
-    async def keep(self, path: str, data: bytes) -> None:
-        """Writes a file whole or not at all; OSError when it can't."""
-
-
-def long_lived() -> None:
-    """Tells Python's collector that what is here stays, and to look less often: nothing of ours is left in
-    cycles.
-
-    Looking at every 700 new objects costs a busy edge proxy rate, and the rare whole look its slowest
-    set-ups.
-    """
-    gc.collect()
-    gc.freeze()
-    gc.set_threshold(50_000, 20, 50)
+# What poll says of a peer that has closed; Linux alone knows it apart from bytes to be read.
+PEER_CLOSED = getattr(select, "POLLRDHUP", 0)
+# Addresses that a datagram socket remembers parsed.
+MAX_PARSED_ADDRESSES = 10_000
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     if not host or not port.isascii() or not port.isdigit():
         raise ValueError(f"{address!r} is no HOST:PORT")
     return host.strip("[]"), int(port)
 
 
-class PlainStream(trio.abc.Stream):
+class PlainSocketStream(trio.abc.Stream):
     """A connected socket, read when trio says that it is readable and written first without a wait.
 
     Trio's own stream tries, asks whether it was cancelled and yields at each call, in both directions; here a
@@ -120,9 +48,9 @@
         self._socket = socket.socket(fileno=stream.socket.detach())
         self._socket.setblocking(False)
         if silence:
-            self._watched(silence)
+            self._enable_keepalive(silence)
 
-    def _watched(self, silence: int) -> None:
+    def _enable_keepalive(self, silence: int) -> None:
         """The kernel asks a silent far side whether it is there, tells within `silence` ns that it is not:
         a machine that lost its power closes nothing, and an idle connection to it would stay for good."""
         first = max(1, silence // 2 // 10**9)
@@ -143,7 +71,7 @@
             return 0  # full, or gone: `send_all` waits or tells
 
     @property
-    def has_unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether bytes came that nobody has read."""
         try:
             return bool(self._socket.recv(1, socket.MSG_PEEK))
@@ -151,21 +79,21 @@
             return False
 
     @property
-    def has_left(self) -> bool:
+    def peer_has_closed(self) -> bool:
         """Whether the far side has closed, also where bytes that it sent before lie unread."""
         if self._socket.fileno() < 0:
             return True
         asked = select.poll()
-        asked.register(self._socket, LEFT)
+        asked.register(self._socket, PEER_CLOSED)
         try:
-            return any(told & (LEFT | select.POLLHUP | select.POLLERR) for _, told in asked.poll(0))
+            return any(told & (PEER_CLOSED | select.POLLHUP | select.POLLERR) for _, told in asked.poll(0))
         except OSError:
             return False  # where it can't be asked, the reader tells
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
         await trio.lowlevel.checkpoint()
         rest = memoryview(data)
-        with _told_as_trio_does():
+        with _as_trio_errors():
             while rest:
                 try:
                     rest = rest[self._socket.send(rest) :]
@@ -173,19 +101,19 @@
                     await trio.lowlevel.wait_writable(self._socket)
 
     async def wait_send_all_might_not_block(self) -> None:
-        with _told_as_trio_does():
+        with _as_trio_errors():
             if self._socket.fileno() < 0:
                 raise trio.ClosedResourceError("this stream was closed here")
             await trio.lowlevel.wait_writable(self._socket)
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        with _told_as_trio_does():
+        with _as_trio_errors():
             while True:
                 if self._socket.fileno() < 0:  # trio's own loop would fall over a closed one
                     raise trio.ClosedResourceError("this stream was closed here")
                 await trio.lowlevel.wait_readable(self._socket)
                 with suppress(BlockingIOError):
-                    return self._socket.recv(max_bytes or READ)
+                    return self._socket.recv(max_bytes or READ_SIZE)
 
     def close_now(self) -> None:
         if self._socket.fileno() >= 0:
@@ -201,43 +129,43 @@
     """Datagrams on the machine."""
 
     def __init__(self, address: str) -> None:
-        host, port = split(address)
+        host, port = split_address(address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self._socket = socket.socket(family, socket.SOCK_DGRAM)
         try:
             self._socket.setblocking(False)
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, DATAGRAMS_KEPT)
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, DATAGRAM_BUFFER_SIZE)
             self._socket.bind((host, port))
         except BaseException:
             self._socket.close()
             raise
-        self.address = _shown(self._socket.getsockname())
+        self.address = _format_address(self._socket.getsockname())
         # Few addresses, asked for with each datagram; as many as a fleet has, and then begun anew.
-        self._known: dict[str, tuple[str, int]] = {}
+        self._resolved: dict[str, tuple[str, int]] = {}
 
     def send(self, data: bytes, address: str) -> bool:
-        there = self._known.get(address)
+        there = self._resolved.get(address)
         if there is None:
-            if len(self._known) > 10_000:
-                self._known.clear()
-            there = self._known[address] = split(address)
+            if len(self._resolved) > MAX_PARSED_ADDRESSES:
+                self._resolved.clear()
+            there = self._resolved[address] = split_address(address)
         try:
             self._socket.sendto(data, there)
         except OSError:
             return False  # full, nobody there, no way there: as good as lost
         return True
 
-    def take(self) -> tuple[bytes, str] | None:
+    def receive(self) -> tuple[bytes, str] | None:
         while True:
             try:
-                data, source = self._socket.recvfrom(DATAGRAM_MOST)
+                data, source = self._socket.recvfrom(MAX_DATAGRAM_SIZE)
             except BlockingIOError:
                 return None
             except OSError:
                 continue  # a former datagram of ours was refused; that is all it says
-            return data, _shown(source)
+            return data, _format_address(source)
 
-    async def readable(self) -> None:
+    async def wait_readable(self) -> None:
         await trio.lowlevel.wait_readable(self._socket)
 
     def close(self) -> None:
@@ -246,13 +174,13 @@
             self._socket.close()
 
 
-def _shown(address: tuple[str, int] | tuple[str, int, int, int]) -> str:
+def _format_address(address: tuple[str, int] | tuple[str, int, int, int]) -> str:
     host, port = address[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 @contextmanager
-def _told_as_trio_does() -> Iterator[None]:
+def _as_trio_errors() -> Iterator[None]:
     try:
         yield
     except OSError as error:
@@ -263,7 +191,7 @@
 
 async def _handle(accepted: trio.SocketStream, handler: Handler, silence: int) -> None:
     try:
-        stream = PlainStream(accepted, silence)
+        stream = PlainSocketStream(accepted, silence)
     except OSError:
         return  # gone again before it was looked at
     await handler(stream)
@@ -280,16 +208,16 @@
             try:
                 nursery.start_soon(_handle, await listener.accept(), handler, silence)
             except OSError as error:
-                if error.errno not in SHORT:
+                if error.errno not in RESOURCE_EXHAUSTED:
                     raise
                 if spare >= 0:
                     os.close(spare)
                     spare = -1
-                with trio.move_on_after(AGAIN_S), suppress(OSError):
-                    await refuse(PlainStream(await listener.accept()))
-                await trio.sleep(AGAIN_S / 10)
+                with trio.move_on_after(ACCEPT_RETRY_S), suppress(OSError):
+                    await refuse(PlainSocketStream(await listener.accept()))
+                await trio.sleep(ACCEPT_RETRY_S / 10)
             except MemoryError:
-                await trio.sleep(AGAIN_S)
+                await trio.sleep(ACCEPT_RETRY_S)
             if spare < 0:
                 with suppress(OSError):
                     spare = os.open(os.devnull, os.O_RDONLY)
@@ -298,28 +226,28 @@
             os.close(spare)
 
 
-class Sockets:
+class SocketRuntime:
     """TCP on the machine. Delayed sending is off: set-ups are small and urgent."""
 
-    _boot = ""
+    _boot_id = ""
 
-    def __init__(self, silence: int = 0, most: int = 0) -> None:
+    def __init__(self, silence: int = 0, max_descriptors: int = 0) -> None:
         """`most`: descriptors that may be held, where more is told than the kernel's own limit; 0: that."""
         self._silence = silence
-        self._most = most
+        self._max_descriptors = max_descriptors
         # The monotonic clock counts from the boot that this names; without it only wall time is left.
         with suppress(OSError):
-            self._boot = Path("/proc/sys/kernel/random/boot_id").read_text("ascii").strip()
+            self._boot_id = Path("/proc/sys/kernel/random/boot_id").read_text("ascii").strip()
 
-    def wall(self) -> int:
+    def wall_time(self) -> int:
         return time.time_ns()
 
     def moment(self) -> Timestamp:
-        return Timestamp(time.time_ns(), time.monotonic_ns(), self._boot)
+        return Timestamp(time.time_ns(), time.monotonic_ns(), self._boot_id)
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        host, port = split(address)
-        return PlainStream(await trio.open_tcp_stream(host, port), self._silence)
+        host, port = split_address(address)
+        return PlainSocketStream(await trio.open_tcp_stream(host, port), self._silence)
 
     async def serve(
         self,
@@ -328,7 +256,7 @@
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
         refuse: Handler | None = None,
     ) -> None:
-        host, port = split(address)
+        host, port = split_address(address)
         listeners = await trio.open_tcp_listeners(port, host=host or None)
         bound = listeners[0].socket.getsockname()[1]
         task_status.started(f"{host}:{bound}")
@@ -336,28 +264,28 @@
             for listener in listeners:
                 nursery.start_soon(_accept, listener, nursery, handler, refuse or handler, self._silence)
 
-    def datagrams(self, address: str) -> Datagrams:
+    def bind_datagrams(self, address: str) -> DatagramSocket:
         return UdpSocket(address)
 
-    def descriptors(self) -> int:
+    def max_descriptors(self) -> int:
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        return min(limit, self._most) if self._most else limit
+        return min(limit, self._max_descriptors) if self._max_descriptors else limit
 
-    async def turn(self) -> None:
+    async def checkpoint(self) -> None:
         await trio.lowlevel.checkpoint()
 
-    async def load(self, path: str) -> bytes | None:
+    async def read_file(self, path: str) -> bytes | None:
         try:
             return await trio.Path(path).read_bytes()
         except OSError:
             return None
 
-    async def keep(self, path: str, data: bytes) -> None:
+    async def write_file(self, path: str, data: bytes) -> None:
         # A disk that hangs keeps its thread, not the instance, which could not end otherwise.
-        await trio.to_thread.run_sync(_replace, Path(path), data, abandon_on_cancel=True)
+        await trio.to_thread.run_sync(_write_atomically, Path(path), data, abandon_on_cancel=True)
 
 
-def _replace(path: Path, data: bytes) -> None:
+def _write_atomically(path: Path, data: bytes) -> None:
     # A reader after a crash must find the former list or the new one, not half of either.
     beside = path.with_name(f"{path.name}.new")
     with beside.open("wb") as file:
--- a/valverouter/emulator/edge_dialogs.py
+++ b/valverouter/emulator/edge_dialogs.py
@@ -44,7 +44,7 @@
         plan = self._runtime.plan
         if plan.attempt_policies is None:
             return None
-        return plan.attempt_policies.of(
+        return plan.attempt_policies.policy_for(
             request.traffic_type,
             request.called_number,
             f"c{plan.fleet_index}",
--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -17,7 +17,7 @@
 class AttemptPolicies(Protocol):
     """The attempt policies of the edge proxy's file."""
 
-    def of(
+    def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
         """The policy of a dialog; None: the routing policy's own."""
--- a/valverouter/fakes/datagrams.py
+++ b/valverouter/fakes/datagrams.py
@@ -25,11 +25,11 @@
         """Sends a datagram without waiting; returns whether it was taken."""
         ...
 
-    def take(self) -> tuple[bytes, str] | None:
+    def receive(self) -> tuple[bytes, str] | None:
         """The next datagram that has arrived, with its source; None if there is none."""
         ...
 
-    async def readable(self) -> None:
+    async def wait_readable(self) -> None:
         """Waits until a datagram has arrived."""
         ...
 
@@ -76,8 +76,8 @@
     async def _serve(self, name: str, relay: DatagramSocket) -> None:
         try:
             while True:
-                await relay.readable()
-                while (received := relay.take()) is not None:
+                await relay.wait_readable()
+                while (received := relay.receive()) is not None:
                     data, source = received
                     sender = self._instances.get(source)
                     if sender is not None and self._relays.get(name) is relay:
--- a/valverouter/fleet/client.py
+++ b/valverouter/fleet/client.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from valverouter.edge.surroundings import Datagrams
+from valverouter.edge.runtime import DatagramSocket
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.queries import ViewPage, ViewQuery
 from valverouter.fleet.transport import received_messages
@@ -21,7 +21,7 @@
 class FleetClient:
     """Queries instances for their views; holds the fleet's key and is not a member."""
 
-    def __init__(self, keys: tuple[bytes, ...], socket: Datagrams, chance: random.Random) -> None:
+    def __init__(self, keys: tuple[bytes, ...], socket: DatagramSocket, chance: random.Random) -> None:
         """`chance` draws the client's incarnation and its first nonce."""
         self._authenticator = Authenticator(keys)
         self._reader = DatagramReader(self._authenticator)
@@ -41,7 +41,7 @@
             self._send_queries(answers)
             with trio.move_on_after(TRY_TIMEOUT_S):
                 while _incomplete(answers):
-                    await self._socket.readable()
+                    await self._socket.wait_readable()
                     self._receive_pages(answers)
         return list(answers.values())
 
--- a/valverouter/fleet/control_plane_link.py
+++ b/valverouter/fleet/control_plane_link.py
@@ -28,7 +28,7 @@
 
     async def readable(self) -> None:
         """Return when a message may have arrived."""
-        await self._transport.socket.readable()
+        await self._transport.socket.wait_readable()
 
     def receive(self) -> Iterator[DesiredStateMessage]:
         """Yield the messages for the instance, without those that a later one of the same server overtook."""
--- a/valverouter/fleet/instance_probe.py
+++ b/valverouter/fleet/instance_probe.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from valverouter.edge.surroundings import Datagrams
+from valverouter.edge.runtime import DatagramSocket
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.fleet.transport import received_messages
@@ -20,7 +20,9 @@
 class InstanceProbe:
     """Queries one instance over a socket of its own; a reply counts only for the latest query."""
 
-    def __init__(self, socket: Datagrams, address: str, keys: tuple[bytes, ...], incarnation: int) -> None:
+    def __init__(
+        self, socket: DatagramSocket, address: str, keys: tuple[bytes, ...], incarnation: int
+    ) -> None:
         """`address` is the instance's, `incarnation` the supervisor's."""
         self._socket = socket
         self._address = address
@@ -40,7 +42,7 @@
         self._send_query()
         with trio.move_on_after(QUERY_INTERVAL_S):
             while True:
-                await self._socket.readable()
+                await self._socket.wait_readable()
                 for message in received_messages(self._socket, self._reader):
                     if isinstance(message, CountersReply) and message.counters.pid:
                         return message.counters
--- a/valverouter/fleet/instance_status.py
+++ b/valverouter/fleet/instance_status.py
@@ -14,21 +14,21 @@
 
 def membership_facts(proxy: EdgeProxy) -> tuple[Phase, str]:
     """Return the phase and the digest of the configuration that go into the instance's member record."""
-    return Phase.DRAINING if proxy.stopping else Phase.SERVING, proxy.terms.digest
+    return Phase.DRAINING if proxy.is_draining else Phase.SERVING, proxy.config.digest
 
 
 def instance_counters(proxy: EdgeProxy) -> InstanceCounters:
     """Return the counters since the process's start; incarnation and view health are left to be filled in."""
-    answers = proxy.tally.answers
+    answers = proxy.counters.answers
     declined = answers["declined"] + answers["declined-here"]
-    lost = answers["aborted"] + proxy.tally.withheld
+    lost = answers["aborted"] + proxy.counters.withheld
     return InstanceCounters(
-        serving=not proxy.stopping,
-        ready=proxy.ready,
+        serving=not proxy.is_draining,
+        ready=proxy.is_ready,
         accepted=answers["stands"] + declined + lost,
         rejected=declined,
         lost=lost,
-        late=proxy.tally.late,
+        late=proxy.counters.late,
         version_label=os.environ.get(VERSION_VARIABLE, ""),
         pid=os.getpid(),
     )
--- a/valverouter/fleet/list_client.py
+++ b/valverouter/fleet/list_client.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from valverouter.edge.surroundings import READ, Surroundings
+from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
 from valverouter.signalling.serverlist import Leave, Left, ListSession, Returns
@@ -20,9 +20,9 @@
 class ListClient:
     """Sends requests to the list service, one connection each."""
 
-    def __init__(self, surroundings: Surroundings, address: str, name: str) -> None:
+    def __init__(self, runtime: Runtime, address: str, name: str) -> None:
         """`address` is the list service's, `name` the server's."""
-        self._surroundings = surroundings
+        self._runtime = runtime
         self._address = address
         self._name = name
 
@@ -37,7 +37,7 @@
         session = ListSession(Hello((OLDEST, NEWEST), ROLE, self._name))
         failures = (OSError, ProtocolError, trio.BrokenResourceError)
         with trio.move_on_after(ANSWER_TIMEOUT_S), suppress(*failures):
-            stream = await self._surroundings.connect(self._address)
+            stream = await self._runtime.connect(self._address)
             async with stream:
                 return await _exchange(stream, session, request)
         return None
@@ -45,7 +45,7 @@
 
 async def _exchange(stream: trio.abc.Stream, session: ListSession, request: Leave | Returns) -> Left | None:
     await stream.send_all(session.opening())
-    while data := await stream.receive_some(READ):
+    while data := await stream.receive_some(READ_SIZE):
         for message in session.receive(data):
             if isinstance(message, Welcome):
                 await stream.send_all(session.send(request))
