--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -15,7 +15,7 @@
 import structlog
 import trio
 
-from valverouter.edge.surroundings import Datagrams, Surroundings
+from valverouter.edge.runtime import DatagramSocket, Runtime
 from valverouter.fleet.authentication import (
     MAX_DATAGRAM_BYTES,
     Authenticator,
@@ -63,7 +63,7 @@
         self,
         terms: EdgeTerms,
         between: Between,
-        surroundings: Surroundings,
+        runtime: Runtime,
         incarnation: int,
         facts: Callable[[], tuple[Phase, str]],
         version: str = "",
@@ -80,7 +80,7 @@
         self.ended = trio.Event()
         self._terms = terms
         self._between = between
-        self._surroundings = surroundings
+        self._runtime = runtime
         self._incarnation = incarnation
         self._facts = facts
         self._version = version
@@ -97,7 +97,7 @@
 
     async def run(self, task_status: trio.TaskStatus[MembershipService] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until `leave` or cancellation; OSError if the address can't be bound."""
-        socket = self._surroundings.datagrams(self._between.listen)
+        socket = self._runtime.bind_datagrams(self._between.listen)
         try:
             self.membership = membership = self._join(socket.address)
             own_record = membership.own_record
@@ -121,7 +121,7 @@
             region=terms.region,
             place=terms.place,
             address=between.advertise or bound_address,
-            generation=self._surroundings.wall() // NS_PER_MS,
+            generation=self._runtime.wall_time() // NS_PER_MS,
             incarnation=self._incarnation,
             version=self._version,
             config_digest=config_digest,
@@ -131,7 +131,7 @@
         draw = CounterRandom(self._incarnation).draw
         return Membership(own_record, config, draw, monotonic_ns(), between.seeds)
 
-    async def _serve(self, socket: Datagrams, membership: Membership) -> None:
+    async def _serve(self, socket: DatagramSocket, membership: Membership) -> None:
         while not self._leaving:
             await self._wait(socket, membership)
             self._receive_batch(socket, membership)
@@ -147,12 +147,12 @@
         membership.leave(monotonic_ns())
         self._flush(socket, membership)
 
-    async def _wait(self, socket: Datagrams, membership: Membership) -> None:
+    async def _wait(self, socket: DatagramSocket, membership: Membership) -> None:
         """Sleep until a datagram arrives, a timer is due or `leave` is called, MAX_SLEEP_S at most."""
         until_due = (membership.next_timer - monotonic_ns()) / 1e9
         with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep:
-            await socket.readable()
-        await self._surroundings.turn()
+            await socket.wait_readable()
+        await self._runtime.checkpoint()
 
     def leave(self) -> None:
         """Announce to the others that this instance leaves, and end `run`."""
@@ -161,14 +161,14 @@
 
     # Incoming datagrams
 
-    def _receive_batch(self, socket: Datagrams, membership: Membership) -> None:
+    def _receive_batch(self, socket: DatagramSocket, membership: Membership) -> None:
         for _ in range(BATCH_SIZE):
-            datagram = socket.take()
+            datagram = socket.receive()
             if datagram is None:
                 break
             self._on_datagram(socket, membership, *datagram)
 
-    def _on_datagram(self, socket: Datagrams, membership: Membership, data: bytes, source: str) -> None:
+    def _on_datagram(self, socket: DatagramSocket, membership: Membership, data: bytes, source: str) -> None:
         message = self._reader.read(data)
         if message is None:
             self._on_dropped()
@@ -187,7 +187,7 @@
         self._drop_logger.on_dropped()
 
     def _reply_with_page(
-        self, socket: Datagrams, membership: Membership, query: ViewQuery, source: str
+        self, socket: DatagramSocket, membership: Membership, query: ViewQuery, source: str
     ) -> None:
         counts = {f"dropped-{reason}": count for reason, count in self._reader.dropped.items()}
         page = view_page(membership, monotonic_ns(), query, counts | dict(self.counts))
@@ -195,7 +195,7 @@
             self._send(socket, source, page)
 
     def _reply_with_counters(
-        self, socket: Datagrams, membership: Membership, query: CountersQuery, source: str
+        self, socket: DatagramSocket, membership: Membership, query: CountersQuery, source: str
     ) -> None:
         counters = msgspec.structs.replace(
             self._counters(), incarnation=self._incarnation, view_health=membership.view_health.value
@@ -207,14 +207,14 @@
 
     # Outgoing datagrams and events
 
-    def _flush(self, socket: Datagrams, membership: Membership) -> None:
+    def _flush(self, socket: DatagramSocket, membership: Membership) -> None:
         """Log the events and send the messages that the membership has queued."""
         for event in membership.take_events():
             self._log_event(membership, event)
         for address, message in membership.take_outbox():
             self._send(socket, address, message)
 
-    def _send(self, socket: Datagrams, address: str, message: Any) -> None:
+    def _send(self, socket: DatagramSocket, address: str, message: Any) -> None:
         try:
             data = self._authenticator.sign(message)
         except MessageTooLongError as error:
--- a/valverouter/fleet/operations_client.py
+++ b/valverouter/fleet/operations_client.py
@@ -8,7 +8,7 @@
 import msgspec
 import trio
 
-from valverouter.edge.surroundings import Datagrams
+from valverouter.edge.runtime import DatagramSocket
 from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
 from valverouter.fleet.transport import Transport
 from valverouter.rollout.operations import Command
@@ -27,7 +27,7 @@
     any moment; another one can take an operation up by its id.
     """
 
-    def __init__(self, terms: ToolTerms, socket: Datagrams, chance: random.Random) -> None:
+    def __init__(self, terms: ToolTerms, socket: DatagramSocket, chance: random.Random) -> None:
         """`chance` draws the client's incarnation and its first nonce."""
         self._terms = terms
         self._transport = Transport(socket, terms.keys, "", chance.getrandbits(63))
@@ -62,7 +62,7 @@
     async def _leader_response(self, nonce: int) -> msgspec.Raw:
         """The body of the leader's response; waits for it without limit."""
         while True:
-            await self._transport.socket.readable()
+            await self._transport.socket.wait_readable()
             while (received := self._transport.receive()) is not None:
                 message = received[0]
                 if isinstance(message, ClientResponse) and message.is_leader and message.nonce == nonce:
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -11,7 +11,7 @@
 import structlog
 import trio
 
-from valverouter.edge.surroundings import Surroundings
+from valverouter.edge.runtime import Runtime
 from valverouter.fleet.client_requests import ClientRequestHandler
 from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.messages import (
@@ -52,16 +52,14 @@
 class RaftServer:
     """One node of the control plane, on a socket and a disk."""
 
-    def __init__(
-        self, terms: SeatTerms, surroundings: Surroundings, store: RaftStore, bootstrap: bool
-    ) -> None:
+    def __init__(self, terms: SeatTerms, runtime: Runtime, store: RaftStore, bootstrap: bool) -> None:
         """Load the node's state from `store`.
 
         `bootstrap`: this is the first node of a new group, which admits the others;
         AlreadyBootstrappedError if the store is not empty.
         """
         self._terms = terms
-        self._surroundings = surroundings
+        self._runtime = runtime
         self._store = store
         self._incarnation = secrets.randbits(INCARNATION_BITS)
         self._announced_at = float("-inf")
@@ -84,15 +82,15 @@
         OSError if the address can't be bound, StoreError if the disk fails: a node that can't keep what it
         promises must not go on.
         """
-        socket = self._surroundings.datagrams(self._terms.listen)
+        socket = self._runtime.bind_datagrams(self._terms.listen)
         try:
             transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
             self._log.info("raft-server-listening", address=transport.address, disk=f"{self._disk_id:016x}")
             task_status.started(transport.address)
             while True:
                 with trio.move_on_after(MAX_SLEEP_S):
-                    await socket.readable()
-                await self._surroundings.turn()
+                    await socket.wait_readable()
+                await self._runtime.checkpoint()
                 self._receive_batch(transport)
                 self.node.tick(monotonic_ns())
                 self._reconciler.reconcile(monotonic_ns())
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -20,7 +20,7 @@
 import structlog
 import trio
 
-from valverouter.edge.surroundings import Surroundings
+from valverouter.edge.runtime import Runtime
 from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.control_plane_link import ControlPlaneLink
 from valverouter.fleet.instance_probe import InstanceProbe
@@ -49,20 +49,16 @@
     """Supervises one instance."""
 
     def __init__(
-        self,
-        terms: KeeperTerms,
-        surroundings: Surroundings,
-        store: SupervisorStore,
-        state: SupervisorState | None,
+        self, terms: KeeperTerms, runtime: Runtime, store: SupervisorStore, state: SupervisorState | None
     ) -> None:
         """`state` is what the store held at the start; None where it is new or was lost."""
         self.supervisor = Supervisor(_instance_info(terms), state or SupervisorState(terms.version))
         self._terms = terms
-        self._surroundings = surroundings
+        self._runtime = runtime
         self._store = store
         self._is_new = state is None
         self._incarnation = secrets.randbits(INCARNATION_BITS)
-        self._list_client = ListClient(surroundings, terms.list_service, terms.name)
+        self._list_client = ListClient(runtime, terms.list_service, terms.name)
         self._log = log.bind(keeper=terms.name)
         self._process: ManagedProcess | None = None
         # The processes that this supervisor started itself and has to reap, by number.
@@ -73,7 +69,7 @@
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         """Supervise until `shut_down` and then until the program has ended; OSError for a socket."""
         with ExitStack() as sockets:
-            socket = self._surroundings.datagrams(self._terms.listen)
+            socket = self._runtime.bind_datagrams(self._terms.listen)
             sockets.callback(socket.close)
             probe = self._open_probe()
             if probe is not None:
@@ -98,14 +94,14 @@
         address = self._terms.asks
         if not address:
             return None
-        socket = self._surroundings.datagrams(_any_port_like(address))
+        socket = self._runtime.bind_datagrams(_any_port_like(address))
         return InstanceProbe(socket, address, self._terms.keys, self._incarnation)
 
     async def _supervise(self, link: ControlPlaneLink, probe: InstanceProbe | None) -> None:
         while True:
             with trio.move_on_after(MAX_SLEEP_S):
                 await link.readable()
-            await self._surroundings.turn()
+            await self._runtime.checkpoint()
             self._receive(link)
             if probe is not None:
                 self._update_counters(probe)
--- a/valverouter/fleet/transport.py
+++ b/valverouter/fleet/transport.py
@@ -10,7 +10,7 @@
 import structlog
 import trio
 
-from valverouter.edge.surroundings import Datagrams
+from valverouter.edge.runtime import DatagramSocket
 from valverouter.fleet.authentication import Authenticator, DatagramReader, FragmentEnvelope
 from valverouter.fleet.fragmentation import Fragmenter, Reassembler, TooManyFragmentsError
 from valverouter.fleet.messages import ControlMessage, decoder, encoder
@@ -38,9 +38,9 @@
             self._log.warning("datagrams-dropped", **self._reader.dropped)
 
 
-def received_messages(socket: Datagrams, reader: DatagramReader) -> Iterator[Any]:
+def received_messages(socket: DatagramSocket, reader: DatagramReader) -> Iterator[Any]:
     """Read the authentic messages that wait at the socket; others are dropped, counted by the reader."""
-    while (datagram := socket.take()) is not None:
+    while (datagram := socket.receive()) is not None:
         message = reader.read(datagram[0])
         if message is not None:
             yield message
@@ -49,7 +49,7 @@
 class Transport:
     """One process's end of the control plane; unauthentic datagrams are dropped, counted, never answered."""
 
-    def __init__(self, socket: Datagrams, keys: tuple[bytes, ...], name: str, incarnation: int) -> None:
+    def __init__(self, socket: DatagramSocket, keys: tuple[bytes, ...], name: str, incarnation: int) -> None:
         """`name` (empty for a client) and `incarnation` identify this process to its peers."""
         self.socket = socket
         self.counts: Counter[str] = Counter()
@@ -78,7 +78,7 @@
 
     def receive(self) -> tuple[ControlMessage, str] | None:
         """Return the next complete message and its sender's address; None where there is none now."""
-        while (datagram := self.socket.take()) is not None:
+        while (datagram := self.socket.receive()) is not None:
             data, source = datagram
             fragment = self._reader.read(data)
             if fragment is None:
--- a/valverouter/relayedge/__main__.py
+++ b/valverouter/relayedge/__main__.py
@@ -20,7 +20,8 @@
 import trio
 
 from valverouter.edge import logs
-from valverouter.edge.surroundings import Sockets, long_lived
+from valverouter.edge.garbage_collection import tune_garbage_collector
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.relayedge.proxy import RelayProxy
 from valverouter.relaywire import bus
 from valverouter.signalling.framing import ProtocolError
@@ -38,11 +39,11 @@
 
 async def serve(path: Path, told: platform.Platform, early: list[int]) -> None:
     """`early`: SIGHUPs that came before anybody could act on them, after the file was read perhaps."""
-    proxy = RelayProxy(told, Sockets(silence=60 * 10**9, most=told.limits.sockets))
+    proxy = RelayProxy(told, SocketRuntime(silence=60 * 10**9, max_descriptors=told.limits.sockets))
     with trio.open_signal_receiver(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             await nursery.start(proxy.run)
-            long_lived()
+            tune_garbage_collector()
 
             async def listen() -> None:
                 async for number in signals:
@@ -73,7 +74,7 @@
         except (OSError, MalformedInputError) as error:
             why = str(error)
         await trio.sleep(AGAIN_S)
-    log.error("configuration-refused", path=str(path), why=why)
+    log.error("configuration-rejected", path=str(path), why=why)
 
 
 def read(path: Path) -> platform.Platform:
@@ -93,14 +94,14 @@
     except (OSError, MalformedInputError) as error:
         print(f"valverouter: {VARIABLE}={named}: {error}", file=sys.stderr)
         return UNUSABLE
-    logs.set_up(Log())
+    logs.configure_logging(Log())
     failed: list[str] = []
     try:
         trio.run(serve, Path(named), told, early)
     except* OSError as errors:
         failed = [str(error) for error in errors.exceptions]
     if failed:
-        log.error("could-not-come-up", why=failed[0])
+        log.error("edge-start-failed", why=failed[0])
     return FAILED if failed else 0
 
 
--- a/valverouter/relayedge/buslink.py
+++ b/valverouter/relayedge/bus_client.py
@@ -5,12 +5,12 @@
 import structlog
 import trio
 
-from valverouter.edge.events import ListHeard
-from valverouter.edge.links import costs_this_alone
-from valverouter.edge.mail import Inbox
-from valverouter.edge.surroundings import READ, Surroundings
+from valverouter.edge.connections import isolate_failure
+from valverouter.edge.events import EndpointUpdate
+from valverouter.edge.queues import EventQueue
+from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.interface import EndpointUpdateKind
-from valverouter.relayedge import words
+from valverouter.relayedge import translation
 from valverouter.relaywire.bus import Batch, BusSession, batch
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.serverlist import Replica, Row
@@ -19,47 +19,47 @@
 log = structlog.get_logger()
 
 
-class BusLink:
+class BusClient:
     """Where the platform tells of servers. `number` is the last event's; none is taken twice or in part."""
 
-    def __init__(self, address: str, known: bytes, surroundings: Surroundings, inbox: Inbox) -> None:
+    def __init__(self, address: str, known: bytes, runtime: Runtime, events: EventQueue) -> None:
         self.replica = Replica()
         self.number = 0
         self.is_up = False
         self.tries = 0
         self._address = address
         self._known = known
-        self._surroundings = surroundings
-        self._inbox = inbox
+        self._runtime = runtime
+        self._events = events
         self._attempt = trio.CancelScope()
 
-    def ask(self) -> None:
+    def request_list(self) -> None:
         """Nothing to do: it is asked all the time."""
 
-    async def cached(self) -> list[Row]:
-        self.learn(self._known)
+    async def load_cached(self) -> list[Row]:
+        self.apply_events(self._known)
         self._known = b""
         return []
 
-    def learn(self, known: bytes) -> None:
+    def apply_events(self, known: bytes) -> None:
         """Events of a configuration, whole."""
-        self._heard(batch(known))
+        self._on_batch(batch(known))
 
-    def move(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """The event bus is elsewhere now; its numbers go on."""
         if address != self._address:
             self._address = address
             self._attempt.cancel()
 
-    async def keep(self) -> None:
+    async def persist(self) -> None:
         """No disk outlives this process."""
 
     async def run(self) -> None:
         before = ""
         while True:
             why, address = "moved", self._address
-            with costs_this_alone("bus", lambda: self._address), trio.CancelScope() as self._attempt:
-                why = await self._once(address)
+            with isolate_failure("bus", lambda: self._address), trio.CancelScope() as self._attempt:
+                why = await self._poll(address)
             self.is_up = False
             self.tries += 1
             if why != before:
@@ -68,12 +68,12 @@
             if why != "moved":
                 await trio.sleep(platform.BUS_AGAIN / 1e9)
 
-    async def _once(self, address: str) -> str:
+    async def _poll(self, address: str) -> str:
         """Polls on one connection until it is of no further use; why."""
         hold = platform.BUS_HOLD
         try:
             with trio.fail_after(platform.BUS_LATE / 1e9):
-                stream = await self._surroundings.connect(address)
+                stream = await self._runtime.connect(address)
         except (OSError, ValueError, OverflowError, trio.TooSlowError) as error:
             return f"no connection: {error or type(error).__name__}"
         session = BusSession(address)
@@ -85,8 +85,8 @@
                         await stream.send_all(session.ask(after, hold // 10**6))
                         heard = None
                         while heard is None:
-                            heard = session.receive(await stream.receive_some(READ))
-                    self._heard(heard)
+                            heard = session.receive(await stream.receive_some(READ_SIZE))
+                    self._on_batch(heard)
                     self.is_up, self.tries = True, 0
                     if heard.offset < after:
                         # Its numbers go on, says the platform. Taken up from there, events told once would
@@ -104,15 +104,15 @@
             except trio.TooSlowError:
                 return "silent"
 
-    def _heard(self, heard: Batch) -> None:
+    def _on_batch(self, heard: Batch) -> None:
         for event in heard.batch:
             if event.offset <= self.number:
                 continue
             self.number = event.offset
             if event.topology is None:
                 continue
-            now = self._surroundings.wall()
-            rows = [words.row(host, now) for host in event.topology.hosts]
+            now = self._runtime.wall_time()
+            rows = [translation.endpoint_row(host, now) for host in event.topology.hosts]
             scope = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
-            self._inbox.put_first(ListHeard(scope, rows))
+            self._events.put_urgent(EndpointUpdate(scope, rows))
         self.number = max(self.number, heard.offset)
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -9,11 +9,11 @@
 import structlog
 import trio
 
+from valverouter.edge.caller import CallerConnection
 from valverouter.edge.clock import Clock
-from valverouter.edge.listener import Caller
-from valverouter.edge.mail import Departures, Inbox, Overfull
+from valverouter.edge.queues import EventQueue, SendBatch, SendQueueFullError
 from valverouter.interface import Deployment
-from valverouter.relayedge import words
+from valverouter.relayedge import translation
 from valverouter.relaywire import isup
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
@@ -24,26 +24,26 @@
 
 # So many set-ups of one connection may wait for their turn before it waits for room among all others; what is
 # read of it at a time, which is how far that can be passed.
-HELD = 8
-READ_CALLER = 16 * 1024
+MAX_PENDING_SETUPS = 8
+CALLER_READ_SIZE = 16 * 1024
 # Many alike are told by one line in as long a time.
-TOLD_S = 10.0
+LOG_INTERVAL_S = 10.0
 
 
-class Seldom:
+class RateLimitedLog:
     """Tells of the first of many alike, and how many went untold since. One entry for each kind."""
 
     def __init__(self) -> None:
-        self._untold: dict[str, tuple[float, int]] = {}
+        self._suppressed: dict[str, tuple[float, int]] = {}
 
-    def tell(self, kind: str, why: str) -> None:
+    def warn(self, kind: str, reason: str) -> None:
         now = trio.current_time()
-        at, untold = self._untold.get(kind, (-TOLD_S, 0))
-        if now - at < TOLD_S:
-            self._untold[kind] = at, untold + 1
+        at, untold = self._suppressed.get(kind, (-LOG_INTERVAL_S, 0))
+        if now - at < LOG_INTERVAL_S:
+            self._suppressed[kind] = at, untold + 1
             return
-        log.warning("caller-refused", kind=kind, why=why, untold=untold)
-        self._untold[kind] = now, 0
+        log.warning("caller-refused", kind=kind, why=reason, untold=untold)
+        self._suppressed[kind] = now, 0
 
 
 class AnsweredIds:
@@ -51,20 +51,20 @@
     these again is no good caller, and each would be a dialog more for the decisions. Holds the last so many.
     """
 
-    def __init__(self, most: int = 2_048) -> None:
-        self._most = most
+    def __init__(self, capacity: int = 2_048) -> None:
+        self._capacity = capacity
         self._ids: dict[str, None] = {}
 
     def add(self, id_: str) -> None:
         self._ids[id_] = None
-        if len(self._ids) > self._most:
+        if len(self._ids) > self._capacity:
             del self._ids[next(iter(self._ids))]
 
     def __contains__(self, id_: str) -> bool:
         return id_ in self._ids
 
 
-class Connected:
+class ConnectedCallers:
     """Callers' connections, least useful first: those that asked for nothing sound, then the rest, each in
     the order in which they were last heard.
 
@@ -73,37 +73,37 @@
     """
 
     def __init__(self) -> None:
-        self._fresh: dict[RelayCaller, None] = {}
+        self._unproven: dict[RelayCaller, None] = {}
         self._useful: dict[RelayCaller, None] = {}
 
-    def heard(self, caller: RelayCaller) -> None:
-        self.drop(caller)
-        (self._useful if caller.useful else self._fresh)[caller] = None
+    def on_received(self, caller: RelayCaller) -> None:
+        self.remove(caller)
+        (self._useful if caller.is_useful else self._unproven)[caller] = None
 
-    def drop(self, caller: RelayCaller) -> None:
-        self._fresh.pop(caller, None)
+    def remove(self, caller: RelayCaller) -> None:
+        self._unproven.pop(caller, None)
         self._useful.pop(caller, None)
 
     @property
-    def many(self) -> int:
+    def open_count(self) -> int:
         """How many still are there."""
-        return sum(not one.is_lost for one in chain(self._fresh, self._useful))
+        return sum(not one.is_closed for one in chain(self._unproven, self._useful))
 
-    def idle(self) -> RelayCaller | None:
+    def least_useful_idle(self) -> RelayCaller | None:
         """Whom closing loses nothing, the least useful first."""
-        return next((one for one in chain(self._fresh, self._useful) if one.is_idle), None)
+        return next((one for one in chain(self._unproven, self._useful) if one.is_idle), None)
 
     def all_quiet(self) -> bool:
         """Whether each has had what it is owed, and nothing of any lies unread."""
-        return all(one.is_quiet for one in chain(self._fresh, self._useful))
+        return all(one.is_quiet for one in chain(self._unproven, self._useful))
 
-    def latest(self) -> RelayCaller | None:
+    def most_recent(self) -> RelayCaller | None:
         """Who was heard last, of those that still are there."""
-        heard = chain(reversed(self._useful), reversed(self._fresh))
-        return next((one for one in heard if not one.is_lost), None)
+        heard = chain(reversed(self._useful), reversed(self._unproven))
+        return next((one for one in heard if not one.is_closed), None)
 
 
-class RelayCaller(Caller):
+class RelayCaller(CallerConnection):
     """One caller's connection on the platform. `dialogs` are the open ones; what stands belongs to nobody.
 
     `useful` once it has asked for something sound: until then, and while a message is half sent, it is closed
@@ -113,43 +113,43 @@
     def __init__(
         self,
         stream: trio.abc.Stream,
-        terms: Links,
-        inbox: Inbox,
-        departures: Departures,
+        config: Links,
+        events: EventQueue,
+        batch: SendBatch,
         clock: Clock,
         deployment: Deployment,
         widths: Mapping[str, int],
-        passes: Callable[[], bool],
-        connected: Connected,
-        answered: AnsweredIds,
-        seldom: Seldom,
+        is_accepting: Callable[[], bool],
+        connected: ConnectedCallers,
+        answered_ids: AnsweredIds,
+        rejection_log: RateLimitedLog,
     ) -> None:
-        super().__init__(stream, terms, inbox, Welcome(0, "", 0), departures)
-        self.useful = False
+        super().__init__(stream, config, events, Welcome(0, "", 0), batch)
+        self.is_useful = False
         self._clock = clock
         self._deployment = deployment
         self._widths = widths
-        self._passes = passes
+        self._is_accepting = is_accepting
         self._connected = connected
-        self._answered = answered
-        self._seldom = seldom
+        self._answered_ids = answered_ids
+        self._rejection_log = rejection_log
         self._reader = isup.MessageReader()
 
     @property
     def is_idle(self) -> bool:
         """Whether closing it loses nothing. A set-up that waits for its turn, or to be read, is in no book
         yet: under a crowd some were lost with connections that were closed to make room."""
-        if self.is_lost or self.dialogs or self._reader.is_half:
+        if self.is_closed or self.dialogs or self._reader.is_half:
             return False
-        return not self.waiting and not getattr(self._stream, "has_unread", False)
+        return not self.pending_setups and not getattr(self._stream, "has_unread_data", False)
 
     @property
     def is_quiet(self) -> bool:
         """Whether all that it sent was read and had its turn, and all that it was sent has left."""
-        if self.is_lost:
+        if self.is_closed:
             return True
-        unread = getattr(self._stream, "has_unread", False)
-        return not (self.waiting or unread) and self._outbox.is_empty
+        unread = getattr(self._stream, "has_unread_data", False)
+        return not (self.pending_setups or unread) and self._send_queue.is_empty
 
     def close(self) -> None:
         # At once: a busy loop comes to its task some time later, and what arrives meanwhile would be lost.
@@ -159,16 +159,16 @@
         self._scope.cancel()
 
     def send(self, message: Any) -> None:
-        if data := words.to_caller(message):
+        if data := translation.to_caller(message):
             self.write(data)
 
     def write(self, data: bytes) -> None:
         if self._scope.cancel_called:
             return
         try:
-            self._outbox.put(data)
-        except Overfull as error:
-            self._seldom.tell("too-slow", str(error))
+            self._send_queue.put(data)
+        except SendQueueFullError as error:
+            self._rejection_log.warn("too-slow", str(error))
             self._scope.cancel()
 
     def expire(self, dialog_id: str, leg: int) -> None:
@@ -176,71 +176,71 @@
 
     def refuse(self, error: ProtocolError) -> None:
         # A word under the id of an open set-up would pass for that one's answer: the connection goes instead.
-        self._seldom.tell(error.code, str(error))
+        self._rejection_log.warn(error.code, str(error))
         self._scope.cancel()
 
-    def _silent(self) -> None:
-        self._seldom.tell("silent", "nothing of use in time")
+    def _on_silent(self) -> None:
+        self._rejection_log.warn("silent", "nothing of use in time")
 
-    async def _part(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
-        self._seldom.tell(error.code, str(error))
+    async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
+        self._rejection_log.warn(error.code, str(error))
 
     async def _read(self, stream: trio.abc.Stream) -> None:
-        limit = self._terms.hello_within / 1e9
+        limit = self._config.hello_within / 1e9
         half = False
         with trio.fail_after(limit) as patience:
-            while data := await stream.receive_some(READ_CALLER):
+            while data := await stream.receive_some(CALLER_READ_SIZE):
                 # A dialog's time runs from its last byte, not from when its turn comes.
                 came_at = self._clock.now()
                 for message in self._reader.feed(data):
                     if self._scope.cancel_called:
                         return
-                    self._heard(message, came_at)
-                self._connected.heard(self)
+                    self._on_message(message, came_at)
+                self._connected.on_received(self)
                 was_half, half = half, self._reader.is_half
-                if half and not was_half and self.useful:
+                if half and not was_half and self.is_useful:
                     patience.deadline = trio.current_time() + limit
-                elif self.useful and not half:
+                elif self.is_useful and not half:
                     patience.deadline = float("inf")
-                if len(self.waiting) >= HELD:
+                if len(self.pending_setups) >= MAX_PENDING_SETUPS:
                     # Who has asked for little is read on, however full the instance is: what it says next may
                     # be that it gives up, and its end would go unseen.
-                    await self._inbox.room()
+                    await self._events.wait_for_space()
 
-    def _heard(self, message: isup.Message, came_at: int) -> None:
+    def _on_message(self, message: isup.Message, came_at: int) -> None:
         if message.type == isup.TEST:
-            self.useful = True
-            cause = bytes((int(self._passes()),))
+            self.is_useful = True
+            cause = bytes((int(self._is_accepting()),))
             self.write(isup.write(isup.TESTED, message.id, {isup.CAUSE: cause}))
         elif message.type == isup.REL:
-            if message.id in self.waiting:
-                self._answered.add(message.id)
-            self.asks(setup.Cancel(message.id), came_at)
+            if message.id in self.pending_setups:
+                self._answered_ids.add(message.id)
+            self.enqueue(setup.Cancel(message.id), came_at)
         elif message.type == isup.IAM:
             try:
-                if message.id in self._answered:
+                if message.id in self._answered_ids:
                     # It may have come hundreds of times at once: the connection goes, not one word for each.
                     self.refuse(ProtocolError("out-of-state", f"{message.id} has had its answer"))
                     return
-                asked = words.asked(message, self._deployment, self._widths)
+                asked = translation.parse_setup(message, self._deployment, self._widths)
             except ProtocolError as error:
-                self._seldom.tell(error.code, str(error))
-                self.write(isup.release(message.id, words.UNUSABLE))
+                self._rejection_log.warn(error.code, str(error))
+                self.write(isup.release(message.id, translation.UNUSABLE))
                 return
-            if isinstance(asked, words.Asked):
-                self.useful = True
-                self.asks(asked, came_at)
+            if isinstance(asked, translation.RelaySetup):
+                self.is_useful = True
+                self.enqueue(asked, came_at)
             else:
-                self._inbox.put(ToldStanding(self, asked))
+                self._events.put(EstablishedReported(self, asked))
         elif message.type not in (isup.RLC, isup.ACM):
             raise ProtocolError("out-of-state", f"type {message.type} from a caller")
 
 
-class ToldStanding:
+class EstablishedReported:
     """A caller tells of a dialog that stands already."""
 
-    __slots__ = ("caller", "stood")
+    __slots__ = ("caller", "dialog")
 
-    def __init__(self, caller: RelayCaller, stood: words.Stood) -> None:
+    def __init__(self, caller: RelayCaller, stood: translation.EstablishedDialog) -> None:
         self.caller = caller
-        self.stood = stood
+        self.dialog = stood
--- /dev/null
+++ b/valverouter/relayedge/server_links.py
@@ -0,0 +1,52 @@
+"""The links to every listed server on the platform."""
+
+from __future__ import annotations
+
+from valverouter.edge.context import ProxyContext
+from valverouter.edge.discovery import EndpointSource
+from valverouter.edge.events import EndpointUpdate
+from valverouter.edge.link import ServerLink
+from valverouter.edge.server_links import ServerLinks
+from valverouter.relayedge.link import RelayLink, UnknownEnds
+
+# Incarnations are told as moments of their start in milliseconds.
+MS = 10**6
+
+
+class RelayLinks(ServerLinks):
+    """Links on the platform; a server that is gone has cut what was established there."""
+
+    def __init__(self, context: ProxyContext, source: EndpointSource, unknown_ends: UnknownEnds) -> None:
+        """`unknown_ends` gets the ends of dialogs that are not known here."""
+        super().__init__(context, source)
+        self._unknown_ends = unknown_ends
+
+    def make_link(self, server: str, address: str) -> ServerLink:
+        """A link that is not yet connected."""
+        context = self._context
+        return RelayLink(
+            server,
+            address,
+            context.config.links,
+            context.runtime,
+            context.events,
+            context.reconnect_delay,
+            context.send_batch,
+            self._unknown_ends,
+        )
+
+    def on_endpoint_update(self, update: EndpointUpdate) -> None:
+        """The endpoint list, or a change of it, was received."""
+        for row in update.rows:
+            before = self.incarnations.current(row.server)
+            link = self.by_server.get(row.server)
+            if isinstance(link, RelayLink) and before is not None and before < row.incarnation:
+                # Another process under that name: it knows nothing of what was established at the one before.
+                link.on_server_restarted(row.incarnation * MS)
+        super().on_endpoint_update(update)
+
+    def take_out_of_service(self, server: str, is_gone: bool) -> None:
+        """Draining or gone: nothing new; one that is gone is closed at once."""
+        super().take_out_of_service(server, is_gone)
+        if is_gone and (link := self.by_server.get(server)) is not None:
+            link.close("gone")
--- a/valverouter/relayedge/words.py
+++ b/valverouter/relayedge/translation.py
@@ -19,11 +19,11 @@
 ENDED, BUSY, NO_CIRCUIT, CUT, CONGESTED = 16, 17, 34, 41, 42
 FAULT, UNUSABLE = 47, 100
 PHASES: dict[str, PhaseWord] = {"Ready": "in-service", "Gone": "gone"}
-DESCRIPTION_MOST = 12 * 1024
+MAX_DESCRIPTION = 12 * 1024
 NO_DIALOG = "0" * 16
 
 
-class Asked(setup.Setup, frozen=True, kw_only=True):
+class RelaySetup(setup.Setup, frozen=True, kw_only=True):
     """A set-up with what goes on unchanged: the number called as it was written, and the description."""
 
     key: str
@@ -36,56 +36,79 @@
     description: str
 
 
-class Stood(msgspec.Struct, frozen=True):
+class EstablishedDialog(msgspec.Struct, frozen=True, rename={"setup": "asked"}):
     """A dialog that stands at a server already, as its caller tells an edge proxy that may not know."""
 
-    asked: Asked
+    setup: RelaySetup
     server: str
 
 
-def asked(message: isup.Message, terms: Deployment, widths: Mapping[str, int]) -> Asked | Stood:
-    """A caller's set-up, checked: a server closes its whole connection on what it can't read, whatever else
-    is open there, so nothing that is not sound may go on. ProtocolError says what is not."""
+def parse_setup(
+    message: isup.Message, deployment: Deployment, widths: Mapping[str, int]
+) -> RelaySetup | EstablishedDialog:
+    """A caller's set-up, checked; ProtocolError says what is not sound.
+
+    A server closes its whole connection on what it can't read, whatever else is open there, so nothing that
+    is not sound may go on.
+    """
     if message.id == NO_DIALOG:
-        # Servers close the connection on it: on a day of bad callers 45 did, each a reset for the legs there
-        # and a server taken for ailing.
+        # Servers close the connection on it: on a day of bad callers 45 did, each a reset for the attempts
+        # there and a server taken for ailing.
         raise ProtocolError("malformed", "a set-up without an id")
-    told = message.parameters
-    figures = isup.figures(told.get(isup.FIGURES, b""))
-    kind = _text(told, isup.CLASS)
-    left, key = _text(told, isup.LEFT), _text(told, isup.CALLED)
-    try:
-        description = told.get(isup.DESCRIPTION, b"").decode()
-    except UnicodeDecodeError:
-        raise ProtocolError("malformed", "a description that is no text") from None
-    if kind not in terms.traffic_types:
-        raise ProtocolError("unknown-class", f"class {kind[:40]!r}")
-    if not (left.isascii() and left.isdigit() and len(left) < 8 and 0 < int(left) * MS <= setup.HOUR):
-        raise ProtocolError("malformed", f"time {left[:40]!r}")
-    if len(key) != 16 or not set(key) <= set("0123456789abcdef"):
-        raise ProtocolError("malformed", f"number {key[:40]!r}")
-    if not 0 < len(description) <= DESCRIPTION_MOST:
-        raise ProtocolError("malformed", f"a description of {len(description)} characters")
-    # Servers answer 'error' to what a class can't have: each costs a token of the retry budget that is meant
-    # for good callers' dialogs.
-    first, numbers = _figure(figures, "dest", -1), terms.traffic_types[kind].server_numbers
-    if first >= 0 and numbers is not None and first not in numbers:
-        raise ProtocolError("malformed", f"{kind} with first choice {first}")
+    parameters = message.parameters
+    figures = isup.figures(parameters.get(isup.FIGURES, b""))
+    traffic_type = _text(parameters, isup.CLASS)
+    time_left, key = _text(parameters, isup.LEFT), _text(parameters, isup.CALLED)
+    description = _description(parameters)
+    if traffic_type not in deployment.traffic_types:
+        raise ProtocolError("unknown-class", f"class {traffic_type[:40]!r}")
+    _check_values(time_left, key, description)
+    preferred = _preferred_server(figures, traffic_type, deployment)
     width = _figure(figures, "width", 1)
-    if width != widths.get(kind, width) or width < 1:
-        raise ProtocolError("malformed", f"{kind} with width {width}")
+    if width != widths.get(traffic_type, width) or width < 1:
+        raise ProtocolError("malformed", f"{traffic_type} with width {width}")
     _figure(figures, "via", -1)
-    found = Asked(
+    request = RelaySetup(
         dialog=message.id,
-        traffic_type=kind,
-        no_answer=int(left) * MS,
-        first_choice=first,
+        traffic_type=traffic_type,
+        no_answer=int(time_left) * MS,
+        first_choice=preferred,
         called_number=int(key, 16),
         was_cut=_figure(figures, "again", 0) == 1,
         key=key,
         description=description,
     )
-    return Stood(found, figures["at"]) if "at" in figures else found
+    return EstablishedDialog(request, figures["at"]) if "at" in figures else request
+
+
+def _description(parameters: dict[int, bytes]) -> str:
+    try:
+        return parameters.get(isup.DESCRIPTION, b"").decode()
+    except UnicodeDecodeError:
+        raise ProtocolError("malformed", "a description that is no text") from None
+
+
+def _check_values(time_left: str, key: str, description: str) -> None:
+    is_number = time_left.isascii() and time_left.isdigit() and len(time_left) < 8
+    if not (is_number and 0 < int(time_left) * MS <= setup.HOUR):
+        raise ProtocolError("malformed", f"time {time_left[:40]!r}")
+    if len(key) != 16 or not set(key) <= set("0123456789abcdef"):
+        raise ProtocolError("malformed", f"number {key[:40]!r}")
+    if not 0 < len(description) <= MAX_DESCRIPTION:
+        raise ProtocolError("malformed", f"a description of {len(description)} characters")
+
+
+def _preferred_server(figures: dict[str, str], traffic_type: str, deployment: Deployment) -> int:
+    """The number of the server to be tried first; -1: any.
+
+    Servers answer 'error' to what a class can't have: each costs a token of the retry budget that is meant
+    for good callers' dialogs.
+    """
+    preferred = _figure(figures, "dest", -1)
+    numbers = deployment.traffic_types[traffic_type].server_numbers
+    if preferred >= 0 and numbers is not None and preferred not in numbers:
+        raise ProtocolError("malformed", f"{traffic_type} with first choice {preferred}")
+    return preferred
 
 
 def _text(told: dict[int, bytes], code: int) -> str:
@@ -124,19 +147,19 @@
     return b""
 
 
-def to_server(message: Asked) -> bytes:
+def to_server(message: RelaySetup) -> bytes:
     left = max(1, message.no_answer // MS)
     return lines.setup(message.dialog, message.traffic_type, message.key, left, message.description)
 
 
-def refusal(line: lines.Line, leg: int) -> setup.OfLeg | None:
+def parse_rejection(line: lines.Line, leg: int) -> setup.OfLeg | None:
     """A server's release before its answer; None where the set-up broke on its way: a reset."""
     note = line.fields.get("note")
     if line.cause == NO_CIRCUIT:
-        told = load(line)
+        told = parse_load(line)
         return setup.NoAgent(line.id, leg, told) if note == "no_path" else setup.Full(line.id, leg, 0, told)
     if line.cause in (BUSY, FAULT):
-        told = load(line)
+        told = parse_load(line)
         return (
             setup.LineBusy(line.id, leg, told)
             if note == "line_taken"
@@ -155,7 +178,7 @@
 )
 
 
-def load(line: lines.Line) -> setup.Load | None:
+def parse_load(line: lines.Line) -> setup.Load | None:
     """The report that came with a message; None: none came. What is -1 there was not told."""
     text = line.fields.get("load")
     if not isinstance(text, str):
@@ -175,7 +198,7 @@
     )
 
 
-def row(host: Host, now: int) -> Row:
+def endpoint_row(host: Host, now: int) -> Row:
     """One server of the list; `now` is the system's Unix clock, by which starts are told."""
     return Row(
         server=host.host,
