--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -93,7 +93,7 @@
     def refused(*args: Any) -> Any:
         raise AssertionError("nobody asked for datagrams")
 
-    monkeypatch.setattr(MemoryRuntime, "datagrams", refused)
+    monkeypatch.setattr(MemoryRuntime, "bind_datagrams", refused)
     script = msgspec.structs.replace(changed_day(length=3 * SECOND), between=None, paths={}, troubles={})
     assert audit(run_virtual(script)).passed
 
