--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -138,7 +138,7 @@
         self, member: SimulatedMember, command: PermitCommand, decision: PermitDecision | None
     ) -> None:
         if decision is not None:
-            self.events.after(self.group.message_delay(), self._on_decision, decision)
+            self.events.after(self.group.network.draw_delay(), self._on_decision, decision)
             if self.draws.random() < LATE_COPY_FRACTION:
                 self.events.after(LATE_COPY_DELAY, self._on_late_copy, decision.permit)
         if not isinstance(command, InstanceLost):
--- a/valverouter/emulator/raft_group.py
+++ b/valverouter/emulator/raft_group.py
@@ -15,20 +15,17 @@
 from typing import Any
 
 from valverouter.emulator.event_queue import EventQueue
+from valverouter.emulator.lossy_network import LossyNetwork, NetworkProfile
 from valverouter.rollout.disruption_permits import PermitCommand, PermitDecision, PermitRegister
 from valverouter.rollout.raft import ELECTION_TIMEOUT, SECOND, RaftNode, Role
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.raft_membership import MembershipChangeError
 from valverouter.rollout.raft_messages import RaftMessage
-from valverouter.servermodel.paths import NetworkPaths, PathFault
+from valverouter.servermodel.paths import PathFault
 
 TICK_INTERVAL = ELECTION_TIMEOUT // 8
-MEAN_DELAY_S = 0.004
-# This part of the messages takes a second longer.
-SLOW_FRACTION = 0.05
-DUPLICATED_FRACTION = 0.02
+NETWORK_PROFILE = NetworkProfile(mean_delay_s=0.004, slow_fraction=0.05, duplicated_fraction=0.02)
 CRASH_AFTER_SAVE_PROBABILITY = 0.0005
-LOSS_BESIDE_FAULTS = 0.02
 # So many entries may the applied logs of members differ by, in a group that is whole.
 MAX_APPLY_LAG = 20
 
@@ -74,8 +71,7 @@
         self._on_applied = on_applied
         self._committed: dict[int, Any] = {}
         self._leaders: dict[int, str] = {}
-        self._faults: list[PathFault] = []
-        self._paths = NetworkPaths([], draws.random, self.message_delay, loss)
+        self.network = LossyNetwork(events, draws, loss, NETWORK_PROFILE)
         self._has_faults = True
         founders = tuple((f"c{index}", draws.getrandbits(64)) for index in range(size))
         first_entry = SaveEntries(1, (LogEntry(1, Configuration(founders)),))
@@ -85,11 +81,6 @@
         for name in self.members:
             self.start(name)
 
-    def message_delay(self, sender: str = "", receiver: str = "") -> int:
-        """A drawn delay of one message, in ns."""
-        is_slow = self._draws.random() < SLOW_FRACTION
-        return int(self._draws.expovariate(1 / MEAN_DELAY_S) * SECOND) + (SECOND if is_slow else 0)
-
     # Members
 
     def start(self, name: str) -> None:
@@ -140,16 +131,13 @@
     def cut(self, side: frozenset[str], duration: int) -> None:
         """Lets nothing through between `side` and the other members."""
         now = self.events.now
-        self._faults = [fault for fault in self._faults if fault.until > now]
-        self._faults.append(PathFault("split", now, now + duration, groups=(side,)))
-        self._paths = NetworkPaths(self._faults, self._draws.random, self.message_delay, LOSS_BESIDE_FAULTS)
+        self.network.add_fault(PathFault("split", now, now + duration, groups=(side,)))
         self.counts["cut"] += 1
 
     def end_faults(self) -> None:
         """Heals all paths and starts everybody."""
         self._has_faults = False
-        self._faults.clear()
-        self._paths = NetworkPaths([], self._draws.random, self.message_delay, 0.0)
+        self.network.heal()
         for name, member in self.members.items():
             member.paused_until = min(member.paused_until, self.events.now)
             self.start(name)
@@ -213,19 +201,12 @@
             self.events.after(int(self._draws.random() * 5 * SECOND), self.start, member.name)
             return
         for receiver, message in outgoing:
-            self._send(member.name, receiver, message)
+            if receiver in self.members:
+                self.network.send(member.name, receiver, self._receive, self.members[receiver], message)
         for index, command in committed:
             self._apply(member, index, command)
         node.compact_log()
 
-    def _send(self, sender: str, receiver: str, message: RaftMessage) -> None:
-        if receiver not in self.members:
-            return
-        copies = 2 if self._draws.random() < DUPLICATED_FRACTION else 1
-        for _ in range(copies):
-            for delay in self._paths.delivery_delays(sender, receiver, self.events.now):
-                self.events.after(delay, self._receive, self.members[receiver], message)
-
     def _apply(self, member: SimulatedMember, index: int, command: Any) -> None:
         self._check_entry(member, index, command)
         member.applied_index = index
