--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -1,4 +1,4 @@
-"""Orders to real processes on loopback with faults between them; the check reads the keepers' logs alone.
+"""Operations on real processes on loopback with faults between them; the check reads the supervisors' logs.
 
 One course runs with the others; the hard cases one by one take minutes and run by
 
@@ -31,84 +31,83 @@
 processes = pytest.mark.processes
 
 
-def scripted(length: int = 15, edges: int = 6, troubles: str = "") -> Day:
+def course_day(length: int = 15, edges: int = 6, troubles: str = "") -> Day:
     text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("length = 18s", f"length = {length}s")
     return day(IniFile(text + troubles, "orders"), "orders")
 
 
-def played(tmp_path: Path, script: Script, length: int = 15, **more: object) -> OperationsReport:
-    """The rules and the orders' own are kept, whatever the script did."""
-    troubles = str(more.pop("troubles", ""))
-    rows = run_orders(scripted(length, troubles=troubles), tmp_path, script, **more)  # type: ignore[arg-type]
-    judged, rules = check_operations(rows), audit(rows)
-    assert judged is not None, judged
-    assert judged.violations == (), judged
+def run_script(tmp_path: Path, script: Script, length: int = 15, **options: object) -> OperationsReport:
+    """Run the script on a day; the rules and those of operations are kept, whatever it did."""
+    troubles = str(options.pop("troubles", ""))
+    rows = run_orders(course_day(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
+    verdict, rules = check_operations(rows), audit(rows)
+    assert verdict is not None, verdict
+    assert verdict.violations == (), verdict
     assert rules.passed, rules
-    return judged
+    return verdict
 
 
-def result(shown: FleetStatus, order: str) -> str:
-    return next(one.result for one in shown.operations if one.id == order)
+def result_of(status: FleetStatus, operation: str) -> str:
+    return next(each.result for each in status.operations if each.id == operation)
 
 
-async def out(rig: OrderRig, order: str) -> FleetStatus:
-    """Once somebody is out by the order."""
+async def until_out(rig: OrderRig, operation: str) -> FleetStatus:
+    """Return once an instance is out by the operation."""
     with trio.fail_after(20):
         while True:
-            shown = await rig.status()
-            if shown is not None and any(unit.operation == order for unit in shown.instances):
-                return shown
+            status = await rig.status()
+            if status is not None and any(instance.operation == operation for instance in status.instances):
+                return status
             await trio.sleep(0.05)
 
 
 async def leader(rig: OrderRig) -> str:
     with trio.fail_after(20):
-        while (shown := await rig.status()) is None:
+        while (status := await rig.status()) is None:
             await trio.sleep(0.2)
-        return shown.node
+        return status.node
 
 
-def test_a_course_of_orders_with_faults_between_real_processes(tmp_path: Path) -> None:
-    """A restart of all while the leader of the council is killed and a keeper with it, then a release that
-    ends by itself."""
+def test_a_course_of_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
+    """A restart of all while the leader and a supervisor are killed, then a release that ends by itself."""
 
     async def script(rig: OrderRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.tool, "restart", "--all", "--id", "all")
-            await out(rig, "all")
-            seat = await leader(rig)
-            rig.kill(seat)
+            await until_out(rig, "all")
+            node = await leader(rig)
+            rig.kill(node)
             rig.kill("k2")
             await trio.sleep(1.5)
-            rig.start(seat)
+            rig.start(node)
             rig.start("k2")
-        assert result(await rig.settled(60), "all") == "done"
-        code, said = await rig.tool("release", "--all", "--to", "dies-late", "--id", "r")
+        assert result_of(await rig.settled(60), "all") == "done"
+        code, output = await rig.tool("release", "--all", "--to", "dies-late", "--id", "r")
         assert code == 1
-        assert "halted" in said
-        shown = await rig.settled(60)
-        assert {unit.running_version for unit in shown.instances} == {"v1"}
+        assert "halted" in output
+        status = await rig.settled(60)
+        assert {instance.running_version for instance in status.instances} == {"v1"}
 
-    judged = played(tmp_path, script, 30)
-    assert judged.steps_started >= 8
-    assert judged.max_unavailable <= 2
+    verdict = run_script(tmp_path, script, 30)
+    assert verdict.steps_started >= 8
+    assert verdict.max_unavailable <= 2
 
 
 @processes
-def test_an_order_to_all_while_three_are_in_mid_restart(tmp_path: Path) -> None:
+def test_a_restart_of_all_while_three_are_restarting(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         for name in ("e0", "e2", "e4"):
             rig.kill(name)
         code, _ = await rig.tool("restart", "--all", "--id", "all")
         assert code == 0
-        assert result(await rig.settled(30), "all") == "done"
+        assert result_of(await rig.settled(30), "all") == "done"
 
-    assert played(tmp_path, script, 30).steps_started == 6
+    assert run_script(tmp_path, script, 30).steps_started == 6
 
 
 @processes
-def test_one_that_carries_an_order_out_and_dies_before_its_answer(tmp_path: Path) -> None:
+def test_a_supervisor_that_dies_between_a_step_and_its_report(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.tool, "restart", "e1", "--id", "one")
@@ -119,77 +118,77 @@
             rig.kill("k1")
             await trio.sleep(2)
             rig.start("k1")
-        assert result(await rig.settled(30), "one") == "done"
+        assert result_of(await rig.settled(30), "one") == "done"
 
-    assert played(tmp_path, script).steps_started == 1
+    assert run_script(tmp_path, script).steps_started == 1
 
 
 @processes
-def test_the_tool_killed_at_each_step(tmp_path: Path) -> None:
+def test_the_client_killed_at_each_step(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         for within in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
             await rig.tool("restart", "e0", "e1", "--id", "one", within=within)
         code, _ = await rig.tool("restart", "e0", "e1", "--id", "one")
         assert code == 0
-        assert result(await rig.settled(30), "one") == "done"
+        assert result_of(await rig.settled(30), "one") == "done"
 
-    assert played(tmp_path, script, 25).steps_started == 2
+    assert run_script(tmp_path, script, 25).steps_started == 2
 
 
 @processes
-def test_two_operators_with_overlapping_sets_on_two_sides_of_a_cut(tmp_path: Path) -> None:
+def test_two_operators_with_overlapping_sets_on_two_sides_of_a_partition(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         now = rig.world.now()
-        near, far = frozenset({"c0", "k0", "k1"}), frozenset({"c1", "c2", "k2", "k3", "k4", "k5"})
-        rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(near, far)))
+        left, right = frozenset({"c0", "k0", "k1"}), frozenset({"c1", "c2", "k2", "k3", "k4", "k5"})
+        rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(left, right)))
         codes = {}
 
-        async def operator(order: str, *names: str) -> None:
-            codes[order] = (await rig.tool("drain", *names, "--id", order))[0]
+        async def operator(operation: str, *names: str) -> None:
+            codes[operation] = (await rig.tool("drain", *names, "--id", operation))[0]
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(operator, "a", "e3", "e0")
             nursery.start_soon(operator, "b", "e3", "e2")
-        shown = await rig.settled(40)
+        status = await rig.settled(40)
         assert sorted(codes.values()) == [0, 2], codes
-        assert sum(unit.state == "drained" for unit in shown.instances) == 2
+        assert sum(instance.state == "drained" for instance in status.instances) == 2
         assert (await rig.tool("undrain", "--all"))[0] == 0
 
-    played(tmp_path, script, 40)
+    run_script(tmp_path, script, 40)
 
 
 @processes
-def test_the_giver_killed_and_one_stopped_for_ten_seconds_and_woken(tmp_path: Path) -> None:
+def test_one_leader_killed_and_one_paused_for_ten_seconds(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.tool, "restart", "--all", "--id", "all")
-            await out(rig, "all")
+            await until_out(rig, "all")
             nursery.start_soon(rig.stall, await leader(rig), 10.0)
             await trio.sleep(5)
-            seat = await leader(rig)
-            rig.kill(seat)
+            node = await leader(rig)
+            rig.kill(node)
             await trio.sleep(1)
-            rig.start(seat)
-        assert result(await rig.settled(60), "all") == "done"
+            rig.start(node)
+        assert result_of(await rig.settled(60), "all") == "done"
 
-    assert played(tmp_path, script, 40).steps_started == 6
+    assert run_script(tmp_path, script, 40).steps_started == 6
 
 
 @processes
-def test_a_whole_region_is_refused_for_capacity(tmp_path: Path) -> None:
+def test_a_drain_of_a_whole_region_is_rejected_for_capacity(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("drain", "--region", "north", "--id", "d")
+        code, output = await rig.tool("drain", "--region", "north", "--id", "d")
         assert code == 2
-        assert "least capacity of north" in said
-        code, said = await rig.tool("drain", "--region", "north", "--dry-run")
+        assert "least capacity of north" in output
+        code, output = await rig.tool("drain", "--region", "north", "--dry-run")
         assert code == 2
         assert (await rig.status() or pytest.fail("nobody tells the status")).operations == ()
 
-    assert played(tmp_path, script, 10, most=4, in_region=2, least=0.5).steps_started == 0
+    assert run_script(tmp_path, script, 10, most=4, in_region=2, least=0.5).steps_started == 0
 
 
 @processes
-def test_three_crashes_during_a_drain_of_the_most_allowed(tmp_path: Path) -> None:
+def test_three_crashes_during_a_drain_up_to_the_limit(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         assert (await rig.tool("drain", "e0", "e2", "--id", "d"))[0] == 0
         for name in ("k1", "k3", "k5"):
@@ -198,101 +197,101 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.tool, "restart", "e4", "--id", "one")
             await trio.sleep(5)
-            shown = await rig.status()
-            assert shown is not None
-            assert not any(unit.operation == "one" for unit in shown.instances)
-            assert sum(unit.state == "away" for unit in shown.instances) == 3
+            status = await rig.status()
+            assert status is not None
+            assert not any(instance.operation == "one" for instance in status.instances)
+            assert sum(instance.state == "away" for instance in status.instances) == 3
             for name in ("k1", "k3", "k5"):
                 rig.start(name)
             await trio.sleep(4)
             assert (await rig.tool("undrain", "--all"))[0] == 0
-        # The only one left says that it is cut off, which halts an order as well as the room used up.
-        assert result(await rig.settled(40), "one") == "halted"
+        # The only one left says that it is cut off, which halts an operation as well as an exhausted limit.
+        assert result_of(await rig.settled(40), "one") == "halted"
 
-    played(tmp_path, script, 40)
+    run_script(tmp_path, script, 40)
 
 
 @processes
 @pytest.mark.parametrize("version", ["crashes", "dies-late", "declines", "crowds"])
-def test_a_harmful_release_is_halted_and_goes_back(tmp_path: Path, version: str) -> None:
+def test_a_harmful_release_is_halted_and_rolled_back(tmp_path: Path, version: str) -> None:
     async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("release", "--all", "--to", version, "--id", "r", within=90)
+        code, output = await rig.tool("release", "--all", "--to", version, "--id", "r", within=90)
         assert code == 1
-        assert "halted" in said
-        shown = await rig.settled(60)
-        assert {unit.running_version for unit in shown.instances} == {"v1"}
+        assert "halted" in output
+        status = await rig.settled(60)
+        assert {instance.running_version for instance in status.instances} == {"v1"}
 
-    played(tmp_path, script, 50)
+    run_script(tmp_path, script, 50)
 
 
 @processes
 def test_a_harmless_release_on_a_day_with_a_slow_server_is_not_halted(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=120)
-        assert code == 0, said
+        code, output = await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=120)
+        assert code == 0, output
 
     slow = "\n[trouble slow]\nkind = slow\nstart = 1s\nlength = 60s\nsize = 6\non = s0\n"
-    assert played(tmp_path, script, 60, troubles=slow).outcomes == {"release: done": 1}
+    assert run_script(tmp_path, script, 60, troubles=slow).outcomes == {"release: done": 1}
 
 
 @processes
-def test_a_cut_in_mid_wave_that_heals_after_the_halt(tmp_path: Path) -> None:
+def test_a_partition_during_a_wave_that_heals_after_the_halt(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.tool, "release", "--all", "--to", "v2", "--id", "r")
-            await out(rig, "r")
+            await until_out(rig, "r")
             now = rig.world.now()
             cut = frozenset({"c1", "k0", "k2", "k4"})
             rest = frozenset({"c0", "c2", "k1", "k3", "k5"})
             rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(cut, rest)))
             await trio.sleep(1)
             assert (await rig.tool("halt", "r"))[0] == 0
-        shown = await rig.settled(60)
-        assert result(shown, "r") == "halted"
-        assert {unit.running_version for unit in shown.instances} == {"v1"}
+        status = await rig.settled(60)
+        assert result_of(status, "r") == "halted"
+        assert {instance.running_version for instance in status.instances} == {"v1"}
 
-    played(tmp_path, script, 40)
+    run_script(tmp_path, script, 40)
 
 
 @processes
-def test_the_tool_the_leader_and_one_of_the_wave_die_in_a_way_back(tmp_path: Path) -> None:
+def test_the_client_the_leader_and_an_instance_die_during_a_rollback(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=14)
         await rig.tool("back", "r", within=0.7)
         await rig.tool("back", "r", "--no-wait")
-        seat = await leader(rig)
-        rig.kill(seat)
+        node = await leader(rig)
+        rig.kill(node)
         rig.kill("k0")
         rig.kill("e0")
         await trio.sleep(3)
-        rig.start(seat)
+        rig.start(node)
         rig.start("k0")
-        shown = await rig.settled(60)
-        assert {unit.running_version for unit in shown.instances} == {"v1"}
+        status = await rig.settled(60)
+        assert {instance.running_version for instance in status.instances} == {"v1"}
 
-    played(tmp_path, script, 45)
+    run_script(tmp_path, script, 45)
 
 
 @processes
-def test_a_council_member_that_lost_its_disk_and_one_put_in_its_place(tmp_path: Path) -> None:
+def test_raft_servers_that_lost_their_disks_are_admitted_again(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
-        for seat in NODES[:2]:
-            rig.kill(seat)
-            shutil.rmtree(rig.folder / f"{seat}.store")
+        for node in NODES[:2]:
+            rig.kill(node)
+            shutil.rmtree(rig.folder / f"{node}.store")
             await trio.sleep(1)
-            rig.start(seat)
+            rig.start(node)
             with trio.fail_after(20):
-                while (shown := await rig.status()) is None or set(shown.members) != set(NODES):
+                while (status := await rig.status()) is None or set(status.members) != set(NODES):
                     await trio.sleep(0.2)
-            # Both halves of the change have to be agreed on before another disk may go.
+            # Both halves of the change have to be committed before another disk may go.
             await trio.sleep(2)
         assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
 
-    assert played(tmp_path, script, 20).steps_started == 1
+    assert run_script(tmp_path, script, 20).steps_started == 1
 
 
 @processes
-def test_a_keeper_that_lost_its_disk_finds_what_it_had_started(tmp_path: Path) -> None:
+def test_a_supervisor_that_lost_its_disk_finds_what_it_had_started(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         assert (await rig.tool("restart", "e1", "--id", "one"))[0] == 0
         before = rig._pid("e1")
@@ -304,11 +303,11 @@
         assert (await rig.tool("restart", "e1", "--id", "two"))[0] == 0
         assert rig._pid("e1") != before
 
-    assert played(tmp_path, script, 20).steps_started == 2
+    assert run_script(tmp_path, script, 20).steps_started == 2
 
 
 @processes
-def test_an_order_that_was_refused_may_be_told_again_under_its_id(tmp_path: Path) -> None:
+def test_a_rejected_operation_may_be_submitted_again_under_its_id(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         assert (await rig.tool("drain", "e0", "--id", "a"))[0] == 0
         assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 2
@@ -316,53 +315,53 @@
         assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 0
         assert (await rig.tool("undrain", "--all"))[0] == 0
 
-    assert played(tmp_path, script, 20).steps_started == 4
+    assert run_script(tmp_path, script, 20).steps_started == 4
 
 
 @processes
-def test_an_order_repeated_later_does_nothing_again(tmp_path: Path) -> None:
+def test_an_operation_submitted_again_later_does_nothing(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         for _ in range(3):
             assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
             await trio.sleep(1)
-        code, said = await rig.tool("history", "one")
+        code, output = await rig.tool("history", "one")
         assert code == 0
-        assert "done" in said
+        assert "done" in output
 
-    assert played(tmp_path, script).steps_started == 1
+    assert run_script(tmp_path, script).steps_started == 1
 
 
 @processes
-def test_servers_go_out_under_permits_one_by_one(tmp_path: Path) -> None:
+def test_servers_go_out_one_by_one_under_permits(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("restart", "s0", "s1", "--servers", "--id", "s", within=90)
-        assert code == 0, said
-
-    rows = run_orders(msgspec.structs.replace(scripted(60)), tmp_path, script, servers=True)
-    judged, rules = check_operations(rows), audit(rows)
-    assert judged is not None, judged
-    assert judged.passed, judged
-    assert judged.max_unavailable == 1, judged
+        code, output = await rig.tool("restart", "s0", "s1", "--servers", "--id", "s", within=90)
+        assert code == 0, output
+
+    rows = run_orders(msgspec.structs.replace(course_day(60)), tmp_path, script, servers=True)
+    verdict, rules = check_operations(rows), audit(rows)
+    assert verdict is not None, verdict
+    assert verdict.passed, verdict
+    assert verdict.max_unavailable == 1, verdict
     assert rules.passed
     assert rules.check_counts[3] > 0
     assert rules.check_counts[4] > 0
 
 
 @processes
-def test_a_sigterm_of_the_machine_is_obeyed_and_counted_as_out_without_leave(tmp_path: Path) -> None:
+def test_a_sigterm_is_obeyed_and_the_instance_counted_as_out_without_a_permit(tmp_path: Path) -> None:
     async def script(rig: OrderRig) -> None:
         rig._fault("leave-k1", "k1", 10)
         for _ in range(3):
             rig.processes["k1"].terminate()
             await trio.sleep(0.05)
         with trio.fail_after(10):
-            while (shown := await rig.status()) is None or shown.instances[1].state != "away":
+            while (status := await rig.status()) is None or status.instances[1].state != "away":
                 await trio.sleep(0.1)
         # The last of the signals may meet one that has done all and is on its way out.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
         assert rig._pid("e1") is None
         assert b'"process-exited"' in (rig.folder / "k1.log").read_bytes()
         rig.start("k1")
-        assert {unit.state for unit in (await rig.settled(20)).instances} == {"in"}
+        assert {instance.state for instance in (await rig.settled(20)).instances} == {"in"}
 
-    assert played(tmp_path, script).steps_started == 0
+    assert run_script(tmp_path, script).steps_started == 0
