--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -11,12 +11,12 @@
 
 from tests.membership_service_rig import DAY, SECOND
 from valverouter.audit.rules import audit
-from valverouter.audit.views import judge_views
+from valverouter.audit.views import check_views
 from valverouter.cli.__main__ import main
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import MemoryEdge, MemorySurroundings, run_virtual
 from valverouter.days.world import World
-from valverouter.signalling.tap import Found, Opened, Passed
+from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
 from valverouter.terms.day import Day, day, load_day
 from valverouter.terms.ini import IniFile
 
@@ -28,12 +28,12 @@
 
 def test_a_day_of_faults_in_virtual_time() -> None:
     rows = run_virtual(load_day(DAY))
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None, views
-    assert views.kept, views
-    assert not views.false_deaths
-    assert audit(rows).kept
-    assert {row.what for row in rows if isinstance(row, Found)} >= {
+    assert views.passed, views
+    assert not views.false_failures
+    assert audit(rows).passed
+    assert {row.kind for row in rows if isinstance(row, MembershipEventRow)} >= {
         "joined",
         "suspect",
         "gone",
@@ -47,11 +47,11 @@
     """Six processes of the program for 22 s: loss, delay, repeats, a region cut off, a one-way cut, a kill, a
     stop, a late join."""
     rows = run_loopback(load_day(DAY), tmp_path)
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None, views
-    assert views.kept, views
-    assert audit(rows).kept
-    found = {row.what for row in rows if isinstance(row, Found)}
+    assert views.passed, views
+    assert audit(rows).passed
+    found = {row.kind for row in rows if isinstance(row, MembershipEventRow)}
     assert found >= {"joined", "suspect", "gone", "refuted", "restarted", "stalled", "settled"}
 
 
@@ -75,12 +75,13 @@
 
     def messages(played: Day) -> list[tuple[Any, ...]]:
         rows = run_virtual(played)
-        (opened,) = [row.at for row in rows if isinstance(row, Opened)]
+        (opened,) = [row.at for row in rows if isinstance(row, CallersStartedRow)]
         # Past that the day with the view goes on for as long as settling may take.
         until = opened + played.terms.length
-        passed = [row for row in rows if isinstance(row, Passed) and row.at < until]
+        passed = [row for row in rows if isinstance(row, MessageRow) and row.at < until]
         return sorted(
-            (row.at, row.edge, row.peer, row.sent, row.kind, row.dialog, row.leg, row.span) for row in passed
+            (row.at, row.edge, row.peer, row.sent, row.kind, row.dialog, row.leg, row.duration)
+            for row in passed
         )
 
     with_view = messages(script)
@@ -94,7 +95,7 @@
 
     monkeypatch.setattr(MemorySurroundings, "datagrams", refused)
     script = msgspec.structs.replace(changed_day(length=3 * SECOND), between=None, paths={}, troubles={})
-    assert audit(run_virtual(script)).kept
+    assert audit(run_virtual(script)).passed
 
 
 def test_a_clock_set_back_an_hour_and_a_restart_of_the_program() -> None:
@@ -104,9 +105,9 @@
         edges[4].wall_back = 3_600 * SECOND
 
     rows = run_virtual(script, prepare)
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None, views
-    assert views.kept, views
+    assert views.passed, views
 
 
 def test_an_instance_that_is_asked_to_end_leaves_and_is_never_gone() -> None:
@@ -114,9 +115,9 @@
     script = msgspec.structs.replace(changed_day(leave), paths={})
     script = msgspec.structs.replace(script, troubles={"back": script.troubles["back"]})
     rows = run_virtual(script)
-    views = judge_views(rows)
+    views = check_views(rows)
     assert views is not None
-    assert views.kept
-    kinds = {row.what for row in rows if isinstance(row, Found) and row.member == "e4"}
+    assert views.passed
+    kinds = {row.kind for row in rows if isinstance(row, MembershipEventRow) and row.member == "e4"}
     assert "left" in kinds
     assert "gone" not in kinds
--- a/valverouter/emulator/edge_recovery.py
+++ b/valverouter/emulator/edge_recovery.py
@@ -12,7 +12,7 @@
 from valverouter.emulator.servers import Connection, EndReason
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.recovery.plan import RecoveryAction, remaining_attempt_policy
-from valverouter.servermodel.server import Key
+from valverouter.servermodel.events import LegKey
 
 # How long an established dialog waits for its server's word after a restart, ns.
 QUERY_TIMEOUT = 5_000_000_000
@@ -37,10 +37,10 @@
         """How many queries wait for their server's window."""
         return len(self._pacer)
 
-    def save(self) -> dict[ServerLink, list[Key]]:
+    def save(self) -> dict[ServerLink, list[LegKey]]:
         """Keeps the open dialogs for the next process; the established legs that survive, by link."""
         self._saved = list(self._dialogs.open.values())
-        legs_by_link: dict[ServerLink, list[Key]] = {}
+        legs_by_link: dict[ServerLink, list[LegKey]] = {}
         for dialog in self._saved:
             link, attempt = dialog.link, dialog.attempt
             if not dialog.is_established or link is None or link.connection is None or attempt is None:
@@ -143,7 +143,7 @@
             )
 
     def _on_query_arrived(
-        self, incarnation: int, dialog_id: str, link: ServerLink, connection: Connection, leg: Key
+        self, incarnation: int, dialog_id: str, link: ServerLink, connection: Connection, leg: LegKey
     ) -> None:
         runtime = self._runtime
         if incarnation == runtime.incarnation and connection.is_open:
--- a/valverouter/emulator/endpoint_list.py
+++ b/valverouter/emulator/endpoint_list.py
@@ -10,7 +10,7 @@
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import Simulation
 from valverouter.interface import Endpoint, EndpointUpdateKind
-from valverouter.signalling.tap import Tap, Told
+from valverouter.signalling.tap import EndpointUpdateRow, Tap
 
 
 class ServicePhase(StrEnum):
@@ -52,17 +52,17 @@
         for edge in self._edges:
             if edge.is_running:
                 for name in names:
-                    self._tap.row(Told, edge=edge.name, server=name, phase=phase.value)
+                    self._tap.record(EndpointUpdateRow, edge=edge.name, server=name, phase=phase.value)
                 edge.update_endpoints(EndpointUpdateKind.INCREMENTAL, entries)
 
     def announce_down(self, servers: Sequence[EmulatedServer]) -> None:
         """Announces those that do not run as gone."""
-        if down := [server for server in servers if not server.model.runs]:
+        if down := [server for server in servers if not server.model.is_running]:
             self.announce(down, ServicePhase.GONE)
 
     def announce_up(self, servers: Sequence[EmulatedServer]) -> None:
         """Announces those that run as in service."""
-        if up := [server for server in servers if server.model.runs]:
+        if up := [server for server in servers if server.model.is_running]:
             self.announce(up, ServicePhase.IN_SERVICE)
 
     def _entry(self, name: str) -> ListedEndpoint:
--- a/valverouter/emulator/lossy_network.py
+++ b/valverouter/emulator/lossy_network.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from valverouter.emulator.event_queue import EventQueue
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 SECOND = 10**9
 MEAN_DELAY_S = 0.003
@@ -25,7 +25,7 @@
         self._draws = draws
         self._loss = loss
         self._faults: list[PathFault] = []
-        self._paths = Paths([], draws.random, self._delay, loss)
+        self._paths = NetworkPaths([], draws.random, self._delay, loss)
 
     @property
     def has_faults(self) -> bool:
@@ -36,19 +36,19 @@
         """Runs the action whenever a copy of the message arrives, if one does."""
         copies = 2 if self._draws.random() < DUPLICATED_FRACTION else 1
         for _ in range(copies):
-            for delay in self._paths.arrivals(sender, receiver, self._events.now):
+            for delay in self._paths.delivery_delays(sender, receiver, self._events.now):
                 self._events.after(delay, action, *arguments)
 
     def add_fault(self, fault: PathFault) -> None:
         """Adds a fault to those that are not over."""
         now = self._events.now
         self._faults = [earlier for earlier in self._faults if earlier.until > now] + [fault]
-        self._paths = Paths(self._faults, self._draws.random, self._delay, self._loss)
+        self._paths = NetworkPaths(self._faults, self._draws.random, self._delay, self._loss)
 
     def heal(self) -> None:
         """Ends all faults; nothing is lost from here on."""
         self._faults.clear()
-        self._paths = Paths([], self._draws.random, self._delay, 0.0)
+        self._paths = NetworkPaths([], self._draws.random, self._delay, 0.0)
 
     def _delay(self, sender: str, receiver: str) -> int:
         is_slow = self._draws.random() < SLOW_FRACTION
--- a/valverouter/emulator/raft_group.py
+++ b/valverouter/emulator/raft_group.py
@@ -20,7 +20,7 @@
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.raft_membership import MembershipChangeError
 from valverouter.rollout.raft_messages import RaftMessage
-from valverouter.servermodel.paths import PathFault, Paths
+from valverouter.servermodel.paths import NetworkPaths, PathFault
 
 TICK_INTERVAL = ELECTION_TIMEOUT // 8
 MEAN_DELAY_S = 0.004
@@ -75,7 +75,7 @@
         self._committed: dict[int, Any] = {}
         self._leaders: dict[int, str] = {}
         self._faults: list[PathFault] = []
-        self._paths = Paths([], draws.random, self.message_delay, loss)
+        self._paths = NetworkPaths([], draws.random, self.message_delay, loss)
         self._has_faults = True
         founders = tuple((f"c{index}", draws.getrandbits(64)) for index in range(size))
         first_entry = SaveEntries(1, (LogEntry(1, Configuration(founders)),))
@@ -142,14 +142,14 @@
         now = self.events.now
         self._faults = [fault for fault in self._faults if fault.until > now]
         self._faults.append(PathFault("split", now, now + duration, groups=(side,)))
-        self._paths = Paths(self._faults, self._draws.random, self.message_delay, LOSS_BESIDE_FAULTS)
+        self._paths = NetworkPaths(self._faults, self._draws.random, self.message_delay, LOSS_BESIDE_FAULTS)
         self.counts["cut"] += 1
 
     def end_faults(self) -> None:
         """Heals all paths and starts everybody."""
         self._has_faults = False
         self._faults.clear()
-        self._paths = Paths([], self._draws.random, self.message_delay, 0.0)
+        self._paths = NetworkPaths([], self._draws.random, self.message_delay, 0.0)
         for name, member in self.members.items():
             member.paused_until = min(member.paused_until, self.events.now)
             self.start(name)
@@ -223,7 +223,7 @@
             return
         copies = 2 if self._draws.random() < DUPLICATED_FRACTION else 1
         for _ in range(copies):
-            for delay in self._paths.arrivals(sender, receiver, self.events.now):
+            for delay in self._paths.delivery_delays(sender, receiver, self.events.now):
                 self.events.after(delay, self._receive, self.members[receiver], message)
 
     def _apply(self, member: SimulatedMember, index: int, command: Any) -> None:
--- a/valverouter/emulator/server_faults.py
+++ b/valverouter/emulator/server_faults.py
@@ -97,12 +97,11 @@
     # Processes that go on
 
     def _slow(self, fault: Trouble, random: RandomStream) -> FaultProcess:
-        sim = self._fleet.sim
         yield from self._for_duration(
             fault,
             self._targets.recorded_servers(fault, random),
-            lambda server: server.model.slow(sim.now(), fault.size),
-            lambda server: server.model.slow(sim.now(), 1.0),
+            lambda server: server.model.set_slowdown(fault.size),
+            lambda server: server.model.set_slowdown(1.0),
         )
 
     def _degrade(self, fault: Trouble, random: RandomStream) -> FaultProcess:
@@ -111,21 +110,21 @@
         yield from self._for_duration(
             fault,
             self._targets.recorded_servers(fault, random),
-            lambda server: server.model.age(sim.now(), fault.size, fault.length),
-            lambda server: server.model.age(sim.now(), 1.0, 1),
+            lambda server: server.model.start_degrading(sim.now(), fault.size, fault.length),
+            lambda server: server.model.start_degrading(sim.now(), 1.0, 1),
         )
 
     def _hang(self, fault: Trouble, random: RandomStream) -> FaultProcess:
         sim = self._fleet.sim
 
         def wake(server: EmulatedServer) -> None:
-            server.model.hang(sim.now(), False)
+            server.model.set_hung(sim.now(), False)
             server.deliver_events()
 
         yield from self._for_duration(
             fault,
             self._targets.recorded_servers(fault, random),
-            lambda server: server.model.hang(sim.now(), True),
+            lambda server: server.model.set_hung(sim.now(), True),
             wake,
         )
 
@@ -138,19 +137,19 @@
 
         def limit(server: EmulatedServer) -> None:
             self._targets.record(fault, server.name)
-            server.model.keep_lines(fleet.sim.now(), fault.size**-0.5)
+            server.model.limit_lines(fleet.sim.now(), fault.size**-0.5)
             server.deliver_events()
 
         yield from self._for_duration(
-            fault, servers, limit, lambda server: server.model.keep_lines(fleet.sim.now(), 1.0)
+            fault, servers, limit, lambda server: server.model.limit_lines(fleet.sim.now(), 1.0)
         )
 
     def _lose_answers(self, fault: Trouble, random: RandomStream) -> FaultProcess:
         yield from self._for_duration(
             fault,
             self._targets.recorded_servers(fault, random),
-            lambda server: server.model.lose_answers(fault.size),
-            lambda server: server.model.lose_answers(0.0),
+            lambda server: server.model.set_answer_loss(fault.size),
+            lambda server: server.model.set_answer_loss(0.0),
         )
 
     def _for_duration(
@@ -168,7 +167,7 @@
         """A fraction of all established dialogs ends at every server."""
         for server in self._fleet.servers.values():
             self._targets.record(fault, server.name)
-            server.model.cut_standing(self._fleet.sim.now(), fault.size)
+            server.model.cut_established(self._fleet.sim.now(), fault.size)
             server.deliver_events()
         yield self._targets.wait(0)
 
