--- a/tests/test_servermodel.py
+++ b/tests/test_servermodel.py
@@ -1,4 +1,4 @@
-"""The server model at a clock that the test holds."""
+"""The server model, with the time passed in by the tests."""
 
 from __future__ import annotations
 
@@ -19,16 +19,28 @@
 PLAIN = ServerProfile(lines=3, setup_work=10 * MS, answer_work=2 * MS, release_work=2 * MS, reject_work=MS)
 
 
-def server(make: ServerProfile = PLAIN, **more: Any) -> SetupServer:
-    return SetupServer(make, random.Random(3).random, **more)
+# Small enough for every limit to be met within a few steps.
+BUSY = ServerProfile(
+    lines=4,
+    setup_work=20 * MS,
+    ringing_duration=30 * MS,
+    retransmit_interval=50 * MS,
+    max_queue_delay=200 * MS,
+)
+KEEPS_OPEN = (ServerEventKind.PROVISIONAL, ServerEventKind.ESTABLISHED)
+
+
+def server(profile: ServerProfile = PLAIN, **options: Any) -> SetupServer:
+    return SetupServer(profile, random.Random(3).random, **options)
 
 
 def key(number: int, peer: str = "e0") -> tuple[str, str, int]:
     return peer, f"d{number}", 0
 
 
-def told(model: SetupServer, until: int) -> list[tuple[str, str, int]]:
-    return [(h.key[1], h.kind.name, h.at // MS) for h in model.advance(until)]
+def events(model: SetupServer, until: int) -> list[tuple[str, str, int]]:
+    """Dialog, kind and time in ms of what happens until then."""
+    return [(event.key[1], event.kind.name, event.at // MS) for event in model.advance(until)]
 
 
 def test_set_up_answer_and_release_pass_one_processor() -> None:
@@ -37,7 +49,7 @@
     model.setup(0, key(1), 7, SECOND)
     assert model.queue_delay(0) == 20 * MS
     assert model.queued_setups == 1
-    course = told(model, 5 * SECOND)
+    course = events(model, 5 * SECOND)
     # The second set-up goes ahead of the first one's answer, which waits behind new set-ups.
     assert course[:4] == [
         ("d0", "PROVISIONAL", 10),
@@ -51,19 +63,19 @@
     assert model.next_event_at() is None
 
 
-def test_refused_when_the_wait_is_too_long_and_that_costs_work_too() -> None:
+def test_a_set_up_is_rejected_when_the_queue_delay_is_too_long_and_that_costs_work_too() -> None:
     model = server(
         ServerProfile(setup_work=10 * MS, max_queue_delay=25 * MS, reject_work=MS, sends_retry_after=True)
     )
     for number in range(4):
         model.setup(0, key(number), 7, SECOND)
-    (full,) = [h for h in model.advance(0) if h.kind is ServerEventKind.FULL]
+    (full,) = [event for event in model.advance(0) if event.kind is ServerEventKind.FULL]
     assert (full.key, full.retry_after) == (key(3), 30 * MS)
     assert model.queue_delay(0) == 31 * MS
 
 
 @pytest.mark.parametrize(("slow", "share"), [(1.0, 1.0), (2.5, 0.4)])
-def test_slow(slow: float, share: float) -> None:
+def test_a_slowdown_scales_the_speed(slow: float, share: float) -> None:
     model = server()
     model.set_slowdown(slow)
     model.setup(0, key(0), 7, SECOND)
@@ -71,7 +83,7 @@
     assert model.next_event_at() == int(10 * MS / share)
 
 
-def test_ageing_grows_and_ends() -> None:
+def test_degrading_grows_and_ends() -> None:
     model = server()
     model.start_degrading(0, 3.0, 10 * SECOND)
     assert [round(1 / model.processor_speed(at * SECOND), 2) for at in (0, 5, 10, 20)] == [1.0, 2.0, 3.0, 3.0]
@@ -79,24 +91,24 @@
     assert model.processor_speed(5 * SECOND) == 1.0
 
 
-def test_a_hang_answers_nothing_and_goes_on_where_it_was() -> None:
+def test_a_hung_server_answers_nothing_and_goes_on_where_it_was() -> None:
     model = server()
     model.setup(0, key(0), 7, SECOND)
     model.set_hung(4 * MS, True)
     model.setup(5 * MS, key(1), 7, SECOND)
-    assert told(model, SECOND) == []
+    assert events(model, SECOND) == []
     assert model.next_event_at() is None
     model.set_hung(SECOND, False)
-    assert told(model, SECOND + 16 * MS) == [("d0", "PROVISIONAL", 1006), ("d1", "PROVISIONAL", 1016)]
+    assert events(model, SECOND + 16 * MS) == [("d0", "PROVISIONAL", 1006), ("d1", "PROVISIONAL", 1016)]
 
 
-def test_lines_and_numbers_run_out() -> None:
+def test_lines_and_called_numbers_run_out() -> None:
     numbers = CalledNumbers({9: 1})
     model = server(called_numbers=numbers)
     for number in range(5):
         model.setup(0, key(number), 9 if number < 2 else 7, 60 * SECOND)
-    said = {dialog: what for dialog, what, _ in told(model, SECOND)}
-    assert said == {
+    kinds = {dialog: kind for dialog, kind, _ in events(model, SECOND)}
+    assert kinds == {
         "d0": "ESTABLISHED",
         "d1": "LINE_BUSY",
         "d2": "ESTABLISHED",
@@ -113,13 +125,13 @@
         model.setup(0, key(number), 7, 60 * SECOND)
     model.advance(SECOND)
     model.limit_lines(SECOND, 0.5)
-    assert Counter(h.kind for h in model.advance(SECOND)) == {ServerEventKind.CUT: 3}
+    assert Counter(event.kind for event in model.advance(SECOND)) == {ServerEventKind.CUT: 3}
     assert (model.line_count, model.free_lines) == (5, 0)
     model.limit_lines(SECOND, 1.0)
     assert model.free_lines == 5
 
 
-def test_repeats_are_work_at_doubling_gaps_until_processed() -> None:
+def test_retransmissions_are_work_at_doubling_intervals_until_processed() -> None:
     model = server(
         ServerProfile(
             setup_work=SECOND,
@@ -144,35 +156,35 @@
     model.setup(0, key(0), 7, SECOND)
     model.setup(0, key(1), 7, SECOND)
     model.cancel(MS, key(1))
-    assert told(model, MS) == [("d1", "CANCELLED", 1)]
+    assert events(model, MS) == [("d1", "CANCELLED", 1)]
     model.advance(10 * MS)
     assert (model.next_event_at() == 20 * MS) == (not drops)
     model.setup(10 * MS, key(1), 7, SECOND)  # the same key again: the old work is not its
-    assert [word for word in told(model, 200 * MS) if word[0] == "d1"] == [
+    assert [event for event in events(model, 200 * MS) if event[0] == "d1"] == [
         ("d1", "PROVISIONAL", 20 if drops else 30)
     ]
 
 
-def test_cancel_of_what_stands_releases_it() -> None:
+def test_cancelling_an_established_leg_releases_it() -> None:
     model = server()
     model.setup(0, key(0), 7, 60 * SECOND)
     model.advance(SECOND)
     model.cancel(SECOND, key(0))
-    assert told(model, 2 * SECOND) == [("d0", "ENDED", 1002)]
+    assert events(model, 2 * SECOND) == [("d0", "ENDED", 1002)]
 
 
-def test_a_lost_connection_frees_its_lines_without_a_word() -> None:
+def test_a_lost_connection_frees_its_lines_without_an_event() -> None:
     model = server()
     model.setup(0, key(0), 7, 60 * SECOND)
     model.setup(0, key(1, "e1"), 7, 60 * SECOND)
     model.advance(SECOND)
     model.on_connection_lost(SECOND, "e0")
-    assert told(model, 2 * SECOND) == []
+    assert events(model, 2 * SECOND) == []
     assert list(model.legs) == [key(1, "e1")]
     assert model.free_lines == 2
 
 
-COLD = ServerProfile(
+SLOW_STARTING = ServerProfile(
     setup_work=100 * MS,
     slow_start_fraction=0.5,
     slow_start_duration=10 * SECOND,
@@ -191,8 +203,10 @@
         (16, 5 * SECOND, True),
     ],
 )
-def test_a_cold_processor_falls_over_past_its_budget_and_stays_down(count: int, at: int, fell: bool) -> None:
-    model = server(COLD)
+def test_a_process_in_slow_start_crashes_past_its_budget_and_stays_down(
+    count: int, at: int, fell: bool
+) -> None:
+    model = server(SLOW_STARTING)
     model.start(0)
     for number in range(count):
         model.setup(at, key(number), 7, SECOND)
@@ -203,27 +217,27 @@
         assert not model.is_running
 
 
-def test_cold_to_warm() -> None:
-    model = server(COLD)
-    assert model.processor_speed(0) == 1.0, "one that runs since long ago is warm"
+def test_slow_start_reaches_full_speed() -> None:
+    model = server(SLOW_STARTING)
+    assert model.processor_speed(0) == 1.0, "one that has run for long is at full speed"
     model.start(0)
     assert [model.processor_speed(at * SECOND) for at in (0, 5, 10)] == [0.5, 0.75, 1.0]
 
 
-def test_flapping_starts_owe_nothing_to_the_process_before() -> None:
+def test_a_restarted_process_keeps_nothing_of_the_one_before() -> None:
     model = server()
     for at in range(5):
         model.start(at * SECOND)
         model.setup(at * SECOND, key(0), 7, 60 * SECOND)
         assert model.legs
-        assert told(model, at * SECOND + 20 * MS)[-1][1] == "ESTABLISHED"
+        assert events(model, at * SECOND + 20 * MS)[-1][1] == "ESTABLISHED"
         model.crash(at * SECOND + 30 * MS)
         assert not model.legs
         assert model.next_event_at() is None
         assert model.advance(at * SECOND + 40 * MS) == []
 
 
-def test_answers_lost() -> None:
+def test_answers_are_lost_with_the_given_probability() -> None:
     model = server(ServerProfile(lines=10**4, setup_work=MS, answer_work=0))
     model.set_answer_loss(0.3)
     for number in range(1_000):
@@ -233,50 +247,41 @@
     assert 650 < model.counters.established < 750
 
 
-@given(
-    st.lists(
-        st.tuples(
-            st.sampled_from(["setup", "cancel", "release", "lost", "keep", "hang", "slow", "crash", "start"]),
-            st.integers(0, 6),
-            st.integers(0, 300),
-        ),
-        max_size=60,
-    )
-)
-def test_lines_are_conserved_and_each_leg_closes_once(course: list[tuple[str, int, int]]) -> None:
-    model, now = (
-        server(
-            ServerProfile(
-                lines=4,
-                setup_work=20 * MS,
-                ringing_duration=30 * MS,
-                retransmit_interval=50 * MS,
-                max_queue_delay=200 * MS,
-            )
-        ),
-        0,
-    )
-    closed: Counter[Any] = Counter()
-    opened: Counter[Any] = Counter()
-    for what, number, ahead in course:
-        now += ahead * MS
-        for happening in model.advance(now):
-            closed[happening.key] += happening.kind not in (
-                ServerEventKind.PROVISIONAL,
-                ServerEventKind.ESTABLISHED,
-            )
-        match what:
+class ServerCourse:
+    """Drives a server by random steps; counts how often each leg was opened and closed by an event."""
+
+    def __init__(self, model: SetupServer) -> None:
+        self.model = model
+        self.now = 0
+        self.opened: Counter[Any] = Counter()
+        self.closed: Counter[Any] = Counter()
+
+    def advance(self) -> None:
+        for event in self.model.advance(self.now):
+            self.closed[event.key] += event.kind not in KEEPS_OPEN
+
+    def step(self, kind: str, number: int) -> None:
+        model, now = self.model, self.now
+        match kind:
             case "setup" if key(number) not in model.legs and model.is_running:
-                opened[key(number)] += 1
+                self.opened[key(number)] += 1
                 model.setup(now, key(number), 7, 500 * MS)
             case "cancel":
                 model.cancel(now, key(number))
             case "release":
                 model.release(now, key(number))
-            case "lost" | "crash":
-                for one in model.legs:
-                    opened[one] -= 1
-                model.on_connection_lost(now, "e0") if what == "lost" else model.crash(now)
+            case "lost":
+                self.opened.subtract(list(model.legs))
+                model.on_connection_lost(now, "e0")
+            case _:
+                self.fault(kind, number)
+
+    def fault(self, kind: str, number: int) -> None:
+        model, now = self.model, self.now
+        match kind:
+            case "crash":
+                self.opened.subtract(list(model.legs))
+                model.crash(now)
             case "keep":
                 model.limit_lines(now, number / 6)
             case "hang":
@@ -285,12 +290,27 @@
                 model.set_slowdown(1 + number)
             case "start" if not model.is_running:
                 model.start(now)
-        for happening in model.advance(now):
-            closed[happening.key] += happening.kind not in (
-                ServerEventKind.PROVISIONAL,
-                ServerEventKind.ESTABLISHED,
-            )
+
+
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["setup", "cancel", "release", "lost", "keep", "hang", "slow", "crash", "start"]),
+            st.integers(0, 6),
+            st.integers(0, 300),
+        ),
+        max_size=60,
+    )
+)
+def test_lines_are_conserved_and_each_leg_closes_once(steps: list[tuple[str, int, int]]) -> None:
+    model = server(BUSY)
+    course = ServerCourse(model)
+    for kind, number, elapsed in steps:
+        course.now += elapsed * MS
+        course.advance()
+        course.step(kind, number)
+        course.advance()
         held = sum(leg.holds_line for leg in model.legs.values())
         assert held == model.held_lines <= model.profile.lines
-        # Each set-up closes once; those let go without a word by a crash or a lost link are not counted open.
-        assert all(closed[one] + (one in model.legs) == opened[one] for one in opened)
+        # Each set-up closes once; legs removed without an event (crash, lost connection) are not open.
+        assert all(course.closed[leg] + (leg in model.legs) == course.opened[leg] for leg in course.opened)
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -86,15 +86,23 @@
 def test_fuzzed_bytes_give_messages_or_one_clear_error(parts: list[bytes]) -> None:
     session = SetupSession()
     list(session.receive(frame(HELLO)))
+    error = first_error(session, parts)
+    if error is not None:
+        farewell = session.farewell(error)
+        assert not session.farewell(error), "one error, no more"
+        assert farewell or error.code.startswith("peer:")
+
+
+def first_error(session: SetupSession, parts: list[bytes]) -> ProtocolError | None:
+    """The error at which the session ends, None: every part gave messages or nothing."""
     try:
         for part in parts:
             if part:
                 for message in session.receive(part):
                     assert isinstance(message, msgspec.Struct)
     except ProtocolError as error:
-        farewell = session.farewell(error)
-        assert not session.farewell(error), "one error, no more"
-        assert farewell or error.code.startswith("peer:")
+        return error
+    return None
 
 
 def test_a_frame_over_the_cap_is_refused_by_its_head() -> None:
