--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
+
+from msgspec.structs import replace
 
 from valverouter.emulator.edge_model import CallerMessage, DialogRequest
 from valverouter.emulator.edges import EmulatedEdge
--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -7,6 +7,8 @@
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
+from msgspec import Struct
+
 from valverouter.driver import Driver
 from valverouter.emulator.servers import Connection, EmulatedServer
 from valverouter.interface import AttemptPolicy, CrossRegionRule, Deployment, Endpoint
@@ -47,8 +49,7 @@
     default_attempt_policy: Callable[[str], AttemptPolicy | None] = lambda traffic_type: None
 
 
-@dataclass(frozen=True, slots=True)
-class DialogRequest:
+class DialogRequest(Struct, frozen=True):
     """A dialog as its caller requests it; `no_answer_timeout` in ns."""
 
     dialog_id: str
--- a/valverouter/emulator/edge_runtime.py
+++ b/valverouter/emulator/edge_runtime.py
@@ -123,20 +123,16 @@
             if min(report_at, heartbeat_at) > now:
                 break
             if report_at < heartbeat_at:
-                self._read_report()
+                _, server, report = reports[self._reports_read]
+                self._reports_read += 1
+                link = self.links.get(server)
+                if link is not None and link.connection is not None:
+                    driver.tick(max(report_at, driver.policy.now))
+                    driver.update_load(server, report)
             else:
                 self._run_heartbeat(heartbeat_at)
         driver.tick(now)
 
-    def _read_report(self) -> None:
-        driver = self.driver
-        arrived_at, server, report = self._reports[self._reports_read]
-        self._reports_read += 1
-        link = self.links.get(server)
-        if link is not None and link.connection is not None:
-            driver.tick(max(arrived_at, driver.policy.now))
-            driver.update_load(server, report)
-
     def _run_heartbeat(self, time: int) -> None:
         self._heartbeat_at = None
         self.driver.tick(time)
--- a/valverouter/emulator/simulation.py
+++ b/valverouter/emulator/simulation.py
@@ -26,13 +26,13 @@
 
     def call_at(self, time: int, callback: Callable[..., None], *args: Any) -> None:
         """Calls `callback(*args)` at `time`, ns; a time that has passed counts as now."""
-        due = simpy.Timeout(self.env, max(0, time - self.env.now))
-        assert due.callbacks is not None
-        due.callbacks.append(lambda event: callback(*args))
+        self.call_after(time - self.now(), callback, *args)
 
     def call_after(self, delay: int, callback: Callable[..., None], *args: Any) -> None:
-        """Calls `callback(*args)` in `delay` ns."""
-        self.call_at(self.now() + delay, callback, *args)
+        """Calls `callback(*args)` in `delay` ns; a negative delay counts as none."""
+        timeout = simpy.Timeout(self.env, max(0, delay))
+        assert timeout.callbacks is not None
+        timeout.callbacks.append(lambda event: callback(*args))
 
     def run(self, until: int) -> None:
         """Runs all events before `until`, ns."""
