--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -27,7 +27,7 @@
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
 from valverouter.emulator import edge_recovery
-from valverouter.experiments.figures import figures
+from valverouter.experiments.figures import compute_figures
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
@@ -132,7 +132,7 @@
         edge_recovery.QueryPacer = AtOnce if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
         played = fleet_day(seed, size, share, mode != "without")
         rows = run_emulated(played).rows
-        seen = figures(rows)
+        seen = compute_figures(rows)
         found.append((seen["service"], seen["worst-10s"], len(audit(rows).breaches)))
     return found
 
--- a/benchmarks/variant_on_the_wire.py
+++ b/benchmarks/variant_on_the_wire.py
@@ -8,13 +8,13 @@
 import sys
 from unittest.mock import patch
 
-from valverouter.experiments.variants import variant
+from valverouter.experiments.variants import parse_variant
 from valverouter.wirehost import __main__ as wirehost
 
 
 def main() -> None:
-    decisions = variant(" ".join(sys.argv[1:]))
-    with decisions.acts(), patch.object(wirehost, "Driver", decisions.build):
+    decisions = parse_variant(" ".join(sys.argv[1:]))
+    with decisions.applied(), patch.object(wirehost, "Driver", decisions.build):
         sys.exit(wirehost.main(sys.stdin.buffer, sys.stdout.buffer))
 
 
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -813,8 +813,8 @@
 
 def run_row(file: Path) -> list[Any]:
     """An experiment's run as kept in SQLite, without its key and version, which name the program's source."""
-    with closing(runner.Store(file)) as kept:
-        kept.keep(RUN, FIGURES)
+    with closing(runner.RunStore(file)) as kept:
+        kept.save(RUN, FIGURES)
         (row,) = kept._db.execute("select variant, seed, levels, day, figures from runs").fetchall()
         return list(row)
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -18,7 +18,7 @@
 from valverouter.days.recorded import calls_of
 from valverouter.days.virtual import run_virtual
 from valverouter.experiments.plan import Run
-from valverouter.experiments.search import load_search
+from valverouter.experiments.search_config import load_search
 from valverouter.signalling import tap
 from valverouter.signalling.tap import Passed, Row
 from valverouter.terms.calls import FLAWS_TOLD, Call, read_calls, write_calls
@@ -219,7 +219,7 @@
     keys = []
     for name in ("calls.csv", "later.csv"):
         run = Run({}, 1, REPLAY.replace("calls.csv", name), str(tmp_path))
-        assert run.played().recorded
+        assert run.load_day().recorded
         keys.append(run.key)
     other = tmp_path / "other"
     other.mkdir()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -10,12 +10,12 @@
 import pytest
 
 from tests.test_days import valverouter
-from valverouter.experiments.compare import interval, paired
-from valverouter.experiments.figures import by_second, figures, worst
-from valverouter.experiments.plan import changed, plan
-from valverouter.experiments.report import gathered, page
-from valverouter.experiments.runner import Store, play, run_all
-from valverouter.experiments.variants import BASELINES, VARIANTS, variant
+from valverouter.experiments.compare import confidence_interval, paired_difference
+from valverouter.experiments.figures import compute_figures, service_by_second, worst_window_service
+from valverouter.experiments.plan import load_plan, with_settings
+from valverouter.experiments.report import collect_cells, report_page
+from valverouter.experiments.runner import RunStore, run_all, run_here
+from valverouter.experiments.variants import BASELINES, VARIANTS, parse_variant
 from valverouter.policy import routing, tuning
 from valverouter.signalling.tap import Passed, Row, Terms
 from valverouter.terms.ini import FlawedTermsError
@@ -50,13 +50,13 @@
 
 
 def test_a_plan_stands_for_every_combination_and_seed(small: Path) -> None:
-    runs = list(plan(small).runs())
+    runs = list(load_plan(small).runs())
     assert len(runs) == 12
     assert len({run.key for run in runs}) == 12
     assert [run.levels for run in runs[::3]] == [
         {"edges": edges, "decisions": decisions} for edges in "12" for decisions in ("module", "any-server")
     ]
-    played = runs[-1].played()
+    played = runs[-1].load_day()
     assert (played.fleet.edge_proxies, played.terms.seed) == (2, 3)
 
 
@@ -77,28 +77,28 @@
 def test_a_flawed_plan_is_refused_before_any_run(small: Path, old: str, new: str, said: str) -> None:
     small.write_text(PLAN.replace(old, new))
     with pytest.raises(FlawedTermsError, match=said.replace("[", r"\[")):
-        plan(small)
+        load_plan(small)
 
 
 def test_runs_are_kept_and_not_played_again(small: Path, tmp_path: Path) -> None:
-    made, told = plan(small), list[tuple[int, int]]()
+    made, told = load_plan(small), list[tuple[int, int]]()
     first = [run for run in made.runs() if run.seed == 1]
     assert run_all(first, tmp_path / "runs.db", 2) == 4
     assert run_all(made.runs(), tmp_path / "runs.db", 2, lambda *counts: told.append(counts)) == 8
     assert told[0] == (4, 12), "cut off, it goes on where it was"
     assert told[-1] == (12, 12), "cut off, it goes on where it was"
     assert run_all(made.runs(), tmp_path / "runs.db", 2) == 0
-    with closing(Store(tmp_path / "runs.db")) as store:
-        cells = gathered(made, store)
-        again = play(first[0])
-        kept = store.figures(first[0])
+    with closing(RunStore(tmp_path / "runs.db")) as store:
+        cells = collect_cells(made, store)
+        again = run_here(first[0])
+        kept = store.load(first[0])
     assert kept is not None
     assert {key: value for key, value in kept.items() if key != "cpu"} == {
         key: value for key, value in again.items() if key != "cpu"
     }, "the same run gives the same figures in any process"
     assert len(cells) == 4
     assert all(len(cell.by_seed) == 3 for cell in cells.values())
-    html = page(made, cells, "service")
+    html = report_page(made, cells, "service")
     assert "<svg" in html
     assert "any-server" in html
     assert "src=" not in html
@@ -111,21 +111,23 @@
     chance = random.Random(5)
     base = {seed: chance.gauss(0.8, 0.1) for seed in range(12)}  # the days differ far more than the variants
     better = {seed: value + chance.gauss(0.02, 0.01) for seed, value in base.items()}
-    found = paired(base, better)
-    assert found.shown
+    found = paired_difference(base, better)
+    assert found.is_significant
     assert found.mean == pytest.approx(0.02, abs=0.01)
-    assert found.pairs == 12
-    assert found.half < found.least < 0.02 < interval(list(base.values()))[1]
-    assert not paired(base, {seed: value + chance.gauss(0, 0.05) for seed, value in base.items()}).shown
+    assert found.pair_count == 12
+    assert found.half_width < found.min_detectable < 0.02 < confidence_interval(list(base.values()))[1]
+    assert not paired_difference(
+        base, {seed: value + chance.gauss(0, 0.05) for seed, value in base.items()}
+    ).is_significant
     with pytest.raises(ValueError, match="1 pairs"):
-        paired({1: 0.5}, {1: 0.6, 2: 0.7})
-    assert interval([0.5]) == (0.5, math.inf)
+        paired_difference({1: 0.5}, {1: 0.6, 2: 0.7})
+    assert confidence_interval([0.5]) == (0.5, math.inf)
 
 
 def test_intervals_cover_what_they_say() -> None:
     chance, covered = random.Random(9), 0
     for _ in range(400):
-        mean, half = interval([chance.gauss(0, 1) for _ in range(6)])
+        mean, half = confidence_interval([chance.gauss(0, 1) for _ in range(6)])
         covered += abs(mean) <= half
     assert 0.92 <= covered / 400 <= 0.98
 
@@ -133,9 +135,9 @@
 def test_variants_act_for_a_run_and_leave_the_module_as_it_was(small: Path) -> None:
     before = {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()}
     waits = vars(routing)["retry_delay"]
-    with VARIANTS["fixed-waits"].acts():
+    with VARIANTS["fixed-waits"].applied():
         assert vars(routing)["retry_delay"](3, 0.0, 0) == tuning.BACKOFF_BASE
-    with VARIANTS["without-window"].acts():
+    with VARIANTS["without-window"].applied():
         assert tuning.WINDOW_INITIAL > 1e6
     assert {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()} == before
     assert vars(routing)["retry_delay"] is waits
@@ -143,13 +145,13 @@
 
 @pytest.mark.parametrize("name", VARIANTS)
 def test_every_variant_plays_a_day_and_differs_where_it_should(small: Path, name: str) -> None:
-    made = plan(small)
-    run = made.run({"edges": "2", "decisions": "module"}, 1)
-    found = play(type(run)({"decisions": name}, run.seed, run.text))
+    made = load_plan(small)
+    run = made.run_of({"edges": "2", "decisions": "module"}, 1)
+    found = run_here(type(run)({"decisions": name}, run.seed, run.text))
     assert 0 < found["service"] <= 1
     assert found["legs"] > 0.3
     if name in BASELINES:
-        assert found != play(run) | {"cpu": found["cpu"]}
+        assert found != run_here(run) | {"cpu": found["cpu"]}
 
 
 def said(at: int, sent: bool, kind: str, dialog: str, word: str = "") -> Passed:
@@ -166,23 +168,23 @@
     rows.append(said(321, False, "stands", "d120.2"))
     terms = rows[0]
     assert isinstance(terms, Terms)
-    assert worst(rows, terms) == pytest.approx(0.5)
-    assert by_second(rows, terms)[10] == (10, 0)
-    assert by_second(rows, terms)[3] == (10, 10)
-    assert figures(rows)["tries"] == pytest.approx(301 / 300)
+    assert worst_window_service(rows, terms) == pytest.approx(0.5)
+    assert service_by_second(rows, terms)[10] == (10, 0)
+    assert service_by_second(rows, terms)[3] == (10, 10)
+    assert compute_figures(rows)["tries"] == pytest.approx(301 / 300)
 
 
 def test_a_changed_day_keeps_what_was_not_named() -> None:
-    text = changed("[day]\nlength = 3s\n[fleet]\nedge_proxies = 1\n", [("fleet", "edge_proxies", "4")])
+    text = with_settings("[day]\nlength = 3s\n[fleet]\nedge_proxies = 1\n", [("fleet", "edge_proxies", "4")])
     assert "edge_proxies = 4" in text
     assert "length = 3s" in text
-    assert "[list]\nnotice = 1s" in changed(text, [("list", "notice", "1s")])
+    assert "[list]\nnotice = 1s" in with_settings(text, [("list", "notice", "1s")])
 
 
 def test_a_level_may_set_figures_of_the_decisions() -> None:
-    made = variant("without-room NEWS_FADES_TURNS=2 WINDOW_LEAST=0.5")
+    made = parse_variant("without-room NEWS_FADES_TURNS=2 WINDOW_LEAST=0.5")
     assert (made.selector, made.table) == (VARIANTS["without-room"].selector, VARIANTS["without-room"].table)
-    with made.acts():
+    with made.applied():
         assert (tuning.LATENCY_SAMPLE_INTERVALS, tuning.WINDOW_MIN) == (2, 0.5)
     assert tuning.LATENCY_SAMPLE_INTERVALS == 4
 
@@ -198,4 +200,4 @@
 )
 def test_a_level_that_sets_what_is_not_there_is_refused(level: str, said: str) -> None:
     with pytest.raises(ValueError, match=said):
-        variant(level)
+        parse_variant(level)
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -10,18 +10,9 @@
 
 from valverouter.audit.rules import audit
 from valverouter.days.emulated import run_emulated
-from valverouter.experiments.search import (
-    Candidate,
-    Judge,
-    Search,
-    Struck,
-    candidate,
-    cut_down,
-    found_file,
-    load_search,
-    search,
-    smaller,
-)
+from valverouter.experiments.candidates import DayCandidate, FaultCandidate, decode_genes, simplifications
+from valverouter.experiments.search import DayJudge, day_file, minimize, search
+from valverouter.experiments.search_config import Search, load_search
 from valverouter.terms.day import KINDS, day
 from valverouter.terms.ini import FlawedTermsError, IniFile
 
@@ -33,16 +24,16 @@
 
 @given(st.lists(st.floats(0, 1), min_size=19, max_size=19))
 def test_every_vector_is_a_day_that_passes_all_checks(genes: list[float]) -> None:
-    made = candidate(EVERY, BASE, genes)
+    made = decode_genes(EVERY, BASE, genes)
     played = day(IniFile(made.text(TEXT, 100.0), "made"), "made")
-    assert len(played.troubles) == len(made.troubles) >= 1
+    assert len(played.troubles) == len(made.faults) >= 1
     for trouble in played.troubles.values():
         assert trouble.start + trouble.length <= played.terms.length
 
 
-def planted(one: Candidate) -> float:
+def planted(one: DayCandidate) -> float:
     """As if a slow server in a crowd were what hurts; a hang makes it a little worse."""
-    kinds = {trouble.kind: trouble for trouble in one.troubles}
+    kinds = {trouble.kind: trouble for trouble in one.faults}
     slow = kinds.get("slow")
     if slow is None:
         return 0.0
@@ -55,39 +46,39 @@
     assert score > 0.9 * 1.5 * 4 * 3
     assert judged <= 700
     assert search(terms, BASE, planted)[0] == found, "the same seed finds the same day"
-    least, kept = cut_down(found, planted, 0.5 * score, 300)
-    assert [trouble.kind for trouble in least.troubles] == ["slow"]
+    least, kept = minimize(found, planted, 0.5 * score, 300)
+    assert [trouble.kind for trouble in least.faults] == ["slow"]
     assert kept >= 0.5 * score
     assert least.length < found.length
-    assert least.troubles[0].start <= SECOND
-    assert all(planted(one) < 0.5 * score for one in smaller(least)), "nothing simpler shows it"
+    assert least.faults[0].start <= SECOND
+    assert all(planted(one) < 0.5 * score for one in simplifications(least)), "nothing simpler shows it"
 
 
 def test_cutting_down_keeps_to_its_budget() -> None:
     calls = []
 
-    def judge(one: Candidate) -> float:
+    def judge(one: DayCandidate) -> float:
         calls.append(one)
         return 1.0
 
-    many = Candidate(
-        1.4, 14 * SECOND, tuple(Struck("slow", 6 * SECOND, 5 * SECOND, 6.0, 0.3) for _ in range(3))
+    many = DayCandidate(
+        1.4, 14 * SECOND, tuple(FaultCandidate("slow", 6 * SECOND, 5 * SECOND, 6.0, 0.3) for _ in range(3))
     )
-    cut_down(many, judge, 0.5, 4)
+    minimize(many, judge, 0.5, 4)
     assert len(calls) == 4
 
 
 def test_what_is_found_is_a_file_that_runs(tmp_path: Path) -> None:
     small = TEXT.replace("edge_proxies = 16", "edge_proxies = 4").replace("edges = 16", "edges = 4")
-    one = Candidate(0.3, 4 * SECOND, (Struck("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
+    one = DayCandidate(0.3, 4 * SECOND, (FaultCandidate("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
     path = tmp_path / "found.ini"
-    path.write_text(found_file(one, small, 100.0, "Found: +0.100"))
+    path.write_text(day_file(one, small, 100.0, "Found: +0.100"))
     played = day(IniFile.load(path), "found")
     assert path.read_text().startswith("# Found")
     assert audit(run_emulated(played).rows).kept
-    judge = Judge(Search(day="-", against=("any-server",)), small, 100.0)
+    judge = DayJudge(Search(day="-", against=("any-server",)), small, 100.0)
     assert -1 <= judge(one) <= 1
-    rules = Judge(Search(day="-", seeks="rules"), small, 100.0)
+    rules = DayJudge(Search(day="-", seeks="rules"), small, 100.0)
     assert 0 <= rules(one) < 1, "no rule is broken"
 
 
--- a/valverouter/cli/experimenting.py
+++ b/valverouter/cli/experimenting.py
@@ -32,15 +32,15 @@
     """Play the runs of FILE that are not kept yet; cut off, it goes on where it was."""
     # Here and below: scipy and all that comes with it cost half a second, which no edge proxy should start
     # with.
-    from valverouter.experiments.plan import plan
+    from valverouter.experiments.plan import load_plan
     from valverouter.experiments.runner import run_all
 
-    made = plan(file)
+    plan = load_plan(file)
     bars = Progress(TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn(), console=console)
     with bars:
-        task = bars.add_task(made.name)
+        task = bars.add_task(plan.name)
         played = run_all(
-            made.runs(), store, jobs, lambda done, every: bars.update(task, completed=done, total=every)
+            plan.runs(), store, jobs, lambda done, every: bars.update(task, completed=done, total=every)
         )
     console.print(f"{played} runs played, the others were kept", highlight=False)
 
@@ -52,18 +52,18 @@
 @click.option("--html", type=FILE, help="A page with charts in this file too.")
 def experiment_report(file: Path, store: Path, figure: str, html: Path | None) -> None:
     """Means with their intervals, and paired differences from the baseline, of the kept runs of FILE."""
-    from valverouter.experiments.plan import plan
-    from valverouter.experiments.report import gathered, page
-    from valverouter.experiments.runner import Store
+    from valverouter.experiments.plan import load_plan
+    from valverouter.experiments.report import collect_cells, report_page
+    from valverouter.experiments.runner import RunStore
 
-    made = plan(file)
-    with closing(Store(store)) as kept:
-        cells = gathered(made, kept)
+    plan = load_plan(file)
+    with closing(RunStore(store)) as kept:
+        cells = collect_cells(plan, kept)
     if not cells:
         raise ValueError(f"{store}: no run of {file} is kept there; experiment run comes first")
-    tables.print_cells(console, cells, made.baseline, figure)
+    tables.print_cells(console, cells, plan.baseline, figure)
     if html is not None:
-        html.write_text(page(made, cells, figure))
+        html.write_text(report_page(plan, cells, figure))
 
 
 @experiment.command("day")
@@ -78,9 +78,9 @@
     from valverouter.experiments.daypage import day_page
 
     script = load_day(file)
-    emulated = run_emulated(script, sample_interval=10**9)
-    html.write_text(day_page(script.name, emulated), "utf-8")
-    show_verdict(emulated.rows)
+    result = run_emulated(script, sample_interval=10**9)
+    html.write_text(day_page(script.name, result), "utf-8")
+    show_verdict(result.rows)
 
 
 @experiment.command("search")
@@ -89,17 +89,20 @@
 @click.option("--jobs", default=4, show_default=True, help="Processes at once.")
 def experiment_search(file: Path, out: Path, jobs: int) -> None:
     """Seek the day on which the module loses most, or comes nearest to a broken rule, and cut it down."""
-    from valverouter.experiments.search import Judge, cut_down, found_file, load_search
-    from valverouter.experiments.search import search as seek
-
-    terms_, base, text = load_search(file)
-    judge = Judge(terms_, text, base.callers.rate)
-    found, score, judged = seek(terms_, base, judge, jobs)
+    from valverouter.experiments.search import DayJudge, day_file, minimize
+    from valverouter.experiments.search import search as find_worst_day
+    from valverouter.experiments.search_config import load_search
+
+    config, base, text = load_search(file)
+    base_rate = base.callers.rate
+    judge = DayJudge(config, text, base_rate)
+    worst, score, judged = find_worst_day(config, base, judge, jobs)
     console.print(f"{judged} days judged; the worst scores {score:+.3f}", highlight=False)
-    least, kept = cut_down(found, judge, 0.8 * score, terms_.budget // 4)
-    said = (
-        f"Found by a search for {terms_.seeks}: {kept:+.3f}, seed {terms_.seed}; cut down from {score:+.3f}."
+    simplest, simplest_score = minimize(worst, judge, 0.8 * score, config.budget // 4)
+    summary = (
+        f"Found by a search for {config.seeks}: {simplest_score:+.3f}, seed {config.seed}; "
+        f"cut down from {score:+.3f}."
     )
-    out.write_text(found_file(least, text, base.callers.rate, said), "utf-8")
-    kinds = ", ".join(trouble.kind for trouble in least.troubles)
-    console.print(f"cut down to {kinds}: {kept:+.3f}; {out}", highlight=False, soft_wrap=True)
+    out.write_text(day_file(simplest, text, base_rate, summary), "utf-8")
+    kinds = ", ".join(fault.kind for fault in simplest.faults)
+    console.print(f"cut down to {kinds}: {simplest_score:+.3f}; {out}", highlight=False, soft_wrap=True)
--- a/valverouter/cli/loads.py
+++ b/valverouter/cli/loads.py
@@ -7,7 +7,7 @@
 
 from rich.console import Console
 
-from valverouter.experiments.compare import paired
+from valverouter.experiments.compare import paired_difference
 from valverouter.load.drive import drive
 from valverouter.load.measure import LoadSample
 from valverouter.load.rate_search import highest_rate
@@ -84,10 +84,10 @@
                         p99[side][at] = sample.latency_percentile(99)
                         console.print(f"{files[side].stem}: {said(sample)}", highlight=False, soft_wrap=True)
                 if rounds > 1:
-                    found = paired(*p99)
-                    sure = "" if found.shown else ", not shown"
+                    found = paired_difference(*p99)
+                    sure = "" if found.is_significant else ", not shown"
                     console.print(
                         f"p99 at {rate:.0f}/s, {files[1].stem} less {files[0].stem}: "
-                        f"{found.mean:+.2f} ± {found.half:.2f} ms{sure}",
+                        f"{found.mean:+.2f} ± {found.half_width:.2f} ms{sure}",
                         highlight=False,
                     )
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -122,25 +122,23 @@
     console: Console, cells: dict[tuple[str, ...], Cell], baseline: dict[str, str], figure: str
 ) -> None:
     """One line for each combination of levels: mean, interval, paired difference from the baseline."""
-    from valverouter.experiments.compare import interval, paired
-    from valverouter.experiments.report import baseline_of
+    from valverouter.experiments.report import difference_from_baseline
 
     table = Table(title=f"{figure}: mean and 95% interval; difference from the baseline by pairs of a seed")
     for head in (*next(iter(cells.values())).levels, "runs", figure, "difference", "least that would show"):
         table.add_column(head)
     for cell in cells.values():
-        mean, half = interval([found[figure] for found in cell.by_seed.values()])
-        row = [*cell.levels.values(), str(len(cell.by_seed)), f"{mean:.3f} ± {half:.3f}"]
-        base = baseline_of(cells, cell, baseline)
-        if base is None or base is cell or min(len(base.by_seed), len(cell.by_seed)) < 2:
+        mean, half_width = cell.interval(figure)
+        row = [*cell.levels.values(), str(len(cell.by_seed)), f"{mean:.3f} ± {half_width:.3f}"]
+        difference = difference_from_baseline(cells, cell, baseline, figure)
+        if difference is None:
             row += ["", ""]
         else:
-            found = paired(
-                {seed: one[figure] for seed, one in base.by_seed.items()},
-                {seed: one[figure] for seed, one in cell.by_seed.items()},
-            )
-            sure = "" if found.shown else " (not shown)"
-            row += [f"{found.mean:+.3f} ± {found.half:.3f}{sure}", f"{found.least:.3f}"]
+            significance = "" if difference.is_significant else " (not shown)"
+            row += [
+                f"{difference.mean:+.3f} ± {difference.half_width:.3f}{significance}",
+                f"{difference.min_detectable:.3f}",
+            ]
         table.add_row(*row)
     console.print(table)
 
--- a/valverouter/experiments/compare.py
+++ b/valverouter/experiments/compare.py
@@ -1,4 +1,4 @@
-"""What differs between levels, and how surely: pairs of one seed, Student's t, what could be told."""
+"""Differences between levels: pairs of one seed, Student's t intervals, the least detectable difference."""
 
 from __future__ import annotations
 
@@ -9,40 +9,49 @@
 
 from scipy.special import stdtrit
 
-SURE, POWER = 0.95, 0.8
+CONFIDENCE, POWER = 0.95, 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A mean difference over pairs with the half width of its interval (95%); `least`: the smallest that so
-    many pairs would show in 4 of 5 such experiments."""
+    """A mean difference over pairs with the half width of its 95% interval.
+
+    `min_detectable`: the smallest difference that so many pairs would show in 4 of 5 such experiments.
+    """
 
     mean: float
-    half: float
-    least: float
-    pairs: int
+    half_width: float
+    min_detectable: float
+    pair_count: int
 
     @property
-    def shown(self) -> bool:
-        return abs(self.mean) > self.half
+    def is_significant(self) -> bool:
+        """Whether the interval excludes no difference."""
+        return abs(self.mean) > self.half_width
 
 
-def paired(before: Mapping[int, float], after: Mapping[int, float]) -> Difference:
-    """By seed; ValueError under two pairs."""
+def paired_difference(before: Mapping[int, float], after: Mapping[int, float]) -> Difference:
+    """The difference `after` less `before`, paired by seed; ValueError under two pairs."""
     seeds = sorted(set(before) & set(after))
-    gaps = [after[seed] - before[seed] for seed in seeds]
-    if len(gaps) < 2:
-        raise ValueError(f"{len(gaps)} pairs: two or more are needed")
-    error = statistics.stdev(gaps) / math.sqrt(len(gaps))
-    degrees = len(gaps) - 1
-    sure = float(stdtrit(degrees, (1 + SURE) / 2))
-    power = float(stdtrit(degrees, POWER))
-    return Difference(statistics.mean(gaps), sure * error, (sure + power) * error, len(gaps))
-
-
-def interval(values: Sequence[float]) -> tuple[float, float]:
-    """Mean and the half width of its interval (95%)."""
+    differences = [after[seed] - before[seed] for seed in seeds]
+    if len(differences) < 2:
+        raise ValueError(f"{len(differences)} pairs: two or more are needed")
+    standard_error = statistics.stdev(differences) / math.sqrt(len(differences))
+    degrees = len(differences) - 1
+    confidence_quantile = float(stdtrit(degrees, (1 + CONFIDENCE) / 2))
+    power_quantile = float(stdtrit(degrees, POWER))
+    return Difference(
+        statistics.mean(differences),
+        confidence_quantile * standard_error,
+        (confidence_quantile + power_quantile) * standard_error,
+        len(differences),
+    )
+
+
+def confidence_interval(values: Sequence[float]) -> tuple[float, float]:
+    """The mean and the half width of its 95% interval, infinite for a single value."""
     if len(values) < 2:
         return values[0], math.inf
-    error = statistics.stdev(values) / math.sqrt(len(values))
-    return statistics.mean(values), float(stdtrit(len(values) - 1, (1 + SURE) / 2)) * error
+    standard_error = statistics.stdev(values) / math.sqrt(len(values))
+    quantile = float(stdtrit(len(values) - 1, (1 + CONFIDENCE) / 2))
+    return statistics.mean(values), quantile * standard_error
--- a/valverouter/experiments/daypage.py
+++ b/valverouter/experiments/daypage.py
@@ -9,7 +9,7 @@
 from jinja2 import Environment
 
 from valverouter.emulator.simulate import DayResult
-from valverouter.experiments.figures import by_second
+from valverouter.experiments.figures import service_by_second
 from valverouter.signalling.tap import Fault, Passed, Row, Terms
 
 SECOND = 1_000_000_000
@@ -56,7 +56,9 @@
     terms = next(row for row in rows if isinstance(row, Terms))
     starts_at = next((row.at for row in rows if isinstance(row, Passed)), 0)
     service = {
-        second: served / offered for second, (offered, served) in by_second(rows, terms).items() if offered
+        second: served / offered
+        for second, (offered, served) in service_by_second(rows, terms).items()
+        if offered
     }
     attempts = _count_attempts(result, starts_at)
     seconds = max([*service, *(second for _, second in attempts.sent)], default=0) + 1
--- a/valverouter/experiments/figures.py
+++ b/valverouter/experiments/figures.py
@@ -9,10 +9,10 @@
 from valverouter.signalling.tap import Passed, Placed, Row, Terms
 
 SECOND = 1_000_000_000
-WORST_SPAN = 10 * SECOND
+WORST_WINDOW = 10 * SECOND
 
 
-def figures(rows: Sequence[Row]) -> dict[str, float]:
+def compute_figures(rows: Sequence[Row]) -> dict[str, float]:
     """Service in all, by class and in the worst 10 s; shares of dialogs declined and late; legs a dialog;
     crossings a leg; the most of a cold budget that was used; how many rules broke."""
     terms = next(row for row in rows if isinstance(row, Terms))
@@ -21,20 +21,20 @@
     legs = sum(one.legs for one in accounts.values())
     found = {
         "service": service(accounts, terms.importance),
-        "worst-10s": worst(rows, terms),
+        "worst-10s": worst_window_service(rows, terms),
         "declined": sum(one.answers["declined"] for one in accounts.values()) / offered,
         "late": sum(one.late for one in accounts.values()) / offered,
         "cut": sum(one.answers["cut"] for one in accounts.values()) / offered,
         "tries": sum(one.tries for one in accounts.values()) / offered,
         "legs": legs / offered,
-        "crossings": _crossings(rows) / max(1, legs),
+        "crossings": _cross_region_attempts(rows) / max(1, legs),
         "cold-margin": verdict.cold_margin_used,
         "rules-broken": float(len(verdict.broken())),
     }
     return found | {f"service {kind}": one.service for kind, one in accounts.items()}
 
 
-def by_second(rows: Sequence[Row], terms: Terms) -> dict[int, tuple[float, float]]:
+def service_by_second(rows: Sequence[Row], terms: Terms) -> dict[int, tuple[float, float]]:
     """For each second since the first dialog: importance offered by first tries, and served in objective."""
     began: dict[str, tuple[int, str]] = {}
     sums: dict[int, list[float]] = {}
@@ -54,9 +54,9 @@
     return {second: (offered, served) for second, (offered, served) in sorted(sums.items())}
 
 
-def worst(rows: Sequence[Row], terms: Terms) -> float:
+def worst_window_service(rows: Sequence[Row], terms: Terms) -> float:
     """Service of the dialogs first dialled in the worst 10 s."""
-    seconds, span = by_second(rows, terms), WORST_SPAN // SECOND
+    seconds, span = service_by_second(rows, terms), WORST_WINDOW // SECOND
     shares = []
     for at in seconds:
         window = [seconds[second] for second in range(at, at + span) if second in seconds]
@@ -65,7 +65,7 @@
     return min(shares, default=1.0)
 
 
-def _crossings(rows: Sequence[Row]) -> int:
+def _cross_region_attempts(rows: Sequence[Row]) -> int:
     region = {row.name: row.region for row in rows if isinstance(row, Placed)}
     return sum(
         region.get(row.edge) != region[row.peer]
--- a/valverouter/experiments/plan.py
+++ b/valverouter/experiments/plan.py
@@ -14,12 +14,12 @@
 from msgspec import Meta, Struct
 
 import valverouter
-from valverouter.experiments.variants import variant
+from valverouter.experiments.variants import parse_variant
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import FlawedTermsError, IniFile, Named, Words
 
 DECISIONS = "decisions"
-# What a run's figures hang on beside its day: kept runs of another version are not taken for this one's.
+# What a run's figures depend on beside its day: stored runs of another version are not taken for this one's.
 SOURCES = (
     "policy",
     "randomness.py",
@@ -51,7 +51,7 @@
 
 
 class Run(Struct, frozen=True):
-    """One run: its levels by factor, seed, the day's text, and the name under which it is kept."""
+    """One run: its levels by factor, its seed, the day's text, and the folder that the day's files are in."""
 
     levels: dict[str, str]
     seed: int
@@ -60,28 +60,31 @@
 
     @property
     def variant(self) -> str:
+        """The level of the `decisions` factor, or the program's own decisions."""
         return self.levels.get(DECISIONS, "module")
 
     @property
     def key(self) -> str:
-        said = "\0".join([version(), self.variant, str(self.seed), self.text, *self._record()])
-        return hashlib.sha256(said.encode()).hexdigest()[:24]
+        """The key under which the run is stored: another version, variant, seed or day is another run."""
+        parts = [source_version(), self.variant, str(self.seed), self.text, *self._record_digest()]
+        return hashlib.sha256("\0".join(parts).encode()).hexdigest()[:24]
 
     def _ini(self) -> IniFile:
         return IniFile(self.text, "run", Path(self.folder))
 
-    def _record(self) -> list[str]:
+    def _record_digest(self) -> list[str]:
         """A digest of the calls on record that the day plays again: another record is another run."""
         ini = self._ini()
-        named = ini.sections.get("callers", {}).get("record", "")
-        return [_digest(ini.folder / named)] if named else []
+        file_name = ini.sections.get("callers", {}).get("record", "")
+        return [_digest(ini.folder / file_name)] if file_name else []
 
-    def played(self) -> Day:
+    def load_day(self) -> Day:
+        """The day to simulate; raises FlawedTermsError."""
         return day(self._ini(), "run")
 
 
 class Plan(Struct, frozen=True):
-    """A checked experiment."""
+    """A checked experiment: its factors, the text of its day, and the baseline's levels by factor."""
 
     name: str
     seeds: tuple[int, ...]
@@ -91,66 +94,83 @@
     folder: str
 
     def runs(self) -> Iterator[Run]:
+        """Each combination of levels with each seed, the seeds of one combination together."""
         names = list(self.factors)
-        for levels in itertools.product(*(self.factors[name].levels for name in names)):
-            chosen = dict(zip(names, levels, strict=True))
+        for combination in itertools.product(*(self.factors[name].levels for name in names)):
+            levels = dict(zip(names, combination, strict=True))
             for seed in self.seeds:
-                yield self.run(chosen, seed)
+                yield self.run_of(levels, seed)
 
-    def run(self, chosen: dict[str, str], seed: int) -> Run:
-        changes = [("day", "seed", str(seed))]
-        named = {}
+    def run_of(self, chosen: dict[str, str], seed: int) -> Run:
+        """The run of a level for each factor, and a seed."""
+        settings = [("day", "seed", str(seed))]
+        levels = {}
         for name, level in chosen.items():
             if self.factors[name].set == (DECISIONS,):
-                named[DECISIONS] = level
+                levels[DECISIONS] = level
                 continue
-            named[name] = level
-            for place in self.factors[name].set:
-                section, _, key = place.rpartition(".")
-                changes.append((section, key, level))
-        return Run(named, seed, changed(self.text, changes), self.folder)
+            levels[name] = level
+            for path in self.factors[name].set:
+                section, _, key = path.rpartition(".")
+                settings.append((section, key, level))
+        return Run(levels, seed, with_settings(self.text, settings), self.folder)
 
 
-def plan(path: Path) -> Plan:
+def load_plan(path: Path) -> Plan:
     """The experiment in a file; raises FlawedTermsError with every flaw, those of its days included."""
     ini = IniFile.load(path)
     ini.only(("experiment",), ("factor",))
     head = ini.read("experiment", Experiment)
-    factors = {name: ini.read(f"factor {name}", Factor) for name in ini.named("factor")}
-    text = day_beside(ini, path, "experiment", head.day) if head is not None else ""
+    sections = {name: ini.read(f"factor {name}", Factor) for name in ini.named("factor")}
+    factors = {name: factor for name, factor in sections.items() if factor is not None}
+    text = read_day_text(ini, path, "experiment", head.day) if head is not None else ""
     for name, factor in factors.items():
-        if factor is None:
-            continue
-        if factor.set == (DECISIONS,):
-            for level in factor.levels:
-                try:
-                    variant(level)
-                except ValueError as error:
-                    ini.flaw(f"factor {name}", "levels", str(error))
-        elif not factor.set or any("." not in place for place in factor.set):
-            ini.flaw(f"factor {name}", "set", "SECTION.KEY of the day, or decisions alone")
+        _check_factor(ini, name, factor)
     ini.done()
     assert head is not None
-    known = {name: factor for name, factor in factors.items() if factor is not None}
+    baseline = _read_baseline(ini, head, factors)
+    folder = str((path.parent / head.day).parent)
+    plan = Plan(path.stem, head.seeds, factors, text, baseline, folder)
+    if not ini.flaws:
+        _check_days(ini, plan)
+    ini.done()
+    return plan
+
+
+def _check_factor(ini: IniFile, name: str, factor: Factor) -> None:
+    section = f"factor {name}"
+    if factor.set == (DECISIONS,):
+        for level in factor.levels:
+            try:
+                parse_variant(level)
+            except ValueError as error:
+                ini.flaw(section, "levels", str(error))
+    elif not factor.set or any("." not in path for path in factor.set):
+        ini.flaw(section, "set", "SECTION.KEY of the day, or decisions alone")
+
+
+def _read_baseline(ini: IniFile, head: Experiment, factors: dict[str, Factor]) -> dict[str, str]:
+    """The baseline's levels by factor; a flaw for each that this file does not have."""
     baseline = {}
     for part in head.baseline.split(",") if head.baseline else ():
         name, _, level = (word.strip() for word in part.partition("="))
-        if name not in known or level not in known[name].levels:
+        if name not in factors or level not in factors[name].levels:
             ini.flaw("experiment", "baseline", f"{part.strip()!r}: FACTOR = LEVEL of this file")
         baseline[name] = level
-    made = Plan(path.stem, head.seeds, known, text, baseline, str((path.parent / head.day).parent))
-    if not ini.flaws:
-        for run in made.runs():
-            if run.seed == head.seeds[0]:
-                try:
-                    run.played()
-                except FlawedTermsError as error:
-                    ini.flaws += error.flaws
-    ini.done()
-    return made
+    return baseline
+
+
+def _check_days(ini: IniFile, plan: Plan) -> None:
+    """Reads the day of each combination of levels, and adds its flaws."""
+    for run in plan.runs():
+        if run.seed == plan.seeds[0]:
+            try:
+                run.load_day()
+            except FlawedTermsError as error:
+                ini.flaws += error.flaws
 
 
-def day_beside(ini: IniFile, path: Path, section: str, name: str) -> str:
+def read_day_text(ini: IniFile, path: Path, section: str, name: str) -> str:
     """The text of the day that a file names, beside it; empty, and noted as a flaw, where it can't be had."""
     try:
         return (path.parent / name).read_text("utf-8")
@@ -159,18 +179,18 @@
         return ""
 
 
-def changed(text: str, changes: list[tuple[str, str, str]]) -> str:
+def with_settings(text: str, settings: list[tuple[str, str, str]]) -> str:
     """A day's text with some keys set; sections that are not there are made."""
     parser = configparser.ConfigParser(interpolation=None, default_section="\0")
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     parser.read_string(text)
-    for section, key, value in changes:
+    for section, key, value in settings:
         if not parser.has_section(section):
             parser.add_section(section)
         parser.set(section, key, value)
-    out = io.StringIO()
-    parser.write(out)
-    return out.getvalue()
+    output = io.StringIO()
+    parser.write(output)
+    return output.getvalue()
 
 
 @cache
@@ -179,12 +199,12 @@
 
 
 @cache
-def version() -> str:
-    """A digest of the sources that a run's figures hang on."""
+def source_version() -> str:
+    """A digest of the sources that a run's figures depend on."""
     root = Path(valverouter.__file__).parent
     digest = hashlib.sha256()
     for name in SOURCES:
-        place = root / name
-        for file in sorted(place.rglob("*.py")) if place.is_dir() else [place]:
+        path = root / name
+        for file in sorted(path.rglob("*.py")) if path.is_dir() else [path]:
             digest.update(file.read_bytes())
     return digest.hexdigest()[:12]
--- a/valverouter/experiments/report.py
+++ b/valverouter/experiments/report.py
@@ -1,4 +1,4 @@
-"""The kept runs of an experiment, gathered by levels, and a page of them that needs no tool to be read."""
+"""The stored runs of an experiment by levels, and a page of them that needs no tool to be read."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from jinja2 import Environment
 
-from valverouter.experiments.compare import interval, paired
-from valverouter.experiments.plan import Plan, version
-from valverouter.experiments.runner import Store
+from valverouter.experiments.compare import Difference, confidence_interval, paired_difference
+from valverouter.experiments.plan import Plan, source_version
+from valverouter.experiments.runner import RunStore
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
 <style>body{font:15px sans-serif;max-width:70em;margin:2em auto}td,th{padding:.2em .7em;text-align:right}
@@ -29,10 +29,13 @@
 <td{% if not cell.shown %} class="no"{% endif %}>{{ cell.said }}</td>{% endfor %}</tr>
 {% endfor %}</table></html>
 """
-CHARTED = ("service", "worst-10s", "declined", "legs", "wasted")
+CHARTED_FIGURES = ("service", "worst-10s", "declined", "legs", "wasted")
 WIDE = 300
 
 
+Levels = tuple[str, ...]
+
+
 @dataclass(slots=True)
 class Cell:
     """One combination of levels, and the figures of its runs by seed."""
@@ -40,70 +43,85 @@
     levels: dict[str, str]
     by_seed: dict[int, dict[str, float]] = field(default_factory=dict)
 
+    def values(self, figure: str) -> dict[int, float]:
+        """One figure by seed."""
+        return {seed: figures[figure] for seed, figures in self.by_seed.items()}
+
+    def interval(self, figure: str) -> tuple[float, float]:
+        """The mean of a figure and the half width of its interval."""
+        return confidence_interval(list(self.values(figure).values()))
+
 
-def gathered(plan: Plan, store: Store) -> dict[tuple[str, ...], Cell]:
-    """The kept runs by levels, in the plan's order; combinations without any are left out."""
-    cells: dict[tuple[str, ...], Cell] = {}
+def collect_cells(plan: Plan, store: RunStore) -> dict[Levels, Cell]:
+    """The stored runs by levels, in the plan's order; combinations without any are left out."""
+    cells: dict[Levels, Cell] = {}
     for run in plan.runs():
-        if (found := store.figures(run)) is not None:
+        if (figures := store.load(run)) is not None:
             cell = cells.setdefault(tuple(run.levels.values()), Cell(run.levels))
-            cell.by_seed[run.seed] = found
+            cell.by_seed[run.seed] = figures
     return cells
 
 
-def baseline_of(cells: dict[tuple[str, ...], Cell], cell: Cell, baseline: dict[str, str]) -> Cell | None:
-    """The cell that differs from this one in the baseline's factors alone."""
+def difference_from_baseline(
+    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
+) -> Difference | None:
+    """The paired difference from the cell that has the baseline's levels in its factors, and others alike.
+
+    None where there is no such cell, where it is this one, or where either has fewer than two runs.
+    """
     if not baseline:
         return None
-    return cells.get(tuple((cell.levels | baseline).values()))
+    base = cells.get(tuple((cell.levels | baseline).values()))
+    if base is None or base is cell or min(len(base.by_seed), len(cell.by_seed)) < 2:
+        return None
+    return paired_difference(base.values(figure), cell.values(figure))
 
 
-def page(plan: Plan, cells: dict[tuple[str, ...], Cell], figure: str) -> str:
+def report_page(plan: Plan, cells: dict[Levels, Cell], figure: str) -> str:
     """HTML with bars drawn in it, the figure asked for first."""
     heads = list(next(iter(next(iter(cells.values())).by_seed.values())))
-    charts = []
-    for name in dict.fromkeys((figure, *CHARTED)):
-        means = {
-            key: interval([found[name] for found in cell.by_seed.values()]) for key, cell in cells.items()
-        }
-        most = max(mean for mean, _ in means.values()) or 1.0
-        bars = []
-        for key, (mean, half) in means.items():
-            half = min(half, mean)
-            bars.append(
-                {
-                    "name": ", ".join(key),
-                    "width": WIDE * mean / most,
-                    "low": WIDE * (mean - half) / most,
-                    "high": WIDE * (mean + half) / most,
-                    "said": f"{mean:.3f} ± {half:.3f}",
-                }
-            )
-        charts.append({"figure": name, "bars": bars})
+    charts = [_chart(cells, name) for name in dict.fromkeys((figure, *CHARTED_FIGURES))]
     table = [
-        {"name": ", ".join(key), "cells": [_said(cells, cell, plan.baseline, head) for head in heads]}
-        for key, cell in cells.items()
+        {
+            "name": ", ".join(levels),
+            "cells": [_table_cell(cells, cell, plan.baseline, head) for head in heads],
+        }
+        for levels, cell in cells.items()
     ]
-    runs = sum(len(cell.by_seed) for cell in cells.values())
-    seeds = ", ".join(map(str, plan.seeds))
-    return (
-        Environment(autoescape=True)
-        .from_string(PAGE)
-        .render(
-            name=plan.name, runs=runs, version=version(), seeds=seeds, charts=charts, heads=heads, table=table
-        )
+    page = Environment(autoescape=True).from_string(PAGE)
+    return page.render(
+        name=plan.name,
+        runs=sum(len(cell.by_seed) for cell in cells.values()),
+        version=source_version(),
+        seeds=", ".join(map(str, plan.seeds)),
+        charts=charts,
+        heads=heads,
+        table=table,
     )
 
 
-def _said(
-    cells: dict[tuple[str, ...], Cell], cell: Cell, baseline: dict[str, str], head: str
+def _chart(cells: dict[Levels, Cell], figure: str) -> dict[str, object]:
+    intervals = {levels: cell.interval(figure) for levels, cell in cells.items()}
+    scale = max(mean for mean, _ in intervals.values()) or 1.0
+    bars = [_bar(levels, mean, min(half, mean), scale) for levels, (mean, half) in intervals.items()]
+    return {"figure": figure, "bars": bars}
+
+
+def _bar(levels: Levels, mean: float, half_width: float, scale: float) -> dict[str, object]:
+    return {
+        "name": ", ".join(levels),
+        "width": WIDE * mean / scale,
+        "low": WIDE * (mean - half_width) / scale,
+        "high": WIDE * (mean + half_width) / scale,
+        "said": f"{mean:.3f} ± {half_width:.3f}",
+    }
+
+
+def _table_cell(
+    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
 ) -> dict[str, object]:
-    mean, _ = interval([found[head] for found in cell.by_seed.values()])
-    base = baseline_of(cells, cell, baseline)
-    if base is None or base is cell or min(len(base.by_seed), len(cell.by_seed)) < 2:
+    mean, _ = cell.interval(figure)
+    difference = difference_from_baseline(cells, cell, baseline, figure)
+    if difference is None:
         return {"said": f"{mean:.3f}", "shown": True}
-    found = paired(
-        {seed: one[head] for seed, one in base.by_seed.items()},
-        {seed: one[head] for seed, one in cell.by_seed.items()},
-    )
-    return {"said": f"{mean:.3f} ({found.mean:+.3f})", "shown": found.shown}
+    return {"said": f"{mean:.3f} ({difference.mean:+.3f})", "shown": difference.is_significant}
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -1,6 +1,6 @@
-"""Plays the runs of an experiment in parallel processes and keeps each as a row in SQLite.
+"""Runs an experiment in parallel processes and stores each run as a row in SQLite.
 
-A run that is kept is not played again: an experiment cut off goes on where it was.
+A run that is stored is not run again: an experiment that was interrupted continues where it was.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 import msgspec
 
 from valverouter.days.emulated import run_emulated
-from valverouter.experiments.figures import figures
-from valverouter.experiments.plan import Run, version
-from valverouter.experiments.variants import variant
+from valverouter.experiments.figures import compute_figures
+from valverouter.experiments.plan import Run, source_version
+from valverouter.experiments.variants import parse_variant
 
 TABLE = """create table if not exists runs
 (key text primary key, version text, variant text, seed integer, levels text, day text, figures text)"""
 
 
-class Store:
-    """The kept runs, one row each; rows leave with the file alone."""
+class RunStore:
+    """The stored runs, one row each; rows leave with the file alone."""
 
     def __init__(self, path: Path) -> None:
         self._db = sqlite3.connect(path)
@@ -32,59 +32,65 @@
             self._db.execute(TABLE)
 
     def close(self) -> None:
+        """Closes the file."""
         self._db.close()
 
-    def keep(self, run: Run, found: dict[str, float]) -> None:
+    def save(self, run: Run, figures: dict[str, float]) -> None:
+        """Stores a run's figures, in place of former ones."""
         with self._db:
             self._db.execute(
                 "insert or replace into runs values (?, ?, ?, ?, ?, ?, ?)",
                 (
                     run.key,
-                    version(),
+                    source_version(),
                     run.variant,
                     run.seed,
                     msgspec.json.encode(run.levels).decode(),
                     run.text,
-                    msgspec.json.encode(found).decode(),
+                    msgspec.json.encode(figures).decode(),
                 ),
             )
 
-    def figures(self, run: Run) -> dict[str, float] | None:
+    def load(self, run: Run) -> dict[str, float] | None:
+        """The figures of a run; None: it is not stored."""
         row = self._db.execute("select figures from runs where key = ?", (run.key,)).fetchone()
         return None if row is None else msgspec.json.decode(row[0], type=dict[str, float])
 
 
-def play(run: Run) -> dict[str, float]:
-    """One run, here; `cpu` is its seconds on this core."""
-    decisions = variant(run.variant)
-    began = time.process_time()
-    with decisions.acts():
-        emulated = run_emulated(run.played(), decisions.build)
-    took = time.process_time() - began
-    models = [server.model for server in emulated.servers.values()]
+def run_here(run: Run) -> dict[str, float]:
+    """Runs in this process; `cpu` is the seconds that it took."""
+    variant = parse_variant(run.variant)
+    started_at = time.process_time()
+    with variant.applied():
+        result = run_emulated(run.load_day(), variant.build)
+    cpu = time.process_time() - started_at
+    models = [server.model for server in result.servers.values()]
     work = sum(model.counts.work for model in models)
     wasted = sum(model.counts.wasted for model in models) / max(1, work)
-    return figures(emulated.rows) | {"wasted": wasted, "cpu": took}
+    return compute_figures(result.rows) | {"wasted": wasted, "cpu": cpu}
 
 
-def _one(run: Run) -> tuple[Run, dict[str, float]]:
-    return run, play(run)
+def _run_in_pool(run: Run) -> tuple[Run, dict[str, float]]:
+    return run, run_here(run)
 
 
 def run_all(
-    runs: Iterable[Run], path: Path, jobs: int, told: Callable[[int, int], None] = lambda done, all_: None
+    runs: Iterable[Run],
+    path: Path,
+    jobs: int,
+    on_progress: Callable[[int, int], None] = lambda finished, total: None,
 ) -> int:
-    """Plays what is not kept yet; gives how many were played. `told` hears how many of all are done."""
-    with closing(Store(path)) as store:
-        every = list(runs)
-        missing = [run for run in every if store.figures(run) is None]
-        done = len(every) - len(missing)
-        told(done, len(every))
+    """Runs what is not stored yet; how many were run. `on_progress` receives how many of all are finished."""
+    with closing(RunStore(path)) as store:
+        all_runs = list(runs)
+        missing = [run for run in all_runs if store.load(run) is None]
+        finished = len(all_runs) - len(missing)
+        on_progress(finished, len(all_runs))
         if not missing:
             return 0
         with multiprocessing.get_context("spawn").Pool(min(jobs, len(missing))) as pool:
-            for run, found in pool.imap_unordered(_one, missing):
-                store.keep(run, found)
-                done += 1
-                told(done, len(every))
+            for run, figures in pool.imap_unordered(_run_in_pool, missing):
+                store.save(run, figures)
+                finished += 1
+                on_progress(finished, len(all_runs))
         return len(missing)
--- a/valverouter/experiments/variants.py
+++ b/valverouter/experiments/variants.py
@@ -51,7 +51,7 @@
         return servers[int(self._random.draw() * len(servers))] if servers else None
 
 
-class FirstOnly(_Baseline):
+class PreferredOnly(_Baseline):
     """The preferred server, at every attempt."""
 
     def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
@@ -60,7 +60,7 @@
         return next((server for server in self._open(kind) if server.endpoint.number == number), None)
 
 
-class LeastWait(_Baseline):
+class ShortestQueue(_Baseline):
     """The shortest queue delay known; of equal ones the preferred server, else drawn."""
 
     def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
@@ -73,7 +73,7 @@
         return min(self._open(kind), key=order, default=None)
 
 
-class TwoDrawn(_Baseline):
+class TwoChoices(_Baseline):
     """The preferred server, and after it the shorter queue of two drawn; nothing else is looked at."""
 
     def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
@@ -147,7 +147,7 @@
     retry_delay: Callable[..., int] = retry_delay
 
     @contextmanager
-    def acts(self) -> Iterator[None]:
+    def applied(self) -> Iterator[None]:
         """Sets the tuned values for the length of a run."""
         with ExitStack() as stack:
             stack.enter_context(patch.object(routing, "retry_delay", self.retry_delay))
@@ -177,9 +177,9 @@
     for variant in (
         Variant("module"),
         Variant("any-server", AnyServer),
-        Variant("first-only", FirstOnly),
-        Variant("least-wait", LeastWait),
-        Variant("two-drawn", TwoDrawn),
+        Variant("first-only", PreferredOnly),
+        Variant("least-wait", ShortestQueue),
+        Variant("two-drawn", TwoChoices),
         Variant("without-budget", table=_TableWithoutBudget),
         Variant("fixed-waits", retry_delay=_fixed_delay),
         Variant("without-cold-turns", table=_TableWithoutSlowStart),
@@ -238,7 +238,7 @@
 }
 
 
-def variant(level: str) -> Variant:
+def parse_variant(level: str) -> Variant:
     """A variant by its name, and after it other tuned values: `module LATENCY_SAMPLE_INTERVALS=2`.
 
     ValueError names what is not known; a value must be a number where `policy/tuning.py` has one.
