--- a/valverouter/emulator/edge_links.py
+++ b/valverouter/emulator/edge_links.py
@@ -113,7 +113,7 @@
             runtime.sim.call_after(duration, self._on_connect_failed, incarnation, link)
 
     def _accepts(self, server: EmulatedServer) -> bool:
-        return server.model.runs and self.name not in server.refused_edges
+        return server.model.is_running and self.name not in server.refused_edges
 
     def _on_connect_failed(self, incarnation: int, link: ServerLink) -> None:
         if incarnation != self._runtime.incarnation:
--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -13,7 +13,7 @@
 from valverouter.emulator.servers import Connection, EmulatedServer
 from valverouter.interface import AttemptPolicy, CrossRegionRule, Deployment, Endpoint
 from valverouter.recovery.plan import RecoveryAction
-from valverouter.servermodel.server import Key
+from valverouter.servermodel.events import LegKey
 
 
 class AttemptPolicies(Protocol):
@@ -127,7 +127,7 @@
     is_established: bool = False
     previous_attempts: int = 0
     server: str = ""
-    leg: Key | None = None
+    leg: LegKey | None = None
     recovery_action: RecoveryAction | None = None
     is_caller_connected: bool = True
     end_reason: str = ""
--- a/valverouter/emulator/fault_targets.py
+++ b/valverouter/emulator/fault_targets.py
@@ -9,7 +9,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import RandomStream
-from valverouter.signalling.tap import Fault
+from valverouter.signalling.tap import FaultRow
 from valverouter.terms.day import Trouble
 
 # A process of simpy: it yields the events that it waits for.
@@ -33,7 +33,7 @@
     def running_servers(self, fault: Trouble, random: RandomStream) -> list[EmulatedServer]:
         """Targets among the servers that run, not recorded yet."""
         servers = self._fleet.servers
-        running = [name for name, server in servers.items() if server.model.runs]
+        running = [name for name, server in servers.items() if server.model.is_running]
         return [servers[name] for name in self.draw(fault, random, running)]
 
     def recorded_servers(self, fault: Trouble, random: RandomStream) -> list[EmulatedServer]:
@@ -55,7 +55,7 @@
     def record(self, fault: Trouble, target: str, duration: int | None = None) -> None:
         """Records the fault for a target, by default for the fault's duration, ns."""
         until = self._fleet.sim.now() + (fault.length if duration is None else duration)
-        self._fleet.tap.row(Fault, until=until, kind=fault.kind, target=target)
+        self._fleet.tap.record(FaultRow, until=until, kind=fault.kind, target=target)
 
     def wait(self, duration: int) -> Any:
         """The event that a process yields to wait, ns."""
--- a/valverouter/experiments/daypage.py
+++ b/valverouter/experiments/daypage.py
@@ -10,7 +10,7 @@
 
 from valverouter.emulator.simulate import DayResult
 from valverouter.experiments.figures import service_by_second
-from valverouter.signalling.tap import Fault, Passed, Row, Terms
+from valverouter.signalling.tap import AuditConfigRow, FaultRow, MessageRow, Row
 
 SECOND = 1_000_000_000
 WIDE, HIGH, CELL = 900, 120, 14
@@ -53,8 +53,8 @@
 def day_page(name: str, result: DayResult) -> str:
     """The page, readable without any tool or network."""
     rows = result.rows
-    terms = next(row for row in rows if isinstance(row, Terms))
-    starts_at = next((row.at for row in rows if isinstance(row, Passed)), 0)
+    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
+    starts_at = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
     service = {
         second: served / offered
         for second, (offered, served) in service_by_second(rows, terms).items()
@@ -78,7 +78,7 @@
 def _count_attempts(result: DayResult, starts_at: int) -> _Attempts:
     attempts = _Attempts()
     for row in result.rows:
-        if not isinstance(row, Passed) or row.peer not in result.servers:
+        if not isinstance(row, MessageRow) or row.peer not in result.servers:
             continue
         second = (row.at - starts_at) // SECOND
         if not row.sent and row.kind == "setup":
@@ -94,7 +94,7 @@
         f"{row.kind} of {row.target} from {(row.at - starts_at) / 1e9:.0f} "
         f"to {(row.until - starts_at) / 1e9:.0f} s"
         for row in rows
-        if isinstance(row, Fault)
+        if isinstance(row, FaultRow)
     ]
 
 
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -65,8 +65,8 @@
         result = run_emulated(run.load_day(), variant.build)
     cpu = time.process_time() - started_at
     models = [server.model for server in result.servers.values()]
-    work = sum(model.counts.work for model in models)
-    wasted = sum(model.counts.wasted for model in models) / max(1, work)
+    work = sum(model.counters.work for model in models)
+    wasted = sum(model.counters.wasted_work for model in models) / max(1, work)
     return compute_figures(result.rows) | {"wasted": wasted, "cpu": cpu}
 
 
