--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -21,7 +21,7 @@
 from collections.abc import Callable
 from multiprocessing import Pool
 
-from valverouter.emulator.views import SECOND, Node, Views
+from valverouter.emulator.membership_simulation import SECOND, MembershipSimulation, SimulatedNode
 from valverouter.fleet.authentication import datagram_size
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import EventKind, MembershipEvent
@@ -114,14 +114,14 @@
 
 def fleet(
     case: Case,
-    watch: Callable[[Node, MembershipEvent], None],
+    watch: Callable[[SimulatedNode, MembershipEvent], None],
     faults: list[PathFault] | None = None,
     sized: bool = False,
-) -> Views:
+) -> MembershipSimulation:
     """A fleet whose members know each other already; `sized`: bytes are counted."""
     chance = random.Random(f"paths/{case.seed}")
     make = Heartbeats if case.baseline == "heartbeats" else Membership
-    views = Views(
+    simulation = MembershipSimulation(
         config_of(case.baseline),
         NetworkPaths(
             faults or [], chance.random, lambda a, b: 500_000 + int(chance.random() * 1_500_000), case.loss
@@ -131,22 +131,22 @@
         datagram_size if sized else None,
         make,  # type: ignore[arg-type]
     )
-    views.full(case.members, SEEDS)
+    simulation.start_converged(case.members, SEEDS)
     if case.stalls:
         stalling = random.Random(f"stalls/{case.seed}")
-        for name in stalling.sample(sorted(views.nodes), case.members // 20):
-            _schedule_stalls(views, name, stalling)
-    return views
+        for name in stalling.sample(sorted(simulation.nodes), case.members // 20):
+            _schedule_stalls(simulation, name, stalling)
+    return simulation
 
 
-def _schedule_stalls(views: Views, name: str, chance: random.Random) -> None:
+def _schedule_stalls(simulation: MembershipSimulation, name: str, chance: random.Random) -> None:
     """The member stalls for 2 s at a time, every 20 s on average."""
 
     def stall() -> None:
-        views.stall(name, 2 * SECOND)
-        views.at(views.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
+        simulation.stall(name, 2 * SECOND)
+        simulation.at(simulation.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
 
-    views.at(int(chance.random() * 20 * SECOND), stall)
+    simulation.at(int(chance.random() * 20 * SECOND), stall)
 
 
 def deaths(case: Case) -> dict[str, list[float]]:
@@ -155,27 +155,29 @@
     killed: dict[str, int] = {}
     spans: list[float] = []
 
-    def watch(node: Node, event: MembershipEvent) -> None:
+    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
         if event.kind is EventKind.GONE and event.record.name in killed:
             unaware.discard(node.name)
             if not unaware:
-                spans.append((views.now - killed.pop(event.record.name)) / SECOND)
+                spans.append((simulation.now - killed.pop(event.record.name)) / SECOND)
 
-    views = fleet(case, watch)
+    simulation = fleet(case, watch)
     chance = random.Random(f"deaths/{case.seed}")
-    views.run(3 * SECOND)
+    simulation.run_until(3 * SECOND)
     missed = 0
-    while views.now < case.seconds * SECOND:
-        name = chance.choice(sorted(views.nodes))
-        views.run(views.now + int(chance.random() * SECOND))
-        views.kill(name)
-        unaware = {node.name for node in views.live()}
-        killed[name] = views.now
-        views.run(views.now + 30 * SECOND)
+    while simulation.now < case.seconds * SECOND:
+        name = chance.choice(sorted(simulation.nodes))
+        simulation.run_until(simulation.now + int(chance.random() * SECOND))
+        simulation.kill(name)
+        unaware = {node.name for node in simulation.running_nodes()}
+        killed[name] = simulation.now
+        simulation.run_until(simulation.now + 30 * SECOND)
         missed += len(killed)
         killed.clear()
-        views.start(name, SEEDS, knows=[node.membership.own_record for node in views.live()])
-        views.run(views.now + 5 * SECOND)
+        simulation.start(
+            name, SEEDS, known_records=[node.membership.own_record for node in simulation.running_nodes()]
+        )
+        simulation.run_until(simulation.now + 5 * SECOND)
     return {"spans": spans, "missed": [float(missed)]}
 
 
@@ -184,24 +186,24 @@
     wrong: set[tuple[str, int, int]] = set()
     counts: Counter[EventKind] = Counter()
 
-    def watch(node: Node, event: MembershipEvent) -> None:
+    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
         counts[event.kind] += 1
         if event.kind is EventKind.GONE:
             wrong.add((event.record.name, event.record.incarnation, event.record.sequence))
 
-    views = fleet(case, watch)
-    views.run(int(case.seconds * SECOND))
+    simulation = fleet(case, watch)
+    simulation.run_until(int(case.seconds * SECOND))
     return {"wrong": [float(len(wrong))], "suspects": [float(counts[EventKind.ACCUSED])]}
 
 
 def cost(case: Case) -> dict[str, list[float]]:
     """Messages and bytes a second of each member."""
-    views = fleet(case, lambda node, event: None, sized=True)
-    views.run(int(case.seconds * SECOND))
-    nodes = list(views.nodes.values())
+    simulation = fleet(case, lambda node, event: None, sized=True)
+    simulation.run_until(int(case.seconds * SECOND))
+    nodes = list(simulation.nodes.values())
     return {
-        "messages": [sum(node.sent.values()) / case.seconds for node in nodes],
-        "bytes": [node.bytes / case.seconds for node in nodes],
+        "messages": [sum(node.sent_counts.values()) / case.seconds for node in nodes],
+        "bytes": [node.sent_bytes / case.seconds for node in nodes],
     }
 
 
@@ -210,9 +212,9 @@
     half = frozenset(f"e{at}" for at in range(case.members // 2))
     # Only the members of one group are named: all others are in the other one.
     fault = PathFault("split", 5 * SECOND, 65 * SECOND, groups=(half,))
-    views = fleet(case, lambda node, event: None, [fault])
-    views.run(65 * SECOND)
-    settled = views.settles(185 * SECOND, SECOND // 10)
+    simulation = fleet(case, lambda node, event: None, [fault])
+    simulation.run_until(65 * SECOND)
+    settled = simulation.run_until_converged(185 * SECOND, SECOND // 10)
     return {"settled": [float("inf") if settled is None else (settled - 65 * SECOND) / SECOND]}
 
 
--- a/tests/membershiprig.py
+++ b/tests/membershiprig.py
@@ -5,7 +5,7 @@
 import random
 from collections import Counter
 
-from valverouter.emulator.views import SECOND, Node, Views
+from valverouter.emulator.membership_simulation import SECOND, MembershipSimulation, SimulatedNode
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import EventKind, MembershipEvent
 from valverouter.membership.records import MemberRecord, next_own_record
@@ -27,15 +27,15 @@
         chance = random.Random("paths")
         self.found: Counter[tuple[str, EventKind, str]] = Counter()
 
-        def watch(node: Node, event: MembershipEvent) -> None:
+        def watch(node: SimulatedNode, event: MembershipEvent) -> None:
             self.found[node.name, event.kind, event.record.name] += 1
 
         def delay(sender: str, receiver: str) -> int:
             return 500_000 + int(chance.random() * 1_500_000)
 
         paths = NetworkPaths(faults or [], chance.random, delay, loss)
-        self.views = Views(config or MembershipConfig(), paths, 1, watch)
-        self.views.full(count, SEEDS)
+        self.simulation = MembershipSimulation(config or MembershipConfig(), paths, 1, watch)
+        self.simulation.start_converged(count, SEEDS)
 
     def count(self, kind: EventKind, member: str = "") -> int:
         """How many events of a kind there were, about one member or about all."""
@@ -44,11 +44,11 @@
 
     def settles(self, within_s: float, rest_s: float = 8.0) -> float:
         """Seconds until all views agree; fails when that takes too long, or does not last for `rest_s`."""
-        began = self.views.now
-        at = self.views.settles(began + int(within_s * SECOND))
+        began = self.simulation.now
+        at = self.simulation.run_until_converged(began + int(within_s * SECOND))
         assert at is not None, "not settled in time"
-        self.views.run(self.views.now + int(rest_s * SECOND))
-        assert self.views.is_settled(), "settled, and then not any more"
+        self.simulation.run_until(self.simulation.now + int(rest_s * SECOND))
+        assert self.simulation.is_converged(), "settled, and then not any more"
         return (at - began) / SECOND
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.membershiprig import SEEDS, SimulatedFleet, member_names, partition, with_later_sequence
-from valverouter.emulator.views import SECOND, WALL, Node
+from valverouter.emulator.membership_simulation import SECOND, WALL_CLOCK_START_MS, SimulatedNode
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.convergence import ViewHealth
 from valverouter.membership.events import EventKind
@@ -22,53 +22,53 @@
 def test_a_fleet_that_knows_only_three_seeds_converges() -> None:
     fleet = SimulatedFleet(1)
     for at in range(1, 24):
-        fleet.views.start(f"e{at}", SEEDS)
+        fleet.simulation.start(f"e{at}", SEEDS)
     assert fleet.settles(10) < 5
 
 
 def test_all_detect_a_death_and_learn_of_a_leave_at_once() -> None:
     fleet = SimulatedFleet(24)
-    fleet.views.run(5 * SECOND)
-    fleet.views.kill("e7")
+    fleet.simulation.run_until(5 * SECOND)
+    fleet.simulation.kill("e7")
     assert fleet.settles(12) < 11
     assert fleet.count(EventKind.GONE, "e7") == 23
     assert fleet.count(EventKind.GONE) == 23
-    fleet.views.leave("e9")
+    fleet.simulation.leave("e9")
     assert fleet.settles(4) < 2
     assert fleet.count(EventKind.LEFT, "e9") == 22
 
 
 def test_all_members_restarted_at_once() -> None:
     fleet = SimulatedFleet(24)
-    fleet.views.run(5 * SECOND)
+    fleet.simulation.run_until(5 * SECOND)
     for name in sorted(member_names(24)):
-        fleet.views.kill(name)
-    fleet.views.run(6 * SECOND)
+        fleet.simulation.kill(name)
+    fleet.simulation.run_until(6 * SECOND)
     for name in sorted(member_names(24)):
-        fleet.views.start(name, SEEDS)
+        fleet.simulation.start(name, SEEDS)
     assert fleet.settles(15) < 10
     assert fleet.count(EventKind.GONE) == 0, "nobody takes a restart for a death"
 
 
 def test_a_third_of_the_members_killed_at_once() -> None:
     fleet = SimulatedFleet(24)
-    fleet.views.run(5 * SECOND)
+    fleet.simulation.run_until(5 * SECOND)
     for at in range(0, 24, 3):
-        fleet.views.kill(f"e{at}")
+        fleet.simulation.kill(f"e{at}")
     fleet.settles(20)
-    assert {node.membership.view_health for node in fleet.views.live()} == {ViewHealth.SETTLED}
+    assert {node.membership.view_health for node in fleet.simulation.running_nodes()} == {ViewHealth.SETTLED}
 
 
 def test_a_partition_longer_than_the_retention_with_restarts_on_both_sides() -> None:
     config = dataclasses.replace(MembershipConfig(), gone_retention=20 * SECOND)
     south = {f"e{at}" for at in range(12, 24)}
     fleet = SimulatedFleet(24, [partition(5, 60, member_names(24) - south, south)], config=config)
-    fleet.views.run(50 * SECOND)
+    fleet.simulation.run_until(50 * SECOND)
     assert fleet.count(EventKind.FORGOTTEN), "both sides have forgotten each other"
     for name in ("e4", "e15"):
-        fleet.views.kill(name)
-        fleet.views.start(name, SEEDS, address=f"{name}:2")
-    fleet.views.run(65 * SECOND)
+        fleet.simulation.kill(name)
+        fleet.simulation.start(name, SEEDS, address=f"{name}:2")
+    fleet.simulation.run_until(65 * SECOND)
     assert fleet.settles(30) < 25
 
 
@@ -77,8 +77,8 @@
     fleet = SimulatedFleet(
         0, [partition(2, 50, {f"e{at}" for at in range(4)}, {f"e{at}" for at in range(4, 8)})], config=config
     )
-    fleet.views.full(8)
-    fleet.views.run(52 * SECOND)
+    fleet.simulation.start_converged(8)
+    fleet.simulation.run_until(52 * SECOND)
     assert fleet.count(EventKind.FORGOTTEN) >= 16
     fleet.settles(40)
 
@@ -86,7 +86,7 @@
 def test_a_member_that_receives_but_is_not_received_is_gone_and_comes_back() -> None:
     one_way = PathFault("cut", 5 * SECOND, 25 * SECOND, frozenset({"e5"}), frozenset())
     fleet = SimulatedFleet(12, [one_way])
-    fleet.views.run(25 * SECOND)
+    fleet.simulation.run_until(25 * SECOND)
     assert fleet.count(EventKind.GONE, "e5") == 11
     assert not any(
         observer != "e5" and member != "e5"
@@ -100,16 +100,16 @@
     fleet = SimulatedFleet(
         12, [PathFault("cut", 5 * SECOND, 60 * SECOND, frozenset({"e5"}), frozenset({"e8"}))]
     )
-    fleet.views.run(60 * SECOND)
+    fleet.simulation.run_until(60 * SECOND)
     assert fleet.count(EventKind.GONE) == 0, "others reach it, and say so"
 
 
 def test_a_member_stopped_for_8_s_ten_times_in_a_row_declares_nobody_gone() -> None:
     fleet = SimulatedFleet(24)
     for at in range(10):
-        fleet.views.run((5 + 9 * at) * SECOND)
-        fleet.views.stall("e5", 8 * SECOND)
-    fleet.views.run(95 * SECOND)
+        fleet.simulation.run_until((5 + 9 * at) * SECOND)
+        fleet.simulation.stall("e5", 8 * SECOND)
+    fleet.simulation.run_until(95 * SECOND)
     fleet.settles(15)
     deaths = {(observer, member) for observer, kind, member in fleet.found if kind is EventKind.GONE}
     assert not [member for observer, member in deaths if observer == "e5"], (
@@ -121,14 +121,14 @@
 def test_a_member_whose_every_answer_comes_300_ms_late_is_not_suspected() -> None:
     late = PathFault("late", 0, 120 * SECOND, frozenset({"e5"}), frozenset(), delay=300_000_000)
     fleet = SimulatedFleet(24, [late])
-    fleet.views.run(120 * SECOND)
+    fleet.simulation.run_until(120 * SECOND)
     assert fleet.count(EventKind.GONE) == 0
     assert fleet.count(EventKind.SUSPECT) == 0
 
 
 def test_30_percent_loss_everywhere_causes_suspicions_and_no_death() -> None:
     fleet = SimulatedFleet(24, [PathFault("loss", 0, 60 * SECOND, probability=0.3)])
-    fleet.views.run(60 * SECOND)
+    fleet.simulation.run_until(60 * SECOND)
     assert fleet.count(EventKind.GONE) == 0
     assert fleet.count(EventKind.SUSPECT) > 0
     fleet.settles(10)
@@ -140,101 +140,105 @@
         PathFault("swapped", 0, 60 * SECOND, probability=0.5, delay=200_000_000),
     ]
     fleet = SimulatedFleet(24, mixed)
-    fleet.views.run(40 * SECOND)
+    fleet.simulation.run_until(40 * SECOND)
     assert fleet.count(EventKind.GONE) == 0
-    fleet.views.kill("e3")
-    fleet.views.run(60 * SECOND)
-    assert fleet.views.is_settled()
+    fleet.simulation.kill("e3")
+    fleet.simulation.run_until(60 * SECOND)
+    assert fleet.simulation.is_converged()
 
 
 def test_all_seeds_dead() -> None:
     fleet = SimulatedFleet(12)
     for at in range(3):
-        fleet.views.kill(f"e{at}")
+        fleet.simulation.kill(f"e{at}")
     fleet.settles(20)
-    fleet.views.start("e12", SEEDS)
-    fleet.views.run(fleet.views.now + 5 * SECOND)
-    assert fleet.views.nodes["e12"].membership.view_health is ViewHealth.UNSETTLED, (
+    fleet.simulation.start("e12", SEEDS)
+    fleet.simulation.run_until(fleet.simulation.now + 5 * SECOND)
+    assert fleet.simulation.nodes["e12"].membership.view_health is ViewHealth.UNSETTLED, (
         "alone although seeds are configured: not a fleet of one"
     )
-    fleet.views.start("e1", ("e5:1",))
+    fleet.simulation.start("e1", ("e5:1",))
     fleet.settles(20)
 
 
 def test_a_restart_with_the_clock_set_back_an_hour() -> None:
     fleet = SimulatedFleet(12)
-    fleet.views.run(5 * SECOND)
+    fleet.simulation.run_until(5 * SECOND)
     for name in ("e4", "e0"):
-        previous = fleet.views.nodes[name].membership.own_record
-        fleet.views.kill(name)
-        restarted = fleet.views.start(name, SEEDS, wall_ms=WALL - 3_600_000)
-        fleet.views.run(fleet.views.now + 3 * SECOND)
+        previous = fleet.simulation.nodes[name].membership.own_record
+        fleet.simulation.kill(name)
+        restarted = fleet.simulation.start(name, SEEDS, wall_ms=WALL_CLOCK_START_MS - 3_600_000)
+        fleet.simulation.run_until(fleet.simulation.now + 3 * SECOND)
         assert restarted.membership.own_record.generation > previous.generation
         assert previous.incarnation in restarted.membership.own_record.previous_incarnations
         # A late record of the previous incarnation.
-        for node in fleet.views.live():
+        for node in fleet.simulation.running_nodes():
             gossip = Gossip(
                 "e9",
-                fleet.views.nodes["e9"].membership.own_record.incarnation,
+                fleet.simulation.nodes["e9"].membership.own_record.incarnation,
                 0,
                 (with_later_sequence(previous, 9),),
             )
-            node.membership.receive(fleet.views.now, "e9:1", gossip)
+            node.membership.receive(fleet.simulation.now, "e9:1", gossip)
     fleet.settles(10)
-    for node in fleet.views.live():
+    for node in fleet.simulation.running_nodes():
         assert (
             node.membership.view.records["e4"].incarnation
-            == fleet.views.nodes["e4"].membership.own_record.incarnation
+            == fleet.simulation.nodes["e4"].membership.own_record.incarnation
         )
 
 
 def test_a_probe_of_a_previous_incarnation_tells_the_new_one_of_it() -> None:
     """Nobody else tells the new incarnation of the previous one, whose generation is higher."""
     fleet = SimulatedFleet(4)
-    fleet.views.run(5 * SECOND)
-    fleet.views.kill("e3")
-    previous = fleet.views.nodes["e3"].membership.own_record
-    restarted = fleet.views.start("e3", (), wall_ms=WALL - 3_600_000)
+    fleet.simulation.run_until(5 * SECOND)
+    fleet.simulation.kill("e3")
+    previous = fleet.simulation.nodes["e3"].membership.own_record
+    restarted = fleet.simulation.start("e3", (), wall_ms=WALL_CLOCK_START_MS - 3_600_000)
     fleet.settles(10)
     assert previous.incarnation in restarted.membership.own_record.previous_incarnations, (
         "who probed the previous incarnation told it"
     )
 
 
-def start_second_process(fleet: SimulatedFleet) -> tuple[Node, Node]:
+def start_second_process(fleet: SimulatedFleet) -> tuple[SimulatedNode, SimulatedNode]:
     """Starts another process under the name of e3; both."""
-    first = fleet.views.nodes["e3"]
-    second = fleet.views.start("e3", SEEDS, address="e3:2")
-    fleet.views.nodes["e3-first"] = first
+    first = fleet.simulation.nodes["e3"]
+    second = fleet.simulation.start("e3", SEEDS, address="e3:2")
+    fleet.simulation.nodes["e3-first"] = first
     return first, second
 
 
 def test_two_processes_with_one_name_both_report_the_conflict_and_do_not_flap() -> None:
     fleet = SimulatedFleet(8)
-    fleet.views.run(5 * SECOND)
+    fleet.simulation.run_until(5 * SECOND)
     first, second = start_second_process(fleet)
-    fleet.views.run(20 * SECOND)
+    fleet.simulation.run_until(20 * SECOND)
     assert fleet.found["e3", EventKind.CONFLICT, "e3"] == 2, "each of the two reports it once"
     assert first.membership.name_conflict.incarnation == second.membership.own_record.incarnation
     assert second.membership.name_conflict.incarnation == first.membership.own_record.incarnation
     held = {
-        node.membership.view.records["e3"].incarnation for node in fleet.views.live() if node.name != "e3"
+        node.membership.view.records["e3"].incarnation
+        for node in fleet.simulation.running_nodes()
+        if node.name != "e3"
     }
     assert len(held) == 1
     assert all(
-        node.membership.view.records["e3"].name_conflict for node in fleet.views.live() if node.name != "e3"
+        node.membership.view.records["e3"].name_conflict
+        for node in fleet.simulation.running_nodes()
+        if node.name != "e3"
     )
     before = fleet.count(EventKind.RESTARTED)
-    fleet.views.run(120 * SECOND)
+    fleet.simulation.run_until(120 * SECOND)
     assert fleet.count(EventKind.RESTARTED) == before
     assert fleet.count(EventKind.GONE) == 0
     # The process that the fleet holds ends: the other takes its place, and no conflict is left.
     ending = first if first.membership.own_record.incarnation in held else second
     remaining = second if ending is first else first
     ending.alive = False
-    del fleet.views._at_address[ending.address]
-    fleet.views.run(200 * SECOND)
-    others = [node for node in fleet.views.live() if node.name != "e3"]
+    del fleet.simulation._at_address[ending.address]
+    fleet.simulation.run_until(200 * SECOND)
+    others = [node for node in fleet.simulation.running_nodes() if node.name != "e3"]
     assert {node.membership.view.records["e3"].incarnation for node in others} == {
         remaining.membership.own_record.incarnation
     }
@@ -244,46 +248,46 @@
 
 def test_a_late_message_of_a_previous_incarnation_is_no_conflict() -> None:
     fleet = SimulatedFleet(8)
-    fleet.views.run(5 * SECOND)
-    previous = fleet.views.nodes["e3"].membership.own_record
-    fleet.views.kill("e3")
-    restarted = fleet.views.start("e3", SEEDS)
-    fleet.views.run(7 * SECOND)
+    fleet.simulation.run_until(5 * SECOND)
+    previous = fleet.simulation.nodes["e3"].membership.own_record
+    fleet.simulation.kill("e3")
+    restarted = fleet.simulation.start("e3", SEEDS)
+    fleet.simulation.run_until(7 * SECOND)
     restarted.membership.receive(
-        fleet.views.now,
+        fleet.simulation.now,
         "e3:1",
         Ping("e3", previous.incarnation, 0, 5, restarted.membership.own_record.incarnation),
     )
-    fleet.views.run(20 * SECOND)
+    fleet.simulation.run_until(20 * SECOND)
     assert fleet.count(EventKind.CONFLICT) == 0
     assert not restarted.membership.own_record.name_conflict
 
 
 def test_a_fleet_of_40_keeps_a_view_of_40() -> None:
     fleet = SimulatedFleet(40)
-    fleet.views.run(10 * SECOND)
-    assert {node.membership.view.live_count for node in fleet.views.live()} == {40}
-    assert {node.membership.view_health for node in fleet.views.live()} == {ViewHealth.SETTLED}
+    fleet.simulation.run_until(10 * SECOND)
+    assert {node.membership.view.live_count for node in fleet.simulation.running_nodes()} == {40}
+    assert {node.membership.view_health for node in fleet.simulation.running_nodes()} == {ViewHealth.SETTLED}
 
 
 def test_a_minority_is_cut_off_and_a_majority_is_not() -> None:
     minority = {"e0", "e1", "e2"}
     fleet = SimulatedFleet(12, [partition(5, 60, minority, member_names(12) - minority)])
-    fleet.views.run(30 * SECOND)
-    for node in fleet.views.live():
+    fleet.simulation.run_until(30 * SECOND)
+    for node in fleet.simulation.running_nodes():
         assert node.membership.view_health is (
             ViewHealth.CUT_OFF if node.name in minority else ViewHealth.SETTLED
         )
-    fleet.views.run(65 * SECOND)
+    fleet.simulation.run_until(65 * SECOND)
     fleet.settles(20)
-    fleet.views.run(fleet.views.now + 10 * SECOND)
-    assert {node.membership.view_health for node in fleet.views.live()} == {ViewHealth.SETTLED}
+    fleet.simulation.run_until(fleet.simulation.now + 10 * SECOND)
+    assert {node.membership.view_health for node in fleet.simulation.running_nodes()} == {ViewHealth.SETTLED}
 
 
 def test_a_single_partitioned_member_is_cut_off_before_it_declares_anybody_gone() -> None:
     fleet = SimulatedFleet(12, [partition(5, 30, {"e0"}, member_names(12) - {"e0"})])
-    fleet.views.run(13 * SECOND)
-    assert fleet.views.nodes["e0"].membership.view_health is ViewHealth.CUT_OFF
+    fleet.simulation.run_until(13 * SECOND)
+    assert fleet.simulation.nodes["e0"].membership.view_health is ViewHealth.CUT_OFF
     assert not any(observer == "e0" and kind is EventKind.GONE for observer, kind, _ in fleet.found)
 
 
@@ -291,8 +295,8 @@
     """Found by simulated days with stalls: a probe begun before a refutation declared the member gone on its
     next stall."""
     fleet = SimulatedFleet(6)
-    fleet.views.run(3 * SECOND)
-    member = fleet.views.nodes["e0"].membership
+    fleet.simulation.run_until(3 * SECOND)
+    member = fleet.simulation.nodes["e0"].membership
     held = member.view.records["e1"]
     member.failure_detector.probe(as_reported(held, MemberState.SUSPECT, "e2"), is_final=True)
     (nonce,) = [nonce for nonce, probe in member.failure_detector.probes.pending.items() if probe.is_final]
@@ -304,23 +308,23 @@
 
 def test_a_member_that_missed_a_refutation_learns_of_it_by_indirect_probes() -> None:
     fleet = SimulatedFleet(6)
-    fleet.views.run(3 * SECOND)
-    asker, helper = fleet.views.nodes["e0"].membership, fleet.views.nodes["e2"].membership
+    fleet.simulation.run_until(3 * SECOND)
+    asker, helper = fleet.simulation.nodes["e0"].membership, fleet.simulation.nodes["e2"].membership
     old = asker.view.records["e1"]
     helper.member_updates.apply(next_own_record(old))
     asker.member_updates.apply(as_reported(old, MemberState.SUSPECT, "e3"))
     asker.failure_detector.probe(asker.view.records["e1"], is_final=True)
     (nonce,) = [nonce for nonce, probe in asker.failure_detector.probes.pending.items() if probe.is_final]
-    fleet.views.nodes["e1"].stalled_until = fleet.views.now + 2 * SECOND
+    fleet.simulation.nodes["e1"].stalled_until = fleet.simulation.now + 2 * SECOND
     asker.failure_detector._probe_indirectly(nonce)
-    fleet.views._flush(fleet.views.nodes["e0"])
-    fleet.views.run(fleet.views.now + 100_000_000)
+    fleet.simulation._flush(fleet.simulation.nodes["e0"])
+    fleet.simulation.run_until(fleet.simulation.now + 100_000_000)
     assert asker.view.records["e1"].sequence > old.sequence
 
 
 def test_anti_entropy_sends_pages_within_the_byte_limit() -> None:
     fleet = SimulatedFleet(200)
-    complete, empty = fleet.views.nodes["e3"], fleet.views.nodes["e4"]
+    complete, empty = fleet.simulation.nodes["e3"], fleet.simulation.nodes["e4"]
     for name in list(empty.membership.view.records):
         if name not in ("e3", "e4"):
             empty.membership.view.forget(name)
@@ -341,8 +345,8 @@
         sum(record.size for record in updates_of(page)) <= empty.membership.config.max_update_bytes
         for page in pages
     )
-    fleet.views._flush(empty)
-    fleet.views.run(SECOND // 2)
+    fleet.simulation._flush(empty)
+    fleet.simulation.run_until(SECOND // 2)
     assert empty.membership.view.digest == complete.membership.view.digest
     assert empty.membership.view.live_count == 200
 
@@ -372,7 +376,7 @@
     seen: dict[tuple[int, str], list[int]] = {}
 
     def check_incarnations() -> None:
-        for node in fleet.views.live():
+        for node in fleet.simulation.running_nodes():
             for name, held in node.membership.view.records.items():
                 incarnations = seen.setdefault((node.membership.own_record.incarnation, name), [])
                 if held.is_live and (not incarnations or incarnations[-1] != held.incarnation):
@@ -380,18 +384,18 @@
                     incarnations.append(held.incarnation)
 
     for at in range(2, 46):
-        fleet.views.run(at * SECOND)
+        fleet.simulation.run_until(at * SECOND)
         check_incarnations()
         name = f"e{chance.randrange(16)}"
-        if chance.random() < 0.3 and fleet.views.nodes[name].alive:
+        if chance.random() < 0.3 and fleet.simulation.nodes[name].alive:
             if chance.random() < 0.5:
-                fleet.views.stall(name, 3 * SECOND)
+                fleet.simulation.stall(name, 3 * SECOND)
             else:
-                fleet.views.kill(name)
-        elif not fleet.views.nodes[name].alive:
+                fleet.simulation.kill(name)
+        elif not fleet.simulation.nodes[name].alive:
             back = chance.choice((0, 3_600_000))
-            fleet.views.start(name, SEEDS, wall_ms=WALL + at * 1000 - back)
-    fleet.views.run(50 * SECOND)
+            fleet.simulation.start(name, SEEDS, wall_ms=WALL_CLOCK_START_MS + at * 1000 - back)
+    fleet.simulation.run_until(50 * SECOND)
     fleet.settles(40)
     check_incarnations()
 
--- a/valverouter/days/emulated_views.py
+++ b/valverouter/days/emulated_views.py
@@ -8,11 +8,10 @@
 
 import random
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass
 
 from valverouter.days.paths import path_faults, paths_of
-from valverouter.emulator.views import WALL, Node, Views
+from valverouter.emulator.membership_simulation import MembershipSimulation, SimulatedNode
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import MembershipEvent
 from valverouter.terms.day import Day, Trouble
@@ -40,28 +39,28 @@
     chance = random.Random(f"{day.terms.seed}/paths")
     found: Counter[str] = Counter()
 
-    def watch(node: Node, event: MembershipEvent) -> None:
+    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
         found[event.kind.value] += 1
 
     rules = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
     faults = path_faults(day, day.terms.settle, names)
     paths = paths_of(day, chance.random, day.terms.settle, names)
-    views = Views(rules, paths, day.terms.seed, watch)
+    simulation = MembershipSimulation(rules, paths, day.terms.seed, watch)
     seeds = tuple(f"e{at}:1" for at in range(between.seeds))
-    views.full(members, seeds, lambda at: names[f"e{at}"])
+    simulation.start_converged(members, seeds, lambda at: names[f"e{at}"])
     last = max([0, *(fault.until for fault in faults)])
     draws = random.Random(f"{day.terms.seed}/troubles")
     for trouble in day.troubles.values():
-        last = max(last, _script(views, day, trouble, sorted(names), draws, seeds))
-    views.run(last)
-    settled = views.settles(last + between.settles * between.period, between.period // 2)
-    sent = sum(sum(node.sent.values()) for node in views.nodes.values())
+        last = max(last, _script(simulation, day, trouble, sorted(names), draws, seeds))
+    simulation.run_until(last)
+    settled = simulation.run_until_converged(last + between.settles * between.period, between.period // 2)
+    sent = sum(sum(node.sent_counts.values()) for node in simulation.nodes.values())
     return EmulatedView(
         members=members,
         settled_after=None if settled is None else settled - last,
         allowed=between.settles * between.period,
         found=found,
-        messages=sent / members / (views.now / 1e9),
+        messages=sent / members / (simulation.now / 1e9),
     )
 
 
@@ -73,28 +72,32 @@
 
 
 def _script(
-    views: Views, day: Day, trouble: Trouble, names: list[str], draws: random.Random, seeds: tuple[str, ...]
+    simulation: MembershipSimulation,
+    day: Day,
+    trouble: Trouble,
+    names: list[str],
+    draws: random.Random,
+    seeds: tuple[str, ...],
 ) -> int:
-    """Puts a trouble on the agenda; when it is over. Those of servers and callers touch no view."""
+    """Schedules a fault, and returns when it is over, ns; faults of servers and callers touch no view."""
     start = day.terms.settle + trouble.start
     end = start + trouble.length
     if not trouble.kind.startswith("balancer_"):
         return 0
-    struck = [name for name in names if name in trouble.on]
+    targets = [name for name in names if name in trouble.on]
     if not trouble.on:
-        struck = sorted(draws.sample(names, max(1, round(trouble.part * len(names)))))
-    # One that comes late is, to the others, one that was not there from the beginning.
-    first = 0 if trouble.kind == "balancer_late" else start
-    begins = start if trouble.kind == "balancer_late" else end
-    for name in struck:
+        targets = sorted(draws.sample(names, max(1, round(trouble.part * len(names)))))
+    is_late = trouble.kind == "balancer_late"
+    for name in targets:
         if trouble.kind == "balancer_stall":
-            views.at(start, views.stall, name, trouble.length)
+            simulation.at(start, simulation.stall, name, trouble.length)
             continue
-        ends: Callable[[str], None] = views.leave if trouble.kind == "balancer_leave" else views.kill
-        views.at(first, ends, name)
-        views.at(begins, _starts, views, name, seeds, _region(day, int(name[1:])))
+        stop = simulation.leave if trouble.kind == "balancer_leave" else simulation.kill
+        # One that comes late is, to the others, one that was not there from the beginning.
+        simulation.at(0 if is_late else start, stop, name)
+        simulation.at(start if is_late else end, _start, simulation, name, seeds, _region(day, int(name[1:])))
     return end
 
 
-def _starts(views: Views, name: str, seeds: tuple[str, ...], region: str) -> None:
-    views.start(name, seeds, region=region, wall_ms=WALL + views.now // 10**6)
+def _start(simulation: MembershipSimulation, name: str, seeds: tuple[str, ...], region: str) -> None:
+    simulation.start(name, seeds, region=region, wall_ms=simulation.wall_clock_ms)
--- a/valverouter/emulator/event_queue.py
+++ b/valverouter/emulator/event_queue.py
@@ -37,7 +37,8 @@
 
     def run_until(self, end: int) -> None:
         """Runs what is due up to `end`, which is the present time afterwards."""
-        while self._heap and self._heap[0][0] <= end:
-            self.now, _, action, arguments = heapq.heappop(self._heap)
+        heap = self._heap
+        while heap and heap[0][0] <= end:
+            self.now, _, action, arguments = heapq.heappop(heap)
             action(*arguments)
         self.now = end
