--- a/valverouter/experiments/figures.py
+++ b/valverouter/experiments/figures.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
+from collections import defaultdict
 from collections.abc import Sequence
+from dataclasses import dataclass
 
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
@@ -10,67 +12,89 @@
 
 SECOND = 1_000_000_000
 WORST_WINDOW = 10 * SECOND
+# In place of a weight of 0, by which nothing can be divided.
+MIN_WEIGHT = 1e-9
 
 
 def compute_figures(rows: Sequence[Row]) -> dict[str, float]:
-    """Service in all, by class and in the worst 10 s; shares of dialogs declined and late; legs a dialog;
-    crossings a leg; the most of a cold budget that was used; how many rules broke."""
-    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
+    """The figures of a run by name.
+
+    Service in all, by type and in the worst 10 s; fractions of dialogs rejected, late and interrupted; dial
+    attempts and attempts at servers for each dialog; the fraction of attempts that left their region; the
+    most of a slow-start budget that was used; how many rules were violated.
+    """
+    config = next(row for row in rows if isinstance(row, AuditConfigRow))
     accounts, verdict = account_by_type(rows), audit(rows)
-    offered = sum(one.offered for one in accounts.values()) or 1
-    legs = sum(one.attempts for one in accounts.values())
-    found = {
-        "service": weighted_service_level(accounts, terms.priority_weights),
-        "worst-10s": worst_window_service(rows, terms),
-        "declined": sum(one.answers["declined"] for one in accounts.values()) / offered,
-        "late": sum(one.late for one in accounts.values()) / offered,
-        "cut": sum(one.answers["cut"] for one in accounts.values()) / offered,
-        "tries": sum(one.dial_attempts for one in accounts.values()) / offered,
-        "legs": legs / offered,
-        "crossings": _cross_region_attempts(rows) / max(1, legs),
+    totals = list(accounts.values())
+    offered = sum(account.offered for account in totals) or 1
+    attempts = sum(account.attempts for account in totals)
+    figures = {
+        "service": weighted_service_level(accounts, config.priority_weights),
+        "worst-10s": worst_window_service(rows, config),
+        "declined": sum(account.answers["declined"] for account in totals) / offered,
+        "late": sum(account.late for account in totals) / offered,
+        "cut": sum(account.answers["cut"] for account in totals) / offered,
+        "tries": sum(account.dial_attempts for account in totals) / offered,
+        "legs": attempts / offered,
+        "crossings": _cross_region_attempts(rows) / max(1, attempts),
         "cold-margin": verdict.slow_start_budget_used,
         "rules-broken": float(len(verdict.violated_rules())),
     }
-    return found | {f"service {kind}": one.service_level for kind, one in accounts.items()}
+    by_type = {f"service {traffic_type}": account.service_level for traffic_type, account in accounts.items()}
+    return figures | by_type
+
+
+@dataclass(slots=True)
+class _Second:
+    """The weight of the dialogs first dialled in one second, and of those served in time."""
+
+    offered: float = 0
+    served: float = 0
 
 
-def service_by_second(rows: Sequence[Row], terms: AuditConfigRow) -> dict[int, tuple[float, float]]:
-    """For each second since the first dialog: importance offered by first tries, and served in objective."""
-    began: dict[str, tuple[int, str]] = {}
-    sums: dict[int, list[float]] = {}
-    start = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
+def service_by_second(rows: Sequence[Row], config: AuditConfigRow) -> dict[int, tuple[float, float]]:
+    """By second since the first dialog: the weight of the dialogs first dialled, and of those served in time.
+
+    Redials belong to the first dialog; each dialog counts once, however often it is established again.
+    """
+    # When each unserved first dialog was dialled, and its type.
+    unserved: dict[str, tuple[int, str]] = {}
+    dialled: set[str] = set()
+    seconds: defaultdict[int, _Second] = defaultdict(_Second)
+    starts_at = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
     for row in rows:
         if not isinstance(row, MessageRow) or not row.dialog:
             continue
-        first = row.dialog.rpartition(".")[0] or row.dialog
-        if row.sent and row.kind == "setup" and first not in began:
-            began[first] = row.at, row.detail
-            sums.setdefault((row.at - start) // SECOND, [0, 0])[0] += terms.priority_weights.get(
-                row.detail, 1.0
-            )
-        elif not row.sent and row.kind == "stands" and first in began:
-            at, kind = began[first]
-            if row.at - at <= terms.latency_objectives.get(kind, 0):
-                sums[(at - start) // SECOND][1] += terms.priority_weights.get(kind, 1.0)
-                began[first] = -(1 << 62), kind  # once, however often it comes again
-    return {second: (offered, served) for second, (offered, served) in sorted(sums.items())}
-
-
-def worst_window_service(rows: Sequence[Row], terms: AuditConfigRow) -> float:
+        first_dialog = row.dialog.rpartition(".")[0] or row.dialog
+        if row.sent and row.kind == "setup" and first_dialog not in dialled:
+            dialled.add(first_dialog)
+            unserved[first_dialog] = row.at, row.detail
+            seconds[(row.at - starts_at) // SECOND].offered += config.priority_weights.get(row.detail, 1.0)
+        elif not row.sent and row.kind == "stands" and first_dialog in unserved:
+            dialled_at, traffic_type = unserved[first_dialog]
+            if row.at - dialled_at <= config.latency_objectives.get(traffic_type, 0):
+                weight = config.priority_weights.get(traffic_type, 1.0)
+                seconds[(dialled_at - starts_at) // SECOND].served += weight
+                del unserved[first_dialog]
+    return {number: (second.offered, second.served) for number, second in sorted(seconds.items())}
+
+
+def worst_window_service(rows: Sequence[Row], config: AuditConfigRow) -> float:
     """Service of the dialogs first dialled in the worst 10 s."""
-    seconds, span = service_by_second(rows, terms), WORST_WINDOW // SECOND
-    shares = []
-    for at in seconds:
-        window = [seconds[second] for second in range(at, at + span) if second in seconds]
-        if len(window) == span or len(window) == len(seconds):
-            shares.append(sum(served for _, served in window) / max(1e-9, sum(o for o, _ in window)))
-    return min(shares, default=1.0)
+    seconds, window_size = service_by_second(rows, config), WORST_WINDOW // SECOND
+    levels = []
+    for start in seconds:
+        window = [seconds[second] for second in range(start, start + window_size) if second in seconds]
+        if len(window) in (window_size, len(seconds)):
+            served = sum(served for _, served in window)
+            levels.append(served / max(MIN_WEIGHT, sum(offered for offered, _ in window)))
+    return min(levels, default=1.0)
 
 
 def _cross_region_attempts(rows: Sequence[Row]) -> int:
-    region = {row.name: row.region for row in rows if isinstance(row, PlacementRow)}
+    regions = {row.name: row.region for row in rows if isinstance(row, PlacementRow)}
     return sum(
-        region.get(row.edge) != region[row.peer]
+        regions.get(row.edge) != regions[row.peer]
         for row in rows
-        if isinstance(row, MessageRow) and not row.sent and row.kind == "setup" and row.peer in region
+        if isinstance(row, MessageRow) and not row.sent and row.kind == "setup" and row.peer in regions
     )
--- a/valverouter/experiments/variants.py
+++ b/valverouter/experiments/variants.py
@@ -84,8 +84,8 @@
             return preferred
         if not servers:
             return None
-        two = [servers[int(self._random.draw() * len(servers))] for _ in range(2)]
-        return min(two, key=lambda server: server.queue_delay(now))
+        drawn = [servers[int(self._random.draw() * len(servers))] for _ in range(2)]
+        return min(drawn, key=lambda server: server.queue_delay(now))
 
 
 class _WithoutSpillover(ServerSelector):
