--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -615,7 +615,7 @@
         assert not edge.open_dialogs
         assert not edge.recovery.saved_dialogs
         assert not edge.recovery.waiting_queries
-    assert not any(server.detached_legs for server in fleet.servers.values())
+    assert not any(server.retained_legs for server in fleet.servers.values())
 
 
 # The store
--- a/valverouter/emulator/__init__.py
+++ b/valverouter/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Whole fleets in simulated time: unchanged decisions, the server model of the stand-ins, day files."""
+"""Whole fleets in simulated time: the unchanged routing policy, the server model of the fakes, day files."""
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Emulated callers of one edge proxy: patience, redials, and rows of their messages, as the stand-ins do."""
+"""Emulated callers of one edge proxy: patience, redials, and rows of their messages, as with the fakes."""
 
 from __future__ import annotations
 
--- a/valverouter/emulator/edge_attempts.py
+++ b/valverouter/emulator/edge_attempts.py
@@ -5,7 +5,7 @@
 from valverouter.emulator.edge_dialogs import DialogTable
 from valverouter.emulator.edge_model import FailureReason, OpenDialog, ServerLink
 from valverouter.emulator.edge_runtime import EdgeRuntime
-from valverouter.emulator.servers import Connection, EndReason
+from valverouter.emulator.servers import AttemptAnswer, EndReason
 from valverouter.interface import (
     AttemptResult,
     CancelAttempt,
@@ -150,36 +150,28 @@
 
     # Messages of servers
 
-    def on_answer(
-        self,
-        connection: Connection,
-        dialog_id: str,
-        attempt: int,
-        outcome: Outcome,
-        retry_after: int,
-        load_report: LoadReport,
-        details: str,
-    ) -> None:
+    def on_answer(self, answer: AttemptAnswer) -> None:
         """A server's answer to an attempt, or the end of an established one."""
-        key, server = (dialog_id, attempt), connection.server.name
+        dialog_id, attempt, outcome = answer.dialog_id, answer.attempt, answer.outcome
+        key, server = (dialog_id, attempt), answer.connection.server.name
         link = self._runtime.links.get(server)
-        if link is None or link.connection is not connection or key not in link.attempts:
+        if link is None or link.connection is not answer.connection or key not in link.attempts:
             return
         dialog = self._dialogs.open.get(dialog_id)
         if link.attempts[key] or dialog is None or not _is_of_link(dialog, attempt, link):
             if outcome is not Outcome.ESTABLISHED and not link.attempts.pop(key):
                 self._report(AttemptResult(dialog_id, attempt, server, outcome))
-            self._runtime.driver.update_load(server, load_report)
+            self._runtime.driver.update_load(server, answer.load_report)
         elif outcome is Outcome.ENDED:
             del link.attempts[key]
             self._report(
                 AttemptResult(
-                    dialog_id, attempt, server, outcome, dialog_closed=True, load_report=load_report
+                    dialog_id, attempt, server, outcome, dialog_closed=True, load_report=answer.load_report
                 )
             )
-            self._dialogs.end(dialog, details)
+            self._dialogs.end(dialog, answer.details)
         else:
-            self._conclude(dialog, outcome, retry_after, load_report)
+            self._conclude(dialog, outcome, answer.retry_after, answer.load_report)
 
     def on_connection_lost(self, link: ServerLink) -> None:
         """All attempts on a link are reset; its established dialogs end."""
--- a/valverouter/emulator/edge_links.py
+++ b/valverouter/emulator/edge_links.py
@@ -9,8 +9,8 @@
 from valverouter.emulator.edge_model import ListedEndpoint, ServerLink
 from valverouter.emulator.edge_recovery import EdgeRecovery
 from valverouter.emulator.edge_runtime import EdgeRuntime
-from valverouter.emulator.servers import Connection, EmulatedServer
-from valverouter.interface import Endpoint, EndpointUpdateKind, LoadReport, Outcome
+from valverouter.emulator.servers import AttemptAnswer, Connection, EmulatedServer
+from valverouter.interface import Endpoint, EndpointUpdateKind
 from valverouter.policy.retry import retry_delay
 
 # What connecting and the hello take beside the way there and back, ns.
@@ -52,27 +52,9 @@
 
     # Connections
 
-    def on_attempt_answer(
-        self,
-        connection: Connection,
-        dialog_id: str,
-        attempt: int,
-        outcome: Outcome,
-        retry_after: int,
-        load_report: LoadReport,
-        details: str,
-    ) -> None:
+    def on_attempt_answer(self, answer: AttemptAnswer) -> None:
         """Passes a server's message on."""
-        self._runtime.handle(
-            self._attempts.on_answer,
-            connection,
-            dialog_id,
-            attempt,
-            outcome,
-            retry_after,
-            load_report,
-            details,
-        )
+        self._runtime.handle(self._attempts.on_answer, answer)
 
     def on_connection_lost(self, connection: Connection) -> None:
         """Passes the loss of a connection on."""
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -6,14 +6,16 @@
 from enum import StrEnum
 from typing import Protocol
 
+from msgspec import Struct
+
 from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.interface import LoadReport, Outcome
 from valverouter.servermodel.events import LegKey, ServerEvent, ServerEventKind
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.tap import ConnectionLostRow, MessageRow, ServerStartedRow, Tap
 
-# How long a leg that is on record at its edge proxy survives the loss of its connection, ns.
-DETACHED_LEG_LIFETIME = 10_000_000_000
+# How long a leg without a connection, and the end of such a leg, is retained, ns.
+RETENTION = 10_000_000_000
 ENDED_KIND = "ended"
 
 # By what the model reports: the outcome of the attempt, and the kind of message that carries it.
@@ -36,22 +38,28 @@
     INTERRUPTED = "cut"
 
 
+class AttemptAnswer(Struct, frozen=True):
+    """A server's answer to an attempt, or the end of an established one, as it arrives.
+
+    `retry_after` in ns; `details`: the reason where an established dialog ended.
+    """
+
+    connection: Connection
+    dialog_id: str
+    attempt: int
+    outcome: Outcome
+    retry_after: int
+    load_report: LoadReport
+    details: str
+
+
 class ConnectionOwner(Protocol):
     """The edge proxy's side of a connection."""
 
     name: str
 
-    def on_attempt_answer(
-        self,
-        connection: Connection,
-        dialog_id: str,
-        attempt: int,
-        outcome: Outcome,
-        retry_after: int,
-        load_report: LoadReport,
-        details: str,
-    ) -> None:
-        """A server's message has arrived; `details`: the reason where an established dialog ended."""
+    def on_attempt_answer(self, answer: AttemptAnswer) -> None:
+        """A server's message has arrived."""
 
     def on_connection_lost(self, connection: Connection) -> None:
         """The connection is closed."""
@@ -61,7 +69,7 @@
     """One connection between an edge proxy and a server.
 
     Messages of one direction arrive in order, each after a delay of its own. A row is recorded when a message
-    passes the edge proxy's end, as with the stand-ins.
+    passes the edge proxy's end, as with the fakes.
     """
 
     def __init__(
@@ -116,10 +124,10 @@
             server.sim.now(), self.owner.name, True, kind, dialog_id, attempt, details, event.retry_after
         )
         self.owner.on_attempt_answer(
-            self, dialog_id, attempt, outcome, event.retry_after, load_report, details
+            AttemptAnswer(self, dialog_id, attempt, outcome, event.retry_after, load_report, details)
         )
 
-    def close(self, surviving_legs: Sequence[LegKey] = ()) -> None:
+    def close(self, retained_legs: Sequence[LegKey] = ()) -> None:
         """Closes the connection; the legs named survive it for a while, to be resumed on another."""
         if not self.is_open:
             return
@@ -127,8 +135,8 @@
         server = self.server
         server.connections.pop(self.peer, None)
         server.tap.record(ConnectionLostRow, edge=self.owner.name, peer=server.name)
-        server.detach(surviving_legs)
-        server.model.on_connection_lost(server.sim.now(), self.peer, server.detached_legs)
+        server.retain(retained_legs)
+        server.model.on_connection_lost(server.sim.now(), self.peer, server.retained_legs)
         server.deliver_events()
         self.owner.on_connection_lost(self)
 
@@ -163,9 +171,9 @@
         self.refused_edges: set[str] = set()
         self.connections: dict[str, Connection] = {}
         # Legs that survived their connection, by the one that resumed them; each leaves with its end.
-        self.detached_legs: dict[LegKey, Connection | None] = {}
+        self.retained_legs: dict[LegKey, Connection | None] = {}
         # Ends of such legs while nobody was connected; each leaves when it is asked for, or in time.
-        self.unreported_ends: dict[LegKey, EndReason] = {}
+        self.undelivered_ends: dict[LegKey, EndReason] = {}
         self._durations = durations
         self._mean_duration = mean_duration
         self._reports_lines = reports_lines
@@ -210,11 +218,11 @@
         now = self.sim.now()
         for event in self.model.advance(now):
             connection = self.connections.get(event.key[0])
-            if event.key in self.detached_legs:
-                connection = self.detached_legs.pop(event.key)
+            if event.key in self.retained_legs:
+                connection = self.retained_legs.pop(event.key)
                 if connection is None:
-                    self.unreported_ends[event.key] = _end_reason(event)
-                    self.sim.call_after(DETACHED_LEG_LIFETIME, self._forget_end, event.key)
+                    self.undelivered_ends[event.key] = _end_reason(event)
+                    self.sim.call_after(RETENTION, self._forget_end, event.key)
             if (
                 connection is not None
                 and not self.is_silent
@@ -227,23 +235,23 @@
             self._next_delivery_at = due
             self.sim.call_at(due, self.deliver_events)
 
-    def detach(self, legs: Sequence[LegKey]) -> None:
+    def retain(self, legs: Sequence[LegKey]) -> None:
         """Lets legs survive without a connection for a while, with those whose new one has closed too."""
         orphaned = [
             leg
-            for leg, connection in self.detached_legs.items()
+            for leg, connection in self.retained_legs.items()
             if connection is not None and not connection.is_open
         ]
         for leg in [*legs, *orphaned]:
-            self.detached_legs[leg] = None
-            self.sim.call_after(DETACHED_LEG_LIFETIME, self._abandon, leg)
+            self.retained_legs[leg] = None
+            self.sim.call_after(RETENTION, self._abandon, leg)
 
     def _forget_end(self, leg: LegKey) -> None:
-        self.unreported_ends.pop(leg, None)
+        self.undelivered_ends.pop(leg, None)
 
     def _abandon(self, leg: LegKey) -> None:
-        if leg in self.detached_legs and self.detached_legs[leg] is None:
-            del self.detached_legs[leg]
+        if leg in self.retained_legs and self.retained_legs[leg] is None:
+            del self.retained_legs[leg]
             self.model.abandon(self.sim.now(), leg)
             self.deliver_events()
 
@@ -251,15 +259,15 @@
         """Resumes a leg on a connection of a later process; how it ended, or None if it is established."""
         self.model.on_resume_request(self.sim.now())
         self.deliver_events()
-        if leg in self.detached_legs and leg in self.model.legs:
-            self.detached_legs[leg] = connection
+        if leg in self.retained_legs and leg in self.model.legs:
+            self.retained_legs[leg] = connection
             return None
-        return self.unreported_ends.pop(leg, EndReason.INTERRUPTED)
+        return self.undelivered_ends.pop(leg, EndReason.INTERRUPTED)
 
     def close_connections(self) -> None:
         """Closes all connections; no leg survives."""
-        self.detached_legs.clear()
-        self.unreported_ends.clear()
+        self.retained_legs.clear()
+        self.undelivered_ends.clear()
         for connection in list(self.connections.values()):
             connection.close()
 
--- a/valverouter/load/target.py
+++ b/valverouter/load/target.py
@@ -1,4 +1,4 @@
-"""Brings up an edge proxy with its stand-ins, each a process, as the target of a load run."""
+"""Brings up an edge proxy with fake servers and a fake list, each a process, as a load run's target."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from valverouter.load.drive import SECOND, LoadFailedError
 from valverouter.terms.day import Day
 
-# What the stand-ins print before the address of their list service.
+# What the fakes print before the address of their list service.
 LIST_SERVICE_PROMPT = b"list service at "
 READ_SIZE = 4_096
 
 
 @asynccontextmanager
 async def target(file: Path, day: Day, folder: Path, seconds: float) -> AsyncIterator[str]:
-    """An edge proxy of the day's with its stand-ins; gives the edge proxy's address.
+    """An edge proxy of the day's with its fakes; gives the edge proxy's address.
 
-    The stand-ins end by themselves after so many seconds, whatever becomes of this process.
+    The fakes end by themselves after so many seconds, whatever becomes of this process.
     """
     command = [sys.executable, "-m", "valverouter.cli", "standin", str(file), "--seconds", str(seconds)]
-    standins = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+    fakes = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
     try:
-        list_address = await _list_service_address(standins)
+        list_address = await _list_service_address(fakes)
         if not list_address:
             raise LoadFailedError(f"the stand-ins of {file} did not come up")
         async with trio.open_nursery() as nursery:
@@ -40,18 +40,18 @@
             nursery.cancel_scope.cancel()
     finally:
         with trio.CancelScope(shield=True):
-            if standins.poll() is None:
-                standins.terminate()
-            await standins.wait()
+            if fakes.poll() is None:
+                fakes.terminate()
+            await fakes.wait()
 
 
-async def _list_service_address(standins: trio.Process) -> str:
-    """The address that the stand-ins print, empty where none comes in time."""
-    assert standins.stdout is not None
+async def _list_service_address(fakes: trio.Process) -> str:
+    """The address that the fakes print, empty where none comes in time."""
+    assert fakes.stdout is not None
     output = b""
     with trio.move_on_after(START_WITHIN_S):
         while b"\n" not in output.partition(LIST_SERVICE_PROMPT)[2]:
-            data = await standins.stdout.receive_some(READ_SIZE)
+            data = await fakes.stdout.receive_some(READ_SIZE)
             if not data:
                 break
             output += data
