--- a/tests/test_raft_server.py
+++ b/tests/test_raft_server.py
@@ -84,6 +84,6 @@
     with pytest.raises(FlawedTermsError, match=r"neither a \[seat\] nor a \[keeper\]"):
         load_tool(file)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("valverouter.cli.ordering.WITHIN_S", 0.2)
+        patch.setattr("valverouter.cli.operation_requests.TIMEOUT_S", 0.2)
         result = CliRunner().invoke(main, ["fleet", "status", str(write_settings(tmp_path, SUPERVISOR))])
     assert result.exit_code == 3
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -11,7 +11,7 @@
 from valverouter.cli.common import BROKEN, FILE, console
 from valverouter.cli.fleet_processes import raft_server, supervisor
 from valverouter.cli.fleet_view import view
-from valverouter.cli.ordering import COMMANDS
+from valverouter.cli.operations import COMMANDS
 from valverouter.days.emulated_views import run_views
 from valverouter.terms.day import load_day
 
--- /dev/null
+++ b/valverouter/cli/operation_requests.py
@@ -0,0 +1,122 @@
+"""Requests of the command line to the control plane, each over a socket of its own."""
+
+from __future__ import annotations
+
+import random
+import secrets
+import sys
+import time
+from pathlib import Path
+from typing import NoReturn, TypeVar
+
+import click
+import msgspec
+import trio
+
+from valverouter.cli.common import BROKEN, FAILED, console
+from valverouter.cli.operations_output import describe_progress, print_halt_reason, print_participants
+from valverouter.edge.surroundings import Sockets
+from valverouter.fleet.messages import RequestKind
+from valverouter.fleet.operations_client import OperationsClient
+from valverouter.rollout.operations import Command, Submit, SubmitResult
+from valverouter.rollout.status import FleetStatus, OperationStatus
+from valverouter.terms.rollout import load_tool
+
+# Exit codes: an operation ended in part or halted; nobody answered, or an operation is not known.
+IN_PART, UNKNOWN = BROKEN, FAILED
+TIMEOUT_S = 10.0
+FOLLOW_INTERVAL_S = 1.0
+
+Answer = TypeVar("Answer")
+
+
+def wall_clock_ms() -> int:
+    """The time to show beside an operation, ms since 1970."""
+    return time.time_ns() // 1_000_000
+
+
+def plan(file: Path, operation: Submit) -> SubmitResult:
+    """The waves of an operation if it were submitted now, or why it would be rejected."""
+    return _submit(file, RequestKind.PLAN, operation)
+
+
+def submit(file: Path, operation: Submit) -> SubmitResult:
+    """Submits an operation: its waves, or why it is rejected."""
+    return _submit(file, RequestKind.EXECUTE, operation)
+
+
+def _submit(file: Path, kind: RequestKind, operation: Submit) -> SubmitResult:
+    result = _request(file, kind, operation, SubmitResult)
+    if result is None:
+        _exit_unknown(operation.id)
+    return result
+
+
+def execute(file: Path, command: Command, subject: str) -> None:
+    """Executes a command about an operation or instance `subject`, for the message where nobody answers."""
+    if _request(file, RequestKind.EXECUTE, command, dict) is None:
+        _exit_unknown(subject)
+
+
+def fleet_status(file: Path, about: str = "") -> FleetStatus:
+    """The fleet's status; `about`: see `rollout.status.fleet_status`. Ends the process if nobody answers."""
+    status = _request(file, RequestKind.SHOW, None, FleetStatus, about)
+    if status is None:
+        console.print("nobody of the council who leads was reached", highlight=False)
+        sys.exit(UNKNOWN)
+    return status
+
+
+def follow(file: Path, id_: str, as_json: bool) -> None:
+    """Prints an operation's progress until it ends; ends the process where it was not all done.
+
+    Interrupted, it ends the printing alone.
+    """
+    operation = _wait_for_end(file, id_, is_quiet=as_json)
+    if as_json:
+        click.echo(msgspec.json.encode(operation).decode())
+    else:
+        print_halt_reason(operation)
+    if operation.result != "done":
+        if not as_json:
+            print_participants(operation)
+        sys.exit(IN_PART)
+
+
+def _wait_for_end(file: Path, id_: str, is_quiet: bool) -> OperationStatus:
+    printed = ""
+    while True:
+        status = fleet_status(file, id_)
+        operation = next((operation for operation in status.operations if operation.id == id_), None)
+        if operation is None:
+            _exit_unknown(id_)
+        line = describe_progress(status, operation)
+        if line != printed and not is_quiet:
+            printed = line
+            console.print(line, highlight=False, soft_wrap=True)
+        if operation.phase == "ended":
+            return operation
+        time.sleep(FOLLOW_INTERVAL_S)
+
+
+def _request(
+    file: Path, kind: RequestKind, command: Command | None, answer_type: type[Answer], about: str = ""
+) -> Answer | None:
+    """The leader's answer; None where no leader answered in time."""
+    terms = load_tool(file)
+
+    async def ask() -> Answer | None:
+        host = next(iter(terms.council.values())).rpartition(":")[0]
+        socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
+        try:
+            client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
+            return await client.request(kind, command, answer_type, TIMEOUT_S, about)
+        finally:
+            socket.close()
+
+    return trio.run(ask)
+
+
+def _exit_unknown(subject: str) -> NoReturn:
+    console.print(f"unknown what became of {subject or 'it'}: no answer; ask by its id", highlight=False)
+    sys.exit(UNKNOWN)
