--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -27,8 +27,8 @@
 from valverouter.audit.operations import check_operations
 from valverouter.audit.rules import audit
 from valverouter.days.loopback import run_loopback
-from valverouter.days.ordercourses import OrderCourse
-from valverouter.days.ordering import OrderRig, run_orders
+from valverouter.days.operation_course import OperationCourse
+from valverouter.days.operation_rig import OperationRig, run_operations
 from valverouter.edge import logs
 from valverouter.emulator.raft_group import InvariantViolationError
 from valverouter.emulator.rollout_simulation import RolloutSimulation
@@ -56,22 +56,23 @@
     turns = 0
     most, here = max(2, told.edges // 6), max(1, told.edges // 12)
     for seed in range(told.first, told.first + told.seeds):
-        course, began = OrderCourse(seed, told.length), time.monotonic()
+        course, began = OperationCourse(seed, told.length), time.monotonic()
         script = scripted(seed, told.edges, told.length * 2)
         with tempfile.TemporaryDirectory() as passing:
             folder = told.logs / str(seed) if told.logs else Path(passing)
             folder.mkdir(parents=True, exist_ok=True)
-            rows = run_orders(script, folder, course.play, most, here, servers=told.servers)
+            rows = run_operations(script, folder, course.play, most, here, servers=told.servers)
         orders, rules = check_operations(rows), audit(rows)
         assert orders is not None
         good = orders.passed and rules.passed
         bad += not good
-        resting += course.rested
+        resting += course.is_at_rest
         ends.update(orders.outcomes)
         turns += orders.steps_started
-        line = f"seed {seed}: {course.orders} told, {course.faults} faults, {orders.steps_started} turns, "
+        line = f"seed {seed}: {course.operations} told, {course.faults} faults, "
+        line += f"{orders.steps_started} turns, "
         line += f"most out {orders.max_unavailable} of {most}, rules kept: {rules.passed}, "
-        line += f"at rest: {course.rested}, "
+        line += f"at rest: {course.is_at_rest}, "
         line += f"{time.monotonic() - began:.0f} s"
         print(line if good else f"{line}; {orders.violations} {rules.violations}", flush=True)
     print(f"{told.seeds} courses, {bad} bad, {resting} at rest, {turns} turns; {dict(ends)}")
@@ -85,7 +86,7 @@
         for with_them in (True, False):
             with tempfile.TemporaryDirectory() as passing:
                 if with_them:
-                    rows = run_orders(script, Path(passing), nothing)
+                    rows = run_operations(script, Path(passing), nothing)
                 else:
                     rows = run_loopback(script, Path(passing))
             served.append(weighted_service_level(account_by_type(rows), {"booking": 1.0}))
@@ -95,7 +96,7 @@
     print(f"mean {mean:+.4f}, spread of the pairs {spread:.4f}")
 
 
-async def nothing(rig: OrderRig) -> None:
+async def nothing(rig: OperationRig) -> None:
     pass
 
 
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -19,14 +19,14 @@
 from valverouter.audit.operations import OperationsReport, check_operations
 from valverouter.audit.rules import audit
 from valverouter.days.operation_files import NODES
-from valverouter.days.ordering import OrderRig, run_orders
+from valverouter.days.operation_rig import OperationRig, run_operations
 from valverouter.rollout.status import FleetStatus
 from valverouter.servermodel.paths import PathFault
 from valverouter.terms.day import Day, day
 from valverouter.terms.ini import IniFile
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
-Script = Callable[[OrderRig], Awaitable[None]]
+Script = Callable[[OperationRig], Awaitable[None]]
 
 processes = pytest.mark.processes
 
@@ -40,7 +40,7 @@
 def played(tmp_path: Path, script: Script, length: int = 15, **more: object) -> OperationsReport:
     """The rules and the orders' own are kept, whatever the script did."""
     troubles = str(more.pop("troubles", ""))
-    rows = run_orders(scripted(length, troubles=troubles), tmp_path, script, **more)  # type: ignore[arg-type]
+    rows = run_operations(scripted(length, troubles=troubles), tmp_path, script, **more)  # type: ignore[arg-type]
     judged, rules = check_operations(rows), audit(rows)
     assert judged is not None, judged
     assert judged.violations == (), judged
@@ -52,7 +52,7 @@
     return next(one.result for one in shown.operations if one.id == order)
 
 
-async def out(rig: OrderRig, order: str) -> FleetStatus:
+async def out(rig: OperationRig, order: str) -> FleetStatus:
     """Once somebody is out by the order."""
     with trio.fail_after(20):
         while True:
@@ -62,7 +62,7 @@
             await trio.sleep(0.05)
 
 
-async def leader(rig: OrderRig) -> str:
+async def leader(rig: OperationRig) -> str:
     with trio.fail_after(20):
         while (shown := await rig.status()) is None:
             await trio.sleep(0.2)
@@ -73,9 +73,9 @@
     """A restart of all while the leader of the council is killed and a keeper with it, then a release that
     ends by itself."""
 
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "--all", "--id", "all")
+            nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
             await out(rig, "all")
             seat = await leader(rig)
             rig.kill(seat)
@@ -83,11 +83,11 @@
             await trio.sleep(1.5)
             rig.start(seat)
             rig.start("k2")
-        assert result(await rig.settled(60), "all") == "done"
-        code, said = await rig.tool("release", "--all", "--to", "dies-late", "--id", "r")
+        assert result(await rig.wait_until_settled(60), "all") == "done"
+        code, said = await rig.run_client("release", "--all", "--to", "dies-late", "--id", "r")
         assert code == 1
         assert "halted" in said
-        shown = await rig.settled(60)
+        shown = await rig.wait_until_settled(60)
         assert {unit.running_version for unit in shown.instances} == {"v1"}
 
     judged = played(tmp_path, script, 30)
@@ -97,21 +97,21 @@
 
 @processes
 def test_an_order_to_all_while_three_are_in_mid_restart(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for name in ("e0", "e2", "e4"):
             rig.kill(name)
-        code, _ = await rig.tool("restart", "--all", "--id", "all")
+        code, _ = await rig.run_client("restart", "--all", "--id", "all")
         assert code == 0
-        assert result(await rig.settled(30), "all") == "done"
+        assert result(await rig.wait_until_settled(30), "all") == "done"
 
     assert played(tmp_path, script, 30).steps_started == 6
 
 
 @processes
 def test_one_that_carries_an_order_out_and_dies_before_its_answer(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "e1", "--id", "one")
+            nursery.start_soon(rig.run_client, "restart", "e1", "--id", "one")
             log = rig.folder / "k1.log"
             with trio.fail_after(20):
                 while b'"step-started"' not in log.read_bytes():
@@ -119,84 +119,89 @@
             rig.kill("k1")
             await trio.sleep(2)
             rig.start("k1")
-        assert result(await rig.settled(30), "one") == "done"
+        assert result(await rig.wait_until_settled(30), "one") == "done"
 
     assert played(tmp_path, script).steps_started == 1
 
 
 @processes
 def test_the_tool_killed_at_each_step(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for within in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
-            await rig.tool("restart", "e0", "e1", "--id", "one", within=within)
-        code, _ = await rig.tool("restart", "e0", "e1", "--id", "one")
+            await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=within)
+        code, _ = await rig.run_client("restart", "e0", "e1", "--id", "one")
         assert code == 0
-        assert result(await rig.settled(30), "one") == "done"
+        assert result(await rig.wait_until_settled(30), "one") == "done"
 
     assert played(tmp_path, script, 25).steps_started == 2
 
 
 @processes
 def test_two_operators_with_overlapping_sets_on_two_sides_of_a_cut(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         now = rig.world.now()
         near, far = frozenset({"c0", "k0", "k1"}), frozenset({"c1", "c2", "k2", "k3", "k4", "k5"})
-        rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(near, far)))
+        rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(near, far)))
         codes = {}
 
         async def operator(order: str, *names: str) -> None:
-            codes[order] = (await rig.tool("drain", *names, "--id", order))[0]
+            codes[order] = (await rig.run_client("drain", *names, "--id", order))[0]
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(operator, "a", "e3", "e0")
             nursery.start_soon(operator, "b", "e3", "e2")
-        shown = await rig.settled(40)
+        shown = await rig.wait_until_settled(40)
         assert sorted(codes.values()) == [0, 2], codes
         assert sum(unit.state == "drained" for unit in shown.instances) == 2
-        assert (await rig.tool("undrain", "--all"))[0] == 0
+        assert (await rig.run_client("undrain", "--all"))[0] == 0
 
     played(tmp_path, script, 40)
 
 
 @processes
 def test_the_giver_killed_and_one_stopped_for_ten_seconds_and_woken(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "--all", "--id", "all")
+            nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
             await out(rig, "all")
-            nursery.start_soon(rig.stall, await leader(rig), 10.0)
+            nursery.start_soon(rig.pause, await leader(rig), 10.0)
             await trio.sleep(5)
             seat = await leader(rig)
             rig.kill(seat)
             await trio.sleep(1)
             rig.start(seat)
-        assert result(await rig.settled(60), "all") == "done"
+        assert result(await rig.wait_until_settled(60), "all") == "done"
 
     assert played(tmp_path, script, 40).steps_started == 6
 
 
 @processes
 def test_a_whole_region_is_refused_for_capacity(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("drain", "--region", "north", "--id", "d")
+    async def script(rig: OperationRig) -> None:
+        code, said = await rig.run_client("drain", "--region", "north", "--id", "d")
         assert code == 2
         assert "least capacity of north" in said
-        code, said = await rig.tool("drain", "--region", "north", "--dry-run")
+        code, said = await rig.run_client("drain", "--region", "north", "--dry-run")
         assert code == 2
         assert (await rig.status() or pytest.fail("nobody tells the status")).operations == ()
 
-    assert played(tmp_path, script, 10, most=4, in_region=2, least=0.5).steps_started == 0
+    assert (
+        played(
+            tmp_path, script, 10, max_unavailable=4, max_per_region=2, min_capacity_fraction=0.5
+        ).steps_started
+        == 0
+    )
 
 
 @processes
 def test_three_crashes_during_a_drain_of_the_most_allowed(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        assert (await rig.tool("drain", "e0", "e2", "--id", "d"))[0] == 0
+    async def script(rig: OperationRig) -> None:
+        assert (await rig.run_client("drain", "e0", "e2", "--id", "d"))[0] == 0
         for name in ("k1", "k3", "k5"):
             rig.kill(name)
             rig.kill(f"e{name[1:]}")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "e4", "--id", "one")
+            nursery.start_soon(rig.run_client, "restart", "e4", "--id", "one")
             await trio.sleep(5)
             shown = await rig.status()
             assert shown is not None
@@ -205,9 +210,9 @@
             for name in ("k1", "k3", "k5"):
                 rig.start(name)
             await trio.sleep(4)
-            assert (await rig.tool("undrain", "--all"))[0] == 0
+            assert (await rig.run_client("undrain", "--all"))[0] == 0
         # The only one left says that it is cut off, which halts an order as well as the room used up.
-        assert result(await rig.settled(40), "one") == "halted"
+        assert result(await rig.wait_until_settled(40), "one") == "halted"
 
     played(tmp_path, script, 40)
 
@@ -215,11 +220,11 @@
 @processes
 @pytest.mark.parametrize("version", ["crashes", "dies-late", "declines", "crowds"])
 def test_a_harmful_release_is_halted_and_goes_back(tmp_path: Path, version: str) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("release", "--all", "--to", version, "--id", "r", within=90)
+    async def script(rig: OperationRig) -> None:
+        code, said = await rig.run_client("release", "--all", "--to", version, "--id", "r", timeout_s=90)
         assert code == 1
         assert "halted" in said
-        shown = await rig.settled(60)
+        shown = await rig.wait_until_settled(60)
         assert {unit.running_version for unit in shown.instances} == {"v1"}
 
     played(tmp_path, script, 50)
@@ -227,8 +232,8 @@
 
 @processes
 def test_a_harmless_release_on_a_day_with_a_slow_server_is_not_halted(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=120)
+    async def script(rig: OperationRig) -> None:
+        code, said = await rig.run_client("release", "--all", "--to", "v2", "--id", "r", timeout_s=120)
         assert code == 0, said
 
     slow = "\n[trouble slow]\nkind = slow\nstart = 1s\nlength = 60s\nsize = 6\non = s0\n"
@@ -237,17 +242,17 @@
 
 @processes
 def test_a_cut_in_mid_wave_that_heals_after_the_halt(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "release", "--all", "--to", "v2", "--id", "r")
+            nursery.start_soon(rig.run_client, "release", "--all", "--to", "v2", "--id", "r")
             await out(rig, "r")
             now = rig.world.now()
             cut = frozenset({"c1", "k0", "k2", "k4"})
             rest = frozenset({"c0", "c2", "k1", "k3", "k5"})
-            rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(cut, rest)))
+            rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(cut, rest)))
             await trio.sleep(1)
-            assert (await rig.tool("halt", "r"))[0] == 0
-        shown = await rig.settled(60)
+            assert (await rig.run_client("halt", "r"))[0] == 0
+        shown = await rig.wait_until_settled(60)
         assert result(shown, "r") == "halted"
         assert {unit.running_version for unit in shown.instances} == {"v1"}
 
@@ -256,10 +261,10 @@
 
 @processes
 def test_the_tool_the_leader_and_one_of_the_wave_die_in_a_way_back(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=14)
-        await rig.tool("back", "r", within=0.7)
-        await rig.tool("back", "r", "--no-wait")
+    async def script(rig: OperationRig) -> None:
+        await rig.run_client("release", "--all", "--to", "v2", "--id", "r", timeout_s=14)
+        await rig.run_client("back", "r", timeout_s=0.7)
+        await rig.run_client("back", "r", "--no-wait")
         seat = await leader(rig)
         rig.kill(seat)
         rig.kill("k0")
@@ -267,7 +272,7 @@
         await trio.sleep(3)
         rig.start(seat)
         rig.start("k0")
-        shown = await rig.settled(60)
+        shown = await rig.wait_until_settled(60)
         assert {unit.running_version for unit in shown.instances} == {"v1"}
 
     played(tmp_path, script, 45)
@@ -275,7 +280,7 @@
 
 @processes
 def test_a_council_member_that_lost_its_disk_and_one_put_in_its_place(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for seat in NODES[:2]:
             rig.kill(seat)
             shutil.rmtree(rig.folder / f"{seat}.store")
@@ -286,46 +291,46 @@
                     await trio.sleep(0.2)
             # Both halves of the change have to be agreed on before another disk may go.
             await trio.sleep(2)
-        assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
+        assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
 
     assert played(tmp_path, script, 20).steps_started == 1
 
 
 @processes
 def test_a_keeper_that_lost_its_disk_finds_what_it_had_started(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        assert (await rig.tool("restart", "e1", "--id", "one"))[0] == 0
-        before = rig._pid("e1")
+    async def script(rig: OperationRig) -> None:
+        assert (await rig.run_client("restart", "e1", "--id", "one"))[0] == 0
+        before = rig.find_pid("e1")
         rig.kill("k1")
         shutil.rmtree(rig.folder / "k1.store")
         rig.start("k1")
-        await rig.settled(20)
-        assert rig._pid("e1") == before is not None, "it went on running, and no second one was started"
-        assert (await rig.tool("restart", "e1", "--id", "two"))[0] == 0
-        assert rig._pid("e1") != before
+        await rig.wait_until_settled(20)
+        assert rig.find_pid("e1") == before is not None, "it went on running, and no second one was started"
+        assert (await rig.run_client("restart", "e1", "--id", "two"))[0] == 0
+        assert rig.find_pid("e1") != before
 
     assert played(tmp_path, script, 20).steps_started == 2
 
 
 @processes
 def test_an_order_that_was_refused_may_be_told_again_under_its_id(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        assert (await rig.tool("drain", "e0", "--id", "a"))[0] == 0
-        assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 2
-        assert (await rig.tool("undrain", "e0"))[0] == 0
-        assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 0
-        assert (await rig.tool("undrain", "--all"))[0] == 0
+    async def script(rig: OperationRig) -> None:
+        assert (await rig.run_client("drain", "e0", "--id", "a"))[0] == 0
+        assert (await rig.run_client("drain", "e1", "--id", "b"))[0] == 2
+        assert (await rig.run_client("undrain", "e0"))[0] == 0
+        assert (await rig.run_client("drain", "e1", "--id", "b"))[0] == 0
+        assert (await rig.run_client("undrain", "--all"))[0] == 0
 
     assert played(tmp_path, script, 20).steps_started == 4
 
 
 @processes
 def test_an_order_repeated_later_does_nothing_again(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for _ in range(3):
-            assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
+            assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
             await trio.sleep(1)
-        code, said = await rig.tool("history", "one")
+        code, said = await rig.run_client("history", "one")
         assert code == 0
         assert "done" in said
 
@@ -334,11 +339,11 @@
 
 @processes
 def test_servers_go_out_under_permits_one_by_one(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, said = await rig.tool("restart", "s0", "s1", "--servers", "--id", "s", within=90)
+    async def script(rig: OperationRig) -> None:
+        code, said = await rig.run_client("restart", "s0", "s1", "--servers", "--id", "s", timeout_s=90)
         assert code == 0, said
 
-    rows = run_orders(msgspec.structs.replace(scripted(60)), tmp_path, script, servers=True)
+    rows = run_operations(msgspec.structs.replace(scripted(60)), tmp_path, script, servers=True)
     judged, rules = check_operations(rows), audit(rows)
     assert judged is not None, judged
     assert judged.passed, judged
@@ -350,8 +355,8 @@
 
 @processes
 def test_a_sigterm_of_the_machine_is_obeyed_and_counted_as_out_without_leave(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        rig._fault("leave-k1", "k1", 10)
+    async def script(rig: OperationRig) -> None:
+        rig.record_fault("leave-k1", "k1", 10)
         for _ in range(3):
             rig.processes["k1"].terminate()
             await trio.sleep(0.05)
@@ -360,9 +365,9 @@
                 await trio.sleep(0.1)
         # The last of the signals may meet one that has done all and is on its way out.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
-        assert rig._pid("e1") is None
+        assert rig.find_pid("e1") is None
         assert b'"process-exited"' in (rig.folder / "k1.log").read_bytes()
         rig.start("k1")
-        assert {unit.state for unit in (await rig.settled(20)).instances} == {"in"}
+        assert {unit.state for unit in (await rig.wait_until_settled(20)).instances} == {"in"}
 
     assert played(tmp_path, script).steps_started == 0
--- /dev/null
+++ b/valverouter/days/operation_rig.py
@@ -0,0 +1,372 @@
+"""Operations on a fleet of real processes on loopback: raft servers, supervisors with their edge proxies,
+clients.
+
+All datagrams between raft servers, supervisors and edge proxies pass a fake of the network, which faults
+are added to. A client is a process too, and reaches the raft servers past it. What is audited comes from
+the supervisors' own logs.
+"""
+
+from __future__ import annotations
+
+import ctypes
+import os
+import random
+import signal
+import socket
+import subprocess
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+import msgspec
+import trio
+
+from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
+from valverouter.days.server_agents import ServerAgents
+from valverouter.days.supervisor_logs import append_log_rows
+from valverouter.days.world import World
+from valverouter.edge.surroundings import Sockets
+from valverouter.fakes.datagrams import FakeDatagramNetwork
+from valverouter.rollout.status import FleetStatus, OperationStatus
+from valverouter.servermodel.paths import NetworkPaths, PathFault
+from valverouter.signalling.tap import DisruptionLimitsRow, FaultRow, OperationRow, Row
+from valverouter.terms.day import Day
+
+NS_PER_S = 1e9
+START_TIMEOUT_S = 30
+STOP_TIMEOUT_S = 12
+STATUS_TIMEOUT_S = 15.0
+# A fault counts for so long after its end, ns.
+FAULT_SLACK = 200_000_000
+# Ports below those that the machine gives out by itself: one of these was given to another socket between its
+# choice and its use.
+PORTS = (10_000, 32_000)
+PR_SET_PDEATHSIG = 1
+
+
+class SupervisedEdge:
+    """An edge proxy as the day's callers see it: an address that stays."""
+
+    def __init__(self, name: str, address: str) -> None:
+        """`address`: where it takes callers' connections."""
+        self.name = name
+        self.address = address
+
+    async def start(self) -> None:
+        """Left to the supervisor."""
+        raise NotImplementedError("its supervisor starts it")
+
+    kill = stop = start
+
+    async def stall(self, span: int) -> None:
+        """Left to `OperationRig.pause`."""
+        raise NotImplementedError("stalled by name")
+
+
+class OperationRig:
+    """The processes of one day, by name.
+
+    Raft servers are c0 to c2, edge proxies e0..., and their supervisors k0...; of servers with supervisors
+    s0... and ks0....
+    """
+
+    def __init__(
+        self,
+        day: Day,
+        folder: Path,
+        world: World,
+        limits: tuple[int, int],
+        with_servers: bool,
+        min_capacity_fraction: float,
+    ) -> None:
+        """`limits`: edge proxies that may be out, in all and in a region. `folder` takes files and logs."""
+        self.day = day
+        self.folder = folder.absolute()
+        self.world = world
+        self.edges = [f"e{index}" for index in range(day.fleet.edge_proxies)]
+        # Those with supervisors.
+        self.servers = list(world.servers) if with_servers else []
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
+        self.faults: list[PathFault] = []
+        self._limits = limits
+        self._min_capacity_fraction = min_capacity_fraction
+        self._draw = random.Random(f"{day.terms.seed}/paths").random
+        self._network = FakeDatagramNetwork(Sockets().datagrams, world.now, NetworkPaths([], self._draw))
+        self._callers: dict[str, str] = {}
+
+    async def open(self, nursery: trio.Nursery) -> None:
+        """Opens the network and writes all files; starts nothing."""
+        await nursery.start(self._network.run)
+        server_control = await self._open_server_agents(nursery) if self.servers else ""
+        listen, advertised = self._open_network()
+        for name, port in zip(self.edges, _free_ports(len(self.edges), socket.SOCK_STREAM), strict=True):
+            self._callers[name] = f"127.0.0.1:{port}"
+        files = OperationFiles(
+            day=self.day,
+            folder=self.folder,
+            edges=self.edges,
+            servers=self.servers,
+            list_service=self.world.list.address,
+            limits=self._limits,
+            min_capacity_fraction=self._min_capacity_fraction,
+            listen=listen,
+            advertised=advertised,
+            callers=self._callers,
+        )
+        regions = {name: self.day.region_of_server(self.world.numbers_of[name]) for name in self.servers}
+        files.write(server_control, regions)
+        max_unavailable, max_per_region = self._limits
+        self.world.tap.record(
+            DisruptionLimitsRow, max_unavailable=max_unavailable, max_per_region=max_per_region
+        )
+
+    async def _open_server_agents(self, nursery: trio.Nursery) -> str:
+        """The address at which agents report."""
+        agents = ServerAgents(self.world, self.day.fleet.warm_after)
+        address: str = await nursery.start(Sockets().serve, "127.0.0.1:0", agents.serve)
+        self.world.list.on_leave = lambda server: self.world.tell([server], "draining")
+        nursery.start_soon(agents.report_warmth)
+        return address
+
+    def _open_network(self) -> tuple[dict[str, str], dict[str, str]]:
+        """Of each process, where it listens for datagrams and where others send them."""
+        supervisors = map(supervisor_of, (*self.edges, *self.servers))
+        names = [*NODES, *supervisors, *self.edges, *self.servers]
+        listen, advertised = {}, {}
+        for name, port in zip(names, _free_ports(len(names), socket.SOCK_DGRAM), strict=True):
+            listen[name] = f"127.0.0.1:{port}"
+            advertised[name] = self._network.open_front(name)
+            self._network.set_process_address(name, listen[name])
+        return listen, advertised
+
+    def add_callers(self) -> None:
+        """Lets the day's callers call the edge proxies."""
+        for index, name in enumerate(self.edges):
+            self.world.add_callers(index, SupervisedEdge(name, self._callers[name]))
+
+    # Processes
+
+    def start(self, name: str, *options: str) -> None:
+        """Starts a raft server or a supervisor; its log goes on in its file."""
+        program = "raft-server" if name in NODES else "supervisor"
+        command = [*CLI, "fleet", program, str(self.folder / f"{name}.ini"), *options]
+        with (self.folder / f"{name}.log").open("ab") as log:
+            self.processes[name] = subprocess.Popen(
+                command, stdin=subprocess.DEVNULL, stderr=log, preexec_fn=_end_with_parent
+            )
+
+    async def start_all(self) -> None:
+        """Starts all processes; returns once every instance is in service."""
+        for name in NODES:
+            self.start(name, *(["--bootstrap"] if name == NODES[0] else []))
+        for name in (*self.servers, *self.edges):
+            self.start(supervisor_of(name))
+        with trio.fail_after(START_TIMEOUT_S):
+            while not self._is_started(await self.status()):
+                await trio.sleep(0.2)
+
+    def _is_started(self, status: FleetStatus | None) -> bool:
+        return (
+            status is not None
+            and set(status.members) == set(NODES)
+            and len(status.instances) == len(self.edges) + len(self.servers)
+            and all(instance.state == "in" and instance.running_version for instance in status.instances)
+            and all(self._is_listening(name) for name in self.edges)
+        )
+
+    def _is_listening(self, name: str) -> bool:
+        log = self.folder / f"{name}.log"
+        return log.exists() and b'"listening"' in log.read_bytes()
+
+    def kill(self, name: str) -> None:
+        """SIGKILL to a raft server, a supervisor, or an edge proxy behind its supervisor."""
+        self.record_fault(f"kill-{name}", name)
+        if name in self.edges:
+            if (pid := self.find_pid(name)) is not None:
+                os.kill(pid, signal.SIGKILL)
+            return
+        self.processes[name].kill()
+        self.processes[name].wait()
+
+    def find_pid(self, edge: str) -> int | None:
+        """An edge proxy's process, by the settings file in its command: its supervisor is not believed."""
+        files = {f"{self.folder / edge}.ini".encode(), f"{self.folder / edge}.declines.ini".encode()}
+        for folder in Path("/proc").iterdir():
+            if not folder.name.isdigit():
+                continue
+            try:
+                arguments = (folder / "cmdline").read_bytes().split(b"\0")
+            except OSError:
+                continue
+            if files & set(arguments) and b"timeout" not in arguments[0]:
+                return int(folder.name)
+        return None
+
+    async def pause(self, name: str, seconds: float) -> None:
+        """SIGSTOP to a process, and SIGCONT after a while."""
+        self.record_fault(f"stall-{name}", name, seconds)
+        process = self.processes[name]
+        os.kill(process.pid, signal.SIGSTOP)
+        try:
+            await trio.sleep(seconds)
+        finally:
+            if process.poll() is None:
+                os.kill(process.pid, signal.SIGCONT)
+
+    def add_path_fault(self, fault: PathFault) -> None:
+        """Adds a fault of the network, whose moments are by the day's clock."""
+        self.faults = [earlier for earlier in self.faults if earlier.until > self.world.now()] + [fault]
+        self._network.paths = NetworkPaths(self.faults, self._draw)
+        self.world.tap.record(
+            FaultRow, until=fault.until + FAULT_SLACK, kind=f"path-{fault.kind}", target="paths"
+        )
+
+    def record_fault(self, kind: str, name: str, seconds: float = 0.0) -> None:
+        """Records a fault of a process for the audit."""
+        until = self.world.now() + round(seconds * NS_PER_S) + FAULT_SLACK
+        target = supervised_by(name) if name[0] == "k" else name
+        self.world.tap.record(FaultRow, until=until, kind=kind, target=target)
+
+    # Clients
+
+    async def run_client(self, *arguments: str, timeout_s: float = 60.0) -> tuple[int, str]:
+        """Runs `valverouter fleet ARGUMENT tool.ini ...`: its exit code and what it printed.
+
+        The exit code is -1 where the process was killed for taking longer than `timeout_s`.
+        """
+        command = [*CLI, "fleet", arguments[0], str(self.folder / "tool.ini"), *arguments[1:]]
+        with trio.move_on_after(timeout_s):
+            done = await trio.run_process(command, capture_stdout=True, capture_stderr=True, check=False)
+            return done.returncode, (done.stdout + done.stderr).decode()
+        return -1, ""
+
+    async def status(self) -> FleetStatus | None:
+        """The fleet's status; None where no leader answered."""
+        code, output = await self.run_client("status", "--json", timeout_s=STATUS_TIMEOUT_S)
+        if code != 0 or not output:
+            return None
+        return msgspec.json.decode(output.splitlines()[0], type=FleetStatus)
+
+    async def _history(self) -> list[OperationStatus]:
+        code, output = await self.run_client("history", "--json", timeout_s=STATUS_TIMEOUT_S)
+        if code != 0 or not output:
+            return []
+        return msgspec.json.decode(output.splitlines()[0], type=list[OperationStatus])
+
+    async def wait_until_settled(self, timeout_s: float) -> FleetStatus:
+        """Waits until no operation is open and all that are to run are in; raises TooSlowError."""
+        with trio.fail_after(timeout_s):
+            while True:
+                status = await self.status()
+                if (
+                    status is not None
+                    and all(operation.phase == "ended" for operation in status.operations)
+                    and all(instance.state in ("in", "drained") for instance in status.instances)
+                ):
+                    return status
+                await trio.sleep(0.3)
+
+    # The end
+
+    async def stop_all(self) -> None:
+        """Stops all processes, and records what their logs and the operation log hold."""
+        operations = await self._history()
+        for process in self.processes.values():
+            process.terminate()
+        with trio.move_on_after(STOP_TIMEOUT_S):
+            while any(process.poll() is None for process in self.processes.values()):
+                await trio.sleep(0.05)
+        for name, process in self.processes.items():
+            if process.poll() is None:
+                process.kill()
+            process.wait()
+            if name[0] == "k" and (pid := self.find_pid(supervised_by(name))) is not None:
+                os.kill(pid, signal.SIGKILL)
+        for name in (*self.edges, *self.servers):
+            log = self.folder / f"{supervisor_of(name)}.log"
+            append_log_rows(self.world.tap.rows, log, name, self.world.now())
+        for operation in operations:
+            self._record_operation(operation)
+
+    def _record_operation(self, operation: OperationStatus) -> None:
+        members = {
+            participant.name: (participant.status, participant.permit_number, participant.previous_version)
+            for participant in operation.participants
+        }
+        self.world.tap.record(
+            OperationRow,
+            operation=operation.id,
+            kind=operation.kind,
+            version=operation.version,
+            phase=operation.phase,
+            result=operation.result,
+            members=members,
+        )
+
+
+def _end_with_parent() -> None:
+    """Runs in a child: a rig that is killed must not leave its fleet running, and loading the machine.
+
+    A supervisor that is asked to end by this ends its edge proxy first.
+    """
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
+
+
+def _free_ports(count: int, kind: socket.SocketKind) -> list[int]:
+    draws = random.SystemRandom()
+    held: dict[int, socket.socket] = {}
+    try:
+        while len(held) < count:
+            candidate, port = socket.socket(socket.AF_INET, kind), draws.randrange(*PORTS)
+            try:
+                candidate.bind(("127.0.0.1", port))
+                held[port] = candidate
+            except OSError:
+                candidate.close()
+        return list(held)
+    finally:
+        for held_socket in held.values():
+            held_socket.close()
+
+
+def run_operations(
+    day: Day,
+    folder: Path,
+    script: Callable[[OperationRig], Awaitable[None]],
+    max_unavailable: int = 2,
+    max_per_region: int = 1,
+    servers: bool = False,
+    min_capacity_fraction: float = 0.0,
+) -> list[Row]:
+    """Plays the day with `script` beside its callers; the rows of what passed and of the supervisors' logs.
+
+    `servers`: they have supervisors too. `min_capacity_fraction`: of a region's edge proxies, that must stay.
+    """
+
+    async def main() -> list[Row]:
+        world = World(day, Sockets(), day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
+        limits = max_unavailable, max_per_region
+        with trio.CancelScope() as scope:
+            async with trio.open_nursery() as nursery:
+                await world.open(nursery)
+                rig = OperationRig(day, folder, world, limits, servers, min_capacity_fraction)
+                await rig.open(nursery)
+                try:
+                    await _play(day, world, rig, script)
+                finally:
+                    with trio.CancelScope(shield=True):
+                        await rig.stop_all()
+                scope.cancel()
+        return world.tap.rows
+
+    return trio.run(main)
+
+
+async def _play(
+    day: Day, world: World, rig: OperationRig, script: Callable[[OperationRig], Awaitable[None]]
+) -> None:
+    await rig.start_all()
+    rig.add_callers()
+    await trio.sleep(day.terms.settle / NS_PER_S)
+    async with trio.open_nursery() as playing:
+        playing.start_soon(world.play)
+        playing.start_soon(script, rig)
--- /dev/null
+++ b/valverouter/days/server_agents.py
@@ -0,0 +1,52 @@
+"""Servers of a day that supervisors start and stop, by agents: see `serveragent.py`."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+
+import trio
+
+from valverouter.days.world import World
+
+WARMTH_INTERVAL_S = 0.2
+# The longest name that an agent sends.
+NAME_BYTES = 64
+
+
+class ServerAgents:
+    """The agents that are connected. A fake server runs for as long as its agent does."""
+
+    def __init__(self, world: World, warm_after: int) -> None:
+        """`warm_after`: ns from a server's start until it counts as warm."""
+        self._world = world
+        self._warm_after = warm_after
+        self._streams: dict[str, trio.abc.Stream] = {}
+
+    async def serve(self, stream: trio.abc.Stream) -> None:
+        """Serves one agent's connection."""
+        name, world = (await stream.receive_some(NAME_BYTES)).decode().strip(), self._world
+        self._streams[name] = stream
+        if not world.servers[name].model.is_running:
+            world.list.started_at[name] = world.now()
+            await world.servers[name].start()
+            world.tell([name], "in-service")
+        with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
+            while await stream.receive_some(NAME_BYTES):
+                pass
+        if self._streams.get(name) is stream:
+            del self._streams[name]
+            world.servers[name].crash()
+            world.tell([name], "gone")
+
+    async def report_warmth(self) -> None:
+        """Tells agents again and again whether their servers are warm."""
+        while True:
+            await trio.sleep(WARMTH_INTERVAL_S)
+            for name, stream in list(self._streams.items()):
+                message = b"warm\n" if self._is_warm(name) else b"cold\n"
+                with suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
+                    await stream.send_all(message)
+
+    def _is_warm(self, name: str) -> bool:
+        started_at = self._world.list.started_at.get(name)
+        return started_at is None or self._world.now() - started_at >= self._warm_after
--- /dev/null
+++ b/valverouter/days/supervisor_logs.py
@@ -0,0 +1,57 @@
+"""What supervisors did in a day, read from their own logs."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from datetime import datetime
+from pathlib import Path
+
+import msgspec
+
+from valverouter.signalling.tap import ProgramVersionRow, Row, StepRow
+
+NS_PER_S = 1e9
+
+
+class _LogEvent(msgspec.Struct):
+    """An event of a supervisor's log; other fields and events are passed over."""
+
+    event: str = ""
+    timestamp: str = ""
+    version: str = ""
+    number: int = 0
+    step: int = 0
+    up: bool = True
+    outcome: str = ""
+
+
+def append_log_rows(rows: list[Row], file: Path, instance: str, now: int) -> None:
+    """Appends the rows of one supervisor's log. `now`: the present moment of the rows' clock, ns.
+
+    Moments of logs are wall time; the present by both clocks is taken together.
+    """
+    epoch = now - round(datetime.now().timestamp() * NS_PER_S)
+    up_by_step: dict[tuple[int, int], bool] = {}
+    for event in _read_events(file):
+        time = epoch + round(datetime.fromisoformat(event.timestamp).timestamp() * NS_PER_S)
+        sequence, step = len(rows), (event.number, event.step)
+        if event.event == "step-started":
+            up_by_step[step] = event.up
+            rows.append(StepRow(sequence, time, instance, *step, event.up))
+        elif event.event == "step-ended":
+            rows.append(StepRow(sequence, time, instance, *step, up_by_step.get(step, True), event.outcome))
+        elif event.event in ("process-started", "process-adopted"):
+            rows.append(ProgramVersionRow(sequence, time, instance, event.version))
+        elif event.event == "process-exited":
+            rows.append(ProgramVersionRow(sequence, time, instance, ""))
+
+
+def _read_events(file: Path) -> Iterator[_LogEvent]:
+    decoder = msgspec.json.Decoder(_LogEvent)
+    for line in file.read_bytes().splitlines():
+        try:
+            event = decoder.decode(line)
+        except msgspec.DecodeError:
+            continue  # the output of a program, or a line that a kill cut off
+        if event.timestamp:
+            yield event
