--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -15,7 +15,7 @@
 
 from valverouter.cli.common import BROKEN, FAILED, console
 from valverouter.cli.operations_output import describe_progress, print_halt_reason, print_participants
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.messages import RequestKind
 from valverouter.fleet.operations_client import OperationsClient
 from valverouter.rollout.operations import Command, Submit, SubmitResult
@@ -107,7 +107,7 @@
 
     async def ask() -> Answer | None:
         host = next(iter(terms.council.values())).rpartition(":")[0]
-        socket = Sockets().datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
+        socket = SocketRuntime().bind_datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
             client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
             return await client.request(kind, command, answer_type, TIMEOUT_S, about)
--- a/valverouter/days/operation_rig.py
+++ b/valverouter/days/operation_rig.py
@@ -24,7 +24,7 @@
 from valverouter.days.server_agents import ServerAgents
 from valverouter.days.supervisor_logs import append_log_rows
 from valverouter.days.world import World
-from valverouter.edge.surroundings import Sockets
+from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.status import FleetStatus, OperationStatus
 from valverouter.servermodel.paths import NetworkPaths, PathFault
@@ -90,7 +90,9 @@
         self._limits = limits
         self._min_capacity_fraction = min_capacity_fraction
         self._draw = random.Random(f"{day.terms.seed}/paths").random
-        self._network = FakeDatagramNetwork(Sockets().datagrams, world.now, NetworkPaths([], self._draw))
+        self._network = FakeDatagramNetwork(
+            SocketRuntime().bind_datagrams, world.now, NetworkPaths([], self._draw)
+        )
         self._callers: dict[str, str] = {}
 
     async def open(self, nursery: trio.Nursery) -> None:
@@ -122,7 +124,7 @@
     async def _open_server_agents(self, nursery: trio.Nursery) -> str:
         """The address at which agents report."""
         agents = ServerAgents(self.world, self.day.fleet.warm_after)
-        address: str = await nursery.start(Sockets().serve, "127.0.0.1:0", agents.serve)
+        address: str = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", agents.serve)
         self.world.list.on_leave = lambda server: self.world.tell([server], "draining")
         nursery.start_soon(agents.report_warmth)
         return address
@@ -175,7 +177,7 @@
 
     def _is_listening(self, name: str) -> bool:
         log = self.folder / f"{name}.log"
-        return log.exists() and b'"listening"' in log.read_bytes()
+        return log.exists() and b'"edge-listening"' in log.read_bytes()
 
     def kill(self, name: str) -> None:
         """SIGKILL to a raft server, a supervisor, or an edge proxy behind its supervisor."""
@@ -343,7 +345,7 @@
     """
 
     async def main() -> list[Row]:
-        world = World(day, Sockets(), day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
+        world = World(day, SocketRuntime(), day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
         limits = max_unavailable, max_per_region
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
