--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -38,11 +38,11 @@
 
 
 def served(
-    make: ServerProfile, rate: float, length: float, arrivals: int, seed: int
+    profile: ServerProfile, rate: float, length: float, arrivals: int, seed: int
 ) -> tuple[list[int], float, float]:
     """The waits that arrivals find, the share that finds the processor busy, the share without a line."""
     sim, chance, lengths = Simulation(), RandomStream(seed, "arrivals"), RandomStream(seed, "lengths")
-    model = SetupServer(make, RandomStream(seed, "server").random)
+    model = SetupServer(profile, RandomStream(seed, "server").random)
     source, waits, busy, lost = ArrivalProcess(ArrivalPattern(), chance.exponential, EPOCH), list[int](), 0, 0
     now = EPOCH
     for at in range(arrivals):
@@ -68,8 +68,8 @@
 @pytest.mark.parametrize(("spread", "name"), [(0.0, "M/D/1"), (1.0, "M/M/1")])
 @pytest.mark.parametrize("rho", [0.5, 0.8])
 def test_waits_at_the_processor_are_those_of_the_closed_form(spread: float, name: str, rho: float) -> None:
-    make = ServerProfile(setup_work=10 * MS, random_work_fraction=spread, **FREE)
-    runs = [served(make, rho * 100, 0, 4_000, seed) for seed in range(12)]
+    profile = ServerProfile(setup_work=10 * MS, random_work_fraction=spread, **FREE)
+    runs = [served(profile, rho * 100, 0, 4_000, seed) for seed in range(12)]
     mean, error = bounds([sum(waits) / len(waits) for waits, _, _ in runs])
     # Pollaczek and Khinchine: rho s (1 + c^2) / 2 (1 - rho), c^2 0 for fixed work and 1 for exponential.
     expected = rho * 10 * MS * (1 + spread) / (2 * (1 - rho))
@@ -81,8 +81,8 @@
 
 @pytest.mark.parametrize(("lines", "load"), [(8, 6.0), (20, 20.0), (3, 1.0)])
 def test_losses_for_want_of_a_line_are_erlang_b(lines: int, load: float) -> None:
-    make = ServerProfile(setup_work=1, answer_work=0, release_work=0, max_queue_delay=1 << 60, lines=lines)
-    runs = [served(make, load, 1.0, 4_000, seed) for seed in range(12)]
+    profile = ServerProfile(setup_work=1, answer_work=0, release_work=0, max_queue_delay=1 << 60, lines=lines)
+    runs = [served(profile, load, 1.0, 4_000, seed) for seed in range(12)]
     mean, error = bounds([lost for _, _, lost in runs])
     blocked = 1.0
     for at in range(1, lines + 1):
@@ -104,13 +104,13 @@
     return found
 
 
-def test_arrivals_keep_their_mean_rate_and_on_off_ones_come_in_crowds() -> None:
-    even, crowds = (
+def test_arrivals_keep_their_mean_rate_and_on_off_ones_come_in_bursts() -> None:
+    even, bursts = (
         gaps(ArrivalPattern(), 50, 20_000),
         gaps(ArrivalPattern(SECOND // 2, SECOND // 2), 50, 20_000),
     )
     variation = []
-    for found in (even, crowds):
+    for found in (even, bursts):
         mean = sum(found) / len(found)
         assert mean == pytest.approx(20 * MS, rel=0.06)
         variation.append(sum((gap - mean) ** 2 for gap in found) / len(found) / mean**2)
@@ -118,13 +118,13 @@
     assert variation[1] > 3
 
 
-def test_a_drift_is_reached_at_the_end() -> None:
+def test_the_rate_drifts_to_its_factor_at_the_end() -> None:
     pattern = ArrivalPattern(drift=3.0, drift_duration=10 * SECOND)
     assert [pattern.rate(10, at * SECOND) for at in (0, 5, 10, 20)] == [10, 20, 30, 30]
 
 
 @pytest.mark.parametrize(("times", "least", "most"), [(0.25, 0, 1), (1.0, 1, 1), (2.5, 2, 3)])
-def test_a_call_on_record_is_dialled_so_often_on_average(times: float, least: int, most: int) -> None:
+def test_a_recorded_call_is_repeated_so_often_on_average(times: float, least: int, most: int) -> None:
     chance = RandomStream(5, "copies")
     found = [draw_repetitions(times, chance.random) for _ in range(4_000)]
     assert (min(found), max(found)) == (least, most)
@@ -148,17 +148,17 @@
     assert run_emulated(other).rows != first
 
 
-def test_one_source_moves_no_other_ones_draws() -> None:
+def test_the_draws_of_one_source_do_not_change_those_of_another() -> None:
     # Twice the servers' reports draw twice as much; the callers dial at the same moments all the same.
     played = short("bad-day.ini")
     often = msgspec.structs.replace(
         played, servers=msgspec.structs.replace(played.servers, report_every=250 * MS)
     )
-    dialled = [
-        [row.at for row in run_emulated(one).rows if isinstance(row, MessageRow) and first_try(row)]
-        for one in (played, often)
+    dialled_at = [
+        [row.at for row in run_emulated(emulated_day).rows if isinstance(row, MessageRow) and first_try(row)]
+        for emulated_day in (played, often)
     ]
-    assert dialled[0] == dialled[1]
+    assert dialled_at[0] == dialled_at[1]
 
 
 def first_try(row: MessageRow) -> bool:
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_every_trouble_of_the_days_runs_and_keeps_the_rules(kind: str) -> None:
+def test_every_kind_of_fault_runs_and_keeps_the_rules(kind: str) -> None:
     text = (DAYS / "bad-day.ini").read_text()
     text = text[: text.index("[trouble ")].replace("length = 30s", "length = 6s")
     played = day(IniFile(text + EVERY.format(kind=kind, size=SIZES.get(kind, 1)), kind), kind)
@@ -199,15 +199,15 @@
     text = text[: text.index("[trouble ")].replace("length = 30s", "length = 10s")
     text += "[trouble slow]\nkind = slow\nstart = 2s\nlength = 4s\nsize = 4\non = s0, s3\n"
     played = day(IniFile(text, "slow"), "slow")
-    got = [
+    services = [
         weighted_service_level(account_by_type(rows), played.importance)
         for rows in (run_emulated(played).rows, run_virtual(played))
     ]
-    assert abs(got[0] - got[1]) < 0.08
-    assert min(got) > 0.8
+    assert abs(services[0] - services[1]) < 0.08
+    assert min(services) > 0.8
 
 
-def test_attempt_terms_and_crossing_act_in_the_emulator_too() -> None:
+def test_attempt_policies_and_cross_region_rules_apply_in_the_emulator_too() -> None:
     rows = run_emulated(load_day(DAYS / "attempts.ini")).rows
     booking = attempt_statistics(rows)["booking"]
     assert booking.max_attempts <= 2
@@ -219,7 +219,7 @@
     assert all(edge.plan.cross_region(EPOCH) is not None for edge in fleet.edges)
 
 
-def test_no_table_of_an_edge_proxy_keeps_what_has_ended() -> None:
+def test_no_table_of_an_edge_proxy_holds_entries_of_ended_dialogs() -> None:
     played = short("bad-day.ini")
     fleet = Fleet(played, plans(played))
     simulate_day(fleet)
@@ -230,7 +230,7 @@
         assert edge.runtime.driver.open_dialogs == 0
 
 
-async def test_a_link_keeps_no_leg_that_was_cancelled(autojump_clock: MockClock) -> None:
+async def test_a_link_holds_no_cancelled_leg(autojump_clock: MockClock) -> None:
     # Found beside the emulated edge: the closing word of a leg let go left its entry for the link's life.
     async with rigged(1) as rig:
         caller = await rig.caller()
@@ -245,15 +245,15 @@
         assert not rig.edge._links["s0"].legs
 
 
-def test_a_day_is_drawn_second_by_second_on_a_page_that_needs_nothing() -> None:
-    emulated = run_emulated(short("bad-day.ini"), sample_interval=SECOND)
-    assert {sample.server for sample in emulated.samples} >= {"s0", "s1", "s2", "s3"}
+def test_a_day_page_shows_each_second_and_needs_no_network() -> None:
+    result = run_emulated(short("bad-day.ini"), sample_interval=SECOND)
+    assert {sample.server for sample in result.samples} >= {"s0", "s1", "s2", "s3"}
     assert all(
         0 <= sample.token_fraction <= 1 and sample.window > 0 and sample.queue_delay >= 0
-        for sample in emulated.samples
+        for sample in result.samples
     )
-    assert run_emulated(short("bad-day.ini")).rows == emulated.rows, "looking changes nothing"
-    page = day_page("bad <day>", emulated)
+    assert run_emulated(short("bad-day.ini")).rows == result.rows, "looking changes nothing"
+    page = day_page("bad <day>", result)
     assert page.count("<polyline") > 10
     assert "bad &lt;day&gt;" in page
     assert "s3, second" in page
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -49,19 +49,19 @@
     return tmp_path / "try.ini"
 
 
-def test_a_plan_stands_for_every_combination_and_seed(small: Path) -> None:
+def test_a_plan_has_a_run_for_every_combination_and_seed(small: Path) -> None:
     runs = list(load_plan(small).runs())
     assert len(runs) == 12
     assert len({run.key for run in runs}) == 12
     assert [run.levels for run in runs[::3]] == [
         {"edges": edges, "decisions": decisions} for edges in "12" for decisions in ("module", "any-server")
     ]
-    played = runs[-1].load_day()
-    assert (played.fleet.edge_proxies, played.terms.seed) == (2, 3)
+    day = runs[-1].load_day()
+    assert (day.fleet.edge_proxies, day.terms.seed) == (2, 3)
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("day = day.ini", "day = none.ini", "No such file"),
         ("levels = module, any-server", "levels = module, best", "'best': known are module"),
@@ -74,22 +74,22 @@
         ("[factor edges]", "[factors edges]", "unknown section"),
     ],
 )
-def test_a_flawed_plan_is_refused_before_any_run(small: Path, old: str, new: str, said: str) -> None:
+def test_a_flawed_plan_is_refused_before_any_run(small: Path, old: str, new: str, message: str) -> None:
     small.write_text(PLAN.replace(old, new))
-    with pytest.raises(FlawedTermsError, match=said.replace("[", r"\[")):
+    with pytest.raises(FlawedTermsError, match=message.replace("[", r"\[")):
         load_plan(small)
 
 
-def test_runs_are_kept_and_not_played_again(small: Path, tmp_path: Path) -> None:
-    made, told = load_plan(small), list[tuple[int, int]]()
-    first = [run for run in made.runs() if run.seed == 1]
+def test_stored_runs_are_not_run_again(small: Path, tmp_path: Path) -> None:
+    experiment, progress = load_plan(small), list[tuple[int, int]]()
+    first = [run for run in experiment.runs() if run.seed == 1]
     assert run_all(first, tmp_path / "runs.db", 2) == 4
-    assert run_all(made.runs(), tmp_path / "runs.db", 2, lambda *counts: told.append(counts)) == 8
-    assert told[0] == (4, 12), "cut off, it goes on where it was"
-    assert told[-1] == (12, 12), "cut off, it goes on where it was"
-    assert run_all(made.runs(), tmp_path / "runs.db", 2) == 0
+    assert run_all(experiment.runs(), tmp_path / "runs.db", 2, lambda *counts: progress.append(counts)) == 8
+    assert progress[0] == (4, 12), "cut off, it goes on where it was"
+    assert progress[-1] == (12, 12), "cut off, it goes on where it was"
+    assert run_all(experiment.runs(), tmp_path / "runs.db", 2) == 0
     with closing(RunStore(tmp_path / "runs.db")) as store:
-        cells = collect_cells(made, store)
+        cells = collect_cells(experiment, store)
         again = run_here(first[0])
         kept = store.load(first[0])
     assert kept is not None
@@ -98,7 +98,7 @@
     }, "the same run gives the same figures in any process"
     assert len(cells) == 4
     assert all(len(cell.by_seed) == 3 for cell in cells.values())
-    html = report_page(made, cells, "service")
+    html = report_page(experiment, cells, "service")
     assert "<svg" in html
     assert "any-server" in html
     assert "src=" not in html
@@ -107,7 +107,7 @@
     assert "any-server" in shown.stdout
 
 
-def test_differences_are_by_pairs_and_say_what_could_be_told() -> None:
+def test_differences_are_by_pairs_and_give_the_least_detectable_one() -> None:
     chance = random.Random(5)
     base = {seed: chance.gauss(0.8, 0.1) for seed in range(12)}  # the days differ far more than the variants
     better = {seed: value + chance.gauss(0.02, 0.01) for seed, value in base.items()}
@@ -124,7 +124,7 @@
     assert confidence_interval([0.5]) == (0.5, math.inf)
 
 
-def test_intervals_cover_what_they_say() -> None:
+def test_intervals_cover_the_mean_as_often_as_they_claim() -> None:
     chance, covered = random.Random(9), 0
     for _ in range(400):
         mean, half = confidence_interval([chance.gauss(0, 1) for _ in range(6)])
@@ -132,7 +132,7 @@
     assert 0.92 <= covered / 400 <= 0.98
 
 
-def test_variants_act_for_a_run_and_leave_the_module_as_it_was(small: Path) -> None:
+def test_variants_are_applied_for_a_run_and_leave_the_program_as_it_was(small: Path) -> None:
     before = {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()}
     waits = vars(routing)["retry_delay"]
     with VARIANTS["fixed-waits"].applied():
@@ -144,9 +144,8 @@
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_every_variant_plays_a_day_and_differs_where_it_should(small: Path, name: str) -> None:
-    made = load_plan(small)
-    run = made.run_of({"edges": "2", "decisions": "module"}, 1)
+def test_every_variant_runs_a_day_and_baselines_differ_from_the_program(small: Path, name: str) -> None:
+    run = load_plan(small).run_of({"edges": "2", "decisions": "module"}, 1)
     found = run_here(type(run)({"decisions": name}, run.seed, run.text))
     assert 0 < found["service"] <= 1
     assert found["legs"] > 0.3
@@ -154,18 +153,18 @@
         assert found != run_here(run) | {"cpu": found["cpu"]}
 
 
-def said(at: int, sent: bool, kind: str, dialog: str, word: str = "") -> MessageRow:
+def message_row(at: int, sent: bool, kind: str, dialog: str, word: str = "") -> MessageRow:
     return MessageRow(at, at * SECOND // 10, "e0", "c0", sent, kind, dialog, 0, 0, word)
 
 
 def test_the_worst_ten_seconds_are_those_in_which_dialogs_were_first_dialled() -> None:
     rows: list[Row] = [AuditConfigRow(0, 0, 0, 0, {"plain": SECOND}, {"plain": 1.0})]
     for at in range(0, 300):
-        rows.append(said(at, True, "setup", f"d{at}", "plain"))
+        rows.append(message_row(at, True, "setup", f"d{at}", "plain"))
         if not 100 <= at < 150:
-            rows.append(said(at + 1, False, "stands", f"d{at}"))
-    rows.append(said(320, True, "setup", "d120.2", "plain"))
-    rows.append(said(321, False, "stands", "d120.2"))
+            rows.append(message_row(at + 1, False, "stands", f"d{at}"))
+    rows.append(message_row(320, True, "setup", "d120.2", "plain"))
+    rows.append(message_row(321, False, "stands", "d120.2"))
     terms = rows[0]
     assert isinstance(terms, AuditConfigRow)
     assert worst_window_service(rows, terms) == pytest.approx(0.5)
@@ -182,15 +181,18 @@
 
 
 def test_a_level_may_set_figures_of_the_decisions() -> None:
-    made = parse_variant("without-room NEWS_FADES_TURNS=2 WINDOW_LEAST=0.5")
-    assert (made.selector, made.table) == (VARIANTS["without-room"].selector, VARIANTS["without-room"].table)
-    with made.applied():
+    parsed = parse_variant("without-room NEWS_FADES_TURNS=2 WINDOW_LEAST=0.5")
+    assert (parsed.selector, parsed.table) == (
+        VARIANTS["without-room"].selector,
+        VARIANTS["without-room"].table,
+    )
+    with parsed.applied():
         assert (tuning.LATENCY_SAMPLE_INTERVALS, tuning.WINDOW_MIN) == (2, 0.5)
     assert tuning.LATENCY_SAMPLE_INTERVALS == 4
 
 
 @pytest.mark.parametrize(
-    ("level", "said"),
+    ("level", "message"),
     [
         ("best", "known are"),
         ("module NEWS=2", "no figure"),
@@ -198,6 +200,6 @@
         ("module Far=1", "no"),
     ],
 )
-def test_a_level_that_sets_what_is_not_there_is_refused(level: str, said: str) -> None:
-    with pytest.raises(ValueError, match=said):
+def test_a_level_that_sets_what_is_not_there_is_refused(level: str, message: str) -> None:
+    with pytest.raises(ValueError, match=message):
         parse_variant(level)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -40,7 +40,9 @@
     assert len(asked) < 25
 
 
-async def test_a_rate_that_held_by_chance_is_lowered_until_it_holds_again(autojump_clock: MockClock) -> None:
+async def test_a_rate_that_was_sustained_by_chance_is_lowered_until_it_is_again(
+    autojump_clock: MockClock,
+) -> None:
     chance = random.Random(3)
 
     async def holds(rate: float) -> bool:
@@ -51,7 +53,7 @@
     assert sorted(found)[15] < 700
 
 
-def test_delays_count_from_when_a_dialog_was_due_and_what_never_stood_holds_nothing() -> None:
+def test_latencies_count_from_when_a_dialog_was_due_and_unanswered_ones_count_as_misses() -> None:
     sample = LoadSample(10, offered=100)
     for at in range(99):
         sample.record_established(at * 10 * MS, at * 10 * MS + (5 if at < 98 else 900) * MS)
@@ -64,7 +66,7 @@
     assert not LoadSample(1).meets(SECOND, 0.5)
 
 
-def test_types_come_by_their_shares() -> None:
+def test_traffic_types_have_their_shares() -> None:
     day = load_day(LOAD.parent / "bad-day.ini")
     kinds = [traffic_of(day, serial)[0] for serial in range(1_000)]
     total = sum(mix.share for mix in day.mix.values())
@@ -72,7 +74,7 @@
         assert kinds.count(kind) / 1_000 == pytest.approx(mix.share / total, abs=0.01)
 
 
-async def test_a_held_up_target_shows_in_the_delays_of_those_behind_it() -> None:
+async def test_a_stalled_target_shows_in_the_latencies_of_the_dialogs_behind() -> None:
     """The target reads nothing for 300 ms: all that were due meanwhile waited, though dialled in one go."""
     day = load_day(LOAD)
 
@@ -118,7 +120,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_real_edge_proxy_answers_all_that_is_offered(tmp_path: Path) -> None:
+def test_a_real_edge_proxy_answers_all_offered_dialogs(tmp_path: Path) -> None:
     kept = tmp_path / "delays.txt"
     ran = valverouter("load", str(LOAD), "--rate", "60", "--seconds", "1", "--histogram", str(kept))
     assert ran.returncode == 0, ran.stderr
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -23,42 +23,46 @@
 
 
 @given(st.lists(st.floats(0, 1), min_size=19, max_size=19))
-def test_every_vector_is_a_day_that_passes_all_checks(genes: list[float]) -> None:
-    made = decode_genes(EVERY, BASE, genes)
-    played = day(IniFile(made.text(TEXT, 100.0), "made"), "made")
-    assert len(played.troubles) == len(made.faults) >= 1
+def test_every_vector_decodes_to_a_day_that_passes_all_checks(genes: list[float]) -> None:
+    candidate = decode_genes(EVERY, BASE, genes)
+    played = day(IniFile(candidate.text(TEXT, 100.0), "made"), "made")
+    assert len(played.troubles) == len(candidate.faults) >= 1
     for trouble in played.troubles.values():
         assert trouble.start + trouble.length <= played.terms.length
 
 
-def planted(one: DayCandidate) -> float:
+def planted(candidate: DayCandidate) -> float:
     """As if a slow server in a crowd were what hurts; a hang makes it a little worse."""
-    kinds = {trouble.kind: trouble for trouble in one.faults}
+    kinds = {fault.kind: fault for fault in candidate.faults}
     slow = kinds.get("slow")
     if slow is None:
         return 0.0
-    return one.rate * min(slow.size, 4) * min(slow.length, 3 * SECOND) / SECOND + 0.1 * ("hang" in kinds)
+    return candidate.rate * min(slow.size, 4) * min(slow.length, 3 * SECOND) / SECOND + 0.1 * (
+        "hang" in kinds
+    )
 
 
-def test_a_planted_worst_day_is_found_and_cut_down_to_what_shows_it() -> None:
+def test_a_planted_worst_day_is_found_and_minimized() -> None:
     terms = Search(day="-", budget=600, troubles=2, kinds=("crash", "slow", "hang", "burst"))
     found, score, judged = search(terms, BASE, planted)
     assert score > 0.9 * 1.5 * 4 * 3
     assert judged <= 700
     assert search(terms, BASE, planted)[0] == found, "the same seed finds the same day"
     least, kept = minimize(found, planted, 0.5 * score, 300)
-    assert [trouble.kind for trouble in least.faults] == ["slow"]
+    assert [fault.kind for fault in least.faults] == ["slow"]
     assert kept >= 0.5 * score
     assert least.length < found.length
     assert least.faults[0].start <= SECOND
-    assert all(planted(one) < 0.5 * score for one in simplifications(least)), "nothing simpler shows it"
+    assert all(planted(simpler) < 0.5 * score for simpler in simplifications(least)), (
+        "nothing simpler shows it"
+    )
 
 
-def test_cutting_down_keeps_to_its_budget() -> None:
+def test_minimizing_keeps_to_its_budget() -> None:
     calls = []
 
-    def judge(one: DayCandidate) -> float:
-        calls.append(one)
+    def judge(candidate: DayCandidate) -> float:
+        calls.append(candidate)
         return 1.0
 
     many = DayCandidate(
@@ -70,20 +74,20 @@
 
 def test_what_is_found_is_a_file_that_runs(tmp_path: Path) -> None:
     small = TEXT.replace("edge_proxies = 16", "edge_proxies = 4").replace("edges = 16", "edges = 4")
-    one = DayCandidate(0.3, 4 * SECOND, (FaultCandidate("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
+    candidate = DayCandidate(0.3, 4 * SECOND, (FaultCandidate("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
     path = tmp_path / "found.ini"
-    path.write_text(day_file(one, small, 100.0, "Found: +0.100"))
+    path.write_text(day_file(candidate, small, 100.0, "Found: +0.100"))
     played = day(IniFile.load(path), "found")
     assert path.read_text().startswith("# Found")
     assert audit(run_emulated(played).rows).passed
     judge = DayJudge(Search(day="-", against=("any-server",)), small, 100.0)
-    assert -1 <= judge(one) <= 1
+    assert -1 <= judge(candidate) <= 1
     rules = DayJudge(Search(day="-", seeks="rules"), small, 100.0)
-    assert 0 <= rules(one) < 1, "no rule is broken"
+    assert 0 <= rules(candidate) < 1, "no rule is broken"
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("seeks = loss", "seeks = gain", "seeks"),
         ("kinds = crash", "kinds = cash", "'cash' is not known"),
@@ -92,8 +96,8 @@
         ("troubles = 3", "troubles = 9", "<= 6"),
     ],
 )
-def test_a_flawed_search_is_refused(tmp_path: Path, old: str, new: str, said: str) -> None:
+def test_a_flawed_search_is_refused(tmp_path: Path, old: str, new: str, message: str) -> None:
     (tmp_path / "calm-day.ini").write_text((FILE.parent / "calm-day.ini").read_text())
     (tmp_path / "search.ini").write_text(FILE.read_text().replace(old, new))
-    with pytest.raises(FlawedTermsError, match=said):
+    with pytest.raises(FlawedTermsError, match=message):
         load_search(tmp_path / "search.ini")
