--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -242,7 +242,7 @@
         await link.send(setup.Cancelled("d1"))
         await caller.next(setup.Aborted)
         await trio.sleep(0.1)
-        assert not rig.edge._links["s0"].legs
+        assert not rig.edge.links.by_server["s0"].attempts
 
 
 def test_a_day_page_shows_each_second_and_needs_no_network() -> None:
