--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -1,4 +1,4 @@
-"""Attempt terms at the edge: the file's sections as rules, checked against what the fleet must keep."""
+"""Attempt policies: the file's sections as rules, checked against the limits that the fleet must keep."""
 
 from __future__ import annotations
 
@@ -26,11 +26,15 @@
 DEFAULT_SOURCE = "the decisions' own"
 # Combinations of sections that are checked.
 MAX_COMBINATIONS = 20_000
+# A no-answer time beyond any caller's.
+NO_TIMEOUT = 1 << 62
 
 
 class AttemptPolicies:
-    """Which terms each dialog gets. Raises FlawedTermsError with every flaw; then nothing of the file
-    acts."""
+    """Which attempt policy each dialog gets.
+
+    Raises FlawedTermsError with every problem; then nothing of the file acts.
+    """
 
     def __init__(self, config: EdgeTerms) -> None:
         self._deployment = config.deployment
@@ -38,36 +42,41 @@
         self._answer_margin = config.answer_margin
         self._groups = config.attempts.trunk_groups
         self._server_sets = {
-            number: name for name, one in config.attempts.server_sets.items() for number in one.servers
+            number: name
+            for name, server_set in config.attempts.server_sets.items()
+            for number in server_set.servers
         }
         self._sections = {section.name: section for section in config.attempts.sections}
         self._rules = [rule for section in config.attempts.sections for rule in _rules(section, SETS)]
-        self._budget_rules = [r for section in config.attempts.sections for r in _rules(section, BUDGET_SETS)]
+        self._budget_rules = [
+            rule for section in config.attempts.sections for rule in _rules(section, BUDGET_SETS)
+        ]
         # By type and which rules match, not by number: nearly every dialog's number is new, and resolving
-        # costs far more than matching. As many as the file has such combinations, gone with the book.
+        # costs far more than matching. As many as the file has such combinations.
         self._resolved: dict[tuple[str, tuple[bool, ...]], AttemptPolicy | None] = {}
-        if flaws := [*self._find_ties(), *self._find_violations()]:
-            raise FlawedTermsError(sorted(flaws, key=lambda flaw: flaw.line))
+        if problems := [*self._find_ties(), *self._find_violations()]:
+            raise FlawedTermsError(sorted(problems, key=lambda problem: problem.line))
 
     def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
-        """A dialog's terms; None where no section touches it, or its type is unknown: the decisions' own
-        hold."""
-        asked = self.match_input(traffic_type, number, peer, first_choice)
+        """A dialog's policy; None where no section touches it, or its type is unknown: the default acts."""
+        attributes = self.match_input(traffic_type, number, peer, first_choice)
         if traffic_type not in self._deployment.traffic_types:
             return None
-        key = traffic_type, tuple(rule.condition.matches(asked) for rule in self._rules)
+        key = traffic_type, tuple(rule.condition.matches(attributes) for rule in self._rules)
         if key not in self._resolved:
-            found = resolve(self._rules, asked)
+            found = resolve(self._rules, attributes)
             self._resolved[key] = self._policy(traffic_type, found) if found else None
         return self._resolved[key]
 
     def match_input(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> DialogAttributes:
-        """What of a dialog decides on its terms: its trunk group is its caller's, its server set that of its
-        first choice."""
+        """What of a dialog decides on its policy.
+
+        Its trunk group is its caller's, its server set that of its first choice.
+        """
         return DialogAttributes(
             traffic_type,
             str(number),
@@ -92,33 +101,33 @@
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> dict[str, EffectiveSetting]:
         """Each key's value for such a dialog, and the section and line that it comes from."""
-        asked = self.match_input(traffic_type, number, peer, first_choice)
-        found = resolve(self._rules, asked)
-        terms = self._policy(traffic_type, found)
-        budget = resolve(self._budget_rules, DialogAttributes("", "", "", "", asked.server_set))
+        attributes = self.match_input(traffic_type, number, peer, first_choice)
+        found = resolve(self._rules, attributes)
+        policy = self._policy(traffic_type, found)
+        budget = resolve(self._budget_rules, DialogAttributes("", "", "", "", attributes.server_set))
         effective = _retry_budget(budget)
-        values = {key: getattr(terms, field) for key, field in POLICY_FIELDS.items()}
+        values = {key: getattr(policy, field) for key, field in POLICY_FIELDS.items()}
         values |= {"tokens": effective.max_tokens / TOKEN, "fraction": effective.token_ratio / TOKEN}
         shown = {}
         for key, value in values.items():
             source = DEFAULT_SOURCE
-            by = "server_share" if key == "leg_time_out" and _timeout_from_share(found) else key
-            if one := {**found, **budget}.get(by):
-                section = self._sections[one.source]
-                source = f"{section.file}:{section.lines[by]} [attempts {section.name}]"
+            setting = _deciding_key(key, found)
+            if effective_setting := {**found, **budget}.get(setting):
+                section = self._sections[effective_setting.source]
+                source = f"{section.file}:{section.lines[setting]} [attempts {section.name}]"
             shown[key] = EffectiveSetting(value, source)
         return shown
 
     def worst_case_policy(
         self, traffic_type: str, number: int, no_answer: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy:
-        """A dialog's terms as `courses` reckons with them: its caller's no-answer time, any asked wait."""
-        terms = self.policy_for(traffic_type, number, peer, first_choice) or self._policy(traffic_type, {})
-        least = min(no_answer, terms.no_answer_timeout or no_answer)
+        """A dialog's policy for its worst case: its caller's no-answer time, any wait of a server."""
+        policy = self.policy_for(traffic_type, number, peer, first_choice) or self._policy(traffic_type, {})
+        timeout = min(no_answer, policy.no_answer_timeout or no_answer)
         allowed = self._deployment.max_attempts
-        in_all = min(terms.max_total_attempts or allowed, allowed)
+        total = min(policy.max_total_attempts or allowed, allowed)
         return replace(
-            terms, no_answer_timeout=least, max_server_retry_after=least, max_total_attempts=in_all
+            policy, no_answer_timeout=timeout, max_server_retry_after=timeout, max_total_attempts=total
         )
 
     def sample_routes(self) -> dict[str, tuple[int, str, int]]:
@@ -126,9 +135,9 @@
         found = {}
         for section in self._sections.values():
             keys = section.keys
-            group, one = self._groups.get(keys.trunk_group or ""), keys.server_set
+            group, server_set = self._groups.get(keys.trunk_group or ""), keys.server_set
             peer = group.peers[0].rstrip("*") if group is not None else ""
-            first = next((number for number, name in self._server_sets.items() if name == one), -1)
+            first = next((number for number, name in self._server_sets.items() if name == server_set), -1)
             for prefix in keys.prefix[:1]:
                 found[f"[attempts {section.name}]"] = int(prefix or 0), peer, first
         return found
@@ -143,15 +152,17 @@
         return max(fits, default=(0, ""))[1]
 
     def _policy(self, traffic_type: str, found: Mapping[str, EffectiveSetting]) -> AttemptPolicy:
-        kind = self._deployment.traffic_types.get(traffic_type)
-        own = default_policy(self._deployment, kind.latency_objective if kind is not None else 0)
-        set_here = {POLICY_FIELDS[key]: one.value for key, one in found.items() if key != "server_share"}
-        terms = replace(own, **set_here)
+        known_type = self._deployment.traffic_types.get(traffic_type)
+        objective = known_type.latency_objective if known_type is not None else 0
+        configured = {
+            POLICY_FIELDS[key]: setting.value for key, setting in found.items() if key != "server_share"
+        }
+        policy = replace(default_policy(self._deployment, objective), **configured)
         if "server_share" in found:
             # Of two ways to say how long one server may take the shorter acts.
-            by_share = max(1, int(found["server_share"].value * terms.latency_objective))
-            terms = replace(terms, attempt_timeout=min(by_share, terms.attempt_timeout or by_share))
-        return terms
+            by_share = max(1, int(found["server_share"].value * policy.latency_objective))
+            policy = replace(policy, attempt_timeout=min(by_share, policy.attempt_timeout or by_share))
+        return policy
 
     def _find_ties(self) -> list[Flaw]:
         return [
@@ -162,40 +173,41 @@
 
     def _find_violations(self) -> list[Flaw]:
         """Each combination of sections that some dialog can meet is checked as a whole."""
-        flaws: dict[tuple[str, str], Flaw] = {}
-        meets = intersection_closure([rule.condition for rule in self._rules], MAX_COMBINATIONS)
-        if len(meets) > MAX_COMBINATIONS:
+        problems: dict[tuple[str, str], Flaw] = {}
+        combinations = intersection_closure([rule.condition for rule in self._rules], MAX_COMBINATIONS)
+        if len(combinations) > MAX_COMBINATIONS:
             section = next(iter(self._sections.values()))
-            why = f"the sections overlap in more than {MAX_COMBINATIONS} ways; fewer can be checked"
-            return [Flaw(section.file, section.line, f"attempts {section.name}", "", why)]
-        for when in meets:
-            for traffic_type in [when.traffic_type] if when.traffic_type else self._deployment.traffic_types:
-                asked = DialogAttributes(
+            reason = f"the sections overlap in more than {MAX_COMBINATIONS} ways; fewer can be checked"
+            return [Flaw(section.file, section.line, f"attempts {section.name}", "", reason)]
+        all_types = list(self._deployment.traffic_types)
+        for condition in combinations:
+            for traffic_type in [condition.traffic_type] if condition.traffic_type else all_types:
+                attributes = DialogAttributes(
                     traffic_type,
-                    when.prefix,
-                    when.region or self._region,
-                    when.trunk_group or "",
-                    when.server_set or "",
+                    condition.prefix,
+                    condition.region or self._region,
+                    condition.trunk_group or "",
+                    condition.server_set or "",
                 )
-                setting = [rule for rule in self._rules if rule.condition.matches(asked)]
-                if find_ambiguous_rules(setting):
+                matching = [rule for rule in self._rules if rule.condition.matches(attributes)]
+                if find_ambiguous_rules(matching):
                     continue
-                found = resolve(self._rules, asked)
+                found = resolve(self._rules, attributes)
                 for key, reason in self._violations_of(self._policy(traffic_type, found)):
-                    by = "server_share" if key == "leg_time_out" and _timeout_from_share(found) else key
-                    rule = found[by].source if by in found else setting[0].name
-                    flaws.setdefault((rule, by), self._problem(rule, by, reason))
-        return list(flaws.values())
-
-    def _violations_of(self, terms: AttemptPolicy) -> list[PolicyProblem]:
-        whole = replace(terms, no_answer_timeout=terms.no_answer_timeout or 1 << 62)
-        found = policy_problems(whole, self._deployment.release_delay, self._deployment.max_attempts)
-        if terms.retry_after > self._deployment.max_retry_after:
+                    setting = _deciding_key(key, found)
+                    rule = found[setting].source if setting in found else matching[0].name
+                    problems.setdefault((rule, setting), self._problem(rule, setting, reason))
+        return list(problems.values())
+
+    def _violations_of(self, policy: AttemptPolicy) -> list[PolicyProblem]:
+        bounded = replace(policy, no_answer_timeout=policy.no_answer_timeout or NO_TIMEOUT)
+        found = policy_problems(bounded, self._deployment.release_delay, self._deployment.max_attempts)
+        if policy.retry_after > self._deployment.max_retry_after:
             limit = self._deployment.max_retry_after
             found.append(
                 PolicyProblem("come_back", f"past the fleet's come_back_limit of {limit} ns, which would act")
             )
-        if 0 < terms.no_answer_timeout <= self._answer_margin:
+        if 0 < policy.no_answer_timeout <= self._answer_margin:
             found.append(
                 PolicyProblem(
                     "no_answer", f"within answer_margin, {self._answer_margin} ns: no answer could travel"
@@ -210,7 +222,7 @@
 
 
 def default_policy(deployment: Deployment, latency_objective: int) -> AttemptPolicy:
-    """What the decisions do where no file says otherwise."""
+    """The policy that acts where no file says otherwise."""
     return AttemptPolicy(
         MAX_ATTEMPTS, latency_objective, 0, deployment.release_delay, BACKOFF_BASE, BACKOFF_CAP
     )
@@ -222,8 +234,10 @@
     return RetryBudgetConfig(tokens, adds)
 
 
-def _timeout_from_share(found: Mapping[str, EffectiveSetting]) -> bool:
-    return "server_share" in found and "leg_time_out" not in found
+def _deciding_key(key: str, found: Mapping[str, EffectiveSetting]) -> str:
+    """The setting that a value comes from: an attempt's timeout may come from a server's share."""
+    is_from_share = "server_share" in found and "leg_time_out" not in found
+    return "server_share" if key == "leg_time_out" and is_from_share else key
 
 
 def _rules(section: AttemptSection, sets: tuple[str, ...]) -> list[PolicyRule]:
--- a/valverouter/edge/caller.py
+++ b/valverouter/edge/caller.py
@@ -24,7 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerMessage:
-    """A caller asks: Setup, Cancel or Release. `came_at`: when its last byte was read, 0: with its turn."""
+    """A caller asks: Setup, Cancel or Release. `received_at`: when its last byte was
+    read, 0: with its turn."""
 
     caller: CallerConnection
     message: setup.OfLeg
@@ -39,10 +40,10 @@
 
 
 class CallerConnection:
-    """One caller's connection. `dialogs` are its open and standing ones; each leaves when it is over.
+    """One caller's connection. `dialogs` are its open and established ones; each leaves when it is over.
 
-    `waiting` are its set-ups that were read and have not had their turn, by id; `taken_back` those of them
-    that it gave up meanwhile. Both leave with that turn.
+    `pending_setups` counts its set-ups that were read and have not been handled, by dialog;
+    `cancelled_setups` are those of them that it cancelled meanwhile. Both leave when the set-up is handled.
     """
 
     def __init__(
@@ -73,8 +74,11 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether somebody may still wait for its dialogs. Asked where an attempt begins: a close may lie
-        behind bytes that nobody has read yet, or wait in the kernel while this process is busy."""
+        """Whether somebody may still wait for its dialogs.
+
+        Asked where an attempt begins: a close may lie behind bytes that nobody has read yet, or wait in the
+        kernel while this process is busy.
+        """
         return self.can_resume or not (self.is_closed or getattr(self._stream, "peer_has_closed", False))
 
     @property
@@ -83,8 +87,11 @@
         return self._has_ended or self._scope.cancel_called
 
     def enqueue(self, message: setup.OfLeg, received_at: int = 0) -> None:
-        """Hands a message of this caller to the instance. One that takes a dialog back does not wait behind
-        the others, nor does the dialog's own set-up get its turn as if nothing had been said."""
+        """Queues a message of this caller as an event.
+
+        A cancel does not wait behind the others, nor is the dialog's own set-up then handled as if nothing
+        had been said.
+        """
         if isinstance(message, setup.Setup):
             self.pending_setups[message.dialog] += 1
         elif isinstance(message, setup.Cancel):
@@ -96,13 +103,13 @@
         self._events.put(CallerMessage(self, message, received_at))
 
     def begin_setup(self, dialog_id: str) -> bool:
-        """A set-up of its has its turn; whether it is still wanted."""
-        wanted = dialog_id not in self.cancelled_setups
+        """A set-up of this caller is handled; whether it is still wanted."""
+        is_wanted = dialog_id not in self.cancelled_setups
         self.pending_setups[dialog_id] -= 1
         if self.pending_setups[dialog_id] <= 0:
             del self.pending_setups[dialog_id]
             self.cancelled_setups.discard(dialog_id)
-        return wanted
+        return is_wanted
 
     def send(self, message: Any) -> None:
         """Queues an answer; a caller that reads too slowly to take it loses its connection."""
@@ -146,7 +153,7 @@
         log.warning("caller-silent", why="no hello in time")
 
     async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
-        """The last word to a caller that broke the protocol."""
+        """Sends the last message to a caller that broke the protocol."""
         log.warning("caller-refused", caller=self.name, code=error.code, why=str(error))
         await send_farewell(stream, self._session, error)
 
@@ -175,8 +182,10 @@
 
 
 class DetachedCaller(CallerConnection):
-    """Stands in for a caller whose connection is gone and that may come back: what it is told goes nowhere,
-    and is told again when it asks."""
+    """Stands in for a caller whose connection is gone and that may come back.
+
+    What it is sent goes nowhere, and is sent again when it asks.
+    """
 
     def __init__(self, name: str, back_by: int) -> None:
         self.dialogs = set()
@@ -187,6 +196,7 @@
 
     @property
     def can_resume(self) -> bool:
+        """It may come back."""
         return True
 
     @property
@@ -195,7 +205,7 @@
         return True
 
     def send(self, message: Any) -> None:
-        pass
+        """Nobody is there to read it."""
 
     def expire(self, dialog_id: str, leg: int) -> None:
-        pass
+        """There is no connection to drop the dialog from."""
--- a/valverouter/edge/clock.py
+++ b/valverouter/edge/clock.py
@@ -1,4 +1,4 @@
-"""The edge's clock in whole nanoseconds, and its alarms."""
+"""The edge proxy's clock in whole nanoseconds, and its timers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Clock:
-    """Wall time at the start, carried on by the monotonic clock: never set back, never near nought.
+    """Wall time at the start, carried on by the monotonic clock: never set back, never near 0.
 
     The decisions take a start time of 0 for 'long ago', so no moment of this clock may come close to it.
     """
@@ -20,6 +20,7 @@
         self._started_at = trio.current_time()
 
     def now(self) -> int:
+        """The present moment, in nanoseconds."""
         return self._wall_at_start + round((trio.current_time() - self._started_at) * 1e9)
 
     def trio_time(self, at: int) -> float:
@@ -28,29 +29,33 @@
 
 
 class TimerQueue:
-    """What is due when. An entry leaves when its time comes, or with `keep` where it is no longer wanted."""
+    """Timers by their time. One leaves when it is due, or with `retain` where it is no longer wanted."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Any]] = []
         self._serial = 0
 
     def schedule(self, at: int, timer: Any) -> None:
+        """Adds a timer that is due `at` a moment of the clock."""
         self._serial += 1
         heapq.heappush(self._heap, (at, self._serial, timer))
 
     def __len__(self) -> int:
+        """Timers that are not yet due."""
         return len(self._heap)
 
     def retain(self, wanted: Callable[[Any], bool]) -> None:
+        """Drops all timers but those that are `wanted`."""
         self._heap = [entry for entry in self._heap if wanted(entry[2])]
         heapq.heapify(self._heap)
 
     @property
     def next_due_at(self) -> int | None:
+        """When the next timer is due; None: there is none."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: int) -> Any | None:
-        """One entry whose time has come, in the order of their times."""
+        """A timer whose time has come, in the order of their times; None: there is none."""
         if self._heap and self._heap[0][0] <= now:
             return heapq.heappop(self._heap)[2]
         return None
--- a/valverouter/edge/connections.py
+++ b/valverouter/edge/connections.py
@@ -16,8 +16,10 @@
 
 @contextmanager
 def isolate_failure(kind: str, peer: Callable[[], str]) -> Iterator[None]:
-    """A fault nobody thought of, in one connection's task: without this net it would end the instance, and
-    every dialog here would lose its answer."""
+    """Logs an unexpected fault in one connection's task, which costs that connection alone.
+
+    Without it the fault would end the instance, and every dialog here would lose its answer.
+    """
     try:
         yield
     except Exception:
@@ -25,11 +27,10 @@
 
 
 async def send_farewell(stream: trio.abc.Stream, session: Session, error: ProtocolError) -> None:
-    """The one clear error, if the peer still reads; it is given up either way, and costs no more than
-    this.
+    """Sends the one clear error, if the peer still reads; its connection is closed either way.
 
     A peer that does not read has its writer waiting on the stream already, and trio lets only one wait: such
-    a peer gets no word, which it would not read.
+    a peer gets no message, which it would not read.
     """
     with (
         trio.move_on_after(0.1),
--- a/valverouter/edge/garbage_collection.py
+++ b/valverouter/edge/garbage_collection.py
@@ -6,11 +6,9 @@
 
 
 def tune_garbage_collector() -> None:
-    """Tells Python's collector that what is here stays, and to look less often: nothing of ours is left in
-    cycles.
+    """Tells the collector that present objects stay, and to run less often: we leave nothing in cycles.
 
-    Looking at every 700 new objects costs a busy edge proxy rate, and the rare whole look its slowest
-    set-ups.
+    A run at every 700 new objects costs a busy edge proxy rate, and the rare full run its slowest set-ups.
     """
     gc.collect()
     gc.freeze()
--- a/valverouter/edge/link.py
+++ b/valverouter/edge/link.py
@@ -1,4 +1,4 @@
-"""Links to setup servers: one connection each, made again with full-jitter waits while the list names it."""
+"""Links to servers: one connection each, made again with full-jitter backoff while in service."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerMessage:
-    """A server answers, or reports."""
+    """A server answers an attempt, or reports its load."""
 
     link: ServerLink
     message: setup.OfLeg | setup.Reported
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """A server's welcome: the link carries legs once the instance has heard who is there."""
+    """A server's welcome: the link carries attempts once the event loop knows who is there."""
 
     link: ServerLink
     welcome: Welcome
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """A link, or the attempt to make one, came to an end, with the legs that had left on it and those not."""
+    """A connection ended, or could not be made; with the attempts that had left on it and those unsent."""
 
     link: ServerLink
     reason: str
@@ -50,10 +50,11 @@
 
 
 class ServerLink:
-    """One server's link. `ready` once the instance has heard its welcome; `legs` are those out on it.
+    """One server's link.
 
-    Legs asked for while it connects wait in the outbox; while it waits to connect again, there is none to
-    take them. The instance empties `legs` with their answers, and all at once when the link goes down.
+    `attempts` are those in flight or established on it, by dialog and number; True once cancelled here. Those
+    started while it connects wait for the welcome; while it waits to connect again, it takes none. Answers
+    empty `attempts`, and all leave at once when the link goes down.
     """
 
     def __init__(
@@ -80,35 +81,37 @@
         self._events = events
         self._reconnect_delay = reconnect_delay
         self._batch = batch
-        # Set-ups asked for before the welcome: until then there is no version to write them in. Emptied by
-        # it.
+        # Set-ups from before the welcome, which empties this: until then there is no version to write them
+        # in.
         self._early_attempts: dict[tuple[str, int], Any] = {}
         self._session: SetupSession | None = None
         self._send_queue: SendQueue | None = None
         self._connection = trio.CancelScope()
         self._close_reason = ""
         self._is_welcomed = False
-        # When something was first sent that nothing has been heard since; None: nothing is asked.
+        # When the first message was sent since the last was received; None: nothing is awaited.
         self._awaiting_since: float | None = None
 
     @property
     def is_final(self) -> bool:
-        """Whether the word that it went down was its last."""
+        """Whether no connection follows after a LinkDown."""
         return self.has_ended or not self.in_service
 
     def has_closed(self, key: tuple[str, int]) -> bool:
-        """Whether its closing word was read on this connection already, and waits to be handled: nothing more
-        may be sent of that leg."""
+        """Whether an attempt's closing message was read already and waits to be handled.
+
+        Nothing more may be sent of that attempt.
+        """
         return self._session is not None and self._is_welcomed and key not in self._session.legs
 
     @property
     def can_resume(self) -> bool:
-        """Whether the server there can be asked for legs of a former connection."""
+        """Whether the server can be asked for attempts of a previous connection."""
         return self._session is not None and self._session.version >= 2
 
     @property
     def is_up(self) -> bool:
-        """Whether the instance has heard its welcome, and the connection stands."""
+        """Whether the event loop has handled its welcome, and the connection holds."""
         return self._is_welcomed and self.is_writable
 
     @property
@@ -117,11 +120,11 @@
         return self._send_queue is not None and not self._close_reason
 
     def has_attempt(self, key: tuple[str, int]) -> bool:
-        """Whether a leg of this name is still open here: its caller used an id again before its end came."""
+        """Whether this key is still open here: its caller used an id again before its end came."""
         return key in self.attempts or (self._session is not None and key in self._session.legs)
 
     def start_attempt(self, key: tuple[str, int], message: Any) -> None:
-        """A leg for this server; it may be withdrawn until the stream takes it."""
+        """Queues a set-up for this server; it may be withdrawn until the stream takes it."""
         self.attempts[key] = False
         if self._is_welcomed:
             self.send(message, key)
@@ -131,7 +134,7 @@
     def send(
         self, message: Any, key: Hashable | None = None, on_sent: Callable[[], None] | None = None
     ) -> None:
-        """Queues a message. A peer that lets too much wait loses its connection, told as LinkDown."""
+        """Queues a message; a peer that lets too much wait loses its connection, and LinkDown follows."""
         assert self._session is not None
         assert self._send_queue is not None
         try:
@@ -142,7 +145,7 @@
             self._awaiting_since = trio.current_time()
 
     def withdraw(self, key: tuple[str, int]) -> bool:
-        """Takes back a set-up that has not left; whether it could be. It is out of `legs` then."""
+        """Takes back a set-up that has not left; whether it could be. It is out of `attempts` then."""
         if self._early_attempts.pop(key, None) is None:
             if self._send_queue is None or not self._send_queue.withdraw(key):
                 return False
@@ -156,7 +159,7 @@
         return self._send_queue is not None and key in self._send_queue.in_flight
 
     def send_early_attempts(self) -> None:
-        """The instance has heard the welcome: what was collected may leave."""
+        """The event loop has handled the welcome: attempts that waited for it may leave."""
         if self._send_queue is None or self._session is None or not self._session.version:
             return  # that connection is gone already
         self._is_welcomed = True
@@ -165,85 +168,91 @@
             self.send(message, key)
 
     def close(self, reason: str) -> None:
+        """Ends the present connection; LinkDown with the first reason given follows."""
         self._close_reason = self._close_reason or reason
         self._connection.cancel()
 
     async def run(self) -> None:
-        """Connects, serves, waits, connects again; ends when the list no longer wants it."""
+        """Connects, serves, waits, connects again; ends when the server is no longer in service."""
         tries = 0
         while self.in_service:
             began = trio.current_time()
-            why = "failed"
+            reason = "failed"
             with isolate_failure("link", lambda: self.server):
-                why = await self._run_connection()
+                reason = await self._run_connection()
             tries = tries + 1 if trio.current_time() - began < 1 else 1
-            self._on_down(why)
+            self._on_down(reason)
             if self.in_service:
                 await trio.sleep(max(self._config.reconnect_least, self._reconnect_delay(tries)) / 1e9)
                 if not self.in_service:
-                    # Its server left the list during the wait: without a word the instance would keep this
+                    # Its server left the list during the wait: without an event the table would keep this
                     # link, and take it for one that runs when the server comes back.
                     self._on_down("no longer listed")
         self.has_ended = True
 
     def _on_down(self, reason: str) -> None:
-        # The legs go with the event: those put on the next connection before it is heard are not meant.
-        outbox, legs, self.attempts = self._send_queue, self.attempts, {}
+        # The attempts go with the event: those of the next connection, started before it is handled, are not
+        # meant.
+        queue, attempts, self.attempts = self._send_queue, self.attempts, {}
         unsent = frozenset(
-            leg
-            for leg in legs
-            if leg in self._early_attempts or (outbox is not None and outbox.is_queued(leg))
+            key
+            for key in attempts
+            if key in self._early_attempts or (queue is not None and queue.is_queued(key))
         )
         self._send_queue, self._session, self._close_reason, self._is_welcomed = None, None, "", False
         self._awaiting_since = None
         self._early_attempts.clear()
-        self._events.put(LinkDown(self, reason, frozenset(legs) - unsent, unsent))
+        self._events.put(LinkDown(self, reason, frozenset(attempts) - unsent, unsent))
 
     async def _run_connection(self) -> str:
+        """Makes and serves one connection; the reason of its end."""
         hello = Hello((OLDEST, NEWEST), "edge", self._name, self._epoch)
-        self._close_reason = ""  # what was given up between two connections is not this one
+        self._close_reason = ""  # a close between two connections does not mean this one
         self._session = session = SetupSession(hello)
-        self._send_queue = outbox = SendQueue(self._config.waiting_bytes, self._batch)
+        self._send_queue = queue = SendQueue(self._config.waiting_bytes, self._batch)
         self._connection = trio.CancelScope()
-        why = "closed"
+        reason = "closed"
         with self._connection:
             try:
                 with trio.fail_after(self._config.connect_within / 1e9):
                     stream = await self._runtime.connect(self.address)
             except (OSError, ValueError, OverflowError, trio.TooSlowError) as error:
-                # ValueError, OverflowError: the list told an address that is none.
+                # ValueError, OverflowError: the list names an address that is none.
                 return f"no connection: {error or type(error).__name__}"
             async with stream, trio.open_nursery() as nursery:
                 try:
                     await stream.send_all(session.opening())
-                    nursery.start_soon(self._write, outbox, stream)
+                    nursery.start_soon(self._write, queue, stream)
                     nursery.start_soon(self._watch_silence)
                     await self._read(stream, session)
                 except ProtocolError as error:
-                    why = f"{error.code}: {error}"
+                    reason = f"{error.code}: {error}"
                     await send_farewell(stream, session, error)
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
-                    why = "reset"
+                    reason = "reset"
                 except trio.TooSlowError:
-                    why = "no welcome in time"
+                    reason = "no welcome in time"
                 nursery.cancel_scope.cancel()
-        return self._close_reason or why
+        return self._close_reason or reason
 
-    async def _write(self, outbox: SendQueue, stream: trio.abc.Stream) -> None:
+    async def _write(self, queue: SendQueue, stream: trio.abc.Stream) -> None:
         try:
-            await outbox.run(stream)
+            await queue.run(stream)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             self.close("reset")
 
     async def _watch_silence(self) -> None:
-        """Gives up a link whose far side was asked and says nothing at all: half open, it would take legs for
-        as long as the kernel goes on sending, a quarter of an hour or for good. Idle is not silent."""
+        """Closes a connection whose server was sent something and says nothing at all.
+
+        Half open, it would take attempts for as long as the kernel goes on sending, a quarter of an hour or
+        for good. Idle is not silent.
+        """
         limit = self._config.silence / 1e9
         while True:
-            asked_at = self._awaiting_since
-            if asked_at is not None and trio.current_time() >= asked_at + limit:
+            since = self._awaiting_since
+            if since is not None and trio.current_time() >= since + limit:
                 self.close(f"silent for {limit:g} s")
-            await trio.sleep_until((trio.current_time() if asked_at is None else asked_at) + limit)
+            await trio.sleep_until((trio.current_time() if since is None else since) + limit)
 
     async def _read(self, stream: trio.abc.Stream, session: SetupSession) -> None:
         with trio.fail_after(self._config.hello_within / 1e9) as patience:
--- a/valverouter/edge/logs.py
+++ b/valverouter/edge/logs.py
@@ -1,9 +1,9 @@
 """Structured logs through structlog: JSON lines or a console, on standard error.
 
-A log must cost the router nothing but its lines. Written in the turn, a full disk or a closed pipe raised in
-the handlers of last resort and ended the instance, and a reader that stopped reading stopped every dialog. So
-lines wait, up to MOST_BYTES of them, for a thread that writes; what does not fit or can't be written is lost,
-counted, and told once there is room again.
+A log must cost the router nothing but its lines. Written in the event loop, a full disk or a closed pipe
+raised in the handlers of last resort and ended the instance, and a reader that stopped reading stopped every
+dialog. So lines wait, up to MAX_QUEUED_BYTES of them, for a thread that writes; what does not fit or can't be
+written is lost, counted, and logged once there is space again.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from valverouter.terms.edge import Log
 
 MAX_QUEUED_BYTES = 1024 * 1024
-# Before a write that failed is tried again, and for how long the last lines may take at the end.
+# Before a write that failed is tried again, and how long the last lines may take at the end; seconds.
 WRITE_RETRY_S = 0.25
 CLOSE_TIMEOUT_S = 1.0
 
@@ -42,6 +42,7 @@
         self._thread.start()
 
     def msg(self, line: str) -> None:
+        """Queues a line; structlog calls it by the name of its level."""
         data = line.encode("utf-8", "replace") + b"\n"
         with self._changed:
             if self._queued_bytes + len(data) > self._max_bytes:
@@ -54,7 +55,7 @@
     log = debug = info = warn = warning = error = critical = fatal = exception = failure = msg
 
     def close(self) -> None:
-        """The last lines leave, if they can in LAST_LINES_S."""
+        """Writes the last lines, if that takes no longer than CLOSE_TIMEOUT_S."""
         with self._changed:
             self._is_closing = True
             self._changed.notify()
@@ -70,12 +71,12 @@
                 lines = list(self._queued)
                 self._queued.clear()
             data = b"".join(lines)
-            rest = self._write(data)
+            unwritten = self._write(data)
             with self._changed:
                 self._queued_bytes -= len(data)
-                self.lost += rest.count(b"\n")
+                self.lost += unwritten.count(b"\n")
                 lost = self.lost
-            if rest:
+            if unwritten:
                 time.sleep(WRITE_RETRY_S)
             elif lost and not self._write(
                 b'{"event": "logs-lost", "level": "warning", "lines": %d}\n' % lost
@@ -99,23 +100,23 @@
 
 
 def configure_logging(config: Log) -> None:
-    """Every event carries its time, its level and what it is about: edge, dialog, leg, server."""
-    last: structlog.typing.Processor = structlog.processors.JSONRenderer()
+    """Sets structlog up; every event carries its time, its level and what it is about."""
+    renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if config.form == "console":
-        last = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
-    lines = LogWriter(sys.stderr.fileno())
-    atexit.register(lines.close)
+        renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    writer = LogWriter(sys.stderr.fileno())
+    atexit.register(writer.close)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(
             logging.getLevelNamesMapping()[config.level.upper()]
         ),
-        logger_factory=lambda *args: lines,
+        logger_factory=lambda *args: writer,
         cache_logger_on_first_use=True,
     )
--- a/valverouter/edge/queues.py
+++ b/valverouter/edge/queues.py
@@ -1,4 +1,4 @@
-"""What waits to be done and what waits to be sent: the instance's inbox, and an outbox for each stream."""
+"""What waits to be handled and what waits to be sent: the event queue, and a send queue for each stream."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 
 
 class EventQueue:
-    """Events in their order of arrival; word of the server list goes ahead of all else, and after it word
-    that a caller has left.
+    """Events in their order of arrival; updates of the endpoint list go first, then callers' cancellations.
 
-    A server told draining must get nothing new from that moment, so the list's word does not wait behind what
-    came before it. Nor does a caller's cancel, or the loss of its connection: an attempt begun for a caller
-    that has gone is one too many, however full this is. Readers wait while `most` events are here: a slow
-    instance holds its peers, not its memory.
+    A server that is draining must get nothing new from that moment, so the list's update does not wait behind
+    what came before it. Nor does a caller's cancel, or the loss of its connection: an attempt begun for a
+    caller that has gone is one too many, however full the queue is. Readers wait while `capacity` events are
+    here: a slow instance holds its peers, not its memory.
     """
 
     def __init__(self, capacity: int = 4_096) -> None:
@@ -31,17 +30,19 @@
         self._wakeup_scope = trio.CancelScope()
 
     def __len__(self) -> int:
+        """Events that wait, of every priority."""
         return len(self._urgent) + len(self._cancellations) + len(self._regular)
 
     def put(self, event: Any) -> None:
+        """Adds an event behind all others."""
         self._append(self._regular, event)
 
     def put_urgent(self, event: Any) -> None:
-        """Word of the server list."""
+        """Adds an update of the endpoint list, ahead of all but earlier updates."""
         self._append(self._urgent, event)
 
     def put_cancellation(self, event: Any) -> None:
-        """Word that a caller waits no longer."""
+        """Adds an event that tells that a caller waits no longer, ahead of regular events."""
         self._append(self._cancellations, event)
 
     def _append(self, queue: deque[Any], event: Any) -> None:
@@ -50,6 +51,7 @@
             self._waiter.set()
 
     def take(self) -> Any | None:
+        """The next event; None: nothing waits."""
         if self._urgent:
             return self._urgent.popleft()
         if self._cancellations:
@@ -62,6 +64,7 @@
         return event
 
     async def wait_for_space(self) -> None:
+        """Returns once fewer than `capacity` regular events wait."""
         while len(self._regular) >= self._capacity:
             # One event for all who wait: with one for each, only the last was ever woken, and the others'
             # connections were never read again.
@@ -70,11 +73,11 @@
             await self._has_space.wait()
 
     async def wait_for_event(self, deadline: float) -> None:
-        """Until something is here, or trio's clock says `until` or a moment asked for before."""
+        """Returns once an event is here, or trio's clock says `deadline` or one asked for before."""
         if len(self):
             return
-        # One scope for many waits: most moments asked for are the one asked for last, and a scope for each
-        # wait costs as much as the turn it waits for.
+        # One scope for many waits: most deadlines are the same as the last, and a scope for each wait costs
+        # as much as the turn it waits for.
         if deadline < self._wakeup_scope.deadline:
             self._wakeup_scope.deadline = deadline
         self._waiter = trio.Event()
@@ -82,7 +85,7 @@
         self._waiter = None
 
     async def run_wakeups(self) -> None:
-        """Runs beside the instance: ends its wait when the moment asked for has come."""
+        """Runs beside the event loop, and ends its wait when the deadline has passed."""
         while True:
             with self._wakeup_scope:
                 await trio.sleep_forever()
@@ -92,19 +95,19 @@
 
 
 class SendQueueFullError(Exception):
-    """More waits for a peer than it may: it reads too slowly, its connection is given up."""
+    """More waits for a peer than it may: it reads too slowly, its connection is closed."""
 
 
 @runtime_checkable
 class NonBlockingStream(Protocol):
-    """A stream that can be asked to take what it has room for, without a wait."""
+    """A stream that can be asked to take what it has space for, without a wait."""
 
     def send_now(self, data: bytes) -> int:
         """How many bytes it took; 0 where it must be waited for, or has failed: `send_all` tells which."""
 
 
 class SendBatch:
-    """The outboxes that a turn of the instance put frames into; they leave at its end, in one write each.
+    """The send queues that a turn of the event loop put frames into, flushed at its end, in one write each.
 
     A writer woken for every frame costs a busy instance a fifth of its rate.
     """
@@ -114,15 +117,18 @@
         self._queues: list[SendQueue] = []
 
     def begin(self) -> None:
+        """A turn begins: frames are held back until its end."""
         self._is_open = True
 
     def end(self) -> None:
+        """The turn is over: its frames leave."""
         self._is_open = False
-        outboxes, self._queues = self._queues, []
-        for outbox in outboxes:
-            outbox.flush()
+        queues, self._queues = self._queues, []
+        for queue in queues:
+            queue.flush()
 
     def collect(self, queue: SendQueue) -> bool:
+        """Whether a turn is under way; its end then flushes `queue`."""
         if self._is_open:
             self._queues.append(queue)
         return self._is_open
@@ -131,7 +137,7 @@
 class SendQueue:
     """Frames for one stream. One with a key may still be withdrawn until it is handed to the stream.
 
-    What the stream has been handed and not yet taken is `in_hand`; only giving up the connection stops that.
+    What the stream has been handed and not yet taken is `in_flight`; only closing the connection stops that.
     """
 
     def __init__(self, max_bytes: int, batch: SendBatch | None = None) -> None:
@@ -147,8 +153,10 @@
         self.in_flight: Mapping[Hashable, tuple[bytes, SentCallback | None]] = {}
 
     def put(self, frame: bytes, key: Hashable | None = None, on_sent: SentCallback | None = None) -> None:
-        """`left` is called once the stream has taken the frame. Raises Overfull, then nothing is kept of
-        it."""
+        """Queues a frame; `on_sent` is called once the stream has taken it.
+
+        SendQueueFullError, and nothing is kept of the frame, where too many bytes wait already.
+        """
         if self._queued_bytes + len(frame) > self._max_bytes:
             raise SendQueueFullError(f"{self._queued_bytes} bytes wait already")
         self._last_key += 1
@@ -182,9 +190,9 @@
 
     def _on_batch_sent(self, batch: Mapping[Hashable, tuple[bytes, SentCallback | None]]) -> None:
         self.in_flight = {}
-        for _, left in batch.values():
-            if left is not None:
-                left()
+        for _, on_sent in batch.values():
+            if on_sent is not None:
+                on_sent()
 
     def withdraw(self, key: Hashable) -> bool:
         """Whether the frame was still here; it will not leave any more."""
@@ -199,6 +207,7 @@
         return not (self._queued or self.in_flight or self._unsent)
 
     def is_queued(self, key: Hashable) -> bool:
+        """Whether the frame of that key may still be withdrawn."""
         return key in self._queued
 
     async def run(self, stream: trio.abc.SendStream) -> None:
@@ -206,8 +215,8 @@
         self._stream = stream if isinstance(stream, NonBlockingStream) else None
         while True:
             if self._unsent:
-                rest, self._unsent = self._unsent, b""
-                await stream.send_all(rest)
+                unsent, self._unsent = self._unsent, b""
+                await stream.send_all(unsent)
                 self._on_batch_sent(self.in_flight)
             if not self._queued:
                 self._writer_wakeup = trio.Event()
--- a/valverouter/edge/recovery_log.py
+++ b/valverouter/edge/recovery_log.py
@@ -1,10 +1,9 @@
-"""What this instance owes, on record: moves each dialog's record as the edge proxy moves the dialog, and sees
-that a turn's records are committed before a turn's words leave.
+"""The records of dialogs that are owed an answer, committed before the messages of a turn leave.
 
-Which transitions there are is `valverouter.recovery.lifecycle`'s, what a restart makes of them `plan`'s. A
-store that fails costs the records, never the calls: all of it is cleared, since a record that was not moved
-on could let a second leg out after a kill; what is taken from then on is recorded again once the store takes
-it.
+Each record moves as the edge proxy moves its dialog. Which transitions there are is defined by
+`valverouter.recovery.lifecycle`, what a restart makes of them by `valverouter.recovery.plan`. A store that
+fails costs the records, never the calls: all of it is cleared, since a record that was not moved on could let
+a second attempt out after a kill; dialogs accepted from then on are recorded again once the store takes them.
 """
 
 from __future__ import annotations
@@ -26,9 +25,9 @@
 SECOND = 1_000_000_000
 # A store that failed is tried again after so long.
 STORE_RETRY_INTERVAL = 10 * SECOND
-# Answers whose time has passed leave the store together, no oftener than this.
+# Answers whose time has passed leave the store together, no oftener than in so long.
 SWEEP_INTERVAL = SECOND
-# The server closed these itself, or they never ran; of all others the release time runs.
+# The server closed these itself, or they never ran; after all others the release delay runs.
 CLOSED_OUTCOMES = frozenset(
     (Outcome.FULL, Outcome.NO_AGENT, Outcome.UNREACHABLE, Outcome.FAULT, Outcome.LINE_BUSY, Outcome.NOT_SENT)
 )
@@ -37,23 +36,29 @@
 class RecordStore(Protocol):
     """The store that records go to."""
 
-    def begin_epoch(self, minimum: int = 0) -> int: ...
+    def begin_epoch(self, minimum: int = 0) -> int:
+        """Counts a start; its number, larger than any before and at least `minimum`."""
+        ...
 
     def records(self) -> Iterable[Any]:
         """Records, and whatever stands for those that can't be read."""
 
-    def put(self, record: DialogRecord) -> None: ...
+    def put(self, record: DialogRecord) -> None:
+        """Adds or replaces a record with the next commit."""
 
-    def delete(self, dialog: str) -> None: ...
+    def delete(self, dialog: str) -> None:
+        """Removes a record with the next commit."""
 
-    def commit(self) -> int: ...
+    def commit(self) -> int:
+        """Writes what changed since the last commit; how many records."""
+        ...
 
     def clear(self) -> None:
-        """Takes out all that it holds, pending changes too."""
+        """Removes all records, pending changes too."""
 
 
 class RecoveryLog:
-    """The records of what is open, stands, or was answered within its time; each leaves with that."""
+    """The records of dialogs that are open, established, or answered within their time."""
 
     def __init__(self, store: RecordStore, moment: Callable[[], Timestamp]) -> None:
         self._store = store
@@ -74,65 +79,71 @@
         return self._turn_moment
 
     def __len__(self) -> int:
+        """Records held."""
         return len(self._records)
 
     def record(self, dialog: str) -> DialogRecord | None:
+        """The record of a dialog; None: there is none."""
         return self._records.get(dialog)
 
     # At the start
 
-    def take_over(self, release_wait: int) -> list[tuple[DialogRecord, RecoveryPlan]]:
-        """What a former self left, taken over, with what each needs; what can't be read is told and void."""
+    def take_over(self, release_delay: int) -> list[tuple[DialogRecord, RecoveryPlan]]:
+        """What the previous incarnation left, with what each needs; damaged records are removed."""
         now = self._moment()
-        kept: list[tuple[DialogRecord, RecoveryPlan]] = []
-        for one in self._store.records():
-            if not isinstance(one, DialogRecord):
-                log.error("record-damaged", dialog=one.key, why=one.reason)
-                self._store.delete(one.key)
+        taken_over: list[tuple[DialogRecord, RecoveryPlan]] = []
+        for found in self._store.records():
+            if not isinstance(found, DialogRecord):
+                log.error("record-damaged", dialog=found.key, why=found.reason)
+                self._store.delete(found.key)
                 continue
-            decision = plan_on_restart(one, now, release_wait)
-            if decision.action in (RecoveryAction.FORGET, RecoveryAction.CANCEL_ATTEMPT):
-                # Past its time; a leg that was out then was given up with the former self's connection.
-                self._store.delete(one.dialog_id)
+            plan = plan_on_restart(found, now, release_delay)
+            if plan.action in (RecoveryAction.FORGET, RecoveryAction.CANCEL_ATTEMPT):
+                # Past its time; an attempt in flight then was cut with the previous incarnation's connection.
+                self._store.delete(found.dialog_id)
                 continue
             # Its time goes on from here by this boot's clock, with the least that may be left of it.
-            record = lifecycle.take_over(one, self.epoch, now, decision.time_left)
+            record = lifecycle.take_over(found, self.epoch, now, plan.time_left)
             self._put(record)
-            kept.append((record, decision))
-        return kept
+            taken_over.append((record, plan))
+        return taken_over
 
-    # Moves
+    # Transitions
 
-    def on_accepted(self, asked: setup.Setup, caller: str, left: int, now: int) -> None:
+    def on_accepted(self, request: setup.Setup, caller: str, time_left: int, now: int) -> None:
+        """A dialog is owed an answer; it is not recorded while the store fails."""
         if now < self._suspended_until:
             return
         self._put(
             DialogRecord(
-                asked.dialog,
+                request.dialog,
                 caller,
-                asked.traffic_type,
-                asked.first_choice,
-                asked.called_number,
+                request.traffic_type,
+                request.first_choice,
+                request.called_number,
                 self._moment(),
-                left,
+                time_left,
                 self.epoch,
-                was_interrupted=asked.was_cut,
+                was_interrupted=request.was_cut,
             )
         )
 
-    def on_attempt_sent(self, dialog: str, leg: int, server: str, start: int) -> None:
+    def on_attempt_sent(self, dialog: str, attempt: int, server: str, incarnation: int) -> None:
+        """An attempt is about to leave to a server's present incarnation."""
         if (record := self._records.get(dialog)) is not None:
             now = self._moment()
             if record.phase is Phase.CANCELLED:
-                record = lifecycle.end_attempt(record, now)  # the decisions have waited for the release time
-            self._put(lifecycle.start_attempt(record, leg, server, start, now))
+                record = lifecycle.end_attempt(record, now)  # the release delay has passed
+            self._put(lifecycle.start_attempt(record, attempt, server, incarnation, now))
 
     def on_attempt_cancelled(self, dialog: str) -> None:
+        """The attempt in flight is cancelled: the release delay runs from here."""
         record = self._records.get(dialog)
         if record is not None and record.phase in (Phase.IN_FLIGHT, Phase.CANCELLED):
             self._put(lifecycle.cancel_attempt(record, self._moment()))
 
     def on_attempt_ended(self, dialog: str, outcome: Outcome) -> None:
+        """An attempt has ended; unless its server closed it, the release delay runs."""
         record = self._records.get(dialog)
         if record is None or record.phase not in (Phase.IN_FLIGHT, Phase.CANCELLED):
             return
@@ -142,30 +153,31 @@
             self._put(lifecycle.cancel_attempt(record, self._moment()))
 
     def on_established(self, dialog: str) -> None:
+        """The attempt in flight is established."""
         if (record := self._records.get(dialog)) is not None and record.phase is Phase.IN_FLIGHT:
             self._put(lifecycle.establish(record, self._moment()))
 
-    def on_answered(self, dialog: str, answer: str, span: int, deadline: int) -> None:
-        """Declined or aborted: on record until the caller's time is over."""
+    def on_answered(self, dialog: str, answer: str, retry_after: int, deadline: int) -> None:
+        """The dialog is rejected or has failed: on record until the caller's deadline."""
         if (record := self._records.get(dialog)) is None:
             return
         now = self._moment()
         if record.phase is Phase.IN_FLIGHT:
             record = lifecycle.cancel_attempt(record, now)
-        self._put(lifecycle.conclude(record, answer, span, now))
+        self._put(lifecycle.conclude(record, answer, retry_after, now))
         self._answered.append((deadline, dialog))
 
     def keep_answer_until(self, dialog: str, deadline: int) -> None:
-        """A former self's answer: kept until its caller's time is over."""
+        """Keeps an answer of the previous incarnation until its caller's deadline."""
         self._answered.append((deadline, dialog))
 
     def on_dialog_closed(self, dialog: str) -> None:
-        """The instance holds it no more: an answer stays until its time is over, all else leaves."""
+        """The proxy holds the dialog no more: an answer stays until its deadline, all else leaves."""
         if (record := self._records.get(dialog)) is not None and record.phase is not Phase.CONCLUDED:
             self.remove(dialog)
 
     def remove(self, dialog: str) -> None:
-        """Nothing is owed: what stood is over, or its time has passed without an answer."""
+        """Removes a record: nothing is owed any more."""
         if self._records.pop(dialog, None) is not None:
             self._store.delete(dialog)
 
@@ -176,7 +188,7 @@
     # The turn's end
 
     def commit(self, now: int) -> None:
-        """Before a turn's words leave. After it they are on record, or nothing is."""
+        """Commits what a turn changed, before its messages leave; all of it is on record then, or nothing."""
         self._turn_moment = None
         if now >= self._swept_at + SWEEP_INTERVAL:
             self._swept_at = now
@@ -196,12 +208,12 @@
 
     def _on_store_failed(self, now: int, error: Exception) -> None:
         self._suspended_until = now + STORE_RETRY_INTERVAL
-        held = len(self._records)
+        lost = len(self._records)
         self._records.clear()
         self._answered.clear()
-        log.error("ledger-failed", why=str(error), without_record=held)
+        log.error("ledger-failed", why=str(error), without_record=lost)
         try:
             self._store.clear()
-        except Exception as worse:
+        except Exception as clear_error:
             # A start that reads it would go on from what is no longer so.
-            log.critical("ledger-stale", why=str(worse), do="remove the store before the next start")
+            log.critical("ledger-stale", why=str(clear_error), do="remove the store before the next start")
--- a/valverouter/edge/runtime.py
+++ b/valverouter/edge/runtime.py
@@ -22,7 +22,7 @@
 
 
 class DatagramSocket(Protocol):
-    """A socket for datagrams; nothing here ever waits but `readable`. Addresses are IP:PORT."""
+    """A socket for datagrams; nothing here ever waits but `wait_readable`. Addresses are IP:PORT."""
 
     address: str
 
@@ -30,19 +30,20 @@
         """Whether it left; one that does not at once is dropped, as the network may drop any."""
 
     def receive(self) -> tuple[bytes, str] | None:
-        """A datagram that is here, cut off after DATAGRAM_MOST bytes, and where it came from."""
+        """A datagram that has arrived, cut off after MAX_DATAGRAM_SIZE bytes, and its sender."""
 
     async def wait_readable(self) -> None:
-        """Returns when one may be here."""
+        """Returns when one may have arrived."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Frees the address."""
 
 
 class Runtime(Protocol):
     """What an edge proxy asks of the place where it runs. Addresses are HOST:PORT."""
 
     def wall_time(self) -> int:
-        """Wall time in ns since 1970: to date what a former self wrote, never to measure a span."""
+        """Wall time in ns since 1970: to date what an earlier start wrote, never to measure a duration."""
 
     def moment(self) -> Timestamp:
         """Wall time and the monotonic clock of this boot, as records keep them over a restart."""
@@ -71,4 +72,4 @@
         """A file that an earlier start kept; None when there is none to read."""
 
     async def write_file(self, path: str, data: bytes) -> None:
-        """Writes a file whole or not at all; OSError when it can't."""
+        """Writes a file whole or not at all; OSError when it can't be written."""
--- a/valverouter/edge/sockets.py
+++ b/valverouter/edge/sockets.py
@@ -31,6 +31,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
+    """Host and port of HOST:PORT; ValueError where it is none."""
     host, _, port = address.rpartition(":")
     if not host or not port.isascii() or not port.isdigit():
         raise ValueError(f"{address!r} is no HOST:PORT")
@@ -51,8 +52,10 @@
             self._enable_keepalive(silence)
 
     def _enable_keepalive(self, silence: int) -> None:
-        """The kernel asks a silent far side whether it is there, tells within `silence` ns that it is not:
-        a machine that lost its power closes nothing, and an idle connection to it would stay for good."""
+        """Lets the kernel probe a silent peer, and close within `silence` ns one that is not there.
+
+        A machine that lost its power closes nothing, and an idle connection to it would stay for good.
+        """
         first = max(1, silence // 2 // 10**9)
         between = max(1, (silence // 10**9 - first) // KEEPALIVE_PROBES)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -65,6 +68,7 @@
             self._socket.setsockopt(socket.IPPROTO_TCP, option, value)
 
     def send_now(self, data: bytes) -> int:
+        """How many bytes the kernel took without a wait."""
         try:
             return self._socket.send(data)
         except OSError:
@@ -72,7 +76,7 @@
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes came that nobody has read."""
+        """Whether bytes have arrived that nobody has read."""
         try:
             return bool(self._socket.recv(1, socket.MSG_PEEK))
         except OSError:
@@ -80,17 +84,19 @@
 
     @property
     def peer_has_closed(self) -> bool:
-        """Whether the far side has closed, also where bytes that it sent before lie unread."""
+        """Whether the peer has closed, also where bytes that it sent before lie unread."""
         if self._socket.fileno() < 0:
             return True
-        asked = select.poll()
-        asked.register(self._socket, PEER_CLOSED)
+        poll = select.poll()
+        poll.register(self._socket, PEER_CLOSED)
+        closed = PEER_CLOSED | select.POLLHUP | select.POLLERR
         try:
-            return any(told & (PEER_CLOSED | select.POLLHUP | select.POLLERR) for _, told in asked.poll(0))
+            return any(flags & closed for _, flags in poll.poll(0))
         except OSError:
-            return False  # where it can't be asked, the reader tells
+            return False  # where it can't be polled, the reader finds out
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
+        """Sends everything, waiting where the kernel has no space."""
         await trio.lowlevel.checkpoint()
         rest = memoryview(data)
         with _as_trio_errors():
@@ -101,12 +107,14 @@
                     await trio.lowlevel.wait_writable(self._socket)
 
     async def wait_send_all_might_not_block(self) -> None:
+        """Returns when the kernel has space."""
         with _as_trio_errors():
             if self._socket.fileno() < 0:
                 raise trio.ClosedResourceError("this stream was closed here")
             await trio.lowlevel.wait_writable(self._socket)
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
+        """What has arrived, at most so many bytes; empty: the peer has closed."""
         with _as_trio_errors():
             while True:
                 if self._socket.fileno() < 0:  # trio's own loop would fall over a closed one
@@ -116,17 +124,19 @@
                     return self._socket.recv(max_bytes or READ_SIZE)
 
     def close_now(self) -> None:
+        """Closes the socket without a wait."""
         if self._socket.fileno() >= 0:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
 
     async def aclose(self) -> None:
+        """Closes the socket."""
         self.close_now()
         await trio.lowlevel.checkpoint()
 
 
 class UdpSocket:
-    """Datagrams on the machine."""
+    """A UDP socket of the machine."""
 
     def __init__(self, address: str) -> None:
         host, port = split_address(address)
@@ -140,35 +150,39 @@
             self._socket.close()
             raise
         self.address = _format_address(self._socket.getsockname())
-        # Few addresses, asked for with each datagram; as many as a fleet has, and then begun anew.
+        # Addresses by their text, as many as a fleet has; emptied when there are too many.
         self._resolved: dict[str, tuple[str, int]] = {}
 
     def send(self, data: bytes, address: str) -> bool:
-        there = self._resolved.get(address)
-        if there is None:
+        """Whether the kernel took it."""
+        destination = self._resolved.get(address)
+        if destination is None:
             if len(self._resolved) > MAX_PARSED_ADDRESSES:
                 self._resolved.clear()
-            there = self._resolved[address] = split_address(address)
+            destination = self._resolved[address] = split_address(address)
         try:
-            self._socket.sendto(data, there)
+            self._socket.sendto(data, destination)
         except OSError:
             return False  # full, nobody there, no way there: as good as lost
         return True
 
     def receive(self) -> tuple[bytes, str] | None:
+        """A datagram that has arrived, and its sender; None: none has."""
         while True:
             try:
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_SIZE)
             except BlockingIOError:
                 return None
             except OSError:
-                continue  # a former datagram of ours was refused; that is all it says
+                continue  # an earlier datagram of ours was refused; that is all it says
             return data, _format_address(source)
 
     async def wait_readable(self) -> None:
+        """Returns when a datagram may have arrived."""
         await trio.lowlevel.wait_readable(self._socket)
 
     def close(self) -> None:
+        """Frees the address."""
         if self._socket.fileno() >= 0:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
@@ -193,15 +207,18 @@
     try:
         stream = PlainSocketStream(accepted, silence)
     except OSError:
-        return  # gone again before it was looked at
+        return  # closed again already
     await handler(stream)
 
 
 async def _accept(
     listener: trio.SocketListener, nursery: trio.Nursery, handler: Handler, refuse: Handler, silence: int
 ) -> None:
-    """Accepts until cancelled. With no descriptor left callers would wait in the backlog and hear nothing;
-    the one spare is given up for as long as it takes to tell each that there is no room."""
+    """Accepts until cancelled.
+
+    With no descriptor left callers would wait in the backlog and hear nothing; the one spare is given up for
+    as long as it takes to refuse each.
+    """
     spare = os.open(os.devnull, os.O_RDONLY)
     try:
         while True:
@@ -227,12 +244,12 @@
 
 
 class SocketRuntime:
-    """TCP on the machine. Delayed sending is off: set-ups are small and urgent."""
+    """The machine. Delayed sending (Nagle) is off: set-ups are small and urgent."""
 
     _boot_id = ""
 
     def __init__(self, silence: int = 0, max_descriptors: int = 0) -> None:
-        """`most`: descriptors that may be held, where more is told than the kernel's own limit; 0: that."""
+        """A peer silent for `silence` ns is probed. `max_descriptors` 0: the kernel's limit."""
         self._silence = silence
         self._max_descriptors = max_descriptors
         # The monotonic clock counts from the boot that this names; without it only wall time is left.
@@ -240,12 +257,15 @@
             self._boot_id = Path("/proc/sys/kernel/random/boot_id").read_text("ascii").strip()
 
     def wall_time(self) -> int:
+        """Wall time in ns since 1970."""
         return time.time_ns()
 
     def moment(self) -> Timestamp:
+        """Wall time and the monotonic clock of this boot."""
         return Timestamp(time.time_ns(), time.monotonic_ns(), self._boot_id)
 
     async def connect(self, address: str) -> trio.abc.Stream:
+        """A TCP stream to a peer; OSError when there is none."""
         host, port = split_address(address)
         return PlainSocketStream(await trio.open_tcp_stream(host, port), self._silence)
 
@@ -256,6 +276,7 @@
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
         refuse: Handler | None = None,
     ) -> None:
+        """Serves until cancelled, a task for each stream; `started` with the address in use."""
         host, port = split_address(address)
         listeners = await trio.open_tcp_listeners(port, host=host or None)
         bound = listeners[0].socket.getsockname()[1]
@@ -265,31 +286,36 @@
                 nursery.start_soon(_accept, listener, nursery, handler, refuse or handler, self._silence)
 
     def bind_datagrams(self, address: str) -> DatagramSocket:
+        """A UDP socket bound there; OSError when it can't be."""
         return UdpSocket(address)
 
     def max_descriptors(self) -> int:
+        """How many descriptors this process may hold at present."""
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         return min(limit, self._max_descriptors) if self._max_descriptors else limit
 
     async def checkpoint(self) -> None:
+        """Gives the other tasks their turn."""
         await trio.lowlevel.checkpoint()
 
     async def read_file(self, path: str) -> bytes | None:
+        """A file's content; None when there is none to read."""
         try:
             return await trio.Path(path).read_bytes()
         except OSError:
             return None
 
     async def write_file(self, path: str, data: bytes) -> None:
+        """Writes a file whole or not at all; OSError."""
         # A disk that hangs keeps its thread, not the instance, which could not end otherwise.
         await trio.to_thread.run_sync(_write_atomically, Path(path), data, abandon_on_cancel=True)
 
 
 def _write_atomically(path: Path, data: bytes) -> None:
-    # A reader after a crash must find the former list or the new one, not half of either.
-    beside = path.with_name(f"{path.name}.new")
-    with beside.open("wb") as file:
+    # A reader after a crash must find the old content or the new, not half of either.
+    temporary = path.with_name(f"{path.name}.new")
+    with temporary.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
+    os.replace(temporary, path)
--- a/valverouter/relayedge/__main__.py
+++ b/valverouter/relayedge/__main__.py
@@ -88,6 +88,8 @@
 
 
 def main(early: list[int]) -> int:
+    """Runs the edge proxy; the exit code. `early`: SIGHUPs that came before."""
+    """Runs the edge proxy; the exit code. `early`: SIGHUPs that came before."""
     named = os.environ.get(VARIABLE, "")
     try:
         told = read(Path(named))
--- a/valverouter/relayedge/bus_client.py
+++ b/valverouter/relayedge/bus_client.py
@@ -1,4 +1,4 @@
-"""The event bus at the edge: what was known at the start, then long polls, begun again at once."""
+"""The event bus client: what was known at the start, then long polls, begun again at once."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class BusClient:
-    """Where the platform tells of servers. `number` is the last event's; none is taken twice or in part."""
+    """Where the platform tells of servers. `number` is the last event's; none is applied twice or in part."""
 
     def __init__(self, address: str, known: bytes, runtime: Runtime, events: EventQueue) -> None:
         self.replica = Replica()
@@ -34,19 +34,20 @@
         self._attempt = trio.CancelScope()
 
     def request_list(self) -> None:
-        """Nothing to do: it is asked all the time."""
+        """Nothing to do: the bus is polled all the time."""
 
     async def load_cached(self) -> list[Row]:
+        """Applies the events of the configuration; no rows are cached."""
         self.apply_events(self._known)
         self._known = b""
         return []
 
     def apply_events(self, known: bytes) -> None:
-        """Events of a configuration, whole."""
+        """Applies the events of a configuration, all of them."""
         self._on_batch(batch(known))
 
     def set_address(self, address: str) -> None:
-        """The event bus is elsewhere now; its numbers go on."""
+        """The event bus has another address now; its numbers go on."""
         if address != self._address:
             self._address = address
             self._attempt.cancel()
@@ -55,6 +56,7 @@
         """No disk outlives this process."""
 
     async def run(self) -> None:
+        """Polls again and again, until cancelled."""
         before = ""
         while True:
             why, address = "moved", self._address
@@ -69,7 +71,7 @@
                 await trio.sleep(platform.BUS_AGAIN / 1e9)
 
     async def _poll(self, address: str) -> str:
-        """Polls on one connection until it is of no further use; why."""
+        """Polls on one connection until it is of no further use; the reason of its end."""
         hold = platform.BUS_HOLD
         try:
             with trio.fail_after(platform.BUS_LATE / 1e9):
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterator, Mapping
+from dataclasses import dataclass
 from itertools import chain
 from typing import Any
 
@@ -22,33 +23,36 @@
 
 log = structlog.get_logger()
 
-# So many set-ups of one connection may wait for their turn before it waits for room among all others; what is
-# read of it at a time, which is how far that can be passed.
+# So many set-ups of one connection may be pending before its reader waits for space among all events; what is
+# read of it at a time, in bytes, which is how far that can be passed.
 MAX_PENDING_SETUPS = 8
 CALLER_READ_SIZE = 16 * 1024
-# Many alike are told by one line in as long a time.
+# Events of one kind are logged once in so many seconds.
 LOG_INTERVAL_S = 10.0
 
 
 class RateLimitedLog:
-    """Tells of the first of many alike, and how many went untold since. One entry for each kind."""
+    """Logs the first of many events of a kind, and how many were suppressed since."""
 
     def __init__(self) -> None:
         self._suppressed: dict[str, tuple[float, int]] = {}
 
     def warn(self, kind: str, reason: str) -> None:
+        """Logs the refusal of a caller, unless one of its kind was logged lately."""
         now = trio.current_time()
-        at, untold = self._suppressed.get(kind, (-LOG_INTERVAL_S, 0))
-        if now - at < LOG_INTERVAL_S:
-            self._suppressed[kind] = at, untold + 1
+        logged_at, suppressed = self._suppressed.get(kind, (-LOG_INTERVAL_S, 0))
+        if now - logged_at < LOG_INTERVAL_S:
+            self._suppressed[kind] = logged_at, suppressed + 1
             return
-        log.warning("caller-refused", kind=kind, why=reason, untold=untold)
+        log.warning("caller-refused", kind=kind, why=reason, untold=suppressed)
         self._suppressed[kind] = now, 0
 
 
 class AnsweredIds:
-    """Ids that had their final answer or were given up: every set-up has a new one, so who comes with one of
-    these again is no good caller, and each would be a dialog more for the decisions. Holds the last so many.
+    """Ids of dialogs that had their final answer or were cancelled, the last so many.
+
+    Every set-up has a new id, so who comes with one of these again is no good caller, and each would be a
+    dialog more for the decisions.
     """
 
     def __init__(self, capacity: int = 2_048) -> None:
@@ -56,20 +60,22 @@
         self._ids: dict[str, None] = {}
 
     def add(self, id_: str) -> None:
+        """Adds an id; the oldest leaves where there are too many."""
         self._ids[id_] = None
         if len(self._ids) > self._capacity:
             del self._ids[next(iter(self._ids))]
 
     def __contains__(self, id_: str) -> bool:
+        """Whether an id had its answer lately."""
         return id_ in self._ids
 
 
 class ConnectedCallers:
-    """Callers' connections, least useful first: those that asked for nothing sound, then the rest, each in
-    the order in which they were last heard.
+    """Callers' connections, the least useful first; each leaves when it closes.
 
-    Kept in order as they speak: sorted for each newcomer, a full house cost more than the newcomer.
-    Each leaves when it closes.
+    Those that asked for nothing sound come first, then the rest, both in the order of their last message.
+    Kept in order as messages come: sorted for each new connection, many of them cost more than the
+    connection.
     """
 
     def __init__(self) -> None:
@@ -77,37 +83,43 @@
         self._useful: dict[RelayCaller, None] = {}
 
     def on_received(self, caller: RelayCaller) -> None:
+        """A caller has sent something: it moves to the end of its group."""
         self.remove(caller)
         (self._useful if caller.is_useful else self._unproven)[caller] = None
 
     def remove(self, caller: RelayCaller) -> None:
+        """A connection is closed."""
         self._unproven.pop(caller, None)
         self._useful.pop(caller, None)
 
     @property
     def open_count(self) -> int:
-        """How many still are there."""
-        return sum(not one.is_closed for one in chain(self._unproven, self._useful))
+        """How many are not closed."""
+        return sum(not caller.is_closed for caller in self._in_order())
 
     def least_useful_idle(self) -> RelayCaller | None:
-        """Whom closing loses nothing, the least useful first."""
-        return next((one for one in chain(self._unproven, self._useful) if one.is_idle), None)
+        """The least useful one that can be closed without loss."""
+        return next((caller for caller in self._in_order() if caller.is_idle), None)
 
     def all_quiet(self) -> bool:
         """Whether each has had what it is owed, and nothing of any lies unread."""
-        return all(one.is_quiet for one in chain(self._unproven, self._useful))
+        return all(caller.is_quiet for caller in self._in_order())
 
     def most_recent(self) -> RelayCaller | None:
-        """Who was heard last, of those that still are there."""
-        heard = chain(reversed(self._useful), reversed(self._unproven))
-        return next((one for one in heard if not one.is_closed), None)
+        """The one with the latest message, of those that are not closed."""
+        latest_first = chain(reversed(self._useful), reversed(self._unproven))
+        return next((caller for caller in latest_first if not caller.is_closed), None)
+
+    def _in_order(self) -> Iterator[RelayCaller]:
+        return chain(self._unproven, self._useful)
 
 
 class RelayCaller(CallerConnection):
-    """One caller's connection on the platform. `dialogs` are the open ones; what stands belongs to nobody.
+    """One caller's connection on the platform.
 
-    `useful` once it has asked for something sound: until then, and while a message is half sent, it is closed
-    when `hello_within` has passed.
+    `dialogs` are the open ones; established ones belong to no connection. `is_useful` once it has asked for
+    something sound: until then, and while a message is half received, it is closed when `hello_within` has
+    passed.
     """
 
     def __init__(
@@ -137,32 +149,40 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether closing it loses nothing. A set-up that waits for its turn, or to be read, is in no book
-        yet: under a crowd some were lost with connections that were closed to make room."""
+        """Whether closing it loses nothing.
+
+        A set-up that is pending or unread is in no table yet: among many connections some were lost with
+        those that were closed to make space.
+        """
         if self.is_closed or self.dialogs or self._reader.is_half:
             return False
         return not self.pending_setups and not getattr(self._stream, "has_unread_data", False)
 
     @property
     def is_quiet(self) -> bool:
-        """Whether all that it sent was read and had its turn, and all that it was sent has left."""
+        """Whether all that it sent was read and handled, and all that it was sent has left."""
         if self.is_closed:
             return True
         unread = getattr(self._stream, "has_unread_data", False)
         return not (self.pending_setups or unread) and self._send_queue.is_empty
 
     def close(self) -> None:
-        # At once: a busy loop comes to its task some time later, and what arrives meanwhile would be lost.
+        """Closes the connection at once.
+
+        A busy loop comes to its task some time later, and what arrives meanwhile would be lost.
+        """
         close_now = getattr(self._stream, "close_now", None)
         if close_now is not None:
             close_now()
         self._scope.cancel()
 
     def send(self, message: Any) -> None:
+        """Queues an answer or an end, where the platform has a message for it."""
         if data := translation.to_caller(message):
             self.write(data)
 
     def write(self, data: bytes) -> None:
+        """Queues bytes; a caller that reads too slowly to take them loses its connection."""
         if self._scope.cancel_called:
             return
         try:
@@ -172,10 +192,10 @@
             self._scope.cancel()
 
     def expire(self, dialog_id: str, leg: int) -> None:
-        pass
+        """The platform's sessions keep no state of a dialog."""
 
     def refuse(self, error: ProtocolError) -> None:
-        # A word under the id of an open set-up would pass for that one's answer: the connection goes instead.
+        """Closes the connection: a message under an open set-up's id would pass for its answer."""
         self._rejection_log.warn(error.code, str(error))
         self._scope.cancel()
 
@@ -187,27 +207,27 @@
 
     async def _read(self, stream: trio.abc.Stream) -> None:
         limit = self._config.hello_within / 1e9
-        half = False
+        is_half = False
         with trio.fail_after(limit) as patience:
             while data := await stream.receive_some(CALLER_READ_SIZE):
-                # A dialog's time runs from its last byte, not from when its turn comes.
-                came_at = self._clock.now()
+                # A dialog's time runs from its last byte, not from when it is handled.
+                received_at = self._clock.now()
                 for message in self._reader.feed(data):
                     if self._scope.cancel_called:
                         return
-                    self._on_message(message, came_at)
+                    self._on_message(message, received_at)
                 self._connected.on_received(self)
-                was_half, half = half, self._reader.is_half
-                if half and not was_half and self.is_useful:
+                was_half, is_half = is_half, self._reader.is_half
+                if is_half and not was_half and self.is_useful:
                     patience.deadline = trio.current_time() + limit
-                elif self.is_useful and not half:
+                elif self.is_useful and not is_half:
                     patience.deadline = float("inf")
                 if len(self.pending_setups) >= MAX_PENDING_SETUPS:
-                    # Who has asked for little is read on, however full the instance is: what it says next may
-                    # be that it gives up, and its end would go unseen.
+                    # Who has asked for little is read on, however full the queue is: its next message may be
+                    # a cancel, and its end would go unseen.
                     await self._events.wait_for_space()
 
-    def _on_message(self, message: isup.Message, came_at: int) -> None:
+    def _on_message(self, message: isup.Message, received_at: int) -> None:
         if message.type == isup.TEST:
             self.is_useful = True
             cause = bytes((int(self._is_accepting()),))
@@ -215,32 +235,34 @@
         elif message.type == isup.REL:
             if message.id in self.pending_setups:
                 self._answered_ids.add(message.id)
-            self.enqueue(setup.Cancel(message.id), came_at)
+            self.enqueue(setup.Cancel(message.id), received_at)
         elif message.type == isup.IAM:
-            try:
-                if message.id in self._answered_ids:
-                    # It may have come hundreds of times at once: the connection goes, not one word for each.
-                    self.refuse(ProtocolError("out-of-state", f"{message.id} has had its answer"))
-                    return
-                asked = translation.parse_setup(message, self._deployment, self._widths)
-            except ProtocolError as error:
-                self._rejection_log.warn(error.code, str(error))
-                self.write(isup.release(message.id, translation.UNUSABLE))
-                return
-            if isinstance(asked, translation.RelaySetup):
-                self.is_useful = True
-                self.enqueue(asked, came_at)
-            else:
-                self._events.put(EstablishedReported(self, asked))
+            self._on_setup(message, received_at)
         elif message.type not in (isup.RLC, isup.ACM):
             raise ProtocolError("out-of-state", f"type {message.type} from a caller")
 
+    def _on_setup(self, message: isup.Message, received_at: int) -> None:
+        if message.id in self._answered_ids:
+            # It may have come hundreds of times at once: the connection is closed, not one answer sent for
+            # each.
+            self.refuse(ProtocolError("out-of-state", f"{message.id} has had its answer"))
+            return
+        try:
+            request = translation.parse_setup(message, self._deployment, self._widths)
+        except ProtocolError as error:
+            self._rejection_log.warn(error.code, str(error))
+            self.write(isup.release(message.id, translation.UNUSABLE))
+            return
+        if isinstance(request, translation.RelaySetup):
+            self.is_useful = True
+            self.enqueue(request, received_at)
+        else:
+            self._events.put(EstablishedReported(self, request))
+
 
+@dataclass(frozen=True, slots=True)
 class EstablishedReported:
-    """A caller tells of a dialog that stands already."""
-
-    __slots__ = ("caller", "dialog")
+    """A caller reports a dialog that is established already."""
 
-    def __init__(self, caller: RelayCaller, stood: translation.EstablishedDialog) -> None:
-        self.caller = caller
-        self.dialog = stood
+    caller: RelayCaller
+    dialog: translation.EstablishedDialog
--- a/valverouter/relayedge/dialogs.py
+++ b/valverouter/relayedge/dialogs.py
@@ -14,7 +14,8 @@
 from valverouter.edge.reload import ConfigReloader
 from valverouter.edge.server_links import ServerLinks
 from valverouter.relayedge.callers import AnsweredIds, ConnectedCallers, EstablishedReported, RelayCaller
-from valverouter.relayedge.link import RelayLink, UnknownEnds
+from valverouter.relayedge.link import RelayLink
+from valverouter.relayedge.unknown_ends import UnknownEnds
 from valverouter.signalling import setup
 
 # For so long an end that found no caller's connection is kept for the next one, in seconds.
--- a/valverouter/relayedge/proxy.py
+++ b/valverouter/relayedge/proxy.py
@@ -17,8 +17,8 @@
 from valverouter.relayedge.caller_listener import RelayListener
 from valverouter.relayedge.callers import AnsweredIds, ConnectedCallers, EstablishedReported
 from valverouter.relayedge.dialogs import EndNotifier, RelayAttempts, RelayDialogs, RelayRequests
-from valverouter.relayedge.link import UnknownEnds
 from valverouter.relayedge.server_links import RelayLinks
+from valverouter.relayedge.unknown_ends import UnknownEnds
 from valverouter.terms.options import MalformedInputError
 from valverouter.terms.platform import Platform
 
--- a/valverouter/relayedge/server_links.py
+++ b/valverouter/relayedge/server_links.py
@@ -7,7 +7,8 @@
 from valverouter.edge.events import EndpointUpdate
 from valverouter.edge.link import ServerLink
 from valverouter.edge.server_links import ServerLinks
-from valverouter.relayedge.link import RelayLink, UnknownEnds
+from valverouter.relayedge.link import RelayLink
+from valverouter.relayedge.unknown_ends import UnknownEnds
 
 # Incarnations are told as moments of their start in milliseconds.
 MS = 10**6
--- a/valverouter/relayedge/translation.py
+++ b/valverouter/relayedge/translation.py
@@ -1,4 +1,4 @@
-"""The platform's words on a dialog and ours. No I/O, nothing decided."""
+"""Translation between the platform's messages and ours. No I/O, nothing decided."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class EstablishedDialog(msgspec.Struct, frozen=True, rename={"setup": "asked"}):
-    """A dialog that stands at a server already, as its caller tells an edge proxy that may not know."""
+    """A dialog that is established at a server, as its caller reports to an edge proxy that may not know."""
 
     setup: RelaySetup
     server: str
@@ -129,7 +129,7 @@
 
 
 def to_caller(message: setup.OfLeg) -> bytes:
-    """What an answer or an end is on the caller's connection; b"": it has no word there."""
+    """An answer or an end as bytes for the caller's connection; empty: there is no such message there."""
     id_ = message.dialog
     match message:
         case Answered(description=description):
@@ -148,12 +148,14 @@
 
 
 def to_server(message: RelaySetup) -> bytes:
+    """A set-up as bytes for a server's connection."""
+    """A set-up as bytes for a server's connection."""
     left = max(1, message.no_answer // MS)
     return lines.setup(message.dialog, message.traffic_type, message.key, left, message.description)
 
 
 def parse_rejection(line: lines.Line, leg: int) -> setup.OfLeg | None:
-    """A server's release before its answer; None where the set-up broke on its way: a reset."""
+    """A server's release before its answer; None where the set-up was lost on its way: a reset."""
     note = line.fields.get("note")
     if line.cause == NO_CIRCUIT:
         told = parse_load(line)
@@ -179,7 +181,7 @@
 
 
 def parse_load(line: lines.Line) -> setup.Load | None:
-    """The report that came with a message; None: none came. What is -1 there was not told."""
+    """The load report that came with a message; None: none came. A figure of -1 is not known."""
     text = line.fields.get("load")
     if not isinstance(text, str):
         return None
@@ -199,7 +201,7 @@
 
 
 def endpoint_row(host: Host, now: int) -> Row:
-    """One server of the list; `now` is the system's Unix clock, by which starts are told."""
+    """A server of the list; `now` is the system's Unix clock, by which starts are told."""
     return Row(
         server=host.host,
         number=host.block,
--- /dev/null
+++ b/valverouter/relayedge/unknown_ends.py
@@ -0,0 +1,34 @@
+"""Ends of dialogs that are not known here, kept for callers that still have to report them."""
+
+from __future__ import annotations
+
+import trio
+
+# For so long the end of a dialog that is not known here is kept, for a caller that still has to report it.
+UNKNOWN_END_LIFETIME_S = 15.0
+MAX_UNKNOWN_ENDS = 1_000
+
+
+class UnknownEnds:
+    """Releases that came for dialogs not known here; emptied by time, and held to a count.
+
+    After our own restart a server may tell of an end before the caller reports the dialog.
+    """
+
+    def __init__(self) -> None:
+        self._ends: dict[str, tuple[float, bool]] = {}
+
+    def add(self, id_: str, was_cut: bool) -> None:
+        """A dialog that is not known here has ended."""
+        now = trio.current_time()
+        self._ends[id_] = now, was_cut
+        while self._ends:
+            first = next(iter(self._ends))
+            if self._ends[first][0] > now - UNKNOWN_END_LIFETIME_S and len(self._ends) <= MAX_UNKNOWN_ENDS:
+                return
+            del self._ends[first]
+
+    def take(self, id_: str) -> bool | None:
+        """Whether a dialog was cut; None where no end of it is known."""
+        found = self._ends.pop(id_, None)
+        return found[1] if found else None
