--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -1,8 +1,10 @@
-"""Emulated callers of one edge proxy: patience, redials, and rows of their messages, as the stand-ins do."""
+"""Emulated callers of one edge proxy: patience, redials, and rows of their messages, as with the fakes."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
+
+from msgspec.structs import replace
 
 from valverouter.emulator.edge_model import CallerMessage, DialogRequest
 from valverouter.emulator.edges import EmulatedEdge
