--- a/tests/drilling.py
+++ b/tests/process_rig.py
@@ -1,4 +1,4 @@
-"""`valverouter edge` as a process on loopback, with scripted far ends: what the drills are made of.
+"""`valverouter edge` as a process on loopback, with scripted peers, for fault injection.
 
 Shortages are small limits on the child alone (resource.prlimit on its pid); the machine is left as it is.
 """
--- a/tests/slowmodel.py
+++ b/tests/reference_model.py
@@ -1,4 +1,4 @@
-"""A slow model of the five rules: the whole history in one list, read again from its beginning at each step.
+"""A reference model of the five rules: the history in one list, read again from its beginning at each step.
 
 It shares no code with the router or its audit, and is meant to be read and believed, not to be fast. A step
 is something that is about to happen; `step` says which rules it breaks, and keeps it in either case.
--- a/tests/test_attempt_files.py
+++ b/tests/test_attempt_policies.py
@@ -1,4 +1,4 @@
-"""Files of attempt terms: what is refused and why, what is taken, and that what is taken keeps the rules."""
+"""Attempt policies of a file: what is rejected and why, what is accepted, and that it keeps the rules."""
 
 from __future__ import annotations
 
--- a/tests/test_gone_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -1,4 +1,4 @@
-"""Callers that have gone: no attempt begins for them, in whatever order their word and their set-ups come.
+"""Callers that have disconnected: no attempt begins for them, in whatever order their messages are read.
 
 On loopback sockets, where no turn of the instance begins before the test lets it: each bad order comes every
 time.
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("how", GOES)
-async def test_a_full_inbox_keeps_no_one_s_leaving_unread(how: str) -> None:
+async def test_a_full_event_queue_keeps_no_one_s_leaving_unread(how: str) -> None:
     async with held() as (rig, place):
         client, crowd = await rig.client(), await rig.client()
         place.hold()
@@ -172,7 +172,7 @@
         assert set_ups(rig) == [LAST]
 
 
-async def test_what_stands_is_released_though_its_caller_s_word_overtakes_the_answer() -> None:
+async def test_an_established_dialog_is_released_though_its_caller_s_word_overtakes_the_answer() -> None:
     async with held("s0") as (rig, place):
         server, client = rig.servers["s0"], await rig.client()
         server.answers = False
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("said", [[], [Provisional("d1")], [Provisional("d1"), Stands("d1")]])
-async def test_a_server_drops_its_line_mid_leg(autojump_clock: MockClock, said: list[Any]) -> None:
+async def test_a_server_drops_its_line_mid_attempt(autojump_clock: MockClock, said: list[Any]) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -146,7 +146,7 @@
         assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
 
 
-async def test_an_answer_for_a_leg_already_ended_costs_only_that_connection(
+async def test_an_answer_for_a_attempt_already_ended_costs_only_that_connection(
     autojump_clock: MockClock,
 ) -> None:
     async with rigged() as rig:
@@ -213,7 +213,7 @@
         assert rig.edge.context.driver.policy.table.servers["s0"] is far
 
 
-async def test_a_leg_in_the_write_buffer_does_not_leave_once_its_server_drains(
+async def test_an_attempt_in_the_send_queue_does_not_leave_once_its_server_drains(
     autojump_clock: MockClock,
 ) -> None:
     async with rigged() as rig:
@@ -237,7 +237,7 @@
         await caller.next(Stands)
 
 
-async def test_a_half_written_leg_to_a_draining_server_costs_the_link(autojump_clock: MockClock) -> None:
+async def test_a_half_written_attempt_to_a_draining_server_costs_the_link(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         server, link = rig.servers["s0"], rig.edge.links.by_server["s0"]
@@ -368,7 +368,9 @@
     assert [(entry["dialog"], entry["again"]) for entry in failed] == [("odd1", 0), ("odd2", 1), ("odd3", 2)]
 
 
-async def test_a_second_leg_wished_for_while_one_is_out_is_never_sent(autojump_clock: MockClock) -> None:
+async def test_a_second_attempt_asked_for_while_one_is_in_flight_is_never_sent(
+    autojump_clock: MockClock,
+) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -511,7 +513,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_cancelled_leg_that_the_server_confirms_leaves_no_trace(autojump_clock: MockClock) -> None:
+async def test_a_cancelled_attempt_that_the_server_confirms_leaves_no_trace(
+    autojump_clock: MockClock,
+) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -528,7 +532,7 @@
         assert not edge_link._session.legs
 
 
-async def test_an_id_used_again_while_its_former_leg_is_let_go(autojump_clock: MockClock) -> None:
+async def test_an_id_used_again_while_its_last_attempt_is_cancelled(autojump_clock: MockClock) -> None:
     # Found by a load whose callers came back under the same ids: the second leg 0 met the first on its link.
     async with rigged() as rig:
         first = await rig.caller("first")
--- a/tests/test_drills.py
+++ b/tests/test_fault_injection.py
@@ -1,7 +1,7 @@
-"""Drills: each dependency's worst failures, caused on purpose. docs/failures.md says what each one shows.
+"""Fault injection: each dependency's worst failures, caused on purpose; docs/failures.md lists them.
 
-One alone: `python -m pytest tests/test_drills.py -k NAME`. Those with `drill` run `valverouter edge` as a
-process on loopback; those with `rigged` run the same edge proxy in virtual time.
+One alone: `python -m pytest tests/test_fault_injection.py -k NAME`. Those with `drill` run `valverouter edge`
+as a process on loopback; those with `rigged` run the same edge proxy in virtual time.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
-from tests.drilling import Drill, drill
 from tests.helpers import Rig as Quiet
+from tests.process_rig import Drill, drill
 from tests.rig import INI, SECOND, Peer, dial, rigged, terms
 from tests.test_regions import GOOD as REGIONS
 from valverouter.days.virtual import EPOCH, ROOM
@@ -124,7 +124,7 @@
         assert len(server.links) == 2
 
 
-async def test_a_leg_let_go_behind_a_server_that_stopped_reading_still_gets_its_answer(
+async def test_an_attempt_cancelled_behind_a_server_that_stopped_reading_still_gets_its_answer(
     autojump_clock: MockClock,
 ) -> None:
     async with rigged(1, INI + "[attempts soon]\nleg_time_out = 500ms\n") as rig:
@@ -142,7 +142,7 @@
         assert "d1" not in rig.edge.dialogs.entries
 
 
-async def test_every_reader_held_by_a_full_inbox_goes_on(autojump_clock: MockClock) -> None:
+async def test_every_reader_held_by_a_full_event_queue_goes_on(autojump_clock: MockClock) -> None:
     inbox, went = EventQueue(capacity=2), []
 
     async def reader(name: int) -> None:
@@ -667,7 +667,9 @@
             assert min(again) >= 0.3 - 1e-6
 
 
-async def test_a_leg_let_go_on_a_link_that_is_down_already_ends_once(autojump_clock: MockClock) -> None:
+async def test_an_attempt_cancelled_on_a_link_that_is_down_already_ends_once(
+    autojump_clock: MockClock,
+) -> None:
     async with rigged(2) as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=2 * SECOND))
@@ -747,7 +749,9 @@
     assert how == "hangs" or [line["event"] for line in logs].count("accounts-write-failed") >= 2
 
 
-async def test_many_callers_at_once_do_not_fill_the_inbox_past_its_bound(autojump_clock: MockClock) -> None:
+async def test_many_callers_at_once_do_not_fill_the_event_queue_past_its_bound(
+    autojump_clock: MockClock,
+) -> None:
     async with rigged(1) as rig:
         most = 0
         whole = EventQueue.put
--- a/tests/test_slowmodel.py
+++ b/tests/test_reference_model.py
@@ -1,4 +1,4 @@
-"""The slow model stepped beside the real code, step by step, over fixed seeds; planted faults are caught."""
+"""The reference model beside the real code, step by step, over fixed seeds; planted faults are caught."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 import structlog
 
 from tests.helpers import MS, SECOND, TYPE
-from tests.slowmodel import Rules, Step
+from tests.reference_model import Rules, Step
 from tests.test_days import HOW, small
 from valverouter import interface
 from valverouter.audit.rules import audit
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -49,7 +49,9 @@
 
 
 @pytest.mark.parametrize("others", [True, False])
-async def test_what_stands_outlives_its_caller_s_connection(autojump_clock: MockClock, others: bool) -> None:
+async def test_an_established_dialog_outlives_its_caller_s_connection(
+    autojump_clock: MockClock, others: bool
+) -> None:
     async with relayed() as rig:
         client, server = await rig.client(), rig.servers["s0"]
         await client.ask(A)
@@ -66,7 +68,7 @@
         assert not server.of("release")
 
 
-async def test_a_caller_ends_what_stands_from_any_connection(autojump_clock: MockClock) -> None:
+async def test_a_caller_ends_an_established_dialog_from_any_connection(autojump_clock: MockClock) -> None:
     async with relayed() as rig:
         client, server = await rig.client(), rig.servers["s0"]
         await client.ask(A)
@@ -78,7 +80,7 @@
         assert not rig.edge.dialogs.entries
 
 
-async def test_what_stands_outlives_a_reset_and_ends_on_the_next_connection(
+async def test_an_established_dialog_outlives_a_reset_and_ends_on_the_next_connection(
     autojump_clock: MockClock,
 ) -> None:
     async with relayed() as rig:
@@ -133,7 +135,7 @@
 
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
-async def test_a_draining_server_gets_nothing_new_and_keeps_what_stands(
+async def test_a_draining_server_gets_nothing_new_and_keeps_an_established_dialog(
     autojump_clock: MockClock, health: str
 ) -> None:
     async with relayed() as rig:
@@ -180,7 +182,7 @@
 @pytest.mark.parametrize(
     "spoilt", [b"\xff\xfe\x00\n", b'{"type":"answer","id":"' + b"9" * 20_000, b"[1]\n", b""]
 )
-async def test_a_spoilt_answer_is_a_leg_that_ran(autojump_clock: MockClock, spoilt: bytes) -> None:
+async def test_a_spoilt_answer_is_an_attempt_that_ran(autojump_clock: MockClock, spoilt: bytes) -> None:
     async with relayed() as rig:
         client, (s0, s1) = await rig.client(), rig.servers.values()
         s0.answers = False
--- a/tests/test_rare_moments.py
+++ b/tests/test_relayedge_races.py
@@ -1,4 +1,4 @@
-"""What comes between two lines: at the end, at a signal, on a quiet bus, with descriptors full.
+"""Races of the platform's edge proxy: at shutdown, at a signal, on a quiet bus, without descriptors.
 
 On loopback sockets. Where one process plays both sides, no turn of the instance begins before the test lets
 it; where `python -m valverouter.relayedge` runs, its own events are waited for. No clock judges the order.
@@ -23,7 +23,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.drilling import Drill, drill
+from tests.process_rig import Drill, drill
 from tests.relayrig import SETTINGS, Bus, Loopback, Rig, Server, configuration, host, relayed, release, set_up
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.relayedge import dialogs as relaydialogs
@@ -91,7 +91,7 @@
 # A second copy of a server's word
 
 
-async def test_a_second_copy_of_a_refusal_is_no_word_on_the_next_leg() -> None:
+async def test_a_second_copy_of_a_refusal_is_no_word_on_the_next_attempt() -> None:
     # Dialogs so short that a server without a free agent is asked again soon.
     quick = SETTINGS | {"extra": SETTINGS["extra"] | {"callLengthUs": [20_000, 20_000]}}
     async with relayed(network=Loopback(), settings=quick) as rig:
@@ -114,7 +114,7 @@
         await rig.until(lambda: client.said == [(isup.ANM, A, -1)])
 
 
-async def test_a_server_s_close_that_crosses_a_set_up_is_a_leg_that_may_have_run() -> None:
+async def test_a_server_s_close_that_crosses_a_set_up_is_an_attempt_that_may_have_run() -> None:
     # Both connections are closed as the set-up leaves on the first. Of the second that is read later, so that
     # what the first one's end gives to release goes there, and is read by nobody.
     async with relayed(network=Loopback()) as rig:
--- a/tests/test_keeping.py
+++ b/tests/test_resumable_proxy.py
@@ -1,4 +1,4 @@
-"""What an edge proxy owes outlives its kill, its caller's connection and its store's failures."""
+"""Accepted dialogs outlive the edge proxy's kill, their caller's connection and the store's failures."""
 
 from __future__ import annotations
 
@@ -132,7 +132,7 @@
         assert await back.next(setup.Unknown) == setup.Unknown("d3")
 
 
-async def test_a_leg_out_at_the_kill_goes_again_after_the_release_time_under_a_new_number(
+async def test_an_attempt_in_flight_at_the_kill_goes_again_after_the_release_time_under_a_new_number(
     autojump_clock: MockClock,
 ) -> None:
     async with kept() as rig:
@@ -158,7 +158,7 @@
         assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
 
 
-async def test_what_stands_outlives_the_kill_and_its_end_is_told(autojump_clock: MockClock) -> None:
+async def test_an_established_dialog_outlives_the_kill_and_its_end_is_told(autojump_clock: MockClock) -> None:
     async with kept() as rig:
         _, link, leg = await stood(rig)
         assert (await leg_at(rig, setup.Kept))[1] == setup.Kept("d1", leg.leg)
@@ -195,7 +195,9 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "older version", "another process"])
-async def test_a_leg_whose_server_can_not_tell_is_waited_out(how: str, autojump_clock: MockClock) -> None:
+async def test_an_attempt_whose_server_can_not_tell_is_waited_out(
+    how: str, autojump_clock: MockClock
+) -> None:
     async with kept(1, version=1 if how == "older version" else 2) as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -214,7 +216,7 @@
             assert link.at(setup.Setup) - link.at(setup.Cancel) >= 0.3
 
 
-async def test_without_its_caller_nothing_goes_on_and_what_stands_is_let_go(
+async def test_without_its_caller_nothing_goes_on_and_an_established_dialog_is_let_go(
     autojump_clock: MockClock,
 ) -> None:
     # Its caller may have come again at another edge proxy.
@@ -286,7 +288,7 @@
 
 
 @pytest.mark.parametrize("how", ["held", "unknown", "refused", "gone from the list"])
-async def test_what_stands_over_a_link_that_breaks(how: str, autojump_clock: MockClock) -> None:
+async def test_an_established_dialog_over_a_link_that_breaks(how: str, autojump_clock: MockClock) -> None:
     async with kept(1) as rig:
         caller, link, leg = await stood(rig)
         server, began = rig.servers["s0"], trio.current_time()
@@ -316,7 +318,7 @@
         assert rig.edge.counters.failures == 0
 
 
-def test_more_stands_on_where_links_break_and_servers_live(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_more_dialogs_live_on_where_links_break_and_servers_live(monkeypatch: pytest.MonkeyPatch) -> None:
     def breaks(world: World, edges: list[MemoryEdge]) -> None:
         async def at_times() -> None:
             for at in range(6):
@@ -377,7 +379,7 @@
             assert not rig.edge.dialogs.entries
 
 
-async def test_a_dialog_that_has_used_its_legs_is_declined_with_a_time_to_come_back(
+async def test_a_dialog_that_has_used_its_attempts_is_declined_with_a_time_to_come_back(
     autojump_clock: MockClock,
 ) -> None:
     async with kept(1) as rig:
@@ -440,7 +442,7 @@
 
 
 @pytest.mark.parametrize("closing", [setup.Full, setup.Fault], ids=["full", "fault"])
-async def test_a_time_out_behind_a_full_inbox_still_gets_its_dialog_an_answer(
+async def test_a_time_out_behind_a_full_event_queue_still_gets_its_dialog_an_answer(
     closing: Any, autojump_clock: MockClock
 ) -> None:
     # Found by a kill under load: the closing word was read and waited, more than a batch behind; the cancel
