--- a/valverouter/edge/attempts.py
+++ b/valverouter/edge/attempts.py
@@ -98,7 +98,7 @@
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
         """Cancels the attempt in flight; the decisions hear `outcome` once the cancel has left.
 
-        Its release time counts from the moment when the server was told, not from when we asked for it:
+        Its release delay counts from the moment when the cancel left, not from when it was asked for:
         behind a peer that reads slowly the two lie apart. Should the link go first, LinkDown ends the
         attempt.
         """
@@ -284,7 +284,7 @@
 
 
 def load_report_of(load: setup.Load | None) -> LoadReport | None:
-    """A server's load as the decisions take it; None: the server told none."""
+    """A server's load as the decisions take it; None: the server reported none."""
     if load is None:
         return None
     return LoadReport(free_lines=load.free_lines, lines=load.lines, queue_delay=load.wait)
--- a/valverouter/edge/caller.py
+++ b/valverouter/edge/caller.py
@@ -69,7 +69,7 @@
 
     @property
     def can_resume(self) -> bool:
-        """Whether it was told that it may come back for its dialogs, and can."""
+        """Whether it may come back for its dialogs, by our welcome and its protocol version."""
         return self._welcome.epoch > 0 and self._session.version >= 2
 
     @property
@@ -122,7 +122,7 @@
             self._scope.cancel()
 
     def expire(self, dialog_id: str, leg: int) -> None:
-        """The caller's time for this dialog has passed: both sides drop it without another word."""
+        """The caller's time for this dialog has passed: both sides drop it without a message."""
         self._session.drop((dialog_id, leg))
 
     def refuse(self, error: ProtocolError) -> None:
--- a/valverouter/edge/caller_listener.py
+++ b/valverouter/edge/caller_listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections: as many as there are descriptors for, the others told to come back."""
+"""The listener for callers: as many connections as there are descriptors for, the others refused."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         await caller.run()
 
     async def refuse(self, stream: trio.abc.Stream) -> None:
-        """Closes a connection that there is no descriptor for: it is told at once, and when to come back."""
+        """Refuses a connection that there is no descriptor for, with a time to come back."""
         self._refused += 1
         self._log_refusal()
         back = show_span(self._context.config.deployment.max_retry_after)
--- a/valverouter/edge/connections.py
+++ b/valverouter/edge/connections.py
@@ -1,4 +1,4 @@
-"""What every connection task does with its faults and its last word."""
+"""How every connection's task ends: faults held to it, and one last message to the peer."""
 
 from __future__ import annotations
 
--- a/valverouter/edge/dialogs.py
+++ b/valverouter/edge/dialogs.py
@@ -67,7 +67,7 @@
     def answer(self, entry: DialogEntry, message: FinalAnswer) -> None:
         """Sends the one final answer.
 
-        Past the caller's time none is sent: it has given up, and may have come again.
+        Past the caller's time none is sent: it waits no longer, and may have dialled again.
         """
         kind = type(message).__name__.lower()
         if late := self._context.now >= entry.deadline:
--- a/valverouter/edge/discovery.py
+++ b/valverouter/edge/discovery.py
@@ -151,7 +151,7 @@
         """What comes next.
 
         A service that is calm says nothing for hours, and so does one that hangs: after `silence` it is asked
-        for the last change once more, and after another it is given up.
+        for the last change once more, and after another it is closed.
         """
         silence = self._config.links.silence / 1e9
         if not self.is_up or not self._config.deployment.endpoint_list_is_pushed:
--- a/valverouter/edge/events.py
+++ b/valverouter/edge/events.py
@@ -1,6 +1,6 @@
-"""What reaches the instance: each is handled in one turn, in the order of arrival.
+"""The events of an edge proxy: each is handled in one turn of its event loop, in the order of arrival.
 
-What a connection tells stands beside the connection's own code, which so needs nothing of this file.
+Those of a connection are defined beside the connection's own code, which so imports nothing of this module.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """A leg ended at this side: not sent, cancelled, or its time is up."""
+    """An attempt ended at this side: not sent, cancelled, or its time is up."""
 
     dialog_id: str
     attempt: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryTimer:
-    """An alarm on a dialog of a former self, or of a caller that is away: its `need` has had its time."""
+    """A dialog of a previous incarnation, or of a caller that is away: the time of its `action` is over."""
 
     dialog_id: str
     action: RecoveryAction
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadRequested:
-    """Other terms, whole and checked; what can't change while running is told and left as it is.
+    """Another configuration, complete and checked; what can't change while running is logged.
 
-    `book`: made of them outside the turn, which it would hold up for as long as their check takes.
+    `policies`: made of it outside the event loop, which their check would hold up.
     """
 
     config: EdgeTerms
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """Take no more dialogs, finish those that are here, end."""
+    """Accept no more dialogs, answer those that are open, end."""
 
 
 Event = (
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -70,7 +70,7 @@
     """An instance. What is open is in `dialogs` and `links`; each part is a class of its own module."""
 
     def __init__(self, config: EdgeTerms, runtime: Runtime, epoch: int = 0) -> None:
-        """`epoch`, over 0 where accepted dialogs outlive a restart, is told to peers."""
+        """`epoch`, over 0 where accepted dialogs outlive a restart, is part of our welcome to peers."""
         self.address = ""
         self.ended = trio.Event()
         self.context = context = ProxyContext(config, runtime, epoch)
@@ -183,7 +183,7 @@
         return self.reloader.policies_of(config)
 
     def reject_reload(self, file: str, why: str, **details: Any) -> None:
-        """Logs that a configuration could not be read; the former goes on acting."""
+        """Logs that a configuration could not be read; the present one goes on acting."""
         self.reloader.reject(file, why, **details)
 
     async def run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
@@ -263,7 +263,7 @@
         await context.runtime.checkpoint()
         stall = context.clock.now() - self._last_turn_at
         if stall > STALL_THRESHOLD:
-            # What the list told while we did not run must be handled before anything is sent.
+            # Updates of the list from while we did not run must be handled before anything is sent.
             context.counters.stalls += 1
             self._log.warning("event-loop-stalled", ms=stall // MS)
             context.unread_since = self._last_turn_at
--- a/valverouter/edge/recovery_log.py
+++ b/valverouter/edge/recovery_log.py
@@ -41,7 +41,7 @@
         ...
 
     def records(self) -> Iterable[Any]:
-        """Records, and whatever stands for those that can't be read."""
+        """Records, and a placeholder with `key` and `reason` for each that can't be read."""
 
     def put(self, record: DialogRecord) -> None:
         """Adds or replaces a record with the next commit."""
--- a/valverouter/edge/reload.py
+++ b/valverouter/edge/reload.py
@@ -56,7 +56,7 @@
         """Counts a final answer; where a change harms, logs it, and rolls back if that is configured."""
         context = self._context
         if traffic_type not in context.config.deployment.traffic_types:
-            return  # a caller's own word; counted, each would stay
+            return  # a name of the caller's own; counted, each would stay in memory
         regression = self.guard.on_final_answer(context.now, traffic_type, is_rejected, attempts)
         if regression is None:
             return
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -94,7 +94,7 @@
                 continue
             is_same_process = record.server_incarnation in (0, incarnation)
             if not is_same_process or not link.can_resume:
-                # Another process never had it; one of an older version gave it up with the connection.
+                # Another process never had it; one of an older version dropped it with the connection.
                 self.on_peer_status(entry, PeerStatus.UNKNOWN, is_same_process)
                 continue
             entry.link = link
@@ -192,7 +192,7 @@
         """What is established on record is asked for on the next connection, not cut at once.
 
         A connection that does not come about is answer enough: a server that died has cut it, and a caller
-        who is told so late dials again late.
+        who hears of it late dials again late.
         """
         link = event.link
         if link.is_final or not event.sent:
--- a/valverouter/edge/server_links.py
+++ b/valverouter/edge/server_links.py
@@ -16,7 +16,7 @@
 
 
 class ServerLinks:
-    """A link for each server in service, by name in `by_server`; the list's word removes them."""
+    """A link for each server in service, by name in `by_server`, until the endpoint list removes it."""
 
     def __init__(self, context: ProxyContext, source: EndpointSource) -> None:
         """`source` holds the endpoint list as last received."""
@@ -100,7 +100,7 @@
             self._withdraw_all(link)
 
     def on_link_up(self, event: LinkUp) -> None:
-        """A server says who it is; a start that the list has not told yet counts from here.
+        """A server says who it is; a start that the list does not have yet counts from here.
 
         Attempts that wait for this link were decided for the process before: they go back to be decided
         again, so that a fresh process does not receive what was meant for its previous incarnation.
--- a/valverouter/relayedge/__main__.py
+++ b/valverouter/relayedge/__main__.py
@@ -1,4 +1,4 @@
-"""One edge proxy on the operators' platform: `python -m valverouter.relayedge`, told by RELAY_CONFIG.
+"""One edge proxy on the operators' platform: `python -m valverouter.relayedge`, configured by RELAY_CONFIG.
 
 Exit codes: 0 stopped; 2 the configuration can't be used; 3 the program could not come up. What is imported
 here is what the platform's memory has room for: no command line, no numbers library.
@@ -32,14 +32,19 @@
 UNUSABLE, FAILED = 2, 3
 VARIABLE = "RELAY_CONFIG"
 # A file that is being replaced is read again after so long, so many times.
-AGAIN_S, TIMES = 0.1, 20
+READ_RETRY_S, READ_ATTEMPTS = 0.1, 20
+# A peer that is silent for so long is probed, in nanoseconds.
+PEER_SILENCE = 60 * 10**9
 
 log = structlog.get_logger()
 
 
-async def serve(path: Path, told: platform.Platform, early: list[int]) -> None:
-    """`early`: SIGHUPs that came before anybody could act on them, after the file was read perhaps."""
-    proxy = RelayProxy(told, SocketRuntime(silence=60 * 10**9, max_descriptors=told.limits.sockets))
+async def serve(path: Path, config: platform.Platform, early: list[int]) -> None:
+    """Runs the proxy until it is stopped.
+
+    `early`: SIGHUPs that came before anybody could act on them, after the file was read perhaps.
+    """
+    proxy = RelayProxy(config, SocketRuntime(silence=PEER_SILENCE, max_descriptors=config.limits.sockets))
     with trio.open_signal_receiver(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             await nursery.start(proxy.run)
@@ -67,44 +72,43 @@
 
 async def reread(proxy: RelayProxy, path: Path) -> None:
     """SIGHUP: a file that can't be read leaves the old one acting, and is tried again."""
-    for _ in range(TIMES):
+    for _ in range(READ_ATTEMPTS):
         try:
             proxy.reconfigure(read(path))
             return
         except (OSError, MalformedInputError) as error:
-            why = str(error)
-        await trio.sleep(AGAIN_S)
-    log.error("configuration-rejected", path=str(path), why=why)
+            reason = str(error)
+        await trio.sleep(READ_RETRY_S)
+    log.error("configuration-rejected", path=str(path), why=reason)
 
 
 def read(path: Path) -> platform.Platform:
     """The configuration, whole and checked, the events in it too; OSError, MalformedInputError."""
-    told = platform.platform(path.read_bytes())
+    config = platform.platform(path.read_bytes())
     try:
-        bus.batch(told.known)
+        bus.batch(config.known)
     except ProtocolError as error:
         raise MalformedInputError(f"known: {error}") from None
-    return told
+    return config
 
 
 def main(early: list[int]) -> int:
     """Runs the edge proxy; the exit code. `early`: SIGHUPs that came before."""
-    """Runs the edge proxy; the exit code. `early`: SIGHUPs that came before."""
-    named = os.environ.get(VARIABLE, "")
+    path = os.environ.get(VARIABLE, "")
     try:
-        told = read(Path(named))
+        config = read(Path(path))
     except (OSError, MalformedInputError) as error:
-        print(f"valverouter: {VARIABLE}={named}: {error}", file=sys.stderr)
+        print(f"valverouter: {VARIABLE}={path}: {error}", file=sys.stderr)
         return UNUSABLE
     logs.configure_logging(Log())
-    failed: list[str] = []
+    failures: list[str] = []
     try:
-        trio.run(serve, Path(named), told, early)
+        trio.run(serve, Path(path), config, early)
     except* OSError as errors:
-        failed = [str(error) for error in errors.exceptions]
-    if failed:
-        log.error("edge-start-failed", why=failed[0])
-    return FAILED if failed else 0
+        failures = [str(error) for error in errors.exceptions]
+    if failures:
+        log.error("edge-start-failed", why=failures[0])
+    return FAILED if failures else 0
 
 
 if __name__ == "__main__":
--- a/valverouter/relayedge/bus_client.py
+++ b/valverouter/relayedge/bus_client.py
@@ -11,13 +11,18 @@
 from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.interface import EndpointUpdateKind
 from valverouter.relayedge import translation
-from valverouter.relaywire.bus import Batch, BusSession, batch
+from valverouter.relaywire.bus import Batch, BusSession
+from valverouter.relaywire.bus import batch as parse_batch
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.serverlist import Replica, Row
 from valverouter.terms import platform
 
 log = structlog.get_logger()
 
+MS = 10**6
+# The reason of an end where the bus has another address.
+MOVED = "moved"
+
 
 class BusClient:
     """Where the platform tells of servers. `number` is the last event's; none is applied twice or in part."""
@@ -44,7 +49,7 @@
 
     def apply_events(self, known: bytes) -> None:
         """Applies the events of a configuration, all of them."""
-        self._on_batch(batch(known))
+        self._on_batch(parse_batch(known))
 
     def set_address(self, address: str) -> None:
         """The event bus has another address now; its numbers go on."""
@@ -57,22 +62,21 @@
 
     async def run(self) -> None:
         """Polls again and again, until cancelled."""
-        before = ""
+        previous_reason = ""
         while True:
-            why, address = "moved", self._address
+            reason, address = MOVED, self._address
             with isolate_failure("bus", lambda: self._address), trio.CancelScope() as self._attempt:
-                why = await self._poll(address)
+                reason = await self._poll(address)
             self.is_up = False
             self.tries += 1
-            if why != before:
-                log.warning("bus-down", bus=address, why=why, number=self.number)
-            before = why
-            if why != "moved":
+            if reason != previous_reason:
+                log.warning("bus-down", bus=address, why=reason, number=self.number)
+            previous_reason = reason
+            if reason != MOVED:
                 await trio.sleep(platform.BUS_AGAIN / 1e9)
 
     async def _poll(self, address: str) -> str:
         """Polls on one connection until it is of no further use; the reason of its end."""
-        hold = platform.BUS_HOLD
         try:
             with trio.fail_after(platform.BUS_LATE / 1e9):
                 stream = await self._runtime.connect(address)
@@ -82,22 +86,18 @@
         async with stream:
             try:
                 while True:
-                    asked_at, after = trio.current_time(), self.number
-                    with trio.fail_after((hold + platform.BUS_LATE) / 1e9):
-                        await stream.send_all(session.ask(after, hold // 10**6))
-                        heard = None
-                        while heard is None:
-                            heard = session.receive(await stream.receive_some(READ_SIZE))
-                    self._on_batch(heard)
+                    polled_at, after = trio.current_time(), self.number
+                    batch = await self._poll_once(stream, session)
+                    self._on_batch(batch)
                     self.is_up, self.tries = True, 0
-                    if heard.offset < after:
-                        # Its numbers go on, says the platform. Taken up from there, events told once would
-                        # come again, and a server that is draining be in service for as long as that takes.
-                        log.warning("bus-behind", bus=self._address, number=after, told=heard.offset)
+                    if batch.offset < after:
+                        # Its numbers go on, says the platform. Taken up from there, earlier events would come
+                        # again, and a server that is draining be in service for as long as that takes.
+                        log.warning("bus-behind", bus=self._address, number=after, told=batch.offset)
                     if not session.may_ask_again:
                         return "closed"
-                    if self.number == after and trio.current_time() - asked_at < hold / 2e9:
-                        # Nothing, and at once: asked on without a pause it would be asked all the time.
+                    if self.number == after and trio.current_time() - polled_at < platform.BUS_HOLD / 2e9:
+                        # Nothing, and at once: without a pause it would be polled all the time.
                         await trio.sleep(platform.BUS_AGAIN / 1e9)
             except ProtocolError as error:
                 return f"{error.code}: {error}"
@@ -106,8 +106,17 @@
             except trio.TooSlowError:
                 return "silent"
 
-    def _on_batch(self, heard: Batch) -> None:
-        for event in heard.batch:
+    async def _poll_once(self, stream: trio.abc.Stream, session: BusSession) -> Batch:
+        """Asks for the events after the last number; TooSlowError where the answer does not come."""
+        with trio.fail_after((platform.BUS_HOLD + platform.BUS_LATE) / 1e9):
+            await stream.send_all(session.ask(self.number, platform.BUS_HOLD // MS))
+            while (batch := session.receive(await stream.receive_some(READ_SIZE))) is None:
+                pass
+            return batch
+
+    def _on_batch(self, batch: Batch) -> None:
+        """Applies the events that are new."""
+        for event in batch.batch:
             if event.offset <= self.number:
                 continue
             self.number = event.offset
@@ -115,6 +124,6 @@
                 continue
             now = self._runtime.wall_time()
             rows = [translation.endpoint_row(host, now) for host in event.topology.hosts]
-            scope = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
-            self._events.put_urgent(EndpointUpdate(scope, rows))
-        self.number = max(self.number, heard.offset)
+            kind = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
+            self._events.put_urgent(EndpointUpdate(kind, rows))
+        self.number = max(self.number, batch.offset)
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -51,7 +51,7 @@
 class AnsweredIds:
     """Ids of dialogs that had their final answer or were cancelled, the last so many.
 
-    Every set-up has a new id, so who comes with one of these again is no good caller, and each would be a
+    Every set-up has a new id, so who comes with one of these again is a faulty caller, and each would be a
     dialog more for the decisions.
     """
 
--- a/valverouter/relayedge/dialogs.py
+++ b/valverouter/relayedge/dialogs.py
@@ -1,4 +1,4 @@
-"""Dialogs on the platform: an established one belongs to no connection, and its end is told on any."""
+"""Dialogs on the platform: an established one belongs to no connection, and its end is sent on any."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self._pending: list[tuple[float, setup.Ended]] = []
 
     def notify(self, caller: CallerConnection, ended: setup.Ended) -> None:
-        """Tells `caller`, or whoever was heard last where its connection is gone."""
+        """Sends to `caller`, or to the most recently active one where its connection is gone."""
         assert isinstance(caller, RelayCaller)
         if caller.is_closed:
             latest = self._connected.most_recent()
@@ -47,7 +47,7 @@
         caller.send(ended)
 
     def send_pending(self, caller: CallerConnection) -> None:
-        """A connection came: it is told what nobody was there for."""
+        """A connection came: it is sent the ends that no connection was there for."""
         if not self._pending:
             return
         pending, self._pending = self._pending, []
@@ -73,7 +73,7 @@
         self._answered_ids = answered_ids
 
     def end(self, entry: DialogEntry, reason: str) -> None:
-        """An established dialog has ended; its caller is told on any connection."""
+        """An established dialog has ended; its caller is notified on any connection."""
         self._notifier.notify(entry.caller, setup.Ended(entry.setup.dialog, 0, reason))
         self._counters.answers[f"ended-{reason}"] += 1
         self.remove(entry)
--- a/valverouter/relayedge/link.py
+++ b/valverouter/relayedge/link.py
@@ -98,7 +98,7 @@
     def on_server_restarted(self, born: int) -> None:
         """The list tells of another start: what was established before it is cut.
 
-        What is established since belongs to the new process, which took set-ups before the list told of it.
+        What is established since belongs to the new process, which took set-ups before the list had it.
         """
         cut = [self._established[id_] for id_, since in self._established_at.items() if since < born]
         if cut:
@@ -140,11 +140,11 @@
         self, message: Any, key: Hashable | None = None, on_sent: Callable[[], None] | None = None
     ) -> None:
         """Cancels an open attempt or releases an established dialog; nothing follows from the server."""
-        leg = message.dialog, message.leg
-        self.attempts.pop(leg, None)
+        key = message.dialog, message.leg
+        self.attempts.pop(key, None)
         self._remove_established(message.dialog)
         connection = next(
-            (connection for connection in self._connections if connection.open.get(message.dialog) == leg),
+            (connection for connection in self._connections if connection.open.get(message.dialog) == key),
             None,
         )
         if connection is not None:
--- a/valverouter/relayedge/server_links.py
+++ b/valverouter/relayedge/server_links.py
@@ -10,7 +10,7 @@
 from valverouter.relayedge.link import RelayLink
 from valverouter.relayedge.unknown_ends import UnknownEnds
 
-# Incarnations are told as moments of their start in milliseconds.
+# Incarnations are moments of their start in milliseconds.
 MS = 10**6
 
 
--- a/valverouter/relayedge/translation.py
+++ b/valverouter/relayedge/translation.py
@@ -111,21 +111,21 @@
     return preferred
 
 
-def _text(told: dict[int, bytes], code: int) -> str:
+def _text(parameters: dict[int, bytes], code: int) -> str:
     try:
-        return told.get(code, b"").decode("ascii")
+        return parameters.get(code, b"").decode("ascii")
     except UnicodeDecodeError:
         raise ProtocolError("malformed", f"parameter {code} is no ASCII") from None
 
 
 def _figure(figures: dict[str, str], name: str, absent: int) -> int:
-    word = figures.get(name)
-    if word is None:
+    text = figures.get(name)
+    if text is None:
         return absent
-    digits = word.removeprefix("-")
-    if not (digits.isdigit() and len(digits) < 10) or int(word) < -1:
-        raise ProtocolError("malformed", f"figure {name}:{word[:40]}")
-    return int(word)
+    digits = text.removeprefix("-")
+    if not (digits.isdigit() and len(digits) < 10) or int(text) < -1:
+        raise ProtocolError("malformed", f"figure {name}:{text[:40]}")
+    return int(text)
 
 
 def to_caller(message: setup.OfLeg) -> bytes:
@@ -148,7 +148,6 @@
 
 
 def to_server(message: RelaySetup) -> bytes:
-    """A set-up as bytes for a server's connection."""
     """A set-up as bytes for a server's connection."""
     left = max(1, message.no_answer // MS)
     return lines.setup(message.dialog, message.traffic_type, message.key, left, message.description)
@@ -158,15 +157,15 @@
     """A server's release before its answer; None where the set-up was lost on its way: a reset."""
     note = line.fields.get("note")
     if line.cause == NO_CIRCUIT:
-        told = parse_load(line)
-        return setup.NoAgent(line.id, leg, told) if note == "no_path" else setup.Full(line.id, leg, 0, told)
-    if line.cause in (BUSY, FAULT):
-        told = parse_load(line)
+        report = parse_load(line)
         return (
-            setup.LineBusy(line.id, leg, told)
-            if note == "line_taken"
-            else setup.Fault(line.id, leg, "", told)
+            setup.NoAgent(line.id, leg, report) if note == "no_path" else setup.Full(line.id, leg, 0, report)
         )
+    if line.cause in (BUSY, FAULT):
+        report = parse_load(line)
+        if note == "line_taken":
+            return setup.LineBusy(line.id, leg, report)
+        return setup.Fault(line.id, leg, "", report)
     return None
 
 
@@ -185,17 +184,17 @@
     text = line.fields.get("load")
     if not isinstance(text, str):
         return None
-    told = lines.load(text)
+    figures = lines.load(text)
 
     def figure(names: tuple[str, str]) -> float | None:
-        return next((told[name] for name in names if name in told), None)
+        return next((figures[name] for name in names if name in figures), None)
 
-    free, all_, wait, queue = figure(_FREE), figure(_LINES), figure(_WAIT), figure(_QUEUE)
+    free, total, wait, queue = figure(_FREE), figure(_LINES), figure(_WAIT), figure(_QUEUE)
     return setup.Load(
         util=figure(_UTIL),
         queue=None if queue is None else int(queue),
         free_lines=None if free is None else int(free),
-        lines=None if all_ is None else int(all_),
+        lines=None if total is None else int(total),
         wait=None if wait is None else round(wait * MS),
     )
 
