--- a/valverouter/edge/attempts.py
+++ b/valverouter/edge/attempts.py
@@ -49,6 +49,9 @@
     def _on_attempt_sent(self, entry: DialogEntry, server: str) -> None:
         """Its attempt is on the way to a server, and leaves with this turn's end at the earliest."""
 
+    def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
+        """An attempt of an open dialog is established or has ended, and nobody has been told yet."""
+
     def decision_number(self, dialog_id: str, attempt: int) -> int:
         """An attempt's number as the decisions count it."""
         return attempt
@@ -196,6 +199,7 @@
         """Tells the decisions how an attempt fared, and the caller when it is established."""
         request, attempt, link = entry.setup, entry.attempt, entry.link
         assert attempt is not None
+        self._on_outcome(entry, outcome)
         server = link.server if link is not None else ""
         if outcome is not Outcome.ESTABLISHED:
             entry.attempt = None
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -9,7 +9,7 @@
 from valverouter.edge.link import ServerLink
 from valverouter.edge.recovery_state import RecoveryState
 from valverouter.edge.server_links import ServerLinks
-from valverouter.interface import LoadReport, Outcome
+from valverouter.interface import Outcome
 from valverouter.recovery.lifecycle import Phase
 from valverouter.recovery.plan import PeerStatus, RecoveryAction, RecoveryPlan, plan_on_status
 from valverouter.signalling import setup
@@ -43,20 +43,12 @@
         self._state.log.on_attempt_cancelled(entry.setup.dialog)
         super().cancel(entry, outcome)
 
-    def _end(
-        self,
-        entry: DialogEntry,
-        outcome: Outcome,
-        retry_after: int = 0,
-        load_report: LoadReport | None = None,
-        answer: setup.Stands | None = None,
-    ) -> None:
+    def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
         if outcome is Outcome.ESTABLISHED:
             self._state.log.on_established(entry.setup.dialog)
             self._confirm_record(entry)
         else:
             self._state.log.on_attempt_ended(entry.setup.dialog, outcome)
-        super()._end(entry, outcome, retry_after, load_report, answer)
 
     def _confirm_record(self, entry: DialogEntry) -> None:
         """Tells the server that the dialog is on record: it need not cut it should this connection go."""
--- a/valverouter/relayedge/link.py
+++ b/valverouter/relayedge/link.py
@@ -104,12 +104,12 @@
         if cut:
             self._cut_dialogs(frozenset(cut), "another start")
 
-    def _cut_dialogs(self, cut: frozenset[tuple[str, int]], why: str) -> None:
+    def _cut_dialogs(self, cut: frozenset[tuple[str, int]], reason: str) -> None:
         for key in cut:
             self._remove_established(key[0])
             self.attempts.pop(key, None)
-        log.info("server-lost", server=self.server, standing=len(cut), why=why)
-        self._events.put(LinkDown(self, why, cut, frozenset()))
+        log.info("server-lost", server=self.server, standing=len(cut), why=reason)
+        self._events.put(LinkDown(self, reason, cut, frozenset()))
 
     def start_attempt(self, key: tuple[str, int], message: Any) -> None:
         """Queues a set-up on the connection with the fewest open ones, or for the next connection."""
@@ -236,7 +236,7 @@
         self._connecting -= 1
         self._refused_connects = 0
         connection = ServerConnection(SendQueue(self._config.waiting_bytes, self._batch))
-        why = "closed"
+        reason = "closed"
         with connection.scope:
             async with stream, trio.open_nursery() as nursery:
                 try:
@@ -245,12 +245,12 @@
                     self._on_connected(connection)
                     await self._read_connection(connection, stream)
                 except ProtocolError as error:
-                    why = f"{error.code}: {error}"
+                    reason = f"{error.code}: {error}"
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
-                    why = "reset"
+                    reason = "reset"
                 nursery.cancel_scope.cancel()
-        self._on_connection_lost(connection, connection.close_reason or why)
-        return why
+        self._on_connection_lost(connection, connection.close_reason or reason)
+        return reason
 
     def _on_connected(self, connection: ServerConnection) -> None:
         self._connections.append(connection)
@@ -263,7 +263,7 @@
         for key, message in early.items():
             self._write_setup(connection, key, message)
 
-    def _on_connection_lost(self, connection: ServerConnection, why: str) -> None:
+    def _on_connection_lost(self, connection: ServerConnection, reason: str) -> None:
         """A connection is gone: the set-ups open on it are reset, established dialogs go on."""
         if connection in self._connections:
             self._connections.remove(connection)
@@ -278,10 +278,10 @@
         for dialog_id in sorted({dialog_id for dialog_id, _ in sent}.union(unread)):
             self._release(dialog_id)
         if not self._close_reason:
-            log.info("connection-lost", server=self.server, why=why, legs=len(connection.open))
+            log.info("connection-lost", server=self.server, why=reason, legs=len(connection.open))
         if connection.open:
-            self._events.put(LinkDown(self, why, sent, unsent))
-        self._cut_if_unreachable(why)
+            self._events.put(LinkDown(self, reason, sent, unsent))
+        self._cut_if_unreachable(reason)
 
     def _on_connect_failed(self, error: BaseException) -> None:
         """No connection: nothing that waited for it ran.
@@ -294,15 +294,15 @@
         if isinstance(error, ConnectionRefusedError) or _all_attempts_refused(error):
             self._refused_connects += 1
         unsent = frozenset(self._early_attempts) if not self._connecting else frozenset()
-        why = f"no connection: {error or type(error).__name__}"
+        reason = f"no connection: {error or type(error).__name__}"
         if unsent:
             self._early_attempts.clear()
             for key in unsent:
                 self.attempts.pop(key, None)
-            self._events.put(LinkDown(self, why, frozenset(), unsent))
-        self._cut_if_unreachable(why)
+            self._events.put(LinkDown(self, reason, frozenset(), unsent))
+        self._cut_if_unreachable(reason)
 
-    def _cut_if_unreachable(self, why: str) -> None:
+    def _cut_if_unreachable(self, reason: str) -> None:
         """With no connection left, cuts what is established where the server must have cut it by now."""
         gone = self._refused_connects >= 2 * CONNECTIONS
         gone = gone or trio.current_time() - self._reached_at > platform.CUT_AFTER / 1e9
@@ -310,7 +310,7 @@
             # Should it only have been out of reach, it is told that nobody is left at this side.
             self._pending_releases |= dict.fromkeys(self._established, translation.ENDED)
             self._cut_dialogs(
-                frozenset(self._established.values()), f"{why}, {self._refused_connects} refused"
+                frozenset(self._established.values()), f"{reason}, {self._refused_connects} refused"
             )
 
     async def _write_connection(self, connection: ServerConnection, stream: trio.abc.Stream) -> None:
