--- a/valverouter/edge/attempts.py
+++ b/valverouter/edge/attempts.py
@@ -49,6 +49,9 @@
     def _on_attempt_sent(self, entry: DialogEntry, server: str) -> None:
         """Its attempt is on the way to a server, and leaves with this turn's end at the earliest."""
 
+    def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
+        """An attempt of an open dialog is established or has ended, and nobody has been told yet."""
+
     def decision_number(self, dialog_id: str, attempt: int) -> int:
         """An attempt's number as the decisions count it."""
         return attempt
@@ -98,7 +101,7 @@
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
         """Cancels the attempt in flight; the decisions hear `outcome` once the cancel has left.
 
-        Its release time counts from the moment when the server was told, not from when we asked for it:
+        Its release delay counts from the moment when the cancel left, not from when it was asked for:
         behind a peer that reads slowly the two lie apart. Should the link go first, LinkDown ends the
         attempt.
         """
@@ -196,6 +199,7 @@
         """Tells the decisions how an attempt fared, and the caller when it is established."""
         request, attempt, link = entry.setup, entry.attempt, entry.link
         assert attempt is not None
+        self._on_outcome(entry, outcome)
         server = link.server if link is not None else ""
         if outcome is not Outcome.ESTABLISHED:
             entry.attempt = None
@@ -284,7 +288,7 @@
 
 
 def load_report_of(load: setup.Load | None) -> LoadReport | None:
-    """A server's load as the decisions take it; None: the server told none."""
+    """A server's load as the decisions take it; None: the server reported none."""
     if load is None:
         return None
     return LoadReport(free_lines=load.free_lines, lines=load.lines, queue_delay=load.wait)
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -9,7 +9,7 @@
 from valverouter.edge.link import ServerLink
 from valverouter.edge.recovery_state import RecoveryState
 from valverouter.edge.server_links import ServerLinks
-from valverouter.interface import LoadReport, Outcome
+from valverouter.interface import Outcome
 from valverouter.recovery.lifecycle import Phase
 from valverouter.recovery.plan import PeerStatus, RecoveryAction, RecoveryPlan, plan_on_status
 from valverouter.signalling import setup
@@ -43,20 +43,12 @@
         self._state.log.on_attempt_cancelled(entry.setup.dialog)
         super().cancel(entry, outcome)
 
-    def _end(
-        self,
-        entry: DialogEntry,
-        outcome: Outcome,
-        retry_after: int = 0,
-        load_report: LoadReport | None = None,
-        answer: setup.Stands | None = None,
-    ) -> None:
+    def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
         if outcome is Outcome.ESTABLISHED:
             self._state.log.on_established(entry.setup.dialog)
             self._confirm_record(entry)
         else:
             self._state.log.on_attempt_ended(entry.setup.dialog, outcome)
-        super()._end(entry, outcome, retry_after, load_report, answer)
 
     def _confirm_record(self, entry: DialogEntry) -> None:
         """Tells the server that the dialog is on record: it need not cut it should this connection go."""
@@ -94,7 +86,7 @@
                 continue
             is_same_process = record.server_incarnation in (0, incarnation)
             if not is_same_process or not link.can_resume:
-                # Another process never had it; one of an older version gave it up with the connection.
+                # Another process never had it; one of an older version dropped it with the connection.
                 self.on_peer_status(entry, PeerStatus.UNKNOWN, is_same_process)
                 continue
             entry.link = link
@@ -192,7 +184,7 @@
         """What is established on record is asked for on the next connection, not cut at once.
 
         A connection that does not come about is answer enough: a server that died has cut it, and a caller
-        who is told so late dials again late.
+        who hears of it late dials again late.
         """
         link = event.link
         if link.is_final or not event.sent:
