--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -26,7 +26,6 @@
 
 FUNCTION_CEILINGS: dict[str, int] = {
     "valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52,
-    "valverouter/days/world.py::World._dials": 44,
     "valverouter/edge/proxy.py::EdgeProxy.__init__": 44,
     "valverouter/edge/proxy.py::EdgeProxy._turns": 55,
     "valverouter/relayedge/words.py::asked": 43,
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/playing.py
@@ -12,6 +12,7 @@
 
 from valverouter.cli.common import FILE, console, show_verdict
 from valverouter.days.loopback import run_loopback
+from valverouter.days.play import play_day
 from valverouter.days.recorded import calls_of
 from valverouter.days.virtual import run_virtual
 from valverouter.days.world import World
@@ -117,7 +118,7 @@
             console.print(f"list service at {world.list.address}")
             for server in world.servers.values():
                 console.print(f"{server.name} at {server.address}")
-            await world.play()
+            await play_day(world)
 
 
 @click.command()
--- /dev/null
+++ b/valverouter/days/edge_faults.py
@@ -0,0 +1,95 @@
+"""Faults of a day's edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
+
+from __future__ import annotations
+
+import random
+
+import trio
+
+from valverouter.days.call_load import CallLoad
+from valverouter.days.fault_targets import CALLERS_TARGET, FaultProcess, FaultTargets
+from valverouter.days.world import World
+from valverouter.emulator.call_load import HOT_CALLED_NUMBER
+from valverouter.fakes.callers import with_scaled_patience
+from valverouter.terms.day import Trouble
+
+
+class EdgeFaults:
+    """The faults that a day's file may have at edge proxies and callers."""
+
+    def __init__(self, world: World, targets: FaultTargets, load: CallLoad) -> None:
+        self._world = world
+        self._targets = targets
+        self._load = load
+
+    def by_kind(self) -> dict[str, FaultProcess]:
+        """The process of each kind, by its name in a day's file."""
+        return {
+            "balancer_crash": self._crash,
+            "balancer_late": self._start_late,
+            "balancer_leave": self._restart,
+            "balancer_stall": self._stall,
+            "burst": self._burst,
+            "hot_key": self._hot_number,
+            "give_up": self._impatience,
+        }
+
+    # Edge proxies
+
+    async def _crash(self, fault: Trouble, rng: random.Random) -> None:
+        edges = self._world.edges
+        places = self._targets.edge_places(fault, rng)
+        for place in places:
+            self._targets.record(fault, f"e{place}")
+            await edges[place].kill()
+        await trio.sleep(fault.length / 1e9)
+        for place in places:
+            await edges[place].start()
+
+    async def _start_late(self, fault: Trouble, rng: random.Random) -> None:
+        """Starts those that were not started with the others."""
+        for place in self._targets.edge_places(fault, rng):
+            self._targets.record(fault, f"e{place}")
+            await self._world.edges[place].start()
+
+    async def _restart(self, fault: Trouble, rng: random.Random) -> None:
+        """Drained, ended and started again."""
+        edges = self._world.edges
+        places = self._targets.edge_places(fault, rng)
+        for place in places:
+            self._targets.record(fault, f"e{place}")
+            await edges[place].stop()
+        await trio.sleep(fault.length / 1e9)
+        for place in places:
+            await edges[place].start()
+
+    async def _stall(self, fault: Trouble, rng: random.Random) -> None:
+        async with trio.open_nursery() as nursery:
+            for place in self._targets.edge_places(fault, rng):
+                self._targets.record(fault, f"e{place}")
+                nursery.start_soon(self._world.edges[place].stall, fault.length)
+
+    # Callers
+
+    async def _burst(self, fault: Trouble, rng: random.Random) -> None:
+        self._targets.record(fault, CALLERS_TARGET)
+        self._load.rate_factor *= fault.size
+        await trio.sleep(fault.length / 1e9)
+        self._load.rate_factor /= fault.size
+
+    async def _hot_number(self, fault: Trouble, rng: random.Random) -> None:
+        self._targets.record(fault, CALLERS_TARGET)
+        self._world.numbers.capacities[HOT_CALLED_NUMBER] = fault.lines
+        self._load.hot_fraction = fault.size
+        await trio.sleep(fault.length / 1e9)
+        self._load.hot_fraction = 0.0
+
+    async def _impatience(self, fault: Trouble, rng: random.Random) -> None:
+        self._targets.record(fault, CALLERS_TARGET)
+        self._scale_patience(fault.size)
+        await trio.sleep(fault.length / 1e9)
+        self._scale_patience(1 / fault.size)
+
+    def _scale_patience(self, factor: float) -> None:
+        for callers in self._world.callers:
+            callers.behavior = with_scaled_patience(callers.behavior, factor)
--- a/valverouter/days/loopback.py
+++ b/valverouter/days/loopback.py
@@ -12,6 +12,7 @@
 import msgspec
 import trio
 
+from valverouter.days.play import play_day
 from valverouter.days.viewing import LoopbackViews
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
@@ -178,7 +179,7 @@
                 await trio.sleep(day.terms.settle / 1e9)
                 if views is not None:
                     views.begins()
-                await world.play(tick)
+                await play_day(world, tick)
                 if views is not None:
                     await views.settle()
                 async with trio.open_nursery() as stopping:
--- a/valverouter/days/ordering.py
+++ b/valverouter/days/ordering.py
@@ -22,6 +22,7 @@
 import trio
 
 from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
+from valverouter.days.play import play_day
 from valverouter.days.world import World
 from valverouter.edge.surroundings import Sockets
 from valverouter.fakes.datagrams import FakeDatagramNetwork
@@ -382,7 +383,7 @@
                     rig.callers()
                     await trio.sleep(day.terms.settle / 1e9)
                     async with trio.open_nursery() as playing:
-                        playing.start_soon(world.play)
+                        playing.start_soon(play_day, world)
                         playing.start_soon(script, rig)
                 finally:
                     with trio.CancelScope(shield=True):
--- /dev/null
+++ b/valverouter/days/server_faults.py
@@ -0,0 +1,204 @@
+"""Faults of a day's servers: crashes, lost machines, deployments, slowness, hangs, lost answers."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Sequence
+
+import trio
+
+from valverouter.days.fault_targets import FaultProcess, FaultTargets
+from valverouter.days.world import World
+from valverouter.fakes.server import FakeServer
+from valverouter.terms.day import Trouble
+
+ServerAction = Callable[[FakeServer], None]
+
+
+class ServerFaults:
+    """The faults that a day's file may have at servers."""
+
+    def __init__(self, world: World, targets: FaultTargets) -> None:
+        self._world = world
+        self._targets = targets
+
+    def by_kind(self) -> dict[str, FaultProcess]:
+        """The process of each kind, by its name in a day's file."""
+        return {
+            "crash": self._crash,
+            "vanish": self._vanish,
+            "deploy": self._deploy,
+            "slow": self._slow,
+            "ageing": self._degrade,
+            "hang": self._hang,
+            "origin_slow": self._limit_lines,
+            "reconnect": self._cut_established,
+            "answer_lost": self._lose_answers,
+            "peer_down": self._partition,
+        }
+
+    # Processes that end
+
+    async def _crash(self, fault: Trouble, rng: random.Random) -> None:
+        servers = self._targets.running_servers(fault, rng)
+        for server in servers:
+            self._targets.record(fault, server.name)
+            server.crash()
+        self._announce_down_after(self._world.day.list_terms.notice, servers)
+        await trio.sleep(fault.length / 1e9)
+        await self._restart(servers)
+
+    async def _vanish(self, fault: Trouble, rng: random.Random) -> None:
+        servers = self._targets.running_servers(fault, rng)
+        for server in servers:
+            self._targets.record(fault, server.name)
+            server.vanish()
+        self._announce_down_after(self._world.day.list_terms.silent_notice, servers)
+        if fault.length:
+            await trio.sleep(fault.length / 1e9)
+            await self._restart(servers)
+
+    def _announce_down_after(self, delay: int, servers: Sequence[FakeServer]) -> None:
+        def announce() -> None:
+            if down := [server.name for server in servers if not server.model.is_running]:
+                self._world.tell(down, "gone")
+
+        self._world.agenda.call_at(self._world.now() + delay, announce)
+
+    def _announce_up_later(self, servers: Sequence[FakeServer]) -> None:
+        def announce() -> None:
+            if up := [server.name for server in servers if server.model.is_running]:
+                self._world.tell(up, "in-service")
+
+        self._world.agenda.call_at(self._world.now() + self._world.day.list_terms.add, announce)
+
+    async def _restart(self, servers: Sequence[FakeServer]) -> None:
+        for server in servers:
+            self._world.list.started_at[server.name] = self._world.now()
+            await server.start()
+        self._announce_up_later(servers)
+
+    async def _deploy(self, fault: Trouble, rng: random.Random) -> None:
+        """Each target drains and stops, and a new machine under a new name takes its number."""
+        servers = self._targets.running_servers(fault, rng)
+        batch_size = max(1, round(fault.size))
+        batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
+        interval = fault.length / max(1, len(batches)) / 1e9
+        for batch in batches:
+            started_at = trio.current_time()
+            await self._replace_all(fault, batch)
+            await trio.sleep(max(0.0, interval - (trio.current_time() - started_at)))
+
+    async def _replace_all(self, fault: Trouble, servers: Sequence[FakeServer]) -> None:
+        names = [server.name for server in servers]
+        self._world.tell(names, "draining")
+        for name in names:
+            self._targets.record(fault, name, fault.extra)
+        await trio.sleep(fault.extra / 1e9)
+        replacements = [await self._replace(server) for server in servers]
+        self._world.tell(names, "gone")
+        self._announce_up_later(replacements)
+
+    async def _replace(self, server: FakeServer) -> FakeServer:
+        world = self._world
+        server.crash()
+        replacement = world.add_server(f"{server.name}n", world.numbers_of[server.name])
+        replacement.model.start(world.now())
+        world.list.started_at[replacement.name] = world.now()
+        await world.run_server(replacement)
+        replacement.record_start()
+        return replacement
+
+    # Processes that go on
+
+    async def _slow(self, fault: Trouble, rng: random.Random) -> None:
+        await self._for_duration(
+            fault,
+            self._targets.running_servers(fault, rng),
+            lambda server: server.model.set_slowdown(fault.size),
+            lambda server: server.model.set_slowdown(1.0),
+        )
+
+    async def _degrade(self, fault: Trouble, rng: random.Random) -> None:
+        """Servers get slower and slower, until the fault's size is reached at its end."""
+        now = self._world.now
+        await self._for_duration(
+            fault,
+            self._targets.running_servers(fault, rng),
+            lambda server: server.model.start_degrading(now(), fault.size, fault.length),
+            lambda server: server.model.start_degrading(now(), 1.0, 1),
+        )
+
+    async def _hang(self, fault: Trouble, rng: random.Random) -> None:
+        now = self._world.now
+
+        def wake(server: FakeServer) -> None:
+            server.model.set_hung(now(), False)
+            server.deliver_events()
+
+        await self._for_duration(
+            fault,
+            self._targets.running_servers(fault, rng),
+            lambda server: server.model.set_hung(now(), True),
+            wake,
+        )
+
+    async def _limit_lines(self, fault: Trouble, rng: random.Random) -> None:
+        """The servers of one region have only a part of their lines."""
+        world, day = self._world, self._world.day
+        regions = [name for name, region in day.regions.items() if region.servers]
+        region = fault.on[0] if fault.on else rng.choice(regions)
+        names = [name for name, number in world.numbers_of.items() if day.region_of_server(number) == region]
+
+        def limit(server: FakeServer) -> None:
+            server.model.limit_lines(world.now(), fault.size**-0.5)
+            server.deliver_events()
+
+        await self._for_duration(
+            fault,
+            [world.servers[name] for name in names],
+            limit,
+            lambda server: server.model.limit_lines(world.now(), 1.0),
+        )
+
+    async def _lose_answers(self, fault: Trouble, rng: random.Random) -> None:
+        await self._for_duration(
+            fault,
+            self._targets.running_servers(fault, rng),
+            lambda server: server.model.set_answer_loss(fault.size),
+            lambda server: server.model.set_answer_loss(0.0),
+        )
+
+    async def _for_duration(
+        self, fault: Trouble, servers: Sequence[FakeServer], begin: ServerAction, end: ServerAction
+    ) -> None:
+        for server in servers:
+            self._targets.record(fault, server.name)
+            begin(server)
+        await trio.sleep(fault.length / 1e9)
+        for server in servers:
+            end(server)
+
+    # Connections and dialogs
+
+    async def _cut_established(self, fault: Trouble, rng: random.Random) -> None:
+        """A fraction of all established dialogs ends at every server."""
+        for server in self._world.servers.values():
+            self._targets.record(fault, server.name)
+            server.model.cut_established(self._world.now(), fault.size)
+            server.deliver_events()
+
+    async def _partition(self, fault: Trouble, rng: random.Random) -> None:
+        """Some edge proxies can't reach some servers; all others can."""
+        targets, servers = self._targets, self._world.servers
+        edge_names = {f"e{place}" for place in targets.edge_places(fault, rng)}
+        partitioned = [servers[name] for name in targets.draw(fault, rng, list(servers))]
+        for server in partitioned:
+            targets.record(fault, server.name)
+            server.refused_edges |= edge_names
+            for connection in list(server.connections):
+                if connection.edge_name in edge_names:
+                    connection.close()
+        await trio.sleep(fault.length / 1e9)
+        for server in partitioned:
+            server.refused_edges -= edge_names
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -14,6 +14,7 @@
 import trio
 import trio.testing
 
+from valverouter.days.play import play_day
 from valverouter.days.viewing import MemoryViews
 from valverouter.days.world import World
 from valverouter.edge.keeping import edge_proxy
@@ -394,7 +395,7 @@
                 await trio.sleep(day.terms.settle / 1e9)
                 if views is not None:
                     views.begins()
-                await world.play()
+                await play_day(world)
                 if views is not None:
                     await views.settle()
                 scope.cancel()
