--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -7,6 +7,8 @@
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
+from msgspec import Struct
+
 from valverouter.driver import Driver
 from valverouter.emulator.servers import Connection, EmulatedServer
 from valverouter.interface import AttemptPolicy, CrossRegionRule, Deployment, Endpoint
@@ -17,7 +19,7 @@
 class AttemptPolicies(Protocol):
     """The attempt policies of the edge proxy's file."""
 
-    def of(
+    def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
         """The policy of a dialog; None: the routing policy's own."""
@@ -47,8 +49,7 @@
     default_attempt_policy: Callable[[str], AttemptPolicy | None] = lambda traffic_type: None
 
 
-@dataclass(frozen=True, slots=True)
-class DialogRequest:
+class DialogRequest(Struct, frozen=True):
     """A dialog as its caller requests it; `no_answer_timeout` in ns."""
 
     dialog_id: str
