--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,8 +1,8 @@
-"""Whether the emulator agrees with the edge proxy and the stand-ins: the same days on both, by trouble.
+"""Whether the emulator agrees with the edge proxy and the fakes: the same days on both, by trouble.
 
     python benchmarks/agreement.py [--seeds 8] [--jobs 8] [--loopback] [--only crash]
 
-The far side is the edge proxy's own code with the stand-ins, in virtual time; with --loopback on real
+The far side is the edge proxy's own code with the fakes, in virtual time; with --loopback on real
 sockets, one day after the other. Each day is the bad day's fleet and load with one trouble; both sides dial
 one record of calls, so that they do not differ by who called when. Printed: the mean service on both, the
 difference with its standard error, and the audits' verdicts.
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""Each rule's check is proved by a record that keeps it, and one that breaks it by the smallest step."""
+"""Each rule's check is tested by a record that keeps the rule, and one that breaks it by the least."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 def record(*rows: Any, slack: int = 0) -> list[Row]:
-    """Rows from (time, sort, fields), closed long after the last."""
-    told = [
+    """Rows from (time, type, fields), with their limits before and the end of a connection long after."""
+    limits = [
         (
             0,
             AuditConfigRow,
@@ -39,7 +39,8 @@
         )
     ]
     end = [(1_000 * SECOND, ConnectionLostRow, {"edge": "-", "peer": "-"})]
-    return [sort(seq=seq, at=at, **fields) for seq, (at, sort, fields) in enumerate([*told, *rows, *end])]
+    specs = enumerate([*limits, *rows, *end])
+    return [row_type(seq=seq, at=at, **fields) for seq, (at, row_type, fields) in specs]
 
 
 def caller(at: int, kind: str, dialog: str = "d", sent: bool = False, **more: Any) -> Any:
@@ -66,29 +67,29 @@
     )
 
 
-def told(at: int, phase: str, name: str = "s0") -> Any:
+def announced(at: int, phase: str, name: str = "s0") -> Any:
     return at, EndpointUpdateRow, {"edge": "e0", "server": name, "phase": phase}
 
 
 def began(at: int, name: str = "s0") -> Any:
-    make = {
+    profile = {
         "setup_work": 100 * MS,
         "slow_start_fraction": 0.5,
         "slow_start_duration": 10 * SECOND,
         "overload_multiple": 2.0,
         "overload_window": SECOND,
     }
-    return at, ServerStartedRow, {"server": name, **make}
+    return at, ServerStartedRow, {"server": name, **profile}
 
 
 def fault(at: int, until: int, kind: str, target: str = "e0") -> Any:
     return at, FaultRow, {"until": until, "kind": kind, "target": target}
 
 
-LEG = [server(10, "setup")]
-TAKEN = [dials(0), caller(1, "provisional"), (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})]
-BACK = caller(6, "resume", sent=True)
-STOOD = [
+ATTEMPT = [server(10, "setup")]
+ACCEPTED = [dials(0), caller(1, "provisional"), (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})]
+RESUMED = caller(6, "resume", sent=True)
+ESTABLISHED = [
     dials(0),
     caller(1, "provisional"),
     caller(2, "stands"),
@@ -104,18 +105,30 @@
     ("a word after the answer", {1}, [dials(0), caller(5, "declined"), caller(6, "provisional")]),
     ("stands and ends", set(), [dials(0), caller(5, "stands"), caller(6, "ended")]),
     ("ends twice", {1}, [dials(0), caller(5, "stands"), caller(6, "ended"), caller(7, "ended")]),
-    ("back for it, and answered", set(), [*TAKEN, BACK, caller(7, "provisional"), caller(8, "declined")]),
-    ("back for it, and never answered", {1}, [*TAKEN, BACK]),
-    ("back for it, and answered 1 ns late", {1}, [*TAKEN, BACK, caller(9 * SECOND + 1, "declined")]),
-    ("back for it, and answered twice", {1}, [*TAKEN, BACK, caller(7, "declined"), caller(8, "declined")]),
-    ("told as taken, then unknown", {1}, [*TAKEN, BACK, caller(7, "unknown")]),
-    ("never told as taken, then unknown", set(), [TAKEN[0], TAKEN[2], BACK, caller(7, "unknown")]),
-    ("told again that it stands", set(), [*STOOD, BACK, caller(7, "stands"), caller(8, "ended")]),
-    ("told again without having asked", {1}, [*STOOD, caller(7, "stands")]),
-    ("stood, and another answer", {1}, [*STOOD, BACK, caller(7, "declined")]),
-    ("stood, and a provisional", {1}, [*STOOD, BACK, caller(7, "provisional")]),
-    ("stood, and unknown", set(), [*STOOD, BACK, caller(7, "unknown")]),
-    ("stood, unknown, and a word after", {1}, [*STOOD, BACK, caller(7, "unknown"), caller(8, "ended")]),
+    (
+        "back for it, and answered",
+        set(),
+        [*ACCEPTED, RESUMED, caller(7, "provisional"), caller(8, "declined")],
+    ),
+    ("back for it, and never answered", {1}, [*ACCEPTED, RESUMED]),
+    ("back for it, and answered 1 ns late", {1}, [*ACCEPTED, RESUMED, caller(9 * SECOND + 1, "declined")]),
+    (
+        "back for it, and answered twice",
+        {1},
+        [*ACCEPTED, RESUMED, caller(7, "declined"), caller(8, "declined")],
+    ),
+    ("told as taken, then unknown", {1}, [*ACCEPTED, RESUMED, caller(7, "unknown")]),
+    ("never told as taken, then unknown", set(), [ACCEPTED[0], ACCEPTED[2], RESUMED, caller(7, "unknown")]),
+    ("told again that it stands", set(), [*ESTABLISHED, RESUMED, caller(7, "stands"), caller(8, "ended")]),
+    ("told again without having asked", {1}, [*ESTABLISHED, caller(7, "stands")]),
+    ("stood, and another answer", {1}, [*ESTABLISHED, RESUMED, caller(7, "declined")]),
+    ("stood, and a provisional", {1}, [*ESTABLISHED, RESUMED, caller(7, "provisional")]),
+    ("stood, and unknown", set(), [*ESTABLISHED, RESUMED, caller(7, "unknown")]),
+    (
+        "stood, unknown, and a word after",
+        {1},
+        [*ESTABLISHED, RESUMED, caller(7, "unknown"), caller(8, "ended")],
+    ),
     ("held through its time", set(), [dials(0), fault(8 * SECOND, 10 * SECOND, "balancer_stall")]),
     (
         "held, and answered late",
@@ -123,38 +136,58 @@
         [dials(0), fault(SECOND, 10 * SECOND, "balancer_stall"), caller(11 * SECOND, "declined")],
     ),
     ("held before its time alone", {1}, [dials(0), fault(SECOND, 8 * SECOND, "balancer_stall")]),
-    ("one leg after another", set(), [*LEG, server(20, "full", sent=True), server(20, "setup", "s1", 1)]),
-    ("two legs out", {2}, [*LEG, server(20, "setup", "s1", 1), server(21, "full", sent=True)]),
-    ("a second while one stands", {2}, [*LEG, server(20, "stands", sent=True), server(30, "setup", "s1", 1)]),
-    ("released 300 ms", set(), [*LEG, server(20, "cancel"), server(20 + RELEASE, "setup", "s1", 1)]),
-    ("released 300 ms less 1 ns", {5}, [*LEG, server(20, "cancel"), server(19 + RELEASE, "setup", "s1", 1)]),
+    ("one leg after another", set(), [*ATTEMPT, server(20, "full", sent=True), server(20, "setup", "s1", 1)]),
+    ("two legs out", {2}, [*ATTEMPT, server(20, "setup", "s1", 1), server(21, "full", sent=True)]),
+    (
+        "a second while one stands",
+        {2},
+        [*ATTEMPT, server(20, "stands", sent=True), server(30, "setup", "s1", 1)],
+    ),
+    ("released 300 ms", set(), [*ATTEMPT, server(20, "cancel"), server(20 + RELEASE, "setup", "s1", 1)]),
+    (
+        "released 300 ms less 1 ns",
+        {5},
+        [*ATTEMPT, server(20, "cancel"), server(19 + RELEASE, "setup", "s1", 1)],
+    ),
     (
         "reset 300 ms",
         set(),
-        [*LEG, (20, ConnectionLostRow, {"edge": "e0", "peer": "s0"}), server(20 + RELEASE, "setup", "s1", 1)],
+        [
+            *ATTEMPT,
+            (20, ConnectionLostRow, {"edge": "e0", "peer": "s0"}),
+            server(20 + RELEASE, "setup", "s1", 1),
+        ],
     ),
     (
         "reset 300 ms less 1 ns",
         {5},
-        [*LEG, (20, ConnectionLostRow, {"edge": "e0", "peer": "s0"}), server(19 + RELEASE, "setup", "s1", 1)],
+        [
+            *ATTEMPT,
+            (20, ConnectionLostRow, {"edge": "e0", "peer": "s0"}),
+            server(19 + RELEASE, "setup", "s1", 1),
+        ],
     ),
     (
         "another edge's link lost",
         {2},
-        [*LEG, (20, ConnectionLostRow, {"edge": "e1", "peer": "s0"}), server(9 * SECOND, "setup", "s1", 1)],
+        [
+            *ATTEMPT,
+            (20, ConnectionLostRow, {"edge": "e1", "peer": "s0"}),
+            server(9 * SECOND, "setup", "s1", 1),
+        ],
     ),
-    ("at the moment of the word", set(), [told(10, "draining"), server(10, "setup")]),
-    ("1 ns after the word", {3}, [told(9, "draining"), server(10, "setup")]),
-    ("after it came back", set(), [told(8, "gone"), told(9, "in-service"), server(10, "setup")]),
+    ("at the moment of the word", set(), [announced(10, "draining"), server(10, "setup")]),
+    ("1 ns after the word", {3}, [announced(9, "draining"), server(10, "setup")]),
+    ("after it came back", set(), [announced(8, "gone"), announced(9, "in-service"), server(10, "setup")]),
     (
         "after a new start of the edge",
         set(),
-        [told(8, "gone"), fault(9, 9, "balancer_crash"), server(10, "setup")],
+        [announced(8, "gone"), fault(9, 9, "balancer_crash"), server(10, "setup")],
     ),
     (
         "another edge's start",
         {3},
-        [told(8, "gone"), fault(9, 9, "balancer_crash", "e1"), server(10, "setup")],
+        [announced(8, "gone"), fault(9, 9, "balancer_crash", "e1"), server(10, "setup")],
     ),
     (
         "cold, under its budget",
@@ -188,25 +221,25 @@
     assert audit(record(*rows)).violated_rules() == broken
 
 
-def test_the_clocks_looseness_is_granted_and_no_more() -> None:
-    rows = [*LEG, server(20, "cancel"), server(20 + RELEASE - 5, "setup", "s1", 1)]
+def test_the_slack_between_clocks_is_granted_and_no_more() -> None:
+    rows = [*ATTEMPT, server(20, "cancel"), server(20 + RELEASE - 5, "setup", "s1", 1)]
     assert audit(record(*rows, slack=5)).passed
     assert not audit(record(*rows, slack=4)).passed
 
 
 def test_what_a_held_server_reads_late_is_not_held_against_the_edge() -> None:
-    late = [told(9, "draining"), server(100, "setup")]
+    late = [announced(9, "draining"), server(100, "setup")]
     assert not audit(record(*late)).passed
     assert audit(record(fault(0, 200, "held", "s0"), *late)).passed
 
 
-def test_a_record_without_terms_is_no_record() -> None:
+def test_a_record_without_limits_is_rejected() -> None:
     with pytest.raises(ValueError, match="no terms"):
         audit([])
 
 
-def test_records_are_kept_and_read_again(tmp_path: Path) -> None:
-    rows = record(*CASES[0][2], began(5), told(6, "gone"), fault(1, 2, "slow"))
+def test_records_are_written_and_read_again(tmp_path: Path) -> None:
+    rows = record(*CASES[0][2], began(5), announced(6, "gone"), fault(1, 2, "slow"))
     tap.write_rows(tmp_path / "rows", rows)
     assert tap.read_rows(tmp_path / "rows") == rows
     (tmp_path / "rows").write_bytes((tmp_path / "rows").read_bytes() + b'{"row":"passed"}\n')
@@ -214,7 +247,7 @@
         tap.read_rows(tmp_path / "rows")
 
 
-def test_a_callers_later_tries_count_with_its_first() -> None:
+def test_redials_count_with_their_first_call() -> None:
     rows = record(
         *[
             dials(0, "a"),
@@ -227,18 +260,18 @@
         *[dials(0, "f"), caller(5, "stands", "f"), caller(6, "ended", "f", detail="cut")],
         *[dials(7 * SECOND, "f.2"), caller(8 * SECOND, "stands", "f.2")],
     )
-    one = account_by_type(rows)["p"]
-    assert (one.offered, one.dial_attempts, one.within_objective, one.late) == (4, 6, 2, 1)
-    assert one.answers == {"declined": 1, "stands": 5, "cut": 2}
+    account = account_by_type(rows)["p"]
+    assert (account.offered, account.dial_attempts, account.within_objective, account.late) == (4, 6, 2, 1)
+    assert account.answers == {"declined": 1, "stands": 5, "cut": 2}
     assert weighted_service_level(account_by_type(rows), {"p": 2.0}) == 0.5
 
 
-def test_what_stood_is_counted_once_however_often_it_is_told_and_a_later_try_anew() -> None:
+def test_an_established_dialog_counts_once_however_often_it_is_told_and_a_redial_anew() -> None:
     lost = (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})
     back = [caller(2 * SECOND, "resume", sent=True), caller(3 * SECOND, "stands")]
-    one = account_by_type(record(dials(0), caller(4, "stands"), lost, *back))["p"]
-    assert (one.within_objective, one.late, one.answers["stands"]) == (1, 0, 1)
+    account = account_by_type(record(dials(0), caller(4, "stands"), lost, *back))["p"]
+    assert (account.within_objective, account.late, account.answers["stands"]) == (1, 0, 1)
     # Its edge proxy died without a word: no `ended` tells of the cut, the try that stood in its place does.
     again = [dials(2 * SECOND, "d.2"), caller(3 * SECOND, "stands", "d.2")]
-    one = account_by_type(record(dials(0), caller(4, "stands"), lost, *again))["p"]
-    assert (one.within_objective, one.late, one.answers["stands"]) == (0, 1, 2)
+    account = account_by_type(record(dials(0), caller(4, "stands"), lost, *again))["p"]
+    assert (account.within_objective, account.late, account.answers["stands"]) == (0, 1, 2)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -334,7 +334,7 @@
     assert audit(run_virtual(day(IniFile(SHORT, "short"), "short"))).passed
 
 
-# Faults on request at the stand-ins' end
+# Faults that the fakes cause
 
 
 def drops_lines(world: World, edges: list[MemoryEdge]) -> None:
--- a/valverouter/cli/loads.py
+++ b/valverouter/cli/loads.py
@@ -14,7 +14,7 @@
 from valverouter.load.target import target
 from valverouter.terms.day import load_day
 
-# How long stand-ins outlive what they were asked for; they end by themselves.
+# How long fakes outlive what they were asked for; they end by themselves.
 SPARE_S = 60
 
 
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -62,7 +62,7 @@
         table.add_column(head, justify="right" if head == "checked" else "left")
     broken = verdict.violated_rules()
     for rule, text in RULES.items():
-        count = sum(breach.rule == rule for breach in verdict.violations)
+        count = sum(violation.rule == rule for violation in verdict.violations)
         word = (
             f"BROKEN {count} times"
             if rule in broken
@@ -73,8 +73,8 @@
         table.add_row(str(rule), text, str(verdict.check_counts[rule]), word)
     console.print(table)
     console.print(f"most of a cold server's budget used in any window: {verdict.slow_start_budget_used:.2f}")
-    for breach in verdict.violations[:most]:
-        console.print(f"  rule {breach.rule} at {breach.at}: {breach.subject}: {breach.text}")
+    for violation in verdict.violations[:most]:
+        console.print(f"  rule {violation.rule} at {violation.at}: {violation.subject}: {violation.text}")
     if len(verdict.violations) > most:
         console.print(f"  and {len(verdict.violations) - most} more")
 
--- a/valverouter/days/loopback.py
+++ b/valverouter/days/loopback.py
@@ -1,4 +1,4 @@
-"""A day on loopback sockets in real time: every edge proxy is a process of its own, the far ends are here."""
+"""A day on loopback sockets in real time: every edge proxy is a process, the fakes run here."""
 
 from __future__ import annotations
 
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -1,4 +1,4 @@
-"""A day in virtual time: the same edge proxies and stand-ins on streams in memory, under trio's MockClock.
+"""A day in virtual time: the same edge proxies and fakes on streams in memory, under trio's MockClock.
 
 It ends in seconds and gives the same rows every time. Streams have room for so many bytes, as sockets have,
 so that a peer that does not read blocks its writer here too.
--- a/valverouter/signalling/framing.py
+++ b/valverouter/signalling/framing.py
@@ -1,6 +1,6 @@
 """Frames on a byte stream: a length of four bytes, big-endian, then so many bytes of MessagePack.
 
-Fed bytes, gives whole frames; as in h11 it does no I/O, so the edge, the stand-ins and the tests share it.
+Fed bytes, gives whole frames; as in h11 it does no I/O, so the edge, the fakes and the tests share it.
 """
 
 from __future__ import annotations
