--- a/tests/slowmodel.py
+++ b/tests/slowmodel.py
@@ -1,7 +1,7 @@
 """A slow model of the five rules: the whole history in one list, read again from its beginning at each step.
 
 It shares no code with the router or its audit, and is meant to be read and believed, not to be fast. A step
-is something that is about to happen; `step` says which rules it breaks, and keeps it in either case.
+is something that is about to happen; `step` says which rules it violates, and adds it to the history.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True)
 class Step:
-    """What happens, and when. Kinds:
+    """What happens, and when, ns. Kinds:
 
-    taken (`until`: its no-answer time), answered (`word`), ended (after it stood), caller-gone;
-    sent, stood, closed, timed-out, reset, let-go (a leg; `unsent`: it never left);
-    told (`word`: the phase that `edge` hears of `server`), began (`server` starts cold), restarted (`edge`);
-    held (`edge` does not run until `until`); passing (nothing but time).
+    taken (a dialog; `until`: its no-answer time), answered (`word`), ended (once established), caller-gone;
+    sent, stood, closed, timed-out, reset, let-go (an attempt; `unsent`: it never left);
+    told (`word`: the phase of `server` that `edge` receives), began (`server`, in slow start), restarted
+    (`edge`); held (`edge` does not run until `until`); passing (nothing but time).
     """
 
     at: int
@@ -28,67 +28,70 @@
     leg: int = 0
     until: int = 0
     word: str = ""
-    # Of a server that began: what it sets up in a second when warm, and its terms of being cold.
-    per_second: float = 0.0
-    cold_share: float = 1.0
-    warm_after: int = 0
-    multiple: float = 1.0
-    window: int = 1
+    # Of a server that began: its rate at full speed, and its slow start.
+    setups_per_second: float = 0.0
+    slow_start_fraction: float = 1.0
+    slow_start_duration: int = 0
+    overload_multiple: float = 1.0
+    overload_window: int = 1
 
 
-LEG_ENDS = ("closed", "timed-out", "reset", "let-go", "unsent")
-FREES_AT_ONCE = ("closed", "unsent")
+ATTEMPT_ENDS = ("closed", "timed-out", "reset", "let-go", "unsent")
+NEEDS_NO_RELEASE = ("closed", "unsent")
+OUT_OF_SERVICE = ("draining", "gone")
 
 
-class Rules:
-    """The judge of one run. `grace`: the clock's looseness; 0 in virtual time."""
+class RuleModel:
+    """The checks of one run. `slack`: the tolerance between clocks, ns; 0 in virtual time."""
 
-    def __init__(self, release_wait: int, grace: int = 0) -> None:
+    def __init__(self, release_wait: int, slack: int = 0) -> None:
         self.release_wait = release_wait
-        self.grace = grace
+        self.slack = slack
         self.history: list[Step] = []
-        self.broken: list[tuple[int, int, str]] = []
+        self.violations: list[tuple[int, int, str]] = []
 
     def step(self, step: Step) -> list[int]:
-        """The rules that this breaks, all of them; `broken` keeps rule, step number and why."""
-        found = [(1, why) for why in self._late(step)]
+        """The rules that this violates, all of them; `violations` keeps rule, step number and reason."""
+        found = [(1, reason) for reason in self._find_overdue(step)]
         match step.kind:
             case "answered" | "ended":
-                found += [(1, why) for why in self._answer(step)]
+                found += [(1, reason) for reason in self._find_wrong_answer(step)]
             case "sent":
-                found += [(2, why) for why in self._second(step)]
-                found += [(3, why) for why in self._left(step)]
-                found += [(4, why) for why in self._cold(step)]
-                found += [(5, why) for why in self._soon(step)]
+                found += [(2, reason) for reason in self._find_parallel_attempts(step)]
+                found += [(3, reason) for reason in self._find_draining(step)]
+                found += [(4, reason) for reason in self._find_overload(step)]
+                found += [(5, reason) for reason in self._find_early_retry(step)]
         self.history.append(step)
-        self.broken += [(rule, len(self.history) - 1, why) for rule, why in found]
+        self.violations += [(rule, len(self.history) - 1, reason) for rule, reason in found]
         return [rule for rule, _ in found]
 
     def counts(self) -> Counter[str]:
+        """How many steps there were of each kind, for some with their word."""
         return Counter(
             f"{step.kind} {step.word}" if step.kind in ("told", "answered") else step.kind
             for step in self.history
         )
 
-    def last(self, many: int = 12) -> str:
-        return "\n".join(map(str, self.history[-many:]))
+    def format_last(self, count: int = 12) -> str:
+        """The last steps, a line each."""
+        return "\n".join(map(str, self.history[-count:]))
 
     # Rule 1
 
-    def _of(self, dialog: str) -> list[Step]:
+    def _history_of(self, dialog: str) -> list[Step]:
         """What happened to a dialog since it was last taken."""
-        mine = [step for step in self.history if step.dialog == dialog]
-        taken = [at for at, step in enumerate(mine) if step.kind == "taken"]
-        return mine[taken[-1] :] if taken else mine
+        steps = [step for step in self.history if step.dialog == dialog]
+        taken = [index for index, step in enumerate(steps) if step.kind == "taken"]
+        return steps[taken[-1] :] if taken else steps
 
-    def _late(self, now: Step) -> list[str]:
+    def _find_overdue(self, now: Step) -> list[str]:
         """Dialogs whose time passes with this step, and that have no answer."""
         last = self.history[-1].at if self.history else now.at
         found = []
-        for at, taken in enumerate(self.history):
-            if taken.kind != "taken" or not last <= taken.until + self.grace < now.at:
+        for index, taken in enumerate(self.history):
+            if taken.kind != "taken" or not last <= taken.until + self.slack < now.at:
                 continue
-            since = [step for step in self.history[at:] if step.dialog == taken.dialog]
+            since = [step for step in self.history[index:] if step.dialog == taken.dialog]
             if any(step.kind in ("answered", "caller-gone") for step in since):
                 continue
             held = [step for step in self.history if step.kind == "held" and step.edge == taken.edge]
@@ -96,75 +99,78 @@
                 found.append(f"{taken.dialog} had no answer by {taken.until}")
         return found
 
-    def _answer(self, step: Step) -> list[str]:
-        mine = self._of(step.dialog)
-        words = [one.word for one in mine if one.kind == "answered"]
-        if not mine or mine[0].kind != "taken":
-            return [f"{step.dialog} was never taken"]
-        if step.kind == "ended":
-            over = any(one.kind == "ended" for one in mine)
-            return [] if words == ["stands"] and not over else [f"{step.dialog} ended after {words}"]
-        why = [f"{step.dialog} was answered before: {words[0]}"] if words else []
-        if any(one.kind == "caller-gone" for one in mine):
-            why.append(f"{step.dialog} has nobody left to hear it")
-        if step.at > mine[0].until + self.grace:
-            why.append(f"{step.dialog} is answered {step.at - mine[0].until} ns late")
-        return why
+    def _find_wrong_answer(self, answer: Step) -> list[str]:
+        steps = self._history_of(answer.dialog)
+        words = [step.word for step in steps if step.kind == "answered"]
+        if not steps or steps[0].kind != "taken":
+            return [f"{answer.dialog} was never taken"]
+        if answer.kind == "ended":
+            is_over = any(step.kind == "ended" for step in steps)
+            return [] if words == ["stands"] and not is_over else [f"{answer.dialog} ended after {words}"]
+        reasons = [f"{answer.dialog} was answered before: {words[0]}"] if words else []
+        if any(step.kind == "caller-gone" for step in steps):
+            reasons.append(f"{answer.dialog} has nobody left to hear it")
+        if answer.at > steps[0].until + self.slack:
+            reasons.append(f"{answer.dialog} is answered {answer.at - steps[0].until} ns late")
+        return reasons
 
     # Rules 2 and 5
 
-    def _second(self, step: Step) -> list[str]:
-        mine = [one for one in self.history if one.dialog == step.dialog]
-        out = [
-            one
-            for at, one in enumerate(mine)
-            if one.kind == "sent"
-            and not any(end.kind in LEG_ENDS and end.leg == one.leg for end in mine[at + 1 :])
+    def _find_parallel_attempts(self, sent: Step) -> list[str]:
+        steps = [step for step in self.history if step.dialog == sent.dialog]
+        in_flight = [
+            step
+            for index, step in enumerate(steps)
+            if step.kind == "sent"
+            and not any(end.kind in ATTEMPT_ENDS and end.leg == step.leg for end in steps[index + 1 :])
         ]
-        return [f"{step.dialog}: leg {one.leg} at {one.server} is out still" for one in out]
+        return [f"{sent.dialog}: leg {step.leg} at {step.server} is out still" for step in in_flight]
 
-    def _soon(self, step: Step) -> list[str]:
-        mine = [one for one in self.history if one.dialog == step.dialog]
-        for at, one in enumerate(mine):
-            if one.kind not in LEG_ENDS or one.kind in FREES_AT_ONCE:
+    def _find_early_retry(self, sent: Step) -> list[str]:
+        steps = [step for step in self.history if step.dialog == sent.dialog]
+        for index, end in enumerate(steps):
+            if end.kind not in ATTEMPT_ENDS or end.kind in NEEDS_NO_RELEASE:
                 continue
-            stood = any(of.kind == "stood" and of.leg == one.leg for of in mine[:at])
-            if not stood and step.at - one.at < self.release_wait - self.grace:
-                return [f"{step.dialog} is sent {step.at - one.at} ns after leg {one.leg}: {one.kind}"]
+            was_established = any(step.kind == "stood" and step.leg == end.leg for step in steps[:index])
+            if not was_established and sent.at - end.at < self.release_wait - self.slack:
+                return [f"{sent.dialog} is sent {sent.at - end.at} ns after leg {end.leg}: {end.kind}"]
         return []
 
     # Rule 3
 
-    def _left(self, step: Step) -> list[str]:
-        word = ""
+    def _find_draining(self, sent: Step) -> list[str]:
+        phase = ""
         told_at = 0
-        for one in self.history:
-            if one.kind == "restarted" and one.edge == step.edge:
-                word = ""
-            elif one.kind == "told" and (one.edge, one.server) == (step.edge, step.server):
-                # From the first word on that it leaves, however often it is told again.
-                told_at = told_at if one.word != "in-service" and word in ("draining", "gone") else one.at
-                word = one.word
-        if word in ("draining", "gone") and step.at > told_at + self.grace:
-            return [f"{step.edge} was told at {told_at} that {step.server} is {word}"]
+        for step in self.history:
+            if step.kind == "restarted" and step.edge == sent.edge:
+                phase = ""
+            elif step.kind == "told" and (step.edge, step.server) == (sent.edge, sent.server):
+                # From the first time that it is out of service, however often that is told again.
+                is_repeated = step.word != "in-service" and phase in OUT_OF_SERVICE
+                told_at = told_at if is_repeated else step.at
+                phase = step.word
+        if phase in OUT_OF_SERVICE and sent.at > told_at + self.slack:
+            return [f"{sent.edge} was told at {told_at} that {sent.server} is {phase}"]
         return []
 
     # Rule 4
 
-    def _cold(self, step: Step) -> list[str]:
-        starts = [one for one in self.history if one.kind == "began" and one.server == step.server]
-        if not starts or step.at - starts[-1].at >= starts[-1].warm_after:
+    def _find_overload(self, sent: Step) -> list[str]:
+        starts = [step for step in self.history if step.kind == "began" and step.server == sent.server]
+        if not starts or sent.at - starts[-1].at >= starts[-1].slow_start_duration:
             return []
         start = starts[-1]
-        came = [one.at for one in self.history if one.kind == "sent" and one.server == step.server]
-        came = [at for at in came if at >= start.at] + [step.at]
-        for first in came:  # every window that ends now, from each earlier arrival on
-            if step.at - first >= start.window:
+        times = [step.at for step in self.history if step.kind == "sent" and step.server == sent.server]
+        times = [at for at in times if at >= start.at] + [sent.at]
+        for first in times:  # every window that ends now, from each earlier set-up on
+            if sent.at - first >= start.overload_window:
                 continue
-            many = sum(first <= at for at in came)
-            age = max(0, step.at - start.window - start.at)
-            share = start.cold_share + (1 - start.cold_share) * age / start.warm_after
-            most = start.multiple * share * start.per_second * start.window / 10**9
-            if many >= most:
-                return [f"{many} reached {step.server} within a window that takes {most:.1f}"]
+            count = sum(first <= at for at in times)
+            age = max(0, sent.at - start.overload_window - start.at)
+            initial = start.slow_start_fraction
+            speed = initial + (1 - initial) * age / start.slow_start_duration
+            overload_rate = start.overload_multiple * speed * start.setups_per_second
+            limit = overload_rate * start.overload_window / 10**9
+            if count >= limit:
+                return [f"{count} reached {sent.server} within a window that takes {limit:.1f}"]
         return []
--- a/tests/test_slowmodel.py
+++ b/tests/test_slowmodel.py
@@ -15,7 +15,7 @@
 import structlog
 
 from tests.helpers import MS, SECOND, TYPE
-from tests.slowmodel import Rules, Step
+from tests.slowmodel import RuleModel, Step
 from tests.test_days import HOW, small
 from valverouter import interface
 from valverouter.audit.rules import audit
@@ -32,7 +32,7 @@
 from valverouter.terms.attempts import AttemptKeys, AttemptSection, AttemptSections
 from valverouter.terms.day import Day
 
-# Beside the Driver: a fleet of three, each with its own draws of what becomes of each leg.
+# RowChecker the Driver: a fleet of three, each with its own draws of what becomes of each leg.
 
 EDGES, PER_SECOND, LENGTH = 3, 20.0, 2 * SECOND
 TERMS: dict[str, Any] = {
@@ -60,7 +60,7 @@
     def __init__(self, seed: int, tamper: Tamper | None = None, **other: Any) -> None:
         self.chance = random.Random(seed)
         self.now = 1_000 * SECOND
-        self.rules = Rules(TERMS["release_delay"])
+        self.rules = RuleModel(TERMS["release_delay"])
         self.tamper = tamper
         self.tampered: list[int] = []
         self.terms = TERMS | other
@@ -190,12 +190,15 @@
                 self.tell(server)
             case "fresh":
                 self.started[server], self.phase[server] = self.now, "in-service"
-                cold = {
-                    "cold_share": self.terms["slow_start_fraction"],
-                    "warm_after": self.terms["slow_start_duration"],
-                }
-                span, times = self.terms["overload_window"], TERMS["overload_multiple"]
-                self.step("began", server=server, per_second=PER_SECOND, multiple=times, window=span, **cold)
+                self.step(
+                    "began",
+                    server=server,
+                    setups_per_second=PER_SECOND,
+                    overload_multiple=TERMS["overload_multiple"],
+                    overload_window=self.terms["overload_window"],
+                    slow_start_fraction=self.terms["slow_start_fraction"],
+                    slow_start_duration=self.terms["slow_start_duration"],
+                )
                 self.tell(server)
             case "whole":
                 for name in self.servers:
@@ -282,21 +285,23 @@
     for seed in range(8):
         fleet = Fleet(seed)
         fleet.run(40 * SECOND)
-        assert not fleet.rules.broken, f"seed {seed}: {fleet.rules.broken[:3]}\n{fleet.rules.last()}"
+        assert not fleet.rules.violations, (
+            f"seed {seed}: {fleet.rules.violations[:3]}\n{fleet.rules.format_last()}"
+        )
         seen += fleet.rules.counts()
     assert set(seen) - {"passing"} == SEEN, seen
     assert min(seen[kind] for kind in SEEN) >= 10, seen
     assert seen["taken"] > 3_000
 
 
-def cold_sends(rules: Rules) -> int:
+def cold_sends(rules: RuleModel) -> int:
     began: dict[str, Step] = {}
     many = 0
     for step in rules.history:
         if step.kind == "began":
             began[step.server] = step
         elif step.kind == "sent" and step.server in began:
-            many += step.at - began[step.server].at < began[step.server].warm_after
+            many += step.at - began[step.server].at < began[step.server].slow_start_duration
     return many
 
 
@@ -348,7 +353,7 @@
     for seed in range(2):
         fleet = Fleet(seed, tamper)
         fleet.run(32 * SECOND)
-        found, step, why = fleet.rules.broken[0]
+        found, step, why = fleet.rules.violations[0]
         assert fleet.tampered, (seed, why)
         assert (found, step) == (rule, fleet.tampered[0] + steps_later), (seed, why)
 
@@ -356,7 +361,7 @@
 def test_an_answer_left_out_is_caught_at_the_first_step_past_its_time() -> None:
     fleet = Fleet(1, never)
     fleet.run(32 * SECOND)
-    found, step, why = fleet.rules.broken[0]
+    found, step, why = fleet.rules.violations[0]
     history = fleet.rules.history
     until = {taken.dialog: taken.until for taken in history if taken.kind == "taken"}[why.split()[0]]
     assert found == 1
@@ -369,25 +374,25 @@
         monkeypatch.setattr(SlowStart, "has_slot", lambda *_: True)
     fleet = Fleet(4, nothing_done, slow_start_duration=20 * SECOND)
     fleet.run(40 * SECOND)
-    assert {rule for rule, _, _ in fleet.rules.broken} == ({4} if planted else set())
+    assert {rule for rule, _, _ in fleet.rules.violations} == ({4} if planted else set())
     assert cold_sends(fleet.rules) > 30
-    assert all(fleet.rules.history[step].kind == "sent" for _, step, _ in fleet.rules.broken)
+    assert all(fleet.rules.history[step].kind == "sent" for _, step, _ in fleet.rules.violations)
 
 
 def test_a_release_time_left_out_is_caught() -> None:
     fleet = Fleet(2, nothing_done, release_delay=0)
     fleet.run(40 * SECOND)
-    assert {rule for rule, _, _ in fleet.rules.broken} == {5}
+    assert {rule for rule, _, _ in fleet.rules.violations} == {5}
 
 
-# Beside whole edge proxies in virtual time, row by row as bytes pass the sockets
+# RowChecker whole edge proxies in virtual time, row by row as bytes pass the sockets
 
 
-class Beside:
-    """Turns rows of the far ends into steps of the model, at the moment they are written."""
+class RowChecker:
+    """Turns rows into steps of the model, at the moment they are written."""
 
     def __init__(self, script: Day) -> None:
-        self.rules = Rules(script.fleet.release_wait)
+        self.rules = RuleModel(script.fleet.release_wait)
         self.callers: dict[str, str] = {}
         self.leg: dict[str, tuple[str, int, str]] = {}
         self.asked: dict[str, setup.Setup] = {}
@@ -398,9 +403,9 @@
 
         def stepped(row_type: type[Any], **fields: Any) -> None:
             sound(row_type, **fields)
-            before = len(self.rules.broken)
+            before = len(self.rules.violations)
             self.row(world.tap.rows[-1])
-            if len(self.rules.broken) > before and self.first_at < 0:
+            if len(self.rules.violations) > before and self.first_at < 0:
                 self.first_at = world.tap.rows[-1].at
 
         world.tap.record = stepped  # type: ignore[method-assign]
@@ -413,28 +418,44 @@
             case tap.EndpointUpdateRow():
                 self.step(row.at, "told", server=row.server, edge=row.edge, word=row.phase)
             case tap.ServerStartedRow():
-                terms = {"cold_share": row.slow_start_fraction, "warm_after": row.slow_start_duration}
-                terms |= {"multiple": row.overload_multiple, "window": row.overload_window}
-                self.step(row.at, "began", server=row.server, per_second=SECOND / row.setup_work, **terms)
+                self.on_server_started(row)
             case tap.FaultRow(kind="balancer_crash"):
                 self.step(row.at, "restarted", edge=row.target)
             case tap.FaultRow(kind="balancer_stall"):
                 self.step(row.at, "held", edge=row.target, until=row.until)
             case tap.ConnectionLostRow() if row.peer.startswith("c"):
-                for dialog in [name for name, caller in self.callers.items() if caller == row.peer]:
-                    del self.callers[dialog]
-                    self.step(row.at, "caller-gone", dialog=dialog)
+                self.on_caller_lost(row)
             case tap.ConnectionLostRow():
-                for dialog, (server, leg, edge) in list(self.leg.items()):
-                    if (server, edge) == (row.peer, row.edge):
-                        del self.leg[dialog]
-                        self.step(row.at, "reset", dialog=dialog, leg=leg, server=server)
+                self.on_server_lost(row)
             case tap.MessageRow() if row.dialog and row.peer.startswith("c"):
-                self.of_caller(row)
+                self.on_caller_message(row)
             case tap.MessageRow() if row.dialog and row.peer.startswith("s"):
-                self.of_server(row)
-
-    def of_caller(self, row: tap.MessageRow) -> None:
+                self.on_server_message(row)
+
+    def on_server_started(self, row: tap.ServerStartedRow) -> None:
+        self.step(
+            row.at,
+            "began",
+            server=row.server,
+            setups_per_second=SECOND / row.setup_work,
+            overload_multiple=row.overload_multiple,
+            overload_window=row.overload_window,
+            slow_start_fraction=row.slow_start_fraction,
+            slow_start_duration=row.slow_start_duration,
+        )
+
+    def on_caller_lost(self, row: tap.ConnectionLostRow) -> None:
+        for dialog in [name for name, caller in self.callers.items() if caller == row.peer]:
+            del self.callers[dialog]
+            self.step(row.at, "caller-gone", dialog=dialog)
+
+    def on_server_lost(self, row: tap.ConnectionLostRow) -> None:
+        for dialog, (server, leg, edge) in list(self.leg.items()):
+            if (server, edge) == (row.peer, row.edge):
+                del self.leg[dialog]
+                self.step(row.at, "reset", dialog=dialog, leg=leg, server=server)
+
+    def on_caller_message(self, row: tap.MessageRow) -> None:
         if row.sent and row.kind == "setup":
             self.callers[row.dialog] = row.peer
             self.step(row.at, "taken", dialog=row.dialog, edge=row.edge, until=row.at + row.duration)
@@ -446,7 +467,7 @@
             self.callers.pop(row.dialog, None)
             self.step(row.at, "ended", dialog=row.dialog)
 
-    def of_server(self, row: tap.MessageRow) -> None:
+    def on_server_message(self, row: tap.MessageRow) -> None:
         about = {"dialog": row.dialog, "leg": row.leg, "server": row.peer}
         ours = self.leg.get(row.dialog) == (row.peer, row.leg, row.edge)
         if not row.sent and row.kind == "setup":
@@ -464,9 +485,9 @@
 
 def both(
     script: Day, prepare: Callable[[World, list[MemoryEdge]], None] | None = None
-) -> tuple[Beside, set[int]]:
+) -> tuple[RowChecker, set[int]]:
     """Plays the day with the model beside it; beside it, what the audit finds in the same rows."""
-    beside = Beside(script)
+    beside = RowChecker(script)
 
     def prepared(world: World, edges: list[MemoryEdge]) -> None:
         beside(world, edges)
@@ -516,8 +537,8 @@
     script = small(*((kind, HOW[kind]) for kind in kinds), length=6)
     script = msgspec.structs.replace(script, terms=msgspec.structs.replace(script.terms, seed=seed))
     beside, audited = both(script, reloads)
-    assert not beside.rules.broken, (beside.rules.broken[:3], audited, beside.rules.last())
-    assert not audited, (beside.rules.broken[:3], audited, beside.rules.last())
+    assert not beside.rules.violations, (beside.rules.violations[:3], audited, beside.rules.format_last())
+    assert not audited, (beside.rules.violations[:3], audited, beside.rules.format_last())
     counts = beside.rules.counts()
     assert counts["taken"] > 100, counts
     assert counts["sent"] > 60, counts
@@ -589,4 +610,4 @@
         script = small(burst, crash, length=8, tip_multiple=0.8)
     beside, audited = both(script, prepare)
     assert rule in audited
-    assert {found for found, _, _ in beside.rules.broken} == audited
+    assert {found for found, _, _ in beside.rules.violations} == audited
