--- a/valverouter/terms/calls.py
+++ b/valverouter/terms/calls.py
@@ -1,12 +1,12 @@
-"""A record of calls that a day plays again: CSV, checked whole before anything is dialled.
+"""Recorded calls that a scenario replays: CSV, checked as a whole before anything is dialled.
 
     at,type,edge,no_answer,first_choice,number
     0.0125,booking,0,9,2,10423
     0.0310,urgent-referral,1,,,
 
-`at` and `no_answer` are seconds as decimals, `at` from the record's beginning; `edge` is the number of the
-edge proxy that was dialled. Columns may stand in any order; all but `at` and `type` may be left out or empty,
-and are then drawn or taken from the day, as for dialogs that no record names.
+`at` and `no_answer` are decimal seconds, `at` since the start of the record; `edge` is the number of the edge
+proxy that was dialled. Columns may come in any order; all but `at` and `type` may be left out or empty, and
+are then drawn or taken from the scenario, as for dialogs that are not recorded.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 from msgspec import Struct
 
-from valverouter.terms.ini import SPAN_MOST, Flaw, IniFile
+from valverouter.terms.ini import MAX_DURATION, ConfigProblem, IniFile
 
 COLUMNS = ("at", "type", "edge", "no_answer", "first_choice", "number")
-NEEDED = ("at", "type")
-# A record is held whole while its day is played.
-FILE_MOST = 64 * 1024 * 1024
-# A file of another kind has a flaw in each line; so many tell as much.
-FLAWS_TOLD = 20
-NUMBER_MOST = 10**18
+REQUIRED_COLUMNS = ("at", "type")
+# A record is held in memory while it is replayed.
+MAX_FILE_SIZE = 64 * 1024 * 1024
+# A file of another kind has a problem in each line; this many say as much as all.
+MAX_REPORTED_PROBLEMS = 20
+MAX_NUMBER = 10**18
 
 
-class Call(Struct, frozen=True):
-    """One first try; spans in ns, `at` since the record began. None: not on record."""
+class RecordedCall(Struct, frozen=True):
+    """The first try of one recorded call; None: not recorded. Times in nanoseconds, `at` since the start."""
 
     at: int
     traffic_type: str
@@ -41,105 +41,108 @@
     number: int | None = None
 
 
-class _WrongError(ValueError):
-    """A value that can't be used: its column, and why."""
+class _InvalidValueError(ValueError):
+    """A value that can't be used, with its column."""
 
     def __init__(self, column: str, reason: str) -> None:
         super().__init__(reason)
         self.column = column
 
 
-def read_calls(ini: IniFile, section: str, key: str) -> list[Call]:
-    """The record that a key names, beside its file, in the order of time; what is wrong becomes flaws of
-    `ini`."""
+def read_calls(ini: IniFile, section: str, key: str) -> list[RecordedCall]:
+    """The record in the file that a key names, in the order of time; adds its problems to `ini`."""
     path = ini.folder / ini.sections[section][key]
     try:
         size = path.stat().st_size
-        if size > FILE_MOST:
-            ini.flaw(section, key, f"{path}: {size} bytes, {FILE_MOST} are allowed")
+        if size > MAX_FILE_SIZE:
+            ini.add_problem(section, key, f"{path}: {size} bytes, {MAX_FILE_SIZE} are allowed")
             return []
         with path.open(encoding="utf-8-sig", newline="") as file:
-            found, flaws = _read(file, str(path))
+            calls, problems = _read(file, str(path))
     except (OSError, UnicodeDecodeError, csv.Error) as error:
-        ini.flaw(section, key, f"{path}: {getattr(error, 'strerror', None) or error}")
+        ini.add_problem(section, key, f"{path}: {getattr(error, 'strerror', None) or error}")
         return []
-    ini.flaws += flaws
-    if not found and not flaws:
-        ini.flaw(section, key, f"{path}: holds no call")
-    return sorted(found, key=lambda call: call.at)
+    ini.problems += problems
+    if not calls and not problems:
+        ini.add_problem(section, key, f"{path}: holds no call")
+    return sorted(calls, key=lambda call: call.at)
 
 
-def _read(lines: Iterable[str], name: str) -> tuple[list[Call], list[Flaw]]:
+def _read(lines: Iterable[str], name: str) -> tuple[list[RecordedCall], list[ConfigProblem]]:
     rows = csv.reader(lines, strict=True)
-    head = [word.strip() for word in next(rows, [])]
-    wrong = [
-        *(f"{word!r} is no column; known are {', '.join(COLUMNS)}" for word in head if word not in COLUMNS),
-        *(f"{word!r} stands twice" for word in COLUMNS if head.count(word) > 1),
-        *(f"the column {word!r} is missing" for word in NEEDED if word not in head),
+    header = [word.strip() for word in next(rows, [])]
+    reasons = [
+        *(f"{word!r} is no column; known are {', '.join(COLUMNS)}" for word in header if word not in COLUMNS),
+        *(f"{word!r} stands twice" for word in COLUMNS if header.count(word) > 1),
+        *(f"the column {word!r} is missing" for word in REQUIRED_COLUMNS if word not in header),
     ]
-    if wrong:
-        return [], [Flaw(name, 1, "", "", reason) for reason in wrong]
-    found: list[Call] = []
-    flaws = list(islice(_calls(rows, head, name, found), FLAWS_TOLD))
-    return found, flaws
-
-
-def _calls(rows: Iterable[list[str]], head: list[str], name: str, found: list[Call]) -> Iterator[Flaw]:
-    """Collects calls, and yields a flaw for each line that is none."""
-    for at, row in enumerate(rows, 2):
+    if reasons:
+        return [], [ConfigProblem(name, 1, "", "", reason) for reason in reasons]
+    calls: list[RecordedCall] = []
+    problems = list(islice(_collect_calls(rows, header, name, calls), MAX_REPORTED_PROBLEMS))
+    return calls, problems
+
+
+def _collect_calls(
+    rows: Iterable[list[str]], header: list[str], name: str, found: list[RecordedCall]
+) -> Iterator[ConfigProblem]:
+    """Appends calls to `found`, and yields a problem for each line that is none."""
+    for line, row in enumerate(rows, 2):
         if not row:
             continue
-        if len(row) != len(head):
-            yield Flaw(name, at, "", "", f"{len(row)} values under {len(head)} columns")
+        if len(row) != len(header):
+            yield ConfigProblem(name, line, "", "", f"{len(row)} values under {len(header)} columns")
             continue
         try:
-            found.append(_call(dict(zip(head, (word.strip() for word in row), strict=True))))
-        except _WrongError as error:
-            yield Flaw(name, at, "", error.column, str(error))
+            found.append(_call(dict(zip(header, (word.strip() for word in row), strict=True))))
+        except _InvalidValueError as error:
+            yield ConfigProblem(name, line, "", error.column, str(error))
 
 
-def _call(told: dict[str, str]) -> Call:
-    at = _seconds(told, "at")
+def _call(row: dict[str, str]) -> RecordedCall:
+    at = _seconds(row, "at")
     if at is None:
-        raise _WrongError("at", "missing")
-    if not told["type"]:
-        raise _WrongError("type", "missing")
-    no_answer = _seconds(told, "no_answer")
+        raise _InvalidValueError("at", "missing")
+    if not row["type"]:
+        raise _InvalidValueError("type", "missing")
+    no_answer = _seconds(row, "no_answer")
     if no_answer == 0:
-        raise _WrongError("no_answer", "nobody waits for no time")
-    return Call(
+        raise _InvalidValueError("no_answer", "nobody waits for no time")
+    return RecordedCall(
         at,
-        told["type"],
-        _whole(told, "edge"),
+        row["type"],
+        _integer(row, "edge"),
         no_answer,
-        _whole(told, "first_choice"),
-        _whole(told, "number"),
+        _integer(row, "first_choice"),
+        _integer(row, "number"),
     )
 
 
-def _seconds(told: dict[str, str], column: str) -> int | None:
-    text = told.get(column, "")
+def _seconds(row: dict[str, str], column: str) -> int | None:
+    text = row.get(column, "")
     if not text:
         return None
     try:
         value = Decimal(text)
     except InvalidOperation:
-        raise _WrongError(column, f"{text!r} is no number of seconds, as in 12.5") from None
-    if not value.is_finite() or not 0 <= value <= Decimal(SPAN_MOST) / 10**9:
-        raise _WrongError(column, f"{text!r} is out of range: seconds from 0 to {SPAN_MOST // 10**9}")
+        raise _InvalidValueError(column, f"{text!r} is no number of seconds, as in 12.5") from None
+    if not value.is_finite() or not 0 <= value <= Decimal(MAX_DURATION) / 10**9:
+        raise _InvalidValueError(
+            column, f"{text!r} is out of range: seconds from 0 to {MAX_DURATION // 10**9}"
+        )
     return int(value * 10**9)
 
 
-def _whole(told: dict[str, str], column: str) -> int | None:
-    text = told.get(column, "")
+def _integer(row: dict[str, str], column: str) -> int | None:
+    text = row.get(column, "")
     if not text:
         return None
-    if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) <= NUMBER_MOST):
-        raise _WrongError(column, f"{text!r} is no whole number from 0 to {NUMBER_MOST}")
+    if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) <= MAX_NUMBER):
+        raise _InvalidValueError(column, f"{text!r} is no whole number from 0 to {MAX_NUMBER}")
     return int(text)
 
 
-def write_calls(path: Path, calls: Iterable[Call]) -> int:
+def write_calls(path: Path, calls: Iterable[RecordedCall]) -> int:
     """The calls as a file that `read_calls` reads back the same; how many."""
     count = 0
     with path.open("w", encoding="utf-8", newline="") as file:
--- a/valverouter/terms/crossing.py
+++ b/valverouter/terms/crossing.py
@@ -8,34 +8,34 @@
 from msgspec import Meta, Struct
 
 from valverouter.interface import CrossRegionBudget, CrossRegionConfig, CrossRegionPolicy
-from valverouter.terms.ini import IniFile, LongSpan, Share, Span, Whole
+from valverouter.terms.ini import Duration, Fraction, IniFile, NonNegativeInteger, PositiveDuration
 
 MS, SECOND = 10**6, 10**9
 ANY_REGION = "*"
 
 
-class Region(Struct, frozen=True):
+class RegionSection(Struct, frozen=True):
     """[region NAME]: the number of its edge proxies, which share the budgets of pairs that start there."""
 
-    edges: Whole = 0
+    edges: NonNegativeInteger = 0
 
 
-class CrossingAll(Struct, frozen=True):
+class CommonSection(Struct, frozen=True):
     """[crossing]: the reserve that routine types never touch, and what all types have in common."""
 
-    reserve: Whole = 0
-    window: LongSpan = 10 * SECOND
-    burst: Whole = 0
-    clock_skew: Span = 50 * MS
-    keep_free: Share = 0.1
+    reserve: NonNegativeInteger = 0
+    window: PositiveDuration = 10 * SECOND
+    burst: NonNegativeInteger = 0
+    clock_skew: Duration = 50 * MS
+    keep_free: Fraction = 0.1
 
 
-class CrossingOf(Struct, frozen=True):
+class BudgetSection(Struct, frozen=True):
     """[crossing TYPE] and [crossing TYPE FROM TO]: attempts in a window, of which `burst` at one moment."""
 
     legs: Annotated[int, Meta(ge=0)] | None = None
-    window: LongSpan = 10 * SECOND
-    burst: Whole = 0
+    window: PositiveDuration = 10 * SECOND
+    burst: NonNegativeInteger = 0
     urgent: bool = False
 
 
@@ -66,13 +66,13 @@
     def read(self, words: list[str]) -> None:
         """Reads the section whose name consists of `words` after "crossing"."""
         section = f"crossing {' '.join(words)}"
-        keys = self.ini.read(section, CrossingOf)
+        keys = self.ini.read_section(section, BudgetSection)
         if not words:
             return  # a section without a name is a problem that the file has noted already
         if words[0] not in self.traffic_types:
-            self.ini.flaw(section, "", f"there is no [traffic {words[0]}]")
+            self.ini.add_problem(section, "", f"there is no [traffic {words[0]}]")
         if len(words) not in (1, 3):
-            self.ini.flaw(section, "", "is either [crossing TYPE] or [crossing TYPE FROM TO]")
+            self.ini.add_problem(section, "", "is either [crossing TYPE] or [crossing TYPE FROM TO]")
             return
         self._check_regions(section, words[1:])
         if keys is None:
@@ -83,10 +83,10 @@
             self._read_type(section, words[0], keys)
 
     def budget(
-        self, section: str, keys: CrossingOf | CrossingAll, sharers: _Sharers
+        self, section: str, keys: BudgetSection | CommonSection, sharers: _Sharers
     ) -> CrossRegionBudget | None:
         """A budget as it is shared here; adds a problem for one that could never permit an attempt."""
-        attempts = keys.reserve if isinstance(keys, CrossingAll) else keys.legs
+        attempts = keys.reserve if isinstance(keys, CommonSection) else keys.legs
         if not attempts:
             return None
         budget = CrossRegionBudget(
@@ -94,10 +94,12 @@
         )
         burst = keys.burst or attempts
         if burst > attempts or burst < 2:
-            self.ini.flaw(section, "burst", f"{burst} must lie from 2 to the {attempts} legs of a window")
+            self.ini.add_problem(
+                section, "burst", f"{burst} must lie from 2 to the {attempts} legs of a window"
+            )
         elif (burst - 1) * keys.window <= 2 * self.clock_skew * (attempts - burst + 1):
             reason = "a slot would lapse within the clocks' skew: no leg could ever be sent"
-            self.ini.flaw(section, "burst", reason)
+            self.ini.add_problem(section, "burst", reason)
         return budget
 
     def with_pairs(self) -> dict[str, CrossRegionPolicy]:
@@ -106,7 +108,7 @@
             policy = self.policies.get(traffic_type)
             if policy is None:
                 reason = "missing: its pairs have budgets, the type has none"
-                self.ini.flaw(f"crossing {traffic_type}", "", reason, 0)
+                self.ini.add_problem(f"crossing {traffic_type}", "", reason, 0)
             else:
                 self.policies[traffic_type] = CrossRegionPolicy(policy.budget, budgets, policy.urgent)
         return self.policies
@@ -116,30 +118,30 @@
         for region in named:
             if region not in self.regions:
                 known = ", ".join(self.regions)
-                self.ini.flaw(section, "", f"unknown region {region!r}; known are {known}")
+                self.ini.add_problem(section, "", f"unknown region {region!r}; known are {known}")
 
-    def _read_pair(self, section: str, traffic_type: str, pair: Pair, keys: CrossingOf) -> None:
+    def _read_pair(self, section: str, traffic_type: str, pair: Pair, keys: BudgetSection) -> None:
         if pair[0] == pair[1]:
-            self.ini.flaw(section, "", "a region and itself are no crossing")
+            self.ini.add_problem(section, "", "a region and itself are no crossing")
         if keys.urgent:
-            self.ini.flaw(section, "urgent", "belongs to [crossing TYPE], not to one of its pairs")
+            self.ini.add_problem(section, "urgent", "belongs to [crossing TYPE], not to one of its pairs")
         if pair[0] != self.home:
             return
         budget = self.budget(section, keys, self.home_region)
         if keys.legs is None:
-            self.ini.flaw(section, "legs", "missing: a pair is named to give it a budget of its own")
+            self.ini.add_problem(section, "legs", "missing: a pair is named to give it a budget of its own")
         elif budget is not None:
             self.pairs.setdefault(traffic_type, {})[pair] = budget
 
-    def _read_type(self, section: str, traffic_type: str, keys: CrossingOf) -> None:
+    def _read_type(self, section: str, traffic_type: str, keys: BudgetSection) -> None:
         budget = self.budget(section, keys, self.fleet)
         if keys.legs == 0 and keys.urgent:
-            self.ini.flaw(section, "legs", "0 and urgent contradict each other")
+            self.ini.add_problem(section, "legs", "0 and urgent contradict each other")
         if keys.legs != 0:
             self.policies[traffic_type] = CrossRegionPolicy(budget, None, keys.urgent)
 
 
-def crossing_terms(
+def cross_region_config(
     ini: IniFile, home: str, place: int, edges: int, region_place: int, types: set[str]
 ) -> CrossRegionConfig | None:
     """What may leave the region `home`; None where the file has no regions. Adds its problems to the file.
@@ -147,17 +149,19 @@
     `place` of `edges` is this instance's index in the fleet, `region_place` the one in its region; `types`
     are the known traffic types.
     """
-    regions = {name: ini.read(f"region {name}", Region) for name in ini.named("region")}
-    names = [name.split() for name in ini.named("crossing")]
+    regions = ini.read_sections("region", RegionSection)
+    names = [name.split() for name in ini.names_of("crossing")]
     if not regions and not names and "crossing" not in ini.sections:
         return None
     if home not in regions:
-        ini.flaw("edge", "region", f"{home!r} has no [region {home}]; known are {', '.join(regions)}")
-    common = ini.read("crossing", CrossingAll, required=False)
+        ini.add_problem("edge", "region", f"{home!r} has no [region {home}]; known are {', '.join(regions)}")
+    common = ini.read_section("crossing", CommonSection, required=False)
     at_home = regions.get(home)
     home_edges = at_home.edges if at_home else 0
     if at_home and not region_place < max(1, home_edges):
-        ini.flaw("edge", "region_place", f"{region_place} must be less than the {home_edges} edges of {home}")
+        ini.add_problem(
+            "edge", "region_place", f"{region_place} must be less than the {home_edges} edges of {home}"
+        )
     fleet, home_region = _Sharers(edges, place), _Sharers(max(1, home_edges), region_place)
     clock_skew = common.clock_skew if common else 0
     sections = _BudgetSections(ini, home, types, list(regions), fleet, home_region, clock_skew)
@@ -169,11 +173,11 @@
 
 
 def _reserve(
-    sections: _BudgetSections, common: CrossingAll | None, urgent: list[str]
+    sections: _BudgetSections, common: CommonSection | None, urgent: list[str]
 ) -> CrossRegionBudget | None:
     if common is None:
         return None
     if urgent and not common.reserve:
         reason = f"{', '.join(urgent)} is urgent, and there is no reserve for it"
-        sections.ini.flaw("crossing", "reserve", reason)
+        sections.ini.add_problem("crossing", "reserve", reason)
     return sections.budget("crossing", common, sections.fleet)
--- a/valverouter/terms/edge.py
+++ b/valverouter/terms/edge.py
@@ -1,4 +1,7 @@
-"""The terms of one edge proxy: the INI file of `valverouter edge`, checked and typed."""
+"""Configuration of one edge proxy: the INI file of `valverouter edge`, checked and typed.
+
+Durations are integer nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -10,116 +13,123 @@
 from msgspec import Meta, Struct
 
 from valverouter.interface import CrossRegionConfig, Deployment, TrafficType
-from valverouter.terms.attempts import AttemptSections, attempt_sections
-from valverouter.terms.between import Between, between_terms
-from valverouter.terms.crossing import crossing_terms
+from valverouter.terms.attempts import AttemptConfig, attempt_config
+from valverouter.terms.between import GossipConfig, gossip_config
+from valverouter.terms.crossing import cross_region_config
 from valverouter.terms.ini import (
-    FlawedTermsError,
+    Duration,
     IniFile,
-    LongSpan,
-    Named,
-    Numbers,
-    Positive,
-    Rate,
-    Span,
-    Whole,
-    is_address,
+    IntegerList,
+    InvalidConfigError,
+    NonEmptyText,
+    NonNegativeInteger,
+    PositiveDuration,
+    PositiveInteger,
+    PositiveNumber,
+    is_host_and_port,
+    present,
+    valid_sections,
 )
 
 MS, SECOND = 10**6, 10**9
-# Between two readings of a file at reload.
-SETTLES = 100 * MS
+# Between two readings of a file that may still be being written.
+REREAD_INTERVAL = 100 * MS
+
+# Bytes of the digest by which instances compare their configuration.
+DIGEST_SIZE = 4
 
-ATTEMPTS = ("attempts", "trunk-group", "server-set")
+ATTEMPT_SECTIONS = ("attempts", "trunk-group", "server-set")
 
-Legs = Annotated[int, Meta(ge=1, le=6)]
-# What the set-up protocol carries: a name of so many characters, spans up to an hour, frames of 64 KiB. Terms
-# past that would start an instance whose every message its peers refuse.
+AttemptCount = Annotated[int, Meta(ge=1, le=6)]
+# Limits of the set-up protocol: the length of a name, durations up to an hour, frames of 64 KiB. An instance
+# configured beyond them would send messages that its peers reject.
 PeerName = Annotated[str, Meta(min_length=1, max_length=128)]
 HOUR = 3_600 * SECOND
-ToldSpan = Annotated[int, Meta(ge=0, le=HOUR, extra={"as": "span"})]
-Margin = Annotated[int, Meta(gt=0, lt=HOUR, extra={"as": "span"})]
-Waiting = Annotated[int, Meta(ge=64 * 1024 + 4, le=10**9)]
+ProtocolDuration = Annotated[int, Meta(ge=0, le=HOUR, extra={"as": "span"})]
+AnswerMargin = Annotated[int, Meta(gt=0, lt=HOUR, extra={"as": "span"})]
+QueueSize = Annotated[int, Meta(ge=64 * 1024 + 4, le=10**9)]
 
 
-class Traffic(Struct, frozen=True):
-    """[traffic NAME]: what dialogs of this type are worth, how soon, and which servers may take them."""
+class TrafficConfig(Struct, frozen=True):
+    """[traffic NAME]: priority, latency objective and mean duration of a type, and the servers it may use."""
 
-    objective: LongSpan
-    importance: Rate = 1.0
-    length: Span = 0
+    objective: PositiveDuration
+    importance: PositiveNumber = 1.0
+    length: Duration = 0
     repeatable: bool = True
-    servers: Numbers = ()
+    servers: IntegerList = ()
 
 
-class Fleet(Struct, frozen=True):
-    """[fleet]: what every edge proxy of a fleet is told alike; the rules' figures."""
+class FleetConfig(Struct, frozen=True):
+    """[fleet]: what is the same for every edge proxy of a fleet, among it the parameters of the rules."""
 
-    edge_proxies: Positive
+    edge_proxies: PositiveInteger
     list_is_pushed: bool = True
-    legs_allowed: Legs = 6
+    legs_allowed: AttemptCount = 6
     may_cancel: bool = True
-    come_back_limit: ToldSpan = 2 * SECOND
-    release_wait: Span = 300 * MS
+    come_back_limit: ProtocolDuration = 2 * SECOND
+    release_wait: Duration = 300 * MS
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    tip_multiple: Rate = 1.0
-    tip_span: Span = SECOND
-    warm_after: Span = 0
+    tip_multiple: PositiveNumber = 1.0
+    tip_span: Duration = SECOND
+    warm_after: Duration = 0
 
 
-class Links(Struct, frozen=True):
-    """[links]: spans of connections and what may wait at the edge for a slow peer."""
+class LinkConfig(Struct, frozen=True):
+    """[links]: timeouts of connections, and limits of what is queued or open."""
 
-    connect_within: LongSpan = 500 * MS
-    reconnect_least: Span = 0
-    hello_within: LongSpan = 2 * SECOND
-    silence: LongSpan = 30 * SECOND
-    waiting_bytes: Waiting = 256 * 1024
-    open_dialogs: Positive = 20_000
-    callers: Positive = 10_000
-    stop_within: Span = 10 * SECOND
+    connect_within: PositiveDuration = 500 * MS
+    reconnect_least: Duration = 0
+    hello_within: PositiveDuration = 2 * SECOND
+    silence: PositiveDuration = 30 * SECOND
+    waiting_bytes: QueueSize = 256 * 1024
+    open_dialogs: PositiveInteger = 20_000
+    callers: PositiveInteger = 10_000
+    stop_within: Duration = 10 * SECOND
 
 
-class LedgerTerms(Struct, frozen=True):
-    """[ledger]: where what is owed is kept over a restart; without a folder it is not.
+class LedgerConfig(Struct, frozen=True):
+    """[ledger]: where open dialogs are stored for a restart; without a folder they are not.
 
-    `sync` none: a killed process loses nothing, a machine that goes down the last moments; each: nothing, for
-    a wait at each turn. `most`: bytes. `resume_within`: how long callers have to come back for what stands.
+    `sync` none: a killed process loses nothing, a machine that goes down its last moments. `sync` each:
+    nothing is lost, at the price of a disk write for each batch of events. `most`: bytes. `resume_within`:
+    how long callers have to resume their established dialogs.
     """
 
     folder: str = ""
     sync: Annotated[str, Meta(pattern="^(none|each)$")] = "none"
     most: Annotated[int, Meta(ge=1024 * 1024, le=2**40)] = 64 * 1024 * 1024
-    resume_within: LongSpan = 5 * SECOND
+    resume_within: PositiveDuration = 5 * SECOND
 
 
-class Log(Struct, frozen=True):
-    """[log]: `form` json or console; `level` as logging has it."""
+class LogConfig(Struct, frozen=True):
+    """[log]: the format of the log, and the lowest level that is written."""
 
     form: Annotated[str, Meta(pattern="^(json|console)$")] = "json"
     level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
-class _Edge(Struct, frozen=True):
+class _EdgeSection(Struct, frozen=True):
     name: PeerName
-    listen: Named
-    list_service: Named
-    place: Whole = 0
+    listen: NonEmptyText
+    list_service: NonEmptyText
+    place: NonNegativeInteger = 0
     region: str = ""
-    region_place: Whole = 0
-    seed: Whole = 0
+    region_place: NonNegativeInteger = 0
+    seed: NonNegativeInteger = 0
     list_cache: str = ""
     accounts: str = ""
     returns: bool = False
-    answer_margin: Margin = 50 * MS
+    answer_margin: AnswerMargin = 50 * MS
 
 
-class EdgeTerms(Struct, frozen=True):
-    """All that one edge proxy is told at its start.
+class EdgeConfig(Struct, frozen=True):
+    """The whole configuration of one edge proxy.
 
-    `answer_margin` is taken off every dialog's no-answer time before the decisions see it, so that an answer
-    given at the last moment still travels in time. Spans are whole nanoseconds. `ends`: the file says where
-    it ends, so that one read half written is told from a short one.
+    `answer_margin` is subtracted from every dialog's no-answer time, so that an answer given at the last
+    moment still arrives in time. `ends`: the file has an end marker, which distinguishes one that was read
+    half written from a short one. `digest`: of the part that a whole fleet shares, so that instances can
+    compare it.
     """
 
     name: str
@@ -131,50 +141,35 @@
     list_cache: str
     answer_margin: int
     deployment: Deployment
-    links: Links
-    log: Log
+    links: LinkConfig
+    log: LogConfig
     crossing: CrossRegionConfig | None = None
     accounts: str = ""
-    attempts: AttemptSections = AttemptSections()
+    attempts: AttemptConfig = AttemptConfig()
     ends: bool = False
     returns: bool = False
-    ledger: LedgerTerms = LedgerTerms()
-    between: Between | None = None
-    # Of the file's text, for others to tell whether they run by the same.
+    ledger: LedgerConfig = LedgerConfig()
+    between: GossipConfig | None = None
     digest: str = ""
 
 
-def edge_terms(ini: IniFile) -> EdgeTerms:
-    """The edge's terms; raises FlawedTermsError with every flaw of the file."""
-    ini.only(
+def edge_config(ini: IniFile) -> EdgeConfig:
+    """The configuration in an edge proxy's file; raises InvalidConfigError with every problem of it."""
+    ini.check_sections(
         ("edge", "fleet", "links", "log", "ledger", "between", "crossing"),
-        ("traffic", "region", "crossing", *ATTEMPTS),
+        ("traffic", "region", "crossing", *ATTEMPT_SECTIONS),
     )
-    edge = ini.read("edge", _Edge)
-    fleet = ini.read("fleet", Fleet)
-    links = ini.read("links", Links, required=False)
-    log = ini.read("log", Log, required=False)
-    ledger = ini.read("ledger", LedgerTerms, required=False)
+    edge = ini.read_section("edge", _EdgeSection)
+    fleet = ini.read_section("fleet", FleetConfig)
+    links = ini.read_section("links", LinkConfig, required=False)
+    log = ini.read_section("log", LogConfig, required=False)
+    ledger = ini.read_section("ledger", LedgerConfig, required=False)
     traffic = traffic_types(ini)
-    attempts = attempt_sections(ini, set(ini.named("traffic")))
-    crossing = between = None
-    if edge and fleet:
-        crossing = crossing_terms(
-            ini, edge.region, edge.place, fleet.edge_proxies, edge.region_place, set(ini.named("traffic"))
-        )
-        if edge.place >= fleet.edge_proxies:
-            ini.flaw("edge", "place", f"{edge.place} must be less than edge_proxies, {fleet.edge_proxies}")
-        between = between_terms(ini, edge.region)
-        for key in ("listen", "list_service"):
-            if not is_address(getattr(edge, key)):
-                ini.flaw("edge", key, f"{getattr(edge, key)!r} is no HOST:PORT")
-    ini.done()
-    assert edge
-    assert fleet
-    assert links
-    assert log
-    assert ledger
-    return EdgeTerms(
+    attempts = attempt_config(ini, set(ini.names_of("traffic")))
+    crossing, gossip = _instance_config(ini, edge, fleet) if edge and fleet else (None, None)
+    ini.raise_problems()
+    edge, fleet = present(edge), present(fleet)
+    return EdgeConfig(
         name=edge.name,
         listen=edge.listen,
         list_service=edge.list_service,
@@ -184,21 +179,41 @@
         list_cache=edge.list_cache,
         answer_margin=edge.answer_margin,
         deployment=deployment(fleet, traffic, edge.place),
-        links=links,
-        log=log,
+        links=present(links),
+        log=present(log),
         crossing=crossing,
         accounts=edge.accounts,
         attempts=attempts,
         returns=edge.returns,
-        ends=ini.ends,
-        ledger=ledger,
-        between=between,
-        digest=blake2b(shared_text(ini).encode(), digest_size=4).hexdigest(),
+        ends=ini.has_end_marker,
+        ledger=present(ledger),
+        between=gossip,
+        digest=_digest(ini),
     )
 
 
+def _instance_config(
+    ini: IniFile, edge: _EdgeSection, fleet: FleetConfig
+) -> tuple[CrossRegionConfig | None, GossipConfig | None]:
+    """What depends on this instance's place in the fleet; checks its place and addresses too."""
+    types = set(ini.names_of("traffic"))
+    crossing = cross_region_config(ini, edge.region, edge.place, fleet.edge_proxies, edge.region_place, types)
+    if edge.place >= fleet.edge_proxies:
+        reason = f"{edge.place} must be less than edge_proxies, {fleet.edge_proxies}"
+        ini.add_problem("edge", "place", reason)
+    gossip = gossip_config(ini, edge.region)
+    for key in ("listen", "list_service"):
+        if not is_host_and_port(address := getattr(edge, key)):
+            ini.add_problem("edge", key, f"{address!r} is no HOST:PORT")
+    return crossing, gossip
+
+
+def _digest(ini: IniFile) -> str:
+    return blake2b(shared_text(ini).encode(), digest_size=DIGEST_SIZE).hexdigest()
+
+
 def shared_text(ini: IniFile) -> str:
-    """What all files of a fleet have alike: every section but the instance's own."""
+    """The part of a file that is the same in a whole fleet: every section but the instance's own."""
     return "\n".join(
         f"[{section}] {key} = {text}"
         for section, keys in ini.sections.items()
@@ -207,26 +222,26 @@
     )
 
 
-def traffic_types(ini: IniFile) -> dict[str, Traffic]:
-    """The [traffic NAME] sections; notes the flaw of having none."""
-    found = {name: ini.read(f"traffic {name}", Traffic) for name in ini.named("traffic")}
-    if not found and not ini.flaws:
-        ini.flaw("", "", "no [traffic NAME] section: no dialog could be taken")
-    return {name: kind for name, kind in found.items() if kind}
+def traffic_types(ini: IniFile) -> dict[str, TrafficConfig]:
+    """The [traffic NAME] sections by name; adds a problem to the file where there is none."""
+    sections = ini.read_sections("traffic", TrafficConfig)
+    if not sections and not ini.problems:
+        ini.add_problem("", "", "no [traffic NAME] section: no dialog could be taken")
+    return valid_sections(sections)
 
 
-def deployment(fleet: Fleet, traffic: dict[str, Traffic], place: int) -> Deployment:
-    """The terms in the words of the decisions."""
+def deployment(fleet: FleetConfig, traffic: dict[str, TrafficConfig], place: int) -> Deployment:
+    """The parameters of the routing policy, from the sections of the edge proxy at index `place`."""
     return Deployment(
         traffic_types={
             name: TrafficType(
-                latency_objective=kind.objective,
-                priority_weight=kind.importance,
-                mean_duration=kind.length,
-                idempotent=kind.repeatable,
-                server_numbers=frozenset(kind.servers) if kind.servers else None,
+                latency_objective=section.objective,
+                priority_weight=section.importance,
+                mean_duration=section.length,
+                idempotent=section.repeatable,
+                server_numbers=frozenset(section.servers) if section.servers else None,
             )
-            for name, kind in traffic.items()
+            for name, section in traffic.items()
         },
         edge_proxies=fleet.edge_proxies,
         fleet_index=place,
@@ -243,20 +258,22 @@
     )
 
 
-def load_edge_terms(path: Path) -> EdgeTerms:
-    return edge_terms(IniFile.load(path))
+def load_edge_config(path: Path) -> EdgeConfig:
+    """The configuration in the file at `path`; raises InvalidConfigError."""
+    return edge_config(IniFile.load(path))
 
 
-async def load_settled(path: Path, again: int = SETTLES, tries: int = 20) -> EdgeTerms:
-    """The terms of a file that may be in the middle of being written: read until two readings agree.
+async def load_when_stable(path: Path, interval: int = REREAD_INTERVAL, tries: int = 20) -> EdgeConfig:
+    """The configuration in a file that may still be being written: read until two readings agree.
 
-    `again`: between readings, ns. Raises FlawedTermsError as `edge_terms` does, or where it never settles.
+    `interval`: between readings, in nanoseconds. Raises InvalidConfigError as `edge_config` does, or if no
+    two readings agree.
     """
-    before, now = None, IniFile.load(path)
+    latest = IniFile.load(path)
     for _ in range(tries):
-        await trio.sleep(again / SECOND)
-        before, now = now, IniFile.load(path)
-        if before.text == now.text:
-            return await trio.to_thread.run_sync(edge_terms, now)
-    now.flaw("", "", f"still being written after {tries} readings", 0)
-    raise FlawedTermsError(now.flaws)
+        await trio.sleep(interval / SECOND)
+        previous, latest = latest, IniFile.load(path)
+        if previous.text == latest.text:
+            return await trio.to_thread.run_sync(edge_config, latest)
+    latest.add_problem("", "", f"still being written after {tries} readings", 0)
+    raise InvalidConfigError(latest.problems)
--- a/valverouter/terms/grammar.py
+++ b/valverouter/terms/grammar.py
@@ -1,16 +1,16 @@
-"""The grammar of what stands right of a key: spans, rates, shares, prefixes and the names of peers.
+"""The grammar of values: durations, rates, fractions, prefixes, server numbers and names of peers.
 
-300ms  1.5 s  0            span: a number and its unit, nought without one
-40/s  2400/min             rate: so many in a span's unit
-0.1  10%  1/10             share
-2912, 30-34                prefixes of called numbers, ranges of one length
+300ms  1.5 s  0            span: a duration, a number and its unit; 0 needs none
+40/s  2400/min             rate: a number per unit of time
+0.1  10%  1/10             share: a fraction
+2912, 30-34                prefixes of called numbers; a range has ends of equal length
 0, 3-7                     numbers of servers
-gw-*, c1                   names of peers; * at the end stands for any rest
+gw-*, c1                   names of peers; * at the end matches any rest
 """
 
 from __future__ import annotations
 
-UNITS = {"ns": 1, "us": 1_000, "ms": 10**6, "s": 10**9, "min": 60 * 10**9, "h": 3_600 * 10**9}
+NANOSECONDS_PER_UNIT = {"ns": 1, "us": 1_000, "ms": 10**6, "s": 10**9, "min": 60 * 10**9, "h": 3_600 * 10**9}
 GRAMMAR = r"""
 span: NUMBER UNIT?
 rate: NUMBER ("/" UNIT)?
@@ -29,8 +29,9 @@
 %ignore /[ \t]+/
 """
 
-SHOWN = {
-    "span": f"is no span: a number and one of {', '.join(UNITS)}, as in 300ms",
+# What is wrong with a text that does not parse, by the grammar's start symbol.
+SYNTAX_REASONS = {
+    "span": f"is no span: a number and one of {', '.join(NANOSECONDS_PER_UNIT)}, as in 300ms",
     "rate": "is no rate: a number and / and a unit, as in 40/s",
     "share": "is no share: as in 0.1, 10% or 1/10",
     "prefixes": "is no list of prefixes: digits with commas, ranges as in 30-34",
@@ -40,4 +41,5 @@
 
 
 def matches_peer(pattern: str, name: str) -> bool:
+    """Whether a peer's name matches a pattern, which may end in * for any rest."""
     return name.startswith(pattern[:-1]) if pattern.endswith("*") else name == pattern
--- a/valverouter/terms/ini.py
+++ b/valverouter/terms/ini.py
@@ -1,7 +1,8 @@
-"""INI in, typed terms out: every flaw is collected with its file, line and reason before anything acts.
+"""INI files read into typed sections; every problem is collected with its file, line, key and reason.
 
-Sections are read into msgspec Structs. A field's annotation tells how its text is meant: `Span` takes 300ms
-or 1.5 s and gives whole nanoseconds, `Words` a list with commas, bool yes or no; bounds are msgspec's Meta.
+Sections are read into msgspec Structs. The annotation of a field says how its text is parsed: `Duration`
+accepts 300ms or 1.5 s and gives integer nanoseconds, `TextList` a list with commas, bool yes or no. Bounds
+are those of msgspec's Meta.
 """
 
 from __future__ import annotations
@@ -10,6 +11,7 @@
 import difflib
 import re
 import typing
+from collections.abc import Mapping
 from decimal import Decimal
 from pathlib import Path
 from typing import Annotated, Any, TypeVar
@@ -17,35 +19,35 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from valverouter.terms.grammar import SHOWN, UNITS
-from valverouter.terms.reader import reader
+from valverouter.terms.grammar import NANOSECONDS_PER_UNIT, SYNTAX_REASONS
+from valverouter.terms.reader import lazy_reader
 
-READERS = {start: reader(start) for start in SHOWN}
-# The last line of a file that says where it ends: what is read without it was cut off.
-END = "# end of terms"
-# A file is read and checked while calls are routed: it must not take long, whatever lies at its path.
-FILE_MOST = 256 * 1024
-# Spans that reckoning with floats keeps exact enough, and that no timer refuses: three years.
-SPAN_MOST = 10**17
+_READERS = {start: lazy_reader(start) for start in SYNTAX_REASONS}
+# The last line of a file that uses an end marker: one that is read without it was truncated.
+END_MARKER = "# end of terms"
+# A file is read and checked while dialogs are routed: it must not take long, whatever the path holds.
+MAX_FILE_SIZE = 256 * 1024
+# Three years: exact enough as a float, and accepted by every timer.
+MAX_DURATION = 10**17
 
-Span = Annotated[int, Meta(ge=0, le=SPAN_MOST, extra={"as": "span"})]
-LongSpan = Annotated[int, Meta(gt=0, le=SPAN_MOST, extra={"as": "span"})]
-Share = Annotated[float, Meta(ge=0, le=1)]
-Words = Annotated[tuple[str, ...], Meta(extra={"as": "words"})]
-Numbers = Annotated[tuple[int, ...], Meta(extra={"as": "words"})]
-Whole = Annotated[int, Meta(ge=0)]
-Positive = Annotated[int, Meta(ge=1, le=10**12)]
-Rate = Annotated[float, Meta(gt=0, le=1e12)]
-PerSecond = Annotated[float, Meta(gt=0, extra={"as": "rate"})]
-Named = Annotated[str, Meta(min_length=1)]
+Duration = Annotated[int, Meta(ge=0, le=MAX_DURATION, extra={"as": "span"})]
+PositiveDuration = Annotated[int, Meta(gt=0, le=MAX_DURATION, extra={"as": "span"})]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+TextList = Annotated[tuple[str, ...], Meta(extra={"as": "words"})]
+IntegerList = Annotated[tuple[int, ...], Meta(extra={"as": "words"})]
+NonNegativeInteger = Annotated[int, Meta(ge=0)]
+PositiveInteger = Annotated[int, Meta(ge=1, le=10**12)]
+PositiveNumber = Annotated[float, Meta(gt=0, le=1e12)]
+RatePerSecond = Annotated[float, Meta(gt=0, extra={"as": "rate"})]
+NonEmptyText = Annotated[str, Meta(min_length=1)]
 
-YES, NO = ("yes", "true", "on", "1"), ("no", "false", "off", "0")
+TRUE_WORDS, FALSE_WORDS = ("yes", "true", "on", "1"), ("no", "false", "off", "0")
 
-Sort = TypeVar("Sort", bound=Struct)
+Section = TypeVar("Section", bound=Struct)
 
 
-class Flaw(Struct, frozen=True):
-    """One thing wrong in a file; line 0 where the whole file is meant."""
+class ConfigProblem(Struct, frozen=True):
+    """One problem of a configuration file; line 0 where it concerns the whole file."""
 
     file: str
     line: int
@@ -54,43 +56,46 @@
     reason: str
 
     def __str__(self) -> str:
+        """The problem in one line, as commands and logs show it."""
         place = f"{self.file}:{self.line}" if self.line else self.file
         name = f"[{self.section}] {self.key}".strip() if self.section else self.key
         return f"{place}: {name}: {self.reason}" if name else f"{place}: {self.reason}"
 
 
-class FlawedTermsError(Exception):
-    """A file that can't be used; `flaws` holds all that was found, not the first alone."""
+class InvalidConfigError(Exception):
+    """A configuration that can't be used, with all of its problems."""
 
-    def __init__(self, flaws: list[Flaw]) -> None:
-        super().__init__("\n".join(map(str, flaws)))
-        self.flaws = flaws
+    def __init__(self, problems: list[ConfigProblem]) -> None:
+        """The error's text has one line for each problem."""
+        super().__init__("\n".join(map(str, problems)))
+        self.problems = problems
 
 
-def span(text: str) -> int:
-    """A span as whole nanoseconds; ValueError says what would be accepted."""
-    return int(READERS["span"](text.strip()))
+def parse_duration(text: str) -> int:
+    """A duration in nanoseconds; raises ValueError that says what is accepted."""
+    return int(_READERS["span"](text.strip()))
 
 
-def show_span(ns: int) -> str:
-    """A span as one would write it; exact for what `span` reads."""
-    unit = next((u for u in ("h", "min", "s", "ms", "us") if ns and ns % UNITS[u] == 0), "ns")
+def format_duration(ns: int) -> str:
+    """A duration as one would write it; `parse_duration` reads it back exactly."""
+    units = ("h", "min", "s", "ms", "us")
+    unit = next((unit for unit in units if ns and ns % NANOSECONDS_PER_UNIT[unit] == 0), "ns")
     if unit == "ns" and ns >= 10**6:
         return f"{(Decimal(ns) / 10**6).normalize():f}ms"
-    return f"{ns // UNITS[unit]}{unit}"
+    return f"{ns // NANOSECONDS_PER_UNIT[unit]}{unit}"
 
 
 class IniFile:
-    """A file's sections with the line of each key, and the flaws found in it so far."""
+    """The sections of a file with the line of each key, and the problems found in it so far."""
 
     def __init__(self, text: str, name: str, folder: Path = Path()) -> None:
+        """Parses `text`; `name` is the file's in messages, relative paths in it start at `folder`."""
         self.name = name
-        # What it names without a leading slash lies here.
         self.folder = folder
-        self.flaws: list[Flaw] = []
+        self.problems: list[ConfigProblem] = []
         self.sections: dict[str, dict[str, str]] = {}
         self.text = text
-        self.ends = text.rstrip().endswith(END)
+        self.has_end_marker = text.rstrip().endswith(END_MARKER)
         self._lines: dict[tuple[str, str], int] = {}
         parser = configparser.ConfigParser(
             interpolation=None, strict=True, default_section="\0", inline_comment_prefixes=("#", ";")
@@ -100,7 +105,7 @@
             parser.read_string(text, name)
         except configparser.Error as error:
             line = getattr(error, "lineno", None) or next((at for at, _ in getattr(error, "errors", [])), 0)
-            self.flaw("", "", _plain(error), line)
+            self.add_problem("", "", _describe(error), line)
             return
         self.sections = {section: dict(parser[section]) for section in parser.sections()}
         section = ""
@@ -113,97 +118,120 @@
 
     @classmethod
     def load(cls, path: Path) -> IniFile:
-        """The file at a path; one that can't be read is a flaw like any other."""
+        """The file at a path; one that can't be read is a problem like any other."""
         try:
             with path.open("rb") as file:
-                data = file.read(FILE_MOST + 1)
-            if len(data) <= FILE_MOST:
+                data = file.read(MAX_FILE_SIZE + 1)
+            if len(data) <= MAX_FILE_SIZE:
                 return cls(data.decode("utf-8-sig"), str(path), path.parent)
-            reason = f"longer than {FILE_MOST} bytes"
+            reason = f"longer than {MAX_FILE_SIZE} bytes"
         except (OSError, UnicodeDecodeError) as error:
             reason = getattr(error, "strerror", None) or "not UTF-8 text"
         empty = cls("", str(path))
-        empty.flaw("", "", reason)
+        empty.add_problem("", "", reason)
         return empty
 
-    def line(self, section: str, key: str = "") -> int:
+    def line_of(self, section: str, key: str = "") -> int:
+        """The line of a key, or of its section where the key is missing; 0 for an unknown section."""
         return self._lines.get((section, key), self._lines.get((section, ""), 0))
 
-    def flaw(self, section: str, key: str, reason: str, line: int | None = None) -> None:
-        self.flaws.append(
-            Flaw(self.name, self.line(section, key) if line is None else line, section, key, reason)
+    def add_problem(self, section: str, key: str, reason: str, line: int | None = None) -> None:
+        """Adds a problem, by default at the line of its key."""
+        self.problems.append(
+            ConfigProblem(
+                self.name, self.line_of(section, key) if line is None else line, section, key, reason
+            )
         )
 
-    def named(self, kind: str) -> list[str]:
+    def names_of(self, kind: str) -> list[str]:
         """The names X of the sections [kind X], in the file's order."""
         return [s[len(kind) + 1 :].strip() for s in self.sections if s.startswith(f"{kind} ")]
 
-    def only(self, single: typing.Iterable[str], named: typing.Iterable[str]) -> None:
-        """Notes sections that nothing reads."""
+    def check_sections(self, single: typing.Iterable[str], named: typing.Iterable[str]) -> None:
+        """Adds a problem for each section that is not in `single`, nor [KIND NAME] of a kind in `named`."""
         known = [*single, *(f"{kind} NAME" for kind in named)]
         for section in self.sections:
             kind, _, name = section.partition(" ")
             if section in single:
                 continue
             if kind not in named:
-                self.flaw(section, "", f"unknown section; known are {', '.join(known)}")
+                self.add_problem(section, "", f"unknown section; known are {', '.join(known)}")
             elif not name or name != name.strip():
-                # Read by its stripped name it would be taken for another section, or for none.
-                self.flaw(section, "", f"a name must follow, as in [{kind} NAME], with one space")
+                # Read by its stripped name it would be mistaken for another section, or for none.
+                self.add_problem(section, "", f"a name must follow, as in [{kind} NAME], with one space")
 
-    def read(self, section: str, sort: type[Sort], required: bool = True) -> Sort | None:
-        """One section as a Struct; None when it is flawed, or absent and `required`."""
+    def read_section(
+        self, section: str, section_type: type[Section], required: bool = True
+    ) -> Section | None:
+        """A section as a Struct; None when it has a problem, or is absent and `required`."""
         if section not in self.sections:
-            if required and not self.flaws:
-                self.flaw(section, "", "the section is missing", 0)
-            return None if required else sort()
-        before, values = len(self.flaws), {}
-        fields = {field.encode_name: field for field in msgspec.structs.fields(sort)}
+            if required and not self.problems:
+                self.add_problem(section, "", "the section is missing", 0)
+            return None if required else section_type()
+        before, values = len(self.problems), {}
+        fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
         for key, text in self.sections[section].items():
             field = fields.get(key)
             if field is None:
                 near = difflib.get_close_matches(key, fields, 1)
                 hint = f"did you mean {near[0]}?" if near else f"known are {', '.join(fields)}"
-                self.flaw(section, key, f"unknown key; {hint}")
+                self.add_problem(section, key, f"unknown key; {hint}")
                 continue
             try:
-                values[field.name] = _value(text, field.type)
+                values[field.name] = _convert(text, field.type)
             except (ValueError, msgspec.ValidationError) as error:
-                self.flaw(section, key, str(error) if repr(text) in str(error) else f"{text!r}: {error}")
+                reason = str(error) if repr(text) in str(error) else f"{text!r}: {error}"
+                self.add_problem(section, key, reason)
         for key, field in fields.items():
             if field.required and key not in self.sections[section]:
-                self.flaw(section, key, "missing, and it has no default", self.line(section))
-        return sort(**values) if len(self.flaws) == before else None
+                self.add_problem(section, key, "missing, and it has no default", self.line_of(section))
+        return section_type(**values) if len(self.problems) == before else None
 
-    def done(self) -> None:
-        """Raises FlawedTermsError when anything was found."""
-        if self.flaws:
-            raise FlawedTermsError(sorted(self.flaws, key=lambda flaw: flaw.line))
+    def read_sections(self, kind: str, section_type: type[Section]) -> dict[str, Section | None]:
+        """The sections [`kind` NAME] by name, in the file's order; None for one that has a problem."""
+        return {name: self.read_section(f"{kind} {name}", section_type) for name in self.names_of(kind)}
 
+    def raise_problems(self) -> None:
+        """Raises InvalidConfigError, sorted by line, where there is any problem."""
+        if self.problems:
+            raise InvalidConfigError(sorted(self.problems, key=lambda flaw: flaw.line))
 
-def is_address(text: str) -> bool:
+
+def present(section: Section | None) -> Section:
+    """A section that is there, because it is optional or the file has no problems."""
+    assert section is not None
+    return section
+
+
+def valid_sections(sections: Mapping[str, Section | None]) -> dict[str, Section]:
+    """The sections without a problem."""
+    return {name: section for name, section in sections.items() if section is not None}
+
+
+def is_host_and_port(text: str) -> bool:
+    """Whether the text is HOST:PORT, with a port number below 65,536."""
     host, colon, port = text.rpartition(":")
-    sound = bool(host and colon) and not re.search(r"\s", host) and port.isascii() and port.isdigit()
-    return sound and int(port) < 65_536
+    has_both = bool(host and colon) and not re.search(r"\s", host) and port.isascii() and port.isdigit()
+    return has_both and int(port) < 65_536
 
 
-def _value(text: str, kind: Any) -> Any:
+def _convert(text: str, kind: Any) -> Any:
     # `X | None` holds its annotation in the first of its arguments: a key left out is None, one given is X.
     given = typing.get_args(kind)[0] if type(None) in typing.get_args(kind) else kind
     meant = next((m.extra["as"] for m in getattr(given, "__metadata__", ()) if m.extra), None)
     value: Any = text
-    if meant in READERS:
-        value = READERS[meant](text.strip())
+    if meant in _READERS:
+        value = _READERS[meant](text.strip())
     elif meant == "words":
         value = tuple(word for word in (part.strip() for part in text.split(",")) if word)
     elif kind is bool:
-        if text.lower() not in YES + NO:
+        if text.lower() not in TRUE_WORDS + FALSE_WORDS:
             raise ValueError(f"{text!r} is neither yes nor no")
-        value = text.lower() in YES
+        value = text.lower() in TRUE_WORDS
     return msgspec.convert(value, kind, strict=False)
 
 
-def _plain(error: configparser.Error) -> str:
+def _describe(error: configparser.Error) -> str:
     match error:
         case configparser.DuplicateOptionError():
             return f"[{error.section}] {error.option} is given twice"
--- a/valverouter/terms/meaning.py
+++ b/valverouter/terms/meaning.py
@@ -1,4 +1,4 @@
-"""What the grammar's texts mean, by lark."""
+"""The parser of the grammar's texts, by lark, and the values that they stand for."""
 
 from __future__ import annotations
 
@@ -9,26 +9,30 @@
 from lark import Lark, Transformer
 from lark.exceptions import UnexpectedInput, VisitError
 
-from valverouter.terms.grammar import GRAMMAR, SHOWN, UNITS
+from valverouter.terms.grammar import GRAMMAR, NANOSECONDS_PER_UNIT, SYNTAX_REASONS
 
-# A range of prefixes stands for each of them; more are a slip of the pen, or better said by shorter ones.
-RANGE_MOST = 1_000
+# A range stands for each of its members; a larger one is a mistake, or better written as a shorter prefix.
+MAX_RANGE_SIZE = 1_000
 
 
-class _Meaning(Transformer[Any, Any]):
+class _Values(Transformer[Any, Any]):
     def span(self, parts: list[Any]) -> int:
         number = Decimal(parts[0])
         if len(parts) == 1:
             if number:
-                raise ValueError(f"{str(parts[0])!r} {SHOWN['span']}")
+                raise ValueError(f"{str(parts[0])!r} {SYNTAX_REASONS['span']}")
             return 0
-        exact = number * _unit(parts[1])
+        exact = number * _nanoseconds_per(parts[1])
         if exact != int(exact):
             raise ValueError(f"{''.join(parts)!r} is not a whole number of nanoseconds")
         return int(exact)
 
     def rate(self, parts: list[Any]) -> float:
-        return float(Decimal(parts[0]) * UNITS["s"] / (_unit(parts[1]) if len(parts) > 1 else UNITS["s"]))
+        return float(
+            Decimal(parts[0])
+            * NANOSECONDS_PER_UNIT["s"]
+            / (_nanoseconds_per(parts[1]) if len(parts) > 1 else NANOSECONDS_PER_UNIT["s"])
+        )
 
     def share(self, parts: list[Any]) -> float:
         if len(parts) == 1:
@@ -43,50 +47,53 @@
         first, last = str(parts[0]), str(parts[-1])
         if len(first) != len(last):
             raise ValueError(f"the range {first}-{last} has ends of unlike lengths")
-        return [str(at).zfill(len(first)) for at in _range(first, last)]
+        return [str(number).zfill(len(first)) for number in _range(first, last)]
 
     def prefixes(self, parts: list[list[str]]) -> tuple[str, ...]:
-        return _once([prefix for part in parts for prefix in part])
+        return _without_duplicates([prefix for part in parts for prefix in part])
 
     def number(self, parts: list[Any]) -> list[int]:
         return list(_range(parts[0], parts[-1]))
 
     def numbers(self, parts: list[list[int]]) -> tuple[int, ...]:
-        return _once([number for part in parts for number in part])
+        return _without_duplicates([number for part in parts for number in part])
 
     def peers(self, parts: list[Any]) -> tuple[str, ...]:
-        return _once([str(part) for part in parts])
+        return _without_duplicates([str(part) for part in parts])
 
 
-def _unit(name: str) -> int:
-    if name not in UNITS:
-        raise ValueError(f"unknown unit {str(name)!r}: {', '.join(UNITS)} are known")
-    return UNITS[name]
+def _nanoseconds_per(name: str) -> int:
+    if name not in NANOSECONDS_PER_UNIT:
+        raise ValueError(f"unknown unit {str(name)!r}: {', '.join(NANOSECONDS_PER_UNIT)} are known")
+    return NANOSECONDS_PER_UNIT[name]
 
 
 def _range(first: str, last: str) -> range:
-    found = range(int(first), int(last) + 1)
-    if not found:
+    numbers = range(int(first), int(last) + 1)
+    if not numbers:
         raise ValueError(f"the range {first}-{last} runs backwards")
-    if len(found) > RANGE_MOST:
-        raise ValueError(f"the range {first}-{last} has {len(found)} entries, at most {RANGE_MOST} are taken")
-    return found
+    if len(numbers) > MAX_RANGE_SIZE:
+        raise ValueError(
+            f"the range {first}-{last} has {len(numbers)} entries, at most {MAX_RANGE_SIZE} are taken"
+        )
+    return numbers
 
 
-def _once(items: list[Any]) -> tuple[Any, ...]:
+def _without_duplicates(items: list[Any]) -> tuple[Any, ...]:
     for item, times in Counter(items).items():
         if times > 1:
             raise ValueError(f"{item!r} is given twice")
     return tuple(items)
 
 
-_parser = Lark(GRAMMAR, start=list(SHOWN), parser="lalr", lexer="contextual")
+_parser = Lark(GRAMMAR, start=list(SYNTAX_REASONS), parser="lalr", lexer="contextual")
 
 
-def meaning(start: str, text: str) -> Any:
+def parse(start: str, text: str) -> Any:
+    """The value of a text by the grammar's start symbol; raises ValueError that says what is accepted."""
     try:
-        return _Meaning().transform(_parser.parse(text, start=start))
+        return _Values().transform(_parser.parse(text, start=start))
     except UnexpectedInput:
-        raise ValueError(f"{text!r} {SHOWN[start]}") from None
+        raise ValueError(f"{text!r} {SYNTAX_REASONS[start]}") from None
     except VisitError as error:
         raise ValueError(str(error.orig_exc)) from None
--- a/valverouter/terms/options.py
+++ b/valverouter/terms/options.py
@@ -1,6 +1,6 @@
-"""What the operators tell one edge proxy of its deployment, on the simulator's wire and on their platform.
+"""The operators' options for one edge proxy, as both the simulator and the operators' platform send them.
 
-Their names and microseconds come in, our words and nanoseconds go out.
+The names of fields are the operators', and their durations are in microseconds (`Us`).
 """
 
 from __future__ import annotations
@@ -10,14 +10,20 @@
 
 from valverouter.interface import Deployment, TrafficType
 
+# Nanoseconds in a microsecond.
 US = 1_000
 
+DISCOVERY_MODES = ("pushed", "on_request")
+IDEMPOTENT = "read_like"
+
 
 class MalformedInputError(ValueError):
-    """A line, message, field or setting that can't be used; its text says which."""
+    """A line, message, field or setting that can't be used; the text says which."""
 
 
 class Category(Struct):
+    """A traffic type."""
+
     name: str
     objectiveUs: int
     deadlineUs: int
@@ -26,6 +32,8 @@
 
 
 class Extra(Struct):
+    """Properties of the servers and calls; the lists have one entry for each category, or none at all."""
+
     classCells: list[list[int]] = []
     callLengthUs: list[int] = []
     circuitsByClass: list[int] = []
@@ -34,6 +42,8 @@
 
 
 class Limits(Struct):
+    """Limits of what the edge proxy may do."""
+
     sendCap: int
     maxRetryAfterUs: int = 0
     retryAfter: bool = False
@@ -43,10 +53,14 @@
 
 
 class LoadFields(Struct):
+    """The fields of the servers' load reports."""
+
     fields: list[str] = []
 
 
 class Rules(Struct):
+    """How servers warm up, and from which load on they are overloaded."""
+
     startCapacity: float = 1.0
     tipMultiple: float = 1.0
     fallUs: int = 0
@@ -54,6 +68,8 @@
 
 
 class Options(Struct):
+    """The options as a whole."""
+
     categories: list[Category]
     nInstances: int
     discovery: str
@@ -65,11 +81,31 @@
 
 
 def deployment(options: Options) -> Deployment:
-    """The settings in our words, or MalformedInputError where they can't hold."""
+    """The routing policy's parameters; raises MalformedInputError for options that can't be used."""
+    _check(options)
+    limits, extra, rules = options.limits, options.extra, options.rules
+    return Deployment(
+        traffic_types=_traffic_types(options),
+        edge_proxies=options.nInstances,
+        fleet_index=options.me,
+        own_server_number=extra.here,
+        endpoint_list_is_pushed=options.discovery == "pushed",
+        max_attempts=limits.sendCap,
+        can_cancel=limits.mayCancel,
+        max_retry_after=limits.maxRetryAfterUs * US if limits.retryAfter else 0,
+        release_delay=extra.releaseGuardUs * US,
+        slow_start_fraction=rules.startCapacity,
+        overload_multiple=rules.tipMultiple,
+        overload_window=rules.fallUs * US,
+        slow_start_duration=rules.warmWithinUs * US,
+    )
+
+
+def _check(options: Options) -> None:
     limits, extra, rules = options.limits, options.extra, options.rules
     if not options.categories:
         raise MalformedInputError("powerOn: options.categories is empty")
-    for name, value, least in (
+    for name, value, minimum in (
         ("nInstances", options.nInstances, 1),
         ("limits.sendCap", limits.sendCap, 1),
         ("limits.maxRetryAfterUs", limits.maxRetryAfterUs, 0),
@@ -79,39 +115,28 @@
         ("me", options.me, 0),
         *((f"categories[{c.name}].objectiveUs", c.objectiveUs, 1) for c in options.categories),
     ):
-        if value < least:
-            raise MalformedInputError(f"powerOn: options.{name} is {value}, must be {least} or more")
+        if value < minimum:
+            raise MalformedInputError(f"powerOn: options.{name} is {value}, must be {minimum} or more")
     if not 0 < rules.startCapacity <= 1:
         raise MalformedInputError("powerOn: options.rules.startCapacity must lie above 0 and not above 1")
     if rules.tipMultiple <= 0:
         raise MalformedInputError("powerOn: options.rules.tipMultiple must lie above 0")
-    if options.discovery not in ("pushed", "on_request"):
+    if options.discovery not in DISCOVERY_MODES:
         raise MalformedInputError(f"powerOn: options.discovery is {options.discovery!r}")
-    cells, lengths = extra.classCells, extra.callLengthUs
-    for name, values in (("classCells", cells), ("callLengthUs", lengths)):
+    for name, values in (("classCells", extra.classCells), ("callLengthUs", extra.callLengthUs)):
         if values and len(values) != len(options.categories):
             raise MalformedInputError(f"powerOn: options.extra.{name} does not match options.categories")
-    return Deployment(
-        traffic_types={
-            c.name: TrafficType(
-                latency_objective=c.objectiveUs * US,
-                priority_weight=c.importance,
-                mean_duration=lengths[at] * US if lengths else 0,
-                idempotent=c.semantics == "read_like",
-                server_numbers=frozenset(cells[at]) if cells else None,
-            )
-            for at, c in enumerate(options.categories)
-        },
-        edge_proxies=options.nInstances,
-        fleet_index=options.me,
-        own_server_number=extra.here,
-        endpoint_list_is_pushed=options.discovery == "pushed",
-        max_attempts=limits.sendCap,
-        can_cancel=limits.mayCancel,
-        max_retry_after=limits.maxRetryAfterUs * US if limits.retryAfter else 0,
-        release_delay=extra.releaseGuardUs * US,
-        slow_start_fraction=rules.startCapacity,
-        overload_multiple=rules.tipMultiple,
-        overload_window=rules.fallUs * US,
-        slow_start_duration=rules.warmWithinUs * US,
-    )
+
+
+def _traffic_types(options: Options) -> dict[str, TrafficType]:
+    cells, durations = options.extra.classCells, options.extra.callLengthUs
+    return {
+        category.name: TrafficType(
+            latency_objective=category.objectiveUs * US,
+            priority_weight=category.importance,
+            mean_duration=durations[index] * US if durations else 0,
+            idempotent=category.semantics == IDEMPOTENT,
+            server_numbers=frozenset(cells[index]) if cells else None,
+        )
+        for index, category in enumerate(options.categories)
+    }
--- a/valverouter/terms/platform.py
+++ b/valverouter/terms/platform.py
@@ -1,6 +1,6 @@
-"""The configuration of the operators' platform: JSON in, the edge's terms out, every flaw named.
+"""Configuration of an edge proxy on the operators' platform: JSON in, an EdgeConfig out.
 
-What the product has and the platform has no room for (a cached list, accounts, a ledger) stays off.
+Features that the platform has no place for (a cached endpoint list, usage accounting, a ledger) stay off.
 """
 
 from __future__ import annotations
@@ -8,44 +8,44 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.terms.edge import EdgeTerms, Links, Log
-from valverouter.terms.ini import is_address
+from valverouter.terms.edge import EdgeConfig, LinkConfig, LogConfig
+from valverouter.terms.ini import is_host_and_port
 from valverouter.terms.options import US, MalformedInputError, Options, deployment
 
 MS, SECOND = 10**6, 10**9
 
-# Taken off a dialog's time, so that an answer given at the last moment still comes in time.
+# Subtracted from a dialog's no-answer time, so that an answer given at the last moment still arrives in time.
 ANSWER_MARGIN = 50 * MS
-# A long poll of the event bus. One that stopped is told by its silence, so a short one is noticed sooner.
-BUS_HOLD = 2 * SECOND
-# How long past the hold an answer may take, and a break may leave us without a connection.
-BUS_LATE = 500 * MS
-BUS_AGAIN = 100 * MS
-# A server that was asked and says nothing; a test passes at once, so this bounds the network alone.
-SILENCE = 2 * SECOND
-# For so long a caller's connection may say nothing that is of use, or leave a message half sent.
-USEFUL_WITHIN = 2 * SECOND
-# A server that can't be reached for so long has cut what stood there.
-CUT_AFTER = 4 * SECOND
-# After SIGTERM connections go on coming for 0.4 s at most, requests on them for 0.2 s more: those are served.
-# One that comes later than 0.7 s must have its answer before SIGKILL, which may come 0.7 s after the longest
-# no-answer time, counted as 3 s where that is longer; so from here on each is declined at once.
-GOES_ON = 650 * MS
-KILLED_AFTER, KILLED_LONGEST = 700 * MS, 3 * SECOND
-# So long before SIGKILL the last dialogs get their answer, and this process ends by itself.
-ENDS_BEFORE = 100 * MS
-
-
-class Restraints(Struct):
-    """`limits` of the configuration."""
+# Of a long poll of the event bus. A bus that stopped is noticed by its silence, sooner with a short poll.
+BUS_POLL_TIMEOUT = 2 * SECOND
+# How much longer than the poll an answer may take, and the delay before a lost connection is retried.
+BUS_ANSWER_MARGIN = 500 * MS
+BUS_RETRY_DELAY = 100 * MS
+# Of a probe of a silent server. A server answers a probe at once, so this bounds the network alone.
+PROBE_TIMEOUT = 2 * SECOND
+# How long a caller's connection may stay without a valid request, or leave one incomplete.
+REQUEST_TIMEOUT = 2 * SECOND
+# A server that has been unreachable for so long has released its dialogs.
+UNREACHABLE_TIMEOUT = 4 * SECOND
+# After SIGTERM new connections come for at most 0.4 s, and requests on them for 0.2 s more: those are served.
+# A request later than 0.7 s must be answered before SIGKILL, which may come 0.7 s after the longest no-answer
+# time, or after 3 s if that is shorter; so from here on each one is rejected at once.
+ACCEPT_PERIOD = 650 * MS
+KILL_DELAY, MAX_KILL_BASE = 700 * MS, 3 * SECOND
+# The last dialogs are answered, and the process exits, so long before SIGKILL.
+EXIT_MARGIN = 100 * MS
+
+
+class ResourceLimits(Struct):
+    """The resources that the platform grants, `limits` in the file."""
 
     cores: float = 1.0
     memory_mb: int = 192
     sockets: int = 1024
 
 
-class Configuration(Struct):
-    """The file as it stands; what is not named here is ignored."""
+class PlatformFile(Struct):
+    """The file; fields that are not named here are ignored."""
 
     name: str
     listen: str
@@ -53,55 +53,59 @@
     bus: str
     settings: Options
     known: msgspec.Raw = msgspec.Raw(b'{"offset":0,"batch":[]}')
-    limits: Restraints = msgspec.field(default_factory=Restraints)
+    limits: ResourceLimits = msgspec.field(default_factory=ResourceLimits)
 
 
-class Platform(Struct, frozen=True):
-    """All that an edge proxy on the platform is told. `known`: the event bus's events of the start."""
+class PlatformConfig(Struct, frozen=True):
+    """The configuration of an edge proxy on the platform.
 
-    terms: EdgeTerms
+    `known`: the events of the event bus up to the start. `widths`: circuits that a dialog of a traffic type
+    occupies; a type without an entry may state any number.
+    """
+
+    config: EdgeConfig
     known: bytes
-    limits: Restraints
-    # Circuits that a dialog of a type takes; a type that is not here may say any.
+    limits: ResourceLimits
     widths: dict[str, int]
 
 
-def platform(data: bytes) -> Platform:
-    """MalformedInputError names the field that is missing or can't be used."""
+def platform_config(data: bytes) -> PlatformConfig:
+    """Parses the file; raises MalformedInputError that names a field that is missing or can't be used."""
     try:
-        told = msgspec.json.decode(data, type=Configuration)
+        file = msgspec.json.decode(data, type=PlatformFile)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise MalformedInputError(str(error)) from None
     try:
-        seed = int(told.seed, 16)
+        seed = int(file.seed, 16)
     except ValueError:
-        raise MalformedInputError(f"seed: {told.seed!r} is no hexadecimal number") from None
-    for name, address in (("listen", told.listen), ("bus", told.bus)):
-        if not is_address(address):
+        raise MalformedInputError(f"seed: {file.seed!r} is no hexadecimal number") from None
+    for name, address in (("listen", file.listen), ("bus", file.bus)):
+        if not is_host_and_port(address):
             raise MalformedInputError(f"{name}: {address!r} is no HOST:PORT")
-    options = told.settings
-    deployed = deployment(options)
-    links = Links(
+    options = file.settings
+    # First, since it checks the options.
+    routing = deployment(options)
+    links = LinkConfig(
         connect_within=max(1, options.limits.connectTimeoutUs) * US,
-        silence=SILENCE,
-        hello_within=USEFUL_WITHIN,
+        silence=PROBE_TIMEOUT,
+        hello_within=REQUEST_TIMEOUT,
         open_dialogs=max(1, options.limits.openCap),
-        callers=max(1, told.limits.sockets // 2),
-        stop_within=min(max(c.deadlineUs for c in options.categories) * US, KILLED_LONGEST)
-        + (KILLED_AFTER - GOES_ON - ENDS_BEFORE),
+        callers=max(1, file.limits.sockets // 2),
+        stop_within=min(max(c.deadlineUs for c in options.categories) * US, MAX_KILL_BASE)
+        + (KILL_DELAY - ACCEPT_PERIOD - EXIT_MARGIN),
     )
-    terms = EdgeTerms(
-        name=told.name,
-        listen=told.listen,
-        list_service=told.bus,
+    config = EdgeConfig(
+        name=file.name,
+        listen=file.listen,
+        list_service=file.bus,
         place=options.me,
         region="",
         seed=seed,
         list_cache="",
         answer_margin=ANSWER_MARGIN,
-        deployment=deployed,
+        deployment=routing,
         links=links,
-        log=Log(),
+        log=LogConfig(),
     )
     widths = dict(zip([c.name for c in options.categories], options.extra.circuitsByClass, strict=False))
-    return Platform(terms, bytes(told.known), told.limits, widths)
+    return PlatformConfig(config, bytes(file.known), file.limits, widths)
--- a/valverouter/terms/reader.py
+++ b/valverouter/terms/reader.py
@@ -1,4 +1,4 @@
-"""Readers of the grammar's texts that load the parser only once there is a text to read."""
+"""Parsers of single values that load the grammar's parser only when there is a text to parse."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from typing import Any
 
 
-def reader(start: str) -> Callable[[str], Any]:
-    """Reads texts of one kind; ValueError says what would be accepted."""
+def lazy_reader(start: str) -> Callable[[str], Any]:
+    """A parser for texts of one kind, by the grammar's start symbol; it raises ValueError."""
 
     def read(text: str) -> Any:
-        # An edge proxy that has its terms from elsewhere can't spare the memory of a parser.
-        from valverouter.terms.meaning import meaning
+        # An edge proxy that is configured without a file can't spare the memory of a parser.
+        from valverouter.terms.meaning import parse
 
-        return meaning(start, text)
+        return parse(start, text)
 
     return read
--- a/valverouter/terms/rollout.py
+++ b/valverouter/terms/rollout.py
@@ -1,117 +1,140 @@
-"""The files of a council's seat and of an instance's keeper, checked and typed; and what a tool needs of
-either."""
+"""Configuration of a raft server, of an instance's supervisor, and of a client of the control plane.
+
+The files' names for them are a council's seat and a keeper. Durations are integer nanoseconds.
+"""
 
 from __future__ import annotations
 
 import shlex
 import shutil
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
-from valverouter.terms.between import key_at, told_address
-from valverouter.terms.edge import Log
-from valverouter.terms.ini import IniFile, LongSpan, Named, Positive, Share, Span, Whole, Words, is_address
+from valverouter.terms.between import check_address, load_key
+from valverouter.terms.edge import LogConfig
+from valverouter.terms.ini import (
+    Duration,
+    Fraction,
+    IniFile,
+    NonEmptyText,
+    NonNegativeInteger,
+    PositiveDuration,
+    PositiveInteger,
+    TextList,
+    is_host_and_port,
+    present,
+    valid_sections,
+)
 
 SECOND = 10**9
-SORTS = ("edge proxies", "servers")
-SEATS = (1, 3, 5)
-Chance = Annotated[float, Meta(gt=0, lt=0.5)]
+INSTANCE_KINDS = ("edge proxies", "servers")
+GROUP_SIZES = (1, 3, 5)
+ErrorProbability = Annotated[float, Meta(gt=0, lt=0.5)]
+
 
+Keys = tuple[bytes, ...]
+# Addresses of the raft group's members by their names.
+Members = dict[str, str]
 
-class _Seat(Struct, frozen=True):
-    name: Named
-    listen: Named
-    key: Named
-    store: Named
-    council: Words
+
+class _RaftServerSection(Struct, frozen=True):
+    name: NonEmptyText
+    listen: NonEmptyText
+    key: NonEmptyText
+    store: NonEmptyText
+    council: TextList
     advertise: str = ""
     also: str = ""
-    silent: LongSpan = 4 * SECOND
-    not_reached: LongSpan = 15 * SECOND
-    unsettled: LongSpan = 30 * SECOND
+    silent: PositiveDuration = 4 * SECOND
+    not_reached: PositiveDuration = 15 * SECOND
+    unsettled: PositiveDuration = 30 * SECOND
 
 
-class LimitTerms(Struct, frozen=True):
-    """[limits SORT]: how many may be out at once, in all and in a region; shares of a region that must
-    stay."""
+class DisruptionLimitConfig(Struct, frozen=True):
+    """[limits KIND]: how many instances may be down at once, and which fraction of a region must stay up."""
 
-    most: Positive
-    in_region: Positive
-    regions: Words = ()
-    least_capacity: Share = 0.0
-    least_processor: Share = 0.0
+    most: PositiveInteger
+    in_region: PositiveInteger
+    regions: TextList = ()
+    least_capacity: Fraction = 0.0
+    least_processor: Fraction = 0.0
 
     @property
     def by_region(self) -> dict[str, int]:
-        return {name: int(count) for name, _, count in (word.partition(" ") for word in self.regions)}
+        """How many may be down at once in the regions that have a number of their own."""
+        return {name: int(count) for name, _, count in (entry.partition(" ") for entry in self.regions)}
 
 
-class EvidenceTerms(Struct, frozen=True):
-    """[evidence]: of a release; see docs/rollout.md."""
+class EvidenceConfig(Struct, frozen=True):
+    """[evidence]: error probabilities and durations of the test that halts a release; see docs/rollout.md."""
 
-    false_halt: Chance = 0.001
-    missed: Chance = 0.05
+    false_halt: ErrorProbability = 0.001
+    missed: ErrorProbability = 0.05
     odds: Annotated[float, Meta(gt=1, le=100)] = 2.0
-    least: Positive = 500
-    watch: LongSpan = 5 * SECOND
-    ends: Positive = 2
+    least: PositiveInteger = 500
+    watch: PositiveDuration = 5 * SECOND
+    ends: PositiveInteger = 2
 
 
-class SeatTerms(Struct, frozen=True):
-    """A seat of the council. `council`: every seat's address by its name. Spans in ns."""
+class RaftServerConfig(Struct, frozen=True):
+    """A raft server; `council` has the group's members."""
 
     name: str
     listen: str
     advertise: str
-    keys: tuple[bytes, ...]
+    keys: Keys
     store: Path
-    council: dict[str, str]
-    limits: dict[str, LimitTerms]
-    evidence: EvidenceTerms
-    log: Log
+    council: Members
+    limits: dict[str, DisruptionLimitConfig]
+    evidence: EvidenceConfig
+    log: LogConfig
     silent: int
     not_reached: int
     unsettled: int
 
 
-class _Keeper(Struct, frozen=True):
-    name: Named
-    listen: Named
-    key: Named
-    store: Named
-    council: Words
-    version: Named
+class _SupervisorSection(Struct, frozen=True):
+    name: NonEmptyText
+    listen: NonEmptyText
+    key: NonEmptyText
+    store: NonEmptyText
+    council: TextList
+    version: NonEmptyText
     asks: str = ""
     list_service: str = ""
-    drain_within: Span = 10 * SECOND
+    drain_within: Duration = 10 * SECOND
     sort: Annotated[str, Meta(pattern="^(edge proxy|server)$")] = "edge proxy"
     region: str = ""
-    capacity: Whole = 0
+    capacity: NonNegativeInteger = 0
     processor: Annotated[float, Meta(ge=0)] = 0.0
     advertise: str = ""
     also: str = ""
-    stop_within: LongSpan = 15 * SECOND
-    hears_within: Span = 3 * SECOND
+    stop_within: PositiveDuration = 15 * SECOND
+    hears_within: Duration = 3 * SECOND
     output: str = ""
 
 
-class _Version(Struct, frozen=True):
-    command: Named
+class _VersionSection(Struct, frozen=True):
+    command: NonEmptyText
+
 
+class SupervisorConfig(Struct, frozen=True):
+    """The supervisor of one instance.
 
-class KeeperTerms(Struct, frozen=True):
-    """A keeper of one instance. `asks`: where its instance is asked for its counts, its [between] address.
-    `list_service` is asked for a server's drain, and `drain_within` is how long it then has to empty.
-    `version`: what it starts where nothing was ordered yet. `commands`: by version. Spans in ns."""
+    `asks`: the address at which an edge proxy is queried for its counts, that of its [between].
+    `list_service` is asked to drain a server, which then has `drain_within` to empty. `version`: what runs as
+    long as no operation demands another. `commands`: how each version is started.
+    """
 
     name: str
     listen: str
     advertise: str
-    keys: tuple[bytes, ...]
+    keys: Keys
     store: Path
-    council: dict[str, str]
+    council: Members
     asks: str
     list_service: str
     drain_within: int
@@ -124,180 +147,204 @@
     stop_within: int
     hears_within: int
     output: str
-    log: Log
-
-
-class ToolTerms(Struct, frozen=True):
-    """What a tool needs to reach the council."""
-
-    keys: tuple[bytes, ...]
-    council: dict[str, str]
-
-
-def seat_terms(ini: IniFile) -> SeatTerms:
-    """A seat's; FlawedTermsError with every flaw."""
-    ini.only(("seat", "evidence", "log"), ("limits",))
-    seat = ini.read("seat", _Seat)
-    evidence = ini.read("evidence", EvidenceTerms, required=False)
-    log = ini.read("log", Log, required=False)
-    limits = {}
-    for sort in ini.named("limits"):
-        if sort not in SORTS:
-            ini.flaw(f"limits {sort}", "", f"known are [limits {SORTS[0]}] and [limits {SORTS[1]}]")
-        told = ini.read(f"limits {sort}", LimitTerms)
-        if told is not None:
-            _check_limits(ini, sort, told)
-            limits[sort] = told
-    if seat and not limits:
-        ini.flaw("", "", "no [limits ...] section: nothing could ever go out")
-    keys: tuple[bytes, ...] = ()
-    council: dict[str, str] = {}
-    if seat:
-        keys, council = _reach(ini, "seat", seat)
-        if council and seat.name not in council:
-            ini.flaw("seat", "council", f"{seat.name} itself is not in it")
-        if council and len(council) not in SEATS:
-            ini.flaw("seat", "council", f"{len(council)} seats; wanted are 3 or 5, or 1 to try it")
-    ini.done()
-    assert seat
-    assert evidence
-    assert log
-    return SeatTerms(
-        name=seat.name,
-        listen=seat.listen,
-        advertise=seat.advertise,
+    log: LogConfig
+
+
+class FleetClientConfig(Struct, frozen=True):
+    """What a client needs to reach the raft group."""
+
+    keys: Keys
+    council: Members
+
+
+def raft_server_config(ini: IniFile) -> RaftServerConfig:
+    """The configuration of a raft server; raises InvalidConfigError with every problem of the file."""
+    ini.check_sections(("seat", "evidence", "log"), ("limits",))
+    server = ini.read_section("seat", _RaftServerSection)
+    evidence = ini.read_section("evidence", EvidenceConfig, required=False)
+    log = ini.read_section("log", LogConfig, required=False)
+    limits = _read_limits(ini)
+    if server and not limits:
+        ini.add_problem("", "", "no [limits ...] section: nothing could ever go out")
+    keys, members = _raft_group(ini, server) if server else ((), {})
+    ini.raise_problems()
+    server = present(server)
+    return RaftServerConfig(
+        name=server.name,
+        listen=server.listen,
+        advertise=server.advertise,
         keys=keys,
-        store=ini.folder / seat.store,
-        council=council,
+        store=ini.folder / server.store,
+        council=members,
         limits=limits,
-        evidence=evidence,
-        log=log,
-        silent=seat.silent,
-        not_reached=seat.not_reached,
-        unsettled=seat.unsettled,
+        evidence=present(evidence),
+        log=present(log),
+        silent=server.silent,
+        not_reached=server.not_reached,
+        unsettled=server.unsettled,
     )
 
 
-def _check_limits(ini: IniFile, sort: str, told: LimitTerms) -> None:
-    section = f"limits {sort}"
-    if told.in_region > told.most:
-        ini.flaw(section, "in_region", f"{told.in_region} in a region are more than the {told.most} in all")
-    for word in told.regions:
-        name, _, count = word.partition(" ")
+def _read_limits(ini: IniFile) -> dict[str, DisruptionLimitConfig]:
+    """The [limits KIND] sections by kind of instance."""
+    limits = {}
+    for kind in ini.names_of("limits"):
+        if kind not in INSTANCE_KINDS:
+            known = " and ".join(f"[limits {name}]" for name in INSTANCE_KINDS)
+            ini.add_problem(f"limits {kind}", "", f"known are {known}")
+        section = ini.read_section(f"limits {kind}", DisruptionLimitConfig)
+        if section is not None:
+            _check_limits(ini, kind, section)
+            limits[kind] = section
+    return limits
+
+
+def _raft_group(ini: IniFile, server: _RaftServerSection) -> tuple[Keys, Members]:
+    """The keys and the members of a raft server's group."""
+    keys, members = _control_plane(ini, "seat", server)
+    if members and server.name not in members:
+        ini.add_problem("seat", "council", f"{server.name} itself is not in it")
+    if members and len(members) not in GROUP_SIZES:
+        reason = f"{len(members)} seats; wanted are 3 or 5, or 1 to try it"
+        ini.add_problem("seat", "council", reason)
+    return keys, members
+
+
+def _check_limits(ini: IniFile, kind: str, limits: DisruptionLimitConfig) -> None:
+    section = f"limits {kind}"
+    if limits.in_region > limits.most:
+        reason = f"{limits.in_region} in a region are more than the {limits.most} in all"
+        ini.add_problem(section, "in_region", reason)
+    for entry in limits.regions:
+        name, _, count = entry.partition(" ")
         if not name or not count.strip().isascii() or not count.strip().isdigit() or int(count) < 1:
-            ini.flaw(section, "regions", f"{word!r} is not a region and how many, as in north 2")
-        elif int(count) > told.most:
-            ini.flaw(section, "regions", f"{count} of {name} are more than the {told.most} in all")
-    if told.least_capacity >= 1 or told.least_processor >= 1:
-        ini.flaw(section, "", "a least of 1 or more could never be met with anybody out")
-
-
-def keeper_terms(ini: IniFile) -> KeeperTerms:
-    """A keeper's; FlawedTermsError with every flaw."""
-    ini.only(("keeper", "log"), ("version",))
-    keeper = ini.read("keeper", _Keeper)
-    log = ini.read("log", Log, required=False)
-    commands = {}
-    for name in ini.named("version"):
-        told = ini.read(f"version {name}", _Version)
-        if told is not None:
-            commands[name] = _command(ini, f"version {name}", told.command)
-    keys: tuple[bytes, ...] = ()
-    council: dict[str, str] = {}
-    if keeper:
-        keys, council = _reach(ini, "keeper", keeper)
-        if keeper.asks:
-            told_address(ini, "keeper", "asks", keeper.asks, told_port=True)
-        elif keeper.sort == "edge proxy":
-            ini.flaw("keeper", "asks", "missing: where the edge proxy is asked, its [between] address")
-        if keeper.sort == "server" and not is_address(keeper.list_service):
-            ini.flaw("keeper", "list_service", f"{keeper.list_service!r} is no HOST:PORT")
-        if keeper.version not in commands:
-            ini.flaw("keeper", "version", f"there is no [version {keeper.version}]")
-    ini.done()
-    assert keeper
-    assert log
-    return KeeperTerms(
-        name=keeper.name,
-        listen=keeper.listen,
-        advertise=keeper.advertise,
+            ini.add_problem(section, "regions", f"{entry!r} is not a region and how many, as in north 2")
+        elif int(count) > limits.most:
+            ini.add_problem(section, "regions", f"{count} of {name} are more than the {limits.most} in all")
+    if limits.least_capacity >= 1 or limits.least_processor >= 1:
+        ini.add_problem(section, "", "a least of 1 or more could never be met with anybody out")
+
+
+def supervisor_config(ini: IniFile) -> SupervisorConfig:
+    """The configuration of a supervisor; raises InvalidConfigError with every problem of the file."""
+    ini.check_sections(("keeper", "log"), ("version",))
+    supervisor = ini.read_section("keeper", _SupervisorSection)
+    log = ini.read_section("log", LogConfig, required=False)
+    commands = _read_commands(ini)
+    keys, members = _supervised(ini, supervisor, commands) if supervisor else ((), {})
+    ini.raise_problems()
+    supervisor = present(supervisor)
+    return SupervisorConfig(
+        name=supervisor.name,
+        listen=supervisor.listen,
+        advertise=supervisor.advertise,
         keys=keys,
-        store=ini.folder / keeper.store,
-        council=council,
-        asks=keeper.asks,
-        list_service=keeper.list_service,
-        drain_within=keeper.drain_within,
-        is_server=keeper.sort == "server",
-        region=keeper.region,
-        capacity=keeper.capacity,
-        processor=keeper.processor,
-        version=keeper.version,
+        store=ini.folder / supervisor.store,
+        council=members,
+        asks=supervisor.asks,
+        list_service=supervisor.list_service,
+        drain_within=supervisor.drain_within,
+        is_server=supervisor.sort == "server",
+        region=supervisor.region,
+        capacity=supervisor.capacity,
+        processor=supervisor.processor,
+        version=supervisor.version,
         commands=commands,
-        stop_within=keeper.stop_within,
-        hears_within=keeper.hears_within,
-        output=keeper.output,
-        log=log,
+        stop_within=supervisor.stop_within,
+        hears_within=supervisor.hears_within,
+        output=supervisor.output,
+        log=present(log),
     )
 
 
+def _read_commands(ini: IniFile) -> dict[str, tuple[str, ...]]:
+    """The commands of the [version NAME] sections by version."""
+    versions = valid_sections(ini.read_sections("version", _VersionSection))
+    return {name: _command(ini, f"version {name}", version.command) for name, version in versions.items()}
+
+
+def _supervised(
+    ini: IniFile, supervisor: _SupervisorSection, commands: Mapping[str, tuple[str, ...]]
+) -> tuple[Keys, Members]:
+    """The keys and members to reach the control plane by; checks what concerns the instance too."""
+    keys, members = _control_plane(ini, "keeper", supervisor)
+    if supervisor.asks:
+        check_address(ini, "keeper", "asks", supervisor.asks, is_reachable=True)
+    elif supervisor.sort == "edge proxy":
+        reason = "missing: where the edge proxy is asked, its [between] address"
+        ini.add_problem("keeper", "asks", reason)
+    if supervisor.sort == "server" and not is_host_and_port(supervisor.list_service):
+        ini.add_problem("keeper", "list_service", f"{supervisor.list_service!r} is no HOST:PORT")
+    if supervisor.version not in commands:
+        ini.add_problem("keeper", "version", f"there is no [version {supervisor.version}]")
+    return keys, members
+
+
 def _command(ini: IniFile, section: str, text: str) -> tuple[str, ...]:
     try:
         words = tuple(shlex.split(text))
     except ValueError as error:
-        ini.flaw(section, "command", f"{text!r}: {error}")
+        ini.add_problem(section, "command", f"{text!r}: {error}")
         return ()
     if not words or shutil.which(words[0], path=None) is None:
-        ini.flaw(section, "command", f"there is no program {words[0] if words else ''!r} to start")
+        ini.add_problem(section, "command", f"there is no program {words[0] if words else ''!r} to start")
     return words
 
 
-def _reach(ini: IniFile, section: str, told: _Seat | _Keeper) -> tuple[tuple[bytes, ...], dict[str, str]]:
-    """The keys and the council of a seat's or a keeper's section; its own addresses are checked too."""
-    told_address(ini, section, "listen", told.listen, told_port=False)
-    if told.advertise:
-        told_address(ini, section, "advertise", told.advertise, told_port=True)
-    files = (("key", told.key), ("also", told.also))
-    keys = [key_at(ini, section, name, path) for name, path in files if path]
-    return tuple(key for key in keys if key), _council(ini, section, told.council)
+def _control_plane(
+    ini: IniFile, name: str, section: _RaftServerSection | _SupervisorSection
+) -> tuple[Keys, Members]:
+    """The keys and the raft group's members in the section `name`; checks its own addresses too."""
+    check_address(ini, name, "listen", section.listen, is_reachable=False)
+    if section.advertise:
+        check_address(ini, name, "advertise", section.advertise, is_reachable=True)
+    files = (("key", section.key), ("also", section.also))
+    keys = [load_key(ini, name, key, path) for key, path in files if path]
+    return tuple(key for key in keys if key), _members(ini, name, section.council)
 
 
-def _council(ini: IniFile, section: str, words: Words) -> dict[str, str]:
-    council: dict[str, str] = {}
-    for word in words:
-        name, _, address = word.partition(" ")
+def _members(ini: IniFile, section: str, entries: TextList) -> Members:
+    """Addresses by the names of members, from entries such as "c0 10.0.0.1:7000"."""
+    members: Members = {}
+    for entry in entries:
+        name, _, address = entry.partition(" ")
         address = address.strip()
         if not name or not address:
-            ini.flaw(section, "council", f"{word!r} is not a seat and its address, as in c0 10.0.0.1:7000")
+            reason = f"{entry!r} is not a seat and its address, as in c0 10.0.0.1:7000"
+            ini.add_problem(section, "council", reason)
             continue
-        if name in council:
-            ini.flaw(section, "council", f"{name} is named twice")
-        told_address(ini, section, "council", address, told_port=True)
-        council[name] = address
-    if not words:
-        ini.flaw(section, "council", "names nobody")
-    return council
+        if name in members:
+            ini.add_problem(section, "council", f"{name} is named twice")
+        check_address(ini, section, "council", address, is_reachable=True)
+        members[name] = address
+    if not entries:
+        ini.add_problem(section, "council", "names nobody")
+    return members
 
 
-def tool_terms(ini: IniFile) -> ToolTerms:
-    """From any seat's or keeper's file."""
+def fleet_client_config(ini: IniFile) -> FleetClientConfig:
+    """From the file of any raft server or supervisor; raises InvalidConfigError."""
     if "seat" in ini.sections:
-        seat = seat_terms(ini)
-        return ToolTerms(seat.keys, seat.council)
+        server = raft_server_config(ini)
+        return FleetClientConfig(server.keys, server.council)
     if "keeper" in ini.sections:
-        keeper = keeper_terms(ini)
-        return ToolTerms(keeper.keys, keeper.council)
-    ini.flaw("", "", "neither a [seat] nor a [keeper]: the council can't be reached by it")
-    ini.done()
+        supervisor = supervisor_config(ini)
+        return FleetClientConfig(supervisor.keys, supervisor.council)
+    ini.add_problem("", "", "neither a [seat] nor a [keeper]: the council can't be reached by it")
+    ini.raise_problems()
     raise AssertionError
 
 
-def load_seat(path: Path) -> SeatTerms:
-    return seat_terms(IniFile.load(path))
+def load_raft_server(path: Path) -> RaftServerConfig:
+    """The configuration in a raft server's file; raises InvalidConfigError."""
+    return raft_server_config(IniFile.load(path))
 
 
-def load_keeper(path: Path) -> KeeperTerms:
-    return keeper_terms(IniFile.load(path))
+def load_supervisor(path: Path) -> SupervisorConfig:
+    """The configuration in a supervisor's file; raises InvalidConfigError."""
+    return supervisor_config(IniFile.load(path))
 
 
-def load_tool(path: Path) -> ToolTerms:
-    return tool_terms(IniFile.load(path))
+def load_fleet_client(path: Path) -> FleetClientConfig:
+    """What a client needs, from the file of a raft server or supervisor; raises InvalidConfigError."""
+    return fleet_client_config(IniFile.load(path))
