--- /dev/null
+++ b/tests/attempt_files.py
@@ -0,0 +1,14 @@
+"""Configuration files with sections of attempts, and the policies in them."""
+
+from __future__ import annotations
+
+from tests.rig import INI, terms
+from valverouter.edge.attempt_policies import AttemptPolicies
+
+
+def ini(*sections: str) -> str:
+    return INI + "\n" + "\n".join(sections)
+
+
+def book(text: str) -> AttemptPolicies:
+    return AttemptPolicies(terms(text))
--- /dev/null
+++ b/tests/test_attempt_policy_effects.py
@@ -0,0 +1,171 @@
+"""Attempt policies as a file states them, on the wire and in the emulated policy."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+import trio
+from trio.testing import MockClock
+
+from tests.attempt_files import book, ini
+from tests.helpers import Rig
+from tests.rig import INI, dial, rigged, terms
+from tests.test_days import valverouter
+from tests.test_worst_case import TERMS
+from valverouter import interface
+from valverouter.attempts.matching import EffectiveSetting
+from valverouter.audit.attempts import attempt_statistics
+from valverouter.audit.rules import audit
+from valverouter.days.virtual import run_virtual
+from valverouter.interface import Outcome, RetryBudgetConfig
+from valverouter.signalling import setup
+from valverouter.terms.day import load_scenario
+
+MS, SECOND = 10**6, 10**9
+
+
+def test_good_files_are_explained_by_line() -> None:
+    text = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 4\nleg_time_out = 700ms")
+    found = book(text).explain("plain", 21)
+    line = text.splitlines().index("leg_time_out = 700ms") + 1
+    assert found["leg_time_out"] == EffectiveSetting(700 * MS, f"rig.ini:{line} [attempts b]")
+    assert found["retry_cap"].source == "the decisions' own"
+    assert book(text).policy_for("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
+    assert book(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
+
+
+async def test_legs_and_time_outs_on_the_wire_are_those_of_the_file(autojump_clock: MockClock) -> None:
+    text = ini("[attempts a]\nprefix = 2\nlegs = 2\nleg_time_out = 700ms\nrelease_wait = 400ms")
+    async with rigged(3, text) as rig:
+        caller = await rig.caller()
+        await caller.send(msgspec.structs.replace(dial("d1"), called_number=21))
+        first = rig.servers["s0"].link
+        await first.next(setup.Setup)
+        await first.next(setup.Cancel)
+        assert first.at(setup.Cancel) - first.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
+        await trio.sleep(2)
+        legs = [(at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)]
+        assert [m.leg for _, m in sorted(legs, key=lambda one: one[0])] == [0, 1]
+        assert legs[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
+        assert len(caller.all(setup.Declined)) == 1, "answered at once after its last leg"
+
+
+async def test_dialogs_under_way_end_on_the_terms_they_began_with(autojump_clock: MockClock) -> None:
+    async with rigged(2, ini("[attempts a]\nleg_time_out = 700ms")) as rig:
+        caller = await rig.caller()
+        await caller.send(dial("old"))
+        await rig.servers["s0"].link.next(setup.Setup)
+        rig.edge.reload(terms(ini("[attempts a]\nleg_time_out = 1400ms")))
+        await trio.sleep(0.05)
+        await caller.send(dial("new", first=1))
+        one, two = rig.servers["s0"].link, rig.servers["s1"].link
+        assert (await one.next(setup.Cancel)).dialog == "old"
+        assert one.at(setup.Cancel) - one.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
+        while (await two.next(setup.Cancel)).dialog != "new":
+            pass
+        sent = next(at for at, m in two.heard if isinstance(m, setup.Setup) and m.dialog == "new")
+        over = next(at for at, m in two.heard if isinstance(m, setup.Cancel) and m.dialog == "new")
+        assert over - sent == pytest.approx(1.4, abs=0.005)
+        rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=terms_with_ties()))
+        await trio.sleep(0.05)
+        assert rig.edge.context.attempt_policies is not None, "a refused file leaves the old one acting"
+
+
+def terms_with_ties() -> Any:
+    return terms(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
+
+
+def test_commands_on_terms(tmp_path: Path) -> None:
+    (tmp_path / "old.ini").write_text(
+        ini("[attempts a]\nlegs = 2").replace("edge:1", "h:1").replace("list:1", "h:2")
+    )
+    text = (tmp_path / "old.ini").read_text()
+    (tmp_path / "new.ini").write_text(
+        text.replace("legs = 2", "legs = 4") + "\n[traffic late]\nobjective = 1s\n"
+    )
+    (tmp_path / "bad.ini").write_text(text.replace("legs = 2", "legs = 2\nrelease_wait = 1ms"))
+    old, new, bad = (str(tmp_path / f"{name}.ini") for name in ("old", "new", "bad"))
+    explained = valverouter("terms", "explain", old, "--class", "plain")
+    assert "legs" in explained.stdout
+    assert "[attempts a]" in explained.stdout
+    shown = valverouter("terms", "courses", old)
+    assert "plain: answered at 8950ms, 6 legs" in shown.stdout
+    assert "leg 2" in shown.stdout
+    diff = valverouter("terms", "diff", old, new)
+    assert diff.returncode == 1
+    assert "plain, 0: legs 2 to 4" in diff.stdout
+    assert "late: new" in diff.stdout
+    assert valverouter("terms", "diff", old, old).returncode == 0
+    refused = valverouter("check", bad)
+    assert refused.returncode == 2
+    assert "a resend 1000000 ns after" in refused.stderr
+
+
+async def test_objective_no_answer_time_and_come_back_are_those_of_the_file(
+    autojump_clock: MockClock,
+) -> None:
+    sections = (
+        "[trunk-group gw]\npeers = gw-*\n[attempts a]\ntrunk_group = gw\nno_answer = 2s\ncome_back = 1s"
+    )
+    async with rigged(1, ini(sections)) as rig:
+        for name in ("gw-1", "other"):
+            caller = await rig.caller(name)
+            await trio.sleep(6)  # news of a failure at its one server must fade first
+            began = trio.current_time()
+            await caller.send(dial(f"to {name}", no_answer=4 * SECOND))
+            answer = await caller.next(setup.Declined | setup.Aborted)
+            took = trio.current_time() - began
+            assert took == pytest.approx({"gw-1": 2.0, "other": 3.95}[name], abs=0.01), answer
+        for _ in range(20):  # the one server is shunned now: declined at once
+            await caller.send(dial(f"again {_}"))
+        await trio.sleep(0.01)
+        assert all(m.come_back <= 0.19 * SECOND for m in caller.all(setup.Declined))
+
+
+def test_budgets_change_by_server_and_keep_what_was_learnt() -> None:
+    rig = Rig(servers=2)
+    far = rig.policy.table.servers["s0"].budget
+    far.on_failure()
+    rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
+    assert (far.tokens, far.config.token_ratio) == (4_500, 200), "the share that was left is left"
+    assert rig.policy.table.servers["s1"].budget.tokens == 10_000
+    far.on_failure()
+    far.on_failure()
+    assert far.tokens == 2_500, "exactly half is not more than half"
+    assert not far.allows_retry, "exactly half is not more than half"
+    far.on_success()
+    assert far.tokens == 2_700
+    assert far.allows_retry
+    rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
+    assert far.tokens == 2_700, "a change that does not concern it changes nothing"
+    rig.listed([interface.Endpoint("s0b", 0, True, started_at=rig.now)])
+    assert rig.policy.table.servers["s0b"].budget.tokens == 5_000, (
+        "a fresh start begins full, on its own terms"
+    )
+
+
+def test_no_leg_goes_out_at_the_no_answer_time_after_no_free_agent() -> None:
+    rig = Rig(servers=2)
+    dialog = rig.dialog(0, no_answer=SECOND)
+    assert rig.said() == "s0"
+    rig.ahead(SECOND)
+    rig.result(dialog, "s0", Outcome.NO_AGENT)
+    assert rig.said() == "aborted"
+
+
+def test_a_day_shows_the_servers_the_legs_time_outs_and_gaps_of_the_file_by_class() -> None:
+    path = Path(__file__).parent.parent / "deploy" / "days" / "attempts.ini"
+    rows = run_virtual(load_scenario(path))
+    assert audit(rows).passed
+    hasty, patient = attempt_statistics(rows)["booking"], attempt_statistics(rows)["reschedule"]
+    assert hasty.max_attempts == 2
+    assert hasty.cancelled_after is not None
+    assert hasty.min_retry_gap is not None
+    assert 600 * MS <= hasty.cancelled_after[0] <= hasty.cancelled_after[1] <= 701 * MS
+    assert 450 * MS <= hasty.min_retry_gap < 1000 * MS
+    assert patient.cancelled_after is not None
+    assert patient.cancelled_after[1] == pytest.approx(2 * SECOND, abs=MS)
--- /dev/null
+++ b/tests/test_cross_region_config.py
@@ -0,0 +1,91 @@
+"""Configuration of cross-region traffic: what a file gives, its problems, and a reload."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+import structlog
+import trio
+from structlog.testing import capture_logs
+from trio.testing import MockClock
+
+from tests.rig import rigged
+from valverouter.interface import CrossRegionBudget
+from valverouter.terms.edge import edge_config
+from valverouter.terms.ini import IniFile, InvalidConfigError
+
+MS, SECOND = 10**6, 10**9
+
+
+GOOD = """[edge]
+name = e0
+listen = 127.0.0.1:1
+list_service = 127.0.0.1:2
+region = a
+[fleet]
+edge_proxies = 3
+[traffic plain]
+objective = 1s
+[region a]
+edges = 2
+[region b]
+edges = 1
+[crossing]
+reserve = 10
+[crossing plain]
+legs = 10
+urgent = yes
+[crossing plain a b]
+legs = 4
+"""
+
+
+def test_terms_are_shared_by_fleet_and_by_region() -> None:
+    crossing = edge_config(IniFile(GOOD, "e.ini")).crossing
+    assert crossing is not None
+    assert crossing.reserve is not None
+    kind = crossing.policies["plain"]
+    assert kind.urgent
+    assert kind.budget == CrossRegionBudget(10, 10 * SECOND, 0, 3, 0)
+    assert kind.pairs == {("a", "b"): CrossRegionBudget(4, 10 * SECOND, 0, 2, 0)}
+
+
+@pytest.mark.parametrize(
+    ("old", "new", "line", "said"),
+    [
+        ("region = a", "region = c", 5, "no [region c]"),
+        ("region = a", "region = a\nregion_place = 2", 6, "less than the 2 edges"),
+        ("[crossing plain a b]", "[crossing plain a c]", 19, "unknown region 'c'"),
+        ("[crossing plain a b]", "[crossing plain a a]", 19, "no crossing"),
+        ("[crossing plain a b]", "[crossing plain a]", 19, "[crossing TYPE FROM TO]"),
+        ("[crossing plain a b]", "[crossing fancy a b]", 19, "no [traffic fancy]"),
+        ("reserve = 10", "reserve = 0", 15, "no reserve for it"),
+        ("legs = 4", "legs = 4\nburst = 5", 21, "must lie from 2 to the 4 legs"),
+        ("legs = 4", "legs = 1", 19, "must lie from 2"),
+        ("legs = 4", "window = 1s", 19, "a pair is named"),
+        ("legs = 4", "legs = 4\nurgent = yes", 21, "not to one of its pairs"),
+        ("legs = 10", "legs = 0", 17, "contradict"),
+        ("reserve = 10", "reserve = 10\nclock_skew = 20s", 20, "skew"),
+    ],
+)
+def test_flaws_of_crossing_terms(old: str, new: str, line: int, said: str) -> None:
+    with pytest.raises(InvalidConfigError) as caught:
+        edge_config(IniFile(GOOD.replace(old, new, 1), "e.ini"))
+    assert any(flaw.line == line and said in str(flaw) for flaw in caught.value.problems), caught.value
+
+
+async def test_reload_changes_crossing_and_refuses_what_can_never_send(autojump_clock: MockClock) -> None:
+    ini = GOOD.replace("127.0.0.1:1", "edge:1", 1).replace("127.0.0.1:2", "list:1")
+    structlog.reset_defaults()
+    with capture_logs() as logged:
+        async with rigged(ini=ini) as rig:
+            more = edge_config(IniFile(ini.replace("legs = 10", "legs = 20"), "e.ini"))
+            rig.edge.reload(more)
+            await trio.sleep(0.1)
+            assert rig.edge.cross_region is not None
+            assert rig.edge.cross_region.config == more.crossing
+            late = msgspec.structs.replace(more, answer_margin=1)
+            rig.edge.reload(late)
+            await trio.sleep(0.1)
+    told = [entry for entry in logged if entry["event"] == "configuration-reloaded"]
+    assert [entry["waits_for_a_start"] for entry in told] == [[], ["answer_margin"]]
--- /dev/null
+++ b/tests/test_cross_region_days.py
@@ -0,0 +1,146 @@
+"""Scenarios with servers in several regions keep the budgets, the rules and each region's own callers."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+import structlog
+
+from tests.test_days import valverouter
+from valverouter.audit.account import account_by_type
+from valverouter.audit.cross_region import count_by_route, cross_region_setups, max_in_window
+from valverouter.audit.rules import audit
+from valverouter.days.planning import plan_of
+from valverouter.days.virtual import MemoryEdge, run_virtual
+from valverouter.days.world import World
+from valverouter.regions.usage import merge_totals
+from valverouter.signalling import tap
+from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
+from valverouter.terms.ini import IniFile
+
+MS, SECOND = 10**6, 10**9
+DAYS = Path(__file__).parent.parent / "deploy" / "days"
+
+
+@pytest.fixture(autouse=True)
+def quiet() -> Iterator[None]:
+    import logging
+
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
+    yield
+    structlog.reset_defaults()
+
+
+def four_regions(**changes: Any) -> ScenarioConfig:
+    return load_scenario(DAYS / "four-regions.ini")
+
+
+def told(edges: list[MemoryEdge]) -> dict[tuple[str, str, str], int]:
+    """The edges' own accounts: legs that left, less those whose connection broke under them."""
+    books = [
+        edge.proxy.cross_region.usage.to_rows(edge.terms.name, 0, 0)
+        for edge in edges
+        if edge.proxy is not None and edge.proxy.cross_region is not None
+    ]
+    return {line: tally.attempts for line, tally in merge_totals(books).items() if tally.attempts}
+
+
+def played(script: ScenarioConfig) -> tuple[list[Any], dict[tuple[str, str, str], int]]:
+    kept: list[MemoryEdge] = []
+
+    def prepare(world: World, edges: list[MemoryEdge]) -> None:
+        kept.extend(edges)
+
+    rows = run_virtual(script, prepare)
+    return rows, told(kept)
+
+
+def test_a_region_that_loses_lines_spills_within_its_budget() -> None:
+    script = four_regions()
+    rows, books = played(script)
+    found = cross_region_setups(rows)
+    assert audit(rows).passed
+    routine = [one.at for one in found if one.traffic_type == "booking"]
+    assert len(routine) > 20
+    assert max_in_window(routine, 2 * SECOND) <= 24
+    assert books == dict(count_by_route(found)), "accounts equal the servers' counts"
+    accounts_ = account_by_type(rows)
+    assert accounts_["urgent-referral"].service_level > 0.95
+    assert plan_of(script, rows, {"sofia": 40**-0.5}).served_fraction <= 1
+
+
+def test_without_regions_in_the_terms_nothing_asks() -> None:
+    text = (DAYS / "four-regions.ini").read_text()
+    text = text[: text.index("[crossing]")]
+    script = scenario_config(IniFile(text, "plain"), "plain")
+    kept: list[MemoryEdge] = []
+    run_virtual(
+        msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, length=SECOND)),
+        lambda world, edges: kept.extend(edges),
+    )
+    assert all(edge.proxy is not None and edge.proxy.cross_region is None for edge in kept)
+
+
+TROUBLES = {
+    "two at once": "[trouble two]\nkind = origin_slow\nstart = 4s\nlength = 5s\nsize = 40\non = plovdiv\n",
+    "a deploy beside it": "[trouble roll]\nkind = deploy\nstart = 3s\nlength = 6s\nextra = 1s\non = s3, s5\n",
+    "a routine burst before": "[trouble rush]\nkind = burst\nstart = 2s\nlength = 3s\nsize = 2.5\n",
+    "starts": "[trouble back]\nkind = balancer_crash\nstart = 5s\nlength = 500ms\npart = 0.7\n",
+}
+
+
+@pytest.mark.parametrize("name", TROUBLES)
+def test_hard_cases_keep_the_budget_and_the_rules(name: str) -> None:
+    text = (DAYS / "four-regions.ini").read_text() + TROUBLES[name]
+    rows = run_virtual(scenario_config(IniFile(text, name), name))
+    assert audit(rows).passed
+    for home in ("sofia", "plovdiv", "varna", "burgas"):
+        legs = [
+            one.at for one in cross_region_setups(rows) if one.traffic_type == "booking" and one.home == home
+        ]
+        assert max_in_window(legs, 2 * SECOND) <= 24
+    assert account_by_type(rows)["urgent-referral"].service_level > 0.8
+
+
+def test_the_same_on_loopback_and_its_report(tmp_path: Path) -> None:
+    text = (DAYS / "four-regions.ini").read_text().replace("length = 12s", "length = 5s\nsettle = 700ms")
+    text = text.replace("start = 3s\nlength = 6s", "start = 500ms\nlength = 4s")
+    (tmp_path / "day.ini").write_text(text)
+    records, logs = tmp_path / "rows.jsonl", tmp_path / "logs"
+    ran = valverouter("day", str(tmp_path / "day.ini"), "--records", str(records), "--logs", str(logs))
+    assert ran.returncode == 0, ran.stdout + ran.stderr
+    found = cross_region_setups(tap.read_rows(records))
+    routine = [one.at for one in found if one.traffic_type == "booking"]
+    assert routine
+    assert max_in_window(routine, 2 * SECOND) <= 24
+    files = [str(path) for path in sorted(logs.glob("*.accounts"))]
+    told = valverouter("regions", "report", "--json", "--edges", "7", *files)
+    books = msgspec.json.decode(told.stdout)
+    assert {tuple(one["line"]): one["legs"] for one in books["lines"] if one["legs"]} == dict(
+        count_by_route(found)
+    )
+    assert books["missing"] == ["1 of 7 edge proxies left no record"]
+    assert "What crossed" in valverouter("regions", "report", *files).stdout
+    assert "can be had" in valverouter("regions", "plan", str(tmp_path / "day.ini"), str(records)).stdout
+
+
+def test_the_receiving_regions_own_callers_keep_their_first_claim_and_nothing_swings() -> None:
+    kept: list[MemoryEdge] = []
+    rows = run_virtual(four_regions(), lambda world, edges: kept.extend(edges))
+    own = [row for row in rows if not isinstance(row, tap.MessageRow) or row.edge not in ("e0", "e1")]
+    others = account_by_type(own)
+    assert sum(one.within_objective for one in others.values()) > 0.97 * sum(
+        one.offered for one in others.values()
+    )
+    rules = [
+        edge.proxy.cross_region
+        for edge in kept
+        if edge.proxy is not None and edge.proxy.cross_region is not None
+    ]
+    assert [rule.gate.openings for rule in rules[2:]] == [0] * 4, "no evidence, no opening"
+    assert all(1 <= rule.gate.openings <= 2 for rule in rules[:2])
+    assert all(len(rule._charged) == rule.circuits_in_use for rule in rules), "only what stands is held"
--- /dev/null
+++ b/tests/test_cross_region_usage.py
@@ -0,0 +1,36 @@
+"""Cross-region usage: bounded memory, and records of many instances merged."""
+
+from __future__ import annotations
+
+from valverouter.regions import usage
+from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey, merge_totals, missing_records
+
+START = 10**18
+
+
+KEY = UsageKey("t", "a", "b")
+
+
+def test_accounts_keep_to_fixed_memory() -> None:
+    books = CrossRegionUsage()
+    for minute in range(500):
+        for number in range(50):
+            books.record(START + minute * usage.MINUTE_NS, KEY, UsageCounters(attempts=1))
+            assert number >= 0
+    assert len(books.minutes) <= usage.RETAINED_MINUTES
+    assert books.totals[KEY].attempts == 25_000
+    assert sum(rows[KEY].attempts for rows in books.minutes.values()) == 50 * usage.RETAINED_MINUTES
+
+
+def test_books_of_many_instances_are_merged_and_gaps_told() -> None:
+    one, two = CrossRegionUsage(), CrossRegionUsage()
+    one.record(START, KEY, UsageCounters(attempts=2, established=1))
+    two.record(START, KEY, UsageCounters(attempts=3))
+    two.record(START, UsageKey("u", "a", "c"), UsageCounters(overdraft=1))
+    books = [one.to_rows("e0", START, START), two.to_rows("e1", START, START)]
+    assert merge_totals(books) == {
+        ("t", "a", "b"): UsageCounters(attempts=5, established=1),
+        ("u", "a", "c"): UsageCounters(overdraft=1),
+    }
+    assert missing_records(books, 2) == []
+    assert missing_records(books, 4) == ["2 of 4 edge proxies left no record"]
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -24,7 +24,7 @@
 from tests.helpers import Rig as Quiet
 from tests.process_rig import Drill, drill
 from tests.rig import INI, SECOND, Peer, dial, rigged, terms
-from tests.test_regions import GOOD as REGIONS
+from tests.test_cross_region_config import GOOD as REGIONS
 from valverouter.days.virtual import EPOCH, ROOM
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import send_farewell
--- /dev/null
+++ b/tests/test_time_sliced_quota.py
@@ -0,0 +1,123 @@
+"""A time-sliced quota permits no more than its budget in any window, and as much of it as possible."""
+
+from __future__ import annotations
+
+import dataclasses
+import random
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from valverouter.audit.cross_region import max_in_window
+from valverouter.interface import CrossRegionBudget
+from valverouter.regions.time_sliced_quota import (
+    TimeSlicedQuota,
+    expected_utilization,
+    infeasibility,
+    max_rate,
+    slot_lifetime,
+    slot_spacing,
+    with_default_burst,
+)
+
+MS, SECOND = 10**6, 10**9
+START = 10**18
+
+
+budgets = st.builds(
+    lambda legs, burst, window, edges: CrossRegionBudget(
+        legs, window * MS, burst and 2 + burst % max(1, legs - 1), edges, 0
+    ),
+    st.integers(2, 40),
+    st.integers(0, 40),
+    st.integers(100, 20_000),
+    st.sampled_from([1, 2, 4, 7, 60, 281]),
+)
+
+
+@given(budgets, st.integers(0, 60), st.builds(random.Random, st.integers(0, 2**32)))
+def test_no_window_is_overdrawn_whoever_sends_when(
+    budget: CrossRegionBudget, skew_ms: int, chance: random.Random
+) -> None:
+    # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
+    # in the middle and forget what they spent.
+    skew = skew_ms * MS
+    if infeasibility(budget, skew):
+        return
+    budget = with_default_burst(budget, skew)
+    off = [chance.randint(-skew, skew) for _ in range(budget.edge_proxies)]
+    sharers = [
+        TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), skew, START + off[at])
+        for at in range(budget.edge_proxies)
+    ]
+    now, sent = START, []
+    for _ in range(300):
+        now += chance.choice(
+            [0, 0, MS, slot_spacing(budget) // 3, slot_lifetime(budget, skew), budget.window]
+        )
+        for at in chance.sample(range(budget.edge_proxies), min(budget.edge_proxies, 12)):
+            if chance.random() < 0.02:
+                off[at] = chance.randint(-skew, skew)
+                sharers[at] = TimeSlicedQuota(
+                    dataclasses.replace(budget, fleet_index=at), skew, now + off[at]
+                )
+            while sharers[at].acquire(now + off[at]) is not None:
+                sent.append(now)
+            assert (
+                sharers[at].used_slots
+                <= slot_lifetime(budget, skew) // (slot_spacing(budget) * budget.edge_proxies) + 1
+            )
+    assert max_in_window(sent, budget.window) <= budget.attempts
+
+
+@pytest.mark.parametrize("edges", [1, 4, 281])
+def test_the_same_budget_is_used_up_at_any_fleet_size_when_all_have_some_to_send(edges: int) -> None:
+    budget = CrossRegionBudget(40, 10 * SECOND, 10, edges, 0)
+    sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edges)]
+    sent = 0
+    for step in range(6_000):
+        now = START + step * 10 * MS
+        sent += sum(one.acquire(now) is not None for one in sharers)
+    assert 0.97 < sent / 60 / max_rate(budget) < 1.03
+
+
+@pytest.mark.parametrize(("edges", "least"), [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
+def test_the_burst_that_is_reckoned_uses_most(edges: int, least: float) -> None:
+    budget = with_default_burst(CrossRegionBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
+    wished = 12 / edges
+
+    def used(one: CrossRegionBudget) -> float:
+        return max_rate(one) * expected_utilization(one, 50 * MS, wished)
+
+    others = [dataclasses.replace(budget, burst=burst) for burst in (2, 5, 30, 60, 90, 119)]
+    assert used(budget) >= max(map(used, others))
+    assert used(budget) >= least * 12
+
+
+def test_what_of_the_slots_is_used_where_little_is_wished() -> None:
+    budget = CrossRegionBudget(40, 10 * SECOND, 10, 200, 0)
+    chance = random.Random(5)
+    sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
+    sent = 0
+    for step in range(12_000):
+        for one in sharers:
+            if chance.random() < 0.05 * 0.01:
+                sent += one.acquire(START + step * 10 * MS) is not None
+    told = expected_utilization(budget, 0, 0.05) * max_rate(budget)
+    assert sent / 120 == pytest.approx(told, rel=0.15)
+
+
+@pytest.mark.parametrize(
+    ("budget", "said"),
+    [
+        (CrossRegionBudget(10, SECOND, 1, 3, 0), "lapse"),
+        (CrossRegionBudget(10, SECOND, 11, 3, 0), "must lie"),
+        (CrossRegionBudget(10, SECOND, 2, 3, 3), "not among"),
+        (CrossRegionBudget(100, SECOND, 2, 3, 0), "skew"),
+    ],
+)
+def test_budgets_that_can_never_send(budget: CrossRegionBudget, said: str) -> None:
+    assert said in infeasibility(budget, 10 * MS)
+    with pytest.raises(ValueError, match=said):
+        TimeSlicedQuota(budget, 10 * MS, START)
