--- a/tests/attempt_files.py
+++ b/tests/attempt_files.py
@@ -10,5 +10,5 @@
     return INI + "\n" + "\n".join(sections)
 
 
-def book(text: str) -> AttemptPolicies:
+def policies_of(text: str) -> AttemptPolicies:
     return AttemptPolicies(terms(text))
--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -32,16 +32,24 @@
 from valverouter.policy.tuning import MAX_ATTEMPTS
 from valverouter.terms.edge import load_when_stable
 from valverouter.terms.grammar import matches_peer
-from valverouter.terms.ini import END_MARKER, InvalidConfigError
+from valverouter.terms.ini import END_MARKER, ConfigProblem, InvalidConfigError
 from valverouter.terms.reader import lazy_reader
 
 SETS = "[server-set near]\nservers = 0, 1\n[server-set far]\nservers = 2-4\n[trunk-group gw]\npeers = gw-*\n"
 
 
-def book(text: str) -> AttemptPolicies:
+def policies_of(text: str) -> AttemptPolicies:
     return AttemptPolicies(terms(f"{INI}\n{text}"))
 
 
+def policies_or_problems(text: str) -> tuple[AttemptPolicies | None, list[ConfigProblem]]:
+    """The policies in a file, or None and its problems."""
+    try:
+        return policies_of(text), []
+    except InvalidConfigError as error:
+        return None, error.problems
+
+
 # One line a file: its sections in short, and what its flaw says. A bare line of keys is one section.
 BAD = [
     ("legs = 7", "<= 6"),
@@ -173,26 +181,26 @@
 
 
 @pytest.mark.parametrize(("text", "said"), BAD)
-def test_a_bad_file_is_refused_whole_with_its_line_and_reason(text: str, said: str) -> None:
+def test_an_invalid_file_is_rejected_as_a_whole_with_line_and_reason(text: str, said: str) -> None:
     with pytest.raises(InvalidConfigError) as caught:
-        book(whole(text))
+        policies_of(whole(text))
     assert any(said in str(flaw) for flaw in caught.value.problems), str(caught.value)
     assert all(flaw.line > len(INI.splitlines()) for flaw in caught.value.problems)
 
 
 @pytest.mark.parametrize(("text", "effective"), GOOD)
-def test_a_good_file_gives_the_stated_terms(text: str, effective: dict[str, float]) -> None:
-    found = book(whole(text)).explain("plain", 21, "gw-7", 1)
+def test_a_valid_file_gives_the_stated_policy(text: str, effective: dict[str, float]) -> None:
+    found = policies_of(whole(text)).explain("plain", 21, "gw-7", 1)
     assert {key: found[key].value for key in effective} == effective
 
 
-def test_there_are_as_many_as_were_asked_for() -> None:
+def test_there_are_enough_invalid_and_valid_files() -> None:
     assert len(BAD) >= 60
     assert len(GOOD) >= 20
 
 
 def test_budgets_are_those_of_each_server_set_and_of_the_rest() -> None:
-    found = book(
+    found = policies_of(
         "[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\nfraction = 0.2\n" + SETS
     )
     assert found.retry_budgets() == {
@@ -201,7 +209,7 @@
         **{number: RetryBudgetConfig(4_000, 100) for number in (2, 3, 4)},
     }
     assert found.default_retry_budget() == RetryBudgetConfig(4_000, 100)
-    assert book("[attempts a]\nlegs = 2").retry_budgets() == {}
+    assert policies_of("[attempts a]\nlegs = 2").retry_budgets() == {}
 
 
 @pytest.mark.parametrize(
@@ -218,7 +226,7 @@
         ("peers", "gw-*, c.1", ("gw-*", "c.1")),
     ],
 )
-def test_what_the_grammar_means(kind: str, text: str, means: object) -> None:
+def test_values_of_the_grammar(kind: str, text: str, means: object) -> None:
     assert lazy_reader(kind)(text) == means
 
 
@@ -229,7 +237,7 @@
     assert not matches_peer("c", "c1")
     assert not matches_peer("gw-*", "g")
     groups = "[trunk-group any]\npeers = *\n[trunk-group one]\npeers = gw-1*\n[attempts a]\nlegs = 2\n"
-    found = book(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
+    found = policies_of(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
     assert found.match_input("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
     assert found.explain("plain", 1, "gw-12")["legs"].value == 5
     assert found.explain("plain", 1, "gw-2")["legs"].value == 2
@@ -250,12 +258,10 @@
 @given(
     st.lists(st.sampled_from([*PIECES, "[attempts a]", "[attempts b]", "[attempts c]", SETS]), max_size=12)
 )
-def test_a_fuzzed_file_gives_flaws_with_lines_or_terms_that_keep_the_rules(parts: list[str]) -> None:
-    try:
-        found = book("\n".join(parts)).policy_for("plain", 21, "gw-1", 1)
-    except InvalidConfigError as error:
-        assert error.problems
-        return
+def test_a_fuzzed_file_has_problems_with_lines_or_keeps_the_constraints(parts: list[str]) -> None:
+    policies, problems = policies_or_problems("\n".join(parts))
+    assert (policies is None) == bool(problems)
+    found = policies.policy_for("plain", 21, "gw-1", 1) if policies is not None else None
     if found is not None:
         assert found.max_attempts <= 6
         assert found.release_delay >= 300 * MS
@@ -268,11 +274,9 @@
 
 
 @given(st.text(max_size=60))
-def test_any_text_gives_flaws_and_no_traceback(text: str) -> None:
-    try:
-        book(text)
-    except InvalidConfigError as error:
-        assert error.problems
+def test_any_text_is_parsed_or_rejected_with_problems(text: str) -> None:
+    policies, problems = policies_or_problems(text)
+    assert (policies is None) == bool(problems)
 
 
 def random_files(chance: random.Random, many: int) -> list[AttemptPolicies]:
@@ -283,7 +287,7 @@
             for name in "abc"[: chance.randint(1, 3)]
         ]
         try:
-            taken.append(book("\n".join([*sections, SETS])))
+            taken.append(policies_of("\n".join([*sections, SETS])))
         except InvalidConfigError:
             continue
     return taken
@@ -293,7 +297,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_ten_thousand_courses_of_the_driver_under_random_files_break_no_rule(seed: int) -> None:
+def test_ten_thousand_random_dialogs_under_random_files_break_no_rule(seed: int) -> None:
     chance = random.Random(seed)
     for at, found in enumerate(random_files(chance, 25)):
         rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # the same file in small fleets and large
@@ -404,7 +408,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_the_commands_say_what_a_file_means(tmp_path: Path) -> None:
+def test_terms_commands_on_files_with_server_sets(tmp_path: Path) -> None:
     text = INI.replace("edge:1", "h:1").replace("list:1", "h:2")
     good, bad, other = (tmp_path / f"{name}.ini" for name in ("good", "bad", "other"))
     good.write_text(
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -11,7 +11,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.attempt_files import book, ini
+from tests.attempt_files import ini, policies_of
 from tests.helpers import Rig
 from tests.rig import INI, dial, rigged, terms
 from tests.test_days import valverouter
@@ -28,17 +28,17 @@
 MS, SECOND = 10**6, 10**9
 
 
-def test_good_files_are_explained_by_line() -> None:
+def test_effective_settings_are_explained_by_file_and_line() -> None:
     text = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 4\nleg_time_out = 700ms")
-    found = book(text).explain("plain", 21)
+    found = policies_of(text).explain("plain", 21)
     line = text.splitlines().index("leg_time_out = 700ms") + 1
     assert found["leg_time_out"] == EffectiveSetting(700 * MS, f"rig.ini:{line} [attempts b]")
     assert found["retry_cap"].source == "the decisions' own"
-    assert book(text).policy_for("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
-    assert book(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
+    assert policies_of(text).policy_for("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
+    assert policies_of(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
 
 
-async def test_legs_and_time_outs_on_the_wire_are_those_of_the_file(autojump_clock: MockClock) -> None:
+async def test_attempts_and_timeouts_on_the_wire_are_those_of_the_file(autojump_clock: MockClock) -> None:
     text = ini("[attempts a]\nprefix = 2\nlegs = 2\nleg_time_out = 700ms\nrelease_wait = 400ms")
     async with rigged(3, text) as rig:
         caller = await rig.caller()
@@ -54,7 +54,7 @@
         assert len(caller.all(setup.Declined)) == 1, "answered at once after its last leg"
 
 
-async def test_dialogs_under_way_end_on_the_terms_they_began_with(autojump_clock: MockClock) -> None:
+async def test_open_dialogs_keep_the_attempt_policy_they_started_with(autojump_clock: MockClock) -> None:
     async with rigged(2, ini("[attempts a]\nleg_time_out = 700ms")) as rig:
         caller = await rig.caller()
         await caller.send(dial("old"))
@@ -79,7 +79,7 @@
     return terms(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
 
 
-def test_commands_on_terms(tmp_path: Path) -> None:
+def test_terms_commands_explain_compare_and_check_files(tmp_path: Path) -> None:
     (tmp_path / "old.ini").write_text(
         ini("[attempts a]\nlegs = 2").replace("edge:1", "h:1").replace("list:1", "h:2")
     )
@@ -105,7 +105,7 @@
     assert "a resend 1000000 ns after" in refused.stderr
 
 
-async def test_objective_no_answer_time_and_come_back_are_those_of_the_file(
+async def test_objective_no_answer_time_and_retry_after_are_those_of_the_file(
     autojump_clock: MockClock,
 ) -> None:
     sections = (
@@ -126,7 +126,7 @@
         assert all(m.come_back <= 0.19 * SECOND for m in caller.all(setup.Declined))
 
 
-def test_budgets_change_by_server_and_keep_what_was_learnt() -> None:
+def test_retry_budgets_change_by_server_and_keep_their_fill_level() -> None:
     rig = Rig(servers=2)
     far = rig.policy.table.servers["s0"].budget
     far.on_failure()
@@ -148,7 +148,7 @@
     )
 
 
-def test_no_leg_goes_out_at_the_no_answer_time_after_no_free_agent() -> None:
+def test_no_attempt_starts_at_the_no_answer_time_after_no_free_agent() -> None:
     rig = Rig(servers=2)
     dialog = rig.dialog(0, no_answer=SECOND)
     assert rig.said() == "s0"
@@ -157,7 +157,7 @@
     assert rig.said() == "aborted"
 
 
-def test_a_day_shows_the_servers_the_legs_time_outs_and_gaps_of_the_file_by_class() -> None:
+def test_a_scenario_shows_attempts_timeouts_and_gaps_of_the_file_by_type() -> None:
     path = Path(__file__).parent.parent / "deploy" / "days" / "attempts.ini"
     rows = run_virtual(load_scenario(path))
     assert audit(rows).passed
--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -63,7 +63,7 @@
 FINAL = setup.Stands | setup.Declined | setup.Aborted
 
 
-async def test_reloads_in_a_surge_lose_no_dialog_and_release_no_retry(autojump_clock: MockClock) -> None:
+async def test_reloads_in_a_surge_lose_no_dialog_and_start_no_retry_early(autojump_clock: MockClock) -> None:
     # Twice within a second while retries wait: those who began before keep their legs and their moments.
     before, answers, _ = await surge({})
     after, answers_after, generation = await surge(
@@ -82,7 +82,7 @@
     assert max(sum(at <= other < at + 0.05 for other in waits_after) for at in waits_after) <= most
 
 
-async def test_a_section_taken_out_and_a_number_that_moves_change_nothing_for_those_under_way(
+async def test_removed_sections_and_moved_prefixes_do_not_affect_open_dialogs(
     autojump_clock: MockClock,
 ) -> None:
     old = "[attempts a]\ntype = plain\nprefix = 21\nleg_time_out = 700ms\n[attempts b]\nleg_time_out = 2s"
@@ -103,7 +103,7 @@
         assert spans == {"moves": 0.7, "gone": 2.0, "after": 1.4}
 
 
-async def test_half_a_file_is_refused_where_the_whole_said_its_end(autojump_clock: MockClock) -> None:
+async def test_a_truncated_file_is_rejected_after_one_with_an_end_marker(autojump_clock: MockClock) -> None:
     whole = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 1", END_MARKER)
     with capture_logs() as logged:
         async with rigged(1, whole) as rig:
--- a/tests/test_change_guard.py
+++ b/tests/test_change_guard.py
@@ -39,7 +39,7 @@
         ((0, 0.0), (100, 0.05), []),
     ],
 )
-def test_a_rise_beyond_chance_and_what_went_before_is_told_once(
+def test_a_significant_rise_over_the_baseline_is_reported_once(
     before: tuple[int, float], after: tuple[int, float], told: list[str]
 ) -> None:
     guard = ChangeGuard()
@@ -48,7 +48,7 @@
     assert [harm.metric for harm in fed(guard, 20 * SECOND, *after)] == told
 
 
-def test_retries_count_too_and_types_apart() -> None:
+def test_retries_are_compared_too_and_traffic_types_separately() -> None:
     guard = ChangeGuard()
     fed(guard, SECOND, 100, 0.0)
     fed(guard, SECOND, 100, 0.0, kind="other")
@@ -57,7 +57,7 @@
     assert fed(guard, 20 * SECOND, 40, 0.0, kind="other") == []
 
 
-async def test_terms_that_harm_are_told_and_left_once(autojump_clock: MockClock) -> None:
+async def test_a_harmful_configuration_is_reported_and_rolled_back_once(autojump_clock: MockClock) -> None:
     # One leg of a millisecond passes every check, and no server answers so fast.
     harmful = ini("[attempts a]\nlegs = 1\nleg_time_out = 1ms")
     with capture_logs() as logged:
--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -40,7 +40,7 @@
 """
 
 
-def test_terms_are_shared_by_fleet_and_by_region() -> None:
+def test_budgets_are_shared_by_the_fleet_or_by_a_region() -> None:
     crossing = edge_config(IniFile(GOOD, "e.ini")).crossing
     assert crossing is not None
     assert crossing.reserve is not None
@@ -68,13 +68,15 @@
         ("reserve = 10", "reserve = 10\nclock_skew = 20s", 20, "skew"),
     ],
 )
-def test_flaws_of_crossing_terms(old: str, new: str, line: int, said: str) -> None:
+def test_problems_are_reported_with_line_and_reason(old: str, new: str, line: int, said: str) -> None:
     with pytest.raises(InvalidConfigError) as caught:
         edge_config(IniFile(GOOD.replace(old, new, 1), "e.ini"))
     assert any(flaw.line == line and said in str(flaw) for flaw in caught.value.problems), caught.value
 
 
-async def test_reload_changes_crossing_and_refuses_what_can_never_send(autojump_clock: MockClock) -> None:
+async def test_a_reload_changes_cross_region_budgets_and_reports_what_needs_a_restart(
+    autojump_clock: MockClock,
+) -> None:
     ini = GOOD.replace("127.0.0.1:1", "edge:1", 1).replace("127.0.0.1:2", "list:1")
     structlog.reset_defaults()
     with capture_logs() as logged:
--- a/tests/test_cross_region_days.py
+++ b/tests/test_cross_region_days.py
@@ -59,7 +59,7 @@
     return rows, told(kept)
 
 
-def test_a_region_that_loses_lines_spills_within_its_budget() -> None:
+def test_a_region_that_loses_lines_spills_over_within_its_budget() -> None:
     script = four_regions()
     rows, books = played(script)
     found = cross_region_setups(rows)
@@ -73,7 +73,7 @@
     assert plan_of(script, rows, {"sofia": 40**-0.5}).served_fraction <= 1
 
 
-def test_without_regions_in_the_terms_nothing_asks() -> None:
+def test_without_regions_configured_there_is_no_limiter() -> None:
     text = (DAYS / "four-regions.ini").read_text()
     text = text[: text.index("[crossing]")]
     script = scenario_config(IniFile(text, "plain"), "plain")
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("name", TROUBLES)
-def test_hard_cases_keep_the_budget_and_the_rules(name: str) -> None:
+def test_faults_that_coincide_keep_the_budget_and_the_rules(name: str) -> None:
     text = (DAYS / "four-regions.ini").read_text() + TROUBLES[name]
     rows = run_virtual(scenario_config(IniFile(text, name), name))
     assert audit(rows).passed
@@ -106,7 +106,7 @@
     assert account_by_type(rows)["urgent-referral"].service_level > 0.8
 
 
-def test_the_same_on_loopback_and_its_report(tmp_path: Path) -> None:
+def test_spillover_on_loopback_agrees_with_the_report(tmp_path: Path) -> None:
     text = (DAYS / "four-regions.ini").read_text().replace("length = 12s", "length = 5s\nsettle = 700ms")
     text = text.replace("start = 3s\nlength = 6s", "start = 500ms\nlength = 4s")
     (tmp_path / "day.ini").write_text(text)
@@ -128,7 +128,7 @@
     assert "can be had" in valverouter("regions", "plan", str(tmp_path / "day.ini"), str(records)).stdout
 
 
-def test_the_receiving_regions_own_callers_keep_their_first_claim_and_nothing_swings() -> None:
+def test_callers_of_the_remote_region_keep_their_service_and_no_gate_flaps() -> None:
     kept: list[MemoryEdge] = []
     rows = run_virtual(four_regions(), lambda world, edges: kept.extend(edges))
     own = [row for row in rows if not isinstance(row, tap.MessageRow) or row.edge not in ("e0", "e1")]
--- a/tests/test_cross_region_limiter.py
+++ b/tests/test_cross_region_limiter.py
@@ -65,19 +65,21 @@
         ("none", {}, False),
     ],
 )
-def test_who_may_cross(kind: str, more: dict[str, Any], may: bool) -> None:
+def test_admission_by_traffic_type_queue_delay_and_free_lines(
+    kind: str, more: dict[str, Any], may: bool
+) -> None:
     rule = lacking(crossing(routine=ROUTINE, urgent=URGENT))
     assert asks(rule, kind, **more) == may
 
 
-def test_routine_dialogs_wait_for_evidence_and_urgent_ones_do_not() -> None:
+def test_only_routine_dialogs_need_an_open_gate() -> None:
     rule = crossing(routine=ROUTINE, urgent=URGENT)
     assert not asks(rule, "routine")
     assert asks(rule, "urgent")
     assert asks(lacking(rule), "routine")
 
 
-def test_routine_pays_its_own_and_never_the_reserve() -> None:
+def test_routine_attempts_never_use_the_reserve() -> None:
     rule, sent = lacking(crossing(routine=ROUTINE)), 0
     while asks(rule, "routine"):
         rule.on_attempt_started(OPEN, "routine", "varna", (f"d{sent}", 0))
@@ -86,7 +88,7 @@
     assert rule.usage.totals[UsageKey("routine", "sofia", "varna")] == UsageCounters(attempts=sent)
 
 
-def test_urgent_pays_its_own_then_the_reserve_then_overdraws() -> None:
+def test_urgent_attempts_use_their_budget_then_the_reserve_then_an_overdraft() -> None:
     rule = crossing(urgent=URGENT)
     for at in range(8):
         assert asks(rule, "urgent")
@@ -108,7 +110,7 @@
         (Outcome.CANCELLED, False, 1),
     ],
 )
-def test_a_failed_leg_gives_back_only_what_it_did_not_use(outcome: Outcome, back: bool, legs: int) -> None:
+def test_only_unsent_attempts_are_refunded_and_only_once(outcome: Outcome, back: bool, legs: int) -> None:
     rule = lacking(crossing(routine=CrossRegionPolicy(CrossRegionBudget(2, 10 * SECOND, 2, 1, 0))))
     while asks(rule, "routine"):
         rule.on_attempt_started(OPEN, "routine", "varna", ("d", 0))
@@ -122,7 +124,7 @@
     assert before >= legs
 
 
-def test_a_dialog_that_stands_is_accounted_until_its_end() -> None:
+def test_circuit_time_of_an_established_dialog_counts_until_its_end() -> None:
     rule = crossing(urgent=URGENT)
     rule.on_attempt_started(OPEN, "urgent", "varna", ("d", 0))
     rule.on_attempt_result(OPEN + SECOND, AttemptResult("d", 0, "s", Outcome.ESTABLISHED))
@@ -134,14 +136,14 @@
     )
 
 
-def test_a_leg_at_home_costs_nothing() -> None:
+def test_home_region_attempts_are_not_charged() -> None:
     rule = crossing(routine=ROUTINE)
     rule.on_attempt_started(OPEN, "routine", "sofia", ("d", 0))
     assert not rule.usage.totals
     assert not rule._charged
 
 
-def test_the_narrowest_budget_is_the_one_that_pays() -> None:
+def test_the_most_specific_quota_is_charged() -> None:
     tight, wide = CrossRegionBudget(2, 10 * SECOND, 2, 1, 0), CrossRegionBudget(20, 10 * SECOND, 20, 1, 0)
     kind = CrossRegionPolicy(
         wide, {("sofia", "varna"): tight, ("sofia", "*"): wide, ("burgas", "varna"): wide}
@@ -152,7 +154,7 @@
     assert ("routine", "burgas") not in rule._quotas
 
 
-def test_a_change_of_terms_spends_nothing_twice_and_keeps_books_and_legs() -> None:
+def test_reconfiguration_keeps_usage_and_attempts_and_delays_new_quotas() -> None:
     rule = lacking(crossing(urgent=URGENT))
     rule.on_attempt_started(OPEN, "urgent", "varna", ("d", 0))
     new = CrossRegionConfig("sofia", {"urgent": URGENT, "routine": ROUTINE}, None, 0, 0.1)
@@ -186,7 +188,7 @@
     return rig
 
 
-def test_first_choice_then_home_then_across() -> None:
+def test_selection_prefers_first_choice_then_home_region_then_remote() -> None:
     rig = seamed(plain=CrossRegionPolicy())
     rig.dialog(0)
     assert rig.said() == "h0"
@@ -199,7 +201,7 @@
     assert set(rig.said().split()) == {"a2", "u3"}, "a server whose region is not told counts as away"
 
 
-def test_a_first_choice_across_goes_home_where_the_budget_says_so() -> None:
+def test_a_remote_first_choice_is_replaced_where_the_limiter_forbids_it() -> None:
     rig = seamed(worthy=CrossRegionPolicy(urgent=True))
     rig.dialog(2, kind="plain")
     assert rig.said() in ("h0", "h1")
@@ -207,7 +209,7 @@
     assert rig.said() == "a2"
 
 
-def test_refused_for_the_budget_is_declined_at_once_with_a_come_back_time() -> None:
+def test_a_dialog_without_quota_is_rejected_at_once_with_a_retry_after() -> None:
     rig = seamed()
     for server in ("h0", "h1"):
         rig.driver.update_load(server, LoadReport(free_lines=0))
@@ -217,7 +219,7 @@
     assert rig.policy.cross_region.usage.totals[UsageKey("plain", "home", "?")].rejected == 1  # type: ignore[union-attr]
 
 
-def test_a_retry_that_crosses_pays_as_the_first_leg_did() -> None:
+def test_a_cross_region_retry_is_charged_like_a_first_attempt() -> None:
     rig = seamed(plain=CrossRegionPolicy(urgent=True))
     for server in ("h0", "h1"):
         rig.driver.update_load(server, LoadReport(free_lines=0))
--- a/tests/test_cross_region_usage.py
+++ b/tests/test_cross_region_usage.py
@@ -11,7 +11,7 @@
 KEY = UsageKey("t", "a", "b")
 
 
-def test_accounts_keep_to_fixed_memory() -> None:
+def test_usage_needs_bounded_memory() -> None:
     books = CrossRegionUsage()
     for minute in range(500):
         for number in range(50):
@@ -22,7 +22,7 @@
     assert sum(rows[KEY].attempts for rows in books.minutes.values()) == 50 * usage.RETAINED_MINUTES
 
 
-def test_books_of_many_instances_are_merged_and_gaps_told() -> None:
+def test_records_of_many_instances_are_merged_and_missing_ones_reported() -> None:
     one, two = CrossRegionUsage(), CrossRegionUsage()
     one.record(START, KEY, UsageCounters(attempts=2, established=1))
     two.record(START, KEY, UsageCounters(attempts=3))
--- a/tests/test_rule_matching.py
+++ b/tests/test_rule_matching.py
@@ -50,7 +50,7 @@
     assert find_ambiguous_rules(RULES) == []
 
 
-def test_keys_are_resolved_each_for_itself() -> None:
+def test_each_key_is_resolved_by_itself() -> None:
     rules = [
         PolicyRule(MatchCondition(), {"legs": 3, "objective": 9}, "all"),
         PolicyRule(MatchCondition(prefix="2"), {"legs": 2}, "two"),
@@ -59,7 +59,7 @@
     assert found == {"legs": EffectiveSetting(2, "two"), "objective": EffectiveSetting(9, "all")}
 
 
-def test_ties_are_found_with_where_they_hold() -> None:
+def test_ambiguous_rules_are_found_with_their_overlap() -> None:
     crossing = [rule("urgent", traffic_type="urgent"), rule("sofia", prefix="2")]
     (tie,) = find_ambiguous_rules(crossing)
     assert (tie.first, tie.second, tie.overlap) == ("urgent", "sofia", MatchCondition("urgent", "2"))
@@ -80,7 +80,7 @@
 
 
 @given(st.lists(whens, max_size=6))
-def test_rules_without_ties_always_resolve(made: list[MatchCondition]) -> None:
+def test_unambiguous_rules_resolve_for_every_dialog(made: list[MatchCondition]) -> None:
     rules = [PolicyRule(when, {"legs": at}, str(at)) for at, when in enumerate(made)]
     every = [
         DialogAttributes(kind, number, region)
--- a/tests/test_spillover_gate.py
+++ b/tests/test_spillover_gate.py
@@ -9,7 +9,7 @@
 START = 10**18
 
 
-def test_opens_by_a_share_and_closes_when_quiet() -> None:
+def test_the_gate_opens_by_fraction_and_closes_after_the_healthy_period() -> None:
     gate, now = SpilloverGate(), START
     for at in range(40):
         gate.on_selection(now + at * 100 * MS, at % 20 != 19)
@@ -22,14 +22,14 @@
     assert not gate.allows(now + 2 * SECOND + spillover_gate.MIN_HEALTHY_PERIOD)
 
 
-def test_an_edge_with_few_dialogs_opens_at_its_first_lack() -> None:
+def test_the_gate_opens_at_the_first_failure_when_dialogs_are_few() -> None:
     gate = SpilloverGate()
     gate.on_selection(START, True)
     gate.on_selection(START + 5 * SECOND, False)
     assert gate.allows(START + 5 * SECOND)
 
 
-def test_a_trouble_that_comes_and_goes_does_not_swing_it() -> None:
+def test_a_flapping_fault_does_not_make_the_gate_flap() -> None:
     # Lacks for half a second every three seconds, for two minutes.
     gate = SpilloverGate()
     for at in range(1_200):
--- a/tests/test_time_sliced_quota.py
+++ b/tests/test_time_sliced_quota.py
@@ -37,7 +37,7 @@
 
 
 @given(budgets, st.integers(0, 60), st.builds(random.Random, st.integers(0, 2**32)))
-def test_no_window_is_overdrawn_whoever_sends_when(
+def test_no_window_exceeds_the_budget_for_any_senders(
     budget: CrossRegionBudget, skew_ms: int, chance: random.Random
 ) -> None:
     # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("edges", [1, 4, 281])
-def test_the_same_budget_is_used_up_at_any_fleet_size_when_all_have_some_to_send(edges: int) -> None:
+def test_a_saturated_fleet_of_any_size_uses_the_whole_budget(edges: int) -> None:
     budget = CrossRegionBudget(40, 10 * SECOND, 10, edges, 0)
     sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edges)]
     sent = 0
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(("edges", "least"), [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
-def test_the_burst_that_is_reckoned_uses_most(edges: int, least: float) -> None:
+def test_the_default_burst_maximizes_utilization(edges: int, least: float) -> None:
     budget = with_default_burst(CrossRegionBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
     wished = 12 / edges
 
@@ -95,7 +95,7 @@
     assert used(budget) >= least * 12
 
 
-def test_what_of_the_slots_is_used_where_little_is_wished() -> None:
+def test_expected_utilization_matches_a_simulation_of_low_demand() -> None:
     budget = CrossRegionBudget(40, 10 * SECOND, 10, 200, 0)
     chance = random.Random(5)
     sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
@@ -117,7 +117,7 @@
         (CrossRegionBudget(100, SECOND, 2, 3, 0), "skew"),
     ],
 )
-def test_budgets_that_can_never_send(budget: CrossRegionBudget, said: str) -> None:
+def test_an_infeasible_budget_is_rejected_with_a_reason(budget: CrossRegionBudget, said: str) -> None:
     assert said in infeasibility(budget, 10 * MS)
     with pytest.raises(ValueError, match=said):
         TimeSlicedQuota(budget, 10 * MS, START)
--- a/tests/test_worst_case.py
+++ b/tests/test_worst_case.py
@@ -23,7 +23,7 @@
 TERMS = AttemptPolicy(3, 1500 * MS, 9 * SECOND, 300 * MS, 200 * MS, 2 * SECOND)
 
 
-def test_the_longest_course_ends_at_the_no_answer_time_and_shows_its_steps() -> None:
+def test_the_longest_timeline_ends_at_the_no_answer_timeout_in_contiguous_steps() -> None:
     course = longest_timeline(TERMS)
     assert course.answered_at == 9 * SECOND
     assert course.steps[0].start == 0
@@ -45,7 +45,7 @@
     ),
     st.builds(random.Random, st.integers(0, 2**32)),
 )
-def test_no_random_course_passes_the_reckoned_one(terms: AttemptPolicy, chance: random.Random) -> None:
+def test_no_random_timeline_exceeds_the_worst_case(terms: AttemptPolicy, chance: random.Random) -> None:
     at, leg, most = 0, 1, longest_timeline(terms)
     while True:
         until = (
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_the_reckoned_waits_are_those_of_the_decisions(seed: int) -> None:
+def test_backoff_delays_are_those_of_the_routing_policy(seed: int) -> None:
     chance = random.Random(seed)
     for retry in range(1, 6):
         draw, least = chance.random(), chance.randint(0, SECOND)
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_random_courses_of_the_driver_keep_within_the_reckoned_one(seed: int) -> None:
+def test_random_dialogs_of_the_driver_stay_within_the_worst_case(seed: int) -> None:
     chance, rig = random.Random(seed), Rig(servers=4)
     no_answer = chance.choice([2, 3, 9]) * SECOND
     terms = replace(
@@ -119,6 +119,8 @@
         ({"attempt_timeout": 9 * SECOND}, "leg_time_out"),
     ],
 )
-def test_terms_that_break_a_rule_or_never_act(change: dict[str, Any], key: str) -> None:
+def test_settings_that_break_a_constraint_or_never_take_effect_are_problems(
+    change: dict[str, Any], key: str
+) -> None:
     assert [found for found, _ in policy_problems(replace(TERMS, **change), 300 * MS, 6)] == [key]
     assert policy_problems(TERMS, 300 * MS, 6) == []
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Iterator, Mapping
 from pathlib import Path
 
 import click
@@ -41,22 +41,21 @@
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def terms_check(files: tuple[Path, ...]) -> None:
     """Check each of FILES whole; prints every flaw with file, line, key and reason. Exits with 2 for any."""
-    flaws = []
+    problems = []
     for file in files:
         try:
-            book = AttemptPolicies(loaded := load_edge_config(file))
+            policies = AttemptPolicies(config := load_edge_config(file))
         except InvalidConfigError as error:
-            flaws += error.problems
+            problems += error.problems
             continue
-        sections = len(loaded.attempts.sections)
+        sections = len(config.attempts.sections)
         console.print(f"{file}: sound, {sections} sections of attempts", highlight=False, soft_wrap=True)
-        for kind in loaded.deployment.traffic_types:
-            most = max(
-                course.attempts for course in timelines(book.worst_case_policy(kind, 0, SHOWN_NO_ANSWER))
-            )
-            console.print(f"  {kind}: {most} legs at most", highlight=False)
-    if flaws:
-        raise InvalidConfigError(flaws)
+        for traffic_type in config.deployment.traffic_types:
+            worst_case = timelines(policies.worst_case_policy(traffic_type, 0, SHOWN_NO_ANSWER))
+            max_attempts = max(timeline.attempts for timeline in worst_case)
+            console.print(f"  {traffic_type}: {max_attempts} legs at most", highlight=False)
+    if problems:
+        raise InvalidConfigError(problems)
 
 
 @terms.command("explain")
@@ -65,19 +64,20 @@
 @of_dialog
 def terms_explain(file: Path, traffic_type: str, number: int, peer: str, first_choice: int) -> None:
     """Each effective value for such a dialog at FILE's edge proxy, and the line that it comes from."""
-    loaded = load_edge_config(file)
-    if traffic_type not in loaded.deployment.traffic_types:
+    config = load_edge_config(file)
+    if traffic_type not in config.deployment.traffic_types:
         raise ValueError(f"{file}: there is no [traffic {traffic_type}]")
-    for key, one in AttemptPolicies(loaded).explain(traffic_type, number, peer, first_choice).items():
-        console.print(
-            f"{key:14} {_shown(key, one.value):10} {one.source}",
-            highlight=False,
-            markup=False,
-            soft_wrap=True,
-        )
+    settings = AttemptPolicies(config).explain(traffic_type, number, peer, first_choice)
+    for key, setting in settings.items():
+        _print_line(f"{key:14} {_format_value(key, setting.value):10} {setting.source}")
+
+
+def _print_line(line: str) -> None:
+    """Prints a line as it is: without highlighting, markup or wrapping."""
+    console.print(line, highlight=False, markup=False, soft_wrap=True)
 
 
-def _shown(key: str, value: float) -> str:
+def _format_value(key: str, value: float) -> str:
     if key in ("legs", "legs_in_all", "tokens", "fraction"):
         return f"{value:g}" if value else "the fleet's"
     return format_duration(int(value)) if value else "none"
@@ -90,24 +90,24 @@
 @of_dialog
 def terms_courses(file: Path, no_answer: str, chart: bool, number: int, peer: str, first_choice: int) -> None:
     """The longest course that FILE's terms allow each traffic type, step by step."""
-    loaded = load_edge_config(file)
-    book = AttemptPolicies(loaded)
-    within = parse_duration(no_answer) - loaded.answer_margin
-    if within <= 0:
+    config = load_edge_config(file)
+    policies = AttemptPolicies(config)
+    no_answer_timeout = parse_duration(no_answer) - config.answer_margin
+    if no_answer_timeout <= 0:
         raise ValueError(f"no-answer time {no_answer} leaves nothing past the answer margin")
-    found = {
-        kind: longest_timeline(book.worst_case_policy(kind, number, within, peer, first_choice))
-        for kind in loaded.deployment.traffic_types
+    longest = {
+        traffic_type: longest_timeline(
+            policies.worst_case_policy(traffic_type, number, no_answer_timeout, peer, first_choice)
+        )
+        for traffic_type in config.deployment.traffic_types
     }
     if chart:
-        tables.print_courses(console, found, within)
+        tables.print_courses(console, longest, no_answer_timeout)
         return
-    for kind, course in found.items():
-        console.print(
-            f"{kind}: answered at {format_duration(course.answered_at)}, {course.attempts} legs",
-            highlight=False,
-        )
-        for step in course.steps:
+    for traffic_type, timeline in longest.items():
+        answered_at = format_duration(timeline.answered_at)
+        console.print(f"{traffic_type}: answered at {answered_at}, {timeline.attempts} legs", highlight=False)
+        for step in timeline.steps:
             start, duration = format_duration(step.start), format_duration(step.duration)
             console.print(f"  {start:>12}  {duration:>12}  {step.description}", highlight=False)
 
@@ -121,44 +121,53 @@
 
     By class, and for each of them by each route that a section of either file names.
     """
-    before, after = load_edge_config(old), load_edge_config(new)
-    books, changed = (AttemptPolicies(before), AttemptPolicies(after)), False
-    for kind in {**before.deployment.traffic_types, **after.deployment.traffic_types}:
-        gone = [terms for terms in (before, after) if kind not in terms.deployment.traffic_types]
-        if gone:
-            changed = True
-            console.print(f"{kind}: {'new' if gone == [before] else 'gone'}", highlight=False)
+    configs = load_edge_config(old), load_edge_config(new)
+    old_types, new_types = (config.deployment.traffic_types for config in configs)
+    policies = AttemptPolicies(configs[0]), AttemptPolicies(configs[1])
+    routes = {str(number): (number, peer, first_choice)}
+    for side in policies:
+        routes |= side.sample_routes()
+    has_changed = False
+    for traffic_type in {**old_types, **new_types}:
+        if traffic_type not in old_types or traffic_type not in new_types:
+            has_changed = True
+            console.print(
+                f"{traffic_type}: {'gone' if traffic_type in old_types else 'new'}", highlight=False
+            )
             continue
-        routes = {str(number): (number, peer, first_choice)} | {
-            name: route for book in books for name, route in book.sample_routes().items()
-        }
-        for name, route in routes.items():
-            one, two = (book.explain(kind, *route) for book in books)
-            for key in one:
-                if one[key].value != two[key].value:
-                    changed = True
-                    was, now = _shown(key, one[key].value), _shown(key, two[key].value)
-                    console.print(
-                        f"{kind}, {name}: {key} {was} to {now}, {two[key].source}",
-                        highlight=False,
-                        markup=False,
-                        soft_wrap=True,
-                    )
-    sys.exit(BROKEN if changed else 0)
+        for line in _differences(policies, traffic_type, routes):
+            has_changed = True
+            _print_line(line)
+    sys.exit(BROKEN if has_changed else 0)
+
+
+def _differences(
+    policies: tuple[AttemptPolicies, AttemptPolicies],
+    traffic_type: str,
+    routes: Mapping[str, tuple[int, str, int]],
+) -> Iterator[str]:
+    """A line for each setting that differs for a traffic type on one of the named routes."""
+    for name, route in routes.items():
+        old, new = (side.explain(traffic_type, *route) for side in policies)
+        for key, setting in new.items():
+            if setting.value != old[key].value:
+                before, after = _format_value(key, old[key].value), _format_value(key, setting.value)
+                yield f"{traffic_type}, {name}: {key} {before} to {after}, {setting.source}"
 
 
 @terms.command("seen")
 @click.argument("records", type=FILE)
 def terms_seen(records: Path) -> None:
     """Legs, time-outs and gaps by class in kept RECORDS, as the servers saw them."""
-    for kind, one in attempt_statistics(tap.read_rows(records)).items():
-        over = (
-            "none" if one.cancelled_after is None else " to ".join(map(format_duration, one.cancelled_after))
-        )
-        gap = "none" if one.min_retry_gap is None else format_duration(one.min_retry_gap)
+    for traffic_type, seen in attempt_statistics(tap.read_rows(records)).items():
+        cancelled = gap = "none"
+        if seen.cancelled_after is not None:
+            cancelled = " to ".join(map(format_duration, seen.cancelled_after))
+        if seen.min_retry_gap is not None:
+            gap = format_duration(seen.min_retry_gap)
         console.print(
-            f"{kind}: {one.dialogs} dialogs, {one.attempts} legs, at most {one.max_attempts} each; "
-            f"let go after {over}; shortest wait after that {gap}",
+            f"{traffic_type}: {seen.dialogs} dialogs, {seen.attempts} legs, "
+            f"at most {seen.max_attempts} each; let go after {cancelled}; shortest wait after that {gap}",
             highlight=False,
             soft_wrap=True,
         )
--- a/valverouter/cli/crossings.py
+++ b/valverouter/cli/crossings.py
@@ -29,15 +29,15 @@
 @click.option("--json", "as_json", is_flag=True, help="Rows as JSON in place of tables.")
 def regions_report(files: tuple[Path, ...], edges: int, as_json: bool) -> None:
     """Merge the accounts that edge proxies left in FILES, by traffic type and pair of regions."""
-    books = [[msgspec.json.decode(line) for line in file.read_bytes().splitlines()] for file in files]
-    whole, gaps = merge_totals(books), missing_records(books, edges)
+    records = [[msgspec.json.decode(line) for line in file.read_bytes().splitlines()] for file in files]
+    totals, missing = merge_totals(records), missing_records(records, edges)
     if as_json:
-        lines = [{"line": line, **counters.to_row()} for line, counters in whole.items()]
-        click.echo(msgspec.json.encode({"lines": lines, "missing": gaps}).decode())
+        lines = [{"line": key, **counters.to_row()} for key, counters in totals.items()]
+        click.echo(msgspec.json.encode({"lines": lines, "missing": missing}).decode())
         return
-    tables.print_crossings(console, whole, attempts_by_minute(books))
-    for gap in gaps:
-        console.print(f"missing: {gap}")
+    tables.print_crossings(console, totals, attempts_by_minute(records))
+    for message in missing:
+        console.print(f"missing: {message}")
 
 
 @regions.command("plan")
