--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,5 +1,5 @@
-"""Orders under faults: real processes on loopback, one course a seed, or the same program's seats and keepers
-in simulated time.
+"""Operations under faults: real processes on loopback, one course a seed, or the same program's nodes and
+supervisors in simulated time.
 
     python benchmarks/orders.py loopback --edges 24 --seeds 30
     python benchmarks/orders.py simulated --instances 12 --seeds 10000 --jobs 8
@@ -7,10 +7,11 @@
     python benchmarks/orders.py releases --instances 24 --seeds 1000 --jobs 8
     python benchmarks/orders.py pairs --edges 12 --seeds 5
 
-Told are breaches (limits, once, told, back, and on loopback the five rules), how orders ended, and courses
-that did not come to rest. `releases`: harmless and harmful ones without faults, against a fixed threshold
-and a timer alone: how many were halted, and what share of all dialogs was harmed. `pairs`: service with
-council and keepers beside the edge proxies, and nothing ordered, less that without them.
+Printed are violations (limits, once, told, back, and on loopback the five rules), how operations ended, and
+courses that did not come to rest. `releases`: harmless and harmful ones without faults, against a fixed
+threshold and a timer alone: how many were halted, and what fraction of all dialogs was rejected. `pairs`: the
+service level with raft servers and supervisors beside the edge proxies, and no operation, less that without
+them.
 """
 
 from __future__ import annotations
@@ -45,50 +46,50 @@
 def scripted(seed: int, edges: int, length_s: float) -> Day:
     text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("seed = 1\n", f"seed = {seed}\n")
-    # Dialogs go on while the orders come to rest: a release waits for its evidence.
+    # Dialogs go on while the operations come to rest: a release awaits its evidence.
     text = text.replace("length = 18s", f"length = {length_s:g}s")
     return day(IniFile(text, f"orders {seed}"), "orders")
 
 
-def loopback(told: argparse.Namespace) -> None:
-    bad = resting = 0
-    ends: Counter[str] = Counter()
+def loopback(options: argparse.Namespace) -> None:
+    failed = resting = 0
+    results_by_kind: Counter[str] = Counter()
     turns = 0
-    most, here = max(2, told.edges // 6), max(1, told.edges // 12)
-    for seed in range(told.first, told.first + told.seeds):
-        course, began = OperationCourse(seed, told.length), time.monotonic()
-        script = scripted(seed, told.edges, told.length * 2)
-        with tempfile.TemporaryDirectory() as passing:
-            folder = told.logs / str(seed) if told.logs else Path(passing)
+    most, here = max(2, options.edges // 6), max(1, options.edges // 12)
+    for seed in range(options.first, options.first + options.seeds):
+        course, began = OperationCourse(seed, options.length), time.monotonic()
+        script = scripted(seed, options.edges, options.length * 2)
+        with tempfile.TemporaryDirectory() as scratch:
+            folder = options.logs / str(seed) if options.logs else Path(scratch)
             folder.mkdir(parents=True, exist_ok=True)
-            rows = run_operations(script, folder, course.play, most, here, servers=told.servers)
+            rows = run_operations(script, folder, course.play, most, here, servers=options.servers)
         orders, rules = check_operations(rows), audit(rows)
         assert orders is not None
-        good = orders.passed and rules.passed
-        bad += not good
+        passed = orders.passed and rules.passed
+        failed += not passed
         resting += course.is_at_rest
-        ends.update(orders.outcomes)
+        results_by_kind.update(orders.outcomes)
         turns += orders.steps_started
         line = f"seed {seed}: {course.operations} told, {course.faults} faults, "
         line += f"{orders.steps_started} turns, "
         line += f"most out {orders.max_unavailable} of {most}, rules kept: {rules.passed}, "
         line += f"at rest: {course.is_at_rest}, "
         line += f"{time.monotonic() - began:.0f} s"
-        print(line if good else f"{line}; {orders.violations} {rules.violations}", flush=True)
-    print(f"{told.seeds} courses, {bad} bad, {resting} at rest, {turns} turns; {dict(ends)}")
+        print(line if passed else f"{line}; {orders.violations} {rules.violations}", flush=True)
+    print(f"{options.seeds} courses, {failed} bad, {resting} at rest, {turns} turns; {dict(results_by_kind)}")
 
 
-def pairs(told: argparse.Namespace) -> None:
+def pairs(options: argparse.Namespace) -> None:
     differences = []
-    for seed in range(told.first, told.first + told.seeds):
-        script = scripted(seed, told.edges, told.length)
+    for seed in range(options.first, options.first + options.seeds):
+        script = scripted(seed, options.edges, options.length)
         served = []
-        for with_them in (True, False):
-            with tempfile.TemporaryDirectory() as passing:
-                if with_them:
-                    rows = run_operations(script, Path(passing), nothing)
+        for with_operations in (True, False):
+            with tempfile.TemporaryDirectory() as scratch:
+                if with_operations:
+                    rows = run_operations(script, Path(scratch), nothing)
                 else:
-                    rows = run_loopback(script, Path(passing))
+                    rows = run_loopback(script, Path(scratch))
             served.append(weighted_service_level(account_by_type(rows), {"booking": 1.0}))
         differences.append(served[0] - served[1])
         print(f"seed {seed}: {served[0]:.4f} with, {served[1]:.4f} without", flush=True)
@@ -110,28 +111,31 @@
         return f"seed {seed}: {violation}", {}, dict(simulation.counts)
 
 
-def simulated(told: argparse.Namespace) -> None:
-    ends: Counter[str] = Counter()
-    found: Counter[str] = Counter()
-    bad = 0
-    cases = [(seed, told.instances, told.length) for seed in range(told.first, told.first + told.seeds)]
-    with Pool(told.jobs) as pool:
-        for why, ended, seen in pool.imap_unordered(one_simulated, cases, chunksize=4):
-            ends.update(ended)
-            found.update(seen)
-            if why:
-                bad += 1
-                print(why, flush=True)
-    print(f"{told.seeds} courses of {told.length:g} s at {told.instances}: {bad} broken")
-    print(f"  orders: {dict(ends)}")
-    print(f"  caused: {dict(found)}")
+def simulated(options: argparse.Namespace) -> None:
+    results_by_kind: Counter[str] = Counter()
+    causes: Counter[str] = Counter()
+    failed = 0
+    cases = [
+        (seed, options.instances, options.length)
+        for seed in range(options.first, options.first + options.seeds)
+    ]
+    with Pool(options.jobs) as pool:
+        for violation, results, counts in pool.imap_unordered(one_simulated, cases, chunksize=4):
+            results_by_kind.update(results)
+            causes.update(counts)
+            if violation:
+                failed += 1
+                print(violation, flush=True)
+    print(f"{options.seeds} courses of {options.length:g} s at {options.instances}: {failed} broken")
+    print(f"  orders: {dict(results_by_kind)}")
+    print(f"  caused: {dict(causes)}")
 
 
 RULES = ("program", "threshold", "timer")
 
 
 def one_release(case: tuple[int, int, str, str]) -> tuple[bool, float, float]:
-    """Whether it was halted, the share of dialogs harmed beyond the ordinary, and how long it took, s."""
+    """Whether it was halted, the fraction of dialogs that were rejected, and how long it took, s."""
     seed, instances, version, rule = case
     limits = DisruptionLimits(
         max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
@@ -150,18 +154,18 @@
     return False, fleet.rejected / max(1, fleet.served), 1_190.0
 
 
-def releases(told: argparse.Namespace) -> None:
-    with Pool(told.jobs) as pool:
-        for version, seeds in (("v2", told.seeds), ("declines", max(1, told.seeds // 5))):
+def releases(options: argparse.Namespace) -> None:
+    with Pool(options.jobs) as pool:
+        for version, seeds in (("v2", options.seeds), ("declines", max(1, options.seeds // 5))):
             for rule in RULES:
-                cases = [(seed, told.instances, version, rule) for seed in range(seeds)]
+                cases = [(seed, options.instances, version, rule) for seed in range(seeds)]
                 results = pool.map(one_release, cases, chunksize=4)
-                halted = sum(one[0] for one in results)
-                harmed = sum(one[1] for one in results) / len(results)
-                took = sorted(one[2] for one in results)[len(results) // 2]
+                halted = sum(result[0] for result in results)
+                rejected = sum(result[1] for result in results) / len(results)
+                median_s = sorted(result[2] for result in results)[len(results) // 2]
                 print(
                     f"{version} by {rule}: {halted} of {len(results)} halted, "
-                    f"{harmed:.4f} of dialogs declined, median {took:.0f} s",
+                    f"{rejected:.4f} of dialogs declined, median {median_s:.0f} s",
                     flush=True,
                 )
 
@@ -173,14 +177,14 @@
     parser.add_argument("--instances", type=int, default=12)
     parser.add_argument("--seeds", type=int, default=30)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--length", type=float, default=30.0, help="seconds of orders and faults")
-    parser.add_argument("--servers", action="store_true", help="servers have keepers too")
+    parser.add_argument("--length", type=float, default=30.0, help="seconds of operations and faults")
+    parser.add_argument("--servers", action="store_true", help="servers have supervisors too")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--logs", type=Path, help="keep the processes' files here")
-    told = parser.parse_args()
+    options = parser.parse_args()
     logs.configure_logging(Log(level="error"))
     runs = {"loopback": loopback, "simulated": simulated, "releases": releases, "pairs": pairs}
-    runs[told.what](told)
+    runs[options.what](options)
 
 
 if __name__ == "__main__":
--- a/valverouter/audit/operations.py
+++ b/valverouter/audit/operations.py
@@ -1,8 +1,9 @@
 """Whether a day's operations were carried out correctly, judged from rows of the supervisors' own logs.
 
-Violations begin with the check that found them: limits    more instances were taken out of service at once
-than allowed, in total or in a region: an instance is
-          out from the start of a step until a step is done that leaves it running
+Violations begin with the check that found them:
+
+limits    more instances were taken out of service at once than allowed, in total or in a region: an instance
+          is out from the start of a step until a step is done that leaves it running
 once      a step was started twice
 told      an operation shows an instance as done, drained or returned, which ended no step of that permit
 back      an instance that a halted release had changed doesn't run its former version at the end, though no
