--- /dev/null
+++ b/tests/reference_model.py
@@ -0,0 +1,176 @@
+"""A reference model of the five rules: the history in one list, read again from its beginning at each step.
+
+It shares no code with the router or its audit, and is meant to be read and believed, not to be fast. A step
+is something that is about to happen; `step` says which rules it violates, and adds it to the history.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True)
+class Step:
+    """What happens, and when, ns. Kinds:
+
+    taken (a dialog; `until`: its no-answer time), answered (`word`), ended (once established), caller-gone;
+    sent, stood, closed, timed-out, reset, let-go (an attempt; `unsent`: it never left);
+    told (`word`: the phase of `server` that `edge` receives), began (`server`, in slow start), restarted
+    (`edge`); held (`edge` does not run until `until`); passing (nothing but time).
+    """
+
+    at: int
+    kind: str
+    dialog: str = ""
+    server: str = ""
+    edge: str = ""
+    leg: int = 0
+    until: int = 0
+    word: str = ""
+    # Of a server that began: its rate at full speed, and its slow start.
+    setups_per_second: float = 0.0
+    slow_start_fraction: float = 1.0
+    slow_start_duration: int = 0
+    overload_multiple: float = 1.0
+    overload_window: int = 1
+
+
+ATTEMPT_ENDS = ("closed", "timed-out", "reset", "let-go", "unsent")
+NEEDS_NO_RELEASE = ("closed", "unsent")
+OUT_OF_SERVICE = ("draining", "gone")
+
+
+class RuleModel:
+    """The checks of one run. `slack`: the tolerance between clocks, ns; 0 in virtual time."""
+
+    def __init__(self, release_wait: int, slack: int = 0) -> None:
+        self.release_wait = release_wait
+        self.slack = slack
+        self.history: list[Step] = []
+        self.violations: list[tuple[int, int, str]] = []
+
+    def step(self, step: Step) -> list[int]:
+        """The rules that this violates, all of them; `violations` keeps rule, step number and reason."""
+        found = [(1, reason) for reason in self._find_overdue(step)]
+        match step.kind:
+            case "answered" | "ended":
+                found += [(1, reason) for reason in self._find_wrong_answer(step)]
+            case "sent":
+                found += [(2, reason) for reason in self._find_parallel_attempts(step)]
+                found += [(3, reason) for reason in self._find_draining(step)]
+                found += [(4, reason) for reason in self._find_overload(step)]
+                found += [(5, reason) for reason in self._find_early_retry(step)]
+        self.history.append(step)
+        self.violations += [(rule, len(self.history) - 1, reason) for rule, reason in found]
+        return [rule for rule, _ in found]
+
+    def counts(self) -> Counter[str]:
+        """How many steps there were of each kind, for some with their word."""
+        return Counter(
+            f"{step.kind} {step.word}" if step.kind in ("told", "answered") else step.kind
+            for step in self.history
+        )
+
+    def format_last(self, count: int = 12) -> str:
+        """The last steps, a line each."""
+        return "\n".join(map(str, self.history[-count:]))
+
+    # Rule 1
+
+    def _history_of(self, dialog: str) -> list[Step]:
+        """What happened to a dialog since it was last taken."""
+        steps = [step for step in self.history if step.dialog == dialog]
+        taken = [index for index, step in enumerate(steps) if step.kind == "taken"]
+        return steps[taken[-1] :] if taken else steps
+
+    def _find_overdue(self, now: Step) -> list[str]:
+        """Dialogs whose time passes with this step, and that have no answer."""
+        last = self.history[-1].at if self.history else now.at
+        found = []
+        for index, taken in enumerate(self.history):
+            if taken.kind != "taken" or not last <= taken.until + self.slack < now.at:
+                continue
+            since = [step for step in self.history[index:] if step.dialog == taken.dialog]
+            if any(step.kind in ("answered", "caller-gone") for step in since):
+                continue
+            held = [step for step in self.history if step.kind == "held" and step.edge == taken.edge]
+            if not any(step.at <= taken.until <= step.until for step in held):
+                found.append(f"{taken.dialog} had no answer by {taken.until}")
+        return found
+
+    def _find_wrong_answer(self, answer: Step) -> list[str]:
+        steps = self._history_of(answer.dialog)
+        words = [step.word for step in steps if step.kind == "answered"]
+        if not steps or steps[0].kind != "taken":
+            return [f"{answer.dialog} was never taken"]
+        if answer.kind == "ended":
+            is_over = any(step.kind == "ended" for step in steps)
+            return [] if words == ["stands"] and not is_over else [f"{answer.dialog} ended after {words}"]
+        reasons = [f"{answer.dialog} was answered before: {words[0]}"] if words else []
+        if any(step.kind == "caller-gone" for step in steps):
+            reasons.append(f"{answer.dialog} has nobody left to hear it")
+        if answer.at > steps[0].until + self.slack:
+            reasons.append(f"{answer.dialog} is answered {answer.at - steps[0].until} ns late")
+        return reasons
+
+    # Rules 2 and 5
+
+    def _find_parallel_attempts(self, sent: Step) -> list[str]:
+        steps = [step for step in self.history if step.dialog == sent.dialog]
+        in_flight = [
+            step
+            for index, step in enumerate(steps)
+            if step.kind == "sent"
+            and not any(end.kind in ATTEMPT_ENDS and end.leg == step.leg for end in steps[index + 1 :])
+        ]
+        return [f"{sent.dialog}: leg {step.leg} at {step.server} is out still" for step in in_flight]
+
+    def _find_early_retry(self, sent: Step) -> list[str]:
+        steps = [step for step in self.history if step.dialog == sent.dialog]
+        for index, end in enumerate(steps):
+            if end.kind not in ATTEMPT_ENDS or end.kind in NEEDS_NO_RELEASE:
+                continue
+            was_established = any(step.kind == "stood" and step.leg == end.leg for step in steps[:index])
+            if not was_established and sent.at - end.at < self.release_wait - self.slack:
+                return [f"{sent.dialog} is sent {sent.at - end.at} ns after leg {end.leg}: {end.kind}"]
+        return []
+
+    # Rule 3
+
+    def _find_draining(self, sent: Step) -> list[str]:
+        phase = ""
+        told_at = 0
+        for step in self.history:
+            if step.kind == "restarted" and step.edge == sent.edge:
+                phase = ""
+            elif step.kind == "told" and (step.edge, step.server) == (sent.edge, sent.server):
+                # From the first time that it is out of service, however often that is told again.
+                is_repeated = step.word != "in-service" and phase in OUT_OF_SERVICE
+                told_at = told_at if is_repeated else step.at
+                phase = step.word
+        if phase in OUT_OF_SERVICE and sent.at > told_at + self.slack:
+            return [f"{sent.edge} was told at {told_at} that {sent.server} is {phase}"]
+        return []
+
+    # Rule 4
+
+    def _find_overload(self, sent: Step) -> list[str]:
+        starts = [step for step in self.history if step.kind == "began" and step.server == sent.server]
+        if not starts or sent.at - starts[-1].at >= starts[-1].slow_start_duration:
+            return []
+        start = starts[-1]
+        times = [step.at for step in self.history if step.kind == "sent" and step.server == sent.server]
+        times = [at for at in times if at >= start.at] + [sent.at]
+        for first in times:  # every window that ends now, from each earlier set-up on
+            if sent.at - first >= start.overload_window:
+                continue
+            count = sum(first <= at for at in times)
+            age = max(0, sent.at - start.overload_window - start.at)
+            initial = start.slow_start_fraction
+            speed = initial + (1 - initial) * age / start.slow_start_duration
+            overload_rate = start.overload_multiple * speed * start.setups_per_second
+            limit = overload_rate * start.overload_window / 10**9
+            if count >= limit:
+                return [f"{count} reached {sent.server} within a window that takes {limit:.1f}"]
+        return []
