--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -13,7 +13,7 @@
 from valverouter.audit.verdict import Verdict
 from valverouter.audit.views import ViewReport
 from valverouter.regions.usage import USAGE_COLUMNS, UsageCounters, UsageKey
-from valverouter.terms.ini import show_span
+from valverouter.terms.ini import format_duration
 
 if TYPE_CHECKING:
     from valverouter.experiments.report import Cell
@@ -62,7 +62,7 @@
         table.add_column(head, justify="right" if head == "checked" else "left")
     broken = verdict.violated_rules()
     for rule, text in RULES.items():
-        count = sum(breach.rule == rule for breach in verdict.violations)
+        count = sum(violation.rule == rule for violation in verdict.violations)
         word = (
             f"BROKEN {count} times"
             if rule in broken
@@ -73,8 +73,8 @@
         table.add_row(str(rule), text, str(verdict.check_counts[rule]), word)
     console.print(table)
     console.print(f"most of a cold server's budget used in any window: {verdict.slow_start_budget_used:.2f}")
-    for breach in verdict.violations[:most]:
-        console.print(f"  rule {breach.rule} at {breach.at}: {breach.subject}: {breach.text}")
+    for violation in verdict.violations[:most]:
+        console.print(f"  rule {violation.rule} at {violation.at}: {violation.subject}: {violation.text}")
     if len(verdict.violations) > most:
         console.print(f"  and {len(verdict.violations) - most} more")
 
@@ -121,9 +121,9 @@
         for step in course.steps:
             upto = round((step.start + step.duration) * wide / within)
             bar += ("█" if step.kind is StepKind.ATTEMPT else "░") * max(0, upto - len(bar))
-        at = show_span(course.answered_at)
+        at = format_duration(course.answered_at)
         console.print(f"{kind:20} {bar:{wide}} {at}, {course.attempts} legs", highlight=False, soft_wrap=True)
-    console.print(f"{'':20} 0{show_span(within):>{wide - 1}}   █ a leg, ░ a wait", highlight=False)
+    console.print(f"{'':20} 0{format_duration(within):>{wide - 1}}   █ a leg, ░ a wait", highlight=False)
 
 
 def print_cells(
--- a/valverouter/days/loopback.py
+++ b/valverouter/days/loopback.py
@@ -1,4 +1,4 @@
-"""A day on loopback sockets in real time: every edge proxy is a process of its own, the far ends are here."""
+"""A day on loopback sockets in real time: every edge proxy is a process, the fakes run here."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 import msgspec
 import trio
 
+from valverouter.days.play import play_day
 from valverouter.days.viewing import LoopbackViews
 from valverouter.days.world import World
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.signalling.tap import Row
-from valverouter.terms.day import Day
+from valverouter.terms.day import ScenarioConfig
 
 START_WITHIN_S = 20
 FAULT_SLACK = 200_000_000
@@ -38,7 +39,7 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioConfig,
         place: int,
         list_at: str,
         folder: Path,
@@ -152,12 +153,14 @@
         return _Line()
 
 
-def run_loopback(day: Day, folder: Path, tick: Callable[[float], None] = lambda share: None) -> list[Row]:
+def run_loopback(
+    day: ScenarioConfig, folder: Path, tick: Callable[[float], None] = lambda share: None
+) -> list[Row]:
     """Plays the day; the rows of what passed. Files and logs of the edge proxies are left in the folder."""
 
     async def main() -> list[Row]:
         place = SocketRuntime()
-        world = World(day, place, day.terms.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
+        world = World(day, place, day.run.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 await world.open(nursery)
@@ -175,10 +178,10 @@
                             starting.start_soon(edge.start)
                 for at, edge in enumerate(edges):
                     world.add_callers(at, edge)
-                await trio.sleep(day.terms.settle / 1e9)
+                await trio.sleep(day.run.settle / 1e9)
                 if views is not None:
                     views.begins()
-                await world.play(tick)
+                await play_day(world, tick)
                 if views is not None:
                     await views.settle()
                 async with trio.open_nursery() as stopping:
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -1,4 +1,4 @@
-"""A day in virtual time: the same edge proxies and stand-ins on streams in memory, under trio's MockClock.
+"""A day in virtual time: the same edge proxies and fakes on streams in memory, under trio's MockClock.
 
 It ends in seconds and gives the same rows every time. Streams have room for so many bytes, as sockets have,
 so that a peer that does not read blocks its writer here too.
@@ -14,6 +14,7 @@
 import trio
 import trio.testing
 
+from valverouter.days.play import play_day
 from valverouter.days.viewing import MemoryViews
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
@@ -21,7 +22,7 @@
 from valverouter.recovery.lifecycle import DialogRecord, Timestamp
 from valverouter.servermodel.paths import NetworkPaths
 from valverouter.signalling.tap import Row
-from valverouter.terms.day import Day
+from valverouter.terms.day import ScenarioConfig
 
 ROOM = 64 * 1024
 # Connecting takes its time here too, or nothing would ever be asked of a link that still connects.
@@ -284,7 +285,7 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioConfig,
         place: int,
         network: MemoryPlace,
         nursery: trio.Nursery,
@@ -294,7 +295,7 @@
         self.name = f"e{place}"
         self.address = f"edge{place}:1"
         self.store = MemoryStore() if day.ledger else None
-        self.terms = day.edge_terms(place, self.address, list_at, f"list-{place}", f"accounts-{place}")
+        self.terms = day.edge_config(place, self.address, list_at, f"list-{place}", f"accounts-{place}")
         self.proxy: EdgeProxy | None = None
         self._network = network
         self._nursery = nursery
@@ -369,7 +370,9 @@
         run._r.setstate(state)
 
 
-def run_virtual(day: Day, prepare: Callable[[World, list[MemoryEdge]], None] | None = None) -> list[Row]:
+def run_virtual(
+    day: ScenarioConfig, prepare: Callable[[World, list[MemoryEdge]], None] | None = None
+) -> list[Row]:
     """Plays the day; the rows of what passed. `prepare` may add to the world before it starts."""
 
     async def main() -> list[Row]:
@@ -391,14 +394,14 @@
                     edges.append(edge)
                 if prepare is not None:
                     prepare(world, edges)
-                await trio.sleep(day.terms.settle / 1e9)
+                await trio.sleep(day.run.settle / 1e9)
                 if views is not None:
                     views.begins()
-                await world.play()
+                await play_day(world)
                 if views is not None:
                     await views.settle()
                 scope.cancel()
         return world.tap.rows
 
-    with same_order(day.terms.seed):
+    with same_order(day.run.seed):
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
