--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -14,7 +14,7 @@
 import h11
 import trio
 
-from valverouter.days.virtual import EPOCH, MemoryPlace, MemoryRuntime
+from valverouter.days.memory_network import EPOCH, MemoryPlace, MemoryRuntime
 from valverouter.edge.runtime import Handler
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.relayedge.proxy import RelayProxy
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from valverouter.days.virtual import MemoryPlace, MemoryRuntime
+from valverouter.days.memory_network import MemoryPlace, MemoryRuntime
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -25,7 +25,7 @@
 from tests.helpers import Rig as Quiet
 from tests.rig import INI, SECOND, Peer, dial, rigged, terms
 from tests.test_regions import GOOD as REGIONS
-from valverouter.days.virtual import EPOCH, ROOM
+from valverouter.days.memory_network import EPOCH, ROOM
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import send_farewell
 from valverouter.edge.discovery import DiscoveryClient
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -12,7 +12,7 @@
 from trio.testing import MockClock
 
 from tests.rig import INI, MS, SECOND, Rig, dial, rigged, terms
-from valverouter.days.virtual import ROOM
+from valverouter.days.memory_network import ROOM
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.queues import SendBatch, SendQueue
 from valverouter.edge.sockets import PlainSocketStream, SocketRuntime, split_address
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -6,7 +6,7 @@
 import pytest
 
 # To be taken apart; each entry fails once it is one no more. Imports in functions and for types alone count.
-KNOWN_CIRCLES = {frozenset({"valverouter.days.viewing", "valverouter.days.virtual"})}
+KNOWN_CIRCLES: set[frozenset[str]] = set()
 
 
 def circles(graph: grimp.ImportGraph) -> set[frozenset[str]]:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -23,7 +23,9 @@
 from valverouter.audit.verdict import Verdict
 from valverouter.days.emulated import plans, run_emulated
 from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import MemoryEdge, MemoryRuntime, MemoryStore, run_virtual
+from valverouter.days.memory_network import MemoryRuntime
+from valverouter.days.memory_store import MemoryStore
+from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.recovery_log import RecoveryLog
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -14,7 +14,8 @@
 from valverouter.audit.views import check_views
 from valverouter.cli.__main__ import main
 from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import MemoryEdge, MemoryRuntime, run_virtual
+from valverouter.days.memory_network import MemoryRuntime
+from valverouter.days.virtual import MemoryEdge, run_virtual
 from valverouter.days.world import World
 from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
 from valverouter.terms.day import Day, day, load_day
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -30,7 +30,7 @@
     view_health,
 )
 from valverouter.cli.__main__ import main
-from valverouter.days.virtual import MemoryPlace, MemoryRuntime
+from valverouter.days.memory_network import MemoryPlace, MemoryRuntime
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.authentication import Authenticator
 from valverouter.fleet.client import FleetClient
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -18,7 +18,7 @@
 from trio.testing import MockClock
 
 from tests.relayrig import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
-from valverouter.days.virtual import MemoryPlace
+from valverouter.days.memory_network import MemoryPlace
 from valverouter.relaywire import isup
 from valverouter.terms.options import MalformedInputError
 from valverouter.terms.platform import platform
--- a/valverouter/days/viewing.py
+++ b/valverouter/days/viewing.py
@@ -10,11 +10,11 @@
 import random
 from collections.abc import Callable
 from pathlib import Path
-from typing import TYPE_CHECKING
 
 import msgspec
 import trio
 
+from valverouter.days.memory_network import MemoryPlace
 from valverouter.days.paths import path_faults, paths_of
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
@@ -38,9 +38,6 @@
 from valverouter.terms.day import Day, DayBetween
 from valverouter.terms.edge import EdgeTerms
 
-if TYPE_CHECKING:
-    from valverouter.days.virtual import MemoryPlace
-
 SECRET = b"the key of a day's fleet, which protects nothing but a day"
 # What an edge proxy's log says of its fleet, before the word that counts.
 SAYS = ("member-", "view-")
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -1,284 +1,27 @@
 """A day in virtual time: the same edge proxies and fakes on streams in memory, under trio's MockClock.
 
-It ends in seconds and gives the same rows every time. Streams have room for so many bytes, as sockets have,
-so that a peer that does not read blocks its writer here too.
+It ends in seconds and gives the same rows every time.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 from contextlib import contextmanager
 from typing import Any
 
 import trio
 import trio.testing
 
+from valverouter.days.memory_network import MemoryPlace, MemoryRuntime
+from valverouter.days.memory_store import MemoryStore
 from valverouter.days.play import play_day
 from valverouter.days.viewing import MemoryViews
 from valverouter.days.world import World
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
-from valverouter.recovery.lifecycle import DialogRecord, Timestamp
-from valverouter.servermodel.paths import NetworkPaths
 from valverouter.signalling.tap import Row
 from valverouter.terms.day import Day
 
-ROOM = 64 * 1024
-# Connecting takes its time here too, or nothing would ever be asked of a link that still connects.
-CONNECT_S = 0.002
-EPOCH = 1_700_000_000 * 10**9
-
-
-class _Pipe:
-    """One direction of a stream."""
-
-    def __init__(self) -> None:
-        self.held = bytearray()
-        self.ended = False
-        self.broken = False
-        self.stirred = trio.Event()
-
-    def stir(self) -> None:
-        self.stirred.set()
-        self.stirred = trio.Event()
-
-
-class MemoryStream(trio.abc.Stream):
-    """One end of a stream in memory. Closing it ends the other's reading and breaks the other's writing."""
-
-    def __init__(self, inward: _Pipe, outward: _Pipe) -> None:
-        self._in = inward
-        self._out = outward
-        self._closed = False
-
-    async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        await trio.lowlevel.checkpoint()
-        rest = bytes(data)
-        while rest:
-            if self._closed:
-                raise trio.ClosedResourceError
-            if self._out.broken or self._out.ended:
-                raise trio.BrokenResourceError
-            room = ROOM - len(self._out.held)
-            if room > 0:
-                self._out.held += rest[:room]
-                rest = rest[room:]
-                self._out.stir()
-            else:
-                await self._out.stirred.wait()
-
-    async def wait_send_all_might_not_block(self) -> None:
-        while len(self._out.held) >= ROOM and not self._out.broken:
-            await self._out.stirred.wait()
-
-    async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        await trio.lowlevel.checkpoint()
-        while True:
-            if self._closed:
-                raise trio.ClosedResourceError
-            if self._in.held:
-                size = max_bytes or ROOM
-                data = bytes(self._in.held[:size])
-                del self._in.held[:size]
-                self._in.stir()
-                return data
-            if self._in.ended:
-                return b""
-            await self._in.stirred.wait()
-
-    async def aclose(self) -> None:
-        self._closed = True
-        self._out.ended = True
-        self._in.broken = True
-        self._out.stir()
-        self._in.stir()
-        await trio.lowlevel.checkpoint()
-
-
-class MemoryPlace:
-    """A network in memory: who serves at which address. Emptied as servers end."""
-
-    def __init__(self) -> None:
-        self.serving: dict[str, Callable[[trio.abc.Stream], None]] = {}
-        self.files: dict[str, bytes] = {}
-        self.refused: set[str] = set()
-        self.bound: dict[str, MemoryDatagrams] = {}
-        # By which ways datagrams go, and who stands at an address; without, each arrives at once.
-        self.paths: NetworkPaths | None = None
-        self.names: dict[str, str] = {}
-        self.carrier: trio.Nursery | None = None
-        self.unstruck: frozenset[str] = frozenset()
-        self._ports = 0
-
-    def carry(self, source: str, address: str, data: bytes) -> None:
-        if self.paths is None or self.carrier is None or {source, address} & self.unstruck:
-            self._arrive(source, address, data)
-            return
-        pair = self.names.get(source, source), self.names.get(address, address)
-        for span in self.paths.delivery_delays(*pair, round(trio.current_time() * 1e9)):
-            self.carrier.start_soon(self._arrive_after, span, source, address, data)
-
-    async def _arrive_after(self, span: int, source: str, address: str, data: bytes) -> None:
-        await trio.sleep(span / 1e9)
-        self._arrive(source, address, data)
-
-    def _arrive(self, source: str, address: str, data: bytes) -> None:
-        there = self.bound.get(address)
-        if there is not None:
-            there.put(data, source)
-
-    async def connect(self, address: str) -> trio.abc.Stream:
-        await trio.sleep(CONNECT_S)
-        take = self.serving.get(address)
-        if take is None:
-            raise ConnectionRefusedError(f"nobody serves at {address}")
-        there, back = _Pipe(), _Pipe()
-        take(MemoryStream(there, back))
-        return MemoryStream(back, there)
-
-    async def serve(
-        self,
-        address: str,
-        handler: Callable[[trio.abc.Stream], Awaitable[object]],
-        task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
-    ) -> None:
-        if address.endswith(":0"):
-            self._ports += 1
-            address = f"{address[:-1]}{self._ports}"
-        if address in self.serving:
-            raise OSError(f"{address} is in use")
-        try:
-            async with trio.open_nursery() as nursery:
-                self.serving[address] = lambda stream: nursery.start_soon(handler, stream)
-                task_status.started(address)
-                await trio.sleep_forever()
-        finally:
-            del self.serving[address]
-
-
-class MemoryRuntime(MemoryPlace):
-    """One edge proxy's runtime on a shared network; `hold` stalls it, as a stopped process is."""
-
-    def __init__(self, place: MemoryPlace, wall_back: int = 0) -> None:
-        super().__init__()
-        self._place = place
-        self._wall_back = wall_back
-        self._runs = trio.Event()
-        self._runs.set()
-        self._began = trio.current_time()
-
-    def wall_time(self) -> int:
-        return EPOCH + round(trio.current_time() * 1e9) - self._wall_back
-
-    def moment(self) -> Timestamp:
-        return Timestamp(self.wall_time(), round(trio.current_time() * 1e9), "memory")
-
-    async def connect(self, address: str) -> trio.abc.Stream:
-        return await self._place.connect(address)
-
-    async def serve(
-        self,
-        address: str,
-        handler: Callable[[trio.abc.Stream], Awaitable[object]],
-        task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
-        refuse: Callable[[trio.abc.Stream], Awaitable[object]] | None = None,
-    ) -> None:
-        await self._place.serve(address, handler, task_status)
-
-    def bind_datagrams(self, address: str) -> MemoryDatagrams:
-        return MemoryDatagrams(self._place, address)
-
-    def max_descriptors(self) -> int:
-        return 1_000_000
-
-    async def checkpoint(self) -> None:
-        await trio.lowlevel.checkpoint()
-        await self._runs.wait()
-
-    async def read_file(self, path: str) -> bytes | None:
-        await trio.lowlevel.checkpoint()
-        return self._place.files.get(path)
-
-    async def write_file(self, path: str, data: bytes) -> None:
-        await trio.lowlevel.checkpoint()
-        self._place.files[path] = data
-
-    async def hold(self, span: int) -> None:
-        self._runs = trio.Event()
-        await trio.sleep(span / 1e9)
-        self._runs.set()
-
-
-class MemoryDatagrams:
-    """Datagrams on the network in memory. While its instance is held, they wait, as in a kernel."""
-
-    def __init__(self, place: MemoryPlace, address: str) -> None:
-        if address in place.bound:
-            raise OSError(f"{address} is in use")
-        self.address = address
-        self.held: deque[tuple[bytes, str]] = deque(maxlen=4_096)
-        self._place = place
-        self._came = trio.Event()
-        place.bound[address] = self
-
-    def send(self, data: bytes, address: str) -> bool:
-        self._place.carry(self.address, address, data)
-        return True
-
-    def put(self, data: bytes, source: str) -> None:
-        self.held.append((data, source))
-        self._came.set()
-
-    def receive(self) -> tuple[bytes, str] | None:
-        return self.held.popleft() if self.held else None
-
-    async def wait_readable(self) -> None:
-        while not self.held:
-            self._came = trio.Event()
-            await self._came.wait()
-
-    def close(self) -> None:
-        if self._place.bound.get(self.address) is self:
-            del self._place.bound[self.address]
-
-
-class MemoryStore:
-    """What an edge proxy's ledger is in virtual time: committed records outlive it, others do not."""
-
-    def __init__(self) -> None:
-        self.epoch = 0
-        self.kept: dict[str, DialogRecord] = {}
-        self.fails = False
-        self._puts: dict[str, DialogRecord | None] = {}
-
-    def begin_epoch(self, minimum: int = 0) -> int:
-        self._puts.clear()
-        self.epoch = max(minimum, self.epoch + 1)
-        return self.epoch
-
-    def records(self) -> list[DialogRecord]:
-        return list(self.kept.values())
-
-    def put(self, record: DialogRecord) -> None:
-        self._puts[record.dialog_id] = record
-
-    def delete(self, dialog: str) -> None:
-        self._puts[dialog] = None
-
-    def commit(self) -> int:
-        puts, self._puts = self._puts, {}
-        if puts and self.fails:
-            raise OSError("no space left")
-        self.kept |= {dialog: record for dialog, record in puts.items() if record is not None}
-        for dialog in [dialog for dialog, record in puts.items() if record is None]:
-            self.kept.pop(dialog, None)
-        return len(puts)
-
-    def clear(self) -> None:
-        self._puts.clear()
-        self.kept.clear()
-
 
 class MemoryEdge:
     """An edge proxy as a task; killing it drops all that it holds, as an ended process does."""
@@ -306,6 +49,7 @@
         self.wall_back = 0
 
     async def start(self) -> None:
+        """Starts a process and waits until it is ready."""
         await self._nursery.start(self._run)
 
     async def _run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
@@ -336,14 +80,17 @@
             views.over(self.name)
 
     async def kill(self) -> None:
+        """Ends the process at once."""
         self._scope.cancel()
         await trio.lowlevel.checkpoint()
 
     async def stall(self, span: int) -> None:
+        """Holds the process for `span` ns."""
         if self._runtime is not None:
             await self._runtime.hold(span)
 
     async def stop(self) -> None:
+        """Lets the process drain and end."""
         if self.proxy is not None:
             self.proxy.stop()
             await self.proxy.ended.wait()
