--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -19,28 +19,28 @@
 from valverouter.audit.operations import OperationsReport, check_operations
 from valverouter.audit.rules import audit
 from valverouter.days.operation_files import NODES
-from valverouter.days.ordering import OrderRig, run_orders
+from valverouter.days.operation_rig import OperationRig, run_operations
 from valverouter.rollout.status import FleetStatus
 from valverouter.servermodel.paths import PathFault
-from valverouter.terms.day import Day, day
+from valverouter.terms.day import ScenarioConfig, scenario_config
 from valverouter.terms.ini import IniFile
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
-Script = Callable[[OrderRig], Awaitable[None]]
+Script = Callable[[OperationRig], Awaitable[None]]
 
 processes = pytest.mark.processes
 
 
-def course_day(length: int = 15, edges: int = 6, troubles: str = "") -> Day:
+def course_day(length: int = 15, edges: int = 6, troubles: str = "") -> ScenarioConfig:
     text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("length = 18s", f"length = {length}s")
-    return day(IniFile(text + troubles, "orders"), "orders")
+    return scenario_config(IniFile(text + troubles, "orders"), "orders")
 
 
 def run_script(tmp_path: Path, script: Script, length: int = 15, **options: object) -> OperationsReport:
     """Run the script on a day; the rules and those of operations are kept, whatever it did."""
     troubles = str(options.pop("troubles", ""))
-    rows = run_orders(course_day(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
+    rows = run_operations(course_day(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
     verdict, rules = check_operations(rows), audit(rows)
     assert verdict is not None, verdict
     assert verdict.violations == (), verdict
@@ -52,7 +52,7 @@
     return next(each.result for each in status.operations if each.id == operation)
 
 
-async def until_out(rig: OrderRig, operation: str) -> FleetStatus:
+async def until_out(rig: OperationRig, operation: str) -> FleetStatus:
     """Return once an instance is out by the operation."""
     with trio.fail_after(20):
         while True:
@@ -62,7 +62,7 @@
             await trio.sleep(0.05)
 
 
-async def leader(rig: OrderRig) -> str:
+async def leader(rig: OperationRig) -> str:
     with trio.fail_after(20):
         while (status := await rig.status()) is None:
             await trio.sleep(0.2)
@@ -72,9 +72,9 @@
 def test_a_course_of_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
     """A restart of all while the leader and a supervisor are killed, then a release that ends by itself."""
 
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "--all", "--id", "all")
+            nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
             await until_out(rig, "all")
             node = await leader(rig)
             rig.kill(node)
@@ -82,11 +82,11 @@
             await trio.sleep(1.5)
             rig.start(node)
             rig.start("k2")
-        assert result_of(await rig.settled(60), "all") == "done"
-        code, output = await rig.tool("release", "--all", "--to", "dies-late", "--id", "r")
+        assert result_of(await rig.wait_until_settled(60), "all") == "done"
+        code, output = await rig.run_client("release", "--all", "--to", "dies-late", "--id", "r")
         assert code == 1
         assert "halted" in output
-        status = await rig.settled(60)
+        status = await rig.wait_until_settled(60)
         assert {instance.running_version for instance in status.instances} == {"v1"}
 
     verdict = run_script(tmp_path, script, 30)
@@ -96,21 +96,21 @@
 
 @processes
 def test_a_restart_of_all_while_three_are_restarting(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for name in ("e0", "e2", "e4"):
             rig.kill(name)
-        code, _ = await rig.tool("restart", "--all", "--id", "all")
+        code, _ = await rig.run_client("restart", "--all", "--id", "all")
         assert code == 0
-        assert result_of(await rig.settled(30), "all") == "done"
+        assert result_of(await rig.wait_until_settled(30), "all") == "done"
 
     assert run_script(tmp_path, script, 30).steps_started == 6
 
 
 @processes
 def test_a_supervisor_that_dies_between_a_step_and_its_report(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "e1", "--id", "one")
+            nursery.start_soon(rig.run_client, "restart", "e1", "--id", "one")
             log = rig.folder / "k1.log"
             with trio.fail_after(20):
                 while b'"step-started"' not in log.read_bytes():
@@ -118,84 +118,89 @@
             rig.kill("k1")
             await trio.sleep(2)
             rig.start("k1")
-        assert result_of(await rig.settled(30), "one") == "done"
+        assert result_of(await rig.wait_until_settled(30), "one") == "done"
 
     assert run_script(tmp_path, script).steps_started == 1
 
 
 @processes
 def test_the_client_killed_at_each_step(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for within in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
-            await rig.tool("restart", "e0", "e1", "--id", "one", within=within)
-        code, _ = await rig.tool("restart", "e0", "e1", "--id", "one")
+            await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=within)
+        code, _ = await rig.run_client("restart", "e0", "e1", "--id", "one")
         assert code == 0
-        assert result_of(await rig.settled(30), "one") == "done"
+        assert result_of(await rig.wait_until_settled(30), "one") == "done"
 
     assert run_script(tmp_path, script, 25).steps_started == 2
 
 
 @processes
 def test_two_operators_with_overlapping_sets_on_two_sides_of_a_partition(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         now = rig.world.now()
         left, right = frozenset({"c0", "k0", "k1"}), frozenset({"c1", "c2", "k2", "k3", "k4", "k5"})
-        rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(left, right)))
+        rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(left, right)))
         codes = {}
 
         async def operator(operation: str, *names: str) -> None:
-            codes[operation] = (await rig.tool("drain", *names, "--id", operation))[0]
+            codes[operation] = (await rig.run_client("drain", *names, "--id", operation))[0]
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(operator, "a", "e3", "e0")
             nursery.start_soon(operator, "b", "e3", "e2")
-        status = await rig.settled(40)
+        status = await rig.wait_until_settled(40)
         assert sorted(codes.values()) == [0, 2], codes
         assert sum(instance.state == "drained" for instance in status.instances) == 2
-        assert (await rig.tool("undrain", "--all"))[0] == 0
+        assert (await rig.run_client("undrain", "--all"))[0] == 0
 
     run_script(tmp_path, script, 40)
 
 
 @processes
 def test_one_leader_killed_and_one_paused_for_ten_seconds(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "--all", "--id", "all")
+            nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
             await until_out(rig, "all")
-            nursery.start_soon(rig.stall, await leader(rig), 10.0)
+            nursery.start_soon(rig.pause, await leader(rig), 10.0)
             await trio.sleep(5)
             node = await leader(rig)
             rig.kill(node)
             await trio.sleep(1)
             rig.start(node)
-        assert result_of(await rig.settled(60), "all") == "done"
+        assert result_of(await rig.wait_until_settled(60), "all") == "done"
 
     assert run_script(tmp_path, script, 40).steps_started == 6
 
 
 @processes
 def test_a_drain_of_a_whole_region_is_rejected_for_capacity(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, output = await rig.tool("drain", "--region", "north", "--id", "d")
+    async def script(rig: OperationRig) -> None:
+        code, output = await rig.run_client("drain", "--region", "north", "--id", "d")
         assert code == 2
         assert "least capacity of north" in output
-        code, output = await rig.tool("drain", "--region", "north", "--dry-run")
+        code, output = await rig.run_client("drain", "--region", "north", "--dry-run")
         assert code == 2
         assert (await rig.status() or pytest.fail("nobody tells the status")).operations == ()
 
-    assert run_script(tmp_path, script, 10, most=4, in_region=2, least=0.5).steps_started == 0
+    assert (
+        run_script(
+            tmp_path, script, 10, max_unavailable=4, max_per_region=2, min_capacity_fraction=0.5
+        ).steps_started
+        == 0
+    )
 
 
 @processes
 def test_three_crashes_during_a_drain_up_to_the_limit(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        assert (await rig.tool("drain", "e0", "e2", "--id", "d"))[0] == 0
+    async def script(rig: OperationRig) -> None:
+        assert (await rig.run_client("drain", "e0", "e2", "--id", "d"))[0] == 0
         for name in ("k1", "k3", "k5"):
             rig.kill(name)
             rig.kill(f"e{name[1:]}")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "restart", "e4", "--id", "one")
+            nursery.start_soon(rig.run_client, "restart", "e4", "--id", "one")
             await trio.sleep(5)
             status = await rig.status()
             assert status is not None
@@ -204,9 +209,9 @@
             for name in ("k1", "k3", "k5"):
                 rig.start(name)
             await trio.sleep(4)
-            assert (await rig.tool("undrain", "--all"))[0] == 0
+            assert (await rig.run_client("undrain", "--all"))[0] == 0
         # The only one left says that it is cut off, which halts an operation as well as an exhausted limit.
-        assert result_of(await rig.settled(40), "one") == "halted"
+        assert result_of(await rig.wait_until_settled(40), "one") == "halted"
 
     run_script(tmp_path, script, 40)
 
@@ -214,11 +219,11 @@
 @processes
 @pytest.mark.parametrize("version", ["crashes", "dies-late", "declines", "crowds"])
 def test_a_harmful_release_is_halted_and_rolled_back(tmp_path: Path, version: str) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, output = await rig.tool("release", "--all", "--to", version, "--id", "r", within=90)
+    async def script(rig: OperationRig) -> None:
+        code, output = await rig.run_client("release", "--all", "--to", version, "--id", "r", timeout_s=90)
         assert code == 1
         assert "halted" in output
-        status = await rig.settled(60)
+        status = await rig.wait_until_settled(60)
         assert {instance.running_version for instance in status.instances} == {"v1"}
 
     run_script(tmp_path, script, 50)
@@ -226,8 +231,8 @@
 
 @processes
 def test_a_harmless_release_on_a_day_with_a_slow_server_is_not_halted(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, output = await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=120)
+    async def script(rig: OperationRig) -> None:
+        code, output = await rig.run_client("release", "--all", "--to", "v2", "--id", "r", timeout_s=120)
         assert code == 0, output
 
     slow = "\n[trouble slow]\nkind = slow\nstart = 1s\nlength = 60s\nsize = 6\non = s0\n"
@@ -236,17 +241,17 @@
 
 @processes
 def test_a_partition_during_a_wave_that_heals_after_the_halt(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(rig.tool, "release", "--all", "--to", "v2", "--id", "r")
+            nursery.start_soon(rig.run_client, "release", "--all", "--to", "v2", "--id", "r")
             await until_out(rig, "r")
             now = rig.world.now()
             cut = frozenset({"c1", "k0", "k2", "k4"})
             rest = frozenset({"c0", "c2", "k1", "k3", "k5"})
-            rig.strike(PathFault("split", now, now + 8 * 10**9, groups=(cut, rest)))
+            rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(cut, rest)))
             await trio.sleep(1)
-            assert (await rig.tool("halt", "r"))[0] == 0
-        status = await rig.settled(60)
+            assert (await rig.run_client("halt", "r"))[0] == 0
+        status = await rig.wait_until_settled(60)
         assert result_of(status, "r") == "halted"
         assert {instance.running_version for instance in status.instances} == {"v1"}
 
@@ -255,10 +260,10 @@
 
 @processes
 def test_the_client_the_leader_and_an_instance_die_during_a_rollback(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        await rig.tool("release", "--all", "--to", "v2", "--id", "r", within=14)
-        await rig.tool("back", "r", within=0.7)
-        await rig.tool("back", "r", "--no-wait")
+    async def script(rig: OperationRig) -> None:
+        await rig.run_client("release", "--all", "--to", "v2", "--id", "r", timeout_s=14)
+        await rig.run_client("back", "r", timeout_s=0.7)
+        await rig.run_client("back", "r", "--no-wait")
         node = await leader(rig)
         rig.kill(node)
         rig.kill("k0")
@@ -266,7 +271,7 @@
         await trio.sleep(3)
         rig.start(node)
         rig.start("k0")
-        status = await rig.settled(60)
+        status = await rig.wait_until_settled(60)
         assert {instance.running_version for instance in status.instances} == {"v1"}
 
     run_script(tmp_path, script, 45)
@@ -274,7 +279,7 @@
 
 @processes
 def test_raft_servers_that_lost_their_disks_are_admitted_again(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for node in NODES[:2]:
             rig.kill(node)
             shutil.rmtree(rig.folder / f"{node}.store")
@@ -285,46 +290,46 @@
                     await trio.sleep(0.2)
             # Both halves of the change have to be committed before another disk may go.
             await trio.sleep(2)
-        assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
+        assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
 
     assert run_script(tmp_path, script, 20).steps_started == 1
 
 
 @processes
 def test_a_supervisor_that_lost_its_disk_finds_what_it_had_started(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        assert (await rig.tool("restart", "e1", "--id", "one"))[0] == 0
-        before = rig._pid("e1")
+    async def script(rig: OperationRig) -> None:
+        assert (await rig.run_client("restart", "e1", "--id", "one"))[0] == 0
+        before = rig.find_pid("e1")
         rig.kill("k1")
         shutil.rmtree(rig.folder / "k1.store")
         rig.start("k1")
-        await rig.settled(20)
-        assert rig._pid("e1") == before is not None, "it went on running, and no second one was started"
-        assert (await rig.tool("restart", "e1", "--id", "two"))[0] == 0
-        assert rig._pid("e1") != before
+        await rig.wait_until_settled(20)
+        assert rig.find_pid("e1") == before is not None, "it went on running, and no second one was started"
+        assert (await rig.run_client("restart", "e1", "--id", "two"))[0] == 0
+        assert rig.find_pid("e1") != before
 
     assert run_script(tmp_path, script, 20).steps_started == 2
 
 
 @processes
 def test_a_rejected_operation_may_be_submitted_again_under_its_id(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        assert (await rig.tool("drain", "e0", "--id", "a"))[0] == 0
-        assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 2
-        assert (await rig.tool("undrain", "e0"))[0] == 0
-        assert (await rig.tool("drain", "e1", "--id", "b"))[0] == 0
-        assert (await rig.tool("undrain", "--all"))[0] == 0
+    async def script(rig: OperationRig) -> None:
+        assert (await rig.run_client("drain", "e0", "--id", "a"))[0] == 0
+        assert (await rig.run_client("drain", "e1", "--id", "b"))[0] == 2
+        assert (await rig.run_client("undrain", "e0"))[0] == 0
+        assert (await rig.run_client("drain", "e1", "--id", "b"))[0] == 0
+        assert (await rig.run_client("undrain", "--all"))[0] == 0
 
     assert run_script(tmp_path, script, 20).steps_started == 4
 
 
 @processes
 def test_an_operation_submitted_again_later_does_nothing(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
+    async def script(rig: OperationRig) -> None:
         for _ in range(3):
-            assert (await rig.tool("restart", "e0", "--id", "one"))[0] == 0
+            assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
             await trio.sleep(1)
-        code, output = await rig.tool("history", "one")
+        code, output = await rig.run_client("history", "one")
         assert code == 0
         assert "done" in output
 
@@ -333,11 +338,11 @@
 
 @processes
 def test_servers_go_out_one_by_one_under_permits(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        code, output = await rig.tool("restart", "s0", "s1", "--servers", "--id", "s", within=90)
+    async def script(rig: OperationRig) -> None:
+        code, output = await rig.run_client("restart", "s0", "s1", "--servers", "--id", "s", timeout_s=90)
         assert code == 0, output
 
-    rows = run_orders(msgspec.structs.replace(course_day(60)), tmp_path, script, servers=True)
+    rows = run_operations(msgspec.structs.replace(course_day(60)), tmp_path, script, servers=True)
     verdict, rules = check_operations(rows), audit(rows)
     assert verdict is not None, verdict
     assert verdict.passed, verdict
@@ -349,8 +354,8 @@
 
 @processes
 def test_a_sigterm_is_obeyed_and_the_instance_counted_as_out_without_a_permit(tmp_path: Path) -> None:
-    async def script(rig: OrderRig) -> None:
-        rig._fault("leave-k1", "k1", 10)
+    async def script(rig: OperationRig) -> None:
+        rig.record_fault("leave-k1", "k1", 10)
         for _ in range(3):
             rig.processes["k1"].terminate()
             await trio.sleep(0.05)
@@ -359,9 +364,9 @@
                 await trio.sleep(0.1)
         # The last of the signals may meet one that has done all and is on its way out.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
-        assert rig._pid("e1") is None
+        assert rig.find_pid("e1") is None
         assert b'"process-exited"' in (rig.folder / "k1.log").read_bytes()
         rig.start("k1")
-        assert {instance.state for instance in (await rig.settled(20)).instances} == {"in"}
+        assert {instance.state for instance in (await rig.wait_until_settled(20)).instances} == {"in"}
 
     assert run_script(tmp_path, script).steps_started == 0
--- a/valverouter/days/operation_files.py
+++ b/valverouter/days/operation_files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from valverouter.days.viewing import SECRET
-from valverouter.terms.day import Day
+from valverouter.terms.day import ScenarioConfig
 
 CLI = (sys.executable, "-m", "valverouter.cli")
 NODES = ("c0", "c1", "c2")
@@ -30,7 +30,7 @@
     stand-in of the path to it), `callers` where an edge proxy takes its callers' connections.
     """
 
-    day: Day
+    day: ScenarioConfig
     folder: Path
     edges: list[str]
     servers: list[str]
@@ -107,7 +107,7 @@
         }
 
     def _write_server_supervisor(self, name: str, control: str, region: str) -> None:
-        agent = f"{sys.executable} -m valverouter.days.serveragent {name} {control} {self.listen[name]}"
+        agent = f"{sys.executable} -m valverouter.days.server_agent {name} {control} {self.listen[name]}"
         text = f"[keeper]\nname = {name}\nsort = server\n{self._supervisor_settings(name)}"
         text += f"version = v1\ncapacity = 0\nlist_service = {self.list_service}\n"
         text += f"drain_within = 2s\nstop_within = 6s\nregion = {region}\n"
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -20,7 +20,7 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
 from valverouter.signalling.tap import Row
-from valverouter.terms.day import Day
+from valverouter.terms.day import ScenarioConfig
 
 
 class MemoryEdge:
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        day: Day,
+        day: ScenarioConfig,
         place: int,
         network: MemoryPlace,
         nursery: trio.Nursery,
@@ -38,7 +38,7 @@
         self.name = f"e{place}"
         self.address = f"edge{place}:1"
         self.store = MemoryStore() if day.ledger else None
-        self.terms = day.edge_terms(place, self.address, list_at, f"list-{place}", f"accounts-{place}")
+        self.terms = day.edge_config(place, self.address, list_at, f"list-{place}", f"accounts-{place}")
         self.proxy: EdgeProxy | None = None
         self._network = network
         self._nursery = nursery
@@ -117,7 +117,9 @@
         run._r.setstate(state)
 
 
-def run_virtual(day: Day, prepare: Callable[[World, list[MemoryEdge]], None] | None = None) -> list[Row]:
+def run_virtual(
+    day: ScenarioConfig, prepare: Callable[[World, list[MemoryEdge]], None] | None = None
+) -> list[Row]:
     """Plays the day; the rows of what passed. `prepare` may add to the world before it starts."""
 
     async def main() -> list[Row]:
@@ -139,7 +141,7 @@
                     edges.append(edge)
                 if prepare is not None:
                     prepare(world, edges)
-                await trio.sleep(day.terms.settle / 1e9)
+                await trio.sleep(day.run.settle / 1e9)
                 if views is not None:
                     views.begins()
                 await play_day(world)
@@ -148,5 +150,5 @@
                 scope.cancel()
         return world.tap.rows
 
-    with same_order(day.terms.seed):
+    with same_order(day.run.seed):
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/valverouter/edge/discovery.py
+++ b/valverouter/edge/discovery.py
@@ -19,7 +19,7 @@
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST, OLDEST, Hello, Welcome
 from valverouter.signalling.serverlist import Change, ListSession, Replica, Row, Snapshot
-from valverouter.terms.edge import EdgeTerms
+from valverouter.terms.edge import EdgeConfig
 
 log = structlog.get_logger()
 
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        config: EdgeTerms,
+        config: EdgeConfig,
         runtime: Runtime,
         events: EventQueue,
         clock: Clock,
@@ -151,7 +151,7 @@
         """What comes next.
 
         A service that is calm says nothing for hours, and so does one that hangs: after `silence` it is asked
-        for the last change once more, and after another it is given up.
+        for the last change once more, and after another it is closed.
         """
         silence = self._config.links.silence / 1e9
         if not self.is_up or not self._config.deployment.endpoint_list_is_pushed:
--- a/valverouter/relayedge/bus_client.py
+++ b/valverouter/relayedge/bus_client.py
@@ -1,4 +1,4 @@
-"""The event bus at the edge: what was known at the start, then long polls, begun again at once."""
+"""The event bus client: what was known at the start, then long polls, begun again at once."""
 
 from __future__ import annotations
 
@@ -11,16 +11,21 @@
 from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.interface import EndpointUpdateKind
 from valverouter.relayedge import translation
-from valverouter.relaywire.bus import Batch, BusSession, batch
+from valverouter.relaywire.bus import Batch, BusSession
+from valverouter.relaywire.bus import batch as parse_batch
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.serverlist import Replica, Row
 from valverouter.terms import platform
 
 log = structlog.get_logger()
 
+MS = 10**6
+# The reason of an end where the bus has another address.
+MOVED = "moved"
+
 
 class BusClient:
-    """Where the platform tells of servers. `number` is the last event's; none is taken twice or in part."""
+    """Where the platform tells of servers. `number` is the last event's; none is applied twice or in part."""
 
     def __init__(self, address: str, known: bytes, runtime: Runtime, events: EventQueue) -> None:
         self.replica = Replica()
@@ -34,19 +39,20 @@
         self._attempt = trio.CancelScope()
 
     def request_list(self) -> None:
-        """Nothing to do: it is asked all the time."""
+        """Nothing to do: the bus is polled all the time."""
 
     async def load_cached(self) -> list[Row]:
+        """Applies the events of the configuration; no rows are cached."""
         self.apply_events(self._known)
         self._known = b""
         return []
 
     def apply_events(self, known: bytes) -> None:
-        """Events of a configuration, whole."""
-        self._on_batch(batch(known))
+        """Applies the events of a configuration, all of them."""
+        self._on_batch(parse_batch(known))
 
     def set_address(self, address: str) -> None:
-        """The event bus is elsewhere now; its numbers go on."""
+        """The event bus has another address now; its numbers go on."""
         if address != self._address:
             self._address = address
             self._attempt.cancel()
@@ -55,24 +61,24 @@
         """No disk outlives this process."""
 
     async def run(self) -> None:
-        before = ""
+        """Polls again and again, until cancelled."""
+        previous_reason = ""
         while True:
-            why, address = "moved", self._address
+            reason, address = MOVED, self._address
             with isolate_failure("bus", lambda: self._address), trio.CancelScope() as self._attempt:
-                why = await self._poll(address)
+                reason = await self._poll(address)
             self.is_up = False
             self.tries += 1
-            if why != before:
-                log.warning("bus-down", bus=address, why=why, number=self.number)
-            before = why
-            if why != "moved":
-                await trio.sleep(platform.BUS_AGAIN / 1e9)
+            if reason != previous_reason:
+                log.warning("bus-down", bus=address, why=reason, number=self.number)
+            previous_reason = reason
+            if reason != MOVED:
+                await trio.sleep(platform.BUS_RETRY_DELAY / 1e9)
 
     async def _poll(self, address: str) -> str:
-        """Polls on one connection until it is of no further use; why."""
-        hold = platform.BUS_HOLD
+        """Polls on one connection until it is of no further use; the reason of its end."""
         try:
-            with trio.fail_after(platform.BUS_LATE / 1e9):
+            with trio.fail_after(platform.BUS_ANSWER_MARGIN / 1e9):
                 stream = await self._runtime.connect(address)
         except (OSError, ValueError, OverflowError, trio.TooSlowError) as error:
             return f"no connection: {error or type(error).__name__}"
@@ -80,23 +86,22 @@
         async with stream:
             try:
                 while True:
-                    asked_at, after = trio.current_time(), self.number
-                    with trio.fail_after((hold + platform.BUS_LATE) / 1e9):
-                        await stream.send_all(session.ask(after, hold // 10**6))
-                        heard = None
-                        while heard is None:
-                            heard = session.receive(await stream.receive_some(READ_SIZE))
-                    self._on_batch(heard)
+                    polled_at, after = trio.current_time(), self.number
+                    batch = await self._poll_once(stream, session)
+                    self._on_batch(batch)
                     self.is_up, self.tries = True, 0
-                    if heard.offset < after:
-                        # Its numbers go on, says the platform. Taken up from there, events told once would
-                        # come again, and a server that is draining be in service for as long as that takes.
-                        log.warning("bus-behind", bus=self._address, number=after, told=heard.offset)
+                    if batch.offset < after:
+                        # Its numbers go on, says the platform. Taken up from there, earlier events would come
+                        # again, and a server that is draining be in service for as long as that takes.
+                        log.warning("bus-behind", bus=self._address, number=after, told=batch.offset)
                     if not session.may_ask_again:
                         return "closed"
-                    if self.number == after and trio.current_time() - asked_at < hold / 2e9:
-                        # Nothing, and at once: asked on without a pause it would be asked all the time.
-                        await trio.sleep(platform.BUS_AGAIN / 1e9)
+                    if (
+                        self.number == after
+                        and trio.current_time() - polled_at < platform.BUS_POLL_TIMEOUT / 2e9
+                    ):
+                        # Nothing, and at once: without a pause it would be polled all the time.
+                        await trio.sleep(platform.BUS_RETRY_DELAY / 1e9)
             except ProtocolError as error:
                 return f"{error.code}: {error}"
             except (trio.BrokenResourceError, trio.ClosedResourceError):
@@ -104,8 +109,17 @@
             except trio.TooSlowError:
                 return "silent"
 
-    def _on_batch(self, heard: Batch) -> None:
-        for event in heard.batch:
+    async def _poll_once(self, stream: trio.abc.Stream, session: BusSession) -> Batch:
+        """Asks for the events after the last number; TooSlowError where the answer does not come."""
+        with trio.fail_after((platform.BUS_POLL_TIMEOUT + platform.BUS_ANSWER_MARGIN) / 1e9):
+            await stream.send_all(session.ask(self.number, platform.BUS_POLL_TIMEOUT // MS))
+            while (batch := session.receive(await stream.receive_some(READ_SIZE))) is None:
+                pass
+            return batch
+
+    def _on_batch(self, batch: Batch) -> None:
+        """Applies the events that are new."""
+        for event in batch.batch:
             if event.offset <= self.number:
                 continue
             self.number = event.offset
@@ -113,6 +127,6 @@
                 continue
             now = self._runtime.wall_time()
             rows = [translation.endpoint_row(host, now) for host in event.topology.hosts]
-            scope = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
-            self._events.put_urgent(EndpointUpdate(scope, rows))
-        self.number = max(self.number, heard.offset)
+            kind = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
+            self._events.put_urgent(EndpointUpdate(kind, rows))
+        self.number = max(self.number, batch.offset)
