--- a/valverouter/signalling/serverlist.py
+++ b/valverouter/signalling/serverlist.py
@@ -1,7 +1,7 @@
-"""The list service's protocol: a snapshot, then numbered changes; docs/setup-protocol.md specifies it.
+"""The endpoint-list protocol: a snapshot, then numbered changes; docs/setup-protocol.md specifies it.
 
-`Replica` is the hearing side's state, `Register` the service's. Both do no I/O. A change's number is one
-above the last; a gap, a former epoch or a number gone by makes the replica ask for a new snapshot, once.
+`Replica` is the client's state, `EndpointRegistry` the service's; neither does I/O. Changes are numbered
+consecutively; after a gap or a change of epoch the replica requests one new snapshot.
 """
 
 from __future__ import annotations
@@ -11,161 +11,176 @@
 
 from msgspec import Struct
 
-from valverouter.signalling.framing import MOST, ProtocolError
-from valverouter.signalling.greeting import Count, Hello, Name, Session
+from valverouter.signalling.framing import MAX_FRAME_SIZE, ProtocolError
+from valverouter.signalling.greeting import Count, Hello, Name, Session, message_name
 
-HISTORY = 64
+HISTORY_LENGTH = 64
 
-PhaseWord = Literal["in-service", "draining", "gone"]
+ServerPhase = Literal["in-service", "draining", "gone"]
 
 
-class Row(Struct, frozen=True, omit_defaults=True):
-    """One server: `incarnation` grows with each of its starts, `age` is ns since that start, None: long
-    ago."""
+class EndpointRow(Struct, frozen=True, omit_defaults=True):
+    """One server. `incarnation` increases with each start; `age`: ns since that start, None: long ago."""
 
     server: Name
     number: int
-    phase: PhaseWord
+    phase: ServerPhase
     address: str = ""
     region: str = ""
     incarnation: int = 0
     age: Count | None = None
 
 
-class Watch(Struct, tag_field="t", tag="watch", frozen=True, omit_defaults=True):
-    """Asks for what follows change `have` of `epoch`, or for a snapshot where that can't be had."""
+class Watch(
+    Struct, tag_field="t", tag="watch", frozen=True, omit_defaults=True, rename={"last_number": "have"}
+):
+    """Requests the changes after `last_number` of `epoch`, or a snapshot where they are not available."""
 
     epoch: str = ""
-    have: Count = 0
+    last_number: Count = 0
 
 
 class Snapshot(Struct, tag_field="t", tag="snapshot", frozen=True):
-    """The whole list as of change `number`."""
+    """The complete list as of change `number`."""
 
     epoch: Name
     number: Count
-    rows: list[Row]
+    rows: list[EndpointRow]
 
 
 class Change(Struct, tag_field="t", tag="change", frozen=True):
-    """What changed; rows that are gone leave the list."""
+    """The rows that changed; those in phase "gone" are removed from the list."""
 
     epoch: Name
     number: Count
-    rows: list[Row]
+    rows: list[EndpointRow]
 
 
-class Leave(Struct, tag_field="t", tag="leave", frozen=True):
-    """Asks that `server` be told as draining, under the permit `number`. Asked again with the same number, it
-    is answered again; one with a lower number than was seen, or that is over, is refused."""
+class DrainRequest(Struct, tag_field="t", tag="leave", frozen=True):
+    """Requests that `server` be listed as draining, under the disruption permit `number`.
+
+    Idempotent for one number; one that has ended or is lower than another seen before is refused.
+    """
 
     server: Name
     number: Count
 
 
-class Returns(Struct, tag_field="t", tag="returns", frozen=True):
-    """The permit `number` is over: `server` is in again, and no copy of that permit holds any more."""
+class DrainEnded(Struct, tag_field="t", tag="returns", frozen=True):
+    """The disruption permit `number` has ended: `server` is in service again and the permit is void."""
 
     server: Name
     number: Count
 
 
-class Left(Struct, tag_field="t", tag="left", frozen=True, omit_defaults=True):
-    """To a Leave or a Returns."""
+class DrainReply(
+    Struct,
+    tag_field="t",
+    tag="left",
+    frozen=True,
+    omit_defaults=True,
+    rename={"granted": "given", "refusal": "why"},
+):
+    """The reply to a DrainRequest or DrainEnded; `refusal` is the reason where it was not granted."""
 
     server: Name
     number: Count
-    given: bool
-    why: str = ""
+    granted: bool
+    refusal: str = ""
 
 
-ASKED = (Watch, Leave, Returns)
+REQUESTS = (Watch, DrainRequest, DrainEnded)
 
 
-class Permits:
-    """The service's memory of permits: by server the highest number seen, and the highest that is over."""
+class DrainPermits:
+    """The disruption permits seen by the service: by server the highest number and the highest ended."""
 
     def __init__(self) -> None:
         self._highest: dict[str, int] = {}
-        self._over: dict[str, int] = {}
+        self._ended: dict[str, int] = {}
 
-    def why_not(self, leave: Leave) -> str:
-        """Empty where it holds; then lower numbers are void from now on."""
-        highest, over = self._highest.get(leave.server, 0), self._over.get(leave.server, 0)
-        if not leave.number:
+    def check(self, request: DrainRequest) -> str:
+        """Why a request is refused; empty where its permit is valid, which voids lower numbers."""
+        highest, over = self._highest.get(request.server, 0), self._ended.get(request.server, 0)
+        if not request.number:
             return "no permit's number was given"
-        if leave.number <= over:
-            return f"permit {leave.number} is over"
-        if leave.number < highest:
-            return f"permit {leave.number} is older than {highest}, which was seen"
-        self._highest[leave.server] = leave.number
+        if request.number <= over:
+            return f"permit {request.number} is over"
+        if request.number < highest:
+            return f"permit {request.number} is older than {highest}, which was seen"
+        self._highest[request.server] = request.number
         return ""
 
-    def over(self, returns: Returns) -> None:
-        self._over[returns.server] = max(self._over.get(returns.server, 0), returns.number)
+    def end(self, ended: DrainEnded) -> None:
+        """Records that a permit has ended."""
+        self._ended[ended.server] = max(self._ended.get(ended.server, 0), ended.number)
 
 
 class ListSession(Session):
-    """One connection to the list service. The hearing side asks by Watch; answers come before or after."""
+    """One connection to the endpoint-list service; the client sends requests."""
 
-    def __init__(self, hello: Hello | None = None, most: int = MOST) -> None:
-        super().__init__((*ASKED, Snapshot, Change, Left), hello, most)
+    def __init__(self, hello: Hello | None = None, max_size: int = MAX_FRAME_SIZE) -> None:
+        super().__init__((*REQUESTS, Snapshot, Change, DrainReply), hello, max_size)
 
-    def _check_in(self, message: Any) -> None:
-        if isinstance(message, ASKED) == self.asking:
-            raise ProtocolError("out-of-state", f"{type(message).__name__} comes from the other side only")
+    def _check_received(self, message: Any) -> None:
+        if isinstance(message, REQUESTS) == self.is_client:
+            raise ProtocolError(
+                "out-of-state", f"{message_name(type(message))} comes from the other side only"
+            )
 
-    def _check_out(self, message: Any) -> None:
-        assert isinstance(message, ASKED) == self.asking
+    def _check_sent(self, message: Any) -> None:
+        assert isinstance(message, REQUESTS) == self.is_client
 
 
 class Replica:
-    """What the hearing side holds. `rows` is emptied by snapshots and by rows that are gone."""
+    """The client's copy of the list: `rows` by server, replaced by snapshots, updated by changes."""
 
     def __init__(self) -> None:
         self.epoch = ""
         self.number = 0
-        self.rows: dict[str, Row] = {}
-        self.gaps = 0
-        self._asked = True
+        self.rows: dict[str, EndpointRow] = {}
+        self.gap_count = 0
+        self._snapshot_requested = True
 
     def watch(self) -> Watch:
-        """What to send on a new connection."""
-        self._asked = True
+        """The first request on a new connection."""
+        self._snapshot_requested = True
         return Watch(self.epoch, self.number)
 
-    def question(self) -> Watch:
-        """What a service that is there must answer, though nothing has changed: the last change again, or a
-        snapshot where there was none."""
+    def probe(self) -> Watch:
+        """A request that a live service must answer although nothing has changed.
+
+        It asks for the last change again, or for a snapshot where there was none.
+        """
         return Watch(self.epoch, self.number - 1) if self.number else Watch()
 
-    def heard(self, message: Snapshot | Change) -> tuple[list[Row] | None, Watch | None]:
-        """The rows to act on (None: nothing new), and what to send back, if anything.
+    def on_message(self, message: Snapshot | Change) -> tuple[list[EndpointRow] | None, Watch | None]:
+        """Returns the rows to apply (None: nothing new) and the request to send, if any.
 
-        Rows of a change behind a gap are acted on only as far as they take servers out of service: late or
-        out of order, a word that a server drains or is gone is heeded from the moment it is told.
+        Of a change after a gap only the rows that take servers out of service are applied: late or out of
+        order, they are valid as soon as they are received.
         """
         if isinstance(message, Snapshot):
-            self._asked = False
+            self._snapshot_requested = False
             self.epoch, self.number = message.epoch, message.number
             self.rows = {row.server: row for row in message.rows if row.phase != "gone"}
             return message.rows, None
         if message.epoch == self.epoch and message.number <= self.number:
             return None, None
         if message.epoch == self.epoch and message.number == self.number + 1:
-            self._asked = False
+            self._snapshot_requested = False
             self.number = message.number
-            self._keep(message.rows)
+            self._store(message.rows)
             return message.rows, None
-        leaving = [row for row in message.rows if row.phase != "in-service"]
-        self._keep(leaving)
-        if self._asked:
-            return leaving or None, None
-        self.gaps += 1
-        self._asked = True
-        return leaving or None, Watch()
-
-    def _keep(self, rows: list[Row]) -> None:
+        out_of_service = [row for row in message.rows if row.phase != "in-service"]
+        self._store(out_of_service)
+        if self._snapshot_requested:
+            return out_of_service or None, None
+        self.gap_count += 1
+        self._snapshot_requested = True
+        return out_of_service or None, Watch()
+
+    def _store(self, rows: list[EndpointRow]) -> None:
         for row in rows:
             if row.phase == "gone":
                 self.rows.pop(row.server, None)
@@ -173,17 +188,17 @@
                 self.rows[row.server] = row
 
 
-class Register:
-    """What the service holds: the rows, their number, and the last HISTORY changes for those who come
-    back."""
+class EndpointRegistry:
+    """The service's list: rows, the last change's number, and HISTORY_LENGTH changes for reconnects."""
 
     def __init__(self, epoch: str) -> None:
         self.epoch = epoch
         self.number = 0
-        self.rows: dict[str, Row] = {}
-        self._changes: deque[Change] = deque(maxlen=HISTORY)
+        self.rows: dict[str, EndpointRow] = {}
+        self._changes: deque[Change] = deque(maxlen=HISTORY_LENGTH)
 
-    def change(self, rows: list[Row]) -> Change:
+    def change(self, rows: list[EndpointRow]) -> Change:
+        """Applies rows as the next change."""
         self.number += 1
         for row in rows:
             if row.phase == "gone":
@@ -194,8 +209,9 @@
         return self._changes[-1]
 
     def answer(self, watch: Watch) -> list[Snapshot | Change]:
-        missed = [change for change in self._changes if change.number > watch.have]
-        known = watch.epoch == self.epoch and watch.have <= self.number
-        if known and watch.have + len(missed) == self.number:
+        """The changes that a client has missed, or a snapshot where they are not available."""
+        missed = [change for change in self._changes if change.number > watch.last_number]
+        known = watch.epoch == self.epoch and watch.last_number <= self.number
+        if known and watch.last_number + len(missed) == self.number:
             return list(missed)
         return [Snapshot(self.epoch, self.number, list(self.rows.values()))]
--- a/valverouter/signalling/setup.py
+++ b/valverouter/signalling/setup.py
@@ -1,243 +1,302 @@
 """The set-up protocol between callers, edge proxies and setup servers; docs/setup-protocol.md specifies it.
 
-On each hop one side asks (a caller of an edge proxy, an edge proxy of a server) and the other serves. A leg
-is opened by Setup and closed by exactly one closing message of the serving side. Spans are whole nanoseconds.
+On each hop one side is the client (a caller of an edge proxy, an edge proxy of a server) and the other the
+server. A leg is opened by Setup or Resume and closed by exactly one closing message of the server. Durations
+are whole nanoseconds. Tags, and the names of fields given by `rename`, are those on the wire; `answer_name`
+of a final answer to a caller is its name in counters and records.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
-from typing import Annotated, Any
+from typing import Annotated, Any, ClassVar
 
 from msgspec import Meta, Struct
 
-from valverouter.signalling.framing import MOST, ProtocolError
-from valverouter.signalling.greeting import Count, Hello, Name, Session, Text
+from valverouter.signalling.framing import MAX_FRAME_SIZE, ProtocolError
+from valverouter.signalling.greeting import Count, Hello, Name, Session, Text, message_name
 
-HOUR = 3_600 * 1_000_000_000
-OPEN_MOST = 20_000
+MAX_DURATION = 3_600 * 1_000_000_000
+MAX_OPEN_LEGS = 20_000
 
 LegNumber = Annotated[int, Meta(ge=0, le=63)]
-Span = Annotated[int, Meta(ge=0, le=HOUR)]
+Duration = Annotated[int, Meta(ge=0, le=MAX_DURATION)]
+LegKey = tuple[str, int]
 
 
-class Load(Struct, frozen=True, omit_defaults=True):
-    """A server's own report: `util` of its processor from 0 to 1, `queue` of waiting set-ups; None: not
-    told."""
+class Load(
+    Struct,
+    frozen=True,
+    omit_defaults=True,
+    rename={"utilization": "util", "queue_length": "queue", "queue_delay": "wait"},
+):
+    """A server's load report; None: not reported.
 
-    util: float | None = None
-    queue: Count | None = None
+    `utilization` of its processor from 0 to 1; `queue_length`: waiting set-ups; `queue_delay` in ns.
+    """
+
+    utilization: float | None = None
+    queue_length: Count | None = None
     free_lines: Count | None = None
     lines: Count | None = None
-    wait: Span | None = None
+    queue_delay: Duration | None = None
 
 
-class OfLeg(Struct, frozen=True, omit_defaults=True):
-    """What every message on a leg names: the dialog's id as its caller gave it, and the leg's number."""
+class LegMessage(Struct, frozen=True, omit_defaults=True):
+    """A message on a leg: `dialog` is the id that the caller chose, `leg` the number of the attempt."""
 
     dialog: Name
     leg: LegNumber = 0
 
 
-class Setup(OfLeg, tag_field="t", tag="setup", frozen=True, kw_only=True):
-    """Opens a leg. `no_answer`: what is left, at sending, of the time after which nobody waits any more."""
+class Setup(
+    LegMessage,
+    tag_field="t",
+    tag="setup",
+    frozen=True,
+    kw_only=True,
+    rename={
+        "time_left": "no_answer",
+        "preferred_server_number": "first_choice",
+        "was_interrupted": "was_cut",
+    },
+):
+    """Opens a leg. `time_left`: ns from sending until the caller gives up.
+
+    `preferred_server_number`: the server to try first, -1: any. `was_interrupted`: it replaces an established
+    dialog that was lost.
+    """
 
     traffic_type: Name
-    no_answer: Annotated[int, Meta(gt=0, le=HOUR)]
-    first_choice: int = -1
+    time_left: Annotated[int, Meta(gt=0, le=MAX_DURATION)]
+    preferred_server_number: int = -1
     called_number: Count = 0
-    was_cut: bool = False
+    was_interrupted: bool = False
 
 
-class Cancel(OfLeg, tag_field="t", tag="cancel", frozen=True):
-    """The asking side waits no longer. It may cross any answer; a leg that stands by then is released."""
+class Cancel(LegMessage, tag_field="t", tag="cancel", frozen=True):
+    """The client gives up. It may cross any answer; a leg that is established by then is released."""
 
 
-class Release(OfLeg, tag_field="t", tag="release", frozen=True):
-    """The asking side ends a dialog that stands; answered with Ended."""
+class Release(LegMessage, tag_field="t", tag="release", frozen=True):
+    """The client ends an established dialog; answered with Ended."""
 
 
-class Resume(OfLeg, tag_field="t", tag="resume", frozen=True):
-    """Version 2. The asking side had this leg open here, or standing, on a connection that is gone: what of
-    it? Answered with the state it is in (Provisional, Stands), with its final answer again, or Unknown."""
+class Resume(LegMessage, tag_field="t", tag="resume", frozen=True):
+    """Version 2. Asks for the state of a leg that was open or established on a connection that was lost.
+
+    Answered with its present state (Provisional, Established), its final answer again, or Unknown.
+    """
 
 
-class Kept(OfLeg, tag_field="t", tag="kept", frozen=True):
-    """Version 2, to a server. That this leg stands is on record at the asking side: it outlives the
-    connection for a while, to be resumed."""
+class Persisted(LegMessage, tag_field="t", tag="kept", frozen=True):
+    """Version 2, to a server. The client has stored that this leg is established.
 
+    The leg outlives the connection for a while, so that it can be resumed.
+    """
 
-class Provisional(OfLeg, tag_field="t", tag="provisional", frozen=True):
-    """Taken and under way. From an edge proxy to its caller: from here on a final answer is owed."""
 
+class Provisional(LegMessage, tag_field="t", tag="provisional", frozen=True):
+    """The set-up was accepted and is in progress; an edge proxy now owes its caller a final answer."""
 
-class Stands(OfLeg, tag_field="t", tag="stands", frozen=True):
-    """The dialog stands; `server` names who set it up, on the hop to the caller."""
+
+class Established(LegMessage, tag_field="t", tag="stands", frozen=True):
+    """The dialog is established; to a caller `server` names the server."""
+
+    answer_name: ClassVar[str] = "stands"
 
     server: str = ""
     report: Load | None = None
 
 
-class Ended(OfLeg, tag_field="t", tag="ended", frozen=True):
-    """Closes a leg that stood: `reason` is over, released or cut."""
+class Ended(LegMessage, tag_field="t", tag="ended", frozen=True):
+    """Closes a leg that was established: `reason` is over, released or cut."""
 
     reason: Name = "over"
     report: Load | None = None
 
 
-class LineBusy(OfLeg, tag_field="t", tag="line-busy", frozen=True):
-    """Closes: every line of the called number is taken; final for the dialog."""
+class LineBusy(LegMessage, tag_field="t", tag="line-busy", frozen=True):
+    """Closes: every line of the called number is busy; final for the dialog."""
 
     report: Load | None = None
 
 
-class Full(OfLeg, tag_field="t", tag="full", frozen=True):
-    """Closes: the processor is full; `asked_wait` is the least wait before this dialog comes again."""
+class Full(LegMessage, tag_field="t", tag="full", frozen=True, rename={"retry_after": "asked_wait"}):
+    """Closes: the processor is overloaded; `retry_after`: the minimum time before this dialog's retry."""
 
-    asked_wait: Span = 0
+    retry_after: Duration = 0
     report: Load | None = None
 
 
-class NoAgent(OfLeg, tag_field="t", tag="no-agent", frozen=True):
+class NoAgent(LegMessage, tag_field="t", tag="no-agent", frozen=True):
     """Closes: no line is free at this server."""
 
     report: Load | None = None
 
 
-class Fault(OfLeg, tag_field="t", tag="fault", frozen=True):
-    """Closes: the server failed at this leg."""
+class Fault(LegMessage, tag_field="t", tag="fault", frozen=True):
+    """Closes: the server failed during this attempt."""
 
     text: Text = ""
     report: Load | None = None
 
 
-class Cancelled(OfLeg, tag_field="t", tag="cancelled", frozen=True):
-    """Closes a leg that was cancelled before any other answer left."""
+class Cancelled(LegMessage, tag_field="t", tag="cancelled", frozen=True):
+    """Closes a leg that was cancelled before it had another answer."""
 
     report: Load | None = None
 
 
-class Declined(OfLeg, tag_field="t", tag="declined", frozen=True):
-    """Closes, to a caller: turned away, to come back after the span (0: no advice)."""
+class Rejected(LegMessage, tag_field="t", tag="declined", frozen=True, rename={"retry_after": "come_back"}):
+    """Closes, to a caller: rejected; `retry_after` is the advised delay of a retry (0: none)."""
+
+    answer_name: ClassVar[str] = "declined"
 
-    come_back: Span = 0
+    retry_after: Duration = 0
 
 
-class Aborted(OfLeg, tag_field="t", tag="aborted", frozen=True):
-    """Closes, to a caller: given up; `reason` is a word from the specification's table."""
+class Failed(LegMessage, tag_field="t", tag="aborted", frozen=True):
+    """Closes, to a caller: the dialog failed; `reason` is one of the specification's table."""
+
+    answer_name: ClassVar[str] = "aborted"
 
     reason: Name = "failed"
 
 
-class Unknown(OfLeg, tag_field="t", tag="unknown", frozen=True):
-    """Version 2. Closes a leg that was to be resumed: nothing of it is here, and nothing will come of it."""
+class Unknown(LegMessage, tag_field="t", tag="unknown", frozen=True):
+    """Version 2. Closes a leg that was to be resumed: it is not known here."""
 
 
-class Reported(Struct, tag_field="t", tag="reported", frozen=True):
-    """A server's report, unasked."""
+class LoadReported(Struct, tag_field="t", tag="reported", frozen=True):
+    """A server's unsolicited load report."""
 
     report: Load
 
 
-class Phase(Enum):
-    """Where a leg is, as the messages that passed here show it."""
+class LegPhase(Enum):
+    """The phase of a leg as one side has seen it; CLOSING: the client has sent Cancel or Release."""
 
     OPEN = auto()
     RESUMED = auto()
-    STANDS = auto()
-    LEAVING = auto()
-
-
-ASKS = frozenset((Setup, Cancel, Release, Resume, Kept))
-SERVER_CLOSES = frozenset((Ended, LineBusy, Full, NoAgent, Fault, Cancelled, Unknown))
-EDGE_CLOSES = frozenset((Ended, Declined, Aborted, Unknown))
-# Since which version, where not since the first.
-SINCE_SECOND = frozenset((Resume, Kept, Unknown))
-KINDS = (
-    *(Setup, Cancel, Release, Provisional, Stands, Ended, LineBusy, Full, NoAgent, Fault, Cancelled),
-    *(Declined, Aborted, Reported, Resume, Kept, Unknown),
+    ESTABLISHED = auto()
+    CLOSING = auto()
+
+
+CLIENT_MESSAGES = frozenset((Setup, Cancel, Release, Resume, Persisted))
+SERVER_CLOSING_MESSAGES = frozenset((Ended, LineBusy, Full, NoAgent, Fault, Cancelled, Unknown))
+EDGE_CLOSING_MESSAGES = frozenset((Ended, Rejected, Failed, Unknown))
+# The messages that version 1 doesn't have.
+SINCE_VERSION_2 = frozenset((Resume, Persisted, Unknown))
+MESSAGE_TYPES = (
+    *(Setup, Cancel, Release, Provisional, Established, Ended, LineBusy, Full, NoAgent, Fault, Cancelled),
+    *(Rejected, Failed, LoadReported, Resume, Persisted, Unknown),
 )
 
 
 class SetupSession(Session):
-    """One connection of the set-up protocol and the legs open on it.
+    """One connection of the set-up protocol and `legs`, the phases of those open on it by (dialog, leg).
 
-    A leg leaves the table with its closing message, so the table holds what is open and no more. A Cancel or
-    Release that crosses the closing message finds no leg at the serving side and is dropped there: the asking
-    side has its answer already. An answer for a leg that is not open, however, is a fault of the serving
-    side.
+    A leg is removed with its closing message. A Cancel or Release that crosses the closing message finds no
+    leg at the server and is ignored there: the client has its answer already. An answer for a leg that is not
+    open, however, is an error of the server.
     """
 
-    def __init__(self, hello: Hello | None = None, open_most: int = OPEN_MOST, most: int = MOST) -> None:
-        super().__init__(KINDS, hello, most)
-        self.open_most = open_most
-        self.legs: dict[tuple[str, int], Phase] = {}
-        self._by_caller = hello is not None and hello.role == "caller"
+    def __init__(
+        self, hello: Hello | None = None, max_open_legs: int = MAX_OPEN_LEGS, max_size: int = MAX_FRAME_SIZE
+    ) -> None:
+        super().__init__(MESSAGE_TYPES, hello, max_size)
+        self.max_open_legs = max_open_legs
+        self.legs: dict[LegKey, LegPhase] = {}
+        self._client_is_caller = hello is not None and hello.role == "caller"
 
-    def _greeted(self, message: Any) -> None:
-        super()._greeted(message)
+    def _on_greeting(self, message: Any) -> None:
+        super()._on_greeting(message)
         if isinstance(message, Hello):
             if message.role not in ("caller", "edge"):
                 raise ProtocolError("malformed", f"hello: role is {message.role!r}, caller or edge are known")
-            self._by_caller = message.role == "caller"
+            self._client_is_caller = message.role == "caller"
 
-    def _check_in(self, message: Any) -> None:
-        self._pass(message, from_asking=not self.asking, ours=False)
+    def _check_received(self, message: Any) -> None:
+        self._track(message, from_client=not self.is_client, is_sent=False)
 
-    def _check_out(self, message: Any) -> None:
-        self._pass(message, from_asking=self.asking, ours=True)
+    def _check_sent(self, message: Any) -> None:
+        self._track(message, from_client=self.is_client, is_sent=True)
 
-    def drop(self, key: tuple[str, int]) -> None:
-        """Forgets a leg whose Setup was withdrawn before its bytes left."""
+    def drop(self, key: LegKey) -> None:
+        """Removes a leg whose Setup was withdrawn before it was sent."""
         self.legs.pop(key, None)
 
-    def _pass(self, message: Any, from_asking: bool, ours: bool) -> None:
+    def _track(self, message: Any, from_client: bool, is_sent: bool) -> None:
+        """Checks a message against the state of its leg and moves the leg to its next phase."""
         kind = type(message)
-        if (kind in ASKS) != from_asking:
-            raise ProtocolError("out-of-state", f"{kind.__name__} comes from the other side only")
-        if kind in SINCE_SECOND and self.version < 2:
-            raise ProtocolError("out-of-state", f"{kind.__name__} is not in version {self.version}")
-        if kind is Reported:
-            if self._by_caller:
-                raise ProtocolError("out-of-state", "reports are for edge proxies")
+        if (kind in CLIENT_MESSAGES) != from_client:
+            raise _out_of_state(f"{message_name(kind)} comes from the other side only")
+        if kind in SINCE_VERSION_2 and self.version < 2:
+            raise _out_of_state(f"{message_name(kind)} is not in version {self.version}")
+        if kind is LoadReported:
+            if self._client_is_caller:
+                raise _out_of_state("reports are for edge proxies")
             return
         key = (message.dialog, message.leg)
         phase = self.legs.get(key)
         if kind is Setup or kind is Resume:
-            if phase is not None:
-                raise ProtocolError("out-of-state", f"leg {key} is open already")
-            if len(self.legs) >= self.open_most:
-                raise ProtocolError("too-many", f"{self.open_most} legs are open on this connection")
-            self.legs[key] = Phase.OPEN if kind is Setup else Phase.RESUMED
-        elif from_asking:
-            if phase is None:
-                if ours:
-                    raise ProtocolError("out-of-state", f"{kind.__name__} for {key}, which is not open")
-            elif kind in (Release, Kept) and phase in (Phase.OPEN, Phase.RESUMED):
-                raise ProtocolError("out-of-state", f"{kind.__name__} for {key}, which does not stand")
-            elif self.asking and kind is not Kept:
-                # The serving side keeps the phase: whether the leg stood decides between Ended and Cancelled.
-                self.legs[key] = Phase.LEAVING
+            self._open(kind, key, phase)
+        elif from_client:
+            self._on_request(kind, key, phase, is_sent)
         elif phase is None:
-            raise ProtocolError("out-of-state", f"{kind.__name__} for {key}, which is not open")
-        elif kind is Provisional:
-            if phase is Phase.STANDS:
-                raise ProtocolError("out-of-state", f"Provisional for {key}, which stands")
-            if phase is Phase.RESUMED:
-                self.legs[key] = Phase.OPEN
-        elif kind is Stands:
-            if phase is Phase.STANDS:
-                raise ProtocolError("out-of-state", f"{key} stands already")
-            if phase is not Phase.LEAVING:
-                self.legs[key] = Phase.STANDS
+            raise _out_of_state(f"{message_name(kind)} for {key}, which is not open")
+        elif kind is Provisional or kind is Established:
+            self._on_progress(kind, key, phase)
         else:
-            closes = EDGE_CLOSES if self._by_caller else SERVER_CLOSES
-            if kind not in closes:
-                raise ProtocolError("out-of-state", f"{kind.__name__} is not used on this hop")
-            if kind is Unknown and phase not in (Phase.RESUMED, Phase.LEAVING):
-                raise ProtocolError("out-of-state", f"Unknown for {key}, which was not to be resumed")
-            if kind is Ended and phase in (Phase.OPEN, Phase.RESUMED):
-                raise ProtocolError("out-of-state", f"Ended for {key}, which does not stand")
-            if kind is not Ended and phase is Phase.STANDS:
-                raise ProtocolError("out-of-state", f"{kind.__name__} for {key}, which stands")
-            del self.legs[key]
+            self._close(kind, key, phase)
+
+    def _open(self, kind: type[Struct], key: LegKey, phase: LegPhase | None) -> None:
+        """Setup or Resume."""
+        if phase is not None:
+            raise _out_of_state(f"leg {key} is open already")
+        if len(self.legs) >= self.max_open_legs:
+            raise ProtocolError("too-many", f"{self.max_open_legs} legs are open on this connection")
+        self.legs[key] = LegPhase.OPEN if kind is Setup else LegPhase.RESUMED
+
+    def _on_request(self, kind: type[Struct], key: LegKey, phase: LegPhase | None, is_sent: bool) -> None:
+        """Cancel, Release or Persisted: a client's message on a leg that was opened before."""
+        if phase is None:
+            # A received one may have crossed the closing message.
+            if is_sent:
+                raise _out_of_state(f"{message_name(kind)} for {key}, which is not open")
+        elif kind in (Release, Persisted) and phase in (LegPhase.OPEN, LegPhase.RESUMED):
+            raise _out_of_state(f"{message_name(kind)} for {key}, which does not stand")
+        elif self.is_client and kind is not Persisted:
+            # The server retains the phase: it decides between Ended and Cancelled.
+            self.legs[key] = LegPhase.CLOSING
+
+    def _on_progress(self, kind: type[Struct], key: LegKey, phase: LegPhase) -> None:
+        """Provisional or Established."""
+        if kind is Provisional:
+            if phase is LegPhase.ESTABLISHED:
+                raise _out_of_state(f"Provisional for {key}, which stands")
+            if phase is LegPhase.RESUMED:
+                self.legs[key] = LegPhase.OPEN
+            return
+        if phase is LegPhase.ESTABLISHED:
+            raise _out_of_state(f"{key} stands already")
+        if phase is not LegPhase.CLOSING:
+            self.legs[key] = LegPhase.ESTABLISHED
+
+    def _close(self, kind: type[Struct], key: LegKey, phase: LegPhase) -> None:
+        """A closing message: the leg leaves the table."""
+        allowed = EDGE_CLOSING_MESSAGES if self._client_is_caller else SERVER_CLOSING_MESSAGES
+        if kind not in allowed:
+            raise _out_of_state(f"{message_name(kind)} is not used on this hop")
+        if kind is Unknown and phase not in (LegPhase.RESUMED, LegPhase.CLOSING):
+            raise _out_of_state(f"Unknown for {key}, which was not to be resumed")
+        if kind is Ended and phase in (LegPhase.OPEN, LegPhase.RESUMED):
+            raise _out_of_state(f"Ended for {key}, which does not stand")
+        if kind is not Ended and phase is LegPhase.ESTABLISHED:
+            raise _out_of_state(f"{message_name(kind)} for {key}, which stands")
+        del self.legs[key]
+
+
+def _out_of_state(text: str) -> ProtocolError:
+    return ProtocolError("out-of-state", text)
--- a/valverouter/signalling/tap.py
+++ b/valverouter/signalling/tap.py
@@ -267,7 +267,7 @@
 
 
 # Attributes of protocol messages that become a row's `duration` and `detail`.
-DURATION_ATTRIBUTES = ("no_answer", "come_back", "asked_wait")
+DURATION_ATTRIBUTES = ("time_left", "retry_after")
 DETAIL_ATTRIBUTES = ("traffic_type", "reason", "server")
 
 
--- a/valverouter/wirehost/__init__.py
+++ b/valverouter/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: one process, many edge proxies, nothing shared among them."""
+"""The simulator's adapter: one process hosts the policies of many edge proxies, which share nothing."""
--- a/valverouter/wirehost/__main__.py
+++ b/valverouter/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input, writes one reply for each: `python -m valverouter.wirehost`."""
+"""Reads batches from standard input and writes one reply for each: `python -m valverouter.wirehost`."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from valverouter.wirehost import codec
 
 
-class Host:
-    """The edge proxies of this process, and the list pages last sent to it."""
+class ProxyHost:
+    """The edge proxies of this process by id, and the pages of the endpoint list that it has received."""
 
     def __init__(self) -> None:
         self._proxies: dict[str, tuple[Driver, list[str]]] = {}
         self._pages: dict[int, list[Endpoint]] = {}
 
     def reply(self, line: bytes) -> bytes:
+        """Handles one batch and returns the encoded reply; MalformedInputError where it can't be decoded."""
         now, messages = codec.read_batch(line)
         steps: list[dict[str, Any]] = []
         for name, message in messages:
             if isinstance(message, codec.Page):
-                self._pages[message.page] = codec.entries(message.rows)
+                self._pages[message.page] = codec.endpoints(message.rows)
                 continue
             try:
                 self._deliver(now, name, message)
@@ -30,10 +31,10 @@
                 commands = known[0].take_commands() if known else []
             except codec.MalformedInputError:
                 raise
-            except Exception as error:  # the wire asks for a fault by name, whatever the decisions raised
-                steps.append(codec.fatal(message.proxyId, f"{name}: {type(error).__name__}: {error}"))
+            except Exception as error:  # the wire reports any failure of the policies by name
+                steps.append(codec.encode_fatal(message.proxyId, f"{name}: {type(error).__name__}: {error}"))
                 break
-            steps += [codec.step(message.proxyId, command) for command in commands]
+            steps += [codec.encode_command(message.proxyId, command) for command in commands]
         return codec.write_reply(steps)
 
     def _deliver(self, now: int, name: str, message: codec.Message) -> None:
@@ -49,28 +50,39 @@
             return
         driver, fields = self._proxies[message.proxyId]
         driver.tick(now)
-        match message:
-            case codec.Sync():
-                scope = codec.scope(message)
-                if message.scope != "X" and message.page not in self._pages:
-                    raise codec.MalformedInputError(f"sync: page {message.page} was never sent")
-                driver.update_endpoints(scope, self._pages[message.page] if message.scope != "X" else [])
-            case codec.Knock():
-                driver.start_dialog(codec.dialog(message))
-            case codec.Accepted():
-                driver.on_attempt_result(codec.standing(message))
-            case codec.AttemptEnd():
-                driver.on_attempt_result(codec.leg_end(message, fields))
-            case codec.ClientGone():
-                driver.on_caller_gone(message.msgId)
-            case codec.Fired():
-                driver.on_timer(message.ref)
-            case codec.HealthResult():
-                driver.update_load(message.server, codec.report(message.feedback, fields))
+        if isinstance(message, codec.Sync):
+            self._update_endpoints(driver, message)
+        else:
+            _handle_event(driver, message, fields)
+
+    def _update_endpoints(self, driver: Driver, message: codec.Sync) -> None:
+        kind = codec.update_kind(message)
+        has_page = message.scope != "X"
+        if has_page and message.page not in self._pages:
+            raise codec.MalformedInputError(f"sync: page {message.page} was never sent")
+        driver.update_endpoints(kind, self._pages[message.page] if has_page else [])
+
+
+def _handle_event(driver: Driver, message: codec.Message, fields: list[str]) -> None:
+    """Passes an event to the policies of its edge proxy; `fields` names the values of load reports."""
+    match message:
+        case codec.Knock():
+            driver.start_dialog(codec.dialog(message))
+        case codec.Accepted():
+            driver.on_attempt_result(codec.attempt_established(message))
+        case codec.AttemptEnd():
+            driver.on_attempt_result(codec.attempt_result(message, fields))
+        case codec.ClientGone():
+            driver.on_caller_gone(message.msgId)
+        case codec.Fired():
+            driver.on_timer(message.ref)
+        case codec.HealthResult():
+            driver.update_load(message.server, codec.load_report(message.feedback, fields))
 
 
 def main(source: BinaryIO, sink: BinaryIO) -> int:
-    host = Host()
+    """Serves batches until the end of `source`; returns the exit code, 2 for malformed input."""
+    host = ProxyHost()
     for line in source:
         try:
             reply = host.reply(line)
--- a/valverouter/wirehost/codec.py
+++ b/valverouter/wirehost/codec.py
@@ -1,4 +1,7 @@
-"""The simulator's wire: its names and microseconds on one side, our words and nanoseconds on the other."""
+"""The simulator's wire format, with its field names and microseconds, and the conversion to our types.
+
+Times are nanoseconds in our types.
+"""
 
 from __future__ import annotations
 
@@ -28,11 +31,11 @@
 
 __all__ = ["MalformedInputError", "Options", "deployment"]
 
-US = 1_000
-MS = 1_000_000
-IN_TRANSIT, WAS_CUT = 8, 16
-NOTE_NO_AGENT, NOTE_LINE_BUSY = 1, 4
-SCOPES = {
+NS_PER_US = 1_000
+NS_PER_MS = 1_000_000
+FLAG_IN_TRANSIT, FLAG_INTERRUPTED = 8, 16
+NOTE_NO_AGENT, NOTE_RETRY_AFTER, NOTE_LINE_BUSY = 1, 3, 4
+UPDATE_KINDS = {
     "D": EndpointUpdateKind.INCREMENTAL,
     "F": EndpointUpdateKind.COMPLETE,
     "C": EndpointUpdateKind.CACHED,
@@ -51,6 +54,8 @@
 
 
 class Row(Struct):
+    """One server of the endpoint list."""
+
     phase: str
     server: str
     number: int
@@ -58,27 +63,37 @@
 
 
 class Page(Struct):
+    """A numbered page of the endpoint list, which `Sync` refers to."""
+
     page: int
     rows: list[Row]
 
 
 class PowerOn(Struct):
+    """Starts an edge proxy."""
+
     proxyId: str
     seed: int
     options: Options
 
 
 class ProxyOnly(Struct):
+    """A message without content to one edge proxy."""
+
     proxyId: str
 
 
 class Sync(Struct):
+    """An update of the endpoint list; `scope` is a key of UPDATE_KINDS."""
+
     proxyId: str
     scope: str
     page: int = 0
 
 
 class Knock(Struct):
+    """A caller's dialog request; `flags`: FLAG_IN_TRANSIT and FLAG_INTERRUPTED."""
+
     proxyId: str
     msgId: str
     dropDeadUs: int
@@ -89,6 +104,8 @@
 
 
 class Accepted(Struct):
+    """Attempt `n` of a dialog is established."""
+
     proxyId: str
     msgId: str
     n: int
@@ -97,6 +114,11 @@
 
 
 class AttemptEnd(Struct):
+    """Attempt `n` of a dialog has ended; `result` is an index of OUTCOMES.
+
+    `why`: a note in the low four bits, above them a retry delay in ms.
+    """
+
     proxyId: str
     msgId: str
     n: int
@@ -109,16 +131,22 @@
 
 
 class ClientGone(Struct):
+    """The caller of a dialog has disconnected."""
+
     proxyId: str
     msgId: str
 
 
 class Fired(Struct):
+    """A timer has expired."""
+
     proxyId: str
     ref: int
 
 
 class HealthResult(Struct):
+    """A server's load report."""
+
     proxyId: str
     server: str
     result: int
@@ -127,7 +155,7 @@
 
 
 class Envelope(Struct):
-    """One message: exactly one of these is set."""
+    """One message: exactly one field is set."""
 
     snapshotRows: Page | UnsetType = UNSET
     powerOn: PowerOn | UnsetType = UNSET
@@ -143,6 +171,8 @@
 
 
 class Batch(Struct):
+    """The messages of one moment."""
+
     tsUs: int
     input: list[Envelope]
 
@@ -154,109 +184,119 @@
 
 
 def read_batch(line: bytes) -> tuple[int, Iterator[tuple[str, Message]]]:
-    """The batch's clock and its messages by name; MalformedInputError names the message and the field."""
+    """A batch's time in ns and its messages with their names; MalformedInputError where it is invalid."""
     try:
         batch = _batches.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise MalformedInputError(str(error)) from None
-    return batch.tsUs * US, _messages(batch.input)
+    return batch.tsUs * NS_PER_US, _messages(batch.input)
 
 
 def _messages(envelopes: list[Envelope]) -> Iterator[tuple[str, Message]]:
-    for at, envelope in enumerate(envelopes):
-        held = [
+    for index, envelope in enumerate(envelopes):
+        present = [
             (name, value)
             for name in Envelope.__struct_fields__
             if (value := getattr(envelope, name)) is not UNSET
         ]
-        if len(held) != 1:
+        if len(present) != 1:
             raise MalformedInputError(
-                f"input[{at}]: a message holds exactly one known name, this one {len(held)}"
+                f"input[{index}]: a message holds exactly one known name, this one {len(present)}"
             )
-        yield held[0]
+        yield present[0]
 
 
-def scope(message: Sync) -> EndpointUpdateKind:
+def update_kind(message: Sync) -> EndpointUpdateKind:
+    """The kind of an update; MalformedInputError where it is unknown."""
     try:
-        return SCOPES[message.scope]
+        return UPDATE_KINDS[message.scope]
     except KeyError:
         raise MalformedInputError(f"sync: scope is {message.scope!r}") from None
 
 
-def entries(rows: list[Row]) -> list[Endpoint]:
-    return [Endpoint(r.server, r.number, r.phase == "in_service", r.readyAtUs * US) for r in rows]
+def endpoints(rows: list[Row]) -> list[Endpoint]:
+    """The servers of a page."""
+    return [Endpoint(r.server, r.number, r.phase == "in_service", r.readyAtUs * NS_PER_US) for r in rows]
 
 
 def dialog(message: Knock) -> Dialog:
+    """The requested dialog."""
     return Dialog(
         id=message.msgId,
         traffic_type=message.priority,
-        deadline=message.dropDeadUs * US,
+        deadline=message.dropDeadUs * NS_PER_US,
         preferred_server_number=message.dest,
         called_number=message.nameKey,
-        was_interrupted=bool(message.flags & WAS_CUT),
-        in_transit=bool(message.flags & IN_TRANSIT),
+        was_interrupted=bool(message.flags & FLAG_INTERRUPTED),
+        in_transit=bool(message.flags & FLAG_IN_TRANSIT),
     )
 
 
-def standing(message: Accepted) -> AttemptResult:
+def attempt_established(message: Accepted) -> AttemptResult:
+    """The result of an attempt that is established."""
     return AttemptResult(
-        message.msgId, message.n, message.server, Outcome.ESTABLISHED, message.durationUs * US
+        message.msgId, message.n, message.server, Outcome.ESTABLISHED, message.durationUs * NS_PER_US
     )
 
 
-def leg_end(message: AttemptEnd, fields: list[str]) -> AttemptResult:
+def attempt_result(message: AttemptEnd, fields: list[str]) -> AttemptResult:
+    """The result of an attempt that has ended; `fields` names the values of its load report."""
     if not 0 <= message.result < len(OUTCOMES):
         raise MalformedInputError(f"attemptEnd: result is {message.result}")
     outcome = OUTCOMES[message.result]
-    if outcome is Outcome.FAULT and message.why % 16 == NOTE_LINE_BUSY:
+    retry_after_ms, note = divmod(message.why, 16)
+    if outcome is Outcome.FAULT and note == NOTE_LINE_BUSY:
         outcome = Outcome.LINE_BUSY
-    if outcome is Outcome.FULL and message.why % 16 == NOTE_NO_AGENT:
+    if outcome is Outcome.FULL and note == NOTE_NO_AGENT:
         outcome = Outcome.NO_AGENT
+    advises_retry = outcome is Outcome.FULL and note == NOTE_RETRY_AFTER
     return AttemptResult(
         dialog_id=message.msgId,
         attempt=message.n,
         server=message.server,
         outcome=outcome,
-        delay=message.durationUs * US,
-        retry_after=message.why // 16 * MS if outcome is Outcome.FULL and message.why % 16 == 3 else 0,
+        delay=message.durationUs * NS_PER_US,
+        retry_after=retry_after_ms * NS_PER_MS if advises_retry else 0,
         dialog_closed=message.closed,
-        load_report=report(message.feedback, fields),
+        load_report=load_report(message.feedback, fields),
     )
 
 
-def report(row: list[float], fields: list[str]) -> LoadReport:
-    told = {name: value for name, value in zip(fields, row, strict=False) if value >= 0}
-    wait = told.get("recent_ms")
+def load_report(row: list[float], fields: list[str]) -> LoadReport:
+    """A load report from the values that `fields` names; negative ones were not reported."""
+    values = {name: value for name, value in zip(fields, row, strict=False) if value >= 0}
+    wait = values.get("recent_ms")
     return LoadReport(
-        free_lines=told.get("idle"),
-        lines=told.get("circuits"),
-        queue_delay=None if wait is None else round(wait * MS),
+        free_lines=values.get("idle"),
+        lines=values.get("circuits"),
+        queue_delay=None if wait is None else round(wait * NS_PER_MS),
     )
 
 
-def step(proxy: str, command: Command) -> dict[str, Any]:
-    """One command as an action of the wire; microseconds are rounded so that no wait gets shorter."""
+def encode_command(proxy: str, command: Command) -> dict[str, Any]:
+    """Encodes a command as a step of the reply; microseconds are rounded so that no delay gets shorter."""
     match command:
-        case DialogAction(dialog_id=id_, action=StartAttempt(server=server, deadline=until)):
-            body = {"proxyId": proxy, "msgId": id_, "server": server, "untilUs": until // US}
+        case DialogAction(dialog_id=id_, action=StartAttempt(server=server, deadline=deadline)):
+            body = {"proxyId": proxy, "msgId": id_, "server": server, "untilUs": deadline // NS_PER_US}
             return {"forward": body}
-        case DialogAction(dialog_id=id_, action=Reject(retry_after=come_back)):
-            return {"notNow": {"proxyId": proxy, "msgId": id_, "coolDownUs": come_back // US}}
-        case DialogAction(dialog_id=id_, action=CancelAttempt(attempt=leg)):
-            return {"dropAttempt": {"proxyId": proxy, "msgId": id_, "n": leg}}
+        case DialogAction(dialog_id=id_, action=Reject(retry_after=retry_after)):
+            return {"notNow": {"proxyId": proxy, "msgId": id_, "coolDownUs": retry_after // NS_PER_US}}
+        case DialogAction(dialog_id=id_, action=CancelAttempt(attempt=attempt)):
+            return {"dropAttempt": {"proxyId": proxy, "msgId": id_, "n": attempt}}
         case DialogAction(dialog_id=id_, action=Fail()):
             return {"surrender": {"proxyId": proxy, "msgId": id_}}
-        case Timer(duration=span, timer_id=ref):
-            return {"setAlarm": {"proxyId": proxy, "spanUs": -(-span // US), "ref": ref}}
+        case Timer(duration=duration, timer_id=timer_id):
+            return {"setAlarm": {"proxyId": proxy, "spanUs": -(-duration // NS_PER_US), "ref": timer_id}}
         case Subscribe():
             return {"watch": {"proxyId": proxy, "enable": True}}
     raise AssertionError(command)
 
 
-def fatal(proxy: str, text: str) -> dict[str, Any]:
+def encode_fatal(proxy: str, text: str) -> dict[str, Any]:
+    """Encodes the failure of an edge proxy."""
     return {"fatal": {"proxyId": proxy, "message": text}}
 
 
 def write_reply(steps: list[dict[str, Any]]) -> bytes:
+    """Encodes the reply to a batch as a line."""
     return msgspec.json.encode({"steps": steps}) + b"\n"
