--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -51,7 +51,7 @@
         legs = [(at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)]
         assert [m.leg for _, m in sorted(legs, key=lambda one: one[0])] == [0, 1]
         assert legs[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
-        assert len(caller.all(setup.Declined)) == 1, "answered at once after its last leg"
+        assert len(caller.all(setup.Rejected)) == 1, "answered at once after its last leg"
 
 
 async def test_open_dialogs_keep_the_attempt_policy_they_started_with(autojump_clock: MockClock) -> None:
@@ -117,13 +117,13 @@
             await trio.sleep(6)  # news of a failure at its one server must fade first
             began = trio.current_time()
             await caller.send(dial(f"to {name}", no_answer=4 * SECOND))
-            answer = await caller.next(setup.Declined | setup.Aborted)
+            answer = await caller.next(setup.Rejected | setup.Failed)
             took = trio.current_time() - began
             assert took == pytest.approx({"gw-1": 2.0, "other": 3.95}[name], abs=0.01), answer
         for _ in range(20):  # the one server is shunned now: declined at once
             await caller.send(dial(f"again {_}"))
         await trio.sleep(0.01)
-        assert all(m.come_back <= 0.19 * SECOND for m in caller.all(setup.Declined))
+        assert all(m.retry_after <= 0.19 * SECOND for m in caller.all(setup.Rejected))
 
 
 def test_retry_budgets_change_by_server_and_keep_their_fill_level() -> None:
--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -22,7 +22,7 @@
         asked = await link.next(setup.Setup, within=1_000)
         key = (asked.dialog, asked.leg)
         if key in link.session.legs:
-            await link.send(setup.Stands(*key) if asked.leg else setup.Full(*key, asked_wait))
+            await link.send(setup.Established(*key) if asked.leg else setup.Full(*key, asked_wait))
 
 
 SERVERS = 300
@@ -60,7 +60,7 @@
         return sorted(legs), [m for _, m in caller.heard if isinstance(m, FINAL)], rig.edge.generation
 
 
-FINAL = setup.Stands | setup.Declined | setup.Aborted
+FINAL = setup.Established | setup.Rejected | setup.Failed
 
 
 async def test_reloads_in_a_surge_lose_no_dialog_and_start_no_retry_early(autojump_clock: MockClock) -> None:
--- a/tests/test_change_guard.py
+++ b/tests/test_change_guard.py
@@ -69,7 +69,7 @@
                     asked = await link.next(setup.Setup, within=1_000)
                     await trio.sleep(0.01)
                     if (asked.dialog, asked.leg) in link.session.legs:
-                        await link.send(setup.Stands(asked.dialog, asked.leg))
+                        await link.send(setup.Established(asked.dialog, asked.leg))
 
             for server in rig.servers.values():
                 rig.nursery.start_soon(answers, server.link)
@@ -78,7 +78,7 @@
                     rig.edge.reload(msgspec.structs.replace(terms(harmful), returns=True))
                 await caller.send(dial(f"d{at}", first=at % 2))
                 await trio.sleep(0.1)
-            served = len(caller.all(setup.Stands))
+            served = len(caller.all(setup.Established))
             assert rig.edge.generation == 3
             assert not rig.edge.config.attempts
     assert served > 120
