--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -15,6 +15,8 @@
 )
 
 SECOND = 10**9
+# At one moment, before an exchange counts as endless.
+MAX_EXCHANGES = 1_000
 
 
 class Cluster:
@@ -33,18 +35,25 @@
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
         while self.now < until:
-            self.now += ELECTION_TIMEOUT // 8
-            for node in self.nodes.values():
-                node.tick(self.now)
-            self.deliver()
+            self.step()
+
+    def step(self) -> None:
+        self.now += ELECTION_TIMEOUT // 8
+        for node in self.nodes.values():
+            node.tick(self.now)
+        self.deliver()
 
     def deliver(self) -> None:
-        while any(node.outgoing for node in self.nodes.values()):
+        """Until all is delivered; an exchange that goes on and on is cut off and fails the test."""
+        for _ in range(MAX_EXCHANGES):
+            if not any(node.outgoing for node in self.nodes.values()):
+                return
             for node in self.nodes.values():
                 outgoing, node.outgoing = node.outgoing, []
                 for receiver, message in outgoing:
                     if receiver in self.nodes and not {receiver, node.name} & self.cut:
                         self.nodes[receiver].receive(self.now, message)
+        raise AssertionError("nodes answer each other without end")
 
     @property
     def leader(self) -> RaftNode:
@@ -228,3 +237,26 @@
     assert cluster.nodes[lost].is_member
     assert cluster.nodes[lost].commit_index == leader.commit_index
     assert rejection(leader, cluster.now, "nobody", None) == "that changes nothing"
+
+
+def test_a_member_with_an_empty_disk_gets_the_snapshot_once_it_is_admitted() -> None:
+    """Its log is empty, and the leader has compacted the first entries away."""
+    cluster = Cluster()
+    cluster.run(5)
+    leader = cluster.leader
+    for _ in range(COMPACTION_THRESHOLD + 60):
+        leader.propose(cluster.now, 1)
+        cluster.deliver()
+    for node in cluster.nodes.values():
+        node.committed.clear()
+        node.compact_log()
+    assert leader.persistent.snapshot is not None
+    lost = next(name for name in cluster.nodes if name != leader.name)
+    cluster.nodes[lost] = RaftNode(lost, PersistentState(77), random.random, cluster.now)
+    assert rejection(leader, cluster.now, lost, None) == ""
+    cluster.run(2)
+    assert rejection(leader, cluster.now, "", (lost, 77)) == ""
+    for _ in range(8):
+        cluster.step()
+    assert cluster.nodes[lost].is_member
+    assert cluster.nodes[lost].commit_index == leader.commit_index
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from valverouter.signalling import setup
@@ -223,6 +223,7 @@
         st.sampled_from(["setup", "cancel", "release", "provisional", "stands", "ended", "full", "cancelled"])
     )
 )
+@example(["setup", "cancel", "release"])  # in KNOWN-RED.txt: the sender lets it pass, the receiver does not
 def test_both_ends_agree_on_every_leg_whatever_is_tried(steps: list[str]) -> None:
     asks, serves = pair()
     kinds: dict[Any, Any] = {kind.__struct_config__.tag: kind for kind in setup.MESSAGE_TYPES}
