--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -21,7 +21,7 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
-from valverouter.days.courses import course
+from valverouter.days.courses import draw_fault_course
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
 from valverouter.edge import logs
@@ -38,7 +38,10 @@
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("seed = 1\n", f"seed = {seed}\n")
     text = text.replace("length = 18s", f"length = {length_s:g}s")
     return scenario_config(
-        IniFile(text + course(seed, edges, ("north", "south", "west"), length_s), f"course {seed}"), "course"
+        IniFile(
+            text + draw_fault_course(seed, edges, ("north", "south", "west"), length_s), f"course {seed}"
+        ),
+        "course",
     )
 
 
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -21,7 +21,7 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.cross_region import cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
-from valverouter.days.planning import plan_of
+from valverouter.days.planning import plan_scenario
 from valverouter.days.virtual import run_virtual
 from valverouter.terms.day import ScenarioConfig, scenario_config
 from valverouter.terms.ini import IniFile
@@ -67,7 +67,8 @@
     if variant == "budget":
         # The lines are short for half of the day.
         can = (
-            plan_of(played, rows).served_fraction + plan_of(played, rows, {"sofia": 40**-0.5}).served_fraction
+            plan_scenario(played, rows).served_fraction
+            + plan_scenario(played, rows, {"sofia": 40**-0.5}).served_fraction
         ) / 2
     urgent = accounts["urgent-referral"].service_level
     whole = weighted_service_level(accounts, {kind: 1.0 for kind in accounts})
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -14,7 +14,7 @@
 import h11
 import trio
 
-from valverouter.days.memory_network import EPOCH, MemoryPlace, MemoryRuntime
+from valverouter.days.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
 from valverouter.edge.runtime import Handler
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.relayedge.proxy import RelayProxy
@@ -36,7 +36,7 @@
     "rules": {"startCapacity": 0.35, "tipMultiple": 2.5, "fallUs": 10**6, "warmWithinUs": 15 * 10**6},
 }
 # Wall time of the rig at its start, in the milliseconds of the event bus.
-WALL_MS = EPOCH // 10**6
+WALL_MS = WALL_CLOCK_START // 10**6
 
 
 def host(name: str, number: int, health: str = "Ready", born_ms: int = 0) -> dict[str, Any]:
@@ -254,11 +254,11 @@
         self,
         nursery: trio.Nursery,
         names: list[str],
-        network: MemoryPlace | Loopback | None = None,
+        network: MemoryNetwork | Loopback | None = None,
         settings: dict[str, Any] | None = None,
     ) -> None:
         self.nursery = nursery
-        self.network = network or MemoryPlace()
+        self.network = network or MemoryNetwork()
         self.bus = Bus()
         self.servers = {name: Server(self, name) for name in names}
         self.bus.events.append(event(1, [host(name, at) for at, name in enumerate(names)], whole=True))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from valverouter.days.memory_network import MemoryPlace, MemoryRuntime
+from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
@@ -156,7 +156,7 @@
 
     def __init__(self, nursery: trio.Nursery, edge: EdgeConfig) -> None:
         self.nursery = nursery
-        self.network = MemoryPlace()
+        self.network = MemoryNetwork()
         self.runtime = MemoryRuntime(self.network)
         self.terms = edge
         self.register = EndpointRegistry("rig")
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -15,7 +15,7 @@
 from valverouter.audit.rules import audit
 from valverouter.cli.__main__ import main
 from valverouter.days.emulated import run_emulated
-from valverouter.days.recorded import calls_of
+from valverouter.days.recorded import recorded_calls
 from valverouter.days.virtual import run_virtual
 from valverouter.experiments.plan import Run
 from valverouter.experiments.search_config import load_search
@@ -163,7 +163,7 @@
 
 def test_an_emulated_days_record_with_its_seed_is_that_day_again(tmp_path: Path) -> None:
     rows = run_emulated(scenario_config(IniFile(DAY, "day"), "day")).rows
-    assert write_calls(tmp_path / "calls.csv", calls_of(rows)) > 400
+    assert write_calls(tmp_path / "calls.csv", recorded_calls(rows)) > 400
     again = run_emulated(replay(tmp_path)).rows
     assert again == rows
     assert audit(again).passed
@@ -174,7 +174,7 @@
 
 def test_the_program_dials_a_record_at_its_moments(tmp_path: Path) -> None:
     rows = run_emulated(scenario_config(IniFile(DAY, "day"), "day")).rows
-    write_calls(tmp_path / "calls.csv", calls_of(rows))
+    write_calls(tmp_path / "calls.csv", recorded_calls(rows))
     played = run_virtual(replay(tmp_path))
     assert audit(played).passed
     # Ids number first tries at each edge proxy in their order, whatever came between.
--- a/tests/test_cross_region_days.py
+++ b/tests/test_cross_region_days.py
@@ -14,9 +14,9 @@
 from valverouter.audit.account import account_by_type
 from valverouter.audit.cross_region import count_by_route, cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
-from valverouter.days.planning import plan_of
-from valverouter.days.virtual import MemoryEdge, run_virtual
-from valverouter.days.world import World
+from valverouter.days.planning import plan_scenario
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.regions.usage import merge_totals
 from valverouter.signalling import tap
 from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
@@ -39,10 +39,10 @@
     return load_scenario(DAYS / "four-regions.ini")
 
 
-def told(edges: list[MemoryEdge]) -> dict[tuple[str, str, str], int]:
+def told(edges: list[VirtualEdge]) -> dict[tuple[str, str, str], int]:
     """The edges' own accounts: legs that left, less those whose connection broke under them."""
     books = [
-        edge.proxy.cross_region.usage.to_rows(edge.terms.name, 0, 0)
+        edge.proxy.cross_region.usage.to_rows(edge.config.name, 0, 0)
         for edge in edges
         if edge.proxy is not None and edge.proxy.cross_region is not None
     ]
@@ -50,9 +50,9 @@
 
 
 def played(script: ScenarioConfig) -> tuple[list[Any], dict[tuple[str, str, str], int]]:
-    kept: list[MemoryEdge] = []
+    kept: list[VirtualEdge] = []
 
-    def prepare(world: World, edges: list[MemoryEdge]) -> None:
+    def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         kept.extend(edges)
 
     rows = run_virtual(script, prepare)
@@ -70,17 +70,17 @@
     assert books == dict(count_by_route(found)), "accounts equal the servers' counts"
     accounts_ = account_by_type(rows)
     assert accounts_["urgent-referral"].service_level > 0.95
-    assert plan_of(script, rows, {"sofia": 40**-0.5}).served_fraction <= 1
+    assert plan_scenario(script, rows, {"sofia": 40**-0.5}).served_fraction <= 1
 
 
 def test_without_regions_configured_there_is_no_limiter() -> None:
     text = (DAYS / "four-regions.ini").read_text()
     text = text[: text.index("[crossing]")]
     script = scenario_config(IniFile(text, "plain"), "plain")
-    kept: list[MemoryEdge] = []
+    kept: list[VirtualEdge] = []
     run_virtual(
         msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, length=SECOND)),
-        lambda world, edges: kept.extend(edges),
+        lambda fakes, edges: kept.extend(edges),
     )
     assert all(edge.proxy is not None and edge.proxy.cross_region is None for edge in kept)
 
@@ -129,8 +129,8 @@
 
 
 def test_callers_of_the_remote_region_keep_their_service_and_no_gate_flaps() -> None:
-    kept: list[MemoryEdge] = []
-    rows = run_virtual(four_regions(), lambda world, edges: kept.extend(edges))
+    kept: list[VirtualEdge] = []
+    rows = run_virtual(four_regions(), lambda fakes, edges: kept.extend(edges))
     own = [row for row in rows if not isinstance(row, tap.MessageRow) or row.edge not in ("e0", "e1")]
     others = account_by_type(own)
     assert sum(one.within_objective for one in others.values()) > 0.97 * sum(
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -19,8 +19,8 @@
 from valverouter.audit.account import account_by_type
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
-from valverouter.days.virtual import MemoryEdge, run_virtual
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.edge.attempts import OUTCOMES, AttemptHandler
 from valverouter.edge.caller_requests import CallerRequests
 from valverouter.edge.server_links import ServerLinks
@@ -185,7 +185,7 @@
 
 @pytest.mark.parametrize(("cut", "broken"), [(0, set()), (1 * MS, {5})])
 def test_a_planted_release_time_cut_by_a_millisecond_is_found(cut: int, broken: set[int]) -> None:
-    def hasty(world: World, edges: list[MemoryEdge]) -> None:
+    def hasty(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         for edge in edges:
             assert edge.proxy is not None
             terms = edge.proxy.context.driver.policy.deployment
@@ -340,7 +340,7 @@
 # Faults that the fakes cause
 
 
-def drops_lines(world: World, edges: list[MemoryEdge]) -> None:
+def drops_lines(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """s0 cuts its line under every ninth answer, s1 under every ninth set-up that it hears."""
     count = 0
 
@@ -352,44 +352,46 @@
 
         return drop
 
-    world.servers["s0"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Established, True))
-    world.servers["s1"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Setup, False))
-    for wire in (*world.servers["s0"].connections, *world.servers["s1"].connections):
+    fakes.servers["s0"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Established, True))
+    fakes.servers["s1"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Setup, False))
+    for wire in (*fakes.servers["s0"].connections, *fakes.servers["s1"].connections):
         wire.close()
 
 
-def trickles(world: World, edges: list[MemoryEdge]) -> None:
-    for wire in world.servers["s0"].connections:
+def trickles(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+    for wire in fakes.servers["s0"].connections:
         wire.byte_interval = 0.05
 
 
-def stops_reading(world: World, edges: list[MemoryEdge]) -> None:
+def stops_reading(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """s0 reads nothing for two seconds; what it reads late had left long before."""
-    world.tap.record(tap.FaultRow, until=world.now() + 4 * SECOND, kind="held", target="s0")
-    for wire in world.servers["s0"].connections:
+    fakes.tap.record(tap.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
+    for wire in fakes.servers["s0"].connections:
         wire.reading_allowed = trio.Event()
-        world.agenda.call_at(world.now() + 3 * SECOND, wire.reading_allowed.set)
+        fakes.scheduler.call_at(fakes.now() + 3 * SECOND, wire.reading_allowed.set)
 
 
-def list_loses_words(world: World, edges: list[MemoryEdge]) -> None:
-    world.list.updates_to_drop = 2
+def list_loses_words(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+    fakes.endpoint_list.updates_to_drop = 2
 
 
-def list_contradicts_itself(world: World, edges: list[MemoryEdge]) -> None:
+def list_contradicts_itself(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     def again(number: int) -> None:
         phase: Any = "draining" if number % 2 else "in-service"
-        world.tell(["s0"], phase)
-        world.list.announce_stale(1, [world.row("s1", "gone")])  # an old word, come late
+        fakes.announce(["s0"], phase)
+        fakes.endpoint_list.announce_stale(1, [fakes.endpoint_row("s1", "gone")])  # an old word, come late
 
     for number in range(6):
-        world.agenda.call_at(world.now() + (2 + number) * SECOND, lambda number=number: again(number))  # type: ignore[misc]
+        fakes.scheduler.call_at(fakes.now() + (2 + number) * SECOND, lambda number=number: again(number))  # type: ignore[misc]
 
 
-def list_goes_down(world: World, edges: list[MemoryEdge]) -> None:
-    assert world._nursery is not None
-    nursery = world._nursery
-    world.agenda.call_at(world.now() + 2 * SECOND, world.list.stop_listening)
-    world.agenda.call_at(world.now() + 4 * SECOND, lambda: nursery.start_soon(world.list.start_listening))
+def list_goes_down(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+    assert fakes.nursery is not None
+    nursery = fakes.nursery
+    fakes.scheduler.call_at(fakes.now() + 2 * SECOND, fakes.endpoint_list.stop_listening)
+    fakes.scheduler.call_at(
+        fakes.now() + 4 * SECOND, lambda: nursery.start_soon(fakes.endpoint_list.start_listening)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -12,7 +12,7 @@
 from trio.testing import MockClock
 
 from tests.rig import INI, MS, SECOND, Rig, dial, rigged, terms
-from valverouter.days.memory_network import ROOM
+from valverouter.days.memory_network import STREAM_BUFFER_SIZE
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.queues import SendBatch, SendQueue
 from valverouter.edge.sockets import PlainSocketStream, SocketRuntime, split_address
@@ -245,7 +245,8 @@
         server, link = rig.servers["s0"], rig.edge.links.by_server["s0"]
         server.stops_reading()
         assert link._send_queue is not None
-        link._send_queue.put(bytes(3 * ROOM), key="filler")  # more than the stream takes: the writer blocks
+        # More than the stream takes: the writer blocks.
+        link._send_queue.put(bytes(3 * STREAM_BUFFER_SIZE), key="filler")
         await caller.send(dial())
         await trio.sleep(0.01)
         assert link.is_partly_sent("filler")  # type: ignore[arg-type]
@@ -267,7 +268,7 @@
         rig.servers["s0"].stops_reading()
         await caller.send(dial("warm", no_answer=2 * SECOND))
         await trio.sleep(0.01)
-        link._send_queue.put(bytes(3 * ROOM))
+        link._send_queue.put(bytes(3 * STREAM_BUFFER_SIZE))
         dialled = trio.current_time()
         await caller.send(dial(no_answer=2 * SECOND))
         await trio.sleep(3)
@@ -300,7 +301,7 @@
     """Found by courses of stops: reckoned from the wake, a stand was told after its caller's time."""
     async with rigged(1) as rig:
         caller = await rig.caller()
-        rig.nursery.start_soon(rig.runtime.hold, 3 * SECOND)
+        rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.5)
         await caller.send(dial(no_answer=5 * SECOND))
         asked = await rig.servers["s0"].link.next(setup.Setup)
@@ -314,7 +315,7 @@
 async def test_a_stall_of_the_edge_hears_the_list_before_it_sends(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
-        rig.nursery.start_soon(rig.runtime.hold, 3 * SECOND)
+        rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.2)
         await caller.send(dial("short", no_answer=1 * SECOND), dial("long", no_answer=9 * SECOND))
         assert rig.list is not None
@@ -330,7 +331,7 @@
         caller = await rig.caller()
         await caller.send(dial(no_answer=1 * SECOND))
         await rig.servers["s0"].link.next(Setup)
-        rig.nursery.start_soon(rig.runtime.hold, 3 * SECOND)
+        rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.5)
         await rig.servers["s0"].link.send(Established("d1"))
         await trio.sleep(4)
@@ -391,7 +392,7 @@
         await rig.tell(rig.servers["s0"].row("draining"))
         await trio.sleep(cut_at)
         assert rig.list is not None
-        rig.network.serving.pop("list:1")
+        rig.network.listeners.pop("list:1")
         await rig.restart()
         await trio.sleep(0.1)
         assert set(rig.edge.context.driver.policy.table.servers) == {"s1"}, (
@@ -400,7 +401,7 @@
         caller = await rig.caller()
         await caller.send(dial())
         assert await rig.servers["s1"].link.next(Setup)
-        rig.network.serving["list:1"] = lambda stream: None
+        rig.network.listeners["list:1"] = lambda stream: None
 
 
 async def test_list_gaps_are_healed_and_leaving_servers_heeded_at_once(autojump_clock: MockClock) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,7 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
-from valverouter.days.emulated import plans, run_emulated
+from valverouter.days.emulated import edge_plans, run_emulated
 from valverouter.days.virtual import run_virtual
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import simulate_day
@@ -215,13 +215,13 @@
     assert booking.min_retry_gap >= 450 * MS
     assert booking.cancelled_after is not None
     assert booking.cancelled_after[1] <= 701 * MS
-    fleet = Fleet(played := load_scenario(DAYS / "four-regions.ini"), plans(played))
+    fleet = Fleet(played := load_scenario(DAYS / "four-regions.ini"), edge_plans(played))
     assert all(edge.plan.cross_region(EPOCH) is not None for edge in fleet.edges)
 
 
 def test_no_table_of_an_edge_proxy_holds_entries_of_ended_dialogs() -> None:
     played = short("bad-day.ini")
-    fleet = Fleet(played, plans(played))
+    fleet = Fleet(played, edge_plans(played))
     simulate_day(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)  # the longest dialogs end
     for edge in fleet.edges:
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -25,7 +25,7 @@
 from tests.process_rig import Drill, drill
 from tests.rig import INI, SECOND, Peer, dial, rigged, terms
 from tests.test_cross_region_config import GOOD as REGIONS
-from valverouter.days.memory_network import EPOCH, ROOM
+from valverouter.days.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import send_farewell
 from valverouter.edge.discovery import DiscoveryClient
@@ -135,7 +135,7 @@
         rig.servers["s0"].stops_reading()
         outbox = rig.edge.links.by_server["s0"]._send_queue
         assert outbox is not None
-        outbox.put(bytes(3 * ROOM))  # more than the stream takes: what follows waits behind it
+        outbox.put(bytes(3 * STREAM_BUFFER_SIZE))  # more than the stream takes: what follows waits behind it
         answer = await caller.next(Failed | Rejected)
         assert trio.current_time() - began <= 3
         assert answer.dialog == "d1"
@@ -460,7 +460,7 @@
         fresh = await rig.server("s1", 1, incarnation=5, age=0)
         await rig.tell(fresh.row())
         again = DiscoveryClient(rig.terms, rig.runtime, EventQueue(), Clock(0), lambda tries: 0)
-        rig.runtime.wall_time = lambda: EPOCH + 3_600 * SECOND  # type: ignore[method-assign]
+        rig.runtime.wall_time = lambda: WALL_CLOCK_START + 3_600 * SECOND  # type: ignore[method-assign]
         if kept == "before":
             rows = {row.server: row for row in await again.load_cached()}
         await rig.tell(rig.servers["s0"].row())  # kept once more, by the wrong clock
@@ -534,7 +534,7 @@
 
             await peer.read(once)
 
-        rig.network.serving["list:1"] = lambda stream: rig.nursery.start_soon(closes, stream)
+        rig.network.listeners["list:1"] = lambda stream: rig.nursery.start_soon(closes, stream)
         assert rig.list is not None
         await rig.list.cut()
         await trio.sleep(60)
@@ -645,7 +645,7 @@
                             await stream.aclose()
                             return
 
-        rig.network.serving["s0:1"] = lambda stream: rig.nursery.start_soon(troubled, stream)
+        rig.network.listeners["s0:1"] = lambda stream: rig.nursery.start_soon(troubled, stream)
         await rig.servers["s0"].link.cut()
         caller, other = await rig.caller(), rig.servers["s1"].link
         assert isinstance(other.session, SetupSession)
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -15,8 +15,8 @@
 from valverouter.cli.__main__ import main
 from valverouter.days.loopback import run_loopback
 from valverouter.days.memory_network import MemoryRuntime
-from valverouter.days.virtual import MemoryEdge, run_virtual
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
 from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
 from valverouter.terms.ini import IniFile
@@ -102,8 +102,8 @@
 def test_a_clock_set_back_an_hour_and_a_restart_of_the_program() -> None:
     script = changed_day("\n[trouble back]\nkind = balancer_crash\nstart = 9s\nlength = 1s\non = e4\n")
 
-    def prepare(world: World, edges: list[MemoryEdge]) -> None:
-        edges[4].wall_back = 3_600 * SECOND
+    def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+        edges[4].wall_clock_setback = 3_600 * SECOND
 
     rows = run_virtual(script, prepare)
     views = check_views(rows)
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -30,7 +30,7 @@
     view_health,
 )
 from valverouter.cli.__main__ import main
-from valverouter.days.memory_network import MemoryPlace, MemoryRuntime
+from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.authentication import Authenticator
 from valverouter.fleet.client import FleetClient
@@ -210,12 +210,12 @@
 
 
 async def test_after_a_pause_it_reads_first_and_accuses_nobody(autojump_clock: MockClock) -> None:
-    network = MemoryPlace()
+    network = MemoryNetwork()
     held = MemoryRuntime(network)
     places = [held, *(MemoryRuntime(network) for _ in range(3))]
     services = []
     async with trio.open_nursery() as nursery:
-        network.carrier = nursery
+        network.nursery = nursery
         for number, place in enumerate(places):
             config = edge_config(f"e{number}")
             between = GossipConfig(f"b{number}:1", (KEY,), ("b0:1",), period=SECOND)
@@ -224,7 +224,7 @@
             await nursery.start(service.run)
         await trio.sleep(5)
         for _ in range(4):
-            await held.hold(8 * SECOND)
+            await held.stall(8 * SECOND)
             await trio.sleep(2)
         await trio.sleep(10)
         assert services[0].counts["gone"] == 0
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -138,7 +138,7 @@
 @processes
 def test_two_operators_with_overlapping_sets_on_two_sides_of_a_partition(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
-        now = rig.world.now()
+        now = rig.fakes.now()
         left, right = frozenset({"c0", "k0", "k1"}), frozenset({"c1", "c2", "k2", "k3", "k4", "k5"})
         rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(left, right)))
         codes = {}
@@ -245,7 +245,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "release", "--all", "--to", "v2", "--id", "r")
             await until_out(rig, "r")
-            now = rig.world.now()
+            now = rig.fakes.now()
             cut = frozenset({"c1", "k0", "k2", "k4"})
             rest = frozenset({"c0", "c2", "k1", "k3", "k5"})
             rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(cut, rest)))
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -19,8 +19,8 @@
 from tests.test_days import HOW, small
 from valverouter import interface
 from valverouter.audit.rules import audit
-from valverouter.days.virtual import MemoryEdge, run_virtual
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.driver import Driver
 from valverouter.edge.attempts import AttemptHandler
 from valverouter.edge.dialogs import DialogTable
@@ -398,17 +398,17 @@
         self.asked: dict[str, setup.Setup] = {}
         self.first_at = -1
 
-    def __call__(self, world: World, edges: list[MemoryEdge]) -> None:
-        sound = world.tap.record
+    def __call__(self, fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+        sound = fakes.tap.record
 
         def stepped(row_type: type[Any], **fields: Any) -> None:
             sound(row_type, **fields)
             before = len(self.rules.violations)
-            self.row(world.tap.rows[-1])
+            self.row(fakes.tap.rows[-1])
             if len(self.rules.violations) > before and self.first_at < 0:
-                self.first_at = world.tap.rows[-1].at
+                self.first_at = fakes.tap.rows[-1].at
 
-        world.tap.record = stepped  # type: ignore[method-assign]
+        fakes.tap.record = stepped  # type: ignore[method-assign]
 
     def step(self, at: int, kind: str, **fields: Any) -> None:
         self.rules.step(Step(at, kind, **fields))
@@ -484,22 +484,22 @@
 
 
 def both(
-    script: ScenarioConfig, prepare: Callable[[World, list[MemoryEdge]], None] | None = None
+    script: ScenarioConfig, prepare: Callable[[ScenarioFakes, list[VirtualEdge]], None] | None = None
 ) -> tuple[RowChecker, set[int]]:
     """Plays the day with the model beside it; beside it, what the audit finds in the same rows."""
     beside = RowChecker(script)
 
-    def prepared(world: World, edges: list[MemoryEdge]) -> None:
-        beside(world, edges)
+    def prepared(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+        beside(fakes, edges)
         if prepare is not None:
-            prepare(world, edges)
+            prepare(fakes, edges)
 
     rows = run_virtual(script, prepared)
     beside.step(rows[-1].at + 1, "passing")
     return beside, audit(rows).violated_rules()
 
 
-def reloads(world: World, edges: list[MemoryEdge]) -> None:
+def reloads(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """Other attempt terms at each edge proxy, every 700 ms, whatever its dialogs are doing."""
 
     def again(times: int) -> None:
@@ -510,9 +510,9 @@
                 new = AttemptConfig((section,))
                 edge.proxy.reload(msgspec.structs.replace(edge.proxy.config, attempts=new))
         if times < 10:
-            world.agenda.call_at(world.now() + 700 * MS, lambda: again(times + 1))
+            fakes.scheduler.call_at(fakes.now() + 700 * MS, lambda: again(times + 1))
 
-    world.agenda.call_at(world.now() + SECOND, lambda: again(0))
+    fakes.scheduler.call_at(fakes.now() + SECOND, lambda: again(0))
 
 
 @pytest.fixture
@@ -587,7 +587,7 @@
             monkeypatch.setattr(tuning, "SLOW_START_MARGIN", 2 * tuning.SLOW_START_MARGIN)
         case 5:
 
-            def hasty(world: World, edges: list[MemoryEdge]) -> None:
+            def hasty(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
                 for edge in edges:
                     assert edge.proxy is not None
                     decides = edge.proxy.context.driver.policy
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -18,7 +18,7 @@
 from trio.testing import MockClock
 
 from tests.relayrig import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
-from valverouter.days.memory_network import MemoryPlace
+from valverouter.days.memory_network import MemoryNetwork
 from valverouter.relaywire import isup
 from valverouter.terms.options import MalformedInputError
 from valverouter.terms.platform import platform_config
@@ -109,8 +109,8 @@
         client, server = await rig.client(), rig.servers["s0"]
         await client.ask(A)
         await rig.until(lambda: client.said == [ANSWERED])
-        assert isinstance(rig.network, MemoryPlace)
-        rig.network.serving["s0:1"] = lambda stream: None
+        assert isinstance(rig.network, MemoryNetwork)
+        rig.network.listeners["s0:1"] = lambda stream: None
         server.say = lambda *_: trio.lowlevel.checkpoint()  # type: ignore[method-assign]
         gone = trio.current_time()
         await rig.until(lambda: client.said == [ANSWERED, CUT], 20)
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -21,12 +21,12 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
-from valverouter.days.emulated import plans, run_emulated
+from valverouter.days.emulated import edge_plans, run_emulated
 from valverouter.days.loopback import run_loopback
 from valverouter.days.memory_network import MemoryRuntime
-from valverouter.days.memory_store import MemoryStore
-from valverouter.days.virtual import MemoryEdge, run_virtual
-from valverouter.days.world import World
+from valverouter.days.memory_store import MemoryLedgerStore
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.recovery_log import RecoveryLog
 from valverouter.edge.resumable_attempts import ResumableAttempts
@@ -60,7 +60,7 @@
 
     def make_edge(self) -> EdgeProxy:
         # The store outlives each edge proxy: made with the first, before the rig is whole.
-        self.store: MemoryStore = getattr(self, "store", None) or MemoryStore()
+        self.store: MemoryLedgerStore = getattr(self, "store", None) or MemoryLedgerStore()
         return ResumableProxy(self.terms, self.runtime, self.store)
 
     async def again(self, moved: int = 0, boot: str = "memory") -> None:
@@ -123,13 +123,13 @@
         for at in range(50):
             await caller.send(dial(f"d{at}", no_answer=2 * SECOND))
         await trio.sleep(0.5)
-        assert len(rig.store.kept) == 50
+        assert len(rig.store.committed) == 50
         await rig.again()
         back = await rig.caller()
         await trio.sleep(2.5)
         await back.send(dial("last"))
         await trio.sleep(0.1)
-        assert set(rig.store.kept) == {"last"}
+        assert set(rig.store.committed) == {"last"}
         await back.send(setup.Resume("d3"))
         assert await back.next(setup.Unknown) == setup.Unknown("d3")
 
@@ -173,7 +173,7 @@
         await link.send(setup.Ended("d1", resumed.leg, "over"))
         assert (await back.next(setup.Ended)).reason == "over"
         await trio.sleep(0.1)
-        assert not rig.store.kept
+        assert not rig.store.committed
         assert not rig.edge.dialogs.entries
 
 
@@ -261,7 +261,7 @@
     # Nobody was told that it was taken; taken all the same, it would be nobody's.
     async with kept() as rig:
         caller = await rig.caller()
-        rig.nursery.start_soon(rig.runtime.hold, SECOND)
+        rig.nursery.start_soon(rig.runtime.stall, SECOND)
         await caller.send(dial())
         await caller.stream.aclose()
         await trio.sleep(2)
@@ -315,21 +315,21 @@
             assert (await caller.next(setup.Ended)).reason == "cut"
             assert trio.current_time() - began < 1, "told at once, so that its caller may dial again"
         await trio.sleep(0.1)
-        assert not rig.store.kept
+        assert not rig.store.committed
         assert not rig.edge.dialogs.entries
         assert rig.edge.counters.failures == 0
 
 
 def test_more_dialogs_live_on_where_links_break_and_servers_live(monkeypatch: pytest.MonkeyPatch) -> None:
-    def breaks(world: World, edges: list[MemoryEdge]) -> None:
+    def breaks(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         async def at_times() -> None:
             for at in range(6):
                 await trio.sleep(0.8)
-                for wire in list(world.servers[f"s{at % 4}"].connections):
+                for wire in list(fakes.servers[f"s{at % 4}"].connections):
                     wire.close()
 
-        assert world._nursery is not None
-        world._nursery.start_soon(at_times)
+        assert fakes.nursery is not None
+        fakes.nursery.start_soon(at_times)
 
     cut = []
     for ledger in (True, False):
@@ -356,7 +356,7 @@
         await back.next(setup.Established)
         assert (await back.next(setup.Ended)).reason == reason
         await trio.sleep(0.1)
-        assert not rig.store.kept
+        assert not rig.store.committed
         assert not rig.edge.dialogs.entries
 
 
@@ -413,18 +413,18 @@
         caller = await rig.caller()
         await caller.send(dial("d1"))
         link, leg = await leg_at(rig)
-        assert set(rig.store.kept) == {"d1"}
-        rig.store.fails = True
+        assert set(rig.store.committed) == {"d1"}
+        rig.store.commit_fails = True
         await caller.send(dial("d2", 1))
         await leg_at(rig)
-        assert not rig.store.kept, "what was not moved on would let a second leg out after a kill"
-        rig.store.fails = False
+        assert not rig.store.committed, "what was not moved on would let a second leg out after a kill"
+        rig.store.commit_fails = False
         await link.send(setup.Established("d1", leg.leg))
         await caller.next(setup.Established)
         await trio.sleep(10.1)
         await caller.send(dial("d3"))
         await trio.sleep(0.1)
-        assert set(rig.store.kept) == {"d3"}, "recorded again, what is new"
+        assert set(rig.store.committed) == {"d3"}, "recorded again, what is new"
 
 
 async def test_no_word_leaves_before_its_record(autojump_clock: MockClock, monkeypatch: Any) -> None:
@@ -434,7 +434,7 @@
 
         def end() -> None:
             waiting = [box for box in rig.edge.context.send_batch._queues if box._queued]
-            seen.append(("departs" if waiting else "idle", bool(rig.store._puts)))
+            seen.append(("departs" if waiting else "idle", bool(rig.store._pending)))
             departs()
 
         monkeypatch.setattr(rig.edge.context.send_batch, "end", end)
@@ -455,7 +455,7 @@
         link = rig.servers["s0"].link
         leg = await link.next(setup.Setup)
         await trio.sleep(0.8)
-        rig.nursery.start_soon(rig.runtime.hold, 170 * MS)
+        rig.nursery.start_soon(rig.runtime.stall, 170 * MS)
         await trio.sleep(0.05)
         await link.send(*[setup.LoadReported(setup.Load(lines=9, free_lines=9))] * 40)
         await link.send(closing("d1", leg.leg))
@@ -515,11 +515,11 @@
     assert served[1] > served[0] + 0.01
 
 
-def at_message(number: int) -> Callable[[World, list[MemoryEdge]], None]:
+def at_message(number: int) -> Callable[[ScenarioFakes, list[VirtualEdge]], None]:
     """Kills e0 as the far ends see its n-th message of dialogs pass, and starts it again 50 ms later."""
 
-    def prepare(world: World, edges: list[MemoryEdge]) -> None:
-        passes: Any = world.tap.record_message
+    def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+        passes: Any = fakes.tap.record_message
         count = 0
 
         def message_(edge: str, peer: str, sent: bool, message: Any) -> None:
@@ -529,14 +529,14 @@
                 count += 1
                 if count == number:
                     edges[0]._scope.cancel()
-                    assert world._nursery is not None
-                    world._nursery.start_soon(again)
+                    assert fakes.nursery is not None
+                    fakes.nursery.start_soon(again)
 
         async def again() -> None:
             await trio.sleep(0.05)
             await edges[0].start()
 
-        world.tap.record_message = message_  # type: ignore[method-assign]
+        fakes.tap.record_message = message_  # type: ignore[method-assign]
 
     return prepare
 
@@ -552,7 +552,7 @@
 
 
 def test_a_kill_while_it_takes_over() -> None:
-    def prepare(world: World, edges: list[MemoryEdge]) -> None:
+    def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         async def kills() -> None:
             await trio.sleep(1.5)
             for pause in (0.0, 0.001, 0.004, 0.02, 0.3, 0.0):
@@ -561,8 +561,8 @@
                 await edges[0].start()
                 await trio.sleep(pause)
 
-        assert world._nursery is not None
-        world._nursery.start_soon(kills)
+        assert fakes.nursery is not None
+        fakes.nursery.start_soon(kills)
 
     assert accounted(run_virtual(killed(5, 0, 4), prepare)).resumptions > 5
 
@@ -589,7 +589,7 @@
 
 
 def test_a_planted_store_that_forgets_answers_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(MemoryStore, "records", lambda self: [])
+    monkeypatch.setattr(MemoryLedgerStore, "records", lambda self: [])
     assert 1 in audit(run_virtual(killed(1))).violated_rules()
 
 
@@ -619,7 +619,7 @@
 
 def test_an_emulated_edge_proxy_and_its_servers_keep_nothing_that_has_ended() -> None:
     played = killed(3, 6)
-    fleet = Fleet(played, plans(played))
+    fleet = Fleet(played, edge_plans(played))
     simulate_day(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)
     for edge in fleet.edges:
@@ -662,17 +662,17 @@
 
 
 def test_a_record_of_a_release_time_counts_as_let_go() -> None:
-    store = MemoryStore()
+    store = MemoryLedgerStore()
     owed = RecoveryLog(store, lambda: Timestamp(1, 1, "b"))
     owed.on_accepted(dial(), "c0", SECOND, 0)
     owed.on_attempt_sent("d1", 0, "s0", 1)
     owed.on_attempt_ended("d1", Outcome.TIMED_OUT)
     owed.commit(0)
-    phases = [store.kept["d1"].phase]
+    phases = [store.committed["d1"].phase]
     owed.on_attempt_sent("d1", 1, "s1", 1)
     owed.on_attempt_ended("d1", Outcome.FULL)
     owed.commit(0)
-    assert [*phases, store.kept["d1"].phase] == [Phase.CANCELLED, Phase.WAITING]
+    assert [*phases, store.committed["d1"].phase] == [Phase.CANCELLED, Phase.WAITING]
 
 
 # The command
--- a/valverouter/cli/crossings.py
+++ b/valverouter/cli/crossings.py
@@ -10,7 +10,7 @@
 
 from valverouter.cli import tables
 from valverouter.cli.common import FILE, console
-from valverouter.days.planning import plan_of
+from valverouter.days.planning import plan_scenario
 from valverouter.regions.usage import attempts_by_minute, merge_totals, missing_records
 from valverouter.signalling import tap
 from valverouter.terms.day import load_scenario
@@ -49,4 +49,4 @@
 
     It advises; nothing is steered by it.
     """
-    tables.print_plan(console, plan_of(load_scenario(file), tap.read_rows(records)))
+    tables.print_plan(console, plan_scenario(load_scenario(file), tap.read_rows(records)))
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -12,7 +12,7 @@
 from valverouter.cli.fleet_processes import raft_server, supervisor
 from valverouter.cli.fleet_view import view
 from valverouter.cli.operations import COMMANDS
-from valverouter.days.emulated_views import run_views
+from valverouter.days.emulated_views import run_emulated_membership
 from valverouter.terms.day import load_scenario
 
 NS_PER_S = 1e9
@@ -31,15 +31,15 @@
 
     Exits with 1 where the views did not become one in the time that the file allows.
     """
-    result = run_views(load_scenario(file), members)
-    counts = ", ".join(f"{kind} {count}" for kind, count in sorted(result.found.items()))
+    result = run_emulated_membership(load_scenario(file), members)
+    counts = ", ".join(f"{kind} {count}" for kind, count in sorted(result.event_counts.items()))
     console.print(f"{result.members} members; {counts}", highlight=False)
-    console.print(f"{result.messages:.1f} messages a second each", highlight=False)
-    allowed = result.allowed / NS_PER_S
-    if result.settled_after is None:
+    console.print(f"{result.messages_per_second:.1f} messages a second each", highlight=False)
+    allowed = result.max_convergence_time / NS_PER_S
+    if result.convergence_time is None:
         console.print(f"not one view {allowed:.1f} s after the last fault", highlight=False)
         sys.exit(BROKEN)
-    after = result.settled_after / NS_PER_S
+    after = result.convergence_time / NS_PER_S
     console.print(f"one view {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
 
 
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/playing.py
@@ -12,10 +12,10 @@
 
 from valverouter.cli.common import FILE, console, show_verdict
 from valverouter.days.loopback import run_loopback
-from valverouter.days.play import play_day
-from valverouter.days.recorded import calls_of
+from valverouter.days.recorded import recorded_calls
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.scenario_runner import play_script
 from valverouter.days.virtual import run_virtual
-from valverouter.days.world import World
 from valverouter.edge import logs
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.sockets import SocketRuntime
@@ -75,7 +75,7 @@
 @click.option("--out", type=FILE, required=True, help="The calls go here, as CSV.")
 def kept_calls(records: Path, out: Path) -> None:
     """The first tries in kept RECORDS as a file that a day's `record` plays again."""
-    count = write_calls(out, calls_of(tap.read_rows(records)))
+    count = write_calls(out, recorded_calls(tap.read_rows(records)))
     console.print(f"{count} calls; {out}", highlight=False, soft_wrap=True)
 
 
@@ -111,14 +111,14 @@
 
 async def _standins(script: ScenarioConfig, list_at: str, seconds: float) -> None:
     at = {"list": list_at}
-    world = World(script, SocketRuntime(), script.run.slack, lambda name: at.get(name, "127.0.0.1:0"))
+    fakes = ScenarioFakes(script, SocketRuntime(), script.run.slack, lambda name: at.get(name, "127.0.0.1:0"))
     with trio.move_on_after(seconds):
         async with trio.open_nursery() as nursery:
-            await world.open(nursery)
-            console.print(f"list service at {world.list.address}")
-            for server in world.servers.values():
+            await fakes.start(nursery)
+            console.print(f"list service at {fakes.endpoint_list.address}")
+            for server in fakes.servers.values():
                 console.print(f"{server.name} at {server.address}")
-            await play_day(world)
+            await play_script(fakes)
 
 
 @click.command()
--- a/valverouter/days/call_load.py
+++ b/valverouter/days/call_load.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.emulator.call_load import HOT_CALLED_NUMBER
 from valverouter.fakes.callers import NO_DIALOG, FakeCallers
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
@@ -21,51 +21,51 @@
 class CallLoad:
     """Dials for all callers. `rate_factor` scales the rate; `hot_fraction` of the calls go to one number."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, fakes: ScenarioFakes) -> None:
         self.rate_factor = 1.0
         self.hot_fraction = 0.0
-        self._world = world
+        self._fakes = fakes
 
-    async def run(self, place: int, callers: FakeCallers) -> None:
+    async def run(self, fleet_index: int, callers: FakeCallers) -> None:
         """Dials for the callers of one edge proxy, until cancelled or its recorded calls are over."""
-        source = _CallSource(self, self._world, place, callers)
-        recorded = self._world.day.recorded
+        source = _CallSource(self, self._fakes, fleet_index, callers)
+        recorded = self._fakes.scenario.recorded
         if recorded is None:
             await source.run_drawn()
         else:
-            await source.run_recorded(recorded[place])
+            await source.run_recorded(recorded[fleet_index])
 
 
 class _CallSource:
     """The calls of one edge proxy's callers, with their own stream of random numbers."""
 
-    def __init__(self, load: CallLoad, world: World, place: int, callers: FakeCallers) -> None:
+    def __init__(self, load: CallLoad, fakes: ScenarioFakes, fleet_index: int, callers: FakeCallers) -> None:
         self._load = load
-        self._world = world
+        self._fakes = fakes
         self._callers = callers
-        self._rng = world.chance(f"arrivals {place}")
-        self._traffic_types = list(world.day.mix)
-        self._shares = [world.day.mix[kind].share for kind in self._traffic_types]
-        self._first_choices = _first_choices(world, place)
+        self._rng = fakes.random_stream(f"arrivals {fleet_index}")
+        self._traffic_types = list(fakes.scenario.mix)
+        self._shares = [fakes.scenario.mix[kind].share for kind in self._traffic_types]
+        self._first_choices = _first_choices(fakes, fleet_index)
 
     async def run_recorded(self, calls: list[RecordedCall]) -> None:
-        settings, world = self._world.day.callers, self._world
-        start = world.now()
+        settings, fakes = self._fakes.scenario.callers, self._fakes
+        start = fakes.now()
         for call in calls:
-            await trio.sleep(max(0, start + call.at - world.now()) / 1e9)
+            await trio.sleep(max(0, start + call.at - fakes.now()) / NS_PER_S)
             repetitions = draw_repetitions(settings.times * self._load.rate_factor, self._rng.random)
             for _ in range(repetitions):
                 self._dial(call)
 
     async def run_drawn(self) -> None:
-        settings, world = self._world.day.callers, self._world
-        pattern = ArrivalPattern(settings.on, settings.off, settings.drift, world.day.run.length)
-        arrivals = ArrivalProcess(pattern, lambda: self._rng.expovariate(1), world.now())
-        rate = settings.rate / len(world.callers)
+        settings, fakes = self._fakes.scenario.callers, self._fakes
+        pattern = ArrivalPattern(settings.on, settings.off, settings.drift, fakes.scenario.run.length)
+        arrivals = ArrivalProcess(pattern, lambda: self._rng.expovariate(1), fakes.now())
+        rate = settings.rate / len(fakes.callers)
         while True:
-            now = world.now()
+            now = fakes.now()
             arrival = arrivals.next_arrival(now, rate * self._load.rate_factor)
-            await trio.sleep((arrival - now) / 1e9)
+            await trio.sleep((arrival - now) / NS_PER_S)
             self._dial(None)
 
     def _dial(self, recorded: RecordedCall | None) -> None:
@@ -85,7 +85,7 @@
             setup.Setup(
                 dialog=NO_DIALOG,
                 traffic_type=traffic_type,
-                time_left=no_answer or self._world.day.mix[traffic_type].no_answer,
+                time_left=no_answer or self._fakes.scenario.mix[traffic_type].no_answer,
                 preferred_server_number=first_choice,
                 called_number=called_number,
             )
@@ -96,11 +96,11 @@
         return HOT_CALLED_NUMBER if is_hot else FIRST_CALLED_NUMBER + rng.randrange(CALLED_NUMBERS)
 
 
-def _first_choices(world: World, place: int) -> list[int]:
+def _first_choices(fakes: ScenarioFakes, fleet_index: int) -> list[int]:
     """The server numbers that an edge proxy's callers prefer: of its own region where the day says so."""
-    day = world.day
-    numbers = sorted(set(world.numbers_of.values()))
+    day = fakes.scenario
+    numbers = sorted(set(fakes.server_numbers.values()))
     if not day.callers.local:
         return numbers
-    home = day.region_of_edge(place)
+    home = day.region_of_edge(fleet_index)
     return [number for number in numbers if day.region_of_server(number) == home] or numbers
--- a/valverouter/days/courses.py
+++ b/valverouter/days/courses.py
@@ -7,12 +7,12 @@
 from valverouter.servermodel.paths import PATH_FAULT_KINDS
 
 # Shares of the course's length: faults begin after the first and have ended by the second.
-FIRST, LAST = 0.08, 0.9
+FIRST_FAULT_FRACTION, LAST_FAULT_FRACTION = 0.08, 0.9
 # What befalls an edge proxy, each struck once at most: two faults at one process would be a third kind.
-EDGE_KINDS = ("balancer_crash", "balancer_stall", "balancer_leave", "balancer_late")
+EDGE_FAULT_KINDS = ("balancer_crash", "balancer_stall", "balancer_leave", "balancer_late")
 
 
-def course(seed: int, edges: int, regions: tuple[str, ...], length_s: float) -> str:
+def draw_fault_course(seed: int, edges: int, regions: tuple[str, ...], length_s: float) -> str:
     """Sections [path ...] and [trouble ...] for a day's file, the same for the same seed.
 
     Four to seven faults of paths, and a third of the edge proxies crash, stop, leave or come late.
@@ -28,8 +28,8 @@
 
 
 def _span(chance: random.Random, length_s: float) -> tuple[float, float]:
-    start = chance.uniform(FIRST, 0.7) * length_s
-    return start, min(chance.uniform(0.08, 0.4) * length_s, LAST * length_s - start)
+    start = chance.uniform(FIRST_FAULT_FRACTION, 0.7) * length_s
+    return start, min(chance.uniform(0.08, 0.4) * length_s, LAST_FAULT_FRACTION * length_s - start)
 
 
 def _path(chance: random.Random, name: str, edges: int, regions: tuple[str, ...], length_s: float) -> str:
@@ -66,7 +66,7 @@
 
 def _trouble(chance: random.Random, name: str, place: int, length_s: float) -> str:
     start, span = _span(chance, length_s)
-    kind = chance.choice(EDGE_KINDS)
+    kind = chance.choice(EDGE_FAULT_KINDS)
     rows = [f"[trouble {name}]", f"kind = {kind}", f"start = {start * 1000:.0f}ms", f"on = e{place}"]
     if kind != "balancer_late":
         rows.append(f"length = {span * 1000:.0f}ms")
--- a/valverouter/days/edge_faults.py
+++ b/valverouter/days/edge_faults.py
@@ -8,7 +8,7 @@
 
 from valverouter.days.call_load import CallLoad
 from valverouter.days.fault_targets import CALLERS_TARGET, FaultProcess, FaultTargets
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.emulator.call_load import HOT_CALLED_NUMBER
 from valverouter.fakes.callers import with_scaled_patience
 from valverouter.terms.scenario_sections import FaultConfig
@@ -17,8 +17,8 @@
 class EdgeFaults:
     """The faults that a day's file may have at edge proxies and callers."""
 
-    def __init__(self, world: World, targets: FaultTargets, load: CallLoad) -> None:
-        self._world = world
+    def __init__(self, fakes: ScenarioFakes, targets: FaultTargets, load: CallLoad) -> None:
+        self._fakes = fakes
         self._targets = targets
         self._load = load
 
@@ -37,59 +37,59 @@
     # Edge proxies
 
     async def _crash(self, fault: FaultConfig, rng: random.Random) -> None:
-        edges = self._world.edges
-        places = self._targets.edge_places(fault, rng)
-        for place in places:
-            self._targets.record(fault, f"e{place}")
-            await edges[place].kill()
-        await trio.sleep(fault.length / 1e9)
-        for place in places:
-            await edges[place].start()
+        edges = self._fakes.edges
+        indices = self._targets.edge_indices(fault, rng)
+        for fleet_index in indices:
+            self._targets.record(fault, f"e{fleet_index}")
+            await edges[fleet_index].kill()
+        await trio.sleep(fault.length / NS_PER_S)
+        for fleet_index in indices:
+            await edges[fleet_index].start()
 
     async def _start_late(self, fault: FaultConfig, rng: random.Random) -> None:
         """Starts those that were not started with the others."""
-        for place in self._targets.edge_places(fault, rng):
-            self._targets.record(fault, f"e{place}")
-            await self._world.edges[place].start()
+        for fleet_index in self._targets.edge_indices(fault, rng):
+            self._targets.record(fault, f"e{fleet_index}")
+            await self._fakes.edges[fleet_index].start()
 
     async def _restart(self, fault: FaultConfig, rng: random.Random) -> None:
         """Drained, ended and started again."""
-        edges = self._world.edges
-        places = self._targets.edge_places(fault, rng)
-        for place in places:
-            self._targets.record(fault, f"e{place}")
-            await edges[place].stop()
-        await trio.sleep(fault.length / 1e9)
-        for place in places:
-            await edges[place].start()
+        edges = self._fakes.edges
+        indices = self._targets.edge_indices(fault, rng)
+        for fleet_index in indices:
+            self._targets.record(fault, f"e{fleet_index}")
+            await edges[fleet_index].stop()
+        await trio.sleep(fault.length / NS_PER_S)
+        for fleet_index in indices:
+            await edges[fleet_index].start()
 
     async def _stall(self, fault: FaultConfig, rng: random.Random) -> None:
         async with trio.open_nursery() as nursery:
-            for place in self._targets.edge_places(fault, rng):
-                self._targets.record(fault, f"e{place}")
-                nursery.start_soon(self._world.edges[place].stall, fault.length)
+            for fleet_index in self._targets.edge_indices(fault, rng):
+                self._targets.record(fault, f"e{fleet_index}")
+                nursery.start_soon(self._fakes.edges[fleet_index].stall, fault.length)
 
     # Callers
 
     async def _burst(self, fault: FaultConfig, rng: random.Random) -> None:
         self._targets.record(fault, CALLERS_TARGET)
         self._load.rate_factor *= fault.size
-        await trio.sleep(fault.length / 1e9)
+        await trio.sleep(fault.length / NS_PER_S)
         self._load.rate_factor /= fault.size
 
     async def _hot_number(self, fault: FaultConfig, rng: random.Random) -> None:
         self._targets.record(fault, CALLERS_TARGET)
-        self._world.numbers.capacities[HOT_CALLED_NUMBER] = fault.lines
+        self._fakes.called_numbers.capacities[HOT_CALLED_NUMBER] = fault.lines
         self._load.hot_fraction = fault.size
-        await trio.sleep(fault.length / 1e9)
+        await trio.sleep(fault.length / NS_PER_S)
         self._load.hot_fraction = 0.0
 
     async def _impatience(self, fault: FaultConfig, rng: random.Random) -> None:
         self._targets.record(fault, CALLERS_TARGET)
         self._scale_patience(fault.size)
-        await trio.sleep(fault.length / 1e9)
+        await trio.sleep(fault.length / NS_PER_S)
         self._scale_patience(1 / fault.size)
 
     def _scale_patience(self, factor: float) -> None:
-        for callers in self._world.callers:
+        for callers in self._fakes.callers:
             callers.behavior = with_scaled_patience(callers.behavior, factor)
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -12,7 +12,7 @@
 from valverouter.terms.day import ScenarioConfig
 
 
-def plans(day: ScenarioConfig, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
+def edge_plans(day: ScenarioConfig, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
     """Each edge proxy's plan, from the same file that it would be started with."""
     return [_plan(day, fleet_index, build_driver) for fleet_index in range(day.fleet.edge_proxies)]
 
@@ -52,4 +52,4 @@
     for name, trouble in day.faults.items():
         if trouble.kind == "balancer_late":
             raise ValueError(f"trouble {name}: {trouble.kind} is emulated for the view alone: fleet emulate")
-    return simulate_day(Fleet(day, plans(day, build_driver)), sample_interval)
+    return simulate_day(Fleet(day, edge_plans(day, build_driver)), sample_interval)
--- a/valverouter/days/emulated_views.py
+++ b/valverouter/days/emulated_views.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from valverouter.days.paths import path_faults, paths_of
+from valverouter.days.paths import network_paths, path_faults
 from valverouter.emulator.membership_simulation import MembershipSimulation, SimulatedNode
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import MembershipEvent
@@ -19,18 +19,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EmulatedView:
+class EmulatedMembership:
     """`settled_after`: ns after the last fault, None: not in the time that the file allows. `found`: counts
     over all members by word."""
 
     members: int
-    settled_after: int | None
-    allowed: int
-    found: Counter[str]
-    messages: float
+    convergence_time: int | None
+    max_convergence_time: int
+    event_counts: Counter[str]
+    messages_per_second: float
 
 
-def run_views(day: ScenarioConfig, members: int = 0) -> EmulatedView:
+def run_emulated_membership(day: ScenarioConfig, members: int = 0) -> EmulatedMembership:
     """Plays the faults; 0 members: the day's own. The same day gives the same result every time."""
     between = day.between
     if between is None:
@@ -45,7 +45,7 @@
 
     rules = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
     faults = path_faults(day, day.run.settle, names)
-    paths = paths_of(day, chance.random, day.run.settle, names)
+    paths = network_paths(day, chance.random, day.run.settle, names)
     simulation = MembershipSimulation(rules, paths, day.run.seed, watch)
     seeds = tuple(f"e{at}:1" for at in range(between.seeds))
     simulation.start_converged(members, seeds, lambda at: names[f"e{at}"])
@@ -56,12 +56,12 @@
     simulation.run_until(last)
     settled = simulation.run_until_converged(last + between.settles * between.period, between.period // 2)
     sent = sum(sum(node.sent_counts.values()) for node in simulation.nodes.values())
-    return EmulatedView(
+    return EmulatedMembership(
         members=members,
-        settled_after=None if settled is None else settled - last,
-        allowed=between.settles * between.period,
-        found=found,
-        messages=sent / members / (simulation.now / 1e9),
+        convergence_time=None if settled is None else settled - last,
+        max_convergence_time=between.settles * between.period,
+        event_counts=found,
+        messages_per_second=sent / members / (simulation.now / 1e9),
     )
 
 
--- a/valverouter/days/fault_targets.py
+++ b/valverouter/days/fault_targets.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Awaitable, Callable, Sequence
 
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.fakes.server import FakeServer
 from valverouter.signalling.tap import FaultRow
 from valverouter.terms.scenario_sections import FaultConfig
@@ -18,8 +18,8 @@
 class FaultTargets:
     """Draws the targets of faults and records them."""
 
-    def __init__(self, world: World) -> None:
-        self._world = world
+    def __init__(self, fakes: ScenarioFakes) -> None:
+        self._fakes = fakes
 
     def draw(self, fault: FaultConfig, rng: random.Random, names: Sequence[str]) -> list[str]:
         """The targets that the fault names, or else its fraction of all, drawn; at least one."""
@@ -30,13 +30,13 @@
 
     def running_servers(self, fault: FaultConfig, rng: random.Random) -> list[FakeServer]:
         """Targets among the servers that run, not recorded yet."""
-        servers = self._world.servers
+        servers = self._fakes.servers
         running = [name for name, server in servers.items() if server.model.is_running]
         return [servers[name] for name in self.draw(fault, rng, running)]
 
-    def edge_places(self, fault: FaultConfig, rng: random.Random) -> list[int]:
+    def edge_indices(self, fault: FaultConfig, rng: random.Random) -> list[int]:
         """Places of the targets among the edge proxies, not recorded yet."""
-        names = [f"e{place}" for place in range(len(self._world.edges))]
+        names = [f"e{fleet_index}" for fleet_index in range(len(self._fakes.edges))]
         return [int(name[1:]) for name in self.draw(fault, rng, names)]
 
     def record(self, fault: FaultConfig, target: str, duration: int | None = None) -> None:
@@ -45,5 +45,5 @@
 
     def record_kind(self, kind: str, target: str, duration: int) -> None:
         """Records a fault of that kind for a target, for `duration` ns."""
-        until = self._world.now() + duration + self._world.fault_slack
-        self._world.tap.record(FaultRow, until=until, kind=kind, target=target)
+        until = self._fakes.now() + duration + self._fakes.fault_slack
+        self._fakes.tap.record(FaultRow, until=until, kind=kind, target=target)
--- a/valverouter/days/loopback.py
+++ b/valverouter/days/loopback.py
@@ -1,4 +1,4 @@
-"""A day on loopback sockets in real time: every edge proxy is a process, the fakes run here."""
+"""Plays a scenario on loopback sockets in real time: each edge proxy is a process, its peers run here."""
 
 from __future__ import annotations
 
@@ -6,189 +6,223 @@
 import signal
 import subprocess
 import sys
-from collections.abc import Callable
 from pathlib import Path
 
 import msgspec
 import trio
 
-from valverouter.days.play import play_day
-from valverouter.days.viewing import LoopbackViews
-from valverouter.days.world import World
+from valverouter.days.loopback_membership import LoopbackMembership
+from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.days.scenario_runner import ProgressCallback, run_scenario
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.signalling.tap import Row
 from valverouter.terms.day import ScenarioConfig
 
-START_WITHIN_S = 20
+START_TIMEOUT_S = 20
+# An edge proxy's own limit for a graceful shutdown, and a margin.
+STOP_TIMEOUT_S = 15
+# At the end of a run, for what the edge proxies sent last.
+LAST_ROWS_WAIT_S = 0.05
+READ_SIZE = 65_536
+# ns that a fault on real processes may last longer than the scenario says.
 FAULT_SLACK = 200_000_000
+ANY_PORT = "127.0.0.1:0"
 
 
 class EdgeFailedError(RuntimeError):
     """An edge proxy's process did not come up; its log says why."""
 
 
-class _Line(msgspec.Struct):
+class _LogLine(msgspec.Struct, rename={"incarnation": "life"}):
     event: str = ""
     address: str = ""
     member: str = ""
-    life: str = ""
+    incarnation: str = ""
 
 
-class ProcessEdge:
+class LoopbackEdge:
     """One edge proxy as a process. Killing it is SIGKILL, stalling it SIGSTOP, as a machine would."""
 
     def __init__(
         self,
-        day: ScenarioConfig,
-        place: int,
-        list_at: str,
+        scenario: ScenarioConfig,
+        fleet_index: int,
+        list_address: str,
         folder: Path,
         nursery: trio.Nursery,
-        views: LoopbackViews | None = None,
+        membership: LoopbackMembership | None = None,
     ) -> None:
-        self.address = "127.0.0.1:0"
-        self.name = f"e{place}"
-        self.log = folder / f"e{place}.log"
+        self.address = ANY_PORT
+        self.name = f"e{fleet_index}"
+        self.log_file = folder / f"{self.name}.log"
         self.starts = 0
-        self._ini = folder / f"e{place}.ini"
-        self._day = day
-        self._place = place
-        self._list_at = list_at
-        self._cache = str(folder / f"e{place}.list")
-        self._accounts = str(folder / f"e{place}.accounts")
-        self._ledger = str(folder / f"e{place}.ledger") if day.ledger else ""
+        self._config_file = folder / f"{self.name}.ini"
+        self._scenario = scenario
+        self._fleet_index = fleet_index
+        self._list_address = list_address
+        self._cache = str(folder / f"{self.name}.list")
+        self._accounts = str(folder / f"{self.name}.accounts")
+        self._ledger = str(folder / f"{self.name}.ledger") if scenario.ledger else ""
         self._nursery = nursery
-        self._views = views
+        self._membership = membership
         self._process: trio.Process | None = None
-        self._struck = False
+        self._killed = False
+        self._listening = False
 
     async def start(self) -> None:
         """Returns once it listens; EdgeFailedError when it does not."""
-        between = self._views.section(f"e{self._place}") if self._views is not None else None
-        ini = self._day.edge_ini(
-            self._place, self.address, self._list_at, self._cache, self._accounts, self._ledger, between
+        gossip = self._membership.gossip_section(self.name) if self._membership is not None else None
+        config = self._scenario.edge_ini(
+            self._fleet_index,
+            self.address,
+            self._list_address,
+            self._cache,
+            self._accounts,
+            self._ledger,
+            gossip,
         )
-        self._ini.write_text(ini, "utf-8")
+        self._config_file.write_text(config, "utf-8")
         self.starts += 1
-        self._struck = False
-        with trio.move_on_after(START_WITHIN_S):
+        self._killed = False
+        with trio.move_on_after(START_TIMEOUT_S):
             address = await self._nursery.start(self._run)
             if address:
                 self.address = address
                 return
-            if self._struck:
-                return  # killed by the day while it came up: whoever did starts it again
-        raise EdgeFailedError(f"{self._ini.name} did not come up: see {self.log}")
+            if self._killed:
+                return  # killed by the scenario while it came up: whoever did starts it again
+        raise EdgeFailedError(f"{self._config_file.name} did not come up: see {self.log_file}")
 
     async def _run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        command = [sys.executable, "-m", "valverouter.cli", "edge", str(self._ini)]
+        command = [sys.executable, "-m", "valverouter.cli", "edge", str(self._config_file)]
         process = await trio.lowlevel.open_process(command, stderr=subprocess.PIPE)
         self._process = process
-        told = False
+        self._listening = False
         try:
             assert process.stderr is not None
-            with self.log.open("ab") as log:
-                rest = b""
-                while data := await process.stderr.receive_some(65_536):
-                    log.write(data)
-                    log.flush()
-                    if told and self._views is None:
-                        continue
-                    *lines, rest = (rest + data).split(b"\n")
-                    for line in lines:
-                        said = _said(line)
-                        if said.event == "edge-listening" and not told:
-                            told = True
-                            task_status.started(said.address)
-                        elif self._views is not None:
-                            self._views.heard(self.name, said.event, said.address, said.member, said.life)
+            await self._follow_log(process.stderr, task_status)
             await process.wait()
         finally:
             with trio.CancelScope(shield=True):
                 if process.poll() is None:
                     process.kill()
                 await process.wait()
-            if self._views is not None:
-                self._views.over(self.name)
-            if not told:
+            if self._membership is not None:
+                self._membership.record_end(self.name)
+            if not self._listening:
                 task_status.started("")
 
+    async def _follow_log(self, output: trio.abc.ReceiveStream, task_status: trio.TaskStatus[str]) -> None:
+        with self.log_file.open("ab") as log:
+            rest = b""
+            while data := await output.receive_some(READ_SIZE):
+                log.write(data)
+                log.flush()
+                if self._listening and self._membership is None:
+                    continue
+                *lines, rest = (rest + data).split(b"\n")
+                for line in lines:
+                    self._handle_log_line(_decode_log_line(line), task_status)
+
+    def _handle_log_line(self, line: _LogLine, task_status: trio.TaskStatus[str]) -> None:
+        if line.event == "edge-listening" and not self._listening:
+            self._listening = True
+            task_status.started(line.address)
+        elif self._membership is not None:
+            self._membership.handle_log_event(
+                self.name, line.event, line.address, line.member, line.incarnation
+            )
+
     @property
     def returncode(self) -> int | None:
+        """The exit status of its last process, None while it runs or before it ran."""
         return self._process.poll() if self._process is not None else None
 
     async def kill(self) -> None:
-        self._struck = True
+        """Kills the process, and waits for its end."""
+        self._killed = True
         if self._process is not None:
             self._process.kill()
             await self._process.wait()
 
-    async def stall(self, span: int) -> None:
+    async def stall(self, duration: int) -> None:
+        """Stops the process for `duration` ns, and lets it continue."""
         process = self._process
         if process is None or process.poll() is not None:
             return
         os.kill(process.pid, signal.SIGSTOP)
         try:
-            await trio.sleep(span / 1e9)
+            await trio.sleep(duration / NS_PER_S)
         finally:
             if process.poll() is None:
                 os.kill(process.pid, signal.SIGCONT)
 
     async def stop(self) -> None:
-        """Asks it to end by itself; kills it where it does not within its own limit and a little."""
+        """Asks it to shut down; kills it where it has not within its own limit and a margin."""
         process = self._process
         if process is None or process.poll() is not None:
             return
         process.terminate()
-        with trio.move_on_after(15):
+        with trio.move_on_after(STOP_TIMEOUT_S):
             await process.wait()
             return
         process.kill()
 
 
-def _said(line: bytes) -> _Line:
+def _decode_log_line(line: bytes) -> _LogLine:
     try:
-        return msgspec.json.decode(line, type=_Line)
+        return msgspec.json.decode(line, type=_LogLine)
     except msgspec.DecodeError:
-        return _Line()
+        return _LogLine()
+
+
+class LoopbackFleet:
+    """The scenario's edge proxies as processes, all started at once; their files lie in the folder."""
+
+    def __init__(self, fakes: ScenarioFakes, runtime: SocketRuntime, folder: Path) -> None:
+        self.membership: LoopbackMembership | None = None
+        self.edges: list[LoopbackEdge] = []
+        self._fakes = fakes
+        self._runtime = runtime
+        self._folder = folder
+
+    async def start(self, nursery: trio.Nursery) -> None:
+        """Starts the edge proxies, then their callers."""
+        scenario, fakes = self._fakes.scenario, self._fakes
+        if scenario.between is not None:
+            self.membership = LoopbackMembership(fakes, scenario.between, self._runtime, self._folder)
+            await nursery.start(self.membership.run)
+        list_address = fakes.endpoint_list.address
+        self.edges = [
+            LoopbackEdge(scenario, fleet_index, list_address, self._folder, nursery, self.membership)
+            for fleet_index in range(scenario.fleet.edge_proxies)
+        ]
+        async with trio.open_nursery() as starting:
+            for edge in self.edges:
+                if edge.name not in scenario.late_edges:
+                    starting.start_soon(edge.start)
+        for fleet_index, edge in enumerate(self.edges):
+            fakes.add_callers(fleet_index, edge)
+
+    async def stop(self) -> None:
+        """Shuts all edge proxies down, and waits for what they sent last."""
+        async with trio.open_nursery() as stopping:
+            for edge in self.edges:
+                stopping.start_soon(edge.stop)
+        await trio.sleep(LAST_ROWS_WAIT_S)
 
 
 def run_loopback(
-    day: ScenarioConfig, folder: Path, tick: Callable[[float], None] = lambda share: None
+    scenario: ScenarioConfig, folder: Path, on_progress: ProgressCallback = lambda fraction: None
 ) -> list[Row]:
-    """Plays the day; the rows of what passed. Files and logs of the edge proxies are left in the folder."""
+    """Plays the scenario; returns the rows of all that happened.
+
+    Files and logs of the edge proxies are left in the folder.
+    """
 
     async def main() -> list[Row]:
-        place = SocketRuntime()
-        world = World(day, place, day.run.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
-        with trio.CancelScope() as scope:
-            async with trio.open_nursery() as nursery:
-                await world.open(nursery)
-                views = None
-                if day.between is not None:
-                    views = LoopbackViews(day, day.between, world, place, folder)
-                    await nursery.start(views.run)
-                edges = [
-                    ProcessEdge(day, at, world.list.address, folder, nursery, views)
-                    for at in range(day.fleet.edge_proxies)
-                ]
-                async with trio.open_nursery() as starting:
-                    for edge in edges:
-                        if edge.name not in day.late_edges:
-                            starting.start_soon(edge.start)
-                for at, edge in enumerate(edges):
-                    world.add_callers(at, edge)
-                await trio.sleep(day.run.settle / 1e9)
-                if views is not None:
-                    views.begins()
-                await play_day(world, tick)
-                if views is not None:
-                    await views.settle()
-                async with trio.open_nursery() as stopping:
-                    for edge in edges:
-                        stopping.start_soon(edge.stop)
-                await trio.sleep(0.05)
-                scope.cancel()
-        return world.tap.rows
+        runtime = SocketRuntime()
+        fakes = ScenarioFakes(scenario, runtime, scenario.run.slack, lambda name: ANY_PORT, FAULT_SLACK)
+        return await run_scenario(fakes, LoopbackFleet(fakes, runtime, folder), on_progress)
 
     return trio.run(main)
--- /dev/null
+++ b/valverouter/days/loopback_membership.py
@@ -0,0 +1,69 @@
+"""Membership of edge proxies that are processes on loopback, with a fake network between them."""
+
+from __future__ import annotations
+
+import os
+from pathlib import Path
+
+import trio
+
+from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL, MembershipRecorder
+from valverouter.days.paths import network_paths
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.edge.sockets import SocketRuntime
+from valverouter.fakes.datagrams import FakeDatagramNetwork
+from valverouter.servermodel.paths import NetworkPaths
+from valverouter.terms.scenario_sections import ScenarioGossipConfig
+
+# Log events of an edge proxy that report a change in its membership; the kind follows.
+MEMBERSHIP_EVENT_PREFIXES = ("member-", "view-")
+
+
+class LoopbackMembership(MembershipRecorder):
+    """Gives each process a front address on the fake network, and reads its reports from its log."""
+
+    def __init__(
+        self, fakes: ScenarioFakes, gossip: ScenarioGossipConfig, runtime: SocketRuntime, folder: Path
+    ) -> None:
+        super().__init__(fakes, gossip)
+        self._runtime = runtime
+        self._key_file = folder.absolute() / "between.key"
+        with os.fdopen(os.open(self._key_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
+            file.write(GOSSIP_KEY_MATERIAL)
+        self._draw_paths = self._draw("paths")
+        no_faults = NetworkPaths([], self._draw_paths)
+        self._network = FakeDatagramNetwork(runtime.bind_datagrams, fakes.now, no_faults)
+        self._fronts: dict[str, str] = {}
+
+    async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
+        """Runs the fake network and polls the views, until cancelled."""
+        async with trio.open_nursery() as nursery:
+            await nursery.start(self._network.run)
+            for fleet_index in range(self.scenario.fleet.edge_proxies):
+                self._fronts[f"e{fleet_index}"] = self._network.open_front(f"e{fleet_index}")
+            nursery.start_soon(self._poll, self._fleet_client(self._runtime, "127.0.0.1:0"))
+            task_status.started()
+
+    def start_faults(self) -> None:
+        """From now on, paths have the scenario's delays and faults."""
+        super().start_faults()
+        self._network.paths = network_paths(self.scenario, self._draw_paths, self._fakes.now())
+
+    def gossip_section(self, name: str) -> dict[str, str]:
+        """The [between] section that this edge proxy is started with."""
+        names = [f"e{fleet_index}" for fleet_index in range(self.gossip.seeds)]
+        seeds = [self._fronts[seed] for seed in names if seed in self._fronts]
+        return {
+            "listen": "127.0.0.1:0",
+            "advertise": self._fronts[name],
+            "key": str(self._key_file),
+            "seeds": ", ".join(seeds),
+        }
+
+    def handle_log_event(self, name: str, event: str, address: str, member: str, incarnation: str) -> None:
+        """Records what a line of an edge proxy's log says of its membership, if anything."""
+        if event == "membership-started":
+            self._network.set_process_address(name, address)
+            self.record_start(name, incarnation, address)
+        elif event.startswith(MEMBERSHIP_EVENT_PREFIXES):
+            self.record_event(name, event.partition("-")[2], member, incarnation)
--- /dev/null
+++ b/valverouter/days/membership_recorder.py
@@ -0,0 +1,122 @@
+"""Asks a scenario's edge proxies for their membership views, and records what they answer as rows.
+
+The queries go to the processes themselves, past the faulty paths between them: the rows show what an edge
+proxy believes, not whether it can be reached.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+import trio
+
+from valverouter.days.paths import path_faults
+from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.edge.runtime import Runtime
+from valverouter.fleet.client import FleetClient
+from valverouter.fleet.view_comparison import ViewAnswer
+from valverouter.membership.records import LIVE_STATES
+from valverouter.signalling.tap import (
+    ConvergenceDeadlineRow,
+    EdgeProcessRow,
+    MembershipEventRow,
+    MembershipViewRow,
+)
+from valverouter.terms.between import derive_key
+from valverouter.terms.scenario_sections import ScenarioGossipConfig
+
+# The fleet's key is made of this; it protects nothing but a run.
+GOSSIP_KEY_MATERIAL = b"the key of a day's fleet, which protects nothing but a day"
+# Polls that are awaited beyond the time that convergence may take.
+EXTRA_POLLS = 3
+
+
+class MembershipRecorder:
+    """Records which incarnations run, what they report of each other, and their views once a poll interval.
+
+    It polls no faster than the gossip's own period: queries are a load on the machine, and on one at its
+    limit the paths between processes get slower than any injected fault makes them.
+    """
+
+    def __init__(self, fakes: ScenarioFakes, gossip: ScenarioGossipConfig) -> None:
+        self.scenario = fakes.scenario
+        self.gossip = gossip
+        self.poll_interval = gossip.period
+        self._fakes = fakes
+        self._keys = (derive_key(GOSSIP_KEY_MATERIAL),)
+        self._incarnations: dict[str, str] = {}
+        self._addresses: dict[str, str] = {}
+        self._closed = False
+
+    @property
+    def max_convergence_time(self) -> int:
+        """How long the views may take to agree after the last fault, ns."""
+        return self.gossip.settles * self.gossip.period
+
+    def record_start(self, name: str, incarnation: str, address: str) -> None:
+        """Records that an edge proxy runs; it is polled at the address from now on."""
+        self._incarnations[name], self._addresses[name] = incarnation, address
+        self._fakes.tap.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=True)
+
+    def record_end(self, name: str) -> None:
+        """Records that an edge proxy has ended."""
+        if name in self._incarnations and not self._closed:
+            self._addresses.pop(name, None)
+            incarnation = self._incarnations.pop(name)
+            self._fakes.tap.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=False)
+
+    def record_event(self, name: str, kind: str, member: str, member_incarnation: str) -> None:
+        """Records what an edge proxy reports of a member."""
+        if name in self._incarnations and not self._closed:
+            self._fakes.tap.record(
+                MembershipEventRow,
+                edge=name,
+                incarnation=self._incarnations[name],
+                kind=kind,
+                member=member,
+                member_incarnation=member_incarnation,
+            )
+
+    def start_faults(self) -> None:
+        """Marks the time from which the scenario's times count."""
+        self._fakes.tap.record(
+            ConvergenceDeadlineRow, max_duration=self.max_convergence_time, poll_interval=self.poll_interval
+        )
+
+    async def settle(self) -> None:
+        """Waits as long as convergence may take, so that the rows show whether the views agreed."""
+        ends = [fault.until for fault in path_faults(self.scenario)]
+        ends += [fault.start + fault.length for fault in self.scenario.faults.values()]
+        remaining = max([0, *ends]) - self.scenario.run.length
+        wait = max(0, remaining) + self.max_convergence_time + EXTRA_POLLS * self.poll_interval
+        await trio.sleep(wait / NS_PER_S)
+        # What follows is the end of the run, and says nothing of the views.
+        self._closed = True
+
+    async def _poll(self, client: FleetClient) -> None:
+        while True:
+            started_at = trio.current_time()
+            for answer in await client.query_views(dict(self._addresses).values()):
+                self._record_view(answer)
+            next_poll = started_at + self.poll_interval / NS_PER_S
+            await trio.sleep(max(0.0, next_poll - trio.current_time()))
+
+    def _record_view(self, answer: ViewAnswer) -> None:
+        if answer.missing_page is not None or self._closed:
+            return
+        self._fakes.tap.record(
+            MembershipViewRow,
+            edge=answer.name,
+            incarnation=f"{answer.incarnation:016x}",
+            digest=f"{answer.digest:016x}",
+            view_health=answer.view_health,
+            members={row.name: f"{row.incarnation:016x}" for row in answer.rows if row.state in LIVE_STATES},
+        )
+
+    def _draw(self, source: str) -> Callable[[], float]:
+        return random.Random(f"{self.scenario.run.seed}/{source}").random
+
+    def _fleet_client(self, runtime: Runtime, address: str) -> FleetClient:
+        rng = random.Random(f"{self.scenario.run.seed}/asker")
+        return FleetClient(self._keys, runtime.bind_datagrams(address), rng)
--- a/valverouter/days/memory_network.py
+++ b/valverouter/days/memory_network.py
@@ -1,7 +1,6 @@
-"""A network in memory for runs in virtual time: streams, datagrams, and an edge proxy's runtime on it.
+"""A network in memory for runs in virtual time: streams, datagrams, and an edge proxy's runtime on them.
 
-Streams have room for so many bytes, as sockets have, so that a peer that does not read blocks its writer here
-too.
+Streams hold a limited number of bytes, as sockets do, so that a peer that does not read blocks its writer.
 """
 
 from __future__ import annotations
@@ -14,30 +13,32 @@
 from valverouter.recovery.lifecycle import Timestamp
 from valverouter.servermodel.paths import NetworkPaths
 
-# Bytes that a stream takes before its reader reads, as in a socket.
-ROOM = 64 * 1024
-# Connecting takes its time here too, or nothing would ever be asked of a link that still connects.
-CONNECT_S = 0.002
-# The wall clock at the start of a run, ns.
-EPOCH = 1_700_000_000 * 10**9
-# Datagrams that wait at a socket; the oldest are dropped beyond that.
-MAX_WAITING_DATAGRAMS = 4_096
+NS_PER_S = 10**9
+STREAM_BUFFER_SIZE = 64 * 1024
+# Connecting takes time here too: otherwise no code would ever see a connection that is still being opened.
+CONNECT_DELAY_S = 0.002
+# Datagrams that a socket holds before it drops the oldest.
+MAX_RECEIVED_DATAGRAMS = 4_096
 MAX_DESCRIPTORS = 1_000_000
+# The wall clock's time, ns since 1970, at the virtual time zero.
+WALL_CLOCK_START = 1_700_000_000 * NS_PER_S
+
+StreamHandler = Callable[[trio.abc.Stream], Awaitable[object]]
 
 
 class _Pipe:
-    """One direction of a stream: the bytes on their way, and who waits for a change."""
+    """One direction of a stream. `ended`: nothing more is written; `broken`: nobody reads any more."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
         self.ended = False
         self.broken = False
-        self.stirred = trio.Event()
+        self.changed = trio.Event()
 
-    def stir(self) -> None:
+    def notify(self) -> None:
         """Wakes all that wait for a change."""
-        self.stirred.set()
-        self.stirred = trio.Event()
+        self.changed.set()
+        self.changed = trio.Event()
 
 
 class MemoryStream(trio.abc.Stream):
@@ -49,7 +50,7 @@
         self._closed = False
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Sends bytes, and waits while there is no room."""
+        """Writes all of the data; waits while the peer's buffer is full."""
         await trio.lowlevel.checkpoint()
         rest = bytes(data)
         while rest:
@@ -57,209 +58,208 @@
                 raise trio.ClosedResourceError
             if self._out.broken or self._out.ended:
                 raise trio.BrokenResourceError
-            room = ROOM - len(self._out.held)
-            if room > 0:
-                self._out.held += rest[:room]
-                rest = rest[room:]
-                self._out.stir()
+            free = STREAM_BUFFER_SIZE - len(self._out.buffer)
+            if free > 0:
+                self._out.buffer += rest[:free]
+                rest = rest[free:]
+                self._out.notify()
             else:
-                await self._out.stirred.wait()
+                await self._out.changed.wait()
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Waits until there is room."""
-        while len(self._out.held) >= ROOM and not self._out.broken:
-            await self._out.stirred.wait()
+        """Waits until the peer's buffer has room."""
+        while len(self._out.buffer) >= STREAM_BUFFER_SIZE and not self._out.broken:
+            await self._out.changed.wait()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """The next bytes; none once the other end has closed."""
+        """Reads what has arrived, at most `max_bytes`; empty at the end of the stream."""
         await trio.lowlevel.checkpoint()
         while True:
             if self._closed:
                 raise trio.ClosedResourceError
-            if self._in.held:
-                size = max_bytes or ROOM
-                data = bytes(self._in.held[:size])
-                del self._in.held[:size]
-                self._in.stir()
+            if self._in.buffer:
+                size = max_bytes or STREAM_BUFFER_SIZE
+                data = bytes(self._in.buffer[:size])
+                del self._in.buffer[:size]
+                self._in.notify()
                 return data
             if self._in.ended:
                 return b""
-            await self._in.stirred.wait()
+            await self._in.changed.wait()
 
     async def aclose(self) -> None:
         """Closes this end."""
         self._closed = True
         self._out.ended = True
         self._in.broken = True
-        self._out.stir()
-        self._in.stir()
+        self._out.notify()
+        self._in.notify()
         await trio.lowlevel.checkpoint()
 
 
-class MemoryPlace:
-    """A network in memory. `serving` and `bound` by address: an entry is removed when its owner ends.
+class MemoryNetwork:
+    """The listeners, datagram sockets and files of one run, by address or path.
 
-    `paths`: the model that datagrams pass; without, each arrives at once. `names`: instances by address, as
-    the paths know them. `carrier`: runs what arrives later. `unstruck`: addresses whose datagrams pass no
-    path.
+    `paths`: delays and faults of datagrams between nodes, whose names `node_names` gives by address; without
+    paths each datagram arrives at once. Datagrams from or to `fault_free_addresses` always do. `nursery`:
+    where delayed datagrams are delivered from.
     """
 
     def __init__(self) -> None:
-        self.serving: dict[str, Callable[[trio.abc.Stream], None]] = {}
+        self.listeners: dict[str, Callable[[trio.abc.Stream], None]] = {}
         self.files: dict[str, bytes] = {}
-        self.refused: set[str] = set()
-        self.bound: dict[str, MemoryDatagrams] = {}
+        self.datagram_sockets: dict[str, MemoryDatagramSocket] = {}
         self.paths: NetworkPaths | None = None
-        self.names: dict[str, str] = {}
-        self.carrier: trio.Nursery | None = None
-        self.unstruck: frozenset[str] = frozenset()
-        self._ports = 0
-
-    def carry(self, source: str, address: str, data: bytes) -> None:
-        """Takes a datagram to its address, by the paths."""
-        if self.paths is None or self.carrier is None or {source, address} & self.unstruck:
-            self._arrive(source, address, data)
+        self.node_names: dict[str, str] = {}
+        self.nursery: trio.Nursery | None = None
+        self.fault_free_addresses: frozenset[str] = frozenset()
+        self._last_port = 0
+
+    def send_datagram(self, source: str, address: str, data: bytes) -> None:
+        """Delivers a datagram along the path between the two nodes: once, late, several times or never."""
+        if self.paths is None or self.nursery is None or {source, address} & self.fault_free_addresses:
+            self._deliver(source, address, data)
             return
-        pair = self.names.get(source, source), self.names.get(address, address)
-        for delay in self.paths.delivery_delays(*pair, round(trio.current_time() * 1e9)):
-            self.carrier.start_soon(self._arrive_after, delay, source, address, data)
+        sender = self.node_names.get(source, source)
+        receiver = self.node_names.get(address, address)
+        now = round(trio.current_time() * NS_PER_S)
+        for delay in self.paths.delivery_delays(sender, receiver, now):
+            self.nursery.start_soon(self._deliver_after, delay, source, address, data)
 
-    async def _arrive_after(self, delay: int, source: str, address: str, data: bytes) -> None:
-        await trio.sleep(delay / 1e9)
-        self._arrive(source, address, data)
+    async def _deliver_after(self, delay: int, source: str, address: str, data: bytes) -> None:
+        await trio.sleep(delay / NS_PER_S)
+        self._deliver(source, address, data)
 
-    def _arrive(self, source: str, address: str, data: bytes) -> None:
-        receiver = self.bound.get(address)
-        if receiver is not None:
-            receiver.put(data, source)
+    def _deliver(self, source: str, address: str, data: bytes) -> None:
+        socket = self.datagram_sockets.get(address)
+        if socket is not None:
+            socket.deliver(data, source)
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Opens a stream to an address; raises ConnectionRefusedError if nobody listens there."""
-        await trio.sleep(CONNECT_S)
-        accept = self.serving.get(address)
+        """Opens a stream to a listener; ConnectionRefusedError where there is none."""
+        await trio.sleep(CONNECT_DELAY_S)
+        accept = self.listeners.get(address)
         if accept is None:
             raise ConnectionRefusedError(f"nobody serves at {address}")
-        outward, inward = _Pipe(), _Pipe()
-        accept(MemoryStream(outward, inward))
-        return MemoryStream(inward, outward)
+        to_client, to_server = _Pipe(), _Pipe()
+        accept(MemoryStream(to_server, to_client))
+        return MemoryStream(to_client, to_server)
 
     async def serve(
         self,
         address: str,
-        handler: Callable[[trio.abc.Stream], Awaitable[object]],
+        handler: StreamHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Runs the handler for each incoming stream; reports the address, of which port 0 is replaced."""
+        """Runs the handler for each incoming stream until cancelled; port 0 becomes a free port."""
         if address.endswith(":0"):
-            self._ports += 1
-            address = f"{address[:-1]}{self._ports}"
-        if address in self.serving:
+            self._last_port += 1
+            address = f"{address[:-1]}{self._last_port}"
+        if address in self.listeners:
             raise OSError(f"{address} is in use")
         try:
             async with trio.open_nursery() as nursery:
-                self.serving[address] = lambda stream: nursery.start_soon(handler, stream)
+                self.listeners[address] = lambda stream: nursery.start_soon(handler, stream)
                 task_status.started(address)
                 await trio.sleep_forever()
         finally:
-            del self.serving[address]
+            del self.listeners[address]
 
 
-class MemoryRuntime(MemoryPlace):
-    """One edge proxy's runtime on a shared network; its wall clock is `wall_back` ns behind."""
+class MemoryRuntime:
+    """The runtime of one edge proxy on a shared network; its wall clock is `wall_clock_setback` ns behind."""
 
-    def __init__(self, place: MemoryPlace, wall_back: int = 0) -> None:
-        super().__init__()
-        self._place = place
-        self._wall_back = wall_back
-        self._runs = trio.Event()
-        self._runs.set()
-        self._began = trio.current_time()
+    def __init__(self, network: MemoryNetwork, wall_clock_setback: int = 0) -> None:
+        self._network = network
+        self._wall_clock_setback = wall_clock_setback
+        self._running = trio.Event()
+        self._running.set()
 
     def wall_time(self) -> int:
         """The wall clock, ns since 1970."""
-        return EPOCH + round(trio.current_time() * 1e9) - self._wall_back
+        return WALL_CLOCK_START + round(trio.current_time() * NS_PER_S) - self._wall_clock_setback
 
     def moment(self) -> Timestamp:
-        """Now, on the wall clock and on the monotonic one."""
-        return Timestamp(self.wall_time(), round(trio.current_time() * 1e9), "memory")
+        """The time on both clocks; all instances of a run share one boot."""
+        return Timestamp(self.wall_time(), round(trio.current_time() * NS_PER_S), "memory")
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Opens a stream on the shared network."""
-        return await self._place.connect(address)
+        """Opens a stream to a listener of the network."""
+        return await self._network.connect(address)
 
     async def serve(
         self,
         address: str,
-        handler: Callable[[trio.abc.Stream], Awaitable[object]],
+        handler: StreamHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
-        refuse: Callable[[trio.abc.Stream], Awaitable[object]] | None = None,
+        refuse: StreamHandler | None = None,
     ) -> None:
-        """Serves on the shared network, which never refuses a stream."""
-        await self._place.serve(address, handler, task_status)
+        """Runs the handler for each incoming stream; there is no limit of descriptors to refuse one for."""
+        await self._network.serve(address, handler, task_status)
 
-    def bind_datagrams(self, address: str) -> MemoryDatagrams:
-        """Opens a datagram socket on the shared network."""
-        return MemoryDatagrams(self._place, address)
+    def bind_datagrams(self, address: str) -> MemoryDatagramSocket:
+        """Opens a datagram socket; OSError where the address is in use."""
+        return MemoryDatagramSocket(self._network, address)
 
     def max_descriptors(self) -> int:
-        """How many descriptors a process may have open."""
+        """How many streams and files may be open at once."""
         return MAX_DESCRIPTORS
 
     async def checkpoint(self) -> None:
-        """Lets others run, and waits while the process is held."""
+        """Lets other tasks run, and waits while the instance is stalled."""
         await trio.lowlevel.checkpoint()
-        await self._runs.wait()
+        await self._running.wait()
 
     async def read_file(self, path: str) -> bytes | None:
-        """The content of a file, None if there is none."""
+        """A file's content, None where there is no such file."""
         await trio.lowlevel.checkpoint()
-        return self._place.files.get(path)
+        return self._network.files.get(path)
 
     async def write_file(self, path: str, data: bytes) -> None:
-        """Writes a file, which outlives the process."""
+        """Replaces a file."""
         await trio.lowlevel.checkpoint()
-        self._place.files[path] = data
+        self._network.files[path] = data
 
-    async def hold(self, span: int) -> None:
-        """Stalls the process for `span` ns, as a stopped one is."""
-        self._runs = trio.Event()
-        await trio.sleep(span / 1e9)
-        self._runs.set()
+    async def stall(self, duration: int) -> None:
+        """Stops the instance at its next checkpoints for `duration` ns, as a stopped process would be."""
+        self._running = trio.Event()
+        await trio.sleep(duration / NS_PER_S)
+        self._running.set()
 
 
-class MemoryDatagrams:
-    """Datagrams on the network in memory. While its instance is held, they wait, as in a kernel."""
+class MemoryDatagramSocket:
+    """A datagram socket of the network in memory. Datagrams for a stalled instance wait, as in a kernel."""
 
-    def __init__(self, place: MemoryPlace, address: str) -> None:
-        if address in place.bound:
+    def __init__(self, network: MemoryNetwork, address: str) -> None:
+        if address in network.datagram_sockets:
             raise OSError(f"{address} is in use")
         self.address = address
-        self.held: deque[tuple[bytes, str]] = deque(maxlen=MAX_WAITING_DATAGRAMS)
-        self._place = place
-        self._came = trio.Event()
-        place.bound[address] = self
+        self.received: deque[tuple[bytes, str]] = deque(maxlen=MAX_RECEIVED_DATAGRAMS)
+        self._network = network
+        self._arrived = trio.Event()
+        network.datagram_sockets[address] = self
 
     def send(self, data: bytes, address: str) -> bool:
-        """Sends a datagram; it is always taken."""
-        self._place.carry(self.address, address, data)
+        """Sends a datagram; always true: the socket has no send buffer that could be full."""
+        self._network.send_datagram(self.address, address, data)
         return True
 
-    def put(self, data: bytes, source: str) -> None:
-        """A datagram arrives."""
-        self.held.append((data, source))
-        self._came.set()
+    def deliver(self, data: bytes, source: str) -> None:
+        """Takes in a datagram from the network."""
+        self.received.append((data, source))
+        self._arrived.set()
 
     def receive(self) -> tuple[bytes, str] | None:
-        """The next datagram and its source; None if there is none."""
-        return self.held.popleft() if self.held else None
+        """The oldest datagram and its sender's address, None where none is waiting."""
+        return self.received.popleft() if self.received else None
 
     async def wait_readable(self) -> None:
         """Waits until a datagram has arrived."""
-        while not self.held:
-            self._came = trio.Event()
-            await self._came.wait()
+        while not self.received:
+            self._arrived = trio.Event()
+            await self._arrived.wait()
 
     def close(self) -> None:
         """Frees the address."""
-        if self._place.bound.get(self.address) is self:
-            del self._place.bound[self.address]
+        if self._network.datagram_sockets.get(self.address) is self:
+            del self._network.datagram_sockets[self.address]
--- a/valverouter/days/memory_store.py
+++ b/valverouter/days/memory_store.py
@@ -1,51 +1,51 @@
-"""A dialog store in memory, for edge proxies in virtual time."""
+"""An edge proxy's dialog ledger in memory, for runs in virtual time."""
 
 from __future__ import annotations
 
 from valverouter.recovery.lifecycle import DialogRecord
 
 
-class MemoryStore:
-    """The dialog store of an edge proxy in memory: committed records outlive its process, others do not.
+class MemoryLedgerStore:
+    """A ledger's store: committed records outlive the edge proxy, pending changes do not.
 
-    `kept`: the committed records by dialog. `fails`: the next commits of anything raise OSError.
+    `commit_fails`: commits of changes raise OSError, as on a full disk.
     """
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.kept: dict[str, DialogRecord] = {}
-        self.fails = False
-        self._puts: dict[str, DialogRecord | None] = {}
+        self.committed: dict[str, DialogRecord] = {}
+        self.commit_fails = False
+        self._pending: dict[str, DialogRecord | None] = {}
 
     def begin_epoch(self, minimum: int = 0) -> int:
-        """A process starts; the number of its epoch, at least `minimum`."""
-        self._puts.clear()
+        """Begins the next incarnation's epoch and drops pending changes; returns the epoch."""
+        self._pending.clear()
         self.epoch = max(minimum, self.epoch + 1)
         return self.epoch
 
     def records(self) -> list[DialogRecord]:
         """All committed records."""
-        return list(self.kept.values())
+        return list(self.committed.values())
 
     def put(self, record: DialogRecord) -> None:
-        """Writes a record with the next commit."""
-        self._puts[record.dialog_id] = record
+        """Stores a record with the next commit."""
+        self._pending[record.dialog_id] = record
 
-    def delete(self, dialog: str) -> None:
-        """Deletes a record with the next commit."""
-        self._puts[dialog] = None
+    def delete(self, dialog_id: str) -> None:
+        """Deletes a dialog's record with the next commit."""
+        self._pending[dialog_id] = None
 
     def commit(self) -> int:
-        """Commits what was written and deleted; how many records that were."""
-        puts, self._puts = self._puts, {}
-        if puts and self.fails:
+        """Carries out the pending changes; returns their number. After a failure they are dropped."""
+        changes, self._pending = self._pending, {}
+        if changes and self.commit_fails:
             raise OSError("no space left")
-        self.kept |= {dialog: record for dialog, record in puts.items() if record is not None}
-        for dialog in [dialog for dialog, record in puts.items() if record is None]:
-            self.kept.pop(dialog, None)
-        return len(puts)
+        self.committed |= {dialog_id: record for dialog_id, record in changes.items() if record is not None}
+        for dialog_id in [dialog_id for dialog_id, record in changes.items() if record is None]:
+            self.committed.pop(dialog_id, None)
+        return len(changes)
 
     def clear(self) -> None:
-        """Loses everything."""
-        self._puts.clear()
-        self.kept.clear()
+        """Deletes all records, committed and pending."""
+        self._pending.clear()
+        self.committed.clear()
--- a/valverouter/days/operation_course.py
+++ b/valverouter/days/operation_course.py
@@ -116,7 +116,7 @@
             self._add_path_fault(rig, duration_s)
 
     def _add_path_fault(self, rig: OperationRig, duration_s: float) -> None:
-        draws, now = self._draws, rig.world.now()
+        draws, now = self._draws, rig.fakes.now()
         names = [*NODES, *rig.edges, *map(supervisor_of, (*rig.edges, *rig.servers))]
         side = frozenset(draws.sample(names, draws.randint(1, len(names) // 2)))
         rest = frozenset(names) - side
--- a/valverouter/days/operation_files.py
+++ b/valverouter/days/operation_files.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from valverouter.days.viewing import SECRET
+from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL
 from valverouter.terms.day import ScenarioConfig
 
 CLI = (sys.executable, "-m", "valverouter.cli")
@@ -45,7 +45,7 @@
         """Writes all of them. `server_control`: the address at which servers' agents report."""
         key = self.folder / "fleet.key"
         with os.fdopen(os.open(key, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
-            file.write(SECRET)
+            file.write(GOSSIP_KEY_MATERIAL)
         for name in (*NODES, CLIENT):
             self._write_node(name)
         for index, name in enumerate(self.edges):
--- a/valverouter/days/operation_rig.py
+++ b/valverouter/days/operation_rig.py
@@ -21,10 +21,10 @@
 import trio
 
 from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
-from valverouter.days.play import play_day
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.scenario_runner import play_script
 from valverouter.days.server_agents import ServerAgents
 from valverouter.days.supervisor_logs import append_log_rows
-from valverouter.days.world import World
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.status import FleetStatus, OperationStatus
@@ -58,7 +58,7 @@
 
     kill = stop = start
 
-    async def stall(self, span: int) -> None:
+    async def stall(self, duration: int) -> None:
         """Left to `OperationRig.pause`."""
         raise NotImplementedError("stalled by name")
 
@@ -74,7 +74,7 @@
         self,
         day: ScenarioConfig,
         folder: Path,
-        world: World,
+        fakes: ScenarioFakes,
         limits: tuple[int, int],
         with_servers: bool,
         min_capacity_fraction: float,
@@ -82,17 +82,17 @@
         """`limits`: edge proxies that may be out, in all and in a region. `folder` takes files and logs."""
         self.day = day
         self.folder = folder.absolute()
-        self.world = world
+        self.fakes = fakes
         self.edges = [f"e{index}" for index in range(day.fleet.edge_proxies)]
         # Those with supervisors.
-        self.servers = list(world.servers) if with_servers else []
+        self.servers = list(fakes.servers) if with_servers else []
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.faults: list[PathFault] = []
         self._limits = limits
         self._min_capacity_fraction = min_capacity_fraction
         self._draw = random.Random(f"{day.run.seed}/paths").random
         self._network = FakeDatagramNetwork(
-            SocketRuntime().bind_datagrams, world.now, NetworkPaths([], self._draw)
+            SocketRuntime().bind_datagrams, fakes.now, NetworkPaths([], self._draw)
         )
         self._callers: dict[str, str] = {}
 
@@ -108,25 +108,25 @@
             folder=self.folder,
             edges=self.edges,
             servers=self.servers,
-            list_service=self.world.list.address,
+            list_service=self.fakes.endpoint_list.address,
             limits=self._limits,
             min_capacity_fraction=self._min_capacity_fraction,
             listen=listen,
             advertised=advertised,
             callers=self._callers,
         )
-        regions = {name: self.day.region_of_server(self.world.numbers_of[name]) for name in self.servers}
+        regions = {name: self.day.region_of_server(self.fakes.server_numbers[name]) for name in self.servers}
         files.write(server_control, regions)
         max_unavailable, max_per_region = self._limits
-        self.world.tap.record(
+        self.fakes.tap.record(
             DisruptionLimitsRow, max_unavailable=max_unavailable, max_per_region=max_per_region
         )
 
     async def _open_server_agents(self, nursery: trio.Nursery) -> str:
         """The address at which agents report."""
-        agents = ServerAgents(self.world, self.day.fleet.warm_after)
+        agents = ServerAgents(self.fakes, self.day.fleet.warm_after)
         address: str = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", agents.serve)
-        self.world.list.on_leave = lambda server: self.world.tell([server], "draining")
+        self.fakes.endpoint_list.on_leave = lambda server: self.fakes.announce([server], "draining")
         nursery.start_soon(agents.report_warmth)
         return address
 
@@ -144,7 +144,7 @@
     def add_callers(self) -> None:
         """Lets the day's callers call the edge proxies."""
         for index, name in enumerate(self.edges):
-            self.world.add_callers(index, SupervisedEdge(name, self._callers[name]))
+            self.fakes.add_callers(index, SupervisedEdge(name, self._callers[name]))
 
     # Processes
 
@@ -217,17 +217,17 @@
 
     def add_path_fault(self, fault: PathFault) -> None:
         """Adds a fault of the network, whose moments are by the day's clock."""
-        self.faults = [earlier for earlier in self.faults if earlier.until > self.world.now()] + [fault]
+        self.faults = [earlier for earlier in self.faults if earlier.until > self.fakes.now()] + [fault]
         self._network.paths = NetworkPaths(self.faults, self._draw)
-        self.world.tap.record(
+        self.fakes.tap.record(
             FaultRow, until=fault.until + FAULT_SLACK, kind=f"path-{fault.kind}", target="paths"
         )
 
     def record_fault(self, kind: str, name: str, seconds: float = 0.0) -> None:
         """Records a fault of a process for the audit."""
-        until = self.world.now() + round(seconds * NS_PER_S) + FAULT_SLACK
+        until = self.fakes.now() + round(seconds * NS_PER_S) + FAULT_SLACK
         target = supervised_by(name) if name[0] == "k" else name
-        self.world.tap.record(FaultRow, until=until, kind=kind, target=target)
+        self.fakes.tap.record(FaultRow, until=until, kind=kind, target=target)
 
     # Clients
 
@@ -286,7 +286,7 @@
                 os.kill(pid, signal.SIGKILL)
         for name in (*self.edges, *self.servers):
             log = self.folder / f"{supervisor_of(name)}.log"
-            append_log_rows(self.world.tap.rows, log, name, self.world.now())
+            append_log_rows(self.fakes.tap.rows, log, name, self.fakes.now())
         for operation in operations:
             self._record_operation(operation)
 
@@ -295,7 +295,7 @@
             participant.name: (participant.status, participant.permit_number, participant.previous_version)
             for participant in operation.participants
         }
-        self.world.tap.record(
+        self.fakes.tap.record(
             OperationRow,
             operation=operation.id,
             kind=operation.kind,
@@ -346,30 +346,33 @@
     """
 
     async def main() -> list[Row]:
-        world = World(day, SocketRuntime(), day.run.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
+        fakes = ScenarioFakes(day, SocketRuntime(), day.run.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
         limits = max_unavailable, max_per_region
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
-                await world.open(nursery)
-                rig = OperationRig(day, folder, world, limits, servers, min_capacity_fraction)
+                await fakes.start(nursery)
+                rig = OperationRig(day, folder, fakes, limits, servers, min_capacity_fraction)
                 await rig.open(nursery)
                 try:
-                    await _play(day, world, rig, script)
+                    await _play(day, fakes, rig, script)
                 finally:
                     with trio.CancelScope(shield=True):
                         await rig.stop_all()
                 scope.cancel()
-        return world.tap.rows
+        return fakes.tap.rows
 
     return trio.run(main)
 
 
 async def _play(
-    day: ScenarioConfig, world: World, rig: OperationRig, script: Callable[[OperationRig], Awaitable[None]]
+    day: ScenarioConfig,
+    fakes: ScenarioFakes,
+    rig: OperationRig,
+    script: Callable[[OperationRig], Awaitable[None]],
 ) -> None:
     await rig.start_all()
     rig.add_callers()
     await trio.sleep(day.run.settle / NS_PER_S)
     async with trio.open_nursery() as playing:
-        playing.start_soon(play_day, world)
+        playing.start_soon(play_script, fakes)
         playing.start_soon(script, rig)
--- a/valverouter/days/paths.py
+++ b/valverouter/days/paths.py
@@ -30,7 +30,7 @@
     ]
 
 
-def paths_of(
+def network_paths(
     day: ScenarioConfig, draw: Callable[[], float], origin: int = 0, regions: Mapping[str, str] | None = None
 ) -> NetworkPaths:
     """Every pair's path, with the day's own delays within and between regions."""
--- a/valverouter/days/planning.py
+++ b/valverouter/days/planning.py
@@ -13,7 +13,7 @@
 from valverouter.terms.day import ScenarioConfig
 
 
-def demands(day: ScenarioConfig, rows: Iterable[Row]) -> list[Demand]:
+def measured_demands(day: ScenarioConfig, rows: Iterable[Row]) -> list[Demand]:
     """First tries a second by type and region, from the moments when they were dialled."""
     regions: dict[str, str] = {}
     seen: Counter[tuple[str, str]] = Counter()
@@ -32,7 +32,9 @@
     ]
 
 
-def capacities(day: ScenarioConfig, kept_lines: dict[str, float] | None = None) -> list[RegionCapacity]:
+def region_capacities(
+    day: ScenarioConfig, kept_lines: dict[str, float] | None = None
+) -> list[RegionCapacity]:
     """Each region's servers together; `kept_lines`: the share that a region keeps of its lines."""
     make = server_profile(day)
     work = (make.setup_work + make.answer_work + make.release_work) / 1e9
@@ -44,7 +46,7 @@
     ]
 
 
-def limits(day: ScenarioConfig) -> list[RateLimit]:
+def cross_region_limits(day: ScenarioConfig) -> list[RateLimit]:
     """The budgets as steady rates, as slots pace them; a type without a section never crosses."""
     found: list[RateLimit] = []
     for place in range(day.fleet.edge_proxies):
@@ -67,6 +69,8 @@
     return found
 
 
-def plan_of(day: ScenarioConfig, rows: Iterable[Row], kept_lines: dict[str, float] | None = None) -> Plan:
+def plan_scenario(
+    day: ScenarioConfig, rows: Iterable[Row], kept_lines: dict[str, float] | None = None
+) -> Plan:
     """The least crossing that carries the day's measured demand."""
-    return plan(demands(day, rows), capacities(day, kept_lines), limits(day))
+    return plan(measured_demands(day, rows), region_capacities(day, kept_lines), cross_region_limits(day))
--- a/valverouter/days/recorded.py
+++ b/valverouter/days/recorded.py
@@ -8,7 +8,7 @@
 from valverouter.terms.calls import RecordedCall
 
 
-def calls_of(rows: Iterable[Row]) -> Iterator[RecordedCall]:
+def recorded_calls(rows: Iterable[Row]) -> Iterator[RecordedCall]:
     """First tries as they were dialled, from when the day's callers began. Redials are not on record: callers
     of the day that plays it dial again by what they meet there."""
     began: int | None = None
--- /dev/null
+++ b/valverouter/days/scenario_runner.py
@@ -0,0 +1,112 @@
+"""Plays a scenario against a fleet under test: start, calls and faults, end.
+
+What a fleet runs on, processes on loopback or tasks in virtual time, is behind FleetUnderTest.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+import trio
+
+from valverouter.days.call_load import CallLoad
+from valverouter.days.edge_faults import EdgeFaults
+from valverouter.days.fault_targets import FaultProcess, FaultTargets
+from valverouter.days.membership_recorder import MembershipRecorder
+from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.days.server_faults import ServerFaults
+from valverouter.fakes.callers import with_scaled_patience
+from valverouter.signalling.tap import CallersStartedRow, Row
+from valverouter.terms.scenario_sections import FaultConfig, PathFaultConfig
+
+# So long after the last answer was due the record goes on, so that a late answer is in it.
+LATE_ANSWER_WAIT_S = 0.3
+PROGRESS_INTERVAL_S = 0.25
+ANSWER_POLL_INTERVAL_S = 0.05
+PATHS_TARGET = "paths"
+
+# Called from time to time with the fraction of the scenario that has passed.
+ProgressCallback = Callable[[float], None]
+
+
+class FleetUnderTest(Protocol):
+    """The edge proxies of a scenario."""
+
+    @property
+    def membership(self) -> MembershipRecorder | None:
+        """The recorder of the fleet's views once it has started; None where its members keep none."""
+        ...
+
+    async def start(self, nursery: trio.Nursery) -> None:
+        """Starts the edge proxies, except those that the scenario starts late, and adds their callers."""
+        ...
+
+    async def stop(self) -> None:
+        """Ends the edge proxies after the scenario."""
+        ...
+
+
+async def run_scenario(
+    fakes: ScenarioFakes, fleet: FleetUnderTest, on_progress: ProgressCallback = lambda fraction: None
+) -> list[Row]:
+    """Plays the whole scenario; returns the rows of all that happened."""
+    with trio.CancelScope() as scope:
+        async with trio.open_nursery() as nursery:
+            await fakes.start(nursery)
+            await fleet.start(nursery)
+            await trio.sleep(fakes.scenario.run.settle / NS_PER_S)
+            if fleet.membership is not None:
+                fleet.membership.start_faults()
+            await play_script(fakes, on_progress)
+            if fleet.membership is not None:
+                await fleet.membership.settle()
+            await fleet.stop()
+            scope.cancel()
+    return fakes.tap.rows
+
+
+async def play_script(fakes: ScenarioFakes, on_progress: ProgressCallback = lambda fraction: None) -> None:
+    """Plays the scenario's calls and faults, then waits until every call has its answer."""
+    fakes.tap.record(CallersStartedRow)
+    targets, load = FaultTargets(fakes), CallLoad(fakes)
+    faults = ServerFaults(fakes, targets).by_kind() | EdgeFaults(fakes, targets, load).by_kind()
+    async with trio.open_nursery() as nursery:
+        for name, fault in fakes.scenario.faults.items():
+            nursery.start_soon(_run_fault, fakes, name, fault, faults[fault.kind])
+        for path in fakes.scenario.paths.values():
+            nursery.start_soon(_record_path_fault, targets, path)
+        await _run_calls(fakes, load, on_progress)
+    await _wait_for_answers(fakes)
+
+
+async def _run_fault(fakes: ScenarioFakes, name: str, fault: FaultConfig, process: FaultProcess) -> None:
+    await trio.sleep(fault.start / NS_PER_S)
+    await process(fault, fakes.random_stream(f"trouble {name}"))
+
+
+async def _record_path_fault(targets: FaultTargets, path: PathFaultConfig) -> None:
+    """Records a fault of the paths, which itself takes effect in the model of the paths."""
+    await trio.sleep(path.start / NS_PER_S)
+    targets.record_kind(f"path-{path.kind}", PATHS_TARGET, path.length)
+
+
+async def _run_calls(fakes: ScenarioFakes, load: CallLoad, on_progress: ProgressCallback) -> None:
+    start, length = trio.current_time(), fakes.scenario.run.length
+    with trio.move_on_after(length / NS_PER_S):
+        async with trio.open_nursery() as nursery:
+            for fleet_index, callers in enumerate(fakes.callers):
+                nursery.start_soon(load.run, fleet_index, callers)
+            while True:
+                await trio.sleep(PROGRESS_INTERVAL_S)
+                on_progress((trio.current_time() - start) * NS_PER_S / length)
+
+
+async def _wait_for_answers(fakes: ScenarioFakes) -> None:
+    for callers in fakes.callers:
+        callers.behavior = with_scaled_patience(callers.behavior, 1.0)
+    longest = max(mix.no_answer for mix in fakes.scenario.mix.values())
+    with trio.move_on_after(longest / NS_PER_S + 1):
+        while any(not made.is_established for callers in fakes.callers for made in callers.attempts.values()):
+            await trio.sleep(ANSWER_POLL_INTERVAL_S)
+    await trio.sleep(LATE_ANSWER_WAIT_S)
--- a/valverouter/days/server_agents.py
+++ b/valverouter/days/server_agents.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import ScenarioFakes
 
 WARMTH_INTERVAL_S = 0.2
 # The longest name that an agent sends.
@@ -16,27 +16,27 @@
 class ServerAgents:
     """The agents that are connected. A fake server runs for as long as its agent does."""
 
-    def __init__(self, world: World, warm_after: int) -> None:
+    def __init__(self, fakes: ScenarioFakes, warm_after: int) -> None:
         """`warm_after`: ns from a server's start until it counts as warm."""
-        self._world = world
+        self._fakes = fakes
         self._warm_after = warm_after
         self._streams: dict[str, trio.abc.Stream] = {}
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serves one agent's connection."""
-        name, world = (await stream.receive_some(NAME_BYTES)).decode().strip(), self._world
+        name, fakes = (await stream.receive_some(NAME_BYTES)).decode().strip(), self._fakes
         self._streams[name] = stream
-        if not world.servers[name].model.is_running:
-            world.list.started_at[name] = world.now()
-            await world.servers[name].start()
-            world.tell([name], "in-service")
+        if not fakes.servers[name].model.is_running:
+            fakes.endpoint_list.started_at[name] = fakes.now()
+            await fakes.servers[name].start()
+            fakes.announce([name], "in-service")
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while await stream.receive_some(NAME_BYTES):
                 pass
         if self._streams.get(name) is stream:
             del self._streams[name]
-            world.servers[name].crash()
-            world.tell([name], "gone")
+            fakes.servers[name].crash()
+            fakes.announce([name], "gone")
 
     async def report_warmth(self) -> None:
         """Tells agents again and again whether their servers are warm."""
@@ -48,5 +48,5 @@
                     await stream.send_all(message)
 
     def _is_warm(self, name: str) -> bool:
-        started_at = self._world.list.started_at.get(name)
-        return started_at is None or self._world.now() - started_at >= self._warm_after
+        started_at = self._fakes.endpoint_list.started_at.get(name)
+        return started_at is None or self._fakes.now() - started_at >= self._warm_after
--- a/valverouter/days/server_faults.py
+++ b/valverouter/days/server_faults.py
@@ -8,7 +8,7 @@
 import trio
 
 from valverouter.days.fault_targets import FaultProcess, FaultTargets
-from valverouter.days.world import World
+from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.fakes.server import FakeServer
 from valverouter.terms.scenario_sections import FaultConfig
 
@@ -18,8 +18,8 @@
 class ServerFaults:
     """The faults that a day's file may have at servers."""
 
-    def __init__(self, world: World, targets: FaultTargets) -> None:
-        self._world = world
+    def __init__(self, fakes: ScenarioFakes, targets: FaultTargets) -> None:
+        self._fakes = fakes
         self._targets = targets
 
     def by_kind(self) -> dict[str, FaultProcess]:
@@ -44,8 +44,8 @@
         for server in servers:
             self._targets.record(fault, server.name)
             server.crash()
-        self._announce_down_after(self._world.day.endpoint_list.notice, servers)
-        await trio.sleep(fault.length / 1e9)
+        self._announce_down_after(self._fakes.scenario.endpoint_list.notice, servers)
+        await trio.sleep(fault.length / NS_PER_S)
         await self._restart(servers)
 
     async def _vanish(self, fault: FaultConfig, rng: random.Random) -> None:
@@ -53,28 +53,28 @@
         for server in servers:
             self._targets.record(fault, server.name)
             server.vanish()
-        self._announce_down_after(self._world.day.endpoint_list.silent_notice, servers)
+        self._announce_down_after(self._fakes.scenario.endpoint_list.silent_notice, servers)
         if fault.length:
-            await trio.sleep(fault.length / 1e9)
+            await trio.sleep(fault.length / NS_PER_S)
             await self._restart(servers)
 
     def _announce_down_after(self, delay: int, servers: Sequence[FakeServer]) -> None:
         def announce() -> None:
             if down := [server.name for server in servers if not server.model.is_running]:
-                self._world.tell(down, "gone")
+                self._fakes.announce(down, "gone")
 
-        self._world.agenda.call_at(self._world.now() + delay, announce)
+        self._fakes.scheduler.call_at(self._fakes.now() + delay, announce)
 
     def _announce_up_later(self, servers: Sequence[FakeServer]) -> None:
         def announce() -> None:
             if up := [server.name for server in servers if server.model.is_running]:
-                self._world.tell(up, "in-service")
+                self._fakes.announce(up, "in-service")
 
-        self._world.agenda.call_at(self._world.now() + self._world.day.endpoint_list.add, announce)
+        self._fakes.scheduler.call_at(self._fakes.now() + self._fakes.scenario.endpoint_list.add, announce)
 
     async def _restart(self, servers: Sequence[FakeServer]) -> None:
         for server in servers:
-            self._world.list.started_at[server.name] = self._world.now()
+            self._fakes.endpoint_list.started_at[server.name] = self._fakes.now()
             await server.start()
         self._announce_up_later(servers)
 
@@ -83,7 +83,7 @@
         servers = self._targets.running_servers(fault, rng)
         batch_size = max(1, round(fault.size))
         batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
-        interval = fault.length / max(1, len(batches)) / 1e9
+        interval = fault.length / max(1, len(batches)) / NS_PER_S
         for batch in batches:
             started_at = trio.current_time()
             await self._replace_all(fault, batch)
@@ -91,21 +91,21 @@
 
     async def _replace_all(self, fault: FaultConfig, servers: Sequence[FakeServer]) -> None:
         names = [server.name for server in servers]
-        self._world.tell(names, "draining")
+        self._fakes.announce(names, "draining")
         for name in names:
             self._targets.record(fault, name, fault.extra)
-        await trio.sleep(fault.extra / 1e9)
+        await trio.sleep(fault.extra / NS_PER_S)
         replacements = [await self._replace(server) for server in servers]
-        self._world.tell(names, "gone")
+        self._fakes.announce(names, "gone")
         self._announce_up_later(replacements)
 
     async def _replace(self, server: FakeServer) -> FakeServer:
-        world = self._world
+        fakes = self._fakes
         server.crash()
-        replacement = world.add_server(f"{server.name}n", world.numbers_of[server.name])
-        replacement.model.start(world.now())
-        world.list.started_at[replacement.name] = world.now()
-        await world.run_server(replacement)
+        replacement = fakes.add_server(f"{server.name}n", fakes.server_numbers[server.name])
+        replacement.model.start(fakes.now())
+        fakes.endpoint_list.started_at[replacement.name] = fakes.now()
+        await fakes.run_server(replacement)
         replacement.record_start()
         return replacement
 
@@ -121,7 +121,7 @@
 
     async def _degrade(self, fault: FaultConfig, rng: random.Random) -> None:
         """Servers get slower and slower, until the fault's size is reached at its end."""
-        now = self._world.now
+        now = self._fakes.now
         await self._for_duration(
             fault,
             self._targets.running_servers(fault, rng),
@@ -130,7 +130,7 @@
         )
 
     async def _hang(self, fault: FaultConfig, rng: random.Random) -> None:
-        now = self._world.now
+        now = self._fakes.now
 
         def wake(server: FakeServer) -> None:
             server.model.set_hung(now(), False)
@@ -145,20 +145,22 @@
 
     async def _limit_lines(self, fault: FaultConfig, rng: random.Random) -> None:
         """The servers of one region have only a part of their lines."""
-        world, day = self._world, self._world.day
+        fakes, day = self._fakes, self._fakes.scenario
         regions = [name for name, region in day.regions.items() if region.servers]
         region = fault.on[0] if fault.on else rng.choice(regions)
-        names = [name for name, number in world.numbers_of.items() if day.region_of_server(number) == region]
+        names = [
+            name for name, number in fakes.server_numbers.items() if day.region_of_server(number) == region
+        ]
 
         def limit(server: FakeServer) -> None:
-            server.model.limit_lines(world.now(), fault.size**-0.5)
+            server.model.limit_lines(fakes.now(), fault.size**-0.5)
             server.deliver_events()
 
         await self._for_duration(
             fault,
-            [world.servers[name] for name in names],
+            [fakes.servers[name] for name in names],
             limit,
-            lambda server: server.model.limit_lines(world.now(), 1.0),
+            lambda server: server.model.limit_lines(fakes.now(), 1.0),
         )
 
     async def _lose_answers(self, fault: FaultConfig, rng: random.Random) -> None:
@@ -175,7 +177,7 @@
         for server in servers:
             self._targets.record(fault, server.name)
             begin(server)
-        await trio.sleep(fault.length / 1e9)
+        await trio.sleep(fault.length / NS_PER_S)
         for server in servers:
             end(server)
 
@@ -183,15 +185,15 @@
 
     async def _cut_established(self, fault: FaultConfig, rng: random.Random) -> None:
         """A fraction of all established dialogs ends at every server."""
-        for server in self._world.servers.values():
+        for server in self._fakes.servers.values():
             self._targets.record(fault, server.name)
-            server.model.cut_established(self._world.now(), fault.size)
+            server.model.cut_established(self._fakes.now(), fault.size)
             server.deliver_events()
 
     async def _partition(self, fault: FaultConfig, rng: random.Random) -> None:
         """Some edge proxies can't reach some servers; all others can."""
-        targets, servers = self._targets, self._world.servers
-        edge_names = {f"e{place}" for place in targets.edge_places(fault, rng)}
+        targets, servers = self._targets, self._fakes.servers
+        edge_names = {f"e{fleet_index}" for fleet_index in targets.edge_indices(fault, rng)}
         partitioned = [servers[name] for name in targets.draw(fault, rng, list(servers))]
         for server in partitioned:
             targets.record(fault, server.name)
@@ -199,6 +201,6 @@
             for connection in list(server.connections):
                 if connection.edge_name in edge_names:
                     connection.close()
-        await trio.sleep(fault.length / 1e9)
+        await trio.sleep(fault.length / NS_PER_S)
         for server in partitioned:
             server.refused_edges -= edge_names
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -1,108 +1,149 @@
-"""A day in virtual time: the same edge proxies and fakes on streams in memory, under trio's MockClock.
+"""Plays a scenario in virtual time: edge proxies are tasks on streams in memory, under trio's MockClock.
 
-It ends in seconds and gives the same rows every time.
+A run takes seconds and gives the same rows every time.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from typing import Any
 
 import trio
 import trio.testing
 
-from valverouter.days.memory_network import MemoryPlace, MemoryRuntime
-from valverouter.days.memory_store import MemoryStore
-from valverouter.days.play import play_day
-from valverouter.days.viewing import MemoryViews
-from valverouter.days.world import World
+from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
+from valverouter.days.memory_store import MemoryLedgerStore
+from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.days.scenario_runner import run_scenario
+from valverouter.days.virtual_membership import VirtualMembership
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
 from valverouter.signalling.tap import Row
 from valverouter.terms.day import ScenarioConfig
 
+# After an edge proxy has ended, so that its peers see its connections close.
+STOP_WAIT_S = 0.01
 
-class MemoryEdge:
+
+class VirtualEdge:
     """An edge proxy as a task; killing it drops all that it holds, as an ended process does."""
 
     def __init__(
         self,
-        day: ScenarioConfig,
-        place: int,
-        network: MemoryPlace,
+        scenario: ScenarioConfig,
+        fleet_index: int,
+        network: MemoryNetwork,
         nursery: trio.Nursery,
-        list_at: str,
-        views: MemoryViews | None = None,
+        list_address: str,
+        membership: VirtualMembership | None = None,
     ) -> None:
-        self.name = f"e{place}"
-        self.address = f"edge{place}:1"
-        self.store = MemoryStore() if day.ledger else None
-        self.terms = day.edge_config(place, self.address, list_at, f"list-{place}", f"accounts-{place}")
+        self.name = f"e{fleet_index}"
+        self.address = f"edge{fleet_index}:1"
+        self.store = MemoryLedgerStore() if scenario.ledger else None
+        self.config = scenario.edge_config(
+            fleet_index, self.address, list_address, f"list-{fleet_index}", f"accounts-{fleet_index}"
+        )
         self.proxy: EdgeProxy | None = None
+        # ns by which the wall clock of its next start is behind.
+        self.wall_clock_setback = 0
         self._network = network
         self._nursery = nursery
         self._scope = trio.CancelScope()
         self._runtime: MemoryRuntime | None = None
-        self._views = views
-        # How far its clock is set back.
-        self.wall_back = 0
+        self._membership = membership
 
     async def start(self) -> None:
-        """Starts a process and waits until it is ready."""
+        """Starts it with an empty memory and what its store holds; returns once it listens."""
         await self._nursery.start(self._run)
 
     async def _run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
         with trio.CancelScope() as self._scope:
-            self._runtime = MemoryRuntime(self._network, self.wall_back)
-            self.proxy = make_edge_proxy(self.terms, self._runtime, self.store)
-            if self._views is None:
+            self._runtime = MemoryRuntime(self._network, self.wall_clock_setback)
+            self.proxy = make_edge_proxy(self.config, self._runtime, self.store)
+            if self._membership is None:
                 await self.proxy.run(task_status)
             else:
-                await self._run_viewed(self._views, self._runtime, self.proxy, task_status)
+                await self._run_with_membership(self._membership, self._runtime, self.proxy, task_status)
 
-    async def _run_viewed(
+    async def _run_with_membership(
         self,
-        views: MemoryViews,
+        membership: VirtualMembership,
         runtime: MemoryRuntime,
         proxy: EdgeProxy,
         task_status: trio.TaskStatus[EdgeProxy],
     ) -> None:
-        fleet = views.task(self.name, self.terms, runtime, proxy)
+        service = membership.make_service(self.name, self.config, runtime, proxy)
         try:
             async with trio.open_nursery() as nursery:
-                await nursery.start(fleet.run)
-                views.began(self.name)
+                await nursery.start(service.run)
+                membership.record_service_start(self.name)
                 await proxy.run(task_status)
-                fleet.leave()
-                await fleet.ended.wait()
+                service.leave()
+                await service.ended.wait()
         finally:
-            views.over(self.name)
+            membership.record_end(self.name)
 
     async def kill(self) -> None:
-        """Ends the process at once."""
+        """Ends it at once; its connections close."""
         self._scope.cancel()
         await trio.lowlevel.checkpoint()
 
-    async def stall(self, span: int) -> None:
-        """Holds the process for `span` ns."""
+    async def stall(self, duration: int) -> None:
+        """Stops it at its checkpoints for `duration` ns."""
         if self._runtime is not None:
-            await self._runtime.hold(span)
+            await self._runtime.stall(duration)
 
     async def stop(self) -> None:
-        """Lets the process drain and end."""
+        """Asks it to shut down gracefully, and waits until it has."""
         if self.proxy is not None:
             self.proxy.stop()
             await self.proxy.ended.wait()
-            await trio.sleep(0.01)
+            await trio.sleep(STOP_WAIT_S)
+
+
+# What a caller of run_virtual may add to the run before its settling time.
+PrepareCallback = Callable[[ScenarioFakes, list[VirtualEdge]], None]
+
+
+class VirtualFleet:
+    """The scenario's edge proxies as tasks, started one after the other."""
+
+    def __init__(
+        self, fakes: ScenarioFakes, network: MemoryNetwork, prepare: PrepareCallback | None = None
+    ) -> None:
+        self.membership: VirtualMembership | None = None
+        self.edges: list[VirtualEdge] = []
+        self._fakes = fakes
+        self._network = network
+        self._prepare = prepare
+
+    async def start(self, nursery: trio.Nursery) -> None:
+        """Starts the edge proxies and their callers."""
+        scenario, fakes = self._fakes.scenario, self._fakes
+        if scenario.between is not None:
+            client_runtime = MemoryRuntime(self._network)
+            self.membership = VirtualMembership(fakes, scenario.between, self._network, client_runtime)
+            await nursery.start(self.membership.run)
+        for fleet_index in range(scenario.fleet.edge_proxies):
+            list_address = fakes.endpoint_list.address
+            edge = VirtualEdge(scenario, fleet_index, self._network, nursery, list_address, self.membership)
+            if edge.name not in scenario.late_edges:
+                await edge.start()
+            fakes.add_callers(fleet_index, edge)
+            self.edges.append(edge)
+        if self._prepare is not None:
+            self._prepare(fakes, self.edges)
+
+    async def stop(self) -> None:
+        """Nothing to do: the tasks are cancelled with the run."""
 
 
 @contextmanager
-def same_order(seed: int) -> Any:
-    """Makes trio take its tasks in the same order every time.
+def deterministic_scheduling(seed: int) -> Iterator[None]:
+    """Makes trio run its tasks in the same order every time.
 
-    trio shuffles them so that nobody relies on their order; a day that must give the same rows twice has to
-    fix it. These are the two knobs that hypothesis and pytest-trio turn for the same end.
+    trio shuffles them so that nobody relies on their order; a run that must give the same rows twice has to
+    fix it. These are the two variables that hypothesis and pytest-trio set for the same purpose.
     """
     import trio._core._run as run  # no public name for it
 
@@ -117,38 +158,13 @@
         run._r.setstate(state)
 
 
-def run_virtual(
-    day: ScenarioConfig, prepare: Callable[[World, list[MemoryEdge]], None] | None = None
-) -> list[Row]:
-    """Plays the day; the rows of what passed. `prepare` may add to the world before it starts."""
+def run_virtual(scenario: ScenarioConfig, prepare: PrepareCallback | None = None) -> list[Row]:
+    """Plays the scenario; returns the rows of all that happened. `prepare` is called before it settles."""
 
     async def main() -> list[Row]:
-        network = MemoryPlace()
-        world = World(day, network, 0, lambda name: f"{name}:1")
-        with trio.CancelScope() as scope:
-            async with trio.open_nursery() as nursery:
-                await world.open(nursery)
-                edges = []
-                views = None
-                if day.between is not None:
-                    views = MemoryViews(day, day.between, world, network, MemoryRuntime(network))
-                    await nursery.start(views.run)
-                for place in range(day.fleet.edge_proxies):
-                    edge = MemoryEdge(day, place, network, nursery, world.list.address, views)
-                    if edge.name not in day.late_edges:
-                        await edge.start()
-                    world.add_callers(place, edge)
-                    edges.append(edge)
-                if prepare is not None:
-                    prepare(world, edges)
-                await trio.sleep(day.run.settle / 1e9)
-                if views is not None:
-                    views.begins()
-                await play_day(world)
-                if views is not None:
-                    await views.settle()
-                scope.cancel()
-        return world.tap.rows
-
-    with same_order(day.run.seed):
+        network = MemoryNetwork()
+        fakes = ScenarioFakes(scenario, network, 0, lambda name: f"{name}:1")
+        return await run_scenario(fakes, VirtualFleet(fakes, network, prepare))
+
+    with deterministic_scheduling(scenario.run.seed):
         return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
--- a/valverouter/load/drive.py
+++ b/valverouter/load/drive.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from valverouter.days.loopback import START_WITHIN_S
+from valverouter.days.loopback import START_TIMEOUT_S
 from valverouter.load.measure import LoadSample
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import NEWEST_VERSION, OLDEST_VERSION, Hello, Welcome
@@ -78,7 +78,7 @@
             await self._stream.send_all(self._session.hello_frame())
             nursery.start_soon(self._receive)
             nursery.start_soon(self._dial, dialogs)
-            with trio.move_on_after(START_WITHIN_S):
+            with trio.move_on_after(START_TIMEOUT_S):
                 await self._welcomed.wait()
             if not self._welcomed.is_set():
                 raise LoadFailedError(f"{self._address} did not greet")
--- a/valverouter/load/target.py
+++ b/valverouter/load/target.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from valverouter.days.loopback import START_WITHIN_S, ProcessEdge
+from valverouter.days.loopback import START_TIMEOUT_S, LoopbackEdge
 from valverouter.load.drive import SECOND, LoadFailedError
 from valverouter.terms.day import ScenarioConfig
 
@@ -32,7 +32,7 @@
         if not list_address:
             raise LoadFailedError(f"the stand-ins of {file} did not come up")
         async with trio.open_nursery() as nursery:
-            edge = ProcessEdge(day, 0, list_address, folder, nursery)
+            edge = LoopbackEdge(day, 0, list_address, folder, nursery)
             await edge.start()
             await trio.sleep(day.run.settle / SECOND)
             yield edge.address
@@ -49,7 +49,7 @@
     """The address that the fakes print, empty where none comes in time."""
     assert fakes.stdout is not None
     output = b""
-    with trio.move_on_after(START_WITHIN_S):
+    with trio.move_on_after(START_TIMEOUT_S):
         while b"\n" not in output.partition(LIST_SERVICE_PROMPT)[2]:
             data = await fakes.stdout.receive_some(READ_SIZE)
             if not data:
