--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -245,7 +245,8 @@
             context.run_decision("", driver.tick, now)
             self._handle_events()
             self._fire_timers(now)
-            self.links.close_idle_leaving()
+            if self.links.leaving:
+                self.links.close_idle_leaving()
             if len(context.timers) > self._max_timers:
                 self._prune_timers()
             self._before_send(now)
