--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -21,7 +21,7 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
-from valverouter.days.courses import draw_fault_course
+from valverouter.days.fault_course import draw_fault_course
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
 from valverouter.edge import logs
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -15,7 +15,7 @@
 from valverouter.audit.rules import audit
 from valverouter.cli.__main__ import main
 from valverouter.days.emulated import run_emulated
-from valverouter.days.recorded import recorded_calls
+from valverouter.days.recorded_calls import recorded_calls
 from valverouter.days.virtual import run_virtual
 from valverouter.experiments.plan import Run
 from valverouter.experiments.search_config import load_search
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/playing.py
@@ -12,7 +12,7 @@
 
 from valverouter.cli.common import FILE, console, show_verdict
 from valverouter.days.loopback import run_loopback
-from valverouter.days.recorded import recorded_calls
+from valverouter.days.recorded_calls import recorded_calls
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.days.scenario_runner import play_script
 from valverouter.days.virtual import run_virtual
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -1,4 +1,4 @@
-"""A day on the emulator: the edge proxies as their files have them, in simulated time."""
+"""Plays a scenario on the emulator: edge proxies with the settings of their own files, in simulated time."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from valverouter.terms.day import ScenarioConfig
 
 
-def edge_plans(day: ScenarioConfig, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
+def edge_plans(scenario: ScenarioConfig, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
     """Each edge proxy's plan, from the same file that it would be started with."""
-    return [_plan(day, fleet_index, build_driver) for fleet_index in range(day.fleet.edge_proxies)]
+    return [_plan(scenario, fleet_index, build_driver) for fleet_index in range(scenario.fleet.edge_proxies)]
 
 
-def _plan(day: ScenarioConfig, fleet_index: int, build_driver: BuildDriver) -> EdgePlan:
-    terms = day.edge_config(fleet_index, "edge:1", "list:1")
-    cross_region, deployment = terms.crossing, terms.deployment
+def _plan(scenario: ScenarioConfig, fleet_index: int, build_driver: BuildDriver) -> EdgePlan:
+    config = scenario.edge_config(fleet_index, "edge:1", "list:1")
+    cross_region, deployment = config.crossing, config.deployment
     traffic_types = deployment.traffic_types
 
     def default_attempt_policy(traffic_type: str) -> AttemptPolicy | None:
@@ -29,27 +29,27 @@
 
     return EdgePlan(
         fleet_index=fleet_index,
-        region=day.region_of_edge(fleet_index),
+        region=scenario.region_of_edge(fleet_index),
         deployment=deployment,
-        seed=terms.seed,
-        answer_margin=terms.answer_margin,
+        seed=config.seed,
+        answer_margin=config.answer_margin,
         cross_region=lambda now: CrossRegionLimiter(cross_region, now) if cross_region is not None else None,
-        attempt_policies=AttemptPolicies(terms) if terms.attempts else None,
+        attempt_policies=AttemptPolicies(config) if config.attempts else None,
         build_driver=build_driver,
-        has_ledger=day.ledger,
+        has_ledger=scenario.ledger,
         default_attempt_policy=default_attempt_policy,
     )
 
 
 def run_emulated(
-    day: ScenarioConfig, build_driver: BuildDriver = Driver, sample_interval: int = 0
+    scenario: ScenarioConfig, build_driver: BuildDriver = Driver, sample_interval: int = 0
 ) -> DayResult:
-    """Runs the whole day; the same day gives the same rows every time.
+    """Runs the whole scenario; the same scenario gives the same rows every time.
 
     `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none. ValueError where
-    the day has a fault that is emulated for the view alone.
+    the scenario has a fault that is emulated for the view alone.
     """
-    for name, trouble in day.faults.items():
-        if trouble.kind == "balancer_late":
-            raise ValueError(f"trouble {name}: {trouble.kind} is emulated for the view alone: fleet emulate")
-    return simulate_day(Fleet(day, edge_plans(day, build_driver)), sample_interval)
+    for name, fault in scenario.faults.items():
+        if fault.kind == "balancer_late":
+            raise ValueError(f"trouble {name}: {fault.kind} is emulated for the view alone: fleet emulate")
+    return simulate_day(Fleet(scenario, edge_plans(scenario, build_driver)), sample_interval)
--- a/valverouter/days/loopback_membership.py
+++ b/valverouter/days/loopback_membership.py
@@ -8,7 +8,7 @@
 import trio
 
 from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL, MembershipRecorder
-from valverouter.days.paths import network_paths
+from valverouter.days.network_paths import network_paths
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
--- a/valverouter/days/membership_recorder.py
+++ b/valverouter/days/membership_recorder.py
@@ -11,7 +11,7 @@
 
 import trio
 
-from valverouter.days.paths import path_faults
+from valverouter.days.network_paths import path_faults
 from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.edge.runtime import Runtime
 from valverouter.fleet.client import FleetClient
--- /dev/null
+++ b/valverouter/days/network_paths.py
@@ -0,0 +1,47 @@
+"""The network paths between a scenario's edge proxies, with its delays and faults."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+
+from valverouter.servermodel.paths import NetworkPaths, PathFault
+from valverouter.terms.day import ScenarioConfig
+
+
+def path_faults(
+    scenario: ScenarioConfig, origin: int = 0, regions: Mapping[str, str] | None = None
+) -> list[PathFault]:
+    """The scenario's faults, ns from `origin`. `regions`: each member's, for another fleet than its own."""
+    regions = scenario.edge_regions if regions is None else regions
+    return [
+        PathFault(
+            kind=fault.kind,
+            start=origin + fault.start,
+            until=origin + fault.start + fault.length,
+            senders=scenario.edges_of(fault.senders, regions),
+            receivers=scenario.edges_of(fault.receivers, regions),
+            bidirectional=fault.both,
+            probability=fault.share,
+            delay=fault.span,
+            jitter=fault.jitter,
+            groups=tuple(scenario.edges_of((group,), regions) for group in fault.groups),
+        )
+        for fault in scenario.paths.values()
+    ]
+
+
+def network_paths(
+    scenario: ScenarioConfig,
+    draw: Callable[[], float],
+    origin: int = 0,
+    regions: Mapping[str, str] | None = None,
+) -> NetworkPaths:
+    """The path of each pair, with the scenario's faults and its delays within and between regions."""
+    regions = scenario.edge_regions if regions is None else regions
+
+    def delay(sender: str, receiver: str) -> int:
+        near = regions.get(sender) == regions.get(receiver)
+        base = scenario.delays.same if near else scenario.delays.cross
+        return int(base * (1 + scenario.delays.jitter * (2 * draw() - 1)))
+
+    return NetworkPaths(path_faults(scenario, origin, regions), draw, delay)
--- a/valverouter/days/planning.py
+++ b/valverouter/days/planning.py
@@ -1,5 +1,6 @@
-"""What the planner says of a day: demand as its record shows it, capacities and budgets as its file states
-them."""
+"""Plans cross-region traffic for a scenario: demand as its rows show it, capacities and budgets as its file
+sets them.
+"""
 
 from __future__ import annotations
 
@@ -12,65 +13,74 @@
 from valverouter.signalling.tap import MessageRow, PlacementRow, Row
 from valverouter.terms.day import ScenarioConfig
 
+NS_PER_S = 1e9
+MIN_DURATION_S = 1e-9
 
-def measured_demands(day: ScenarioConfig, rows: Iterable[Row]) -> list[Demand]:
-    """First tries a second by type and region, from the moments when they were dialled."""
+
+def measured_demands(scenario: ScenarioConfig, rows: Iterable[Row]) -> list[Demand]:
+    """First tries a second by type and region, over the time in which they were dialled."""
     regions: dict[str, str] = {}
-    seen: Counter[tuple[str, str]] = Counter()
+    counts: Counter[tuple[str, str]] = Counter()
     times: list[int] = []
     for row in rows:
         if isinstance(row, PlacementRow):
             regions[row.name] = row.region
         elif isinstance(row, MessageRow) and row.sent and row.kind == "setup" and "." not in row.dialog:
-            seen[row.detail, regions.get(row.edge, "")] += 1
+            counts[row.detail, regions.get(row.edge, "")] += 1
             times.append(row.at)
-    span = max(1e-9, (max(times) - min(times)) / 1e9) if times else 1.0
+    duration_s = max(MIN_DURATION_S, (max(times) - min(times)) / NS_PER_S) if times else 1.0
+    traffic = scenario.traffic
     return [
-        Demand(kind, region, count / span, day.traffic[kind].length / 1e9, day.traffic[kind].importance)
-        for (kind, region), count in sorted(seen.items())
-        if kind in day.traffic
+        Demand(kind, region, count / duration_s, traffic[kind].length / NS_PER_S, traffic[kind].importance)
+        for (kind, region), count in sorted(counts.items())
+        if kind in traffic
     ]
 
 
 def region_capacities(
-    day: ScenarioConfig, kept_lines: dict[str, float] | None = None
+    scenario: ScenarioConfig, line_fractions: dict[str, float] | None = None
 ) -> list[RegionCapacity]:
-    """Each region's servers together; `kept_lines`: the share that a region keeps of its lines."""
-    make = server_profile(day)
-    work = (make.setup_work + make.answer_work + make.release_work) / 1e9
-    kept = kept_lines or {}
+    """Each region's servers together; `line_fractions`: of its lines that a region has left, 1 by default."""
+    profile = server_profile(scenario)
+    work_s = (profile.setup_work + profile.answer_work + profile.release_work) / NS_PER_S
+    fractions = line_fractions or {}
     return [
-        RegionCapacity(name, region.servers / work, region.servers * make.lines * kept.get(name, 1.0))
-        for name, region in day.regions.items()
+        RegionCapacity(
+            name, region.servers / work_s, region.servers * profile.lines * fractions.get(name, 1.0)
+        )
+        for name, region in scenario.regions.items()
         if region.servers
     ]
 
 
-def cross_region_limits(day: ScenarioConfig) -> list[RateLimit]:
-    """The budgets as steady rates, as slots pace them; a type without a section never crosses."""
-    found: list[RateLimit] = []
-    for place in range(day.fleet.edge_proxies):
-        crossing = day.edge_config(place, "127.0.0.1:1", "127.0.0.1:2").crossing
-        if crossing is None:
+def cross_region_limits(scenario: ScenarioConfig) -> list[RateLimit]:
+    """The budgets as steady rates, as time slices pace them; a type without a section has the rate 0."""
+    limits: list[RateLimit] = []
+    for fleet_index in range(scenario.fleet.edge_proxies):
+        cross_region = scenario.edge_config(fleet_index, "127.0.0.1:1", "127.0.0.1:2").crossing
+        if cross_region is None:
             return []
-        skew = crossing.clock_skew
-        for kind in day.traffic:
-            of_type = crossing.policies.get(kind)
-            if of_type is None or of_type.urgent:
-                rate = None if of_type else 0.0
+        skew = cross_region.clock_skew
+        for kind in scenario.traffic:
+            policy = cross_region.policies.get(kind)
+            if policy is None or policy.urgent:
+                rate = None if policy else 0.0
             else:
-                rate = max_rate(with_default_burst(of_type.budget, skew)) if of_type.budget else None
-            pairs = (of_type.pairs if of_type else None) or {}
+                rate = max_rate(with_default_burst(policy.budget, skew)) if policy.budget else None
+            pairs = (policy.pairs if policy else None) or {}
             for pair, budget in pairs.items():
-                if RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair) not in found:
-                    found.append(RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair))
-            if place == 0 and rate is not None and not pairs:
-                found.append(RateLimit(kind, rate))
-    return found
+                limit = RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair)
+                if limit not in limits:
+                    limits.append(limit)
+            if fleet_index == 0 and rate is not None and not pairs:
+                limits.append(RateLimit(kind, rate))
+    return limits
 
 
 def plan_scenario(
-    day: ScenarioConfig, rows: Iterable[Row], kept_lines: dict[str, float] | None = None
+    scenario: ScenarioConfig, rows: Iterable[Row], line_fractions: dict[str, float] | None = None
 ) -> Plan:
-    """The least crossing that carries the day's measured demand."""
-    return plan(measured_demands(day, rows), region_capacities(day, kept_lines), cross_region_limits(day))
+    """The least cross-region traffic that carries the measured demand."""
+    demands = measured_demands(scenario, rows)
+    capacities = region_capacities(scenario, line_fractions)
+    return plan(demands, capacities, cross_region_limits(scenario))
--- a/valverouter/days/virtual_membership.py
+++ b/valverouter/days/virtual_membership.py
@@ -9,7 +9,7 @@
 
 from valverouter.days.membership_recorder import MembershipRecorder
 from valverouter.days.memory_network import MemoryNetwork
-from valverouter.days.paths import network_paths
+from valverouter.days.network_paths import network_paths
 from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.runtime import Runtime
