--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -28,7 +28,7 @@
 import msgspec
 from click.testing import CliRunner
 
-from valverouter.cli import crossings, fleet_view, fleet_view_output, ledgers
+from valverouter.cli import fleet_view, fleet_view_output, ledger, regions
 from valverouter.edge import endpoint_cache
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
@@ -802,13 +802,13 @@
     with tempfile.TemporaryDirectory() as scratch:
         rows = Path(scratch, "accounts.jsonl")
         write_accounts(rows)
-        _run(crossings.regions, ["report", "--json", "--edges", "2", str(rows)], file)
+        _run(regions.regions, ["report", "--json", "--edges", "2", str(rows)], file)
 
 
 def print_ledger(file: Path) -> None:
     with tempfile.TemporaryDirectory() as scratch:
         write_ledger(Path(scratch, "ledger"))
-        _run(ledgers.ledger, ["export", str(Path(scratch, "ledger"))], file)
+        _run(ledger.ledger, ["export", str(Path(scratch, "ledger"))], file)
 
 
 def _run(command: click.Command, arguments: list[str], file: Path) -> None:
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -11,33 +11,37 @@
 
 import click
 
-from valverouter.cli.common import FAILED, UNUSABLE, leaf
+from valverouter.cli.common import FAILED, INTERRUPTED, INVALID_INPUT, first_cause
 from valverouter.ledger.storage import StoreError
 from valverouter.terms.ini import InvalidConfigError
 
-# Each command by its module, loaded when it is called: with all of them, half of an edge proxy's start went
-# by in loading what draws charts and plays days.
+# Each command with its module, which is imported when the command is called: importing all of them, with what
+# draws charts and plays scenarios, took half of the time in which an edge proxy starts.
 COMMANDS = {
-    "audit": "playing:check_records",
-    "calls": "playing:kept_calls",
-    "check": "playing:check",
-    "day": "playing:play",
-    "edge": "edging:edge",
-    "experiment": "experimenting:experiment",
+    "audit": "scenarios:check_records",
+    "calls": "scenarios:kept_calls",
+    "check": "scenarios:check",
+    "day": "scenarios:play",
+    "edge": "edge:edge",
+    "experiment": "experiments:experiment",
     "fleet": "fleet:fleet",
-    "ledger": "ledgers:ledger",
-    "load": "playing:load",
-    "regions": "crossings:regions",
-    "standin": "playing:standin",
+    "ledger": "ledger:ledger",
+    "load": "scenarios:load",
+    "regions": "regions:regions",
+    "standin": "scenarios:standin",
     "terms": "attempts:terms",
 }
 
 
-class Commands(click.Group):
+class LazyCommands(click.Group):
+    """The commands by name; a command's module is imported when the command is asked for."""
+
     def list_commands(self, context: click.Context) -> list[str]:
+        """All commands, by name."""
         return sorted(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
+        """A command of that name, None where there is none."""
         if name not in COMMANDS:
             return None
         module, _, attribute = COMMANDS[name].partition(":")
@@ -46,27 +50,27 @@
         return command
 
 
-@click.command(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=LazyCommands, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="valverouter")
 def main() -> None:
     """A call router: edge proxies that set dialogs up at shared setup servers."""
 
 
 def run() -> None:
-    """The program's entry; flaws and errors as one plain line each, never a traceback."""
+    """The program's entry point; prints problems and errors as one plain line each, without a traceback."""
     try:
         main(standalone_mode=False)
     except click.ClickException as error:
         error.show()
-        sys.exit(UNUSABLE)
+        sys.exit(INVALID_INPUT)
     except click.Abort:
-        sys.exit(130)
+        sys.exit(INTERRUPTED)
     except InvalidConfigError as error:
         click.echo(error, err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(INVALID_INPUT)
     except (ValueError, OSError, StoreError) as error:
         click.echo(f"valverouter: {error}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(INVALID_INPUT)
     except RuntimeError as error:
         from valverouter.load.drive import LoadFailedError
 
@@ -80,7 +84,7 @@
 
         if group.split((EdgeFailedError, LoadFailedError, OSError))[1] is not None:
             raise
-        click.echo(f"valverouter: {leaf(group)}", err=True)
+        click.echo(f"valverouter: {first_cause(group)}", err=True)
         sys.exit(FAILED)
 
 
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -11,7 +11,7 @@
 from valverouter.attempts.worst_case import longest_timeline, timelines
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.cli import tables
-from valverouter.cli.common import BROKEN, FILE, console
+from valverouter.cli.common import FILE, RULE_VIOLATED, console
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.signalling import tap
 from valverouter.terms.edge import load_edge_config
@@ -102,7 +102,7 @@
         for traffic_type in config.deployment.traffic_types
     }
     if chart:
-        tables.print_courses(console, longest, no_answer_timeout)
+        tables.print_attempt_timelines(console, longest, no_answer_timeout)
         return
     for traffic_type, timeline in longest.items():
         answered_at = format_duration(timeline.answered_at)
@@ -138,7 +138,7 @@
         for line in _differences(policies, traffic_type, routes):
             has_changed = True
             _print_line(line)
-    sys.exit(BROKEN if has_changed else 0)
+    sys.exit(RULE_VIOLATED if has_changed else 0)
 
 
 def _differences(
--- a/valverouter/cli/common.py
+++ b/valverouter/cli/common.py
@@ -1,4 +1,4 @@
-"""What the command groups share: exit codes, the console, how a file is named, and a day's verdict."""
+"""What the command groups share: exit codes, the console, the type of file arguments, and a run's verdict."""
 
 from __future__ import annotations
 
@@ -14,25 +14,29 @@
 from valverouter.cli import tables
 from valverouter.signalling import tap
 
-BROKEN, UNUSABLE, FAILED = 1, 2, 3
+# Exit codes; 0 is success.
+RULE_VIOLATED, INVALID_INPUT, FAILED = 1, 2, 3
+INTERRUPTED = 130
 
 FILE = click.Path(path_type=Path)
 console = Console()
 
 
 def show_verdict(rows: list[tap.Row]) -> None:
-    terms = next(row for row in rows if isinstance(row, tap.AuditConfigRow))
+    """Prints a run's accounts and the audit's verdict; exits with 1 where a rule was violated."""
+    config = next(row for row in rows if isinstance(row, tap.AuditConfigRow))
     verdict = audit(rows)
-    tables.print_accounts(console, account_by_type(rows), terms.priority_weights)
+    tables.print_accounts(console, account_by_type(rows), config.priority_weights)
     tables.print_verdict(console, verdict)
     views = check_views(rows)
     if views is not None:
-        tables.print_views(console, views)
+        tables.print_membership(console, views)
     if not verdict.passed or (views is not None and not views.passed):
-        sys.exit(BROKEN)
+        sys.exit(RULE_VIOLATED)
 
 
-def leaf(error: BaseException) -> BaseException:
+def first_cause(error: BaseException) -> BaseException:
+    """The first error inside nested groups of errors."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/valverouter/cli/edging.py
+++ b/valverouter/cli/edge.py
@@ -14,7 +14,7 @@
 import structlog
 import trio
 
-from valverouter.cli.common import FAILED, FILE, leaf
+from valverouter.cli.common import FAILED, FILE, first_cause
 from valverouter.edge import logs
 from valverouter.edge.garbage_collection import tune_garbage_collector
 from valverouter.edge.proxy import EdgeProxy
@@ -43,7 +43,7 @@
     try:
         trio.run(_edge, terms, file)
     except* (OSError, StoreError) as group:
-        log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
+        log.error("could-not-run", why=str(first_cause(group)), listen=terms.listen)
         sys.exit(FAILED)
 
 
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -8,7 +8,7 @@
 
 import click
 
-from valverouter.cli.common import BROKEN, FILE, console
+from valverouter.cli.common import FILE, RULE_VIOLATED, console
 from valverouter.cli.fleet_processes import raft_server, supervisor
 from valverouter.cli.fleet_view import view
 from valverouter.cli.operations import COMMANDS
@@ -38,7 +38,7 @@
     allowed = result.max_convergence_time / NS_PER_S
     if result.convergence_time is None:
         console.print(f"not one view {allowed:.1f} s after the last fault", highlight=False)
-        sys.exit(BROKEN)
+        sys.exit(RULE_VIOLATED)
     after = result.convergence_time / NS_PER_S
     console.print(f"one view {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
 
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -12,7 +12,7 @@
 import structlog
 import trio
 
-from valverouter.cli.common import FAILED, FILE, leaf
+from valverouter.cli.common import FAILED, FILE, first_cause
 from valverouter.edge import logs
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.raft_server import AlreadyBootstrappedError, RaftServer
@@ -48,7 +48,7 @@
         finally:
             store.close()
     except* (OSError, StoreError, AlreadyBootstrappedError) as group:
-        log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
+        log.error("could-not-run", why=str(first_cause(group)), listen=terms.listen)
         sys.exit(FAILED)
 
 
@@ -89,7 +89,7 @@
         finally:
             store.close()
     except* (OSError, StoreError) as group:
-        log.error("could-not-run", why=str(leaf(group)), listen=terms.listen)
+        log.error("could-not-run", why=str(first_cause(group)), listen=terms.listen)
         sys.exit(FAILED)
 
 
--- a/valverouter/cli/fleet_view.py
+++ b/valverouter/cli/fleet_view.py
@@ -11,7 +11,7 @@
 import click
 import trio
 
-from valverouter.cli.common import BROKEN, FILE, UNUSABLE, console
+from valverouter.cli.common import FILE, INVALID_INPUT, RULE_VIOLATED, console
 from valverouter.cli.fleet_view_output import by_incarnation, print_json, print_metrics, print_tables
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.client import FleetClient
@@ -21,7 +21,7 @@
 from valverouter.terms.edge import load_edge_config
 
 # Exit codes beside 0.
-NOT_CONVERGED, NO_ANSWER = BROKEN, UNUSABLE
+NOT_CONVERGED, NO_ANSWER = RULE_VIOLATED, INVALID_INPUT
 # Instances that one call queries at most, however large the fleet.
 MAX_QUERIED = 64
 WATCH_INTERVAL_S = 1.0
--- a/valverouter/cli/ledgers.py
+++ b/valverouter/cli/ledger.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from valverouter.cli.common import BROKEN, FILE, console
+from valverouter.cli.common import FILE, RULE_VIOLATED, console
 from valverouter.ledger.dialog_store import DamagedEntry, DialogStore
 from valverouter.ledger.export import export_row
 from valverouter.ledger.storage import DATA_FILE
@@ -54,7 +54,7 @@
     for entry in damaged:
         console.print(_describe(entry), highlight=False, markup=False)
     console.print(f"{len(damaged)} damaged", highlight=False)
-    sys.exit(BROKEN if damaged else 0)
+    sys.exit(RULE_VIOLATED if damaged else 0)
 
 
 @ledger.command("repair")
--- /dev/null
+++ b/valverouter/cli/load_runs.py
@@ -0,0 +1,113 @@
+"""Runs and prints what `valverouter load` asks for: given rates, a search for a rate, a comparison."""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+
+from rich.console import Console
+
+from valverouter.experiments.compare import paired_difference
+from valverouter.load.drive import drive
+from valverouter.load.measure import LoadSample
+from valverouter.load.rate_search import highest_rate
+from valverouter.load.target import target
+from valverouter.terms.day import load_scenario
+
+# How long the fakes outlive the runs that are planned; they end by themselves.
+FAKES_MARGIN_S = 60
+# What a run takes besides the time in which it dials.
+RUN_MARGIN_S = 15
+# A search starts at this rate and takes at most so many runs.
+MIN_RATE = 20.0
+MAX_SEARCH_RUNS = 25
+
+
+def format_sample(sample: LoadSample) -> str:
+    """A run's counts and latencies as one line."""
+    p50, p99, p999 = (sample.latency_percentile(percent) for percent in (50, 99, 99.9))
+    return (
+        f"{sample.rate:.0f}/s: {sample.offered} offered, {sample.established} stood, "
+        f"{sample.rejected} declined, {sample.failed} aborted, {sample.unanswered} unanswered; "
+        f"p50 {p50:.2f} ms, p99 {p99:.2f} ms, p99.9 {p999:.2f} ms; "
+        f"dialled at most {sample.max_dial_delay / 1e6:.1f} ms late"
+    )
+
+
+async def run_at_rates(
+    console: Console, file: Path, rates: tuple[float, ...], seconds: float, histogram: Path | None
+) -> None:
+    """One run at each rate; the last one's latencies go into the file `histogram`."""
+    scenario = load_scenario(file)
+    with tempfile.TemporaryDirectory() as folder:
+        async with target(
+            file, scenario, Path(folder), len(rates) * (seconds + RUN_MARGIN_S) + FAKES_MARGIN_S
+        ) as address:
+            for number, rate in enumerate(rates):
+                sample = await drive(address, scenario, rate, seconds, f"load{number}")
+                console.print(format_sample(sample), highlight=False, soft_wrap=True)
+    if histogram is not None:
+        with histogram.open("wb") as out:
+            sample.latencies.output_percentile_distribution(out, 1_000.0)
+
+
+async def find_highest_rate(
+    console: Console, file: Path, seconds: float, share: float, max_rate: float
+) -> None:
+    """Searches for the highest rate at which the fraction `share` is established within the objective."""
+    scenario = load_scenario(file)
+    objective = min(kind.objective for kind in scenario.traffic.values())
+    runs = 0
+
+    async def holds(rate: float) -> bool:
+        nonlocal runs
+        runs += 1
+        sample = await drive(address, scenario, rate, seconds, f"find{runs}")
+        held = sample.meets(objective, share)
+        console.print(
+            f"{'holds' if held else 'does not'}: {format_sample(sample)}", highlight=False, soft_wrap=True
+        )
+        return held
+
+    with tempfile.TemporaryDirectory() as folder:
+        async with target(
+            file, scenario, Path(folder), MAX_SEARCH_RUNS * (seconds + RUN_MARGIN_S)
+        ) as address:
+            found = await highest_rate(holds, MIN_RATE, max_rate)
+    console.print(
+        f"highest rate at which {share:.1%} stand within {objective / 1e6:.0f} ms: {found:.0f}/s",
+        highlight=False,
+    )
+
+
+async def compare(
+    console: Console, files: tuple[Path, Path], rates: tuple[float, ...], seconds: float, rounds: int
+) -> None:
+    """Compares two scenarios: their runs alternate, and rounds swap the order, so that drift affects both."""
+    scenarios = [load_scenario(file) for file in files]
+    duration = rounds * len(rates) * 2 * (seconds + RUN_MARGIN_S) + FAKES_MARGIN_S
+    with tempfile.TemporaryDirectory() as first_folder, tempfile.TemporaryDirectory() as second_folder:
+        async with (
+            target(files[0], scenarios[0], Path(first_folder), duration) as first,
+            target(files[1], scenarios[1], Path(second_folder), duration) as second,
+        ):
+            for rate in rates:
+                p99: tuple[dict[int, float], dict[int, float]] = {}, {}
+                for round_number in range(rounds):
+                    for side in (round_number % 2, 1 - round_number % 2):
+                        address = (first, second)[side]
+                        sample = await drive(
+                            address, scenarios[side], rate, seconds, f"r{rate:.0f}-{round_number}"
+                        )
+                        p99[side][round_number] = sample.latency_percentile(99)
+                        console.print(
+                            f"{files[side].stem}: {format_sample(sample)}", highlight=False, soft_wrap=True
+                        )
+                if rounds > 1:
+                    difference = paired_difference(*p99)
+                    significance = "" if difference.is_significant else ", not shown"
+                    console.print(
+                        f"p99 at {rate:.0f}/s, {files[1].stem} less {files[0].stem}: "
+                        f"{difference.mean:+.2f} ± {difference.half_width:.2f} ms{significance}",
+                        highlight=False,
+                    )
--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from valverouter.cli.common import BROKEN, FAILED, console
+from valverouter.cli.common import FAILED, RULE_VIOLATED, console
 from valverouter.cli.operations_output import describe_progress, print_halt_reason, print_participants
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.messages import RequestKind
@@ -23,7 +23,7 @@
 from valverouter.terms.rollout import load_fleet_client
 
 # Exit codes: an operation ended in part or halted; nobody answered, or an operation is not known.
-IN_PART, UNKNOWN = BROKEN, FAILED
+IN_PART, UNKNOWN = RULE_VIOLATED, FAILED
 TIMEOUT_S = 10.0
 FOLLOW_INTERVAL_S = 1.0
 
--- a/valverouter/cli/operations.py
+++ b/valverouter/cli/operations.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from valverouter.cli.common import FILE, UNUSABLE, console
+from valverouter.cli.common import FILE, INVALID_INPUT, console
 from valverouter.cli.operation_requests import execute, fleet_status, follow, plan, submit, wall_clock_ms
 from valverouter.cli.operation_selection import Selection, select_instances
 from valverouter.cli.operations_output import print_history, print_status, print_waves
@@ -25,7 +25,7 @@
 from valverouter.rollout.status import ALL_OPERATIONS, OperationStatus
 
 # The exit code of an operation that is rejected.
-REJECTED = UNUSABLE
+REJECTED = INVALID_INPUT
 STATUS_INTERVAL_S = 1.0
 # Who submits, as the status shows it.
 CLIENT_NAME = "tool"
--- a/valverouter/cli/crossings.py
+++ b/valverouter/cli/regions.py
@@ -35,7 +35,7 @@
         lines = [{"line": key, **counters.to_row()} for key, counters in totals.items()]
         click.echo(msgspec.json.encode({"lines": lines, "missing": missing}).decode())
         return
-    tables.print_crossings(console, totals, attempts_by_minute(records))
+    tables.print_cross_region_usage(console, totals, attempts_by_minute(records))
     for message in missing:
         console.print(f"missing: {message}")
 
--- a/valverouter/cli/playing.py
+++ b/valverouter/cli/scenarios.py
@@ -143,11 +143,11 @@
     histogram: Path | None,
 ) -> None:
     """Drive a real edge proxy of the day in FILE open-loop on loopback; delays from when each was due."""
-    from valverouter.cli import loads
+    from valverouter.cli import load_runs
 
     if against is not None:
-        trio.run(loads.against, console, (file, against), rates or (100.0,), seconds, rounds)
+        trio.run(load_runs.compare, console, (file, against), rates or (100.0,), seconds, rounds)
     elif find:
-        trio.run(loads.find, console, file, seconds, share, most)
+        trio.run(load_runs.find_highest_rate, console, file, seconds, share, most)
     else:
-        trio.run(loads.at_rates, console, file, rates or (100.0,), seconds, histogram)
+        trio.run(load_runs.run_at_rates, console, file, rates or (100.0,), seconds, histogram)
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -1,4 +1,4 @@
-"""What the commands print: accounts, verdicts and flaws as tables."""
+"""Prints accounts, verdicts, plans and comparisons as tables."""
 
 from __future__ import annotations
 
@@ -29,8 +29,9 @@
 
 
 def print_accounts(
-    console: Console, accounts: dict[str, TrafficAccount], importance: dict[str, float]
+    console: Console, accounts: dict[str, TrafficAccount], priority_weights: dict[str, float]
 ) -> None:
+    """The service of each traffic type, and of all by the weights."""
     # Ten columns whole in 80: no lines between them, and one space.
     table = Table(title="Dialogs by traffic type", box=None, pad_edge=False, padding=(0, 1, 0, 0))
     heads = (
@@ -47,16 +48,17 @@
     )
     for head in heads:
         table.add_column(head, justify="left" if head == "type" else "right", overflow="fold")
-    for kind, one in accounts.items():
-        said = one.answers
-        counts = (one.offered, one.dial_attempts, one.within_objective, one.late)
-        rest = (said["declined"], said["aborted"], said["cut"], one.attempts)
-        table.add_row(kind, *map(str, counts + rest), f"{one.service_level:.3f}")
+    for kind, account in accounts.items():
+        answers = account.answers
+        counts = (account.offered, account.dial_attempts, account.within_objective, account.late)
+        rest = (answers["declined"], answers["aborted"], answers["cut"], account.attempts)
+        table.add_row(kind, *map(str, counts + rest), f"{account.service_level:.3f}")
     console.print(table)
-    console.print(f"service weighted by importance: {weighted_service_level(accounts, importance):.3f}")
+    console.print(f"service weighted by importance: {weighted_service_level(accounts, priority_weights):.3f}")
 
 
-def print_verdict(console: Console, verdict: Verdict, most: int = 20) -> None:
+def print_verdict(console: Console, verdict: Verdict, max_violations: int = 20) -> None:
+    """The audit's five rules, and the first violations."""
     table = Table(title="The five rules, from what passed over the sockets")
     for head in ("rule", "", "checked", "verdict"):
         table.add_column(head, justify="right" if head == "checked" else "left")
@@ -73,14 +75,16 @@
         table.add_row(str(rule), text, str(verdict.check_counts[rule]), word)
     console.print(table)
     console.print(f"most of a cold server's budget used in any window: {verdict.slow_start_budget_used:.2f}")
-    for violation in verdict.violations[:most]:
+    for violation in verdict.violations[:max_violations]:
         console.print(f"  rule {violation.rule} at {violation.at}: {violation.subject}: {violation.text}")
-    if len(verdict.violations) > most:
-        console.print(f"  and {len(verdict.violations) - most} more")
+    if len(verdict.violations) > max_violations:
+        console.print(f"  and {len(verdict.violations) - max_violations} more")
 
 
-def print_crossings(console: Console, totals: dict[UsageKey, UsageCounters], minutes: dict[int, int]) -> None:
-    """Crossings by type and pair, and a bar for each minute of the last hour."""
+def print_cross_region_usage(
+    console: Console, totals: dict[UsageKey, UsageCounters], minutes: dict[int, int]
+) -> None:
+    """Cross-region usage by type and pair, and a bar for each minute of the last hour."""
     table = Table(title="What crossed")
     for head in ("type", "home", "away", *USAGE_COLUMNS):
         table.add_column(
@@ -99,31 +103,34 @@
     console.print(chart)
 
 
-def print_plan(console: Console, found: Plan) -> None:
+def print_plan(console: Console, plan: Plan) -> None:
+    """The least cross-region traffic, and what limits it."""
     table = Table(title="The least crossing that carries the load")
     for head in ("type", "home", "away", "legs a second"):
         table.add_column(head, justify="right" if head.startswith("legs") else "left")
-    for (kind, home, away), rate in sorted(found.cross_region.items()):
+    for (kind, home, away), rate in sorted(plan.cross_region.items()):
         table.add_row(kind, home, away, f"{rate:.2f}")
     console.print(table)
-    console.print(f"can be had: {found.served_fraction:.1%} of {found.offered:.1f} dialogs a second")
-    for (kind, region), rate in sorted(found.unserved.items()):
+    console.print(f"can be had: {plan.served_fraction:.1%} of {plan.offered:.1f} dialogs a second")
+    for (kind, region), rate in sorted(plan.unserved.items()):
         console.print(f"  short: {kind} of {region}, {rate:.2f} a second")
-    for name in found.binding_constraints:
+    for name in plan.binding_constraints:
         console.print(f"  binds: {name}")
 
 
-def print_courses(console: Console, found: dict[str, AttemptTimeline], within: int) -> None:
-    """Courses as bars on one scale up to the no-answer time: legs full, waits light."""
-    wide = 40
-    for kind, course in found.items():
+def print_attempt_timelines(console: Console, timelines: dict[str, AttemptTimeline], no_answer: int) -> None:
+    """Timelines as bars on one scale up to the no-answer time, ns: attempts full, waits light."""
+    width = 40
+    for kind, timeline in timelines.items():
         bar = ""
-        for step in course.steps:
-            upto = round((step.start + step.duration) * wide / within)
-            bar += ("█" if step.kind is StepKind.ATTEMPT else "░") * max(0, upto - len(bar))
-        at = format_duration(course.answered_at)
-        console.print(f"{kind:20} {bar:{wide}} {at}, {course.attempts} legs", highlight=False, soft_wrap=True)
-    console.print(f"{'':20} 0{format_duration(within):>{wide - 1}}   █ a leg, ░ a wait", highlight=False)
+        for step in timeline.steps:
+            end = round((step.start + step.duration) * width / no_answer)
+            bar += ("█" if step.kind is StepKind.ATTEMPT else "░") * max(0, end - len(bar))
+        at = format_duration(timeline.answered_at)
+        console.print(
+            f"{kind:20} {bar:{width}} {at}, {timeline.attempts} legs", highlight=False, soft_wrap=True
+        )
+    console.print(f"{'':20} 0{format_duration(no_answer):>{width - 1}}   █ a leg, ░ a wait", highlight=False)
 
 
 def print_cells(
@@ -151,7 +158,7 @@
     console.print(table)
 
 
-def print_views(console: Console, views: ViewReport) -> None:
+def print_membership(console: Console, views: ViewReport) -> None:
     """Whether the edge proxies' views of their fleet became one, and how soon."""
     allowed = views.max_duration / 1e9
     if views.converged_after is None:
