--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -292,7 +292,7 @@
         await idle.ask("c" * 16, left=300)
         await idle.release("c" * 16)
         await trio.sleep(0.1)
-        rig.nursery.start_soon(rig.edge.context.runtime.hold, 10**8)  # type: ignore[attr-defined]
+        rig.nursery.start_soon(rig.edge.context.runtime.stall, 10**8)  # type: ignore[attr-defined]
         await asking.ask("d" * 16)
         await trio.sleep(0.05)
         for _ in range(3):  # its own turn has not come yet
