--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -610,7 +610,8 @@
                 yield f"{module.__name__.removeprefix('valverouter.')}.{name}", kind
 
 
-# Said, OfLeg: bases only. _Kind: decoded alone. AppendEntries, InstallSnapshot: sent by their wire forms.
+# FleetMessage, LegMessage: bases only. _MessageTag: decoded alone.
+# AppendEntries, InstallSnapshot: sent by their wire forms.
 NEVER_WRITTEN = (
     messages.FleetMessage,
     setup.LegMessage,
--- a/tests/test_relaywire.py
+++ b/tests/test_relaywire.py
@@ -90,10 +90,14 @@
 
 def test_a_line_that_does_not_end_is_given_up() -> None:
     reader = lines.LineReader()
-    with pytest.raises(ProtocolError):
+
+    def feed_all() -> None:
         for _ in range(5):
             list(reader.feed(b'{"type":"answer","id":"' + b"0" * 4_000))
 
+    with pytest.raises(ProtocolError):
+        feed_all()
+
 
 @pytest.mark.parametrize(
     ("text", "told"),
