--- a/valverouter/relayedge/caller_listener.py
+++ b/valverouter/relayedge/caller_listener.py
@@ -35,7 +35,7 @@
         self._rejection_log = RateLimitedLog()
 
     async def run_connection(self, stream: trio.abc.Stream) -> None:
-        """Runs a connection that was admitted; it first hears of ends that nobody was there for."""
+        """Serves an admitted connection; it is first sent the ends that no connection was there for."""
         context = self._context
         caller = RelayCaller(
             stream,
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -1,4 +1,4 @@
-"""Callers on the platform: their set-ups in, answers and releases out, and no patience with nonsense."""
+"""Callers' connections on the platform: set-ups received, answers and releases sent."""
 
 from __future__ import annotations
 
@@ -223,7 +223,7 @@
                 elif self.is_useful and not is_half:
                     patience.deadline = float("inf")
                 if len(self.pending_setups) >= MAX_PENDING_SETUPS:
-                    # Who has asked for little is read on, however full the queue is: its next message may be
+                    # One with few pending set-ups is read on, however full the queue is: its next message may be
                     # a cancel, and its end would go unseen.
                     await self._events.wait_for_space()
 
--- a/valverouter/relayedge/dialogs.py
+++ b/valverouter/relayedge/dialogs.py
@@ -18,12 +18,12 @@
 from valverouter.relayedge.unknown_ends import UnknownEnds
 from valverouter.signalling import setup
 
-# For so long an end that found no caller's connection is kept for the next one, in seconds.
+# How long an end is stored for the next connection where no caller is connected, in seconds.
 PENDING_END_LIFETIME_S = 8.0
 
 
 class EndNotifier:
-    """Tells callers of the ends of established dialogs, on whichever connection there is."""
+    """Sends callers the ends of established dialogs, on whichever connection is open."""
 
     def __init__(self, connected: ConnectedCallers) -> None:
         """`connected` are the callers' connections."""
@@ -140,7 +140,7 @@
         link = self._links.get(server)
         was_cut = self._unknown_ends.take(request.dialog)
         if was_cut is not None or not isinstance(link, RelayLink) or link.has_ended:
-            # It has ended while nobody was here, or its server is gone and has cut it.
+            # It has ended while no edge proxy ran, or its server is gone and has cut it.
             reason = "over" if was_cut is False else "cut"
             event.caller.send(setup.Ended(request.dialog, 0, reason))
             return
--- a/valverouter/relayedge/link.py
+++ b/valverouter/relayedge/link.py
@@ -96,7 +96,7 @@
         return self._established.pop(dialog_id, None)
 
     def on_server_restarted(self, born: int) -> None:
-        """The list tells of another start: what was established before it is cut.
+        """The list reports a restart: what was established before it is cut.
 
         What is established since belongs to the new process, which took set-ups before the list had it.
         """
@@ -309,7 +309,7 @@
         gone = self._refused_connects >= 2 * CONNECTIONS
         gone = gone or trio.current_time() - self._reached_at > platform.UNREACHABLE_TIMEOUT / 1e9
         if gone and self._established and not self._connections:
-            # Should it only have been out of reach, it is told that nobody is left at this side.
+            # Should it only have been out of reach, it is told that no dialog is left on this side.
             self._pending_releases |= dict.fromkeys(self._established, translation.CAUSE_ENDED)
             self._cut_dialogs(
                 frozenset(self._established.values()), f"{reason}, {self._refused_connects} refused"
@@ -352,8 +352,8 @@
                 del connection.open[id_]
                 self._record_established(key)
                 load = translation.parse_load(message)
-                said = translation.EstablishedWithDescription(*key, report=load, description=message.sdp)
-                self._events.put(ServerMessage(self, said))
+                answer = translation.EstablishedWithDescription(*key, report=load, description=message.sdp)
+                self._events.put(ServerMessage(self, answer))
         elif message.type == "release":
             self._on_release(connection, message)
         elif message.type == "released":
@@ -365,9 +365,9 @@
         id_ = message.id
         if (key := connection.open.pop(id_, None)) is not None:
             connection.on_attempt_closed(id_)
-            said = translation.parse_rejection(message, key[1])
-            if said is not None:
-                self._events.put(ServerMessage(self, said))
+            answer = translation.parse_rejection(message, key[1])
+            if answer is not None:
+                self._events.put(ServerMessage(self, answer))
             else:
                 self.attempts.pop(key, None)
                 self._events.put(LinkDown(self, f"cause {message.cause}", frozenset((key,)), frozenset()))
@@ -379,7 +379,7 @@
 
 
 def _all_attempts_refused(error: BaseException) -> bool:
-    """Whether each address was refused; trio tells of those that it tried, here of one."""
+    """Whether each address was refused; trio reports those that it tried, here one."""
     causes = error.__cause__
     if isinstance(causes, BaseExceptionGroup):
         return all(isinstance(cause, ConnectionRefusedError) for cause in causes.exceptions)
--- a/valverouter/relayedge/translation.py
+++ b/valverouter/relayedge/translation.py
@@ -208,7 +208,7 @@
 
 
 def endpoint_row(host: Host, now: int) -> EndpointRow:
-    """A server of the list; `now` is the system's Unix clock, by which starts are told."""
+    """A server of the list; `now`: Unix time in ns."""
     return EndpointRow(
         server=host.host,
         number=host.block,
--- a/valverouter/relayedge/unknown_ends.py
+++ b/valverouter/relayedge/unknown_ends.py
@@ -1,10 +1,10 @@
-"""Ends of dialogs that are not known here, kept for callers that still have to report them."""
+"""Ends of dialogs that are not known here, stored for callers that have yet to report them."""
 
 from __future__ import annotations
 
 import trio
 
-# For so long the end of a dialog that is not known here is kept, for a caller that still has to report it.
+# How long the end of an unknown dialog is stored, for a caller that has yet to report the dialog.
 UNKNOWN_END_LIFETIME_S = 15.0
 MAX_UNKNOWN_ENDS = 1_000
 
