--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -223,8 +223,8 @@
                 elif self.is_useful and not is_half:
                     patience.deadline = float("inf")
                 if len(self.pending_setups) >= MAX_PENDING_SETUPS:
-                    # One with few pending set-ups is read on, however full the queue is: its next message may be
-                    # a cancel, and its end would go unseen.
+                    # One with few pending set-ups is read on, however full the queue is: its next message may
+                    # be a cancel, and its end would go unseen.
                     await self._events.wait_for_space()
 
     def _on_message(self, message: isup.Message, received_at: int) -> None:
