--- a/valverouter/cli/edge.py
+++ b/valverouter/cli/edge.py
@@ -38,26 +38,26 @@
     Logs go to standard error. SIGHUP reads FILE again. SIGTERM takes no more dialogs, lets those here have
     their answers, and ends.
     """
-    terms = load_edge_config(file)
-    logs.configure_logging(terms.log)
+    config = load_edge_config(file)
+    logs.configure_logging(config.log)
     try:
-        trio.run(_edge, terms, file)
+        trio.run(_run_edge, config, file)
     except* (OSError, StoreError) as group:
-        log.error("could-not-run", why=str(first_cause(group)), listen=terms.listen)
+        log.error("could-not-run", why=str(first_cause(group)), listen=config.listen)
         sys.exit(FAILED)
 
 
-async def _edge(terms: EdgeConfig, file: Path) -> None:
-    with _store(terms) as store:
-        runtime = SocketRuntime(terms.links.silence)
-        proxy = make_edge_proxy(terms, runtime, store)
+async def _run_edge(config: EdgeConfig, file: Path) -> None:
+    with _open_store(config) as store:
+        runtime = SocketRuntime(config.links.silence)
+        proxy = make_edge_proxy(config, runtime, store)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_signals, proxy, file)
+            nursery.start_soon(_serve_signals, proxy, file)
             fleet = None
-            if terms.between is not None:
+            if config.between is not None:
                 fleet = MembershipService(
-                    terms,
-                    terms.between,
+                    config,
+                    config.between,
                     runtime,
                     secrets.randbits(64),
                     lambda: membership_facts(proxy),
@@ -74,46 +74,50 @@
 
 
 @contextmanager
-def _store(terms: EdgeConfig) -> Iterator[DialogStore | None]:
-    """The ledger of the terms. One that can't be read is set aside whole: what it held is lost, and no reason
-    to serve nobody."""
-    told = terms.ledger
-    if not told.folder:
+def _open_store(config: EdgeConfig) -> Iterator[DialogStore | None]:
+    """The dialog store of the configuration, if any.
+
+    One that can't be read is set aside whole: its records are lost, but the proxy serves.
+    """
+    ledger = config.ledger
+    if not ledger.folder:
         yield None
         return
-    folder = Path(told.folder)
-    opened = open_or_set_aside(folder, lambda: DialogStore(folder, told.most, told.sync), DialogStore.verify)
+    folder = Path(ledger.folder)
+    opened = open_or_set_aside(
+        folder, lambda: DialogStore(folder, ledger.most, ledger.sync), DialogStore.verify
+    )
     if opened.problem:
         log.error("ledger-set-aside", why=opened.problem, to=str(opened.set_aside_to))
     with opened.store:
         yield opened.store
 
 
-async def _signals(proxy: EdgeProxy, file: Path) -> None:
-    """However often it is asked, one reading goes on at a time and one more waits; a stop waits for none."""
-    ask, asked = trio.open_memory_channel[None](1)
+async def _serve_signals(proxy: EdgeProxy, file: Path) -> None:
+    """One reload runs at a time and one more may wait, however many signals come; a stop waits for none."""
+    send_request, requests = trio.open_memory_channel[None](1)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_reloads, proxy, file, asked)
-        await _heard(proxy, ask)
+        nursery.start_soon(_serve_reloads, proxy, file, requests)
+        await _receive_signals(proxy, send_request)
 
 
-async def _heard(proxy: EdgeProxy, ask: trio.MemorySendChannel[None]) -> None:
+async def _receive_signals(proxy: EdgeProxy, send_request: trio.MemorySendChannel[None]) -> None:
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for number in signals:
             if number != signal.SIGHUP:
                 proxy.stop()
                 continue
             with suppress(trio.WouldBlock):
-                ask.send_nowait(None)
+                send_request.send_nowait(None)
 
 
-async def _reloads(proxy: EdgeProxy, file: Path, asked: trio.MemoryReceiveChannel[None]) -> None:
-    """Reads FILE when asked. Whatever it holds, the terms that act stay and the instance goes on: a fault of
-    ours in reading it must not be worse than the file."""
-    async for _ in asked:
+async def _serve_reloads(proxy: EdgeProxy, file: Path, requests: trio.MemoryReceiveChannel[None]) -> None:
+    """Reads FILE at each request. A file that can't be used, and any error in reading it, leaves the present
+    configuration in force and the instance running."""
+    async for _ in requests:
         try:
-            terms = await load_when_stable(file)
-            proxy.reload(terms, await trio.to_thread.run_sync(proxy.policies_of, terms), str(file))
+            config = await load_when_stable(file)
+            proxy.reload(config, await trio.to_thread.run_sync(proxy.policies_of, config), str(file))
         except InvalidConfigError as error:
             proxy.reject_reload(str(file), str(error), flaws=len(error.problems))
         except Exception as error:
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -30,8 +30,7 @@
 @click.option("--jobs", default=4, show_default=True, help="Processes at once.")
 def experiment_run(file: Path, store: Path, jobs: int) -> None:
     """Play the runs of FILE that are not kept yet; cut off, it goes on where it was."""
-    # Here and below: scipy and all that comes with it cost half a second, which no edge proxy should start
-    # with.
+    # Here and below: importing scipy takes half a second, which no other command should spend.
     from valverouter.experiments.plan import load_plan
     from valverouter.experiments.runner import run_all
 
@@ -77,9 +76,9 @@
     from valverouter.days.emulated import run_emulated
     from valverouter.experiments.daypage import day_page
 
-    script = load_scenario(file)
-    result = run_emulated(script, sample_interval=10**9)
-    html.write_text(day_page(script.name, result), "utf-8")
+    scenario = load_scenario(file)
+    result = run_emulated(scenario, sample_interval=10**9)
+    html.write_text(day_page(scenario.name, result), "utf-8")
     show_verdict(result.rows)
 
 
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""Scripted days and what they leave: `day`, `audit`, `calls`, `check`, `standin`, `load`."""
+"""Plays scenarios and reads their records: `day`, `audit`, `calls`, `check`, `standin`, `load`."""
 
 from __future__ import annotations
 
@@ -39,25 +39,25 @@
 
     Exits with 1 when a rule was broken.
     """
-    script = load_scenario(file)
+    scenario = load_scenario(file)
     logs.configure_logging(LogConfig(level="error"))
     if virtual:
-        with console.status(f"{script.name} in virtual time"):
-            rows = run_virtual(script)
+        with console.status(f"{scenario.name} in virtual time"):
+            rows = run_virtual(scenario)
     else:
-        rows = _on_loopback(script, folder)
+        rows = _run_on_loopback(scenario, folder)
     if records is not None:
         tap.write_rows(records, rows)
     show_verdict(rows)
 
 
-def _on_loopback(script: ScenarioConfig, folder: Path | None) -> list[tap.Row]:
+def _run_on_loopback(scenario: ScenarioConfig, folder: Path | None) -> list[tap.Row]:
     bars = Progress(TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn(), console=console)
-    with tempfile.TemporaryDirectory() as passing, bars:
-        task = bars.add_task(f"{script.name} on loopback", total=1.0)
-        where = folder or Path(passing)
-        where.mkdir(parents=True, exist_ok=True)
-        return run_loopback(script, where, lambda share: bars.update(task, completed=share))
+    with tempfile.TemporaryDirectory() as temporary, bars:
+        task = bars.add_task(f"{scenario.name} on loopback", total=1.0)
+        run_folder = folder or Path(temporary)
+        run_folder.mkdir(parents=True, exist_ok=True)
+        return run_loopback(scenario, run_folder, lambda fraction: bars.update(task, completed=fraction))
 
 
 @click.command("audit")
@@ -85,16 +85,16 @@
     """Check an edge proxy's FILE, or a day's; prints every flaw with its line and reason."""
     ini = IniFile.load(file)
     if "edge" in ini.sections:
-        terms = edge_config(ini)
-        AttemptPolicies(terms)
-        if terms.crossing is not None:
-            CrossRegionLimiter(terms.crossing, 0)
+        config = edge_config(ini)
+        AttemptPolicies(config)
+        if config.crossing is not None:
+            CrossRegionLimiter(config.crossing, 0)
         console.print(
-            f"{file}: an edge proxy's terms, {len(terms.deployment.traffic_types)} traffic types: sound"
+            f"{file}: an edge proxy's terms, {len(config.deployment.traffic_types)} traffic types: sound"
         )
     else:
-        script = scenario_config(ini, file.stem)
-        console.print(f"{file}: a day with {len(script.faults)} troubles: sound")
+        scenario = scenario_config(ini, file.stem)
+        console.print(f"{file}: a day with {len(scenario.faults)} troubles: sound")
 
 
 @click.command()
@@ -105,13 +105,15 @@
 @click.option("--seconds", default=60.0, show_default=True, help="It ends by itself after so long.")
 def standin(file: Path, list_at: str, seconds: float) -> None:
     """Run the stand-in setup servers and list service of a day's FILE, with its troubles but no callers."""
-    script = load_scenario(file)
-    trio.run(_standins, script, list_at, seconds)
+    scenario = load_scenario(file)
+    trio.run(_run_fakes, scenario, list_at, seconds)
 
 
-async def _standins(script: ScenarioConfig, list_at: str, seconds: float) -> None:
-    at = {"list": list_at}
-    fakes = ScenarioFakes(script, SocketRuntime(), script.run.slack, lambda name: at.get(name, "127.0.0.1:0"))
+async def _run_fakes(scenario: ScenarioConfig, list_at: str, seconds: float) -> None:
+    addresses = {"list": list_at}
+    fakes = ScenarioFakes(
+        scenario, SocketRuntime(), scenario.run.slack, lambda name: addresses.get(name, "127.0.0.1:0")
+    )
     with trio.move_on_after(seconds):
         async with trio.open_nursery() as nursery:
             await fakes.start(nursery)
--- a/valverouter/days/__init__.py
+++ b/valverouter/days/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted days: fleet, load and troubles from one INI file, on loopback or in virtual time."""
+"""Scenarios: a fleet, its load and its faults from one INI file, on loopback or in virtual time."""
--- a/valverouter/days/call_load.py
+++ b/valverouter/days/call_load.py
@@ -1,4 +1,4 @@
-"""The calls of a day: drawn arrivals, or recorded calls that are dialled again."""
+"""The calls of a scenario: drawn arrivals, or recorded calls that are dialled again."""
 
 from __future__ import annotations
 
@@ -97,10 +97,10 @@
 
 
 def _first_choices(fakes: ScenarioFakes, fleet_index: int) -> list[int]:
-    """The server numbers that an edge proxy's callers prefer: of its own region where the day says so."""
-    day = fakes.scenario
+    """The server numbers that an edge proxy's callers prefer: with `local`, those of its own region."""
+    scenario = fakes.scenario
     numbers = sorted(set(fakes.server_numbers.values()))
-    if not day.callers.local:
+    if not scenario.callers.local:
         return numbers
-    home = day.region_of_edge(fleet_index)
-    return [number for number in numbers if day.region_of_server(number) == home] or numbers
+    home = scenario.region_of_edge(fleet_index)
+    return [number for number in numbers if scenario.region_of_server(number) == home] or numbers
--- a/valverouter/days/edge_faults.py
+++ b/valverouter/days/edge_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a day's edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
+"""Faults of edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EdgeFaults:
-    """The faults that a day's file may have at edge proxies and callers."""
+    """The faults that a scenario's file may have at edge proxies and callers."""
 
     def __init__(self, fakes: ScenarioFakes, targets: FaultTargets, load: CallLoad) -> None:
         self._fakes = fakes
@@ -23,7 +23,7 @@
         self._load = load
 
     def by_kind(self) -> dict[str, FaultProcess]:
-        """The process of each kind, by its name in a day's file."""
+        """The process of each kind, by its name in a scenario's file."""
         return {
             "balancer_crash": self._crash,
             "balancer_late": self._start_late,
--- a/valverouter/days/fault_targets.py
+++ b/valverouter/days/fault_targets.py
@@ -1,4 +1,4 @@
-"""Which servers and edge proxies a fault of a day affects, and the rows that say so."""
+"""Which servers and edge proxies a fault of a scenario affects, and the rows that say so."""
 
 from __future__ import annotations
 
--- a/valverouter/days/operation_files.py
+++ b/valverouter/days/operation_files.py
@@ -1,4 +1,4 @@
-"""Settings files of a day of operations: control plane nodes, supervisors and edge proxies."""
+"""Settings files of a scenario of operations: control plane nodes, supervisors and edge proxies."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 CLI = (sys.executable, "-m", "valverouter.cli")
 NODES = ("c0", "c1", "c2")
-# The file by which clients reach the nodes, past the stand-in of the paths.
+# The file by which clients reach the nodes, past the fake of the paths.
 CLIENT = "tool"
 # Seconds after which a version that ends by itself does so.
 DIES_AFTER_S = 4
@@ -27,10 +27,10 @@
     """Writes the files into `folder`.
 
     Addresses are by name: `listen` is where a process takes datagrams, `advertised` where others send them (a
-    stand-in of the path to it), `callers` where an edge proxy takes its callers' connections.
+    fake of the path to it), `callers` where an edge proxy takes its callers' connections.
     """
 
-    day: ScenarioConfig
+    scenario: ScenarioConfig
     folder: Path
     edges: list[str]
     servers: list[str]
@@ -76,14 +76,14 @@
             "seeds": ", ".join(self.advertised[seed] for seed in self.edges[:SEEDS]),
         }
         cache = str(self.folder / f"{name}.list")
-        text = self.day.edge_ini(index, self.callers[name], self.list_service, cache, between=between)
+        text = self.scenario.edge_ini(index, self.callers[name], self.list_service, cache, between=between)
         self._put(name, text)
         # Rejects every dialog while it has one open.
         self._put(f"{name}.declines", text.replace("[fleet]", "[links]\nopen_dialogs = 1\n\n[fleet]", 1))
 
     def _write_edge_supervisor(self, index: int, name: str) -> None:
         text = f"[keeper]\nname = {name}\n{self._supervisor_settings(name)}version = v1\n"
-        text += f"region = {self.day.region_of_edge(index)}\ncapacity = 100\nstop_within = 6s\n"
+        text += f"region = {self.scenario.region_of_edge(index)}\ncapacity = 100\nstop_within = 6s\n"
         text += f"output = {self.folder / name}.log\n"
         for version, command in self._edge_commands(name).items():
             text += f"\n[version {version}]\ncommand = {command}\n"
--- a/valverouter/days/operation_rig.py
+++ b/valverouter/days/operation_rig.py
@@ -45,7 +45,7 @@
 
 
 class SupervisedEdge:
-    """An edge proxy as the day's callers see it: an address that stays."""
+    """An edge proxy as the scenario's callers see it: an address that stays."""
 
     def __init__(self, name: str, address: str) -> None:
         """`address`: where it takes callers' connections."""
@@ -64,7 +64,7 @@
 
 
 class OperationRig:
-    """The processes of one day, by name.
+    """The processes of one scenario, by name.
 
     Raft servers are c0 to c2, edge proxies e0..., and their supervisors k0...; of servers with supervisors
     s0... and ks0....
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        day: ScenarioConfig,
+        scenario: ScenarioConfig,
         folder: Path,
         fakes: ScenarioFakes,
         limits: tuple[int, int],
@@ -80,17 +80,17 @@
         min_capacity_fraction: float,
     ) -> None:
         """`limits`: edge proxies that may be out, in all and in a region. `folder` takes files and logs."""
-        self.day = day
+        self.scenario = scenario
         self.folder = folder.absolute()
         self.fakes = fakes
-        self.edges = [f"e{index}" for index in range(day.fleet.edge_proxies)]
+        self.edges = [f"e{index}" for index in range(scenario.fleet.edge_proxies)]
         # Those with supervisors.
         self.servers = list(fakes.servers) if with_servers else []
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.faults: list[PathFault] = []
         self._limits = limits
         self._min_capacity_fraction = min_capacity_fraction
-        self._draw = random.Random(f"{day.run.seed}/paths").random
+        self._draw = random.Random(f"{scenario.run.seed}/paths").random
         self._network = FakeDatagramNetwork(
             SocketRuntime().bind_datagrams, fakes.now, NetworkPaths([], self._draw)
         )
@@ -104,7 +104,7 @@
         for name, port in zip(self.edges, _free_ports(len(self.edges), socket.SOCK_STREAM), strict=True):
             self._callers[name] = f"127.0.0.1:{port}"
         files = OperationFiles(
-            day=self.day,
+            scenario=self.scenario,
             folder=self.folder,
             edges=self.edges,
             servers=self.servers,
@@ -115,7 +115,9 @@
             advertised=advertised,
             callers=self._callers,
         )
-        regions = {name: self.day.region_of_server(self.fakes.server_numbers[name]) for name in self.servers}
+        regions = {
+            name: self.scenario.region_of_server(self.fakes.server_numbers[name]) for name in self.servers
+        }
         files.write(server_control, regions)
         max_unavailable, max_per_region = self._limits
         self.fakes.tap.record(
@@ -124,7 +126,7 @@
 
     async def _open_server_agents(self, nursery: trio.Nursery) -> str:
         """The address at which agents report."""
-        agents = ServerAgents(self.fakes, self.day.fleet.warm_after)
+        agents = ServerAgents(self.fakes, self.scenario.fleet.warm_after)
         address: str = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", agents.serve)
         self.fakes.endpoint_list.on_leave = lambda server: self.fakes.announce([server], "draining")
         nursery.start_soon(agents.report_warmth)
@@ -142,7 +144,7 @@
         return listen, advertised
 
     def add_callers(self) -> None:
-        """Lets the day's callers call the edge proxies."""
+        """Lets the scenario's callers call the edge proxies."""
         for index, name in enumerate(self.edges):
             self.fakes.add_callers(index, SupervisedEdge(name, self._callers[name]))
 
@@ -216,7 +218,7 @@
                 os.kill(process.pid, signal.SIGCONT)
 
     def add_path_fault(self, fault: PathFault) -> None:
-        """Adds a fault of the network, whose moments are by the day's clock."""
+        """Adds a fault of the network, with times of the scenario's clock."""
         self.faults = [earlier for earlier in self.faults if earlier.until > self.fakes.now()] + [fault]
         self._network.paths = NetworkPaths(self.faults, self._draw)
         self.fakes.tap.record(
@@ -332,7 +334,7 @@
 
 
 def run_operations(
-    day: ScenarioConfig,
+    scenario: ScenarioConfig,
     folder: Path,
     script: Callable[[OperationRig], Awaitable[None]],
     max_unavailable: int = 2,
@@ -340,21 +342,23 @@
     servers: bool = False,
     min_capacity_fraction: float = 0.0,
 ) -> list[Row]:
-    """Plays the day with `script` beside its callers; the rows of what passed and of the supervisors' logs.
+    """Plays the scenario with `script` beside its callers; returns its rows and those of supervisors' logs.
 
     `servers`: they have supervisors too. `min_capacity_fraction`: of a region's edge proxies, that must stay.
     """
 
     async def main() -> list[Row]:
-        fakes = ScenarioFakes(day, SocketRuntime(), day.run.slack, lambda name: "127.0.0.1:0", FAULT_SLACK)
+        fakes = ScenarioFakes(
+            scenario, SocketRuntime(), scenario.run.slack, lambda name: "127.0.0.1:0", FAULT_SLACK
+        )
         limits = max_unavailable, max_per_region
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 await fakes.start(nursery)
-                rig = OperationRig(day, folder, fakes, limits, servers, min_capacity_fraction)
+                rig = OperationRig(scenario, folder, fakes, limits, servers, min_capacity_fraction)
                 await rig.open(nursery)
                 try:
-                    await _play(day, fakes, rig, script)
+                    await _play(scenario, fakes, rig, script)
                 finally:
                     with trio.CancelScope(shield=True):
                         await rig.stop_all()
@@ -365,14 +369,14 @@
 
 
 async def _play(
-    day: ScenarioConfig,
+    scenario: ScenarioConfig,
     fakes: ScenarioFakes,
     rig: OperationRig,
     script: Callable[[OperationRig], Awaitable[None]],
 ) -> None:
     await rig.start_all()
     rig.add_callers()
-    await trio.sleep(day.run.settle / NS_PER_S)
+    await trio.sleep(scenario.run.settle / NS_PER_S)
     async with trio.open_nursery() as playing:
         playing.start_soon(play_script, fakes)
         playing.start_soon(script, rig)
--- a/valverouter/days/server_agent.py
+++ b/valverouter/days/server_agent.py
@@ -1,7 +1,7 @@
-"""The process that stands for one of a day's servers, for its supervisor to start and stop.
+"""The process that stands for one of a scenario's servers, for its supervisor to start and stop.
 
-The server itself is a fake in the day's own process. This one tells it, over a connection, that the server
-is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance does:
+The server itself is a fake in the scenario's own process. This one tells it, over a connection, that the
+server is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance does:
 serving, and ready once the server is warm.
 
 python -m valverouter.days.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
@@ -41,7 +41,7 @@
         self._socket = UdpSocket(query_address)
 
     async def run(self, control_address: str) -> None:
-        """Runs until SIGTERM, or until the day's process is gone."""
+        """Runs until SIGTERM, or until the scenario's process is gone."""
         host, port = split_address(control_address)
         stream = await trio.open_tcp_stream(host, port)
         await stream.send_all(self._name.encode() + b"\n")
@@ -72,7 +72,7 @@
         )
 
     async def _follow_warmth(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Takes what the day's process says of the server; cancels the agent once that process is gone."""
+        """Takes in whether the server is warm; cancels the agent once the scenario's process is gone."""
         while data := await stream.receive_some(MESSAGE_BYTES):
             self._is_warm = data.split()[-1] == WARM
         scope.cancel()
--- a/valverouter/days/server_agents.py
+++ b/valverouter/days/server_agents.py
@@ -1,4 +1,4 @@
-"""Servers of a day that supervisors start and stop, by agents: see `server_agent.py`."""
+"""Servers of a scenario that supervisors start and stop, by agents: see `server_agent.py`."""
 
 from __future__ import annotations
 
--- a/valverouter/days/server_faults.py
+++ b/valverouter/days/server_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a day's servers: crashes, lost machines, deployments, slowness, hangs, lost answers."""
+"""Faults of a scenario's servers: crashes, lost machines, deployments, slowness, hangs, lost answers."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class ServerFaults:
-    """The faults that a day's file may have at servers."""
+    """The faults that a scenario's file may have at servers."""
 
     def __init__(self, fakes: ScenarioFakes, targets: FaultTargets) -> None:
         self._fakes = fakes
         self._targets = targets
 
     def by_kind(self) -> dict[str, FaultProcess]:
-        """The process of each kind, by its name in a day's file."""
+        """The process of each kind, by its name in a scenario's file."""
         return {
             "crash": self._crash,
             "vanish": self._vanish,
@@ -144,12 +144,14 @@
         )
 
     async def _limit_lines(self, fault: FaultConfig, rng: random.Random) -> None:
-        """The servers of one region have only a part of their lines."""
-        fakes, day = self._fakes, self._fakes.scenario
-        regions = [name for name, region in day.regions.items() if region.servers]
+        """The servers of one region keep only a fraction of their lines."""
+        fakes, scenario = self._fakes, self._fakes.scenario
+        regions = [name for name, region in scenario.regions.items() if region.servers]
         region = fault.on[0] if fault.on else rng.choice(regions)
         names = [
-            name for name, number in fakes.server_numbers.items() if day.region_of_server(number) == region
+            name
+            for name, number in fakes.server_numbers.items()
+            if scenario.region_of_server(number) == region
         ]
 
         def limit(server: FakeServer) -> None:
--- a/valverouter/days/supervisor_logs.py
+++ b/valverouter/days/supervisor_logs.py
@@ -1,4 +1,4 @@
-"""What supervisors did in a day, read from their own logs."""
+"""What supervisors did in a scenario, read from their own logs."""
 
 from __future__ import annotations
 
