--- a/valverouter/days/server_agent.py
+++ b/valverouter/days/server_agent.py
@@ -1,8 +1,8 @@
 """The process that stands for one of a scenario's servers, for its supervisor to start and stop.
 
 The server itself is a fake in the scenario's own process. This one tells it, over a connection, that the
-server is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance does:
-serving, and ready once the server is warm.
+server is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance
+does: serving, and ready once the server is warm.
 
 python -m valverouter.days.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
 """
