--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -23,13 +23,13 @@
 
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.recorded_calls import RecordedCall, write_calls
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.emulated import run_emulated
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
 from valverouter.signalling.tap import Row
-from valverouter.terms.calls import RecordedCall, write_calls
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
 TROUBLES = {
--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -21,14 +21,14 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
+from valverouter.config.edge import LogConfig
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.fault_course import draw_fault_course
 from valverouter.days.loopback import run_loopback
 from valverouter.days.virtual import run_virtual
 from valverouter.edge import logs
 from valverouter.signalling.tap import AuditConfigRow, MembershipEventRow, Row
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.edge import LogConfig
-from valverouter.terms.ini import IniFile
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -32,6 +32,9 @@
 import trio
 from hdrh.histogram import HdrHistogram
 
+from valverouter.config.edge import edge_config
+from valverouter.config.gossip import GossipConfig, derive_key
+from valverouter.config.ini import IniFile
 from valverouter.edge.garbage_collection import tune_garbage_collector
 from valverouter.edge.logs import configure_logging
 from valverouter.edge.proxy import EdgeProxy
@@ -45,9 +48,6 @@
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import EndpointRegistry, EndpointRow, ListSession, Watch
 from valverouter.signalling.setup import Ended, Established, Provisional, Release, Setup, SetupSession
-from valverouter.terms.between import GossipConfig, derive_key
-from valverouter.terms.edge import edge_config
-from valverouter.terms.ini import IniFile
 
 SERVERS = 8
 CALLERS = 2
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -27,6 +27,9 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.operations import check_operations
 from valverouter.audit.rules import audit
+from valverouter.config.edge import LogConfig
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.loopback import run_loopback
 from valverouter.days.operation_course import OperationCourse
 from valverouter.days.operation_rig import OperationRig, run_operations
@@ -36,9 +39,6 @@
 from valverouter.rollout.disruption_limits import DisruptionLimits
 from valverouter.rollout.operations import OperationKind, Submit
 from valverouter.rollout.raft import SECOND
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.edge import LogConfig
-from valverouter.terms.ini import IniFile
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -21,10 +21,10 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.cross_region import cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.planning import plan_scenario
 from valverouter.days.virtual import run_virtual
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
 # Routine legs and the window in seconds: a large fleet's slots need a longer one to be used.
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -18,10 +18,10 @@
 
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.emulated import run_emulated
 from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind, plan_waves
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
 
 INI = """
 [day]
--- a/tests/membership_service_rig.py
+++ b/tests/membership_service_rig.py
@@ -12,11 +12,11 @@
 import trio
 
 from tests.rig import terms
+from valverouter.config.gossip import GossipConfig, derive_key
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.membership.messages import Ping
 from valverouter.membership.records import Phase
-from valverouter.terms.between import GossipConfig, derive_key
 
 DAY = Path("deploy/days/fleet-faults.ini")
 KEY, OTHER_KEY = derive_key(b"k" * 40), derive_key(b"o" * 40)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -9,6 +9,8 @@
 
 import trio
 
+from valverouter.config.edge import EdgeConfig, edge_config
+from valverouter.config.ini import IniFile
 from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.signalling import setup
@@ -16,8 +18,6 @@
 from valverouter.signalling.greeting import Hello, Session, Welcome
 from valverouter.signalling.serverlist import EndpointRegistry, EndpointRow, ListSession, Watch
 from valverouter.signalling.setup import SetupSession
-from valverouter.terms.edge import EdgeConfig, edge_config
-from valverouter.terms.ini import IniFile
 
 MS, SECOND = 10**6, 10**9
 
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -29,6 +29,7 @@
 from click.testing import CliRunner
 
 from valverouter.cli import fleet_view, fleet_view_output, ledger, regions
+from valverouter.config import recorded_calls
 from valverouter.edge import endpoint_cache
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
@@ -55,7 +56,6 @@
     supervisor_state,
 )
 from valverouter.signalling import framing, greeting, serverlist, setup, tap
-from valverouter.terms import calls
 
 KEY = bytes(range(32))
 
@@ -502,8 +502,8 @@
 
 
 CALLS = [
-    calls.RecordedCall(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991),
-    calls.RecordedCall(2_000_000_000, "info"),
+    recorded_calls.RecordedCall(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991),
+    recorded_calls.RecordedCall(2_000_000_000, "info"),
 ]
 PASSED_DEFAULTS = tap.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
 LINE_DEFAULTS = lines.Line("ping", "", {}, None, None)
@@ -770,7 +770,7 @@
 
 
 def write_calls(file: Path) -> None:
-    calls.write_calls(file, CALLS)
+    recorded_calls.write_calls(file, CALLS)
 
 
 def write_list_cache(file: Path) -> None:
--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -17,6 +17,10 @@
 from tests.rig import INI, MS, SECOND, terms
 from tests.test_days import valverouter
 from valverouter.attempts.worst_case import policy_problems, timelines
+from valverouter.config.edge import load_when_stable
+from valverouter.config.grammar import matches_peer
+from valverouter.config.ini import END_MARKER, ConfigProblem, InvalidConfigError
+from valverouter.config.reader import lazy_reader
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.interface import (
     AttemptPolicy,
@@ -30,10 +34,6 @@
 )
 from valverouter.policy import tuning
 from valverouter.policy.tuning import MAX_ATTEMPTS
-from valverouter.terms.edge import load_when_stable
-from valverouter.terms.grammar import matches_peer
-from valverouter.terms.ini import END_MARKER, ConfigProblem, InvalidConfigError
-from valverouter.terms.reader import lazy_reader
 
 SETS = "[server-set near]\nservers = 0, 1\n[server-set far]\nservers = 2-4\n[trunk-group gw]\npeers = gw-*\n"
 
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -20,10 +20,10 @@
 from valverouter.attempts.matching import EffectiveSetting
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
+from valverouter.config.scenario import load_scenario
 from valverouter.days.virtual import run_virtual
 from valverouter.interface import Outcome, RetryBudgetConfig
 from valverouter.signalling import setup
-from valverouter.terms.day import load_scenario
 
 MS, SECOND = 10**6, 10**9
 
--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -11,8 +11,8 @@
 
 from tests.attempt_files import ini
 from tests.rig import dial, rigged, terms
+from valverouter.config.ini import END_MARKER
 from valverouter.signalling import setup
-from valverouter.terms.ini import END_MARKER
 
 MS, SECOND = 10**6, 10**9
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -14,6 +14,9 @@
 
 from valverouter.audit.rules import audit
 from valverouter.cli.__main__ import main
+from valverouter.config.ini import IniFile, InvalidConfigError
+from valverouter.config.recorded_calls import MAX_REPORTED_PROBLEMS, RecordedCall, read_calls, write_calls
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.days.emulated import run_emulated
 from valverouter.days.recorded_calls import recorded_calls
 from valverouter.days.virtual import run_virtual
@@ -21,9 +24,6 @@
 from valverouter.experiments.search_config import load_search
 from valverouter.signalling import tap
 from valverouter.signalling.tap import MessageRow, Row
-from valverouter.terms.calls import MAX_REPORTED_PROBLEMS, RecordedCall, read_calls, write_calls
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.ini import IniFile, InvalidConfigError
 
 SECOND = 10**9
 DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -10,9 +10,9 @@
 from trio.testing import MockClock
 
 from tests.rig import rigged
+from valverouter.config.edge import edge_config
+from valverouter.config.ini import IniFile, InvalidConfigError
 from valverouter.interface import CrossRegionBudget
-from valverouter.terms.edge import edge_config
-from valverouter.terms.ini import IniFile, InvalidConfigError
 
 MS, SECOND = 10**6, 10**9
 
--- a/tests/test_cross_region_days.py
+++ b/tests/test_cross_region_days.py
@@ -14,13 +14,13 @@
 from valverouter.audit.account import account_by_type
 from valverouter.audit.cross_region import count_by_route, cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.days.planning import plan_scenario
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.regions.usage import merge_totals
 from valverouter.signalling import tap
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.ini import IniFile
 
 MS, SECOND = 10**6, 10**9
 DAYS = Path(__file__).parent.parent / "deploy" / "days"
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -19,6 +19,9 @@
 from valverouter.audit.account import account_by_type
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
+from valverouter.config.scenario_sections import FAULT_KINDS, MEMBERSHIP_FAULT_KINDS, FaultConfig
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.edge.attempts import OUTCOMES, AttemptHandler
@@ -27,9 +30,6 @@
 from valverouter.interface import Outcome
 from valverouter.policy import tuning
 from valverouter.signalling import setup, tap
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.ini import IniFile
-from valverouter.terms.scenario_sections import FAULT_KINDS, MEMBERSHIP_FAULT_KINDS, FaultConfig
 
 MS, SECOND = 10**6, 10**9
 BAD_DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,6 +15,8 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.days.emulated import edge_plans, run_emulated
 from valverouter.days.virtual import run_virtual
 from valverouter.emulator.fleet import Fleet
@@ -27,8 +29,6 @@
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
 from valverouter.signalling.tap import MessageRow
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.ini import IniFile
 
 MS, SECOND = 10**6, 10**9
 DAYS = Path(__file__).parent.parent / "deploy" / "days"
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -25,6 +25,8 @@
 from tests.process_rig import Drill, drill
 from tests.rig import INI, SECOND, Peer, dial, rigged, terms
 from tests.test_cross_region_config import GOOD as REGIONS
+from valverouter.config.edge import load_edge_config
+from valverouter.config.ini import InvalidConfigError
 from valverouter.days.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import send_farewell
@@ -51,8 +53,6 @@
     Setup,
     SetupSession,
 )
-from valverouter.terms.edge import load_edge_config
-from valverouter.terms.ini import InvalidConfigError
 
 # Troubled connections
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,12 +10,12 @@
 from trio.testing import MockClock
 
 from tests.test_days import valverouter
+from valverouter.config.scenario import load_scenario
 from valverouter.load.drive import LoadFailedError, drive, traffic_of
 from valverouter.load.measure import LoadSample
 from valverouter.load.rate_search import highest_rate
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import Hello, Welcome
-from valverouter.terms.day import load_scenario
 
 MS, SECOND = 10**6, 10**9
 LOAD = Path(__file__).parent.parent / "deploy" / "days" / "load.ini"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,6 +9,7 @@
 import pytest
 
 from tests.membershiprig import SEEDS, SimulatedFleet, member_names, partition, with_later_sequence
+from valverouter.config import scenario_sections
 from valverouter.emulator.membership_simulation import SECOND, WALL_CLOCK_START_MS, SimulatedNode
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.convergence import ViewHealth
@@ -16,7 +17,6 @@
 from valverouter.membership.messages import Gossip, Ping, SyncDigests, updates_of
 from valverouter.membership.records import MemberState, as_reported, next_own_record
 from valverouter.servermodel.paths import PATH_FAULT_KINDS, NetworkPaths, PathFault
-from valverouter.terms import scenario_sections
 
 
 def test_a_fleet_that_knows_only_three_seeds_converges() -> None:
--- a/tests/test_membership_config.py
+++ b/tests/test_membership_config.py
@@ -10,10 +10,10 @@
 import trio
 
 from tests.membership_service_rig import BETWEEN, DAY, EDGE, KEY, SECOND, key_file
-from valverouter.terms.between import MIN_KEY_SIZE
-from valverouter.terms.day import scenario_config
-from valverouter.terms.edge import edge_config
-from valverouter.terms.ini import IniFile, InvalidConfigError
+from valverouter.config.edge import edge_config
+from valverouter.config.gossip import MIN_KEY_SIZE
+from valverouter.config.ini import IniFile, InvalidConfigError
+from valverouter.config.scenario import scenario_config
 
 
 def test_a_valid_section(tmp_path: Path) -> None:
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -13,13 +13,13 @@
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
 from valverouter.cli.__main__ import main
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.days.loopback import run_loopback
 from valverouter.days.memory_network import MemoryRuntime
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.ini import IniFile
 
 
 def changed_day(text: str = "", **terms_: Any) -> ScenarioConfig:
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -18,12 +18,12 @@
 
 from valverouter.audit.operations import OperationsReport, check_operations
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.operation_files import NODES
 from valverouter.days.operation_rig import OperationRig, run_operations
 from valverouter.rollout.status import FleetStatus
 from valverouter.servermodel.paths import PathFault
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 Script = Callable[[OperationRig], Awaitable[None]]
--- a/tests/test_raft_server.py
+++ b/tests/test_raft_server.py
@@ -15,6 +15,8 @@
 
 from tests.rollout_settings import RAFT_SERVER, SUPERVISOR, free_port, write_settings
 from valverouter.cli.__main__ import main
+from valverouter.config.ini import InvalidConfigError
+from valverouter.config.rollout import FleetClientConfig, load_fleet_client, load_raft_server
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.fragmentation import BURST_FRAGMENTS, FRAGMENT_BYTES
 from valverouter.fleet.messages import RequestKind
@@ -25,8 +27,6 @@
 from valverouter.rollout.disruption_permits import EnrollInstances
 from valverouter.rollout.operations import InstanceReported, OperationKind, Submit, SubmitResult
 from valverouter.rollout.status import FleetStatus
-from valverouter.terms.ini import InvalidConfigError
-from valverouter.terms.rollout import FleetClientConfig, load_fleet_client, load_raft_server
 
 
 @pytest.mark.parametrize("command", ["raft-server", "council", "supervisor", "keeper"])
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -19,6 +19,8 @@
 from tests.test_days import HOW, small
 from valverouter import interface
 from valverouter.audit.rules import audit
+from valverouter.config.attempts import AttemptConfig, AttemptKeys, AttemptSection
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.driver import Driver
@@ -29,8 +31,6 @@
 from valverouter.policy import tuning
 from valverouter.policy.capacity import SlowStart
 from valverouter.signalling import setup, tap
-from valverouter.terms.attempts import AttemptConfig, AttemptKeys, AttemptSection
-from valverouter.terms.day import ScenarioConfig
 
 # RowChecker the Driver: a fleet of three, each with its own draws of what becomes of each leg.
 
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -18,10 +18,10 @@
 from trio.testing import MockClock
 
 from tests.relayrig import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
+from valverouter.config.options import MalformedInputError
+from valverouter.config.platform import platform_config
 from valverouter.days.memory_network import MemoryNetwork
 from valverouter.relaywire import isup
-from valverouter.terms.options import MalformedInputError
-from valverouter.terms.platform import platform_config
 
 A, B = "a" * 16, "b" * 16
 ANSWERED, OVER, CUT = (isup.ANM, A, -1), (isup.REL, A, 16), (isup.REL, A, 41)
--- a/tests/test_relayedge_races.py
+++ b/tests/test_relayedge_races.py
@@ -25,12 +25,12 @@
 
 from tests.process_rig import Drill, drill
 from tests.relayrig import SETTINGS, Bus, Loopback, Rig, Server, configuration, host, relayed, release, set_up
+from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.relayedge import dialogs as relaydialogs
 from valverouter.relayedge.link import RelayLink
 from valverouter.relaywire import isup
 from valverouter.signalling import setup
-from valverouter.terms import platform
 
 A, B = "a" * 16, "b" * 16
 
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -21,6 +21,8 @@
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.emulated import edge_plans, run_emulated
 from valverouter.days.loopback import run_loopback
 from valverouter.days.memory_network import MemoryRuntime
@@ -38,8 +40,6 @@
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
 from valverouter.recovery.plan import remaining_attempt_policy
 from valverouter.signalling import setup, tap
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
 
 DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
 CALM = DAY[: DAY.index("[trouble ")]
--- a/tests/test_rollout_config.py
+++ b/tests/test_rollout_config.py
@@ -7,8 +7,8 @@
 import pytest
 
 from tests.rollout_settings import RAFT_SERVER, SUPERVISOR, write_settings
-from valverouter.terms.ini import InvalidConfigError
-from valverouter.terms.rollout import load_fleet_client, load_raft_server, load_supervisor
+from valverouter.config.ini import InvalidConfigError
+from valverouter.config.rollout import load_fleet_client, load_raft_server, load_supervisor
 
 
 def test_valid_files_of_a_raft_server_a_supervisor_and_a_client(tmp_path: Path) -> None:
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -13,11 +13,11 @@
 from tests.process_rig import Drill, drill
 from tests.relayrig import configuration, set_up
 from tests.test_relayedge_races import Far, free_port, passed
+from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.relaywire import isup
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.setup import SetupSession
-from valverouter.terms import platform
 
 B = "b" * 16
 # Longer than a new connection may say nothing of use.
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -15,14 +15,14 @@
 import pytest
 
 from tests import stored_values
+from valverouter.config.ini import IniFile
+from valverouter.config.recorded_calls import read_calls
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.recovery import lifecycle
 from valverouter.rollout.raft_log import PersistentState
 from valverouter.signalling import tap
-from valverouter.terms.calls import read_calls
-from valverouter.terms.ini import IniFile
 
 KEPT = Path(__file__).parent / "data" / "132c5ee"
 SAMPLES = stored_values.samples()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from valverouter.terms.day import load_scenario, scenario_config
-from valverouter.terms.edge import edge_config, load_edge_config
-from valverouter.terms.ini import IniFile, InvalidConfigError, format_duration, parse_duration
+from valverouter.config.edge import edge_config, load_edge_config
+from valverouter.config.ini import IniFile, InvalidConfigError, format_duration, parse_duration
+from valverouter.config.scenario import load_scenario, scenario_config
 
 DEPLOY = Path(__file__).parent.parent / "deploy"
 GOOD = """[edge]
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -12,8 +12,8 @@
 import click
 
 from valverouter.cli.common import FAILED, INTERRUPTED, INVALID_INPUT, first_cause
+from valverouter.config.ini import InvalidConfigError
 from valverouter.ledger.storage import StoreError
-from valverouter.terms.ini import InvalidConfigError
 
 # Each command with its module, which is imported when the command is called: importing all of them, with what
 # draws charts and plays scenarios, took half of the time in which an edge proxy starts.
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -12,10 +12,10 @@
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.cli import tables
 from valverouter.cli.common import FILE, RULE_VIOLATED, console
+from valverouter.config.edge import load_edge_config
+from valverouter.config.ini import InvalidConfigError, format_duration, parse_duration
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.signalling import tap
-from valverouter.terms.edge import load_edge_config
-from valverouter.terms.ini import InvalidConfigError, format_duration, parse_duration
 
 # The callers' no-answer time where a command is told none.
 SHOWN_NO_ANSWER = 9 * 10**9
--- a/valverouter/cli/edge.py
+++ b/valverouter/cli/edge.py
@@ -15,6 +15,8 @@
 import trio
 
 from valverouter.cli.common import FAILED, FILE, first_cause
+from valverouter.config.edge import EdgeConfig, load_edge_config, load_when_stable
+from valverouter.config.ini import InvalidConfigError
 from valverouter.edge import logs
 from valverouter.edge.garbage_collection import tune_garbage_collector
 from valverouter.edge.proxy import EdgeProxy
@@ -25,8 +27,6 @@
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.ledger.storage import StoreError, open_or_set_aside
-from valverouter.terms.edge import EdgeConfig, load_edge_config, load_when_stable
-from valverouter.terms.ini import InvalidConfigError
 
 log = structlog.get_logger()
 
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -11,7 +11,7 @@
 
 from valverouter.cli import tables
 from valverouter.cli.common import FILE, console, show_verdict
-from valverouter.terms.day import load_scenario
+from valverouter.config.scenario import load_scenario
 
 log = structlog.get_logger()
 
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -13,6 +13,7 @@
 import trio
 
 from valverouter.cli.common import FAILED, FILE, first_cause
+from valverouter.config.rollout import RaftServerConfig, load_raft_server, load_supervisor
 from valverouter.edge import logs
 from valverouter.edge.signals import receive_signals
 from valverouter.edge.sockets import SocketRuntime
@@ -21,7 +22,6 @@
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.storage import StoreError, open_or_set_aside
 from valverouter.ledger.supervisor_store import open_supervisor_store
-from valverouter.terms.rollout import RaftServerConfig, load_raft_server, load_supervisor
 
 log = structlog.get_logger()
 
--- a/valverouter/cli/fleet_view.py
+++ b/valverouter/cli/fleet_view.py
@@ -13,12 +13,12 @@
 
 from valverouter.cli.common import FILE, INVALID_INPUT, RULE_VIOLATED, console
 from valverouter.cli.fleet_view_output import by_incarnation, print_json, print_metrics, print_tables
+from valverouter.config.edge import load_edge_config
+from valverouter.config.gossip import GossipConfig
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.view_comparison import ViewAnswer, is_converged
 from valverouter.membership.records import LIVE_STATES
-from valverouter.terms.between import GossipConfig
-from valverouter.terms.edge import load_edge_config
 
 # Exit codes beside 0.
 NOT_CONVERGED, NO_ANSWER = RULE_VIOLATED, INVALID_INPUT
--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -15,12 +15,12 @@
 
 from valverouter.cli.common import FAILED, RULE_VIOLATED, console
 from valverouter.cli.operations_output import describe_progress, print_halt_reason, print_participants
+from valverouter.config.rollout import load_fleet_client
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.messages import RequestKind
 from valverouter.fleet.operations_client import OperationsClient
 from valverouter.rollout.operations import Command, Submit, SubmitResult
 from valverouter.rollout.status import FleetStatus, OperationStatus
-from valverouter.terms.rollout import load_fleet_client
 
 # Exit codes: an operation ended in part or halted; nobody answered, or an operation is not known.
 IN_PART, UNKNOWN = RULE_VIOLATED, FAILED
--- a/valverouter/cli/regions.py
+++ b/valverouter/cli/regions.py
@@ -10,10 +10,10 @@
 
 from valverouter.cli import tables
 from valverouter.cli.common import FILE, console
+from valverouter.config.scenario import load_scenario
 from valverouter.days.planning import plan_scenario
 from valverouter.regions.usage import attempts_by_minute, merge_totals, missing_records
 from valverouter.signalling import tap
-from valverouter.terms.day import load_scenario
 
 log = structlog.get_logger()
 
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -11,6 +11,10 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
 from valverouter.cli.common import FILE, console, show_verdict
+from valverouter.config.edge import LogConfig, edge_config
+from valverouter.config.ini import IniFile
+from valverouter.config.recorded_calls import write_calls
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.days.loopback import run_loopback
 from valverouter.days.recorded_calls import recorded_calls
 from valverouter.days.scenario_fakes import ScenarioFakes
@@ -21,10 +25,6 @@
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.signalling import tap
-from valverouter.terms.calls import write_calls
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.edge import LogConfig, edge_config
-from valverouter.terms.ini import IniFile
 
 log = structlog.get_logger()
 
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -12,8 +12,8 @@
 from valverouter.audit.account import TrafficAccount, weighted_service_level
 from valverouter.audit.verdict import Verdict
 from valverouter.audit.views import ViewReport
+from valverouter.config.ini import format_duration
 from valverouter.regions.usage import USAGE_COLUMNS, UsageCounters, UsageKey
-from valverouter.terms.ini import format_duration
 
 if TYPE_CHECKING:
     from valverouter.experiments.report import Cell
--- a/valverouter/terms/attempts.py
+++ b/valverouter/config/attempts.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.terms.ini import Duration, IniFile, PositiveDuration, valid_sections
+from valverouter.config.ini import Duration, IniFile, PositiveDuration, valid_sections
 
 # Keys whose value is fixed: a file may state it, and nothing else.
 FIXED_VALUES = {
--- a/valverouter/terms/crossing.py
+++ b/valverouter/config/cross_region.py
@@ -7,8 +7,8 @@
 
 from msgspec import Meta, Struct
 
+from valverouter.config.ini import Duration, Fraction, IniFile, NonNegativeInteger, PositiveDuration
 from valverouter.interface import CrossRegionBudget, CrossRegionConfig, CrossRegionPolicy
-from valverouter.terms.ini import Duration, Fraction, IniFile, NonNegativeInteger, PositiveDuration
 
 MS, SECOND = 10**6, 10**9
 ANY_REGION = "*"
--- a/valverouter/terms/edge.py
+++ b/valverouter/config/edge.py
@@ -12,11 +12,10 @@
 import trio
 from msgspec import Meta, Struct
 
-from valverouter.interface import CrossRegionConfig, Deployment, TrafficType
-from valverouter.terms.attempts import AttemptConfig, attempt_config
-from valverouter.terms.between import GossipConfig, gossip_config
-from valverouter.terms.crossing import cross_region_config
-from valverouter.terms.ini import (
+from valverouter.config.attempts import AttemptConfig, attempt_config
+from valverouter.config.cross_region import cross_region_config
+from valverouter.config.gossip import GossipConfig, gossip_config
+from valverouter.config.ini import (
     Duration,
     IniFile,
     IntegerList,
@@ -30,6 +29,7 @@
     present,
     valid_sections,
 )
+from valverouter.interface import CrossRegionConfig, Deployment, TrafficType
 
 MS, SECOND = 10**6, 10**9
 # Between two readings of a file that may still be being written.
--- a/valverouter/terms/between.py
+++ b/valverouter/config/gossip.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.terms.ini import IniFile, NonEmptyText, TextList, is_host_and_port
+from valverouter.config.ini import IniFile, NonEmptyText, TextList, is_host_and_port
 
 MS, SECOND = 10**6, 10**9
 # Bytes of a key file: fewer can be guessed, more are no key but the wrong file.
--- a/valverouter/terms/ini.py
+++ b/valverouter/config/ini.py
@@ -19,8 +19,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from valverouter.terms.grammar import NANOSECONDS_PER_UNIT, SYNTAX_REASONS
-from valverouter.terms.reader import lazy_reader
+from valverouter.config.grammar import NANOSECONDS_PER_UNIT, SYNTAX_REASONS
+from valverouter.config.reader import lazy_reader
 
 _READERS = {start: lazy_reader(start) for start in SYNTAX_REASONS}
 # The last line of a file that uses an end marker: one that is read without it was truncated.
--- a/valverouter/terms/platform.py
+++ b/valverouter/config/platform.py
@@ -8,9 +8,9 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.terms.edge import EdgeConfig, LinkConfig, LogConfig
-from valverouter.terms.ini import is_host_and_port
-from valverouter.terms.options import US, MalformedInputError, Options, deployment
+from valverouter.config.edge import EdgeConfig, LinkConfig, LogConfig
+from valverouter.config.ini import is_host_and_port
+from valverouter.config.options import US, MalformedInputError, Options, deployment
 
 MS, SECOND = 10**6, 10**9
 
--- a/valverouter/terms/reader.py
+++ b/valverouter/config/reader.py
@@ -11,7 +11,7 @@
 
     def read(text: str) -> Any:
         # An edge proxy that is configured without a file can't spare the memory of a parser.
-        from valverouter.terms.meaning import parse
+        from valverouter.config.value_parser import parse
 
         return parse(start, text)
 
--- a/valverouter/terms/calls.py
+++ b/valverouter/config/recorded_calls.py
@@ -19,7 +19,7 @@
 
 from msgspec import Struct
 
-from valverouter.terms.ini import MAX_DURATION, ConfigProblem, IniFile
+from valverouter.config.ini import MAX_DURATION, ConfigProblem, IniFile
 
 COLUMNS = ("at", "type", "edge", "no_answer", "first_choice", "number")
 REQUIRED_COLUMNS = ("at", "type")
--- a/valverouter/terms/rollout.py
+++ b/valverouter/config/rollout.py
@@ -13,9 +13,9 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.terms.between import check_address, load_key
-from valverouter.terms.edge import LogConfig
-from valverouter.terms.ini import (
+from valverouter.config.edge import LogConfig
+from valverouter.config.gossip import check_address, load_key
+from valverouter.config.ini import (
     Duration,
     Fraction,
     IniFile,
--- a/valverouter/terms/day.py
+++ b/valverouter/config/scenario.py
@@ -13,8 +13,7 @@
 import msgspec
 from msgspec import Struct
 
-from valverouter.terms.calls import RecordedCall, read_calls
-from valverouter.terms.edge import (
+from valverouter.config.edge import (
     EdgeConfig,
     FleetConfig,
     LedgerConfig,
@@ -23,8 +22,9 @@
     edge_config,
     traffic_types,
 )
-from valverouter.terms.ini import IniFile, TextList, present, valid_sections
-from valverouter.terms.scenario_sections import (
+from valverouter.config.ini import IniFile, TextList, present, valid_sections
+from valverouter.config.recorded_calls import RecordedCall, read_calls
+from valverouter.config.scenario_sections import (
     FAULT_KINDS,
     MEMBERSHIP_FAULT_KINDS,
     PATH_FAULT_KINDS,
--- a/valverouter/terms/scenario_sections.py
+++ b/valverouter/config/scenario_sections.py
@@ -9,8 +9,8 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.terms.between import GossipPeriod, RetentionPeriod
-from valverouter.terms.ini import (
+from valverouter.config.gossip import GossipPeriod, RetentionPeriod
+from valverouter.config.ini import (
     Duration,
     Fraction,
     NonNegativeInteger,
@@ -93,11 +93,11 @@
 class CallerConfig(Struct, frozen=True):
     """[callers]: dialogs a second in all or recorded calls, and what callers do when they are rejected.
 
-    `record`: a file of calls beside the scenario's (see calls.py), replayed from its moment `record_from` on.
-    `spread`: edge proxies and preferred servers are drawn instead of taken from the record, for a fleet of
-    another shape. `times`: how often each call is dialled, on average. `local`: callers prefer a server in
-    the region of their edge proxy, where it has one. `on`, `off`: mean durations of an on-off load with the
-    same mean rate. `drift`: the rate at the end as a multiple of the rate at the start.
+    `record`: a file of calls beside the scenario's (see recorded_calls.py), replayed from its moment
+    `record_from` on. `spread`: edge proxies and preferred servers are drawn instead of taken from the record,
+    for a fleet of another shape. `times`: how often each call is dialled, on average. `local`: callers prefer
+    a server in the region of their edge proxy, where it has one. `on`, `off`: mean durations of an on-off
+    load with the same mean rate. `drift`: the rate at the end as a multiple of the rate at the start.
     """
 
     rate: RatePerSecond = 0.0
--- a/valverouter/terms/meaning.py
+++ b/valverouter/config/value_parser.py
@@ -9,7 +9,7 @@
 from lark import Lark, Transformer
 from lark.exceptions import UnexpectedInput, VisitError
 
-from valverouter.terms.grammar import GRAMMAR, NANOSECONDS_PER_UNIT, SYNTAX_REASONS
+from valverouter.config.grammar import GRAMMAR, NANOSECONDS_PER_UNIT, SYNTAX_REASONS
 
 # A range stands for each of its members; a larger one is a mistake, or better written as a shorter prefix.
 MAX_RANGE_SIZE = 1_000
--- a/valverouter/days/edge_faults.py
+++ b/valverouter/days/edge_faults.py
@@ -6,12 +6,12 @@
 
 import trio
 
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.days.call_load import CallLoad
 from valverouter.days.fault_targets import CALLERS_TARGET, FaultProcess, FaultTargets
 from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.emulator.call_load import HOT_CALLED_NUMBER
 from valverouter.fakes.callers import with_scaled_patience
-from valverouter.terms.scenario_sections import FaultConfig
 
 
 class EdgeFaults:
--- a/valverouter/days/emulated.py
+++ b/valverouter/days/emulated.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.driver import Driver
 from valverouter.edge.attempt_policies import AttemptPolicies, default_policy
 from valverouter.emulator.edge_model import BuildDriver, EdgePlan
@@ -9,7 +10,6 @@
 from valverouter.emulator.simulate import DayResult, simulate_day
 from valverouter.interface import AttemptPolicy
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
-from valverouter.terms.day import ScenarioConfig
 
 
 def edge_plans(scenario: ScenarioConfig, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
--- a/valverouter/days/fault_targets.py
+++ b/valverouter/days/fault_targets.py
@@ -5,10 +5,10 @@
 import random
 from collections.abc import Awaitable, Callable, Sequence
 
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.fakes.server import FakeServer
 from valverouter.signalling.tap import FaultRow
-from valverouter.terms.scenario_sections import FaultConfig
 
 CALLERS_TARGET = "callers"
 
--- a/valverouter/days/loopback.py
+++ b/valverouter/days/loopback.py
@@ -11,12 +11,12 @@
 import msgspec
 import trio
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.loopback_membership import LoopbackMembership
 from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.days.scenario_runner import ProgressCallback, run_scenario
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.signalling.tap import Row
-from valverouter.terms.day import ScenarioConfig
 
 START_TIMEOUT_S = 20
 # An edge proxy's own limit for a graceful shutdown, and a margin.
--- a/valverouter/days/loopback_membership.py
+++ b/valverouter/days/loopback_membership.py
@@ -7,13 +7,13 @@
 
 import trio
 
+from valverouter.config.scenario_sections import ScenarioGossipConfig
 from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL, MembershipRecorder
 from valverouter.days.network_paths import network_paths
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.servermodel.paths import NetworkPaths
-from valverouter.terms.scenario_sections import ScenarioGossipConfig
 
 # Log events of an edge proxy that report a change in its membership; the kind follows.
 MEMBERSHIP_EVENT_PREFIXES = ("member-", "view-")
--- a/valverouter/days/membership_recorder.py
+++ b/valverouter/days/membership_recorder.py
@@ -11,6 +11,8 @@
 
 import trio
 
+from valverouter.config.gossip import derive_key
+from valverouter.config.scenario_sections import ScenarioGossipConfig
 from valverouter.days.network_paths import path_faults
 from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.edge.runtime import Runtime
@@ -23,8 +25,6 @@
     MembershipEventRow,
     MembershipViewRow,
 )
-from valverouter.terms.between import derive_key
-from valverouter.terms.scenario_sections import ScenarioGossipConfig
 
 # The fleet's key is made of this; it protects nothing but a run.
 GOSSIP_KEY_MATERIAL = b"the key of a day's fleet, which protects nothing but a day"
--- a/valverouter/days/network_paths.py
+++ b/valverouter/days/network_paths.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Mapping
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.servermodel.paths import NetworkPaths, PathFault
-from valverouter.terms.day import ScenarioConfig
 
 
 def path_faults(
--- a/valverouter/days/operation_files.py
+++ b/valverouter/days/operation_files.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL
-from valverouter.terms.day import ScenarioConfig
 
 CLI = (sys.executable, "-m", "valverouter.cli")
 NODES = ("c0", "c1", "c2")
--- a/valverouter/days/operation_rig.py
+++ b/valverouter/days/operation_rig.py
@@ -20,6 +20,7 @@
 import msgspec
 import trio
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
 from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.days.scenario_runner import play_script
@@ -30,7 +31,6 @@
 from valverouter.rollout.status import FleetStatus, OperationStatus
 from valverouter.servermodel.paths import NetworkPaths, PathFault
 from valverouter.signalling.tap import DisruptionLimitsRow, FaultRow, OperationRow, Row
-from valverouter.terms.day import ScenarioConfig
 
 NS_PER_S = 1e9
 START_TIMEOUT_S = 30
--- a/valverouter/days/recorded_calls.py
+++ b/valverouter/days/recorded_calls.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable, Iterator
 
+from valverouter.config.recorded_calls import RecordedCall
 from valverouter.signalling.tap import CallersStartedRow, MessageRow, Row
-from valverouter.terms.calls import RecordedCall
 
 
 def recorded_calls(rows: Iterable[Row]) -> Iterator[RecordedCall]:
--- a/valverouter/days/scenario_fakes.py
+++ b/valverouter/days/scenario_fakes.py
@@ -11,6 +11,7 @@
 
 import trio
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.edge_under_test import EdgeUnderTest
 from valverouter.emulator.server_profile import server_profile
 from valverouter.fakes.callers import CallerBehavior, FakeCallers
@@ -21,7 +22,6 @@
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.serverlist import EndpointRow, ServerPhase
 from valverouter.signalling.tap import AuditConfigRow, PlacementRow, Tap
-from valverouter.terms.day import ScenarioConfig
 
 NS_PER_S = 10**9
 # The clock of the record begins a day before the run, so that no time in it is negative.
--- a/valverouter/days/scenario_runner.py
+++ b/valverouter/days/scenario_runner.py
@@ -10,6 +10,7 @@
 
 import trio
 
+from valverouter.config.scenario_sections import FaultConfig, PathFaultConfig
 from valverouter.days.call_load import CallLoad
 from valverouter.days.edge_faults import EdgeFaults
 from valverouter.days.fault_targets import FaultProcess, FaultTargets
@@ -18,7 +19,6 @@
 from valverouter.days.server_faults import ServerFaults
 from valverouter.fakes.callers import with_scaled_patience
 from valverouter.signalling.tap import CallersStartedRow, Row
-from valverouter.terms.scenario_sections import FaultConfig, PathFaultConfig
 
 # So long after the last answer was due the record goes on, so that a late answer is in it.
 LATE_ANSWER_WAIT_S = 0.3
--- a/valverouter/days/server_agent.py
+++ b/valverouter/days/server_agent.py
@@ -17,12 +17,12 @@
 
 import trio
 
+from valverouter.config.gossip import derive_key
 from valverouter.edge.sockets import UdpSocket, split_address
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.instance_status import VERSION_VARIABLE
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.rollout.reports import InstanceCounters
-from valverouter.terms.between import derive_key
 
 MESSAGE_BYTES = 64
 WARM = b"warm"
--- a/valverouter/days/virtual.py
+++ b/valverouter/days/virtual.py
@@ -11,6 +11,7 @@
 import trio
 import trio.testing
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.days.memory_store import MemoryLedgerStore
 from valverouter.days.scenario_fakes import ScenarioFakes
@@ -19,7 +20,6 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
 from valverouter.signalling.tap import Row
-from valverouter.terms.day import ScenarioConfig
 
 # After an edge proxy has ended, so that its peers see its connections close.
 STOP_WAIT_S = 0.01
--- a/valverouter/days/virtual_membership.py
+++ b/valverouter/days/virtual_membership.py
@@ -7,6 +7,9 @@
 import msgspec
 import trio
 
+from valverouter.config.edge import EdgeConfig
+from valverouter.config.gossip import GossipConfig
+from valverouter.config.scenario_sections import ScenarioGossipConfig
 from valverouter.days.membership_recorder import MembershipRecorder
 from valverouter.days.memory_network import MemoryNetwork
 from valverouter.days.network_paths import network_paths
@@ -16,9 +19,6 @@
 from valverouter.fleet.instance_status import membership_facts
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.membership.events import MembershipEvent
-from valverouter.terms.between import GossipConfig
-from valverouter.terms.edge import EdgeConfig
-from valverouter.terms.scenario_sections import ScenarioGossipConfig
 
 # Where the recorder's own queries come from: a node in no group, which no fault names.
 CLIENT_ADDRESS = "asker:1"
--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -15,13 +15,13 @@
     resolve,
 )
 from valverouter.attempts.worst_case import PolicyProblem, policy_problems
+from valverouter.config.attempts import BUDGET_KEYS, POLICY_FIELDS, POLICY_KEYS, AttemptSection
+from valverouter.config.edge import EdgeConfig
+from valverouter.config.grammar import matches_peer
+from valverouter.config.ini import ConfigProblem, InvalidConfigError
 from valverouter.interface import AttemptPolicy, Deployment, RetryBudgetConfig
 from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
 from valverouter.policy.tuning import BACKOFF_BASE, BACKOFF_CAP, MAX_ATTEMPTS, TOKEN
-from valverouter.terms.attempts import BUDGET_KEYS, POLICY_FIELDS, POLICY_KEYS, AttemptSection
-from valverouter.terms.edge import EdgeConfig
-from valverouter.terms.grammar import matches_peer
-from valverouter.terms.ini import ConfigProblem, InvalidConfigError
 
 DEFAULT_SOURCE = "the decisions' own"
 # Combinations of sections that are checked.
--- a/valverouter/edge/caller.py
+++ b/valverouter/edge/caller.py
@@ -10,6 +10,7 @@
 import structlog
 import trio
 
+from valverouter.config.edge import LinkConfig
 from valverouter.edge.connections import isolate_failure, receive_by, send_farewell
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
 from valverouter.edge.runtime import READ_SIZE
@@ -17,7 +18,6 @@
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Hello, NotUnderstood, Welcome
 from valverouter.signalling.setup import SetupSession
-from valverouter.terms.edge import LinkConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/edge/caller_listener.py
+++ b/valverouter/edge/caller_listener.py
@@ -6,6 +6,7 @@
 
 import trio
 
+from valverouter.config.ini import format_duration
 from valverouter.edge.caller import CallerConnection
 from valverouter.edge.context import ProxyContext
 from valverouter.edge.runtime import READ_SIZE
@@ -13,7 +14,6 @@
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Welcome
 from valverouter.signalling.setup import SetupSession
-from valverouter.terms.ini import format_duration
 
 # Descriptors that callers leave to the rest: the list, files, what the interpreter holds; and for each link,
 # since one that is made again may overlap the connection before.
--- a/valverouter/edge/context.py
+++ b/valverouter/edge/context.py
@@ -11,6 +11,7 @@
 
 import structlog
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.driver import Driver
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.clock import Clock, TimerQueue
@@ -19,7 +20,6 @@
 from valverouter.edge.runtime import Runtime
 from valverouter.policy.retry import retry_delay
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
-from valverouter.terms.edge import EdgeConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/edge/discovery.py
+++ b/valverouter/edge/discovery.py
@@ -9,6 +9,7 @@
 import structlog
 import trio
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import isolate_failure, send_farewell
 from valverouter.edge.endpoint_cache import EndpointCache
@@ -19,7 +20,6 @@
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST_VERSION, OLDEST_VERSION, Hello, Welcome
 from valverouter.signalling.serverlist import Change, EndpointRow, ListSession, Replica, Snapshot
-from valverouter.terms.edge import EdgeConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/edge/events.py
+++ b/valverouter/edge/events.py
@@ -7,13 +7,13 @@
 
 from dataclasses import dataclass
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.caller import CallerDisconnected, CallerMessage
 from valverouter.edge.discovery import EndpointUpdate
 from valverouter.edge.link import LinkDown, LinkUp, ServerMessage
 from valverouter.interface import Outcome
 from valverouter.recovery.plan import RecoveryAction
-from valverouter.terms.edge import EdgeConfig
 
 __all__ = [
     "AttemptEnded",
--- a/valverouter/edge/link.py
+++ b/valverouter/edge/link.py
@@ -9,6 +9,7 @@
 import structlog
 import trio
 
+from valverouter.config.edge import LinkConfig
 from valverouter.edge.connections import isolate_failure, receive_by, send_farewell
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
 from valverouter.edge.runtime import READ_SIZE, Runtime
@@ -16,7 +17,6 @@
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import NEWEST_VERSION, OLDEST_VERSION, Hello, NotUnderstood, Welcome
 from valverouter.signalling.setup import Provisional, SetupSession
-from valverouter.terms.edge import LinkConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/edge/logs.py
+++ b/valverouter/edge/logs.py
@@ -18,7 +18,7 @@
 
 import structlog
 
-from valverouter.terms.edge import LogConfig
+from valverouter.config.edge import LogConfig
 
 MAX_QUEUED_BYTES = 1024 * 1024
 # Before a write that failed is tried again, and how long the last lines may take at the end; seconds.
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -13,6 +13,7 @@
 
 import trio
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.edge.accounts import AccountWriter
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.attempts import AttemptHandler
@@ -49,7 +50,6 @@
 from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.signalling import setup
-from valverouter.terms.edge import EdgeConfig
 
 # A turn that comes so much later than the next heartbeat was due shows that this process did not run.
 STALL_THRESHOLD = HEARTBEAT_INTERVAL + 50_000_000
--- a/valverouter/edge/reload.py
+++ b/valverouter/edge/reload.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from valverouter.attempts.change_guard import ChangeGuard
+from valverouter.config.edge import EdgeConfig
+from valverouter.config.ini import END_MARKER
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.context import ProxyContext
 from valverouter.edge.events import ReloadRequested
 from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
-from valverouter.terms.edge import EdgeConfig
-from valverouter.terms.ini import END_MARKER
 
 
 class ConfigReloader:
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.edge.caller import DetachedCaller
 from valverouter.edge.caller_requests import CallerRequests
 from valverouter.edge.dialogs import DialogEntry, DialogTable
@@ -22,7 +23,6 @@
 from valverouter.recovery.lifecycle import DialogRecord, Phase
 from valverouter.recovery.plan import PeerStatus, RecoveryAction, RecoveryPlan
 from valverouter.signalling import setup
-from valverouter.terms.edge import EdgeConfig
 
 # For so long a server is given to say what became of an attempt that was in flight; for one that is
 # established, as long as its caller has to come back. Nanoseconds.
--- a/valverouter/emulator/call_load.py
+++ b/valverouter/emulator/call_load.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
+from valverouter.config.recorded_calls import RecordedCall
 from valverouter.emulator.callers import EmulatedCallers
 from valverouter.emulator.edge_model import DialogRequest
 from valverouter.emulator.fleet import Fleet
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
-from valverouter.terms.calls import RecordedCall
 
 HOT_CALLED_NUMBER = 1
 MIN_CALLED_NUMBER = 100
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -6,12 +6,12 @@
 
 from msgspec.structs import replace
 
+from valverouter.config.scenario_sections import CallerConfig
 from valverouter.emulator.edge_model import CallerMessage, DialogRequest
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.servers import EndReason
 from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.signalling.tap import ConnectionLostRow, MessageRow, Tap
-from valverouter.terms.scenario_sections import CallerConfig
 
 # A lost connection is made again after so long, ns.
 RECONNECT_DELAY = 50_000_000
--- a/valverouter/emulator/edge_faults.py
+++ b/valverouter/emulator/edge_faults.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.emulator.call_load import HOT_CALLED_NUMBER, CallLoad
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.fault_targets import FaultProcess, FaultStart, FaultTargets
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulation import RandomStream
-from valverouter.terms.scenario_sections import FaultConfig
 
 # How often draining edge proxies are looked at, ns.
 DRAIN_POLL_INTERVAL = 50_000_000
--- a/valverouter/emulator/fault_targets.py
+++ b/valverouter/emulator/fault_targets.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Generator, Sequence
 from typing import Any
 
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import RandomStream
 from valverouter.signalling.tap import FaultRow
-from valverouter.terms.scenario_sections import FaultConfig
 
 # A process of simpy: it yields the events that it waits for.
 FaultProcess = Generator[Any, Any, None]
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Sequence
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.emulator.callers import EmulatedCallers
 from valverouter.emulator.edge_model import EdgePlan
 from valverouter.emulator.edge_runtime import ReportLog
@@ -15,7 +16,6 @@
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.tap import AuditConfigRow, PlacementRow, Tap
-from valverouter.terms.day import ScenarioConfig
 
 # Load reports leave a server at their interval, varied by up to this fraction either way.
 MIN_REPORT_FRACTION, REPORT_FRACTION_RANGE = 0.9, 0.2
--- a/valverouter/emulator/server_faults.py
+++ b/valverouter/emulator/server_faults.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable, Sequence
 
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.emulator.endpoint_list import ServicePhase
 from valverouter.emulator.fault_targets import FaultProcess, FaultStart, FaultTargets
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import RandomStream
-from valverouter.terms.scenario_sections import FaultConfig
 
 ServerAction = Callable[[EmulatedServer], None]
 
--- a/valverouter/emulator/server_profile.py
+++ b/valverouter/emulator/server_profile.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.servermodel.profile import ServerProfile
-from valverouter.terms.day import ScenarioConfig
 
 
 def server_profile(day: ScenarioConfig) -> ServerProfile:
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.emulator.call_load import CallGenerator, CallLoad
 from valverouter.emulator.edge_faults import EdgeFaults
 from valverouter.emulator.edge_model import ServerView
@@ -12,7 +13,6 @@
 from valverouter.emulator.server_faults import ServerFaults
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.signalling.tap import CallersStartedRow, Row
-from valverouter.terms.scenario_sections import FaultConfig
 
 SECOND = 1_000_000_000
 # How often edge proxies without events read the load reports, so that none is kept for long, ns.
--- a/valverouter/experiments/candidates.py
+++ b/valverouter/experiments/candidates.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, replace
 
+from valverouter.config.ini import format_duration
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.experiments.plan import with_settings
 from valverouter.experiments.search_config import Search
-from valverouter.terms.day import ScenarioConfig
-from valverouter.terms.ini import format_duration
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
--- a/valverouter/experiments/plan.py
+++ b/valverouter/experiments/plan.py
@@ -14,9 +14,9 @@
 from msgspec import Meta, Struct
 
 import valverouter
+from valverouter.config.ini import IniFile, InvalidConfigError, NonEmptyText, TextList
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.experiments.variants import parse_variant
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile, InvalidConfigError, NonEmptyText, TextList
 
 DECISIONS = "decisions"
 # What a run's figures depend on beside its day: stored runs of another version are not taken for this one's.
@@ -29,7 +29,7 @@
     "attempts",
     "servermodel",
     "emulator",
-    "terms",
+    "config",
 )
 
 Numbers = Annotated[tuple[int, ...], Meta(extra={"as": "numbers"}, min_length=1)]
--- a/valverouter/experiments/search.py
+++ b/valverouter/experiments/search.py
@@ -14,11 +14,11 @@
 import numpy as np
 from scipy.optimize import differential_evolution
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.experiments.candidates import DayCandidate, decode_genes, simplifications, vector_size
 from valverouter.experiments.plan import DECISIONS, Run
 from valverouter.experiments.runner import run_here
 from valverouter.experiments.search_config import RULES, Search
-from valverouter.terms.day import ScenarioConfig
 
 # Without a violation, the slow-start budget used counts in proportion, up to this.
 MAX_SCORE_WITHOUT_VIOLATION = 0.99
--- a/valverouter/experiments/search_config.py
+++ b/valverouter/experiments/search_config.py
@@ -7,10 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from valverouter.experiments.plan import read_day_text
-from valverouter.experiments.variants import BASELINES, VARIANTS
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import (
+from valverouter.config.ini import (
     IniFile,
     InvalidConfigError,
     NonEmptyText,
@@ -19,7 +16,10 @@
     PositiveNumber,
     TextList,
 )
-from valverouter.terms.scenario_sections import FAULT_KINDS
+from valverouter.config.scenario import ScenarioConfig, scenario_config
+from valverouter.config.scenario_sections import FAULT_KINDS
+from valverouter.experiments.plan import read_day_text
+from valverouter.experiments.variants import BASELINES, VARIANTS
 
 SECOND = 1_000_000_000
 # What a search may seek: days on which rules are violated, or on which the program loses to a baseline.
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -15,6 +15,8 @@
 import structlog
 import trio
 
+from valverouter.config.edge import EdgeConfig
+from valverouter.config.gossip import GossipConfig
 from valverouter.edge.runtime import DatagramSocket, Runtime
 from valverouter.fleet.authentication import (
     MAX_DATAGRAM_BYTES,
@@ -33,8 +35,6 @@
 from valverouter.membership.records import MemberRecord, Phase
 from valverouter.randomness import CounterRandom
 from valverouter.rollout.reports import InstanceCounters
-from valverouter.terms.between import GossipConfig
-from valverouter.terms.edge import EdgeConfig
 
 # Datagrams that are read before the other tasks of the instance get their turn.
 BATCH_SIZE = 16
--- a/valverouter/fleet/operations_client.py
+++ b/valverouter/fleet/operations_client.py
@@ -8,11 +8,11 @@
 import msgspec
 import trio
 
+from valverouter.config.rollout import FleetClientConfig
 from valverouter.edge.runtime import DatagramSocket
 from valverouter.fleet.messages import ClientRequest, ClientResponse, RequestKind
 from valverouter.fleet.transport import Transport
 from valverouter.rollout.operations import Command
-from valverouter.terms.rollout import FleetClientConfig
 
 # Seconds to wait for the leader's reply before the request is sent again.
 TRY_TIMEOUT_S = 0.4
--- a/valverouter/fleet/orchestrator_config.py
+++ b/valverouter/fleet/orchestrator_config.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from valverouter.config.rollout import DisruptionLimitConfig, EvidenceConfig, RaftServerConfig
 from valverouter.rollout.disruption_limits import DisruptionLimits, InstanceKind
 from valverouter.rollout.orchestrator_config import OrchestratorConfig
 from valverouter.rollout.sequential_test import SequentialTestConfig
-from valverouter.terms.rollout import DisruptionLimitConfig, EvidenceConfig, RaftServerConfig
 
 # The part of a [limits ...] section's name that stands for edge proxies; the other one is for servers.
 EDGE_PROXIES = "edge proxies"
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -11,6 +11,7 @@
 import structlog
 import trio
 
+from valverouter.config.rollout import RaftServerConfig
 from valverouter.edge.runtime import Runtime
 from valverouter.fleet.client_requests import ClientRequestHandler
 from valverouter.fleet.clock import monotonic_ns
@@ -31,7 +32,6 @@
 from valverouter.rollout.control_plane_node import ControlPlaneNode, DesiredStateReply
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.serialization import from_wire, to_wire
-from valverouter.terms.rollout import RaftServerConfig
 
 # The longest sleep in seconds.
 MAX_SLEEP_S = 0.05
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -20,6 +20,7 @@
 import structlog
 import trio
 
+from valverouter.config.rollout import SupervisorConfig
 from valverouter.edge.runtime import Runtime
 from valverouter.fleet.clock import monotonic_ns
 from valverouter.fleet.control_plane_link import ControlPlaneLink
@@ -35,7 +36,6 @@
 from valverouter.rollout.supervisor import Supervisor, SupervisorAction
 from valverouter.rollout.supervisor_state import SupervisorState
 from valverouter.signalling.serverlist import DrainEnded, DrainRequest
-from valverouter.terms.rollout import SupervisorConfig
 
 # The longest sleep in seconds.
 MAX_SLEEP_S = 0.05
--- a/valverouter/load/drive.py
+++ b/valverouter/load/drive.py
@@ -6,11 +6,11 @@
 
 import trio
 
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.days.loopback import START_TIMEOUT_S
 from valverouter.load.measure import LoadSample
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import NEWEST_VERSION, OLDEST_VERSION, Hello, Welcome
-from valverouter.terms.day import ScenarioConfig
 
 SECOND = 1_000_000_000
 READ_SIZE = 256 * 1024
--- a/valverouter/relayedge/__main__.py
+++ b/valverouter/relayedge/__main__.py
@@ -19,6 +19,9 @@
 import structlog
 import trio
 
+from valverouter.config import platform
+from valverouter.config.edge import LogConfig
+from valverouter.config.options import MalformedInputError
 from valverouter.edge import logs
 from valverouter.edge.garbage_collection import tune_garbage_collector
 from valverouter.edge.signals import receive_signals
@@ -26,9 +29,6 @@
 from valverouter.relayedge.proxy import RelayProxy
 from valverouter.relaywire import bus
 from valverouter.signalling.framing import ProtocolError
-from valverouter.terms import platform
-from valverouter.terms.edge import LogConfig
-from valverouter.terms.options import MalformedInputError
 
 EXIT_INVALID_CONFIG, EXIT_START_FAILED = 2, 3
 CONFIG_VARIABLE = "RELAY_CONFIG"
--- a/valverouter/relayedge/bus_client.py
+++ b/valverouter/relayedge/bus_client.py
@@ -5,6 +5,7 @@
 import structlog
 import trio
 
+from valverouter.config import platform
 from valverouter.edge.connections import isolate_failure
 from valverouter.edge.events import EndpointUpdate
 from valverouter.edge.queues import EventQueue
@@ -14,7 +15,6 @@
 from valverouter.relaywire.bus import Batch, BusSession, decode_batch
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.serverlist import EndpointRow, Replica
-from valverouter.terms import platform
 
 log = structlog.get_logger()
 
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -10,6 +10,7 @@
 import structlog
 import trio
 
+from valverouter.config.edge import LinkConfig
 from valverouter.edge.caller import CallerConnection
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import receive_by
@@ -20,7 +21,6 @@
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Welcome
-from valverouter.terms.edge import LinkConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/relayedge/link.py
+++ b/valverouter/relayedge/link.py
@@ -8,6 +8,8 @@
 import structlog
 import trio
 
+from valverouter.config import platform
+from valverouter.config.edge import LinkConfig
 from valverouter.edge.connections import isolate_failure
 from valverouter.edge.events import LinkDown, ServerMessage
 from valverouter.edge.link import ReconnectDelay, ServerLink
@@ -19,8 +21,6 @@
 from valverouter.relaywire import lines
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
-from valverouter.terms import platform
-from valverouter.terms.edge import LinkConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/relayedge/proxy.py
+++ b/valverouter/relayedge/proxy.py
@@ -7,6 +7,8 @@
 
 import msgspec
 
+from valverouter.config.options import MalformedInputError
+from valverouter.config.platform import CLOSING_PERIOD, PlatformConfig
 from valverouter.edge.attempts import AttemptHandler
 from valverouter.edge.dialogs import DialogTable
 from valverouter.edge.events import EndpointUpdate
@@ -19,8 +21,6 @@
 from valverouter.relayedge.dialogs import EndNotifier, RelayAttempts, RelayDialogs, RelayRequests
 from valverouter.relayedge.server_links import RelayLinks
 from valverouter.relayedge.unknown_ends import UnknownEnds
-from valverouter.terms.options import MalformedInputError
-from valverouter.terms.platform import CLOSING_PERIOD, PlatformConfig
 
 
 class RelayProxy(EdgeProxy):
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -12,6 +12,8 @@
 
 from valverouter.audit.records import FINAL_ANSWERS
 from valverouter.audit.rules import audit
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.days.loopback import ANY_PORT, FAULT_SLACK, LoopbackEdge
 from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.days.scenario_runner import play_script
@@ -22,8 +24,6 @@
 from valverouter.soak.judge import CourseVerdict, Outcome
 from valverouter.soak.process import log_problem
 from valverouter.soak.record import CourseRecord
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
 
 # After the restart, for callers that come back.
 LAST_CALLS_S = 2.0
--- a/valverouter/wirehost/codec.py
+++ b/valverouter/wirehost/codec.py
@@ -11,6 +11,7 @@
 import msgspec
 from msgspec import UNSET, Struct, UnsetType
 
+from valverouter.config.options import MalformedInputError, Options, deployment
 from valverouter.interface import (
     AttemptResult,
     CancelAttempt,
@@ -27,7 +28,6 @@
     Subscribe,
     Timer,
 )
-from valverouter.terms.options import MalformedInputError, Options, deployment
 
 __all__ = ["MalformedInputError", "Options", "deployment"]
 
