--- a/benchmarks/variant_on_the_wire.py
+++ b/benchmarks/variant_on_the_wire.py
@@ -9,13 +9,13 @@
 from unittest.mock import patch
 
 from valverouter.experiments.variants import parse_variant
-from valverouter.wirehost import __main__ as wirehost
+from valverouter.simulator_adapter import __main__ as simulator_adapter
 
 
 def main() -> None:
     decisions = parse_variant(" ".join(sys.argv[1:]))
-    with decisions.applied(), patch.object(wirehost, "Driver", decisions.build):
-        sys.exit(wirehost.main(sys.stdin.buffer, sys.stdout.buffer))
+    with decisions.applied(), patch.object(simulator_adapter, "Driver", decisions.build):
+        sys.exit(simulator_adapter.main(sys.stdin.buffer, sys.stdout.buffer))
 
 
 if __name__ == "__main__":
--- a/tests/process_rig.py
+++ b/tests/process_rig.py
@@ -125,7 +125,7 @@
         """Starts the edge proxy behind the platform's protocol, told so; waits until it listens."""
         self.file = self.folder / "config.json"
         self.file.write_bytes(msgspec.json.encode(told))
-        self.spawn(["valverouter.relayedge"], {"RELAY_CONFIG": str(self.file)})
+        self.spawn(["valverouter.platform_edge"], {"RELAY_CONFIG": str(self.file)})
         await self.event("edge-listening")
         self.address = told["listen"]
 
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -18,9 +18,9 @@
 from valverouter.days.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
 from valverouter.edge.runtime import Handler
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.relayedge.proxy import RelayProxy
-from valverouter.relaywire import isup
-from valverouter.relaywire.lines import Line, LineReader
+from valverouter.platform_edge.proxy import RelayProxy
+from valverouter.platform_protocol import isup
+from valverouter.platform_protocol.lines import Line, LineReader
 
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0 \u00e4\r\n"
 FIGURES = "dest:0;width:1;via:-1"
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -39,10 +39,10 @@
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
+from valverouter.platform_edge import translation as platform_translation
+from valverouter.platform_protocol import bus, lines
 from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
-from valverouter.relayedge import translation as relay_words
-from valverouter.relaywire import bus, lines
 from valverouter.rollout import (
     disruption_limits,
     disruption_permits,
@@ -442,7 +442,7 @@
 
 # The platform's
 
-ASKED = relay_words.RelaySetup(
+ASKED = platform_translation.RelaySetup(
     *LEG,
     traffic_type="booking",
     time_left=739,
@@ -455,8 +455,8 @@
 HOST = bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)
 PLATFORM: dict[str, Any] = {
     "asked": ASKED,
-    "answered": relay_words.EstablishedWithDescription(*LEG, "s11", LOAD, description="v=1"),
-    "stood": relay_words.EstablishedDialog(ASKED, "s12"),
+    "answered": platform_translation.EstablishedWithDescription(*LEG, "s11", LOAD, description="v=1"),
+    "stood": platform_translation.EstablishedDialog(ASKED, "s12"),
     "batch": bus.Batch(
         751,
         [bus.BusEvent(757, bus.Topology([bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)], True))],
@@ -595,7 +595,7 @@
     setup,
     serverlist,
     tap,
-    relay_words,
+    platform_translation,
     bus,
     lines,
 )
@@ -702,8 +702,8 @@
     tap.StepRow: "turned",
     tap.ProgramVersionRow: "runs",
     tap.OperationRow: "ordered",
-    relay_words.RelaySetup: "setup",
-    relay_words.EstablishedWithDescription: "stands",
+    platform_translation.RelaySetup: "setup",
+    platform_translation.EstablishedWithDescription: "stands",
 }
 
 
--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -13,8 +13,8 @@
 import trio
 
 from tests.relayrig import Client, Loopback, Rig, relayed, release
-from valverouter.relayedge.callers import MAX_PENDING_SETUPS
-from valverouter.relayedge.link import CONNECTIONS
+from valverouter.platform_edge.callers import MAX_PENDING_SETUPS
+from valverouter.platform_edge.link import CONNECTIONS
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
 GOES = ["closes", "cancels"]
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -21,7 +21,7 @@
 from valverouter.config.options import MalformedInputError
 from valverouter.config.platform import platform_config
 from valverouter.days.memory_network import MemoryNetwork
-from valverouter.relaywire import isup
+from valverouter.platform_protocol import isup
 
 A, B = "a" * 16, "b" * 16
 ANSWERED, OVER, CUT = (isup.ANM, A, -1), (isup.REL, A, 16), (isup.REL, A, 41)
@@ -372,13 +372,14 @@
         platform_config(json.dumps(told).encode())
 
 
-def test_the_run_command_on_loopback(tmp_path: Path) -> None:
+@pytest.mark.parametrize("module", ["valverouter.platform_edge", "valverouter.relayedge"])
+def test_the_run_command_on_loopback(tmp_path: Path, module: str) -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         listen = f"127.0.0.1:{free.getsockname()[1]}"
     path = tmp_path / "config.json"
     environment = os.environ | {"RELAY_CONFIG": str(path)}
-    command = [sys.executable, "-m", "valverouter.relayedge"]
+    command = [sys.executable, "-m", module]
     missing = subprocess.run(
         command, env=environment, capture_output=True, text=True, timeout=30, check=False
     )
--- a/tests/test_relayedge_races.py
+++ b/tests/test_relayedge_races.py
@@ -1,7 +1,8 @@
 """Races of the platform's edge proxy: at shutdown, at a signal, on a quiet bus, without descriptors.
 
 On loopback sockets. Where one process plays both sides, no turn of the instance begins before the test lets
-it; where `python -m valverouter.relayedge` runs, its own events are waited for. No clock judges the order.
+it; where `python -m valverouter.platform_edge` runs, its own events are waited for. No clock judges the
+order.
 """
 
 from __future__ import annotations
@@ -27,9 +28,9 @@
 from tests.relayrig import SETTINGS, Bus, Loopback, Rig, Server, configuration, host, relayed, release, set_up
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.relayedge import dialogs as relaydialogs
-from valverouter.relayedge.link import RelayLink
-from valverouter.relaywire import isup
+from valverouter.platform_edge import dialogs as relaydialogs
+from valverouter.platform_edge.link import RelayLink
+from valverouter.platform_protocol import isup
 from valverouter.signalling import setup
 
 A, B = "a" * 16, "b" * 16
@@ -318,7 +319,7 @@
         path = tmp_path / "config.json"
         os.mkfifo(path)
         listen = free_port()
-        one.spawn(["valverouter.relayedge"], {"RELAY_CONFIG": str(path)})
+        one.spawn(["valverouter.platform_edge"], {"RELAY_CONFIG": str(path)})
         there = await piped(path, msgspec.json.encode(configuration([], listen, "127.0.0.1:1")))
         one.process.send_signal(signal.SIGHUP)
         os.close(there)
@@ -341,7 +342,7 @@
     async with drill(tmp_path, servers=0) as one:
         path = tmp_path / "config.json"
         path.write_bytes(msgspec.json.encode(configuration([], free_port()) | change))
-        one.spawn(["valverouter.relayedge"], {"RELAY_CONFIG": str(path)})
+        one.spawn(["valverouter.platform_edge"], {"RELAY_CONFIG": str(path)})
         assert await one.ended() == 2
         with trio.fail_after(20):
             while not one.other_lines:
@@ -410,11 +411,41 @@
     assert sorted(took)[8] < READY_CPU_S, took
 
 
-def test_nothing_heavy_is_read_before_it_listens() -> None:
+PLATFORM_EDGE = ["valverouter.platform_edge", "valverouter.relayedge"]
+# Runs a module as `python -m` does, and prints for each library whether SIGHUP has a handler
+# before its import.
+SIGHUP_PROBE = """
+import runpy, signal, sys
+
+class Probe:
+    def find_spec(name, path=None, target=None):
+        if name in ("msgspec", "structlog", "trio"):
+            print(name, signal.getsignal(signal.SIGHUP) is not signal.SIG_DFL)
+
+sys.meta_path.insert(0, Probe)
+sys.argv = sys.argv[1:]
+runpy.run_module(sys.argv[0], run_name="__main__", alter_sys=True)
+"""
+
+
+@pytest.mark.parametrize("words", [[module] for module in PLATFORM_EDGE])
+def test_a_hangup_is_handled_before_libraries_are_imported(words: list[str], tmp_path: Path) -> None:
+    ran = subprocess.run(
+        [sys.executable, "-c", SIGHUP_PROBE, *words],
+        env=os.environ | {"RELAY_CONFIG": str(tmp_path / "none")},
+        capture_output=True, text=True, timeout=60, check=False,
+    )  # fmt: skip
+    assert ran.returncode == 2, ran.stderr
+    assert "valverouter: RELAY_CONFIG=" in ran.stderr
+    assert sorted(ran.stdout.splitlines()) == ["msgspec True", "structlog True", "trio True"]
+
+
+@pytest.mark.parametrize("module", PLATFORM_EDGE)
+def test_nothing_heavy_is_read_before_it_listens(module: str) -> None:
     told = subprocess.run(
-        [sys.executable, "-c", "import valverouter.relayedge.__main__, sys; print(*sorted(sys.modules))"],
+        [sys.executable, "-c", f"import {module}.__main__, sys; print(*sorted(sys.modules))"],
         capture_output=True, text=True, timeout=60, check=True,
     )  # fmt: skip
     loaded = set(told.stdout.split())
-    assert "valverouter.relayedge.proxy" in loaded
+    assert "valverouter.platform_edge.proxy" in loaded
     assert not loaded & set(HEAVY)
--- a/tests/test_relaywire.py
+++ b/tests/test_relaywire.py
@@ -11,9 +11,9 @@
 
 from tests.helpers import TERMS, TYPES
 from valverouter.interface import Deployment
-from valverouter.relayedge import translation
-from valverouter.relaywire import isup, lines
-from valverouter.relaywire.bus import Batch, BusSession
+from valverouter.platform_edge import translation
+from valverouter.platform_protocol import isup, lines
+from valverouter.platform_protocol.bus import Batch, BusSession
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -15,7 +15,7 @@
 from tests.test_relayedge_races import Far, free_port, passed
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.relaywire import isup
+from valverouter.platform_protocol import isup
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.setup import SetupSession
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,8 +12,8 @@
 import pytest
 
 from valverouter.policy.tuning import HEARTBEAT_INTERVAL
-from valverouter.wirehost.__main__ import ProxyHost
-from valverouter.wirehost.codec import MalformedInputError
+from valverouter.simulator_adapter.__main__ import ProxyHost
+from valverouter.simulator_adapter.codec import MalformedInputError
 
 OPTIONS: dict[str, Any] = {
     "categories": [{"name": "booking", "objectiveUs": 1_500_000, "deadlineUs": 9_000_000}],
@@ -97,9 +97,22 @@
     assert all(word in str(caught.value) for word in words)
 
 
-def test_process_ends_plainly_on_malformed_input() -> None:
+MODULES = ["valverouter.simulator_adapter", "valverouter.wirehost"]
+
+
+@pytest.mark.parametrize("module", MODULES)
+def test_process_answers_a_batch(module: str) -> None:
+    batch = line([*START, {"knock": KNOCK}])
+    command = [sys.executable, "-m", module]
+    done = subprocess.run(command, input=batch + b"\n", capture_output=True, check=False)
+    assert (done.returncode, done.stderr) == (0, b"")
+    assert done.stdout == ProxyHost().reply(batch)
+
+
+@pytest.mark.parametrize("module", MODULES)
+def test_process_ends_plainly_on_malformed_input(module: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "valverouter.wirehost"], input=b"{}\n", capture_output=True, check=False
+        [sys.executable, "-m", module], input=b"{}\n", capture_output=True, check=False
     )
     assert (done.returncode, done.stdout) == (2, b"")
     assert done.stderr.count(b"\n") == 1
--- /dev/null
+++ b/valverouter/platform_edge/__init__.py
@@ -0,0 +1,1 @@
+"""The edge proxy behind the operators' platform: its start, callers, links, event bus and signals."""
--- /dev/null
+++ b/valverouter/platform_edge/__main__.py
@@ -0,0 +1,116 @@
+"""`python -m valverouter.platform_edge`: one edge proxy on the operators' platform, set up by RELAY_CONFIG.
+
+Exit codes: 0 stopped; 2 the configuration is invalid; 3 the start failed. Imports are kept to what the
+platform's memory limit allows: no command line, no numerical libraries.
+"""
+
+from __future__ import annotations
+
+import os
+import signal
+import sys
+from pathlib import Path
+
+if __name__ == "__main__":
+    # Before the other imports: without a handler SIGHUP ends the process.
+    EARLY_SIGNALS: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, frame: EARLY_SIGNALS.append(number))
+
+import structlog
+import trio
+
+from valverouter.config import platform
+from valverouter.config.edge import LogConfig
+from valverouter.config.options import MalformedInputError
+from valverouter.edge import logs
+from valverouter.edge.garbage_collection import tune_garbage_collector
+from valverouter.edge.signals import receive_signals
+from valverouter.edge.sockets import SocketRuntime
+from valverouter.platform_edge.proxy import RelayProxy
+from valverouter.platform_protocol import bus
+from valverouter.signalling.framing import ProtocolError
+
+EXIT_INVALID_CONFIG, EXIT_START_FAILED = 2, 3
+CONFIG_VARIABLE = "RELAY_CONFIG"
+# A file that is being replaced is read again after this delay, this many times.
+RELOAD_RETRY_DELAY_S, RELOAD_ATTEMPTS = 0.1, 20
+# A peer that is silent for so long is probed, in nanoseconds.
+PEER_SILENCE = 60 * 10**9
+
+log = structlog.get_logger()
+
+
+async def serve(path: Path, config: platform.PlatformConfig, early_signals: list[int]) -> None:
+    """Runs the proxy until it is stopped.
+
+    `early_signals`: SIGHUPs from before the signal receiver was open, perhaps after `path` was read.
+    """
+    proxy = RelayProxy(config, SocketRuntime(silence=PEER_SILENCE, max_descriptors=config.limits.sockets))
+    with receive_signals(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as signals:
+        async with trio.open_nursery() as nursery:
+            await nursery.start(proxy.run)
+            tune_garbage_collector()
+
+            async def listen() -> None:
+                async for number in signals:
+                    if number == signal.SIGHUP:
+                        nursery.start_soon(reload, proxy, path)
+                    else:
+                        nursery.start_soon(stop_after_accept_period, proxy)
+
+            if early_signals:
+                nursery.start_soon(reload, proxy, path)
+            nursery.start_soon(listen)
+            await proxy.ended.wait()
+            nursery.cancel_scope.cancel()
+
+
+async def stop_after_accept_period(proxy: RelayProxy) -> None:
+    """Stops once the platform sends no more connections and requests here, a while after the signal."""
+    await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
+    proxy.stop()
+
+
+async def reload(proxy: RelayProxy, path: Path) -> None:
+    """On SIGHUP: applies the file; one that is invalid is read again, and changes nothing meanwhile."""
+    for _ in range(RELOAD_ATTEMPTS):
+        try:
+            proxy.reconfigure(read_config(path))
+            return
+        except (OSError, MalformedInputError) as error:
+            reason = str(error)
+        await trio.sleep(RELOAD_RETRY_DELAY_S)
+    log.error("configuration-rejected", path=str(path), why=reason)
+
+
+def read_config(path: Path) -> platform.PlatformConfig:
+    """Reads and validates the configuration and the events in it; raises OSError, MalformedInputError."""
+    config = platform.platform_config(path.read_bytes())
+    try:
+        bus.decode_batch(config.known)
+    except ProtocolError as error:
+        raise MalformedInputError(f"known: {error}") from None
+    return config
+
+
+def main(early_signals: list[int]) -> int:
+    """Runs the process; returns its exit code. `early_signals`: SIGHUPs received during the imports."""
+    path = os.environ.get(CONFIG_VARIABLE, "")
+    try:
+        config = read_config(Path(path))
+    except (OSError, MalformedInputError) as error:
+        print(f"valverouter: {CONFIG_VARIABLE}={path}: {error}", file=sys.stderr)
+        return EXIT_INVALID_CONFIG
+    logs.configure_logging(LogConfig())
+    failures: list[str] = []
+    try:
+        trio.run(serve, Path(path), config, early_signals)
+    except* OSError as errors:
+        failures = [str(error) for error in errors.exceptions]
+    if failures:
+        log.error("edge-start-failed", why=failures[0])
+    return EXIT_START_FAILED if failures else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main(EARLY_SIGNALS))
--- a/valverouter/relayedge/bus_client.py
+++ b/valverouter/platform_edge/bus_client.py
@@ -11,8 +11,8 @@
 from valverouter.edge.queues import EventQueue
 from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.interface import EndpointUpdateKind
-from valverouter.relayedge import translation
-from valverouter.relaywire.bus import Batch, BusSession, decode_batch
+from valverouter.platform_edge import translation
+from valverouter.platform_protocol.bus import Batch, BusSession, decode_batch
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.serverlist import EndpointRow, Replica
 
--- a/valverouter/relayedge/caller_listener.py
+++ b/valverouter/platform_edge/caller_listener.py
@@ -9,8 +9,8 @@
 from valverouter.edge.caller_listener import CallerListener
 from valverouter.edge.context import ProxyContext
 from valverouter.edge.server_links import ServerLinks
-from valverouter.relayedge.callers import AnsweredIds, ConnectedCallers, RateLimitedLog, RelayCaller
-from valverouter.relayedge.dialogs import EndNotifier
+from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, RateLimitedLog, RelayCaller
+from valverouter.platform_edge.dialogs import EndNotifier
 
 
 class RelayListener(CallerListener):
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/platform_edge/callers.py
@@ -16,8 +16,8 @@
 from valverouter.edge.connections import receive_by
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueueFullError
 from valverouter.interface import Deployment
-from valverouter.relayedge import translation
-from valverouter.relaywire import isup
+from valverouter.platform_edge import translation
+from valverouter.platform_protocol import isup
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Welcome
--- a/valverouter/relayedge/dialogs.py
+++ b/valverouter/platform_edge/dialogs.py
@@ -13,9 +13,9 @@
 from valverouter.edge.events import CallerDisconnected
 from valverouter.edge.reload import ConfigReloader
 from valverouter.edge.server_links import ServerLinks
-from valverouter.relayedge.callers import AnsweredIds, ConnectedCallers, EstablishedReported, RelayCaller
-from valverouter.relayedge.link import RelayLink
-from valverouter.relayedge.unknown_ends import UnknownEnds
+from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, EstablishedReported, RelayCaller
+from valverouter.platform_edge.link import RelayLink
+from valverouter.platform_edge.unknown_releases import UnknownEnds
 from valverouter.signalling import setup
 
 # How long an end is stored for the next connection where no caller is connected, in seconds.
--- a/valverouter/relayedge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -15,10 +15,10 @@
 from valverouter.edge.link import ReconnectDelay, ServerLink
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
 from valverouter.edge.runtime import READ_SIZE, Runtime
-from valverouter.relayedge import translation
-from valverouter.relayedge.server_connection import ServerConnection
-from valverouter.relayedge.unknown_ends import UnknownEnds
-from valverouter.relaywire import lines
+from valverouter.platform_edge import translation
+from valverouter.platform_edge.server_connection import ServerConnection
+from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_protocol import lines
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 
--- a/valverouter/relayedge/proxy.py
+++ b/valverouter/platform_edge/proxy.py
@@ -15,12 +15,12 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.runtime import Runtime
 from valverouter.edge.server_links import ServerLinks
-from valverouter.relayedge.bus_client import BusClient
-from valverouter.relayedge.caller_listener import RelayListener
-from valverouter.relayedge.callers import AnsweredIds, ConnectedCallers, EstablishedReported
-from valverouter.relayedge.dialogs import EndNotifier, RelayAttempts, RelayDialogs, RelayRequests
-from valverouter.relayedge.server_links import RelayLinks
-from valverouter.relayedge.unknown_ends import UnknownEnds
+from valverouter.platform_edge.bus_client import BusClient
+from valverouter.platform_edge.caller_listener import RelayListener
+from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, EstablishedReported
+from valverouter.platform_edge.dialogs import EndNotifier, RelayAttempts, RelayDialogs, RelayRequests
+from valverouter.platform_edge.server_links import RelayLinks
+from valverouter.platform_edge.unknown_releases import UnknownEnds
 
 
 class RelayProxy(EdgeProxy):
--- a/valverouter/relayedge/server_links.py
+++ b/valverouter/platform_edge/server_links.py
@@ -7,8 +7,8 @@
 from valverouter.edge.events import EndpointUpdate
 from valverouter.edge.link import ServerLink
 from valverouter.edge.server_links import ServerLinks
-from valverouter.relayedge.link import RelayLink
-from valverouter.relayedge.unknown_ends import UnknownEnds
+from valverouter.platform_edge.link import RelayLink
+from valverouter.platform_edge.unknown_releases import UnknownEnds
 
 # Incarnations are moments of their start in milliseconds.
 NS_PER_MS = 10**6
--- a/valverouter/relayedge/translation.py
+++ b/valverouter/platform_edge/translation.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from valverouter.interface import Deployment
-from valverouter.relaywire import isup, lines
-from valverouter.relaywire.bus import Host
+from valverouter.platform_protocol import isup, lines
+from valverouter.platform_protocol.bus import Host
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.serverlist import EndpointRow, ServerPhase
--- a/valverouter/relaywire/isup.py
+++ b/valverouter/platform_protocol/isup.py
@@ -1,7 +1,7 @@
 """Callers' binary messages, after ISUP: a length, a type, the eight bytes of the call id, then parameters.
 
 Decoded messages are well formed; whether their values are valid depends on the configuration and is checked
-in relayedge/translation.py.
+in platform_edge/translation.py.
 """
 
 from __future__ import annotations
--- a/valverouter/relayedge/__init__.py
+++ b/valverouter/relayedge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge proxy behind the operators' platform: its start, callers, links, event bus and signals."""
+"""The former name of `valverouter.platform_edge`, kept as an entry point."""
--- /dev/null
+++ b/valverouter/simulator_adapter/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator's adapter: one process hosts the policies of many edge proxies, which share nothing."""
--- a/valverouter/soak/core_servers.py
+++ b/valverouter/soak/core_servers.py
@@ -12,7 +12,7 @@
 import trio
 
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.relaywire.lines import Line, LineReader
+from valverouter.platform_protocol.lines import Line, LineReader
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.tap import EndpointUpdateRow, MessageRow, Tap
 from valverouter.soak.course import ServerBehavior
--- a/valverouter/soak/planted.py
+++ b/valverouter/soak/planted.py
@@ -20,9 +20,9 @@
 import trio
 
 from valverouter.config import platform
-from valverouter.relayedge import __main__ as program
-from valverouter.relayedge.callers import RelayCaller
-from valverouter.relayedge.proxy import RelayProxy
+from valverouter.platform_edge import __main__ as program
+from valverouter.platform_edge.callers import RelayCaller
+from valverouter.platform_edge.proxy import RelayProxy
 
 EARLY_BY_S = 0.3
 DROP_EVERY = 50
--- a/valverouter/soak/platform_callers.py
+++ b/valverouter/soak/platform_callers.py
@@ -9,7 +9,7 @@
 import trio
 
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.relaywire import isup
+from valverouter.platform_protocol import isup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.soak.core_servers import DESCRIPTION
 from valverouter.soak.record import RequestRecord
--- a/valverouter/soak/platform_run.py
+++ b/valverouter/soak/platform_run.py
@@ -34,7 +34,7 @@
 from valverouter.soak.record import CourseRecord, ProcessRecord
 
 EDGE = "n0"
-RELAY = ["-m", "valverouter.relayedge"]
+RELAY = ["-m", "valverouter.platform_edge"]
 SECOND = 10**9
 RELEASE_GUARD_US = 200_000
 # The platform's rule on draining servers: nothing new from so long after they are told.
--- a/valverouter/wirehost/__init__.py
+++ b/valverouter/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: one process hosts the policies of many edge proxies, which share nothing."""
+"""The former name of `valverouter.simulator_adapter`, kept as an entry point."""
