--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -26,9 +26,9 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.recorded_calls import RecordedCall, write_calls
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.emulated import run_emulated
-from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import run_virtual
+from valverouter.scenarios.emulated import run_emulated
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling.tap import Row
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -24,10 +24,10 @@
 from valverouter.config.edge import LogConfig
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.fault_course import draw_fault_course
-from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import run_virtual
 from valverouter.edge import logs
+from valverouter.scenarios.fault_course import draw_fault_course
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling.tap import AuditConfigRow, MembershipEventRow, Row
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
--- a/benchmarks/leg_time_out.py
+++ b/benchmarks/leg_time_out.py
@@ -21,7 +21,7 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.virtual import run_virtual
+from valverouter.scenarios.virtual import run_virtual
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
 SPANS = ("", "750ms", "1500ms", "3s")
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -30,15 +30,15 @@
 from valverouter.config.edge import LogConfig
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.loopback import run_loopback
-from valverouter.days.operation_course import OperationCourse
-from valverouter.days.operation_rig import OperationRig, run_operations
 from valverouter.edge import logs
 from valverouter.emulator.raft_group import InvariantViolationError
 from valverouter.emulator.rollout_simulation import RolloutSimulation
 from valverouter.rollout.disruption_limits import DisruptionLimits
 from valverouter.rollout.operations import OperationKind, Submit
 from valverouter.rollout.raft import SECOND
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.operation_course import OperationCourse
+from valverouter.scenarios.operation_harness import OperationRig, run_operations
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -23,8 +23,8 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.planning import plan_scenario
-from valverouter.days.virtual import run_virtual
+from valverouter.scenarios.planning import plan_scenario
+from valverouter.scenarios.virtual import run_virtual
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
 # Routine legs and the window in seconds: a large fleet's slots need a longer one to be used.
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -25,12 +25,12 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.emulated import run_emulated
-from valverouter.days.loopback import run_loopback
-from valverouter.days.virtual import run_virtual
 from valverouter.emulator import edge_recovery
 from valverouter.experiments.figures import compute_figures
 from valverouter.recovery.pacing import QueryPacer
+from valverouter.scenarios.emulated import run_emulated
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.virtual import run_virtual
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
 FLEET = Path(__file__).parent.parent / "deploy" / "experiments" / "size-day.ini"
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -20,8 +20,8 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.emulated import run_emulated
 from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind, plan_waves
+from valverouter.scenarios.emulated import run_emulated
 
 INI = """
 [day]
--- a/tests/relayrig.py
+++ b/tests/relayrig.py
@@ -15,12 +15,12 @@
 import trio
 
 from valverouter.config.platform import PlatformConfig, platform_config
-from valverouter.days.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
 from valverouter.edge.runtime import Handler
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_edge.proxy import RelayProxy
 from valverouter.platform_protocol import isup
 from valverouter.platform_protocol.lines import Line, LineReader
+from valverouter.scenarios.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
 
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0 \u00e4\r\n"
 FIGURES = "dest:0;width:1;via:-1"
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,8 +11,8 @@
 
 from valverouter.config.edge import EdgeConfig, edge_config
 from valverouter.config.ini import IniFile
-from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.edge.proxy import EdgeProxy
+from valverouter.scenarios.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Hello, Session, Welcome
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -21,8 +21,8 @@
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
 from valverouter.config.scenario import load_scenario
-from valverouter.days.virtual import run_virtual
 from valverouter.interface import Outcome, RetryBudgetConfig
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling import setup
 
 MS, SECOND = 10**6, 10**9
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -17,11 +17,11 @@
 from valverouter.config.ini import IniFile, InvalidConfigError
 from valverouter.config.recorded_calls import MAX_REPORTED_PROBLEMS, RecordedCall, read_calls, write_calls
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
-from valverouter.days.emulated import run_emulated
-from valverouter.days.recorded_calls import recorded_calls
-from valverouter.days.virtual import run_virtual
 from valverouter.experiments.plan import Run
 from valverouter.experiments.search_config import load_search
+from valverouter.scenarios.emulated import run_emulated
+from valverouter.scenarios.recorded_calls import recorded_calls
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling import tap
 from valverouter.signalling.tap import MessageRow, Row
 
--- a/tests/test_cross_region_days.py
+++ b/tests/test_cross_region_days.py
@@ -16,10 +16,10 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
-from valverouter.days.planning import plan_scenario
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.regions.usage import merge_totals
+from valverouter.scenarios.planning import plan_scenario
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling import tap
 
 MS, SECOND = 10**6, 10**9
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -22,13 +22,13 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.config.scenario_sections import FAULT_KINDS, MEMBERSHIP_FAULT_KINDS, FaultConfig
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.edge.attempts import OUTCOMES, AttemptHandler
 from valverouter.edge.caller_requests import CallerRequests
 from valverouter.edge.server_links import ServerLinks
 from valverouter.interface import Outcome
 from valverouter.policy import tuning
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling import setup, tap
 
 MS, SECOND = 10**6, 10**9
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -12,12 +12,12 @@
 from trio.testing import MockClock
 
 from tests.rig import INI, MS, SECOND, Rig, dial, rigged, terms
-from valverouter.days.memory_network import STREAM_BUFFER_SIZE
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.queues import SendBatch, SendQueue
 from valverouter.edge.sockets import PlainSocketStream, SocketRuntime, split_address
 from valverouter.interface import DialogAction, StartAttempt
 from valverouter.policy.routing import RoutingPolicy
+from valverouter.scenarios.memory_network import STREAM_BUFFER_SIZE
 from valverouter.signalling import setup
 from valverouter.signalling.framing import FrameReader, ProtocolError, encode_frame
 from valverouter.signalling.greeting import Hello, NotUnderstood
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,12 +17,12 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
-from valverouter.days.emulated import edge_plans, run_emulated
-from valverouter.days.virtual import run_virtual
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import simulate_day
 from valverouter.emulator.simulation import EPOCH, RandomStream, Simulation
 from valverouter.experiments.daypage import day_page
+from valverouter.scenarios.emulated import edge_plans, run_emulated
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 from valverouter.servermodel.events import ServerEventKind
 from valverouter.servermodel.profile import ServerProfile
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -27,7 +27,6 @@
 from tests.test_cross_region_config import GOOD as REGIONS
 from valverouter.config.edge import load_edge_config
 from valverouter.config.ini import InvalidConfigError
-from valverouter.days.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import send_farewell
 from valverouter.edge.discovery import DiscoveryClient
@@ -39,6 +38,7 @@
 from valverouter.interface import CancelAttempt, DialogAction, LoadReport, Outcome
 from valverouter.regions import cross_region_limiter
 from valverouter.regions.time_sliced_quota import TimeSlicedQuota
+from valverouter.scenarios.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
 from valverouter.signalling.framing import ProtocolError, encode_frame
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import EndpointRow, ListSession, Snapshot, Watch
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,9 +11,9 @@
 
 from tests.test_days import valverouter
 from valverouter.config.scenario import load_scenario
-from valverouter.load.drive import LoadFailedError, drive, traffic_of
-from valverouter.load.measure import LoadSample
-from valverouter.load.rate_search import highest_rate
+from valverouter.load_test.drive import LoadFailedError, drive, traffic_of
+from valverouter.load_test.measure import LoadSample
+from valverouter.load_test.rate_search import highest_rate
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import Hello, Welcome
 
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -15,10 +15,10 @@
 from valverouter.cli.__main__ import main
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
-from valverouter.days.loopback import run_loopback
-from valverouter.days.memory_network import MemoryRuntime
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.virtual import VirtualEdge, run_virtual
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.memory_network import MemoryRuntime
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
 
 
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -31,7 +31,6 @@
 )
 from valverouter.cli.__main__ import main
 from valverouter.config.gossip import GossipConfig
-from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.authentication import Authenticator
 from valverouter.fleet.client import FleetClient
@@ -39,6 +38,7 @@
 from valverouter.fleet.queries import MemberRow, ViewPage
 from valverouter.fleet.view_comparison import ViewAnswer, find_differences, is_converged
 from valverouter.membership.records import MemberRecord, MemberState, Phase
+from valverouter.scenarios.memory_network import MemoryNetwork, MemoryRuntime
 
 
 async def test_two_instances_find_each_other_and_one_leaves() -> None:
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -20,9 +20,9 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.operation_files import NODES
-from valverouter.days.operation_rig import OperationRig, run_operations
 from valverouter.rollout.status import FleetStatus
+from valverouter.scenarios.operation_files import NODES
+from valverouter.scenarios.operation_harness import OperationRig, run_operations
 from valverouter.servermodel.paths import PathFault
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -21,8 +21,6 @@
 from valverouter.audit.rules import audit
 from valverouter.config.attempts import AttemptConfig, AttemptKeys, AttemptSection
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.driver import Driver
 from valverouter.edge.attempts import AttemptHandler
 from valverouter.edge.dialogs import DialogTable
@@ -30,6 +28,8 @@
 from valverouter.interface import AttemptResult, Endpoint, EndpointUpdateKind, LoadReport, Outcome
 from valverouter.policy import tuning
 from valverouter.policy.capacity import SlowStart
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling import setup, tap
 
 # RowChecker the Driver: a fleet of three, each with its own draws of what becomes of each leg.
--- a/tests/test_relayedge.py
+++ b/tests/test_relayedge.py
@@ -20,8 +20,8 @@
 from tests.relayrig import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
 from valverouter.config.options import MalformedInputError
 from valverouter.config.platform import platform_config
-from valverouter.days.memory_network import MemoryNetwork
 from valverouter.platform_protocol import isup
+from valverouter.scenarios.memory_network import MemoryNetwork
 
 A, B = "a" * 16, "b" * 16
 ANSWERED, OVER, CUT = (isup.ANM, A, -1), (isup.REL, A, 16), (isup.REL, A, 41)
--- a/tests/test_relayedge_end.py
+++ b/tests/test_relayedge_end.py
@@ -10,7 +10,7 @@
 
 from tests.relayrig import Client, Rig, relayed, set_up
 from valverouter.config import platform
-from valverouter.days.memory_network import MemoryRuntime
+from valverouter.scenarios.memory_network import MemoryRuntime
 
 CALLERS = 8
 ASK_INTERVAL_S = 0.08
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -23,12 +23,6 @@
 from valverouter.audit.verdict import Verdict
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.emulated import edge_plans, run_emulated
-from valverouter.days.loopback import run_loopback
-from valverouter.days.memory_network import MemoryRuntime
-from valverouter.days.memory_store import MemoryLedgerStore
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.virtual import VirtualEdge, run_virtual
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.recovery_log import RecoveryLog
 from valverouter.edge.resumable_attempts import ResumableAttempts
@@ -39,6 +33,12 @@
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
 from valverouter.recovery.plan import remaining_attempt_policy
+from valverouter.scenarios.emulated import edge_plans, run_emulated
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.memory_network import MemoryRuntime
+from valverouter.scenarios.memory_store import MemoryLedgerStore
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling import setup, tap
 
 DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -12,10 +12,10 @@
 from valverouter.config.ini import IniFile, InvalidConfigError
 from valverouter.config.scenario import scenario_config
 from valverouter.config.scenario_sections import FAULT_KINDS
-from valverouter.days.emulated import run_emulated
 from valverouter.experiments.candidates import DayCandidate, FaultCandidate, decode_genes, simplifications
 from valverouter.experiments.search import DayJudge, day_file, minimize, search
 from valverouter.experiments.search_config import Search, load_search
+from valverouter.scenarios.emulated import run_emulated
 
 SECOND = 10**9
 FILE = Path(__file__).parent.parent / "deploy" / "experiments" / "worst-day.ini"
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -72,15 +72,15 @@
         click.echo(f"valverouter: {error}", err=True)
         sys.exit(INVALID_INPUT)
     except RuntimeError as error:
-        from valverouter.load.drive import LoadFailedError
+        from valverouter.load_test.drive import LoadFailedError
 
         if not isinstance(error, LoadFailedError):
             raise
         click.echo(f"valverouter: {error}", err=True)
         sys.exit(FAILED)
     except BaseExceptionGroup as group:
-        from valverouter.days.loopback import EdgeFailedError
-        from valverouter.load.drive import LoadFailedError
+        from valverouter.load_test.drive import LoadFailedError
+        from valverouter.scenarios.loopback import EdgeFailedError
 
         if group.split((EdgeFailedError, LoadFailedError, OSError))[1] is not None:
             raise
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -73,8 +73,8 @@
 
     Exits with 1 when a rule was broken.
     """
-    from valverouter.days.emulated import run_emulated
     from valverouter.experiments.daypage import day_page
+    from valverouter.scenarios.emulated import run_emulated
 
     scenario = load_scenario(file)
     result = run_emulated(scenario, sample_interval=10**9)
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -13,7 +13,7 @@
 from valverouter.cli.fleet_view import view
 from valverouter.cli.operations import COMMANDS
 from valverouter.config.scenario import load_scenario
-from valverouter.days.emulated_membership import run_emulated_membership
+from valverouter.scenarios.emulated_membership import run_emulated_membership
 
 NS_PER_S = 1e9
 
--- a/valverouter/cli/load_runs.py
+++ b/valverouter/cli/load_runs.py
@@ -9,10 +9,10 @@
 
 from valverouter.config.scenario import load_scenario
 from valverouter.experiments.compare import paired_difference
-from valverouter.load.drive import drive
-from valverouter.load.measure import LoadSample
-from valverouter.load.rate_search import highest_rate
-from valverouter.load.target import target
+from valverouter.load_test.drive import drive
+from valverouter.load_test.measure import LoadSample
+from valverouter.load_test.rate_search import highest_rate
+from valverouter.load_test.target import target
 
 # How long the fakes outlive the runs that are planned; they end by themselves.
 FAKES_MARGIN_S = 60
--- a/valverouter/cli/regions.py
+++ b/valverouter/cli/regions.py
@@ -11,8 +11,8 @@
 from valverouter.cli import tables
 from valverouter.cli.common import FILE, console
 from valverouter.config.scenario import load_scenario
-from valverouter.days.planning import plan_scenario
 from valverouter.regions.usage import attempts_by_minute, merge_totals, missing_records
+from valverouter.scenarios.planning import plan_scenario
 from valverouter.signalling import tap
 
 log = structlog.get_logger()
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -15,15 +15,15 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.recorded_calls import write_calls
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
-from valverouter.days.loopback import run_loopback
-from valverouter.days.recorded_calls import recorded_calls
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.scenario_runner import play_script
-from valverouter.days.virtual import run_virtual
 from valverouter.edge import logs
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.recorded_calls import recorded_calls
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling import tap
 
 log = structlog.get_logger()
--- a/valverouter/emulator/edge_faults.py
+++ b/valverouter/emulator/edge_faults.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.emulator.call_load import HOT_CALLED_NUMBER, CallLoad
+from valverouter.emulator.call_generation import HOT_CALLED_NUMBER, CallLoad
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.fault_targets import FaultProcess, FaultStart, FaultTargets
 from valverouter.emulator.fleet import Fleet
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.emulator.call_load import CallGenerator, CallLoad
+from valverouter.emulator.call_generation import CallGenerator, CallLoad
 from valverouter.emulator.edge_faults import EdgeFaults
 from valverouter.emulator.edge_model import ServerView
 from valverouter.emulator.fault_targets import FaultProcess, FaultTargets
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from valverouter.days.emulated import run_emulated
 from valverouter.experiments.figures import compute_figures
 from valverouter.experiments.plan import Run, source_version
 from valverouter.experiments.variants import parse_variant
+from valverouter.scenarios.emulated import run_emulated
 
 TABLE = """create table if not exists runs
 (key text primary key, version text, variant text, seed integer, levels text, day text, figures text)"""
--- a/valverouter/load/drive.py
+++ b/valverouter/load_test/drive.py
@@ -7,8 +7,8 @@
 import trio
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.loopback import START_TIMEOUT_S
-from valverouter.load.measure import LoadSample
+from valverouter.load_test.measure import LoadSample
+from valverouter.scenarios.loopback import START_TIMEOUT_S
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import NEWEST_VERSION, OLDEST_VERSION, Hello, Welcome
 
--- a/valverouter/load/target.py
+++ b/valverouter/load_test/target.py
@@ -11,8 +11,8 @@
 import trio
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.loopback import START_TIMEOUT_S, LoopbackEdge
-from valverouter.load.drive import SECOND, LoadFailedError
+from valverouter.load_test.drive import SECOND, LoadFailedError
+from valverouter.scenarios.loopback import START_TIMEOUT_S, LoopbackEdge
 
 # What the fakes print before the address of their list service.
 LIST_SERVICE_PROMPT = b"list service at "
--- a/valverouter/days/call_load.py
+++ b/valverouter/scenarios/call_generation.py
@@ -7,9 +7,9 @@
 import trio
 
 from valverouter.config.recorded_calls import RecordedCall
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.emulator.call_load import HOT_CALLED_NUMBER
+from valverouter.emulator.call_generation import HOT_CALLED_NUMBER
 from valverouter.fakes.callers import NO_DIALOG, FakeCallers
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 from valverouter.signalling import setup
 
--- a/valverouter/days/edge_faults.py
+++ b/valverouter/scenarios/edge_faults.py
@@ -7,11 +7,11 @@
 import trio
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.days.call_load import CallLoad
-from valverouter.days.fault_targets import CALLERS_TARGET, FaultProcess, FaultTargets
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.emulator.call_load import HOT_CALLED_NUMBER
+from valverouter.emulator.call_generation import HOT_CALLED_NUMBER
 from valverouter.fakes.callers import with_scaled_patience
+from valverouter.scenarios.call_generation import CallLoad
+from valverouter.scenarios.fault_targets import CALLERS_TARGET, FaultProcess, FaultTargets
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 
 
 class EdgeFaults:
--- a/valverouter/days/emulated_membership.py
+++ b/valverouter/scenarios/emulated_membership.py
@@ -12,10 +12,10 @@
 
 from valverouter.config.scenario import ScenarioConfig
 from valverouter.config.scenario_sections import FaultConfig, ScenarioGossipConfig
-from valverouter.days.network_paths import network_paths, path_faults
 from valverouter.emulator.membership_simulation import MembershipSimulation, SimulatedNode
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.events import MembershipEvent
+from valverouter.scenarios.network_paths import network_paths, path_faults
 
 NS_PER_S = 1e9
 EDGE_FAULT_PREFIX = "balancer_"
--- a/valverouter/days/fault_targets.py
+++ b/valverouter/scenarios/fault_targets.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.fakes.server import FakeServer
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.signalling.tap import FaultRow
 
 CALLERS_TARGET = "callers"
--- a/valverouter/days/loopback.py
+++ b/valverouter/scenarios/loopback.py
@@ -12,10 +12,10 @@
 import trio
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.loopback_membership import LoopbackMembership
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.days.scenario_runner import ProgressCallback, run_scenario
 from valverouter.edge.sockets import SocketRuntime
+from valverouter.scenarios.loopback_membership import LoopbackMembership
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.scenarios.scenario_runner import ProgressCallback, run_scenario
 from valverouter.signalling.tap import Row
 
 START_TIMEOUT_S = 20
--- a/valverouter/days/loopback_membership.py
+++ b/valverouter/scenarios/loopback_membership.py
@@ -8,11 +8,11 @@
 import trio
 
 from valverouter.config.scenario_sections import ScenarioGossipConfig
-from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL, MembershipRecorder
-from valverouter.days.network_paths import network_paths
-from valverouter.days.scenario_fakes import ScenarioFakes
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
+from valverouter.scenarios.membership_recorder import GOSSIP_KEY_MATERIAL, MembershipRecorder
+from valverouter.scenarios.network_paths import network_paths
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.servermodel.paths import NetworkPaths
 
 # Log events of an edge proxy that report a change in its membership; the kind follows.
--- a/valverouter/days/membership_recorder.py
+++ b/valverouter/scenarios/membership_recorder.py
@@ -13,12 +13,12 @@
 
 from valverouter.config.gossip import derive_key
 from valverouter.config.scenario_sections import ScenarioGossipConfig
-from valverouter.days.network_paths import path_faults
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.edge.runtime import Runtime
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.view_comparison import ViewAnswer
 from valverouter.membership.records import LIVE_STATES
+from valverouter.scenarios.network_paths import path_faults
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.signalling.tap import (
     ConvergenceDeadlineRow,
     EdgeProcessRow,
--- a/valverouter/days/operation_course.py
+++ b/valverouter/scenarios/operation_course.py
@@ -11,8 +11,8 @@
 
 import trio
 
-from valverouter.days.operation_files import NODES, supervisor_of
-from valverouter.days.operation_rig import OperationRig
+from valverouter.scenarios.operation_files import NODES, supervisor_of
+from valverouter.scenarios.operation_harness import OperationRig
 from valverouter.servermodel.paths import PathFault
 
 NS_PER_S = 1e9
--- a/valverouter/days/operation_files.py
+++ b/valverouter/scenarios/operation_files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.membership_recorder import GOSSIP_KEY_MATERIAL
+from valverouter.scenarios.membership_recorder import GOSSIP_KEY_MATERIAL
 
 CLI = (sys.executable, "-m", "valverouter.cli")
 NODES = ("c0", "c1", "c2")
@@ -107,7 +107,7 @@
         }
 
     def _write_server_supervisor(self, name: str, control: str, region: str) -> None:
-        agent = f"{sys.executable} -m valverouter.days.server_agent {name} {control} {self.listen[name]}"
+        agent = f"{sys.executable} -m valverouter.scenarios.server_agent {name} {control} {self.listen[name]}"
         text = f"[keeper]\nname = {name}\nsort = server\n{self._supervisor_settings(name)}"
         text += f"version = v1\ncapacity = 0\nlist_service = {self.list_service}\n"
         text += f"drain_within = 2s\nstop_within = 6s\nregion = {region}\n"
--- a/valverouter/days/operation_rig.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -21,14 +21,14 @@
 import trio
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.scenario_runner import play_script
-from valverouter.days.server_agents import ServerAgents
-from valverouter.days.supervisor_logs import append_log_rows
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.status import FleetStatus, OperationStatus
+from valverouter.scenarios.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.server_agents import ServerAgents
+from valverouter.scenarios.supervisor_logs import append_log_rows
 from valverouter.servermodel.paths import NetworkPaths, PathFault
 from valverouter.signalling.tap import DisruptionLimitsRow, FaultRow, OperationRow, Row
 
--- a/valverouter/days/scenario_fakes.py
+++ b/valverouter/scenarios/scenario_fakes.py
@@ -12,12 +12,12 @@
 import trio
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.edge_under_test import EdgeUnderTest
 from valverouter.emulator.server_profile import server_profile
 from valverouter.fakes.callers import CallerBehavior, FakeCallers
 from valverouter.fakes.endpoint_list import FakeEndpointList
 from valverouter.fakes.environment import Environment, Network, Scheduler
 from valverouter.fakes.server import FakeServer, FakeServerOptions
+from valverouter.scenarios.edge_under_test import EdgeUnderTest
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.serverlist import EndpointRow, ServerPhase
--- a/valverouter/days/scenario_runner.py
+++ b/valverouter/scenarios/scenario_runner.py
@@ -11,13 +11,13 @@
 import trio
 
 from valverouter.config.scenario_sections import FaultConfig, PathFaultConfig
-from valverouter.days.call_load import CallLoad
-from valverouter.days.edge_faults import EdgeFaults
-from valverouter.days.fault_targets import FaultProcess, FaultTargets
-from valverouter.days.membership_recorder import MembershipRecorder
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.days.server_faults import ServerFaults
 from valverouter.fakes.callers import with_scaled_patience
+from valverouter.scenarios.call_generation import CallLoad
+from valverouter.scenarios.edge_faults import EdgeFaults
+from valverouter.scenarios.fault_targets import FaultProcess, FaultTargets
+from valverouter.scenarios.membership_recorder import MembershipRecorder
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.scenarios.server_faults import ServerFaults
 from valverouter.signalling.tap import CallersStartedRow, Row
 
 # So long after the last answer was due the record goes on, so that a late answer is in it.
--- a/valverouter/days/server_agent.py
+++ b/valverouter/scenarios/server_agent.py
@@ -4,7 +4,7 @@
 server is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance
 does: serving, and ready once the server is warm.
 
-python -m valverouter.days.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
+python -m valverouter.scenarios.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
 """
 
 from __future__ import annotations
--- a/valverouter/days/server_agents.py
+++ b/valverouter/scenarios/server_agents.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
 
 WARMTH_INTERVAL_S = 0.2
 # The longest name that an agent sends.
--- a/valverouter/days/server_faults.py
+++ b/valverouter/scenarios/server_faults.py
@@ -8,9 +8,9 @@
 import trio
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.days.fault_targets import FaultProcess, FaultTargets
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.fakes.server import FakeServer
+from valverouter.scenarios.fault_targets import FaultProcess, FaultTargets
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 
 ServerAction = Callable[[FakeServer], None]
 
--- a/valverouter/days/virtual.py
+++ b/valverouter/scenarios/virtual.py
@@ -12,13 +12,13 @@
 import trio.testing
 
 from valverouter.config.scenario import ScenarioConfig
-from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
-from valverouter.days.memory_store import MemoryLedgerStore
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.scenario_runner import run_scenario
-from valverouter.days.virtual_membership import VirtualMembership
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
+from valverouter.scenarios.memory_network import MemoryNetwork, MemoryRuntime
+from valverouter.scenarios.memory_store import MemoryLedgerStore
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.scenario_runner import run_scenario
+from valverouter.scenarios.virtual_membership import VirtualMembership
 from valverouter.signalling.tap import Row
 
 # After an edge proxy has ended, so that its peers see its connections close.
--- a/valverouter/days/virtual_membership.py
+++ b/valverouter/scenarios/virtual_membership.py
@@ -10,15 +10,15 @@
 from valverouter.config.edge import EdgeConfig
 from valverouter.config.gossip import GossipConfig
 from valverouter.config.scenario_sections import ScenarioGossipConfig
-from valverouter.days.membership_recorder import MembershipRecorder
-from valverouter.days.memory_network import MemoryNetwork
-from valverouter.days.network_paths import network_paths
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.runtime import Runtime
 from valverouter.fleet.instance_status import membership_facts
 from valverouter.fleet.membership_service import MembershipService
 from valverouter.membership.events import MembershipEvent
+from valverouter.scenarios.membership_recorder import MembershipRecorder
+from valverouter.scenarios.memory_network import MemoryNetwork
+from valverouter.scenarios.network_paths import network_paths
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 
 # Where the recorder's own queries come from: a node in no group, which no fault names.
 CLIENT_ADDRESS = "asker:1"
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -14,10 +14,10 @@
 from valverouter.audit.rules import audit
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
-from valverouter.days.loopback import ANY_PORT, FAULT_SLACK, LoopbackEdge
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.days.scenario_runner import play_script
 from valverouter.edge.sockets import SocketRuntime
+from valverouter.scenarios.loopback import ANY_PORT, FAULT_SLACK, LoopbackEdge
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.scenarios.scenario_runner import play_script
 from valverouter.signalling.tap import FaultRow, MessageRow
 from valverouter.soak.course import Course, FileChange, ScheduledSignal, ServerBehavior
 from valverouter.soak.driver_lag import watch_lag
