--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -29,7 +29,7 @@
 from valverouter.scenarios.emulated import run_emulated
 from valverouter.scenarios.loopback import run_loopback
 from valverouter.scenarios.virtual import run_virtual
-from valverouter.signalling.tap import Row
+from valverouter.signalling.traffic_record import Row
 
 DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
 TROUBLES = {
--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -28,7 +28,7 @@
 from valverouter.scenarios.fault_course import draw_fault_course
 from valverouter.scenarios.loopback import run_loopback
 from valverouter.scenarios.virtual import run_virtual
-from valverouter.signalling.tap import AuditConfigRow, MembershipEventRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, MembershipEventRow, Row
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -26,7 +26,7 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.emulator import edge_recovery
-from valverouter.experiments.figures import compute_figures
+from valverouter.experiments.run_metrics import compute_figures
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.scenarios.emulated import run_emulated
 from valverouter.scenarios.loopback import run_loopback
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -15,7 +15,7 @@
 import sys
 from functools import partial
 
-from valverouter.soak.planted import FAULTS
+from valverouter.soak.injected_faults import FAULTS
 from valverouter.soak.report import CourseReport, play_course, summary
 
 
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -55,7 +55,7 @@
     status,
     supervisor_state,
 )
-from valverouter.signalling import framing, greeting, serverlist, setup, tap
+from valverouter.signalling import framing, greeting, serverlist, setup, traffic_record
 
 KEY = bytes(range(32))
 
@@ -468,22 +468,24 @@
 # The rows of a record
 
 ROWS: dict[str, Any] = {
-    "passed": tap.MessageRow(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
-    "told": tap.EndpointUpdateRow(2, 797, "e1", "s1", "draining"),
-    "lost": tap.ConnectionLostRow(3, 809, "e1", "s1"),
-    "began": tap.ServerStartedRow(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
-    "fault": tap.FaultRow(5, 829, 839, "stall", "e1"),
-    "placed": tap.PlacementRow(6, 853, "e1", "north"),
-    "opened": tap.CallersStartedRow(7, 857),
-    "terms": tap.AuditConfigRow(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
-    "ran": tap.EdgeProcessRow(9, 883, "e1", "life-1", True),
-    "found": tap.MembershipEventRow(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
-    "viewed": tap.MembershipViewRow(11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}),
-    "settles": tap.ConvergenceDeadlineRow(12, 911, 919, 929),
-    "limited": tap.DisruptionLimitsRow(13, 937, 2, 1),
-    "turned": tap.StepRow(14, 941, "e1", 947, 2, True, "done"),
-    "runs": tap.ProgramVersionRow(15, 953, "e1", "v16"),
-    "ordered": tap.OperationRow(
+    "passed": traffic_record.MessageRow(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
+    "told": traffic_record.EndpointUpdateRow(2, 797, "e1", "s1", "draining"),
+    "lost": traffic_record.ConnectionLostRow(3, 809, "e1", "s1"),
+    "began": traffic_record.ServerStartedRow(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
+    "fault": traffic_record.FaultRow(5, 829, 839, "stall", "e1"),
+    "placed": traffic_record.PlacementRow(6, 853, "e1", "north"),
+    "opened": traffic_record.CallersStartedRow(7, 857),
+    "terms": traffic_record.AuditConfigRow(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
+    "ran": traffic_record.EdgeProcessRow(9, 883, "e1", "life-1", True),
+    "found": traffic_record.MembershipEventRow(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
+    "viewed": traffic_record.MembershipViewRow(
+        11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}
+    ),
+    "settles": traffic_record.ConvergenceDeadlineRow(12, 911, 919, 929),
+    "limited": traffic_record.DisruptionLimitsRow(13, 937, 2, 1),
+    "turned": traffic_record.StepRow(14, 941, "e1", 947, 2, True, "done"),
+    "runs": traffic_record.ProgramVersionRow(15, 953, "e1", "v16"),
+    "ordered": traffic_record.OperationRow(
         16, 967, "o12", "release", "v17", "ended", "done", {"e1": ("done", 971, "v16")}
     ),
 }
@@ -505,7 +507,7 @@
     recorded_calls.RecordedCall(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991),
     recorded_calls.RecordedCall(2_000_000_000, "info"),
 ]
-PASSED_DEFAULTS = tap.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
+PASSED_DEFAULTS = traffic_record.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
 LINE_DEFAULTS = lines.Line("ping", "", {}, None, None)
 RUN = Run({"decisions": "first", "callers": "40"}, 3, "[day]\nlength = 1 s\n")
 FIGURES = {"declined": 0.125, "wasted": 0.5}
@@ -550,7 +552,7 @@
         | _named("defaults", DEFAULTS, Format.FRAME)
         | _named("defaults", {"row": PASSED_DEFAULTS, "line": LINE_DEFAULTS}, Format.JSON)
         | _named("platform", PLATFORM, Format.JSON)
-        | _named("row", ROWS, Format.JSON, tap.Row)
+        | _named("row", ROWS, Format.JSON, traffic_record.Row)
         | {key: Sample(value, Format.JSON) for key, value in told.items()}
     )
 
@@ -594,7 +596,7 @@
     greeting,
     setup,
     serverlist,
-    tap,
+    traffic_record,
     platform_translation,
     bus,
     lines,
@@ -686,22 +688,22 @@
     serverlist.DrainRequest: "leave",
     serverlist.DrainEnded: "returns",
     serverlist.DrainReply: "left",
-    tap.MessageRow: "passed",
-    tap.EndpointUpdateRow: "told",
-    tap.ConnectionLostRow: "lost",
-    tap.ServerStartedRow: "began",
-    tap.FaultRow: "fault",
-    tap.PlacementRow: "placed",
-    tap.CallersStartedRow: "opened",
-    tap.AuditConfigRow: "terms",
-    tap.EdgeProcessRow: "ran",
-    tap.MembershipEventRow: "found",
-    tap.MembershipViewRow: "viewed",
-    tap.ConvergenceDeadlineRow: "settles",
-    tap.DisruptionLimitsRow: "limited",
-    tap.StepRow: "turned",
-    tap.ProgramVersionRow: "runs",
-    tap.OperationRow: "ordered",
+    traffic_record.MessageRow: "passed",
+    traffic_record.EndpointUpdateRow: "told",
+    traffic_record.ConnectionLostRow: "lost",
+    traffic_record.ServerStartedRow: "began",
+    traffic_record.FaultRow: "fault",
+    traffic_record.PlacementRow: "placed",
+    traffic_record.CallersStartedRow: "opened",
+    traffic_record.AuditConfigRow: "terms",
+    traffic_record.EdgeProcessRow: "ran",
+    traffic_record.MembershipEventRow: "found",
+    traffic_record.MembershipViewRow: "viewed",
+    traffic_record.ConvergenceDeadlineRow: "settles",
+    traffic_record.DisruptionLimitsRow: "limited",
+    traffic_record.StepRow: "turned",
+    traffic_record.ProgramVersionRow: "runs",
+    traffic_record.OperationRow: "ordered",
     platform_translation.RelaySetup: "setup",
     platform_translation.EstablishedWithDescription: "stands",
 }
@@ -766,7 +768,7 @@
 
 
 def write_record(file: Path) -> None:
-    tap.write_rows(file, ROWS.values())
+    traffic_record.write_rows(file, ROWS.values())
 
 
 def write_calls(file: Path) -> None:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,8 +9,8 @@
 
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
-from valverouter.signalling import tap
-from valverouter.signalling.tap import (
+from valverouter.signalling import traffic_record
+from valverouter.signalling.traffic_record import (
     AuditConfigRow,
     ConnectionLostRow,
     EndpointUpdateRow,
@@ -240,11 +240,11 @@
 
 def test_records_are_written_and_read_again(tmp_path: Path) -> None:
     rows = record(*CASES[0][2], began(5), announced(6, "gone"), fault(1, 2, "slow"))
-    tap.write_rows(tmp_path / "rows", rows)
-    assert tap.read_rows(tmp_path / "rows") == rows
+    traffic_record.write_rows(tmp_path / "rows", rows)
+    assert traffic_record.read_rows(tmp_path / "rows") == rows
     (tmp_path / "rows").write_bytes((tmp_path / "rows").read_bytes() + b'{"row":"passed"}\n')
     with pytest.raises(ValueError, match=f"rows:{len(rows) + 1}: "):
-        tap.read_rows(tmp_path / "rows")
+        traffic_record.read_rows(tmp_path / "rows")
 
 
 def test_redials_count_with_their_first_call() -> None:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -22,8 +22,8 @@
 from valverouter.scenarios.emulated import run_emulated
 from valverouter.scenarios.recorded_calls import recorded_calls
 from valverouter.scenarios.virtual import run_virtual
-from valverouter.signalling import tap
-from valverouter.signalling.tap import MessageRow, Row
+from valverouter.signalling import traffic_record
+from valverouter.signalling.traffic_record import MessageRow, Row
 
 SECOND = 10**9
 DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
@@ -53,7 +53,7 @@
 
 
 def first_tries(rows: list[Row]) -> list[tuple[int, str, str, int]]:
-    began = next(row.at for row in rows if isinstance(row, tap.CallersStartedRow))
+    began = next(row.at for row in rows if isinstance(row, traffic_record.CallersStartedRow))
     return [
         (row.at - began, row.edge, row.detail, row.duration)
         for row in rows
@@ -240,7 +240,7 @@
 
 def test_from_kept_rows_to_a_day_that_plays_them(tmp_path: Path) -> None:
     rows = run_emulated(scenario_config(IniFile(DAY, "day"), "day")).rows
-    tap.write_rows(tmp_path / "rows.jsonl", rows)
+    traffic_record.write_rows(tmp_path / "rows.jsonl", rows)
     words = ["calls", str(tmp_path / "rows.jsonl"), "--out", str(tmp_path / "calls.csv")]
     ran = CliRunner().invoke(main, words)
     assert ran.exit_code == 0
--- a/tests/test_cross_region_days.py
+++ b/tests/test_cross_region_days.py
@@ -20,7 +20,7 @@
 from valverouter.scenarios.planning import plan_scenario
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
-from valverouter.signalling import tap
+from valverouter.signalling import traffic_record
 
 MS, SECOND = 10**6, 10**9
 DAYS = Path(__file__).parent.parent / "deploy" / "days"
@@ -113,7 +113,7 @@
     records, logs = tmp_path / "rows.jsonl", tmp_path / "logs"
     ran = valverouter("day", str(tmp_path / "day.ini"), "--records", str(records), "--logs", str(logs))
     assert ran.returncode == 0, ran.stdout + ran.stderr
-    found = cross_region_setups(tap.read_rows(records))
+    found = cross_region_setups(traffic_record.read_rows(records))
     routine = [one.at for one in found if one.traffic_type == "booking"]
     assert routine
     assert max_in_window(routine, 2 * SECOND) <= 24
@@ -131,7 +131,9 @@
 def test_callers_of_the_remote_region_keep_their_service_and_no_gate_flaps() -> None:
     kept: list[VirtualEdge] = []
     rows = run_virtual(four_regions(), lambda fakes, edges: kept.extend(edges))
-    own = [row for row in rows if not isinstance(row, tap.MessageRow) or row.edge not in ("e0", "e1")]
+    own = [
+        row for row in rows if not isinstance(row, traffic_record.MessageRow) or row.edge not in ("e0", "e1")
+    ]
     others = account_by_type(own)
     assert sum(one.within_objective for one in others.values()) > 0.97 * sum(
         one.offered for one in others.values()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -29,7 +29,7 @@
 from valverouter.policy import tuning
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
-from valverouter.signalling import setup, tap
+from valverouter.signalling import setup, traffic_record
 
 MS, SECOND = 10**6, 10**9
 BAD_DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
@@ -117,10 +117,10 @@
     rows = run_virtual(small((kind, HOW[kind])))
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
-    struck = [row for row in rows if isinstance(row, tap.FaultRow) and row.kind == kind]
-    words = {row.kind for row in rows if isinstance(row, tap.MessageRow)}
-    words |= {f"{row.kind} {row.detail}" for row in rows if isinstance(row, tap.MessageRow)}
-    words |= {"lost" for row in rows if isinstance(row, tap.ConnectionLostRow)}
+    struck = [row for row in rows if isinstance(row, traffic_record.FaultRow) and row.kind == kind]
+    words = {row.kind for row in rows if isinstance(row, traffic_record.MessageRow)}
+    words |= {f"{row.kind} {row.detail}" for row in rows if isinstance(row, traffic_record.MessageRow)}
+    words |= {"lost" for row in rows if isinstance(row, traffic_record.ConnectionLostRow)}
     assert struck, words
     assert kind not in SHOWS or SHOWS[kind] in words, words
 
@@ -279,7 +279,7 @@
     assert ran.returncode == 0, ran.stdout + ran.stderr
     assert "service weighted by importance" in ran.stdout
     assert "BROKEN" not in ran.stdout
-    rows = tap.read_rows(records)
+    rows = traffic_record.read_rows(records)
     assert sum(one.answers["stands"] for one in account_by_type(rows).values()) > 20
     starts = [
         line
@@ -292,9 +292,9 @@
     cut = next(
         row
         for row in rows
-        if isinstance(row, tap.MessageRow) and row.kind in ("stands", "declined") and not row.sent
+        if isinstance(row, traffic_record.MessageRow) and row.kind in ("stands", "declined") and not row.sent
     )
-    tap.write_rows(records, [row for row in rows if row is not cut])
+    traffic_record.write_rows(records, [row for row in rows if row is not cut])
     broken = valverouter("audit", str(records))
     assert broken.returncode == 1
     assert "BROKEN" in broken.stdout
@@ -365,7 +365,7 @@
 
 def stops_reading(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """s0 reads nothing for two seconds; what it reads late had left long before."""
-    fakes.tap.record(tap.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
+    fakes.tap.record(traffic_record.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
     for wire in fakes.servers["s0"].connections:
         wire.reading_allowed = trio.Event()
         fakes.scheduler.call_at(fakes.now() + 3 * SECOND, wire.reading_allowed.set)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,7 +20,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import simulate_day
 from valverouter.emulator.simulation import EPOCH, RandomStream, Simulation
-from valverouter.experiments.daypage import day_page
+from valverouter.experiments.scenario_page import day_page
 from valverouter.scenarios.emulated import edge_plans, run_emulated
 from valverouter.scenarios.virtual import run_virtual
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
@@ -28,7 +28,7 @@
 from valverouter.servermodel.profile import ServerProfile
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
-from valverouter.signalling.tap import MessageRow
+from valverouter.signalling.traffic_record import MessageRow
 
 MS, SECOND = 10**6, 10**9
 DAYS = Path(__file__).parent.parent / "deploy" / "days"
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -12,13 +12,13 @@
 from tests.test_days import valverouter
 from valverouter.config.ini import InvalidConfigError
 from valverouter.experiments.compare import confidence_interval, paired_difference
-from valverouter.experiments.figures import compute_figures, service_by_second, worst_window_service
 from valverouter.experiments.plan import load_plan, with_settings
 from valverouter.experiments.report import collect_cells, report_page
+from valverouter.experiments.run_metrics import compute_figures, service_by_second, worst_window_service
 from valverouter.experiments.runner import RunStore, run_all, run_here
 from valverouter.experiments.variants import BASELINES, VARIANTS, parse_variant
 from valverouter.policy import routing, tuning
-from valverouter.signalling.tap import AuditConfigRow, MessageRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, MessageRow, Row
 
 SECOND = 10**9
 DEPLOY = Path(__file__).parent.parent / "deploy"
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_days.py
@@ -19,7 +19,7 @@
 from valverouter.scenarios.memory_network import MemoryRuntime
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
-from valverouter.signalling.tap import CallersStartedRow, MembershipEventRow, MessageRow
+from valverouter.signalling.traffic_record import CallersStartedRow, MembershipEventRow, MessageRow
 
 
 def changed_day(text: str = "", **terms_: Any) -> ScenarioConfig:
--- a/tests/test_operation_audit.py
+++ b/tests/test_operation_audit.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from valverouter.audit.operations import check_operations
-from valverouter.signalling import tap
-from valverouter.signalling.tap import DisruptionLimitsRow, OperationRow, Row, StepRow
+from valverouter.signalling import traffic_record
+from valverouter.signalling.traffic_record import DisruptionLimitsRow, OperationRow, Row, StepRow
 
 
 def trace(*rows: Row) -> list[Row]:
     head: list[Row] = [
         DisruptionLimitsRow(0, 0, 1, 1),
-        tap.PlacementRow(0, 0, "e0", "north"),
-        tap.PlacementRow(0, 0, "e1", "south"),
+        traffic_record.PlacementRow(0, 0, "e0", "north"),
+        traffic_record.PlacementRow(0, 0, "e1", "south"),
     ]
     return [*head, *rows]
 
@@ -22,9 +22,9 @@
 
 def test_each_violation_is_found_and_none_in_a_sound_trace() -> None:
     sound = trace(
-        tap.ProgramVersionRow(1, 1, "e0", "v1"),
+        traffic_record.ProgramVersionRow(1, 1, "e0", "v1"),
         turned(2, "e0", 7),
-        tap.ProgramVersionRow(3, 3, "e0", "v2"),
+        traffic_record.ProgramVersionRow(3, 3, "e0", "v2"),
         turned(4, "e0", 7, "done"),
         turned(5, "e1", 9),
         turned(6, "e1", 9, "done"),
@@ -42,7 +42,7 @@
         (trace(OperationRow(9, 9, "r", "restart", "", "ended", "done", {"e0": ("done", 7, "v1")})), "told"),
         (
             trace(
-                tap.ProgramVersionRow(1, 1, "e0", "v2"),
+                traffic_record.ProgramVersionRow(1, 1, "e0", "v2"),
                 OperationRow(9, 9, "r", "release", "v2", "ended", "halted", {"e0": ("out", 7, "v1")}),
             ),
             "back",
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -30,7 +30,7 @@
 from valverouter.policy.capacity import SlowStart
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
-from valverouter.signalling import setup, tap
+from valverouter.signalling import setup, traffic_record
 
 # RowChecker the Driver: a fleet of three, each with its own draws of what becomes of each leg.
 
@@ -413,26 +413,26 @@
     def step(self, at: int, kind: str, **fields: Any) -> None:
         self.rules.step(Step(at, kind, **fields))
 
-    def row(self, row: tap.Row) -> None:
+    def row(self, row: traffic_record.Row) -> None:
         match row:
-            case tap.EndpointUpdateRow():
+            case traffic_record.EndpointUpdateRow():
                 self.step(row.at, "told", server=row.server, edge=row.edge, word=row.phase)
-            case tap.ServerStartedRow():
+            case traffic_record.ServerStartedRow():
                 self.on_server_started(row)
-            case tap.FaultRow(kind="balancer_crash"):
+            case traffic_record.FaultRow(kind="balancer_crash"):
                 self.step(row.at, "restarted", edge=row.target)
-            case tap.FaultRow(kind="balancer_stall"):
+            case traffic_record.FaultRow(kind="balancer_stall"):
                 self.step(row.at, "held", edge=row.target, until=row.until)
-            case tap.ConnectionLostRow() if row.peer.startswith("c"):
+            case traffic_record.ConnectionLostRow() if row.peer.startswith("c"):
                 self.on_caller_lost(row)
-            case tap.ConnectionLostRow():
+            case traffic_record.ConnectionLostRow():
                 self.on_server_lost(row)
-            case tap.MessageRow() if row.dialog and row.peer.startswith("c"):
+            case traffic_record.MessageRow() if row.dialog and row.peer.startswith("c"):
                 self.on_caller_message(row)
-            case tap.MessageRow() if row.dialog and row.peer.startswith("s"):
+            case traffic_record.MessageRow() if row.dialog and row.peer.startswith("s"):
                 self.on_server_message(row)
 
-    def on_server_started(self, row: tap.ServerStartedRow) -> None:
+    def on_server_started(self, row: traffic_record.ServerStartedRow) -> None:
         self.step(
             row.at,
             "began",
@@ -444,18 +444,18 @@
             slow_start_duration=row.slow_start_duration,
         )
 
-    def on_caller_lost(self, row: tap.ConnectionLostRow) -> None:
+    def on_caller_lost(self, row: traffic_record.ConnectionLostRow) -> None:
         for dialog in [name for name, caller in self.callers.items() if caller == row.peer]:
             del self.callers[dialog]
             self.step(row.at, "caller-gone", dialog=dialog)
 
-    def on_server_lost(self, row: tap.ConnectionLostRow) -> None:
+    def on_server_lost(self, row: traffic_record.ConnectionLostRow) -> None:
         for dialog, (server, leg, edge) in list(self.leg.items()):
             if (server, edge) == (row.peer, row.edge):
                 del self.leg[dialog]
                 self.step(row.at, "reset", dialog=dialog, leg=leg, server=server)
 
-    def on_caller_message(self, row: tap.MessageRow) -> None:
+    def on_caller_message(self, row: traffic_record.MessageRow) -> None:
         if row.sent and row.kind == "setup":
             self.callers[row.dialog] = row.peer
             self.step(row.at, "taken", dialog=row.dialog, edge=row.edge, until=row.at + row.duration)
@@ -467,7 +467,7 @@
             self.callers.pop(row.dialog, None)
             self.step(row.at, "ended", dialog=row.dialog)
 
-    def on_server_message(self, row: tap.MessageRow) -> None:
+    def on_server_message(self, row: traffic_record.MessageRow) -> None:
         about = {"dialog": row.dialog, "leg": row.leg, "server": row.peer}
         ours = self.leg.get(row.dialog) == (row.peer, row.leg, row.edge)
         if not row.sent and row.kind == "setup":
--- a/tests/test_relayedge_races.py
+++ b/tests/test_relayedge_races.py
@@ -428,7 +428,13 @@
 """
 
 
-@pytest.mark.parametrize("words", [[module] for module in PLATFORM_EDGE])
+INJECTED_FAULTS = ["valverouter.soak.injected_faults", "valverouter.soak.planted"]
+
+
+@pytest.mark.parametrize(
+    "words",
+    [*([module] for module in PLATFORM_EDGE), *([module, "lost-hangup"] for module in INJECTED_FAULTS)],
+)
 def test_a_hangup_is_handled_before_libraries_are_imported(words: list[str], tmp_path: Path) -> None:
     ran = subprocess.run(
         [sys.executable, "-c", SIGHUP_PROBE, *words],
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -39,7 +39,7 @@
 from valverouter.scenarios.memory_store import MemoryLedgerStore
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
-from valverouter.signalling import setup, tap
+from valverouter.signalling import setup, traffic_record
 
 DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
 CALM = DAY[: DAY.index("[trouble ")]
@@ -480,7 +480,7 @@
     return scenario_config(IniFile(text, "killed"), "killed")
 
 
-def accounted(rows: list[tap.Row]) -> Verdict:
+def accounted(rows: list[traffic_record.Row]) -> Verdict:
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
     assert verdict.forgotten_dialogs == 0
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from valverouter.soak.course import CROWD_EVERY, Front, draw_course
+from valverouter.soak.injected_faults import FAULTS
 from valverouter.soak.judge import CROSSING, LATE_ALLOWED, SECOND, SLACK, Outcome, judge_course, outcome_of
-from valverouter.soak.planted import FAULTS
+from valverouter.soak.plan import CROWD_EVERY, Front, draw_course
 from valverouter.soak.record import CourseRecord, ProcessRecord, RequestRecord
 from valverouter.soak.report import play_course
 
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -22,7 +22,7 @@
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.recovery import lifecycle
 from valverouter.rollout.raft_log import PersistentState
-from valverouter.signalling import tap
+from valverouter.signalling import traffic_record
 
 KEPT = Path(__file__).parent / "data" / "132c5ee"
 SAMPLES = stored_values.samples()
@@ -71,7 +71,7 @@
 
 
 def test_a_days_rows_of_before_are_read() -> None:
-    assert tap.read_rows(KEPT / "record.jsonl") == list(stored_values.ROWS.values())
+    assert traffic_record.read_rows(KEPT / "record.jsonl") == list(stored_values.ROWS.values())
 
 
 def test_calls_on_record_of_before_are_read() -> None:
--- a/tests/test_view_audit.py
+++ b/tests/test_view_audit.py
@@ -6,8 +6,8 @@
 
 from tests.membership_service_rig import SECOND
 from valverouter.audit.views import ViewReport, check_views
-from valverouter.signalling import tap
-from valverouter.signalling.tap import (
+from valverouter.signalling import traffic_record
+from valverouter.signalling.traffic_record import (
     ConvergenceDeadlineRow,
     EdgeProcessRow,
     FaultRow,
@@ -17,7 +17,7 @@
 
 
 def judge(*rows: tuple[type, dict[str, Any]]) -> ViewReport:
-    trace = tap.Tap(lambda: 0)
+    trace = traffic_record.Tap(lambda: 0)
     for second, (kind, fields) in enumerate(rows):
         trace.now = lambda second=second: second * SECOND  # type: ignore[misc]
         trace.record(kind, **fields)
--- a/valverouter/audit/account.py
+++ b/valverouter/audit/account.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 
 from valverouter.audit.records import FINAL_ANSWERS, callers_in, in_order, is_received_setup, is_sent_setup
-from valverouter.signalling.tap import AuditConfigRow, MessageRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, MessageRow, Row
 
 
 @dataclass(slots=True)
--- a/valverouter/audit/answer_rule.py
+++ b/valverouter/audit/answer_rule.py
@@ -10,7 +10,7 @@
 
 from valverouter.audit.records import FINAL_ANSWERS, callers_in, faults_of, is_during
 from valverouter.audit.verdict import Rule, Verdict
-from valverouter.signalling.tap import AuditConfigRow, ConnectionLostRow, MessageRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, ConnectionLostRow, MessageRow, Row
 
 # An entry in the history of a dialog: its caller's connection was lost.
 LOST = "lost"
--- a/valverouter/audit/attempt_rules.py
+++ b/valverouter/audit/attempt_rules.py
@@ -7,7 +7,7 @@
 
 from valverouter.audit.records import faults_of, is_during, servers_in
 from valverouter.audit.verdict import Rule, Verdict
-from valverouter.signalling.tap import AuditConfigRow, ConnectionLostRow, MessageRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, ConnectionLostRow, MessageRow, Row
 
 # Messages by which a server closes an attempt, and by which an edge proxy does.
 CLOSED_BY_SERVER = ("ended", "line-busy", "full", "no-agent", "fault", "cancelled", "unknown")
--- a/valverouter/audit/attempts.py
+++ b/valverouter/audit/attempts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from valverouter.audit.records import in_order, is_received_setup, servers_in
-from valverouter.signalling.tap import ConnectionLostRow, MessageRow, Row
+from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, Row
 
 
 @dataclass(slots=True)
--- a/valverouter/audit/cross_region.py
+++ b/valverouter/audit/cross_region.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from valverouter.audit.records import in_order, is_received_setup
-from valverouter.signalling.tap import PlacementRow, Row
+from valverouter.signalling.traffic_record import PlacementRow, Row
 
 
 @dataclass(frozen=True, slots=True)
--- a/valverouter/audit/endpoint_rules.py
+++ b/valverouter/audit/endpoint_rules.py
@@ -7,7 +7,7 @@
 
 from valverouter.audit.records import faults_of, is_during, is_received_setup
 from valverouter.audit.verdict import Rule, Verdict
-from valverouter.signalling.tap import (
+from valverouter.signalling.traffic_record import (
     AuditConfigRow,
     EndpointUpdateRow,
     FaultRow,
--- a/valverouter/audit/operations.py
+++ b/valverouter/audit/operations.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from valverouter.audit.records import in_order
-from valverouter.signalling.tap import (
+from valverouter.signalling.traffic_record import (
     DisruptionLimitsRow,
     OperationRow,
     PlacementRow,
--- a/valverouter/audit/records.py
+++ b/valverouter/audit/records.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from typing import TypeGuard
 
-from valverouter.signalling.tap import FaultRow, MessageRow, Row
+from valverouter.signalling.traffic_record import FaultRow, MessageRow, Row
 
 # Message kinds that answer a set-up for good, as a caller receives them.
 FINAL_ANSWERS = ("stands", "declined", "aborted", "unknown")
--- a/valverouter/audit/rules.py
+++ b/valverouter/audit/rules.py
@@ -14,7 +14,7 @@
 from valverouter.audit.endpoint_rules import check_draining, check_slow_start
 from valverouter.audit.records import in_order
 from valverouter.audit.verdict import Verdict
-from valverouter.signalling.tap import AuditConfigRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, Row
 
 
 def audit(rows: Iterable[Row]) -> Verdict:
--- a/valverouter/audit/views.py
+++ b/valverouter/audit/views.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from valverouter.signalling.tap import (
+from valverouter.signalling.traffic_record import (
     ConvergenceDeadlineRow,
     EdgeProcessRow,
     FaultRow,
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -11,7 +11,7 @@
 
 import click
 
-from valverouter.cli.common import FAILED, INTERRUPTED, INVALID_INPUT, first_cause
+from valverouter.cli.command_support import FAILED, INTERRUPTED, INVALID_INPUT, first_cause
 from valverouter.config.ini import InvalidConfigError
 from valverouter.ledger.storage import StoreError
 
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -11,11 +11,11 @@
 from valverouter.attempts.worst_case import longest_timeline, timelines
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.cli import tables
-from valverouter.cli.common import FILE, RULE_VIOLATED, console
+from valverouter.cli.command_support import FILE, RULE_VIOLATED, console
 from valverouter.config.edge import load_edge_config
 from valverouter.config.ini import InvalidConfigError, format_duration, parse_duration
 from valverouter.edge.attempt_policies import AttemptPolicies
-from valverouter.signalling import tap
+from valverouter.signalling import traffic_record
 
 # The callers' no-answer time where a command is told none.
 SHOWN_NO_ANSWER = 9 * 10**9
@@ -159,7 +159,7 @@
 @click.argument("records", type=FILE)
 def terms_seen(records: Path) -> None:
     """Legs, time-outs and gaps by class in kept RECORDS, as the servers saw them."""
-    for traffic_type, seen in attempt_statistics(tap.read_rows(records)).items():
+    for traffic_type, seen in attempt_statistics(traffic_record.read_rows(records)).items():
         cancelled = gap = "none"
         if seen.cancelled_after is not None:
             cancelled = " to ".join(map(format_duration, seen.cancelled_after))
--- a/valverouter/cli/common.py
+++ b/valverouter/cli/command_support.py
@@ -12,7 +12,7 @@
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
 from valverouter.cli import tables
-from valverouter.signalling import tap
+from valverouter.signalling import traffic_record
 
 # Exit codes; 0 is success.
 RULE_VIOLATED, INVALID_INPUT, FAILED = 1, 2, 3
@@ -22,9 +22,9 @@
 console = Console()
 
 
-def show_verdict(rows: list[tap.Row]) -> None:
+def show_verdict(rows: list[traffic_record.Row]) -> None:
     """Prints a run's accounts and the audit's verdict; exits with 1 where a rule was violated."""
-    config = next(row for row in rows if isinstance(row, tap.AuditConfigRow))
+    config = next(row for row in rows if isinstance(row, traffic_record.AuditConfigRow))
     verdict = audit(rows)
     tables.print_accounts(console, account_by_type(rows), config.priority_weights)
     tables.print_verdict(console, verdict)
--- a/valverouter/cli/edge.py
+++ b/valverouter/cli/edge.py
@@ -14,7 +14,7 @@
 import structlog
 import trio
 
-from valverouter.cli.common import FAILED, FILE, first_cause
+from valverouter.cli.command_support import FAILED, FILE, first_cause
 from valverouter.config.edge import EdgeConfig, load_edge_config, load_when_stable
 from valverouter.config.ini import InvalidConfigError
 from valverouter.edge import logs
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -10,7 +10,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
 from valverouter.cli import tables
-from valverouter.cli.common import FILE, console, show_verdict
+from valverouter.cli.command_support import FILE, console, show_verdict
 from valverouter.config.scenario import load_scenario
 
 log = structlog.get_logger()
@@ -73,7 +73,7 @@
 
     Exits with 1 when a rule was broken.
     """
-    from valverouter.experiments.daypage import day_page
+    from valverouter.experiments.scenario_page import day_page
     from valverouter.scenarios.emulated import run_emulated
 
     scenario = load_scenario(file)
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -8,7 +8,7 @@
 
 import click
 
-from valverouter.cli.common import FILE, RULE_VIOLATED, console
+from valverouter.cli.command_support import FILE, RULE_VIOLATED, console
 from valverouter.cli.fleet_processes import raft_server, supervisor
 from valverouter.cli.fleet_view import view
 from valverouter.cli.operations import COMMANDS
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -12,7 +12,7 @@
 import structlog
 import trio
 
-from valverouter.cli.common import FAILED, FILE, first_cause
+from valverouter.cli.command_support import FAILED, FILE, first_cause
 from valverouter.config.rollout import RaftServerConfig, load_raft_server, load_supervisor
 from valverouter.edge import logs
 from valverouter.edge.signals import receive_signals
--- a/valverouter/cli/fleet_view.py
+++ b/valverouter/cli/fleet_view.py
@@ -11,7 +11,7 @@
 import click
 import trio
 
-from valverouter.cli.common import FILE, INVALID_INPUT, RULE_VIOLATED, console
+from valverouter.cli.command_support import FILE, INVALID_INPUT, RULE_VIOLATED, console
 from valverouter.cli.fleet_view_output import by_incarnation, print_json, print_metrics, print_tables
 from valverouter.config.edge import load_edge_config
 from valverouter.config.gossip import GossipConfig
--- a/valverouter/cli/fleet_view_output.py
+++ b/valverouter/cli/fleet_view_output.py
@@ -11,7 +11,7 @@
 import msgspec
 from rich.table import Table
 
-from valverouter.cli.common import console
+from valverouter.cli.command_support import console
 from valverouter.fleet.queries import MemberRow
 from valverouter.fleet.view_comparison import ViewAnswer, find_differences
 from valverouter.membership.convergence import ViewHealth
--- a/valverouter/cli/ledger.py
+++ b/valverouter/cli/ledger.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from valverouter.cli.common import FILE, RULE_VIOLATED, console
+from valverouter.cli.command_support import FILE, RULE_VIOLATED, console
 from valverouter.ledger.dialog_store import DamagedEntry, DialogStore
 from valverouter.ledger.export import export_row
 from valverouter.ledger.storage import DATA_FILE
--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from valverouter.cli.common import FAILED, RULE_VIOLATED, console
+from valverouter.cli.command_support import FAILED, RULE_VIOLATED, console
 from valverouter.cli.operations_output import describe_progress, print_halt_reason, print_participants
 from valverouter.config.rollout import load_fleet_client
 from valverouter.edge.sockets import SocketRuntime
--- a/valverouter/cli/operations.py
+++ b/valverouter/cli/operations.py
@@ -16,7 +16,7 @@
 import click
 import msgspec
 
-from valverouter.cli.common import FILE, INVALID_INPUT, console
+from valverouter.cli.command_support import FILE, INVALID_INPUT, console
 from valverouter.cli.operation_requests import execute, fleet_status, follow, plan, submit, wall_clock_ms
 from valverouter.cli.operation_selection import Selection, select_instances
 from valverouter.cli.operations_output import print_history, print_status, print_waves
--- a/valverouter/cli/operations_output.py
+++ b/valverouter/cli/operations_output.py
@@ -8,7 +8,7 @@
 
 from rich.table import Table
 
-from valverouter.cli.common import console
+from valverouter.cli.command_support import console
 from valverouter.rollout.operations import Submit, SubmitResult
 from valverouter.rollout.status import FleetStatus, InstanceStatus, OperationStatus
 
--- a/valverouter/cli/regions.py
+++ b/valverouter/cli/regions.py
@@ -9,11 +9,11 @@
 import structlog
 
 from valverouter.cli import tables
-from valverouter.cli.common import FILE, console
+from valverouter.cli.command_support import FILE, console
 from valverouter.config.scenario import load_scenario
 from valverouter.regions.usage import attempts_by_minute, merge_totals, missing_records
 from valverouter.scenarios.planning import plan_scenario
-from valverouter.signalling import tap
+from valverouter.signalling import traffic_record
 
 log = structlog.get_logger()
 
@@ -49,4 +49,4 @@
 
     It advises; nothing is steered by it.
     """
-    tables.print_plan(console, plan_scenario(load_scenario(file), tap.read_rows(records)))
+    tables.print_plan(console, plan_scenario(load_scenario(file), traffic_record.read_rows(records)))
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -10,7 +10,7 @@
 import trio
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from valverouter.cli.common import FILE, console, show_verdict
+from valverouter.cli.command_support import FILE, console, show_verdict
 from valverouter.config.edge import LogConfig, edge_config
 from valverouter.config.ini import IniFile
 from valverouter.config.recorded_calls import write_calls
@@ -24,7 +24,7 @@
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.scenario_runner import play_script
 from valverouter.scenarios.virtual import run_virtual
-from valverouter.signalling import tap
+from valverouter.signalling import traffic_record
 
 log = structlog.get_logger()
 
@@ -47,11 +47,11 @@
     else:
         rows = _run_on_loopback(scenario, folder)
     if records is not None:
-        tap.write_rows(records, rows)
+        traffic_record.write_rows(records, rows)
     show_verdict(rows)
 
 
-def _run_on_loopback(scenario: ScenarioConfig, folder: Path | None) -> list[tap.Row]:
+def _run_on_loopback(scenario: ScenarioConfig, folder: Path | None) -> list[traffic_record.Row]:
     bars = Progress(TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn(), console=console)
     with tempfile.TemporaryDirectory() as temporary, bars:
         task = bars.add_task(f"{scenario.name} on loopback", total=1.0)
@@ -64,8 +64,8 @@
 @click.argument("records", type=FILE)
 def check_records(records: Path) -> None:
     """Check the five rules over kept RECORDS; exits with 1 when one was broken."""
-    rows = tap.read_rows(records)
-    if not any(isinstance(row, tap.AuditConfigRow) for row in rows):
+    rows = traffic_record.read_rows(records)
+    if not any(isinstance(row, traffic_record.AuditConfigRow) for row in rows):
         raise ValueError(f"{records}: holds no terms row, so there is nothing to check it against")
     show_verdict(rows)
 
@@ -75,7 +75,7 @@
 @click.option("--out", type=FILE, required=True, help="The calls go here, as CSV.")
 def kept_calls(records: Path, out: Path) -> None:
     """The first tries in kept RECORDS as a file that a day's `record` plays again."""
-    count = write_calls(out, recorded_calls(tap.read_rows(records)))
+    count = write_calls(out, recorded_calls(traffic_record.read_rows(records)))
     console.print(f"{count} calls; {out}", highlight=False, soft_wrap=True)
 
 
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -11,7 +11,7 @@
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.servers import EndReason
 from valverouter.emulator.simulation import RandomStream, Simulation
-from valverouter.signalling.tap import ConnectionLostRow, MessageRow, Tap
+from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, Tap
 
 # A lost connection is made again after so long, ns.
 RECONNECT_DELAY = 50_000_000
--- a/valverouter/emulator/endpoint_list.py
+++ b/valverouter/emulator/endpoint_list.py
@@ -10,7 +10,7 @@
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import Simulation
 from valverouter.interface import Endpoint, EndpointUpdateKind
-from valverouter.signalling.tap import EndpointUpdateRow, Tap
+from valverouter.signalling.traffic_record import EndpointUpdateRow, Tap
 
 
 class ServicePhase(StrEnum):
--- a/valverouter/emulator/fault_targets.py
+++ b/valverouter/emulator/fault_targets.py
@@ -10,7 +10,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import RandomStream
-from valverouter.signalling.tap import FaultRow
+from valverouter.signalling.traffic_record import FaultRow
 
 # A process of simpy: it yields the events that it waits for.
 FaultProcess = Generator[Any, Any, None]
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -15,7 +15,7 @@
 from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
-from valverouter.signalling.tap import AuditConfigRow, PlacementRow, Tap
+from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, Tap
 
 # Load reports leave a server at their interval, varied by up to this fraction either way.
 MIN_REPORT_FRACTION, REPORT_FRACTION_RANGE = 0.9, 0.2
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -12,7 +12,7 @@
 from valverouter.interface import LoadReport, Outcome
 from valverouter.servermodel.events import LegKey, ServerEvent, ServerEventKind
 from valverouter.servermodel.server import SetupServer
-from valverouter.signalling.tap import ConnectionLostRow, MessageRow, ServerStartedRow, Tap
+from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, ServerStartedRow, Tap
 
 # How long a leg without a connection, and the end of such a leg, is retained, ns.
 RETENTION = 10_000_000_000
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -12,7 +12,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.server_faults import ServerFaults
 from valverouter.emulator.servers import EmulatedServer
-from valverouter.signalling.tap import CallersStartedRow, Row
+from valverouter.signalling.traffic_record import CallersStartedRow, Row
 
 SECOND = 1_000_000_000
 # How often edge proxies without events read the load reports, so that none is kept for long, ns.
--- a/valverouter/experiments/figures.py
+++ b/valverouter/experiments/run_metrics.py
@@ -8,7 +8,7 @@
 
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
-from valverouter.signalling.tap import AuditConfigRow, MessageRow, PlacementRow, Row
+from valverouter.signalling.traffic_record import AuditConfigRow, MessageRow, PlacementRow, Row
 
 SECOND = 1_000_000_000
 WORST_WINDOW = 10 * SECOND
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from valverouter.experiments.figures import compute_figures
 from valverouter.experiments.plan import Run, source_version
+from valverouter.experiments.run_metrics import compute_figures
 from valverouter.experiments.variants import parse_variant
 from valverouter.scenarios.emulated import run_emulated
 
--- a/valverouter/experiments/daypage.py
+++ b/valverouter/experiments/scenario_page.py
@@ -9,8 +9,8 @@
 from jinja2 import Environment
 
 from valverouter.emulator.simulate import DayResult
-from valverouter.experiments.figures import service_by_second
-from valverouter.signalling.tap import AuditConfigRow, FaultRow, MessageRow, Row
+from valverouter.experiments.run_metrics import service_by_second
+from valverouter.signalling.traffic_record import AuditConfigRow, FaultRow, MessageRow, Row
 
 SECOND = 1_000_000_000
 WIDE, HIGH, CELL = 900, 120, 14
--- a/valverouter/fakes/connection.py
+++ b/valverouter/fakes/connection.py
@@ -14,7 +14,7 @@
 from valverouter.fakes.environment import Environment
 from valverouter.signalling.framing import ProtocolError
 from valverouter.signalling.greeting import Session
-from valverouter.signalling.tap import ConnectionLostRow
+from valverouter.signalling.traffic_record import ConnectionLostRow
 
 RECEIVE_BYTES = 65_536
 
--- a/valverouter/fakes/endpoint_list.py
+++ b/valverouter/fakes/endpoint_list.py
@@ -26,7 +26,7 @@
     Snapshot,
     Watch,
 )
-from valverouter.signalling.tap import EndpointUpdateRow
+from valverouter.signalling.traffic_record import EndpointUpdateRow
 
 NAME = "list"
 
--- a/valverouter/fakes/environment.py
+++ b/valverouter/fakes/environment.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from valverouter.signalling.tap import Tap
+from valverouter.signalling.traffic_record import Tap
 
 StreamHandler = Callable[[trio.abc.Stream], Awaitable[object]]
 
--- a/valverouter/fakes/server.py
+++ b/valverouter/fakes/server.py
@@ -16,7 +16,7 @@
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
 from valverouter.signalling.greeting import Hello, NotUnderstood, Welcome
-from valverouter.signalling.tap import ServerStartedRow
+from valverouter.signalling.traffic_record import ServerStartedRow
 
 # Builds the message of an event from dialog, leg, load and retry delay.
 MESSAGE_BUILDERS: dict[ServerEventKind, Callable[[str, int, setup.Load, int], Any]] = {
--- a/valverouter/scenarios/fault_targets.py
+++ b/valverouter/scenarios/fault_targets.py
@@ -8,7 +8,7 @@
 from valverouter.config.scenario_sections import FaultConfig
 from valverouter.fakes.server import FakeServer
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
-from valverouter.signalling.tap import FaultRow
+from valverouter.signalling.traffic_record import FaultRow
 
 CALLERS_TARGET = "callers"
 
--- a/valverouter/scenarios/loopback.py
+++ b/valverouter/scenarios/loopback.py
@@ -16,7 +16,7 @@
 from valverouter.scenarios.loopback_membership import LoopbackMembership
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.scenarios.scenario_runner import ProgressCallback, run_scenario
-from valverouter.signalling.tap import Row
+from valverouter.signalling.traffic_record import Row
 
 START_TIMEOUT_S = 20
 # An edge proxy's own limit for a graceful shutdown, and a margin.
--- a/valverouter/scenarios/membership_recorder.py
+++ b/valverouter/scenarios/membership_recorder.py
@@ -19,7 +19,7 @@
 from valverouter.membership.records import LIVE_STATES
 from valverouter.scenarios.network_paths import path_faults
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.signalling.tap import (
+from valverouter.signalling.traffic_record import (
     ConvergenceDeadlineRow,
     EdgeProcessRow,
     MembershipEventRow,
--- a/valverouter/scenarios/operation_harness.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -30,7 +30,7 @@
 from valverouter.scenarios.server_agents import ServerAgents
 from valverouter.scenarios.supervisor_logs import append_log_rows
 from valverouter.servermodel.paths import NetworkPaths, PathFault
-from valverouter.signalling.tap import DisruptionLimitsRow, FaultRow, OperationRow, Row
+from valverouter.signalling.traffic_record import DisruptionLimitsRow, FaultRow, OperationRow, Row
 
 NS_PER_S = 1e9
 START_TIMEOUT_S = 30
--- a/valverouter/scenarios/planning.py
+++ b/valverouter/scenarios/planning.py
@@ -11,7 +11,7 @@
 from valverouter.emulator.server_profile import server_profile
 from valverouter.regions.planner import Demand, Plan, RateLimit, RegionCapacity, plan
 from valverouter.regions.time_sliced_quota import max_rate, with_default_burst
-from valverouter.signalling.tap import MessageRow, PlacementRow, Row
+from valverouter.signalling.traffic_record import MessageRow, PlacementRow, Row
 
 NS_PER_S = 1e9
 MIN_DURATION_S = 1e-9
--- a/valverouter/scenarios/recorded_calls.py
+++ b/valverouter/scenarios/recorded_calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 
 from valverouter.config.recorded_calls import RecordedCall
-from valverouter.signalling.tap import CallersStartedRow, MessageRow, Row
+from valverouter.signalling.traffic_record import CallersStartedRow, MessageRow, Row
 
 
 def recorded_calls(rows: Iterable[Row]) -> Iterator[RecordedCall]:
--- a/valverouter/scenarios/scenario_fakes.py
+++ b/valverouter/scenarios/scenario_fakes.py
@@ -21,7 +21,7 @@
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.serverlist import EndpointRow, ServerPhase
-from valverouter.signalling.tap import AuditConfigRow, PlacementRow, Tap
+from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, Tap
 
 NS_PER_S = 10**9
 # The clock of the record begins a day before the run, so that no time in it is negative.
--- a/valverouter/scenarios/scenario_runner.py
+++ b/valverouter/scenarios/scenario_runner.py
@@ -18,7 +18,7 @@
 from valverouter.scenarios.membership_recorder import MembershipRecorder
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.scenarios.server_faults import ServerFaults
-from valverouter.signalling.tap import CallersStartedRow, Row
+from valverouter.signalling.traffic_record import CallersStartedRow, Row
 
 # So long after the last answer was due the record goes on, so that a late answer is in it.
 LATE_ANSWER_WAIT_S = 0.3
--- a/valverouter/scenarios/supervisor_logs.py
+++ b/valverouter/scenarios/supervisor_logs.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from valverouter.signalling.tap import ProgramVersionRow, Row, StepRow
+from valverouter.signalling.traffic_record import ProgramVersionRow, Row, StepRow
 
 NS_PER_S = 1e9
 
--- a/valverouter/scenarios/virtual.py
+++ b/valverouter/scenarios/virtual.py
@@ -19,7 +19,7 @@
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.scenario_runner import run_scenario
 from valverouter.scenarios.virtual_membership import VirtualMembership
-from valverouter.signalling.tap import Row
+from valverouter.signalling.traffic_record import Row
 
 # After an edge proxy has ended, so that its peers see its connections close.
 STOP_WAIT_S = 0.01
--- a/valverouter/soak/core_servers.py
+++ b/valverouter/soak/core_servers.py
@@ -14,8 +14,8 @@
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_protocol.lines import Line, LineReader
 from valverouter.signalling.framing import ProtocolError
-from valverouter.signalling.tap import EndpointUpdateRow, MessageRow, Tap
-from valverouter.soak.course import ServerBehavior
+from valverouter.signalling.traffic_record import EndpointUpdateRow, MessageRow, Tap
+from valverouter.soak.plan import ServerBehavior
 
 ANY_PORT = "127.0.0.1:0"
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0\r\n"
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -18,10 +18,10 @@
 from valverouter.scenarios.loopback import ANY_PORT, FAULT_SLACK, LoopbackEdge
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.scenarios.scenario_runner import play_script
-from valverouter.signalling.tap import FaultRow, MessageRow
-from valverouter.soak.course import Course, FileChange, ScheduledSignal, ServerBehavior
-from valverouter.soak.driver_lag import watch_lag
+from valverouter.signalling.traffic_record import FaultRow, MessageRow
+from valverouter.soak.event_loop_lag import watch_lag
 from valverouter.soak.judge import CourseVerdict, Outcome
+from valverouter.soak.plan import Course, FileChange, ScheduledSignal, ServerBehavior
 from valverouter.soak.process import log_problem
 from valverouter.soak.record import CourseRecord
 
--- /dev/null
+++ b/valverouter/soak/injected_faults.py
@@ -0,0 +1,84 @@
+"""The platform's edge proxy with a planted fault, to show that the soak finds it.
+
+python -m valverouter.soak.injected_faults NAME
+"""
+
+from __future__ import annotations
+
+import itertools
+import os
+import signal
+import sys
+from pathlib import Path
+from typing import Any
+
+if __name__ == "__main__":
+    # Before the other imports, as in the program itself: without a handler SIGHUP ends the process.
+    EARLY_SIGNALS: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, frame: EARLY_SIGNALS.append(number))
+
+import trio
+
+from valverouter.config import platform
+from valverouter.platform_edge import __main__ as program
+from valverouter.platform_edge.callers import RelayCaller
+from valverouter.platform_edge.proxy import RelayProxy
+
+EARLY_BY_S = 0.3
+DROP_EVERY = 50
+
+
+def _exit_early() -> None:
+    """Ends before the time in which set-ups are served is over."""
+
+    async def stop(proxy: RelayProxy) -> None:
+        await trio.sleep(platform.ACCEPT_PERIOD / 1e9 - EARLY_BY_S)
+        os._exit(0)
+
+    program.stop_after_accept_period = stop
+
+
+def _drop_answers() -> None:
+    """Loses some messages to callers."""
+    send = RelayCaller.send
+    counter = itertools.count(1)
+
+    def send_most(self: RelayCaller, message: Any) -> None:
+        if next(counter) % DROP_EVERY:
+            send(self, message)
+
+    RelayCaller.send = send_most  # type: ignore[method-assign]
+
+
+def _cut_short_by_second_stop() -> None:
+    """Ends at once at a second signal to stop."""
+    stop = program.stop_after_accept_period
+    counter = itertools.count(1)
+
+    async def stop_once(proxy: RelayProxy) -> None:
+        if next(counter) > 1:
+            os._exit(0)
+        await stop(proxy)
+
+    program.stop_after_accept_period = stop_once
+
+
+def _lose_hangups() -> None:
+    """Reads no new configuration."""
+
+    async def ignore(proxy: RelayProxy, path: Path) -> None:
+        """Does nothing."""
+
+    program.reload = ignore
+
+
+FAULTS = {
+    "early-exit": _exit_early,
+    "dropped-answer": _drop_answers,
+    "second-stop": _cut_short_by_second_stop,
+    "lost-hangup": _lose_hangups,
+}
+
+if __name__ == "__main__":
+    FAULTS[sys.argv[1]]()
+    sys.exit(program.main(EARLY_SIGNALS))
--- a/valverouter/soak/judge.py
+++ b/valverouter/soak/judge.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from valverouter.soak.course import HANGUP_TOLD_S, KILL_DELAY_S
+from valverouter.soak.plan import HANGUP_TOLD_S, KILL_DELAY_S
 from valverouter.soak.record import CourseRecord, ProcessRecord, RequestRecord
 
 SECOND = 10**9
--- a/valverouter/soak/platform_run.py
+++ b/valverouter/soak/platform_run.py
@@ -17,9 +17,11 @@
 from valverouter.audit.records import in_order
 from valverouter.audit.verdict import Verdict
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.signalling.tap import AuditConfigRow, Tap
+from valverouter.signalling.traffic_record import AuditConfigRow, Tap
 from valverouter.soak.core_servers import CoreServer, EventBus
-from valverouter.soak.course import (
+from valverouter.soak.event_loop_lag import watch_lag
+from valverouter.soak.judge import SLACK, CourseVerdict, judge_course
+from valverouter.soak.plan import (
     CROWD_HALF_MESSAGES,
     LAST_CONNECTION_S,
     Course,
@@ -27,8 +29,6 @@
     ScheduledSignal,
     ServerBehavior,
 )
-from valverouter.soak.driver_lag import watch_lag
-from valverouter.soak.judge import SLACK, CourseVerdict, judge_course
 from valverouter.soak.platform_callers import PlatformCallers
 from valverouter.soak.process import EdgeProcess
 from valverouter.soak.record import CourseRecord, ProcessRecord
--- a/valverouter/soak/report.py
+++ b/valverouter/soak/report.py
@@ -9,13 +9,13 @@
 
 import trio
 
-from valverouter.soak.course import Front, draw_course
 from valverouter.soak.edge_run import EdgeRun
 from valverouter.soak.judge import CourseVerdict, Outcome
+from valverouter.soak.plan import Front, draw_course
 from valverouter.soak.platform_run import RELAY, PlatformRun
 
 MS = 10**6
-PLANTED = ["-m", "valverouter.soak.planted"]
+PLANTED = ["-m", "valverouter.soak.injected_faults"]
 
 
 @dataclass(frozen=True, slots=True)
