--- a/tests/attempt_files.py
+++ b/tests/attempt_files.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.rig import INI, terms
+from tests.edge_harness import INI, terms
 from valverouter.edge.attempt_policies import AttemptPolicies
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import settings
 
-from tests import knownred
+from tests import known_failures
 
 settings.register_profile("same", deadline=None, derandomize=True)
 settings.load_profile("same")
@@ -16,18 +16,18 @@
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
-        knownred.reds(knownred.FILE.read_text("utf-8"))
+        known_failures.reds(known_failures.FILE.read_text("utf-8"))
     except (OSError, ValueError) as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    listed = {red.test: red for red in knownred.reds(knownred.FILE.read_text("utf-8"))}
+    listed = {red.test: red for red in known_failures.reds(known_failures.FILE.read_text("utf-8"))}
     for item in items:
         if (red := listed.get(item.nodeid)) is not None:
             item.add_marker(pytest.mark.xfail(strict=True, reason=str(red)))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for red in knownred.reds(knownred.FILE.read_text("utf-8")):
+    for red in known_failures.reds(known_failures.FILE.read_text("utf-8")):
         terminalreporter.write_line(f"known red: {red}")
--- a/tests/membership_service_rig.py
+++ b/tests/membership_service_harness.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from tests.rig import terms
+from tests.edge_harness import terms
 from valverouter.config.gossip import GossipConfig, derive_key
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.membership_service import MembershipService
--- a/tests/process_rig.py
+++ b/tests/process_harness.py
@@ -18,7 +18,7 @@
 import msgspec
 import trio
 
-from tests.rig import Peer
+from tests.edge_harness import Peer
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import EndpointRegistry, EndpointRow, ListSession, Watch
--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 from trio.testing import MockClock
 
+from tests.edge_harness import INI, MS, SECOND, terms
 from tests.helpers import Rig
-from tests.rig import INI, MS, SECOND, terms
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from valverouter.attempts.worst_case import policy_problems, timelines
 from valverouter.config.edge import load_when_stable
 from valverouter.config.grammar import matches_peer
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -12,9 +12,9 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini, policies_of
+from tests.edge_harness import INI, dial, rigged, terms
 from tests.helpers import Rig
-from tests.rig import INI, dial, rigged, terms
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from tests.test_worst_case import TERMS
 from valverouter import interface
 from valverouter.attempts.matching import EffectiveSetting
--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -10,7 +10,7 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini
-from tests.rig import dial, rigged, terms
+from tests.edge_harness import dial, rigged, terms
 from valverouter.config.ini import END_MARKER
 from valverouter.signalling import setup
 
--- a/tests/test_change_guard.py
+++ b/tests/test_change_guard.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini
-from tests.rig import INI, dial, rigged, terms
+from tests.edge_harness import INI, dial, rigged, terms
 from valverouter.attempts.change_guard import ChangeGuard, Regression
 from valverouter.signalling import setup
 
--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -9,7 +9,7 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
-from tests.rig import rigged
+from tests.edge_harness import rigged
 from valverouter.config.edge import edge_config
 from valverouter.config.ini import IniFile, InvalidConfigError
 from valverouter.interface import CrossRegionBudget
--- a/tests/test_cross_region_days.py
+++ b/tests/test_cross_region_scenarios.py
@@ -10,7 +10,7 @@
 import pytest
 import structlog
 
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from valverouter.audit.account import account_by_type
 from valverouter.audit.cross_region import count_by_route, cross_region_setups, max_in_window
 from valverouter.audit.rules import audit
--- a/tests/test_dialog_store.py
+++ b/tests/test_dialog_store.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 
 from tests.recovery_records import record, timestamp
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from valverouter.ledger.dialog_store import (
     DamagedEntry,
     DialogStore,
--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -12,7 +12,7 @@
 import pytest
 import trio
 
-from tests.relayrig import Client, Loopback, Rig, relayed, release
+from tests.platform_harness import Client, Loopback, Rig, relayed, release
 from valverouter.platform_edge.callers import MAX_PENDING_SETUPS
 from valverouter.platform_edge.link import CONNECTIONS
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -11,7 +11,7 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
-from tests.rig import INI, MS, SECOND, Rig, dial, rigged, terms
+from tests.edge_harness import INI, MS, SECOND, Rig, dial, rigged, terms
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.queues import SendBatch, SendQueue
 from valverouter.edge.sockets import PlainSocketStream, SocketRuntime, split_address
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.rig import dial, rigged
+from tests.edge_harness import dial, rigged
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from valverouter.config.ini import InvalidConfigError
 from valverouter.experiments.compare import confidence_interval, paired_difference
 from valverouter.experiments.plan import load_plan, with_settings
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -21,9 +21,9 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
+from tests.edge_harness import INI, SECOND, Peer, dial, rigged, terms
 from tests.helpers import Rig as Quiet
-from tests.process_rig import Drill, drill
-from tests.rig import INI, SECOND, Peer, dial, rigged, terms
+from tests.process_harness import Drill, drill
 from tests.test_cross_region_config import GOOD as REGIONS
 from valverouter.config.edge import load_edge_config
 from valverouter.config.ini import InvalidConfigError
--- a/tests/test_fleet_authentication.py
+++ b/tests/test_fleet_authentication.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.membership_service_rig import KEY, OTHER_KEY, ping
+from tests.membership_service_harness import KEY, OTHER_KEY, ping
 from valverouter.fleet.authentication import (
     HEADER_BYTES,
     MAX_DATAGRAM_BYTES,
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests import knownred
+from tests import known_failures
 
 HERE = Path(__file__).parent
 RED, GREEN = "tests/test_some.py::test_red", "tests/test_some.py::test_green"
@@ -38,21 +38,21 @@
 @pytest.fixture
 def project(tmp_path: Path) -> Path:
     (tmp_path / "tests").mkdir()
-    for name in ("__init__.py", "conftest.py", "knownred.py"):
+    for name in ("__init__.py", "conftest.py", "known_failures.py"):
         shutil.copy(HERE / name, tmp_path / "tests")
     (tmp_path / "tests" / "test_some.py").write_text(SOME)
     return tmp_path
 
 
 def test_each_listed_test_exists_and_is_run() -> None:
-    listed = knownred.reds(knownred.FILE.read_text("utf-8"))
+    listed = known_failures.reds(known_failures.FILE.read_text("utf-8"))
     for red in listed:
-        if red.test != knownred.NO_TEST:
+        if red.test != known_failures.NO_TEST:
             found = run(HERE.parent, "--collect-only", red.test)
             assert found.returncode == 0, f"{red.test} is unknown, or not run:\n{found.stdout}"
 
 
-def unknown_options(red: knownred.Red) -> list[str]:
+def unknown_options(red: known_failures.Red) -> list[str]:
     """What a listed command asks of its program that it does not know; all, where it does not run."""
     options = [word for word in red.arguments if word.startswith("--")]
     if red.program is None:
@@ -70,13 +70,13 @@
 
 
 def test_each_listed_command_can_be_run() -> None:
-    for red in knownred.reds(knownred.FILE.read_text("utf-8")):
+    for red in known_failures.reds(known_failures.FILE.read_text("utf-8")):
         assert unknown_options(red) == [], f"{red.command}: cannot be run"
 
 
 def test_a_command_that_cannot_be_run_is_found() -> None:
-    def entry(command: str) -> knownred.Red:
-        return knownred.reds(f"- | {command} | why | 36")[0]
+    def entry(command: str) -> known_failures.Red:
+        return known_failures.reds(f"- | {command} | why | 36")[0]
 
     assert unknown_options(entry("python benchmarks/soak.py --seeds 7")) == []
     assert unknown_options(entry("python benchmarks/soak.py --seeds 7 --never")) == ["--never"]
--- a/tests/test_load.py
+++ b/tests/test_load_test.py
@@ -9,7 +9,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from valverouter.config.scenario import load_scenario
 from valverouter.load_test.drive import LoadFailedError, drive, traffic_of
 from valverouter.load_test.measure import LoadSample
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.membershiprig import SEEDS, SimulatedFleet, member_names, partition, with_later_sequence
+from tests.membership_harness import SEEDS, SimulatedFleet, member_names, partition, with_later_sequence
 from valverouter.config import scenario_sections
 from valverouter.emulator.membership_simulation import SECOND, WALL_CLOCK_START_MS, SimulatedNode
 from valverouter.membership.config import MembershipConfig
--- a/tests/test_membership_config.py
+++ b/tests/test_membership_config.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from tests.membership_service_rig import BETWEEN, DAY, EDGE, KEY, SECOND, key_file
+from tests.membership_service_harness import BETWEEN, DAY, EDGE, KEY, SECOND, key_file
 from valverouter.config.edge import edge_config
 from valverouter.config.gossip import MIN_KEY_SIZE
 from valverouter.config.ini import IniFile, InvalidConfigError
--- a/tests/test_membership_records.py
+++ b/tests/test_membership_records.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.membershiprig import with_later_sequence
+from tests.membership_harness import with_later_sequence
 from valverouter.membership.gossip import BroadcastQueue
 from valverouter.membership.records import (
     MemberRecord,
--- a/tests/test_membership_days.py
+++ b/tests/test_membership_scenarios.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.membership_service_rig import DAY, SECOND
+from tests.membership_service_harness import DAY, SECOND
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
 from valverouter.cli.__main__ import main
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 from trio.testing import MockClock
 
-from tests.membership_service_rig import (
+from tests.membership_service_harness import (
     BETWEEN,
     EDGE,
     KEY,
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.operation_rig import LIMITS, OperationLogRig
+from tests.operation_harness import LIMITS, OperationLogRig
 from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
 from valverouter.rollout.disruption_permits import (
     EnrollInstances,
--- a/tests/test_orchestrator.py
+++ b/tests/test_orchestrator.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tests.operation_rig import LIMITS, SECOND, OperationLogRig
+from tests.operation_harness import LIMITS, SECOND, OperationLogRig
 from valverouter.rollout.disruption_limits import InstanceKind
 from valverouter.rollout.disruption_permits import InstanceLost, InstanceReturned, RequestPermit
 from valverouter.rollout.operations import Cancel, OperationKind
--- a/tests/test_relayedge.py
+++ b/tests/test_platform_edge.py
@@ -17,7 +17,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.relayrig import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
+from tests.platform_harness import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
 from valverouter.config.options import MalformedInputError
 from valverouter.config.platform import platform_config
 from valverouter.platform_protocol import isup
--- a/tests/test_relayedge_races.py
+++ b/tests/test_platform_edge_races.py
@@ -24,8 +24,19 @@
 import trio
 from trio.testing import MockClock
 
-from tests.process_rig import Drill, drill
-from tests.relayrig import SETTINGS, Bus, Loopback, Rig, Server, configuration, host, relayed, release, set_up
+from tests.platform_harness import (
+    SETTINGS,
+    Bus,
+    Loopback,
+    Rig,
+    Server,
+    configuration,
+    host,
+    relayed,
+    release,
+    set_up,
+)
+from tests.process_harness import Drill, drill
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_edge import dialogs as relaydialogs
--- a/tests/test_relayedge_end.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -8,7 +8,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.relayrig import Client, Rig, relayed, set_up
+from tests.platform_harness import Client, Rig, relayed, set_up
 from valverouter.config import platform
 from valverouter.scenarios.memory_network import MemoryRuntime
 
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -16,7 +16,7 @@
 
 from tests.helpers import MS, SECOND, TYPE
 from tests.reference_model import RuleModel, Step
-from tests.test_days import HOW, small
+from tests.test_scenarios import HOW, small
 from valverouter import interface
 from valverouter.audit.rules import audit
 from valverouter.config.attempts import AttemptConfig, AttemptKeys, AttemptSection
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -17,7 +17,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.rig import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
+from tests.edge_harness import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -10,9 +10,9 @@
 import pytest
 import trio
 
-from tests.process_rig import Drill, drill
-from tests.relayrig import configuration, set_up
-from tests.test_relayedge_races import Far, free_port, passed
+from tests.platform_harness import configuration, set_up
+from tests.process_harness import Drill, drill
+from tests.test_platform_edge_races import Far, free_port, passed
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_protocol import isup
--- a/tests/test_view_audit.py
+++ b/tests/test_view_audit.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tests.membership_service_rig import SECOND
+from tests.membership_service_harness import SECOND
 from valverouter.audit.views import ViewReport, check_views
 from valverouter.signalling import traffic_record
 from valverouter.signalling.traffic_record import (
