--- a/tests/test_disruption_limits.py
+++ b/tests/test_disruption_limits.py
@@ -69,11 +69,11 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(2, 40), st.integers(1, 8), st.integers(1, 4), st.sampled_from([0.0, 0.4, 0.7]))
-def test_waves_keep_every_limit_and_leave_nobody_out(
-    count: int, in_all: int, in_region: int, fraction: float
+def test_waves_keep_every_limit_and_include_every_instance(
+    count: int, in_fleet: int, in_region: int, fraction: float
 ) -> None:
     fleet = edge_proxies(count, ("n", "s", "w"))
-    limits = DisruptionLimits(in_all, in_region, min_capacity_fraction=fraction)
+    limits = DisruptionLimits(in_fleet, in_region, min_capacity_fraction=fraction)
     names = [instance.name for instance in fleet]
     problem = ""
     try:
--- a/tests/test_disruption_permits.py
+++ b/tests/test_disruption_permits.py
@@ -96,7 +96,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(COMMANDS, max_size=40))
-def test_any_commands_keep_the_limits_and_permit_numbers_increase(commands: list[PermitCommand]) -> None:
+def test_limits_hold_and_permit_numbers_increase_for_any_commands(commands: list[PermitCommand]) -> None:
     register, replica = (permit_register(DisruptionLimits(3, 2), 8) for _ in range(2))
     numbers = []
     for number, command in enumerate(commands, 2):
@@ -113,17 +113,17 @@
 # Simulations and the model
 
 
-def test_faults_break_no_limit_and_the_group_recovers() -> None:
-    went_out = 0
+def test_no_limit_is_exceeded_under_faults_and_the_group_recovers() -> None:
+    permits_used = 0
     for seed in range(14):
         simulation = PermitSimulation(seed)
         simulation.run(30)
         assert simulation.group.problem == "", f"seed {seed}"
-        went_out += simulation.counts["out"]
-    assert went_out > 100
+        permits_used += simulation.counts["out"]
+    assert permits_used > 100
 
 
-def test_faults_break_no_limit_of_a_group_of_five() -> None:
+def test_no_limit_is_exceeded_under_faults_in_a_group_of_five() -> None:
     for seed in range(100, 103):
         simulation = PermitSimulation(seed, group_size=5, holder_count=20, limits=DisruptionLimits(4, 2))
         simulation.run(30)
@@ -161,7 +161,7 @@
         (PermitModel(max_terms=2, max_log_length=1, max_crashes=1), 12_416),
     ],
 )
-def test_no_order_of_steps_lets_more_out_than_allowed(model: PermitModel, states: int) -> None:
+def test_no_interleaving_exceeds_the_limit(model: PermitModel, states: int) -> None:
     assert model.explore() == states
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -25,14 +25,14 @@
     """Nodes with perfect paths, stepped by hand. Those in `cut` are reached by nobody."""
 
     def __init__(self, count: int = 3) -> None:
-        members = tuple((f"c{at}", at + 1) for at in range(count))
+        members = tuple((f"c{index}", index + 1) for index in range(count))
         self.now = 0
         self.nodes: dict[str, RaftNode] = {}
         for name, disk_id in members:
             persistent = PersistentState(disk_id)
             persistent.apply(SaveEntries(1, (LogEntry(1, Configuration(members)),)))
             self.nodes[name] = RaftNode(name, persistent, random.Random(name).random, 0)
-        self.cut: set[str] = set()
+        self.isolated: set[str] = set()
 
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
@@ -53,13 +53,13 @@
             for node in self.nodes.values():
                 outgoing, node.outgoing = node.outgoing, []
                 for receiver, message in outgoing:
-                    if receiver in self.nodes and not {receiver, node.name} & self.cut:
+                    if receiver in self.nodes and not {receiver, node.name} & self.isolated:
                         self.nodes[receiver].receive(self.now, message)
         raise AssertionError("nodes answer each other without end")
 
     @property
     def leader(self) -> RaftNode:
-        reachable = [node for node in self.nodes.values() if node.name not in self.cut]
+        reachable = [node for node in self.nodes.values() if node.name not in self.isolated]
         (leader,) = [node for node in reachable if node.role is Role.LEADER]
         return leader
 
@@ -79,13 +79,13 @@
     cluster = Cluster(5)
     cluster.run(5)
     former = cluster.leader
-    cluster.cut = {former.name}
+    cluster.isolated = {former.name}
     former.propose(cluster.now, "lost")
     cluster.run(8)
     assert former.role is not Role.LEADER, "a leader that nobody answers is none"
     assert cluster.leader.propose(cluster.now, "kept")
     cluster.run(1)
-    cluster.cut = set()
+    cluster.isolated = set()
     cluster.run(3)
     for node in cluster.nodes.values():
         assert [command for _, command in node.committed if isinstance(command, str)] == ["kept"]
@@ -95,10 +95,10 @@
     cluster = Cluster()
     cluster.run(5)
     leader, term = cluster.leader.name, cluster.leader.persistent.current_term
-    sleeper = next(name for name in cluster.nodes if name != leader)
-    cluster.cut = {sleeper}
+    follower = next(name for name in cluster.nodes if name != leader)
+    cluster.isolated = {follower}
     cluster.run(20)
-    cluster.cut = set()
+    cluster.isolated = set()
     cluster.run(5)
     assert (cluster.leader.name, cluster.leader.persistent.current_term) == (leader, term)
 
@@ -107,14 +107,14 @@
     """Found by simulation: the longer log with the lower term, and the other way round, asked for ever."""
     cluster = Cluster()
     long, short = cluster.nodes["c0"], cluster.nodes["c1"]
-    long.persistent.apply(SaveEntries(2, tuple(LogEntry(1, at) for at in range(5))))
+    long.persistent.apply(SaveEntries(2, tuple(LogEntry(1, number) for number in range(5))))
     short.persistent.current_term = 4
-    cluster.cut = {"c2"}
+    cluster.isolated = {"c2"}
     cluster.run(20)
     assert cluster.leader is long
 
 
-def test_a_vote_counts_once_and_only_with_its_disk() -> None:
+def test_a_vote_counts_once_and_only_with_the_known_disk_id() -> None:
     cluster = Cluster()
     node = cluster.nodes["c0"]
     node.tick(5 * SECOND)
@@ -142,9 +142,9 @@
     node.receive(5 * SECOND, RequestVote(7, "c0", 1, 1, 1))
     node.receive(5 * SECOND, RequestVote(7, "c1", 2, 1, 1))
     assert granted_votes(node) == [True, False]
-    again = RaftNode("c2", node.persistent, random.random, 6 * SECOND)
-    again.receive(9 * SECOND, RequestVote(7, "c1", 2, 1, 1))
-    assert granted_votes(again) == [False]
+    restarted = RaftNode("c2", node.persistent, random.random, 6 * SECOND)
+    restarted.receive(9 * SECOND, RequestVote(7, "c1", 2, 1, 1))
+    assert granted_votes(restarted) == [False]
 
 
 def test_an_entry_of_a_former_term_commits_only_with_one_of_the_current_term() -> None:
@@ -164,7 +164,7 @@
     assert node.commit_index == 3
 
 
-def test_conflicting_entries_are_replaced_and_no_others() -> None:
+def test_only_conflicting_entries_are_replaced() -> None:
     cluster = Cluster()
     node = cluster.nodes["c1"]
     node.persistent.apply(SaveEntries(2, (LogEntry(1, "a"), LogEntry(1, "b"))))
@@ -184,8 +184,8 @@
 def test_a_long_log_is_compacted_and_a_lagging_member_installs_the_snapshot() -> None:
     cluster = Cluster()
     cluster.run(5)
-    away = next(name for name in cluster.nodes if name != cluster.leader.name)
-    cluster.cut = {away}
+    lagging = next(name for name in cluster.nodes if name != cluster.leader.name)
+    cluster.isolated = {lagging}
     states = {name: 0 for name in cluster.nodes}
     for name, node in cluster.nodes.items():
         node._capture_state = lambda name=name: states[name]  # type: ignore[misc]
@@ -203,10 +203,10 @@
     leader = cluster.leader
     assert leader.persistent.snapshot is not None
     assert len(leader.persistent.entries) < COMPACTION_THRESHOLD
-    cluster.cut = set()
+    cluster.isolated = set()
     cluster.run(3)
-    node = cluster.nodes[away]
-    total = states[away] + sum(isinstance(command, int) for _, command in node.committed)
+    node = cluster.nodes[lagging]
+    total = states[lagging] + sum(isinstance(command, int) for _, command in node.committed)
     assert total == COMPACTION_THRESHOLD + 60
     assert node.commit_index == leader.commit_index
     assert node.configuration == leader.configuration
@@ -282,7 +282,7 @@
         super().append(entry)
 
 
-def compacted_cluster(entries_behind_snapshot: int) -> Cluster:
+def compacted_cluster(entries_after_snapshot: int) -> Cluster:
     """A group whose members have compacted their log once, and have so many entries behind the snapshot."""
     cluster = Cluster()
     cluster.run(5)
@@ -290,7 +290,7 @@
     for node in cluster.nodes.values():
         node.committed.clear()
         node.compact_log()
-    propose(cluster, entries_behind_snapshot)
+    propose(cluster, entries_after_snapshot)
     cluster.run(1)
     return cluster
 
@@ -311,7 +311,7 @@
     return node
 
 
-def test_an_empty_member_is_sent_no_entry_under_another_index() -> None:
+def test_a_member_with_an_empty_log_gets_entries_at_their_own_indexes() -> None:
     """It committed entry 259 as its first: permits that the group never gave, at a member that may lead.
 
     `entries_from(1)` of a log that begins at 258 counted from its end. With few entries behind the snapshot
@@ -331,7 +331,7 @@
         assert leader.persistent.entry_at(index).command == command
 
 
-def test_an_old_request_from_before_the_snapshot_takes_no_entry_away() -> None:
+def test_a_delayed_request_from_before_the_snapshot_deletes_no_entries() -> None:
     """A datagram that came late or twice, with the group's first entries: the log behind the snapshot went.
 
     Term 0 at index 0 made it fit, and its entries replaced what came after the snapshot, committed or not.
@@ -349,7 +349,7 @@
     ]
 
 
-def test_a_response_that_moves_nothing_is_not_answered_at_once() -> None:
+def test_a_response_without_progress_triggers_no_immediate_retry() -> None:
     """The same request at once brings the same response: two members kept each other and the path busy."""
     cluster = Cluster()
     cluster.run(5)
@@ -365,7 +365,7 @@
     assert name in [receiver for receiver, _ in leader.outgoing], "with the next heartbeat"
 
 
-def test_a_snapshot_that_comes_again_or_late_replaces_nothing() -> None:
+def test_a_repeated_or_outdated_snapshot_is_not_installed() -> None:
     """As over datagrams: repeated at each heartbeat, an older one behind a newer, one of a former leader."""
     node = Cluster().nodes["c1"]
     restored: list[str] = []
--- a/tests/test_raft_server.py
+++ b/tests/test_raft_server.py
@@ -30,24 +30,24 @@
 
 
 @pytest.mark.parametrize("command", ["raft-server", "council", "supervisor", "keeper"])
-def test_an_address_in_use_ends_the_start_with_3(tmp_path: Path, command: str) -> None:
-    taken = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    taken.bind(("127.0.0.1", 0))
+def test_start_fails_with_exit_code_3_if_the_address_is_in_use(tmp_path: Path, command: str) -> None:
+    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    bound.bind(("127.0.0.1", 0))
     text = RAFT_SERVER if command in ("raft-server", "council") else SUPERVISOR
     listen = text[text.index("listen") :].splitlines()[0]
-    file = write_settings(tmp_path, text.replace(listen, f"listen = 127.0.0.1:{taken.getsockname()[1]}"))
+    file = write_settings(tmp_path, text.replace(listen, f"listen = 127.0.0.1:{bound.getsockname()[1]}"))
     result = subprocess.run(
         [sys.executable, "-m", "valverouter.cli", "fleet", command, str(file)],
         capture_output=True,
         timeout=20,
         check=False,
     )
-    taken.close()
+    bound.close()
     assert result.returncode == 3, result.stderr
     assert b"in use" in result.stderr, result.stderr
 
 
-async def test_a_client_gets_a_status_that_is_longer_than_a_burst_of_fragments(tmp_path: Path) -> None:
+async def test_a_client_receives_a_status_larger_than_one_burst_of_fragments(tmp_path: Path) -> None:
     """A status made anew for each retry, with other ages in it, would never be complete from fragments."""
     text = RAFT_SERVER.replace(", c1 127.0.0.1:7001, c2 127.0.0.1:7002", "").replace("7000", str(free_port()))
     terms = load_raft_server(write_settings(tmp_path, text))
@@ -79,7 +79,7 @@
     store.close()
 
 
-def test_a_client_reports_a_file_without_servers_and_a_control_plane_that_is_away(tmp_path: Path) -> None:
+def test_a_client_reports_a_file_without_servers_and_an_unreachable_control_plane(tmp_path: Path) -> None:
     file = write_settings(tmp_path, "[edge]\nname = e0\n")
     with pytest.raises(InvalidConfigError, match=r"neither a \[seat\] nor a \[keeper\]"):
         load_fleet_client(file)
--- a/tests/test_raft_store.py
+++ b/tests/test_raft_store.py
@@ -40,11 +40,11 @@
 )
 
 
-def test_what_is_committed_is_loaded_as_it_was_applied(tmp_path: Path) -> None:
+def test_committed_changes_are_loaded_as_they_were_applied(tmp_path: Path) -> None:
     store, expected = RaftStore(tmp_path, 7), PersistentState(7)
     state = OperationLog(permit_register())
     members = Configuration((("c0", 7), ("c1", 8)))
-    steps: list[list[Save]] = [
+    commits: list[list[Save]] = [
         [
             SaveTerm(3, "c1"),
             SaveEntries(1, (LogEntry(1, members), LogEntry(1, ENROLLMENT), LogEntry(2, None))),
@@ -62,35 +62,37 @@
         [SaveSnapshot(Snapshot(4, 3, members, state))],
         [SaveEntries(6, (LogEntry(3, InstanceReturned("e1")),)), SaveTerm(4, "")],
     ]
-    for saves in steps:
+    for saves in commits:
         store.commit(saves)
         for save in saves:
             expected.apply(save)
         assert store.load() == expected
     store.close()
-    again = RaftStore(tmp_path, 99)
-    assert again.load() == expected, "the disk id stays the one that the store began with"
+    reopened = RaftStore(tmp_path, 99)
+    assert reopened.load() == expected, "the disk id stays the one that the store began with"
     with pytest.raises(StoreLockedError):
         RaftStore(tmp_path, 1)
-    again.commit([SaveSnapshot(Snapshot(40, 9, members, state))])
-    assert again.load().entries == [], "a snapshot past all that is here"
-    again.close()
+    reopened.commit([SaveSnapshot(Snapshot(40, 9, members, state))])
+    assert reopened.load().entries == [], "a snapshot past all that is here"
+    reopened.close()
 
 
 def test_a_failed_commit_stores_nothing(tmp_path: Path) -> None:
     store = RaftStore(tmp_path, 7)
     store.commit([SaveTerm(1, "c0")])
-    bad: Any = SaveEntries(1, (LogEntry(1, object()),))
+    unserializable: Any = SaveEntries(1, (LogEntry(1, object()),))
     with pytest.raises(TypeError):
-        store.commit([SaveTerm(2, "c1"), bad])
+        store.commit([SaveTerm(2, "c1"), unserializable])
     assert (store.load().current_term, store.load().voted_for) == (1, "c0")
     store.close()
 
 
 @pytest.mark.parametrize("damage", ["flipped", "cut off", "entry missing"])
-def test_a_store_that_can_not_be_read_whole_is_not_trusted(tmp_path: Path, damage: str) -> None:
+def test_a_damaged_store_fails_to_load(tmp_path: Path, damage: str) -> None:
     store = RaftStore(tmp_path, 7)
-    store.commit([SaveEntries(1, tuple(LogEntry(1, RequestPermit(f"ask-{at}", "e0")) for at in range(400)))])
+    store.commit(
+        [SaveEntries(1, tuple(LogEntry(1, RequestPermit(f"ask-{number}", "e0")) for number in range(400)))]
+    )
     if damage == "entry missing":
         with store._env.begin(write=True) as transaction:
             transaction.delete((200).to_bytes(8, "big"), db=store._log_db)
@@ -106,7 +108,7 @@
         RaftStore(tmp_path, 8).load()
 
 
-def test_a_store_holds_whole_commits_after_a_kill_while_writing(tmp_path: Path) -> None:
+def test_commits_are_atomic_when_the_process_is_killed(tmp_path: Path) -> None:
     """Each commit puts one term and as many entries of it; whatever is found agrees with itself."""
     script = """
 import sys
@@ -143,21 +145,21 @@
         )
 
 
-def test_a_store_reads_back_what_a_simulated_member_saved(tmp_path: Path) -> None:
+def test_a_store_loads_what_a_simulated_member_saved(tmp_path: Path) -> None:
     """Each save of a simulated member also goes to a store, and what is read back is what its disk holds."""
     simulation = PermitSimulation(3)
     member = simulation.group.members["c1"]
     store = RaftStore(tmp_path, member.persistent.disk_id)
     store.commit([SaveEntries(1, tuple(member.persistent.entries))])
-    applies = PersistentState.apply
+    apply_in_memory = PersistentState.apply
 
-    def both(self: PersistentState, save: Save) -> None:
-        applies(self, save)
+    def apply_and_store(self: PersistentState, save: Save) -> None:
+        apply_in_memory(self, save)
         if self is member.persistent:
             store.commit([save])
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(PersistentState, "apply", both)
+        patch.setattr(PersistentState, "apply", apply_and_store)
         simulation._cause_fault = lambda: None  # type: ignore[method-assign]
         simulation.run(12)
     assert member.persistent.entries
--- a/tests/test_sequential_test.py
+++ b/tests/test_sequential_test.py
@@ -9,20 +9,20 @@
 
 def evidence_of(
     config: SequentialTestConfig,
-    bad: float,
-    normal: float,
+    canary_rate: float,
+    baseline_rate: float,
     seed: int,
     intervals: int = 400,
-    night: bool = False,
+    low_traffic: bool = False,
 ) -> CanaryEvidence:
     draws = random.Random(seed)
     evidence = CanaryEvidence(("declined", "late"), config, draws.random)
     for _ in range(intervals):
-        size = 1 if night else 20
+        size = 1 if low_traffic else 20
         for measure in evidence.measures:
-            worse = bad if measure == "declined" else normal
-            canary = OutcomeCount(sum(draws.random() < worse for _ in range(size)), size)
-            baseline = OutcomeCount(sum(draws.random() < normal for _ in range(3 * size)), 3 * size)
+            rate = canary_rate if measure == "declined" else baseline_rate
+            canary = OutcomeCount(sum(draws.random() < rate for _ in range(size)), size)
+            baseline = OutcomeCount(sum(draws.random() < baseline_rate for _ in range(3 * size)), 3 * size)
             evidence.add_interval({"north": canary}, {"north": baseline, "south": baseline}, measure)
         if evidence.verdict is not Verdict.UNDECIDED:
             break
@@ -42,13 +42,13 @@
 
 def test_too_few_outcomes_decide_nothing() -> None:
     assert (
-        evidence_of(SequentialTestConfig(), 0.05, 0.05, 1, intervals=100, night=True).verdict
+        evidence_of(SequentialTestConfig(), 0.05, 0.05, 1, intervals=100, low_traffic=True).verdict
         is Verdict.UNDECIDED
     )
-    nobody = CanaryEvidence(("declined",), SequentialTestConfig(), random.random)
-    nobody.add_interval({"north": OutcomeCount(0, 50)}, {"south": OutcomeCount(0, 50)}, "declined")
-    assert nobody.verdict is Verdict.UNDECIDED, "no region in common"
-    assert not nobody.tests["declined"].pairs, "no region in common"
+    unmatched = CanaryEvidence(("declined",), SequentialTestConfig(), random.random)
+    unmatched.add_interval({"north": OutcomeCount(0, 50)}, {"south": OutcomeCount(0, 50)}, "declined")
+    assert unmatched.verdict is Verdict.UNDECIDED, "no region in common"
+    assert not unmatched.tests["declined"].pairs, "no region in common"
 
 
 def test_a_slow_server_affects_both_sides_and_halts_nothing() -> None:
--- a/valverouter/rollout/disruption_limits.py
+++ b/valverouter/rollout/disruption_limits.py
@@ -106,52 +106,56 @@
     `unavailable` are names, of any kind of instance. A candidate that is among them uses no more than before.
     """
     peers = [instance for instance in fleet if instance.kind is candidate.kind]
-    gone = {instance.name for instance in peers} & set(unavailable)
-    if candidate.name in gone:
+    unavailable_peers = {instance.name for instance in peers} & set(unavailable)
+    if candidate.name in unavailable_peers:
         return None
-    if len(gone) + 1 > limits.max_unavailable:
+    if len(unavailable_peers) + 1 > limits.max_unavailable:
         limit = f"{candidate.kind.plural} out at once"
-        return ExceededLimit(limit, limits.max_unavailable, len(gone), tuple(sorted(gone)))
+        return ExceededLimit(
+            limit, limits.max_unavailable, len(unavailable_peers), tuple(sorted(unavailable_peers))
+        )
     region = [instance for instance in peers if instance.region == candidate.region]
-    return _exceeded_count_in_region(limits, region, gone, candidate) or _exceeded_reserve(
-        limits, region, gone, candidate
+    return _exceeded_count_in_region(limits, region, unavailable_peers, candidate) or _exceeded_minimum(
+        limits, region, unavailable_peers, candidate
     )
 
 
 def _exceeded_count_in_region(
-    limits: DisruptionLimits, region: list[Instance], gone: set[str], candidate: Instance
+    limits: DisruptionLimits, region: list[Instance], unavailable: set[str], candidate: Instance
 ) -> ExceededLimit | None:
-    gone_here = _names_in(region, gone)
+    unavailable_in_region = _names_in(region, unavailable)
     allowed = limits.max_unavailable_in(candidate.region)
-    if len(gone_here) + 1 <= allowed:
+    if len(unavailable_in_region) + 1 <= allowed:
         return None
     limit = f"{candidate.kind.plural} out at once in {candidate.region}"
-    return ExceededLimit(limit, allowed, len(gone_here), gone_here)
+    return ExceededLimit(limit, allowed, len(unavailable_in_region), unavailable_in_region)
 
 
-def _exceeded_reserve(
-    limits: DisruptionLimits, region: list[Instance], gone: set[str], candidate: Instance
+def _exceeded_minimum(
+    limits: DisruptionLimits, region: list[Instance], unavailable: set[str], candidate: Instance
 ) -> ExceededLimit | None:
     """Whether too little of the region's capacity or processor power would stay.
 
     It is measured against the whole of the region, unavailable instances included, so that what is gone
     counts as missing and not as never there.
     """
-    staying = [
-        instance for instance in region if instance.name not in gone and instance.name != candidate.name
+    remaining = [
+        instance
+        for instance in region
+        if instance.name not in unavailable and instance.name != candidate.name
     ]
-    for resource, fraction, whole, available in (
-        ("capacity", limits.min_capacity_fraction, _capacity(region), _capacity(staying)),
-        ("processor", limits.min_processor_fraction, _processor(region), _processor(staying)),
+    for resource, fraction, total, available in (
+        ("capacity", limits.min_capacity_fraction, _capacity(region), _capacity(remaining)),
+        ("processor", limits.min_processor_fraction, _processor(region), _processor(remaining)),
     ):
-        if whole and available < fraction * whole:
+        if total and available < fraction * total:
             limit = f"least {resource} of {candidate.region}"
-            return ExceededLimit(limit, fraction * whole, available, _names_in(region, gone))
+            return ExceededLimit(limit, fraction * total, available, _names_in(region, unavailable))
     return None
 
 
-def _names_in(region: list[Instance], gone: set[str]) -> tuple[str, ...]:
-    return tuple(sorted(instance.name for instance in region if instance.name in gone))
+def _names_in(region: list[Instance], unavailable: set[str]) -> tuple[str, ...]:
+    return tuple(sorted(instance.name for instance in region if instance.name in unavailable))
 
 
 def _capacity(instances: Iterable[Instance]) -> float:
@@ -171,12 +175,12 @@
 
 
 def _contradictions(limits: DisruptionLimits, kind: InstanceKind, count: int) -> Iterator[str]:
-    in_all, in_region = limits.max_unavailable, limits.max_unavailable_per_region
-    if in_all < 1 or in_region < 1:
+    in_fleet, in_region = limits.max_unavailable, limits.max_unavailable_per_region
+    if in_fleet < 1 or in_region < 1:
         yield f"no {kind.value} could ever go out: the most is below 1"
-    if in_region > in_all:
-        yield f"more {kind.plural} may be out in a region ({in_region}) than in all ({in_all})"
-    if count > 1 and in_all >= count:
+    if in_region > in_fleet:
+        yield f"more {kind.plural} may be out in a region ({in_region}) than in all ({in_fleet})"
+    if count > 1 and in_fleet >= count:
         yield f"all {count} {kind.plural} may be out at once"
 
 
@@ -188,8 +192,8 @@
         yield f"there is no {kind.value} in {region}"
     for region in sorted(regions):
         capacities = [instance.capacity for instance in instances if instance.region == region]
-        whole = sum(capacities)
-        if whole and whole - min(capacities) < limits.min_capacity_fraction * whole:
+        total = sum(capacities)
+        if total and total - min(capacities) < limits.min_capacity_fraction * total:
             yield f"no {kind.value} of {region} could go out: it would leave less than the least capacity"
 
 
@@ -203,31 +207,31 @@
     where an instance could never go out.
     """
     by_name = {instance.name: instance for instance in fleet}
-    waiting: dict[str, list[str]] = {}
+    remaining: dict[str, list[str]] = {}
     for name in sorted(names):
-        waiting.setdefault(by_name[name].region, []).append(name)
-    totals = {region: len(in_region) for region, in_region in waiting.items()}
+        remaining.setdefault(by_name[name].region, []).append(name)
+    totals = {region: len(in_region) for region, in_region in remaining.items()}
     waves: list[list[str]] = []
     max_size = 1
-    while any(waiting.values()):
-        region = _next_region(waiting, totals)
-        candidates = [by_name[name] for name in waiting[region][:max_size]]
+    while any(remaining.values()):
+        region = _next_region(remaining, totals)
+        candidates = [by_name[name] for name in remaining[region][:max_size]]
         wave = _largest_wave(limits, fleet, unavailable, candidates)
         waves.append(wave)
-        waiting[region] = [name for name in waiting[region] if name not in wave]
+        remaining[region] = [name for name in remaining[region] if name not in wave]
         max_size *= WAVE_GROWTH
     return waves
 
 
-def _next_region(waiting: Mapping[str, list[str]], totals: Mapping[str, int]) -> str:
+def _next_region(remaining: Mapping[str, list[str]], totals: Mapping[str, int]) -> str:
     """The region of which the largest part still waits; among equals, the smallest region.
 
     What a release harms is then seen where least depends on it, and released instances have unreleased ones
     of their region beside them to be compared with.
     """
     return max(
-        (region for region in waiting if waiting[region]),
-        key=lambda region: (len(waiting[region]) / totals[region], -totals[region], region),
+        (region for region in remaining if remaining[region]),
+        key=lambda region: (len(remaining[region]) / totals[region], -totals[region], region),
     )
 
 
--- a/valverouter/rollout/disruption_permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -129,9 +129,9 @@
         )
 
     def _on_request(self, number: int, request: RequestPermit) -> PermitDecision:
-        if (known := self.decisions.get(request.id)) is not None:
-            return known
-        rejection = self._rejection(request)
+        if (earlier_decision := self.decisions.get(request.id)) is not None:
+            return earlier_decision
+        rejection = self._find_rejection(request)
         permit = None if rejection else Permit(number, request.name, request.operation)
         decision = PermitDecision(request.id, permit, rejection)
         self.decisions[request.id] = decision
@@ -141,7 +141,7 @@
             self.unavailable[request.name] = permit
         return decision
 
-    def _rejection(self, request: RequestPermit) -> str:
+    def _find_rejection(self, request: RequestPermit) -> str:
         """Why a request is rejected; empty: it is granted."""
         instance = self.instances.get(request.name)
         if instance is None:
@@ -166,8 +166,8 @@
         permits = (self.unavailable.get(name) for name in exceeded.instances)
         operations = {permit.operation for permit in permits if permit is not None}
         names = sorted(operation or "no order" for operation in operations)
-        users = f"; of {', '.join(names)}" if names else ""
-        return f"{exceeded}{users}; ask again when one of them is back"
+        holders = f"; of {', '.join(names)}" if names else ""
+        return f"{exceeded}{holders}; ask again when one of them is back"
 
     def _on_returned(self, name: str, permit_number: int) -> None:
         permit = self.unavailable.get(name)
--- a/valverouter/rollout/halt_conditions.py
+++ b/valverouter/rollout/halt_conditions.py
@@ -74,10 +74,10 @@
         exits = self._exits_since_step(operation, released)
         if exits < min(self.config.max_unexpected_exits, max(1, len(released))):
             return ""
-        others = canary_groups(log, operation).unreleased
-        other_exits = self._exits_in_window(window, others)
+        unreleased = canary_groups(log, operation).unreleased
+        unreleased_exits = self._exits_in_window(window, unreleased)
         # Compared per instance, multiplied out: exits / released > ratio * other_exits / others.
-        if exits * max(1, len(others)) > EXIT_RATE_RATIO * other_exits * len(released):
+        if exits * max(1, len(unreleased)) > EXIT_RATE_RATIO * unreleased_exits * len(released):
             return f"{exits} programs of {len(released)} released ended by themselves"
         return ""
 
@@ -106,20 +106,20 @@
         released, unreleased = self._memory_of(groups.released), self._memory_of(groups.unreleased)
         if not released or not unreleased:
             return ""
-        median, other_median = statistics.median(released), statistics.median(unreleased)
-        is_far_more = median > self.config.max_memory_ratio * other_median
-        if is_far_more and median - other_median > self.config.min_memory_excess:
+        released_median, unreleased_median = (statistics.median(released), statistics.median(unreleased))
+        is_excessive = released_median > self.config.max_memory_ratio * unreleased_median
+        if is_excessive and released_median - unreleased_median > self.config.min_memory_excess:
             return (
-                f"released ones hold {median / MEBIBYTE:.0f} MiB in the median, "
-                f"the others {other_median / MEBIBYTE:.0f}"
+                f"released ones hold {released_median / MEBIBYTE:.0f} MiB in the median, "
+                f"the others {unreleased_median / MEBIBYTE:.0f}"
             )
         return ""
 
     def _memory_of(self, names: Iterable[str]) -> list[int]:
         """Bytes held by each instance that reported any."""
         observations = (self.readiness.observations.get(name) for name in names)
-        held = (observation.report.counters.memory_bytes for observation in observations if observation)
-        return [size for size in held if size]
+        sizes = (observation.report.counters.memory_bytes for observation in observations if observation)
+        return [size for size in sizes if size]
 
 
 def _failed_step(operation: Operation) -> str:
--- a/valverouter/rollout/permit_model.py
+++ b/valverouter/rollout/permit_model.py
@@ -66,7 +66,7 @@
 class Holder:
     """Numbers of permits: by which the holder is out (0: it is not), and what its fence has seen."""
 
-    out_by: int = 0
+    permit_number: int = 0
     highest_seen: int = 0
     highest_ended: int = 0
 
@@ -128,24 +128,24 @@
                 RequestPermit(f"a{index}", _holder_name(index)) for index in range(self.holders)
             ),
         )
-        seen, waiting = {initial}, deque([initial])
-        while waiting:
-            state = waiting.pop() if self.depth_first else waiting.popleft()
+        seen, frontier = {initial}, deque([initial])
+        while frontier:
+            state = frontier.pop() if self.depth_first else frontier.popleft()
             for successor in self._successors(state):
                 if successor in seen:
                     continue
                 self._check(successor)
                 seen.add(successor)
-                waiting.append(successor)
+                frontier.append(successor)
                 if len(seen) > max_states:
                     raise MemoryError(f"over {max_states} states")
         return len(seen)
 
     def _check(self, state: State) -> None:
-        out_by = [holder.out_by for holder in state.holders]
-        out = sum(number > 0 for number in out_by)
-        if out > self.max_unavailable:
-            raise SafetyViolationError(f"out: {out} are out by permits {out_by}")
+        permit_numbers = [holder.permit_number for holder in state.holders]
+        unavailable = sum(number > 0 for number in permit_numbers)
+        if unavailable > self.max_unavailable:
+            raise SafetyViolationError(f"out: {unavailable} are out by permits {permit_numbers}")
 
     def _successors(self, state: State) -> Iterator[State]:
         for index, replica in enumerate(state.replicas):
@@ -166,13 +166,13 @@
         term = candidate.term + 1
         if term > self.max_terms:
             return
-        willing = [
+        granting = [
             other
             for other, replica in enumerate(state.replicas)
             if other != index and _grants_vote(replica, term, candidate.log)
         ]
         votes_needed = QUORUM - 1 if self.planted_fault != "twice" else 0
-        for voters in combinations(willing, votes_needed):
+        for voters in combinations(granting, votes_needed):
             elected = state.with_replica(
                 index, replace(candidate, term=term, voted_for=index, leading_term=term)
             )
@@ -196,19 +196,19 @@
         for command in state.proposed:
             if command not in present:
                 log = (*leader.log, (leader.leading_term, command))
-                grown = state.with_replica(index, replace(leader, log=log))
-                yield grown.with_leader_log(leader.leading_term, log)
+                appended = state.with_replica(index, replace(leader, log=log))
+                yield appended.with_leader_log(leader.leading_term, log)
 
     def _commits(self, state: State, index: int, leader: Replica) -> Iterator[State]:
         """The leader commits a prefix that a majority has, if its last entry is of the leader's term."""
         for length in range(1, len(leader.log) + 1):
-            holding = {
+            acknowledging = {
                 replica
                 for term, replica, acknowledged in state.acknowledged
                 if term == leader.leading_term and acknowledged >= length
             }
             last_term, _ = leader.log[length - 1]
-            if len(holding | {index}) < QUORUM or last_term != leader.leading_term:
+            if len(acknowledging | {index}) < QUORUM or last_term != leader.leading_term:
                 continue
             prefix = leader.log[:length]
             if prefix[: len(state.committed)] != state.committed[:length]:
@@ -221,8 +221,8 @@
         for term, log in enumerate(state.leader_logs, 1):
             for length in range(1, len(log) + 1):
                 for index, replica in enumerate(state.replicas):
-                    is_held = replica.log[:length] == log[:length]
-                    if not (is_held and (term, index, length) in state.acknowledged):
+                    is_stored = replica.log[:length] == log[:length]
+                    if not (is_stored and (term, index, length) in state.acknowledged):
                         yield from self._replication(state, index, term, log[:length])
 
     def _replication(self, state: State, index: int, term: int, prefix: Log) -> Iterator[State]:
@@ -233,28 +233,30 @@
         log = replica.log if replica.log[: len(prefix)] == prefix else prefix
         voted_for = replica.voted_for if replica.term == term else NO_VOTE
         # The longest prefix that it acknowledged in a term says all that the shorter ones do.
-        former = [length for t, other, length in state.acknowledged if (t, other) == (term, index)]
-        longest = max([len(prefix), *former])
+        acknowledged_lengths = [
+            length for t, other, length in state.acknowledged if (t, other) == (term, index)
+        ]
+        longest = max([len(prefix), *acknowledged_lengths])
         others = frozenset(entry for entry in state.acknowledged if entry[:2] != (term, index))
-        followed = state.with_replica(index, Replica(term, voted_for, log))
-        yield replace(followed, acknowledged=others | {(term, index, longest)})
+        updated = state.with_replica(index, Replica(term, voted_for, log))
+        yield replace(updated, acknowledged=others | {(term, index, longest)})
 
     # Holders
 
     def _holder_steps(self, state: State, index: int, holder: Holder) -> Iterator[State]:
         """A holder that is out comes back, any other goes out by any permit that its fence accepts."""
         name = _holder_name(index)
-        if holder.out_by:
-            returned = replace(holder, out_by=0, highest_ended=holder.out_by)
-            proposed = state.proposed | {InstanceReturned(name, holder.out_by)}
+        if holder.permit_number:
+            returned = replace(holder, permit_number=0, highest_ended=holder.permit_number)
+            proposed = state.proposed | {InstanceReturned(name, holder.permit_number)}
             yield replace(state.with_holder(index, returned), proposed=proposed)
             if self.planted_fault == "lapse":
                 yield replace(state, proposed=proposed)
             return
         for permit in self._permits(state.committed):
             if permit.name == name and self._accepts(holder, permit):
-                gone = replace(holder, out_by=permit.number, highest_seen=permit.number)
-                yield state.with_holder(index, gone)
+                unavailable = replace(holder, permit_number=permit.number, highest_seen=permit.number)
+                yield state.with_holder(index, unavailable)
 
     def _accepts(self, holder: Holder, permit: Permit) -> bool:
         fence = Fence({permit.name: holder.highest_seen}, {permit.name: holder.highest_ended})
@@ -280,11 +282,11 @@
 
 def _grants_vote(voter: Replica, term: int, candidate_log: Log) -> bool:
     """One vote a term, for a log that is at least as up to date as the voter's."""
-    has_vote_left = voter.term < term or (voter.term == term and voter.voted_for == NO_VOTE)
-    return has_vote_left and _freshness(candidate_log) >= _freshness(voter.log)
+    can_vote = voter.term < term or (voter.term == term and voter.voted_for == NO_VOTE)
+    return can_vote and _last_term_and_length(candidate_log) >= _last_term_and_length(voter.log)
 
 
-def _freshness(log: Log) -> tuple[int, int]:
+def _last_term_and_length(log: Log) -> tuple[int, int]:
     """The last entry's term, and the length."""
     return (log[-1][0] if log else 0), len(log)
 
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -293,10 +293,10 @@
             return
         current_term = self.persistent.current_term
         if response.pre_vote:
-            counts = self.role is Role.PRE_CANDIDATE and response.term == current_term + 1
+            is_current = self.role is Role.PRE_CANDIDATE and response.term == current_term + 1
         else:
-            counts = self.role is Role.CANDIDATE and response.term == current_term
-        if counts:
+            is_current = self.role is Role.CANDIDATE and response.term == current_term
+        if is_current:
             self._votes.add(response.voter_id)
             self._count_votes()
 
--- a/valverouter/rollout/raft_log.py
+++ b/valverouter/rollout/raft_log.py
@@ -196,10 +196,10 @@
 
     def _apply_snapshot(self, snapshot: Snapshot) -> None:
         """Entries behind the snapshot stay only if the log agrees with it at its last entry."""
-        included = snapshot.last_included_index + 1 - self.first_index
+        included_count = snapshot.last_included_index + 1 - self.first_index
         is_prefix = (
-            0 < included <= len(self.entries)
-            and self.entries[included - 1].term == snapshot.last_included_term
+            0 < included_count <= len(self.entries)
+            and self.entries[included_count - 1].term == snapshot.last_included_term
         )
-        self.entries = self.entries[included:] if is_prefix else []
+        self.entries = self.entries[included_count:] if is_prefix else []
         self.snapshot = snapshot
--- a/valverouter/rollout/raft_membership.py
+++ b/valverouter/rollout/raft_membership.py
@@ -16,7 +16,7 @@
 
 
 def changed_configuration(
-    present: Configuration, uncommitted: Iterable[LogEntry], remove: str, add: tuple[str, int] | None
+    current: Configuration, uncommitted: Iterable[LogEntry], remove: str, add: tuple[str, int] | None
 ) -> Configuration:
     """The membership without the member named `remove`, or with `add`, a pair of name and disk id.
 
@@ -27,20 +27,20 @@
         raise MembershipChangeError("another change is under way")
     if remove and add:
         raise MembershipChangeError("one change at a time: first in, then out")
-    changed = _without(present, remove) if add is None else _with(present, add)
-    if changed == present:
+    changed = _without(current, remove) if add is None else _with(current, add)
+    if changed == current:
         raise MembershipChangeError("that changes nothing")
     if not changed.members:
         raise MembershipChangeError("the last member stays")
     return changed
 
 
-def _without(present: Configuration, name: str) -> Configuration:
-    return Configuration(tuple(member for member in present.members if member[0] != name))
+def _without(current: Configuration, name: str) -> Configuration:
+    return Configuration(tuple(member for member in current.members if member[0] != name))
 
 
-def _with(present: Configuration, member: tuple[str, int]) -> Configuration:
+def _with(current: Configuration, member: tuple[str, int]) -> Configuration:
     name, _ = member
-    if name in present.names:
+    if name in current.names:
         raise MembershipChangeError(f"{name} is a member, with another disk: it must go first")
-    return Configuration((*present.members, member))
+    return Configuration((*current.members, member))
--- a/valverouter/rollout/sequential_test.py
+++ b/valverouter/rollout/sequential_test.py
@@ -67,8 +67,10 @@
         self.pairs += 1
         if canary_failed != baseline_failed:
             self.discordant_pairs += 1
-            harmed = self.config.odds_ratio / (1 + self.config.odds_ratio)
-            self.log_likelihood_ratio += math.log((harmed if canary_failed else 1 - harmed) / 0.5)
+            canary_fraction = self.config.odds_ratio / (1 + self.config.odds_ratio)
+            self.log_likelihood_ratio += math.log(
+                (canary_fraction if canary_failed else 1 - canary_fraction) / 0.5
+            )
         self._update_verdict()
 
     def _update_verdict(self) -> None:
