--- a/tests/test_disruption_limits.py
+++ b/tests/test_disruption_limits.py
@@ -24,9 +24,9 @@
     assert find_exceeded_limit(limits, fleet, [], fleet[0]) is None
     assert (
         str(find_exceeded_limit(limits, fleet, ["e2"], fleet[0]))
-        == "edge proxies unavailable at once in north: 1 of 1, used by e2"
+        == "edge proxies out at once in north: 1 of 1, used by e2"
     )
-    assert "edge proxies unavailable at once: 2 of 2, used by e1, e2" in str(
+    assert "edge proxies out at once: 2 of 2, used by e1, e2" in str(
         find_exceeded_limit(limits, fleet, ["e1", "e2"], fleet[0])
     )
     tight = DisruptionLimits(max_unavailable=4, max_unavailable_per_region=3, min_capacity_fraction=0.5)
@@ -52,20 +52,17 @@
         max_unavailable=1, max_unavailable_per_region=1, min_capacity_fraction=0.5, min_processor_fraction=0.5
     )
     assert find_exceeded_limit(limits, fleet, [], fleet[1]) is None
-    assert "minimum processor of n" in str(find_exceeded_limit(limits, fleet, [], fleet[0]))
+    assert "least processor of n" in str(find_exceeded_limit(limits, fleet, [], fleet[0]))
 
 
 @pytest.mark.parametrize(
     ("limits", "problem_text"),
     [
-        (DisruptionLimits(0, 1), "no edge proxy may ever be unavailable"),
-        (
-            DisruptionLimits(1, 2),
-            "more edge proxies may be unavailable in a region (2) than in the fleet (1)",
-        ),
-        (DisruptionLimits(6, 3), "all 6 edge proxies may be unavailable at once"),
+        (DisruptionLimits(0, 1), "no edge proxy could ever go out"),
+        (DisruptionLimits(1, 2), "more edge proxies may be out in a region (2) than in all (1)"),
+        (DisruptionLimits(6, 3), "all 6 edge proxies may be out at once"),
         (DisruptionLimits(2, 1, {"west": 1}), "there is no edge proxy in west"),
-        (DisruptionLimits(2, 1, min_capacity_fraction=0.9), "less than the minimum capacity would remain"),
+        (DisruptionLimits(2, 1, min_capacity_fraction=0.9), "it would leave less than the least capacity"),
     ],
 )
 def test_unsatisfiable_limits_are_found(limits: DisruptionLimits, problem_text: str) -> None:
@@ -91,7 +88,7 @@
         problem = str(error)
         waves = []
     if problem:
-        assert "minimum capacity" in problem
+        assert "least capacity" in problem
         return
     assert sorted(name for wave in waves for name in wave) == sorted(names)
     assert len(waves[0]) == 1, "the first wave has one instance"
--- a/tests/test_disruption_permits.py
+++ b/tests/test_disruption_permits.py
@@ -67,11 +67,11 @@
     assert "halted: declines" in str(register.apply(4, RequestPermit("b", "e0")))
     register.apply(5, HaltDisruptions("", lifted=True))
     register.apply(6, RequestPermit("c", "e0", "roll"))
-    assert "already unavailable, by permit 6 of roll" in str(register.apply(7, RequestPermit("d", "e0")))
-    assert "of roll; repeat the request" in str(register.apply(8, RequestPermit("e", "e2")))
+    assert "out already, by permit 6 of roll" in str(register.apply(7, RequestPermit("d", "e0")))
+    assert "of roll; ask again" in str(register.apply(8, RequestPermit("e", "e2")))
     empty = PermitRegister()
     empty.apply(1, EnrollInstances(tuple(edge_proxies())))
-    assert "no limits are configured" in str(empty.apply(2, RequestPermit("a", "e0")))
+    assert "no limits are told" in str(empty.apply(2, RequestPermit("a", "e0")))
 
 
 def test_a_fence_rejects_lower_and_ended_permits() -> None:
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -179,7 +179,7 @@
     async def script(rig: OperationRig) -> None:
         code, output = await rig.run_client("drain", "--region", "north", "--id", "d")
         assert code == 2
-        assert "minimum capacity of north" in output
+        assert "least capacity of north" in output
         code, output = await rig.run_client("drain", "--region", "north", "--dry-run")
         assert code == 2
         assert (await rig.status() or pytest.fail("nobody tells the status")).operations == ()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -70,7 +70,7 @@
         (OperationKind.RESTART, ("e9",), "", "e9 is not enrolled"),
         (OperationKind.RELEASE, ("e0",), "v9", "knows no version 'v9'"),
         (OperationKind.UNDRAIN, ("e0",), "", "e0 is not drained"),
-        (OperationKind.DRAIN, ("e0", "e2"), "", "edge proxies unavailable at once: 2 of 2, used by e0, e5"),
+        (OperationKind.DRAIN, ("e0", "e2"), "", "edge proxies out at once: 2 of 2, used by e0, e5"),
         (OperationKind.RELEASE, ("e0",), "v1", "e0 is at v1 already"),
         (OperationKind.RESTART, ("e5",), "", "e5 is drained: it is brought back by undrain"),
         (OperationKind.RESTART, ("e3", "e4"), "", "e3 of it: order going is not done with them"),
@@ -336,5 +336,5 @@
     rig = OperationLogRig(limits=DisruptionLimits(6, 3))
     assert (
         rig.submit("a", OperationKind.RESTART, "e0").rejection
-        == "by these limits: all 6 edge proxies may be unavailable at once"
+        == "by these limits: all 6 edge proxies may be out at once"
     )
--- a/tests/test_orchestrator.py
+++ b/tests/test_orchestrator.py
@@ -105,7 +105,4 @@
             command for command in orchestrator.next_commands(SECOND, rig.log) if isinstance(command, Cancel)
         ]
         assert bool(stops) is halts, excess
-        assert (
-            not stops
-            or stops[0].reason == "median memory: 300 MiB on released instances, 100 MiB on the others"
-        )
+        assert not stops or stops[0].reason == "released ones hold 300 MiB in the median, the others 100"
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -234,19 +234,16 @@
     cluster.nodes[lost] = RaftNode(lost, PersistentState(77), random.random, cluster.now)
     cluster.run(3)
     assert cluster.nodes[lost].last_log_index == 0 or not cluster.nodes[lost].is_member
-    assert "must be removed first" in rejection(leader, cluster.now, "", (lost, 77))
-    assert rejection(leader, cluster.now, lost, (lost, 77)).startswith("only one change at a time")
+    assert "must go first" in rejection(leader, cluster.now, "", (lost, 77))
+    assert rejection(leader, cluster.now, lost, (lost, 77)).startswith("one change at a time")
     assert rejection(leader, cluster.now, lost, None) == ""
-    assert rejection(leader, cluster.now, "", (lost, 77)) in (
-        "an earlier membership change is not committed yet",
-        "",
-    )
+    assert rejection(leader, cluster.now, "", (lost, 77)) in ("another change is under way", "")
     cluster.run(2)
     rejection(leader, cluster.now, "", (lost, 77))
     cluster.run(3)
     assert cluster.nodes[lost].is_member
     assert cluster.nodes[lost].commit_index == leader.commit_index
-    assert rejection(leader, cluster.now, "nobody", None) == "the membership would not change"
+    assert rejection(leader, cluster.now, "nobody", None) == "that changes nothing"
 
 
 def test_a_member_with_an_empty_disk_gets_the_snapshot_once_it_is_admitted() -> None:
--- a/valverouter/rollout/disruption_limits.py
+++ b/valverouter/rollout/disruption_limits.py
@@ -88,7 +88,7 @@
 
     def __str__(self) -> str:
         """The limit and its use, as shown to operators in a rejection."""
-        names = ", ".join(self.instances) or "no instance"
+        names = ", ".join(self.instances) or "nobody"
         return f"{self.limit}: {self.used:g} of {self.allowed:g}, used by {names}"
 
 
@@ -115,7 +115,7 @@
     if candidate.name in unavailable_peers:
         return None
     if len(unavailable_peers) + 1 > limits.max_unavailable:
-        limit = f"{candidate.kind.plural} unavailable at once"
+        limit = f"{candidate.kind.plural} out at once"
         return ExceededLimit(
             limit, limits.max_unavailable, len(unavailable_peers), tuple(sorted(unavailable_peers))
         )
@@ -132,7 +132,7 @@
     allowed = limits.max_unavailable_in(candidate.region)
     if len(unavailable_in_region) + 1 <= allowed:
         return None
-    limit = f"{candidate.kind.plural} unavailable at once in {candidate.region}"
+    limit = f"{candidate.kind.plural} out at once in {candidate.region}"
     return ExceededLimit(limit, allowed, len(unavailable_in_region), unavailable_in_region)
 
 
@@ -154,7 +154,7 @@
         ("processor", limits.min_processor_fraction, _processor(region), _processor(remaining)),
     ):
         if total and available < fraction * total:
-            limit = f"minimum {resource} of {candidate.region}"
+            limit = f"least {resource} of {candidate.region}"
             return ExceededLimit(limit, fraction * total, available, _names_in(region, unavailable))
     return None
 
@@ -182,13 +182,11 @@
 def _contradictions(limits: DisruptionLimits, kind: InstanceKind, count: int) -> Iterator[str]:
     in_fleet, in_region = limits.max_unavailable, limits.max_unavailable_per_region
     if in_fleet < 1 or in_region < 1:
-        yield f"no {kind.value} may ever be unavailable: a limit is below 1"
+        yield f"no {kind.value} could ever go out: the most is below 1"
     if in_region > in_fleet:
-        yield (
-            f"more {kind.plural} may be unavailable in a region ({in_region}) than in the fleet ({in_fleet})"
-        )
+        yield f"more {kind.plural} may be out in a region ({in_region}) than in all ({in_fleet})"
     if count > 1 and in_fleet >= count:
-        yield f"all {count} {kind.plural} may be unavailable at once"
+        yield f"all {count} {kind.plural} may be out at once"
 
 
 def _region_problems(
@@ -201,9 +199,7 @@
         capacities = [instance.capacity for instance in instances if instance.region == region]
         total = sum(capacities)
         if total and total - min(capacities) < limits.min_capacity_fraction * total:
-            yield (
-                f"no {kind.value} of {region} may be unavailable: less than the minimum capacity would remain"
-            )
+            yield f"no {kind.value} of {region} could go out: it would leave less than the least capacity"
 
 
 def plan_waves(
--- a/valverouter/rollout/disruption_permits.py
+++ b/valverouter/rollout/disruption_permits.py
@@ -149,25 +149,25 @@
         if self.halt_reason:
             return f"halted: {self.halt_reason}"
         if request.name in self.unavailable:
-            return f"{request.name} is already unavailable, {self._describe_permit(request.name)}"
+            return f"{request.name} is out already, {self._describe_permit(request.name)}"
         limits = self.limits.get(instance.kind)
         if limits is None:
-            return f"no limits are configured for {instance.kind.plural}, so none may become unavailable"
+            return f"no limits are told for {instance.kind.plural}, so none may go out"
         exceeded = find_exceeded_limit(limits, self.instances.values(), self.unavailable, instance)
         return "" if exceeded is None else self._describe_exceeded(exceeded)
 
     def _describe_permit(self, name: str) -> str:
         permit = self.unavailable[name]
         if permit is None:
-            return "without a permit"
-        return f"by permit {permit.number} of {permit.operation or 'no operation'}"
+            return "without leave"
+        return f"by permit {permit.number} of {permit.operation or 'no order'}"
 
     def _describe_exceeded(self, exceeded: ExceededLimit) -> str:
         permits = (self.unavailable.get(name) for name in exceeded.instances)
         operations = {permit.operation for permit in permits if permit is not None}
-        names = sorted(operation or "no operation" for operation in operations)
+        names = sorted(operation or "no order" for operation in operations)
         holders = f"; of {', '.join(names)}" if names else ""
-        return f"{exceeded}{holders}; repeat the request when one of them is available"
+        return f"{exceeded}{holders}; ask again when one of them is back"
 
     def _on_returned(self, name: str, permit_number: int) -> None:
         permit = self.unavailable.get(name)
--- a/valverouter/rollout/halt_conditions.py
+++ b/valverouter/rollout/halt_conditions.py
@@ -63,7 +63,7 @@
         if self._unsettled_since is None:
             self._unsettled_since = now
         if now - self._unsettled_since > self.config.max_unsettled:
-            return f"the membership view has not been settled for {self.config.max_unsettled // SECOND} s"
+            return f"the fleet's view has not settled for {self.config.max_unsettled // SECOND} s"
         return ""
 
     def _crash_problem(self, log: OperationLog, operation: Operation, window: CanaryWindow | None) -> str:
@@ -83,7 +83,7 @@
         unreleased_exits = self._exits_in_window(window, unreleased)
         # Rates per instance, multiplied out: exits / released > ratio * unreleased_exits / unreleased.
         if exits * max(1, len(unreleased)) > EXIT_RATE_RATIO * unreleased_exits * len(released):
-            return f"{exits} unexpected exits among {len(released)} released instances"
+            return f"{exits} programs of {len(released)} released ended by themselves"
         return ""
 
     def _exits_since_step(self, operation: Operation, names: Iterable[str]) -> int:
@@ -115,8 +115,8 @@
         is_excessive = released_median > self.config.max_memory_ratio * unreleased_median
         if is_excessive and released_median - unreleased_median > self.config.min_memory_excess:
             return (
-                f"median memory: {released_median / MEBIBYTE:.0f} MiB on released instances, "
-                f"{unreleased_median / MEBIBYTE:.0f} MiB on the others"
+                f"released ones hold {released_median / MEBIBYTE:.0f} MiB in the median, "
+                f"the others {unreleased_median / MEBIBYTE:.0f}"
             )
         return ""
 
@@ -130,5 +130,5 @@
 def _failed_step(operation: Operation) -> str:
     for name, participant in operation.participants.items():
         if participant.status is StepStatus.FAILED:
-            return f"{name}: {participant.reason or 'did not start'}"
+            return f"{name}: {participant.reason or 'did not come up'}"
     return ""
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -187,9 +187,9 @@
         """
         self._now = now
         if self.role is not Role.LEADER:
-            raise MembershipChangeError("this node is not the leader")
+            raise MembershipChangeError("another leads")
         if not self._has_committed_own_term():
-            raise MembershipChangeError("the leader has not committed an entry of its own term yet")
+            raise MembershipChangeError("nothing of this leader's own is agreed on yet")
         uncommitted = self.persistent.entries_from(self.commit_index + 1)
         self._append_to_log(changed_configuration(self.configuration, uncommitted, remove, add))
 
--- a/valverouter/rollout/raft_membership.py
+++ b/valverouter/rollout/raft_membership.py
@@ -24,14 +24,14 @@
     than one would change, if the last member would be removed, or if the name to add is a member already.
     """
     if any(isinstance(entry.command, Configuration) for entry in uncommitted):
-        raise MembershipChangeError("an earlier membership change is not committed yet")
+        raise MembershipChangeError("another change is under way")
     if remove and add:
-        raise MembershipChangeError("only one change at a time: add first, then remove")
+        raise MembershipChangeError("one change at a time: first in, then out")
     changed = _without(current, remove) if add is None else _with(current, add)
     if changed == current:
-        raise MembershipChangeError("the membership would not change")
+        raise MembershipChangeError("that changes nothing")
     if not changed.members:
-        raise MembershipChangeError("the last member can't be removed")
+        raise MembershipChangeError("the last member stays")
     return changed
 
 
@@ -42,5 +42,5 @@
 def _with(current: Configuration, member: tuple[str, int]) -> Configuration:
     name, _ = member
     if name in current.names:
-        raise MembershipChangeError(f"{name} is a member with another disk and must be removed first")
+        raise MembershipChangeError(f"{name} is a member, with another disk: it must go first")
     return Configuration((*current.members, member))
--- a/valverouter/rollout/sequential_test.py
+++ b/valverouter/rollout/sequential_test.py
@@ -155,8 +155,5 @@
         """A message with the measure that halted the release; empty if there is none."""
         for measure, test in self.tests.items():
             if test.verdict is Verdict.HALT:
-                return (
-                    f"{measure}: {test.discordant_pairs} of {test.pairs} pairs differ, "
-                    "too many against the release"
-                )
+                return f"{measure}: {test.discordant_pairs} of {test.pairs} pairs differ, too many against it"
         return ""
