--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -156,7 +156,7 @@
             self.counts["refused"] += 1
         elif self._accepts(decision.permit):
             self.counts["out"] += 1
-            self._go_out(holder, decision.permit)
+            self._become_unavailable(holder, decision.permit)
 
     def _on_late_copy(self, permit: Permit | None) -> None:
         """Long after the decision, its holder may have gone out and come back by it."""
@@ -165,7 +165,7 @@
         holder = self.holders[permit.name]
         if not holder.is_dead and not holder.is_out and self._accepts(permit):
             holder.request_id = ""
-            self._go_out(holder, permit)
+            self._become_unavailable(holder, permit)
 
     def _accepts(self, permit: Permit) -> bool:
         if self.planted_fault == "fence" or self.fence.accepts(permit):
@@ -173,7 +173,7 @@
         self.counts["void"] += 1
         return False
 
-    def _go_out(self, holder: PermitHolder, permit: Permit) -> None:
+    def _become_unavailable(self, holder: PermitHolder, permit: Permit) -> None:
         holder.permit, holder.is_out = permit, True
         self._check_limits()
 
@@ -185,7 +185,7 @@
             return
         if holder.is_out:
             if holder.permit is not None and self.draws.random() < 0.5:
-                self._come_back(holder)
+                self._become_available(holder)
         elif holder.permit is not None:
             # It is back, and reports so until the group has applied it.
             self._report_return(holder)
@@ -198,7 +198,7 @@
             holder.request_id = f"{holder.name}/{holder.request_count}"
         self.group.propose(RequestPermit(holder.request_id, holder.name, "roll"))
 
-    def _come_back(self, holder: PermitHolder) -> None:
+    def _become_available(self, holder: PermitHolder) -> None:
         assert holder.permit is not None
         holder.is_out = False
         self.fence.end(holder.permit)
--- a/valverouter/emulator/release_baselines.py
+++ b/valverouter/emulator/release_baselines.py
@@ -23,7 +23,7 @@
         """See `CanaryAnalysis.evaluate`."""
         if operation.phase is not OperationPhase.EVALUATING:
             return []
-        if self.window is None or not self.window.is_of(operation):
+        if self.window is None or not self.window.covers(operation):
             counters = {
                 name: observation.report.counters for name, observation in self.readiness.observations.items()
             }
@@ -58,7 +58,7 @@
         """See `CanaryAnalysis.evaluate`."""
         if operation.phase is not OperationPhase.EVALUATING:
             return []
-        if self.window is None or not self.window.is_of(operation):
+        if self.window is None or not self.window.covers(operation):
             self.window = _baseline_window(now, operation, {})
             return []
         is_over = now - self.window.evaluation_since >= BASELINE_EVALUATION
--- a/valverouter/emulator/rollout_simulation.py
+++ b/valverouter/emulator/rollout_simulation.py
@@ -146,11 +146,11 @@
         if self._is_paused(machine):
             return
         if self._planted_fault == "lapse" and machine.node.orchestrator is not None:
-            self._lapse_permits(machine.node)
+            self._expire_permits(machine.node)
         machine.node.tick(self.events.now)
         self._carry_out(machine)
 
-    def _lapse_permits(self, node: ControlPlaneNode) -> None:
+    def _expire_permits(self, node: ControlPlaneNode) -> None:
         for name, permit in list(node.operation_log.permits.unavailable.items()):
             if permit is not None and self._draws.random() < LAPSE_PROBABILITY:
                 node.propose(self.events.now, InstanceReturned(name, permit.number))
--- a/valverouter/rollout/canary.py
+++ b/valverouter/rollout/canary.py
@@ -65,7 +65,7 @@
     initial_exits: dict[str, int]
     sampled_at: int
 
-    def is_of(self, operation: Operation) -> bool:
+    def covers(self, operation: Operation) -> bool:
         """Whether the window is that of the operation's current stage."""
         return (self.operation, self.stage) == (operation.id, operation.evaluation_stage)
 
@@ -130,7 +130,7 @@
 
     def current_window(self, now: int, operation: Operation) -> CanaryWindow:
         """The window of the operation's current stage, created if the stage has just started."""
-        if self.window is None or not self.window.is_of(operation):
+        if self.window is None or not self.window.covers(operation):
             self.window = CanaryWindow(
                 operation=operation.id,
                 stage=operation.evaluation_stage,
--- a/valverouter/rollout/operation_transitions.py
+++ b/valverouter/rollout/operation_transitions.py
@@ -118,7 +118,7 @@
     operation.phase = OperationPhase.RUNNING
     for name, participant in operation.participants.items():
         participant.permit_number = log.permit_number(name)
-        _bring_back(log, operation, name, participant)
+        _begin_return_step(log, operation, name, participant)
 
 
 def _start_next(log: OperationLog) -> None:
@@ -151,9 +151,9 @@
         return decision
     participant.permit_number, participant.reason = number, ""
     if operation.phase is OperationPhase.ROLLING_BACK:
-        _bring_back(log, operation, request.name, participant)
+        _begin_return_step(log, operation, request.name, participant)
     else:
-        _take_out(log, operation, request.name, participant)
+        _begin_outbound_step(log, operation, request.name, participant)
     return decision
 
 
@@ -179,7 +179,9 @@
     return decision
 
 
-def _take_out(log: OperationLog, operation: Operation, name: str, participant: Participant) -> None:
+def _begin_outbound_step(
+    log: OperationLog, operation: Operation, name: str, participant: Participant
+) -> None:
     participant.status = StepStatus.OUT
     is_release = operation.kind is OperationKind.RELEASE
     log.desired[name] = DesiredState(
@@ -191,7 +193,7 @@
     )
 
 
-def _bring_back(log: OperationLog, operation: Operation, name: str, participant: Participant) -> None:
+def _begin_return_step(log: OperationLog, operation: Operation, name: str, participant: Participant) -> None:
     """The instance comes up as before the operation, by the second step of its permit."""
     participant.status = StepStatus.OUT
     log.desired[name] = DesiredState(
@@ -308,7 +310,7 @@
     returns_released = operation.kind is OperationKind.RELEASE and operation.roll_back
     for name, participant in operation.participants.items():
         if participant.status in (StepStatus.OUT, StepStatus.FAILED, StepStatus.DRAINED):
-            _bring_back_if_out(log, operation, name, participant)
+            _begin_return_step_if_due(log, operation, name, participant)
         elif participant.status is StepStatus.PENDING:
             participant.status = StepStatus.SKIPPED
         elif participant.status is StepStatus.DONE and returns_released:
@@ -316,10 +318,12 @@
     _progress(log, operation)
 
 
-def _bring_back_if_out(log: OperationLog, operation: Operation, name: str, participant: Participant) -> None:
+def _begin_return_step_if_due(
+    log: OperationLog, operation: Operation, name: str, participant: Participant
+) -> None:
     desired = log.desired.get(name)
     if desired is not None and desired.step_id < StepId(participant.permit_number, RETURN_STEP):
-        _bring_back(log, operation, name, participant)
+        _begin_return_step(log, operation, name, participant)
 
 
 # Instances
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -196,7 +196,7 @@
     def compact_log(self) -> None:
         """Replaces the committed entries by a snapshot at the threshold; all must have been applied."""
         if self.commit_index - self.persistent.first_index + 1 >= self._compaction_threshold:
-            snapshot = self.persistent.compacted(self.commit_index, self._capture_state())
+            snapshot = self.persistent.create_snapshot(self.commit_index, self._capture_state())
             self._save(SaveSnapshot(snapshot))
 
     def _save(self, save: Save) -> None:
--- a/valverouter/rollout/raft_log.py
+++ b/valverouter/rollout/raft_log.py
@@ -158,7 +158,7 @@
             self._configuration = self._configuration_up_to(self.last_index)
         return self._configuration
 
-    def compacted(self, index: int, state: Any) -> Snapshot:
+    def create_snapshot(self, index: int, state: Any) -> Snapshot:
         """Returns a snapshot that includes all entries up to `index`.
 
         `state` is the state machine's state after that entry.
