--- a/valverouter/edge/accounts.py
+++ b/valverouter/edge/accounts.py
@@ -1,4 +1,4 @@
-"""The file in which an edge proxy accounts for its attempts in other regions."""
+"""The accounting file of an edge proxy: its usage of other regions, as rows of JSON."""
 
 from __future__ import annotations
 
@@ -7,27 +7,31 @@
 
 from valverouter.edge.context import ProxyContext
 
-# How often the accounts are written, and how long the end waits for a disk that hangs; seconds.
+# Seconds between two writes of the file.
 WRITE_INTERVAL_S = 10.0
+# Seconds after which the final write is abandoned, so that a hung disk can't delay the shutdown further.
 FINAL_WRITE_TIMEOUT_S = 2.0
 
 
 class AccountWriter:
-    """Writes the accounts of cross-region attempts at intervals; a disk that refuses costs the rows alone."""
+    """Writes the cross-region usage to the accounting file periodically.
+
+    A failed write is logged and otherwise ignored: a disk error costs only the rows.
+    """
 
     def __init__(self, context: ProxyContext, incarnation: int) -> None:
-        """`incarnation` tells this process's rows from those of an earlier one."""
+        """`incarnation` distinguishes the rows of this process from those of an earlier one."""
         self._context = context
         self._incarnation = incarnation
 
     async def run(self) -> None:
-        """Writes until cancelled."""
+        """Writes every WRITE_INTERVAL_S until cancelled."""
         while True:
             await trio.sleep(WRITE_INTERVAL_S)
             await self._write()
 
     async def write_final(self) -> None:
-        """Writes once more, giving a disk that hangs FINAL_WRITE_TIMEOUT_S."""
+        """Writes a last time, at shutdown; abandons the write after FINAL_WRITE_TIMEOUT_S."""
         with trio.move_on_after(FINAL_WRITE_TIMEOUT_S):
             await self._write()
 
@@ -41,5 +45,5 @@
         try:
             data = b"".join(msgspec.json.encode(row) + b"\n" for row in rows)
             await context.runtime.write_file(path, data)
-        except Exception as error:  # a thread that can't be had is a RuntimeError
+        except Exception as error:  # includes RuntimeError: no thread could be started for the write
             context.log.warning("accounts-write-failed", path=path, why=str(error))
--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -1,4 +1,4 @@
-"""Attempt policies: the file's sections as rules, checked against the limits that the fleet must keep."""
+"""Attempt policies: the [attempts] sections of a file as rules, checked against the fleet's limits."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 from valverouter.terms.grammar import matches_peer
 from valverouter.terms.ini import ConfigProblem, InvalidConfigError
 
-DEFAULT_SOURCE = "the decisions' own"
-# Combinations of sections that are checked.
+# The source that `explain` shows for a value that no section sets.
+DEFAULT_SOURCE = "default"
+# The most combinations of overlapping sections that are checked; a file with more is rejected.
 MAX_COMBINATIONS = 20_000
-# A no-answer time beyond any caller's.
+# Stands for an unlimited no-answer time in the checks, ns.
 NO_TIMEOUT = 1 << 62
 
 
 class AttemptPolicies:
-    """Which attempt policy each dialog gets.
+    """Selects the attempt policy of each dialog, and the retry budget of each server.
 
-    Raises InvalidConfigError with every problem; then nothing of the file acts.
+    The constructor raises InvalidConfigError with all problems found; such a file takes no effect at all.
     """
 
     def __init__(self, config: EdgeConfig) -> None:
@@ -51,8 +52,9 @@
         self._budget_rules = [
             rule for section in config.attempts.sections for rule in _rules(section, BUDGET_KEYS)
         ]
-        # By type and which rules match, not by number: nearly every dialog's number is new, and resolving
-        # costs far more than matching. As many as the file has such combinations.
+        # Cache of resolved policies, keyed by traffic type and the set of matching rules. Not keyed by called
+        # number: nearly every dialog has a new one, and resolving costs far more than matching. The size is
+        # bounded by the combinations of rules in the file.
         self._resolved: dict[tuple[str, tuple[bool, ...]], AttemptPolicy | None] = {}
         if problems := [*self._find_ties(), *self._find_violations()]:
             raise InvalidConfigError(sorted(problems, key=lambda problem: problem.line))
@@ -60,7 +62,7 @@
     def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
-        """A dialog's policy; None where no section touches it, or its type is unknown: the default acts."""
+        """Returns a dialog's policy; None if the default applies: no rule matches or the type is unknown."""
         attributes = self.match_input(traffic_type, number, peer, first_choice)
         if traffic_type not in self._deployment.traffic_types:
             return None
@@ -73,9 +75,10 @@
     def match_input(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> DialogAttributes:
-        """What of a dialog decides on its policy.
+        """Returns the attributes that a dialog's rules are matched against.
 
-        Its trunk group is its caller's, its server set that of its first choice.
+        The trunk group is found by the caller's name (`peer`), the server set by the preferred server's
+        number (`first_choice`).
         """
         return DialogAttributes(
             traffic_type,
@@ -86,7 +89,10 @@
         )
 
     def retry_budgets(self) -> dict[int, RetryBudgetConfig]:
-        """Retry budgets by server number, where a section of that server's set, or one for all, sets them."""
+        """Returns the retry budgets of the servers in server sets, by server number.
+
+        Empty if no section sets a retry budget.
+        """
         return {
             number: _retry_budget(resolve(self._budget_rules, DialogAttributes("", "", "", "", name)))
             for number, name in self._server_sets.items()
@@ -94,13 +100,13 @@
         }
 
     def default_retry_budget(self) -> RetryBudgetConfig:
-        """The retry budget of servers in no set."""
+        """Returns the retry budget of servers that belong to no server set."""
         return _retry_budget(resolve(self._budget_rules, DialogAttributes("")))
 
     def explain(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> dict[str, EffectiveSetting]:
-        """Each key's value for such a dialog, and the section and line that it comes from."""
+        """Returns the effective value of each key for a dialog, with the section and line that set it."""
         attributes = self.match_input(traffic_type, number, peer, first_choice)
         found = resolve(self._rules, attributes)
         policy = self._policy(traffic_type, found)
@@ -121,7 +127,11 @@
     def worst_case_policy(
         self, traffic_type: str, number: int, no_answer: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy:
-        """A dialog's policy for its worst case: its caller's no-answer time, any wait of a server."""
+        """Returns a dialog's policy with every limit filled in, for computing its worst case.
+
+        `no_answer`: the caller's no-answer time in ns. A server may ask for any retry-after up to the
+        resulting no-answer timeout.
+        """
         policy = self.policy_for(traffic_type, number, peer, first_choice) or self._policy(traffic_type, {})
         timeout = min(no_answer, policy.no_answer_timeout or no_answer)
         allowed = self._deployment.max_attempts
@@ -131,7 +141,7 @@
         )
 
     def sample_routes(self) -> dict[str, tuple[int, str, int]]:
-        """For each section the number, peer and first choice of a dialog on its route, by its name."""
+        """Returns, by section, a called number, caller name and preferred server that the section matches."""
         found = {}
         for section in self._sections.values():
             keys = section.keys
@@ -159,7 +169,7 @@
         }
         policy = replace(default_policy(self._deployment, objective), **configured)
         if "server_share" in found:
-            # Of two ways to say how long one server may take the shorter acts.
+            # `server_share` and `leg_time_out` both limit an attempt's duration: the shorter one applies.
             by_share = max(1, int(found["server_share"].value * policy.latency_objective))
             policy = replace(policy, attempt_timeout=min(by_share, policy.attempt_timeout or by_share))
         return policy
@@ -172,12 +182,12 @@
         ]
 
     def _find_violations(self) -> list[ConfigProblem]:
-        """Each combination of sections that some dialog can meet is checked as a whole."""
+        """Checks the resulting policy of every combination of sections that can match one dialog."""
         problems: dict[tuple[str, str], ConfigProblem] = {}
         combinations = intersection_closure([rule.condition for rule in self._rules], MAX_COMBINATIONS)
         if len(combinations) > MAX_COMBINATIONS:
             section = next(iter(self._sections.values()))
-            reason = f"the sections overlap in more than {MAX_COMBINATIONS} ways; fewer can be checked"
+            reason = f"the sections overlap in more than {MAX_COMBINATIONS} combinations, too many to check"
             return [ConfigProblem(section.file, section.line, f"attempts {section.name}", "", reason)]
         all_types = list(self._deployment.traffic_types)
         for condition in combinations:
@@ -205,12 +215,15 @@
         if policy.retry_after > self._deployment.max_retry_after:
             limit = self._deployment.max_retry_after
             found.append(
-                PolicyProblem("come_back", f"past the fleet's come_back_limit of {limit} ns, which would act")
+                PolicyProblem(
+                    "come_back", f"past the fleet's come_back_limit of {limit} ns, which would apply instead"
+                )
             )
         if 0 < policy.no_answer_timeout <= self._answer_margin:
             found.append(
                 PolicyProblem(
-                    "no_answer", f"within answer_margin, {self._answer_margin} ns: no answer could travel"
+                    "no_answer",
+                    f"within answer_margin, {self._answer_margin} ns: no answer could arrive in time",
                 )
             )
         return found
@@ -222,7 +235,7 @@
 
 
 def default_policy(deployment: Deployment, latency_objective: int) -> AttemptPolicy:
-    """The policy that acts where no file says otherwise."""
+    """Returns the policy of a traffic type for which no section sets anything; times in ns."""
     return AttemptPolicy(
         MAX_ATTEMPTS, latency_objective, 0, deployment.release_delay, BACKOFF_BASE, BACKOFF_CAP
     )
@@ -235,7 +248,7 @@
 
 
 def _deciding_key(key: str, found: Mapping[str, EffectiveSetting]) -> str:
-    """The setting that a value comes from: an attempt's timeout may come from a server's share."""
+    """Returns the key that determines a value: `server_share` may determine the attempt timeout."""
     is_from_share = "server_share" in found and "leg_time_out" not in found
     return "server_share" if key == "leg_time_out" and is_from_share else key
 
--- a/valverouter/edge/discovery.py
+++ b/valverouter/edge/discovery.py
@@ -1,4 +1,4 @@
-"""Endpoint discovery: the connection to the list service, and the list as last received."""
+"""Endpoint discovery: the client of the list service, and the endpoint list as last received."""
 
 from __future__ import annotations
 
@@ -26,38 +26,41 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The endpoint list, or a change of it, was received."""
+    """Event: the endpoint list or a change of it was received, or requesting it failed."""
 
     kind: EndpointUpdateKind
     rows: list[EndpointRow]
 
 
 class ServiceSilentError(Exception):
-    """The list service was asked and said nothing."""
+    """The list service did not respond to a probe in time."""
 
 
 class EndpointSource(Protocol):
-    """Where an edge proxy hears of its servers."""
+    """The source of an edge proxy's endpoint list."""
 
     replica: Replica
     is_up: bool
     tries: int
 
     def request_list(self) -> None:
-        """The decisions ask for the list."""
+        """Requests the list, on behalf of the driver."""
 
     async def load_cached(self) -> list[EndpointRow]:
-        """What is known before anything is received."""
+        """Returns the cached list, for use until a list is received."""
 
     async def run(self) -> None:
-        """Puts the list's updates ahead of all other events, until cancelled."""
+        """Receives updates and queues each ahead of all other events, until cancelled."""
 
     async def persist(self) -> None:
-        """Keeps what was received for a later start, if anything does."""
+        """Writes received lists to the cache, if there is one, until cancelled."""
 
 
 class DiscoveryClient:
-    """The connection to the list service; a list that must be asked for waits until the decisions ask."""
+    """Keeps a connection to the list service.
+
+    Where the list is not pushed, the client connects only after the driver has requested the list.
+    """
 
     def __init__(
         self,
@@ -78,39 +81,41 @@
         self._cache = EndpointCache(config.list_cache, runtime)
         self._requested = trio.Event()
         self._updated = trio.Event()
-        # When each row was received, by our own clock; follows the replica's rows.
+        # When each row of the replica was received, by server, on this proxy's clock.
         self._received_at: dict[str, int] = {}
         if config.deployment.endpoint_list_is_pushed:
             self._requested.set()
 
     def request_list(self) -> None:
-        """Connects, where that waited for the decisions to ask."""
+        """Lets `run` connect; has no effect where the list is pushed."""
         self._requested.set()
 
     async def load_cached(self) -> list[EndpointRow]:
-        """The list as an earlier start left it."""
+        """Returns the list that an earlier process cached."""
         return await self._cache.read()
 
     async def run(self) -> None:
-        """Connects again and again, until cancelled."""
+        """Connects, and reconnects after each failure, until cancelled."""
         while True:
             await self._requested.wait()
             reason, began = "failed", trio.current_time()
             with isolate_failure("list", lambda: self._config.list_service):
                 reason = await self._run_connection()
             was_up, self.is_up = self.is_up, False
-            # One that closes after each message must not be asked ten times a second by every edge proxy.
+            # A connection that lasted less than 1 s counts as another failure: without that, a service that
+            # closes after each message is connected to ten times a second by every edge proxy.
             self.tries = 1 if was_up and trio.current_time() - began >= 1 else self.tries + 1
             log.warning("discovery-down", service=self._config.list_service, why=reason, tries=self.tries)
             if not self._config.deployment.endpoint_list_is_pushed and not was_up:
-                # The decisions say when to ask again; a link that had served is made again at once by us.
+                # The driver decides when to request the list again. A connection that had delivered a list is
+                # instead made again here, without a request.
                 self._requested = trio.Event()
                 self._events.put_urgent(EndpointUpdate(EndpointUpdateKind.FAILED, []))
                 continue
             await trio.sleep(self._reconnect_delay(self.tries) / 1e9)
 
     async def _run_connection(self) -> str:
-        """Serves one connection; the reason of its end."""
+        """Runs one connection and returns the reason of its end, for the log."""
         session = ListSession(Hello((OLDEST_VERSION, NEWEST_VERSION), "edge", self._config.name))
         try:
             with trio.fail_after(self._config.links.connect_within / 1e9):
@@ -132,7 +137,10 @@
         return "closed"
 
     async def _follow_list(self, stream: trio.abc.Stream, session: ListSession) -> None:
-        """Watches the list until the service closes."""
+        """Watches the list until the service closes the connection.
+
+        Raises trio.TooSlowError if no list arrives within `hello_within`.
+        """
         with trio.fail_after(self._config.links.hello_within / 1e9) as patience:
             await stream.send_all(session.hello_frame())
             while data := await self._receive(stream, session):
@@ -148,10 +156,11 @@
             session.end()
 
     async def _receive(self, stream: trio.abc.Stream, session: ListSession) -> bytes | bytearray:
-        """What comes next.
+        """Returns the next bytes from the service; empty when it has closed.
 
-        A service that is calm says nothing for hours, and so does one that hangs: after `silence` it is asked
-        for the last change once more, and after another it is closed.
+        An idle service sends nothing for hours, and so does one that hangs. To tell them apart, the service
+        is probed after `silence` by requesting the last change again; without a response within another
+        `silence`, ServiceSilentError is raised.
         """
         silence = self._config.links.silence / 1e9
         if not self.is_up or not self._config.deployment.endpoint_list_is_pushed:
@@ -161,10 +170,10 @@
         with trio.move_on_after(silence):
             await stream.send_all(session.send(self.replica.probe()))
             return await stream.receive_some(READ_SIZE)
-        raise ServiceSilentError(f"silent for {silence:g} s, and again when it was asked")
+        raise ServiceSilentError(f"silent for {silence:g} s, and for as long after a probe")
 
     def _on_message(self, message: Snapshot | Change) -> object:
-        """Queues an update; what to answer, or None."""
+        """Queues the update, if any, and returns the reply to the service, or None."""
         rows, answer = self.replica.on_message(message)
         if rows is not None:
             now = self._clock.now()
@@ -179,7 +188,10 @@
         return answer
 
     async def persist(self) -> None:
-        """Caches what was received last, in a task of its own: a hung disk must not hold up the list."""
+        """Writes each received list to the cache.
+
+        Runs in a task of its own, so that a hung disk does not delay updates of the list.
+        """
         while self._config.list_cache:
             await self._updated.wait()
             self._updated = trio.Event()
@@ -189,5 +201,5 @@
 
 
 def _aged(row: EndpointRow, duration: int) -> EndpointRow:
-    """A row as it would be received so much later."""
+    """Returns a row with its age increased by `duration` ns, as if it were received that much later."""
     return row if row.age is None else msgspec.structs.replace(row, age=row.age + max(0, duration))
--- a/valverouter/edge/endpoint_cache.py
+++ b/valverouter/edge/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The file with the endpoint list as last received, for a later start without a list service."""
+"""The endpoint cache: a file with the list as last received, for a start while the list service is down."""
 
 from __future__ import annotations
 
@@ -14,26 +14,30 @@
 
 
 class CachedEndpoints(msgspec.Struct, rename={"written_at": "wall"}):
-    """The file's content: the rows as last received, and the wall time of that in nanoseconds."""
+    """The content of the file: the rows as last received, and the wall time of writing in ns."""
 
     written_at: int
     rows: list[EndpointRow]
 
 
 class EndpointCache:
-    """Reads and writes the cache; a disk that refuses costs a later start its list."""
+    """Reads and writes the cache file.
+
+    Errors are logged and not raised; after a failed write a later start may have no list, or an older one.
+    """
 
     def __init__(self, path: str, runtime: Runtime) -> None:
-        """Without a `path` nothing is read."""
+        """With an empty `path`, `read` returns no rows."""
         self._path = path
         self._runtime = runtime
         self._is_failing = False
 
     async def read(self) -> list[EndpointRow]:
-        """The list as an earlier start left it, with its servers' ages of then.
+        """Returns the cached list; empty if there is none or it can't be decoded.
 
-        Carried on by the wall clock, a clock set forward made a server that was warming up look warm: rule 4.
-        Too young is safe, a server taken for colder than it is only gets less, until the list tells its age.
+        The servers' ages are those at the time of writing. Advancing them by the wall clock broke rule 4:
+        after the clock had been set forward, a server that was warming up passed for warm. An age that is too
+        low is safe: the server only gets less traffic until the live list provides its age.
         """
         data = await self._runtime.read_file(self._path) if self._path else None
         if data is None:
@@ -48,11 +52,11 @@
         return cached.rows
 
     async def write(self, rows: list[EndpointRow]) -> None:
-        """Writes the list; a failure is logged once, and once more when it is over."""
+        """Writes the list. Logs the first of several failures in a row, and the first success after them."""
         cached = CachedEndpoints(self._runtime.wall_time(), rows)
         try:
             await self._runtime.write_file(self._path, msgspec.json.encode(cached))
-        except Exception as error:  # a thread that can't be had is a RuntimeError
+        except Exception as error:  # includes RuntimeError: no thread could be started for the write
             if not self._is_failing:
                 log.warning("endpoint-cache-write-failed", path=self._path, why=str(error))
             self._is_failing = True
--- a/valverouter/edge/garbage_collection.py
+++ b/valverouter/edge/garbage_collection.py
@@ -1,4 +1,4 @@
-"""Python's garbage collector, set for a long-lived process that leaves nothing in cycles."""
+"""Settings of Python's garbage collector for a long-lived process that creates no reference cycles."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 
 
 def tune_garbage_collector() -> None:
-    """Tells the collector that present objects stay, and to run less often: we leave nothing in cycles.
+    """Excludes all existing objects from collection and makes collections rarer.
 
-    A run at every 700 new objects costs a busy edge proxy rate, and the rare full run its slowest set-ups.
+    The process creates no reference cycles, so there is little to collect. At the default threshold of 700
+    new objects the collections lower the set-up rate of a busy edge proxy, and the rare full ones cause its
+    slowest set-ups.
     """
     gc.collect()
     gc.freeze()
--- a/valverouter/edge/incarnations.py
+++ b/valverouter/edge/incarnations.py
@@ -1,39 +1,45 @@
-"""When each listed server's present incarnation started, on this proxy's clock."""
+"""Start times of the servers' current incarnations, on this proxy's clock."""
 
 from __future__ import annotations
 
 from valverouter.interface import Endpoint
 from valverouter.signalling.serverlist import EndpointRow
 
-# Previous incarnations that are remembered for each server.
+# Previous incarnations remembered per server.
 MAX_PREVIOUS = 4
 
 
 class IncarnationTracker:
-    """When each listed server started, on our clock. Emptied as servers leave the list.
-
-    Ages travel, moments don't: clocks differ. The first message about an incarnation fixes its moment, since
-    a second computation would differ by the travel time and pass for a fresh start. A message about an
-    earlier incarnation than one we know says nothing of when the present one began, however late it comes.
-
-    Incarnations are to grow, and do not at a machine whose clock was set back. So one that is smaller and, by
-    its age, began after the one we know is the present one; the one it replaced is remembered, and late
-    messages about it say nothing any more. Should a smaller one be a late message itself, a warm server
-    passes for one that is warming up until its age says otherwise: it gets less, and is not pushed over. Only
-    a cached row is corrected by a live one, and only where that shows a server to be warm: then no slow start
-    is at stake that a second computation could begin again.
+    """Tracks the current incarnation of each listed server and when it started, on this proxy's clock.
+
+    Messages carry a server's age and not its start time, since clocks differ between machines. The start time
+    is computed from the first message about an incarnation and then kept: computed again, it would differ by
+    the transmission delay and look like another start. A message about an earlier incarnation than the known
+    one is ignored, however late it arrives.
+
+    Incarnations normally increase, but not on a machine whose clock was set back. So a smaller incarnation
+    that by its age started after the known one becomes the current one. The replaced incarnation is
+    remembered, and late messages about it are ignored. If the message about the smaller incarnation was
+    itself a late one, a warm server is treated as warming up until it reports its age: it gets less traffic,
+    and is not overloaded.
+
+    A start time taken from a cached row is corrected by the first live row, but only if that shows the server
+    to be warm: there is no slow start then that computing the time again could restart.
     """
 
     def __init__(self, slow_start_duration: int = 0) -> None:
         self._slow_start_duration = slow_start_duration
         self._known: dict[str, tuple[int, int]] = {}
-        # Those that a smaller one replaced, the last few by server; they leave with their server.
+        # By server: the last MAX_PREVIOUS incarnations that a smaller one replaced.
         self._previous: dict[str, tuple[int, ...]] = {}
-        # Servers known by the cached list alone; each leaves with its first row of the live list.
+        # Servers known only from the cached list; removed with their first row of the live list.
         self._cached: set[str] = set()
 
     def started_at(self, server: str, incarnation: int, age: int | None, now: int) -> int:
-        """When the present incarnation started; 0 is long ago, as the decisions have it."""
+        """Returns when the current incarnation started, ns; 0 means long ago, as in Endpoint.
+
+        `age`: in ns; None if the server is warm.
+        """
         known = self._known.get(server)
         if known is None or (
             incarnation != known[0] and self._is_current(server, known, incarnation, age, now)
@@ -54,24 +60,24 @@
         return True
 
     def current(self, server: str) -> int | None:
-        """The present incarnation of a listed server; None: it is not known."""
+        """Returns the current incarnation of a listed server; None if it is not known."""
         known = self._known.get(server)
         return known[0] if known else None
 
     def retain(self, servers: set[str]) -> None:
-        """Forgets all servers but these."""
+        """Forgets all servers that are not in `servers`."""
         self._known = {server: known for server, known in self._known.items() if server in servers}
         self._previous = {server: ids for server, ids in self._previous.items() if server in servers}
         self._cached &= servers
 
     def forget(self, server: str) -> None:
-        """A server has left the list."""
+        """Forgets a server that was removed from the list."""
         self._known.pop(server, None)
         self._previous.pop(server, None)
         self._cached.discard(server)
 
     def endpoint(self, row: EndpointRow, now: int, is_cached: bool = False) -> Endpoint:
-        """A row of the list as the decisions take it."""
+        """Converts a row of the list to the driver's Endpoint."""
         if is_cached:
             self._cached.add(row.server)
         elif row.server in self._cached:
--- a/valverouter/edge/logs.py
+++ b/valverouter/edge/logs.py
@@ -1,9 +1,10 @@
-"""Structured logs through structlog: JSON lines or a console, on standard error.
+"""Structured logs through structlog, as JSON lines or for a console, written to standard error by a thread.
 
-A log must cost the router nothing but its lines. Written in the event loop, a full disk or a closed pipe
-raised in the handlers of last resort and ended the instance, and a reader that stopped reading stopped every
-dialog. So lines wait, up to MAX_QUEUED_BYTES of them, for a thread that writes; what does not fit or can't be
-written is lost, counted, and logged once there is space again.
+A log that can't be written must lose only log lines. When lines were written in the event loop, a full disk
+or a closed pipe raised exceptions even in the handlers of last resort and ended the process, and a reader
+that stopped reading blocked every dialog. So a thread writes the lines from a queue of up to
+MAX_QUEUED_BYTES. Lines that don't fit or can't be written are lost and counted; the count is logged once
+writing works again.
 """
 
 from __future__ import annotations
@@ -21,13 +22,17 @@
 from valverouter.terms.edge import LogConfig
 
 MAX_QUEUED_BYTES = 1024 * 1024
-# Before a write that failed is tried again, and how long the last lines may take at the end; seconds.
+# Seconds before the next write after a failed one.
 WRITE_RETRY_S = 0.25
+# Seconds that writing the last lines may take when the log is closed.
 CLOSE_TIMEOUT_S = 1.0
 
 
 class LogWriter:
-    """Lines for one descriptor; `lost` counts those that never left. Emptied by its thread."""
+    """A queue of log lines for one file descriptor and the thread that writes them.
+
+    `lost` counts the lines that were lost and not yet reported.
+    """
 
     def __init__(self, descriptor: int, max_bytes: int = MAX_QUEUED_BYTES) -> None:
         self.lost = 0
@@ -42,7 +47,10 @@
         self._thread.start()
 
     def msg(self, line: str) -> None:
-        """Queues a line; structlog calls it by the name of its level."""
+        """Queues a line, or drops and counts it if the queue is full.
+
+        structlog calls this method by the name of the line's level.
+        """
         data = line.encode("utf-8", "replace") + b"\n"
         with self._changed:
             if self._queued_bytes + len(data) > self._max_bytes:
@@ -55,7 +63,7 @@
     log = debug = info = warn = warning = error = critical = fatal = exception = failure = msg
 
     def close(self) -> None:
-        """Writes the last lines, if that takes no longer than CLOSE_TIMEOUT_S."""
+        """Writes the remaining lines and ends the thread; waits at most CLOSE_TIMEOUT_S for that."""
         with self._changed:
             self._is_closing = True
             self._changed.notify()
@@ -85,7 +93,10 @@
                     self.lost -= lost
 
     def _write(self, data: bytes) -> bytes:
-        """What could not be written. After half a line the next begins on a line of its own."""
+        """Writes the data and returns the part that could not be written.
+
+        If the last write ended within a line, that line is ended first.
+        """
         rest = memoryview(data)
         try:
             if self._is_mid_line:
@@ -100,7 +111,7 @@
 
 
 def configure_logging(config: LogConfig) -> None:
-    """Sets structlog up; every event carries its time, its level and what it is about."""
+    """Configures structlog; every event carries its time, its level and the bound context."""
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if config.form == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
--- a/valverouter/edge/recovery_log.py
+++ b/valverouter/edge/recovery_log.py
@@ -1,9 +1,9 @@
-"""The records of dialogs that are owed an answer, committed before the messages of a turn leave.
+"""The recovery log: records of accepted dialogs, committed at the end of a turn before its messages are sent.
 
-Each record moves as the edge proxy moves its dialog. Which transitions there are is defined by
-`valverouter.recovery.lifecycle`, what a restart makes of them by `valverouter.recovery.plan`. A store that
-fails costs the records, never the calls: all of it is cleared, since a record that was not moved on could let
-a second attempt out after a kill; dialogs accepted from then on are recorded again once the store takes them.
+A dialog's record changes phase with the dialog. `valverouter.recovery.lifecycle` defines the transitions, and
+`valverouter.recovery.plan` what a restarted process does with each record. If the store fails, the records
+are lost but calls continue: the whole store is cleared, since an outdated record could cause a second attempt
+beside one in flight after a kill. Dialogs accepted later are recorded again once the store works.
 """
 
 from __future__ import annotations
@@ -23,25 +23,26 @@
 log = structlog.get_logger()
 
 SECOND = 1_000_000_000
-# A store that failed is tried again after so long.
+# After a failure of the store no dialog is recorded for this time, ns.
 STORE_RETRY_INTERVAL = 10 * SECOND
-# Answers whose time has passed leave the store together, no oftener than in so long.
+# The least time between two sweeps, which remove the expired answers together; ns.
 SWEEP_INTERVAL = SECOND
-# The server closed these itself, or they never ran; after all others the release delay runs.
+# Outcomes of attempts that the server closed or that were never sent. After any other outcome the release
+# delay must pass before the next attempt.
 CLOSED_OUTCOMES = frozenset(
     (Outcome.FULL, Outcome.NO_AGENT, Outcome.UNREACHABLE, Outcome.FAULT, Outcome.LINE_BUSY, Outcome.NOT_SENT)
 )
 
 
 class RecordStore(Protocol):
-    """The store that records go to."""
+    """A store for dialog records; changes take effect together with `commit`."""
 
     def begin_epoch(self, minimum: int = 0) -> int:
-        """Counts a start; its number, larger than any before and at least `minimum`."""
+        """Begins the epoch of a new process and returns it: above all earlier ones and at least `minimum`."""
         ...
 
     def records(self) -> Iterable[Any]:
-        """Records, and a placeholder with `key` and `reason` for each that can't be read."""
+        """Returns the records, and a placeholder with `key` and `reason` for each that can't be read."""
 
     def put(self, record: DialogRecord) -> None:
         """Adds or replaces a record with the next commit."""
@@ -50,27 +51,30 @@
         """Removes a record with the next commit."""
 
     def commit(self) -> int:
-        """Writes what changed since the last commit; how many records."""
+        """Writes the changes since the last commit; returns the number of records written."""
         ...
 
     def clear(self) -> None:
-        """Removes all records, pending changes too."""
+        """Removes all records and discards pending changes."""
 
 
 class RecoveryLog:
-    """The records of dialogs that are open, established, or answered within their time."""
+    """The records of open and established dialogs, and of rejected or failed ones until their deadline.
+
+    `moment` returns the present timestamp; `now` arguments are in ns of the proxy's clock.
+    """
 
     def __init__(self, store: RecordStore, moment: Callable[[], Timestamp]) -> None:
         self._store = store
         self._clock = moment
-        # One moment for all that a turn does.
+        # The timestamp of the current turn, shared by all its transitions; None until the first of them.
         self._turn_moment: Timestamp | None = None
         self._records: dict[str, DialogRecord] = {}
-        # Answered dialogs by when their caller's time is over, kept until then in case it asks again.
+        # Deadlines and ids of answered dialogs, whose records are kept until then for callers that resume.
         self._answered: deque[tuple[int, str]] = deque()
         self._swept_at = 0
         self._suspended_until = 0
-        # Wall seconds, so that an epoch after a store that was lost is later than those before it.
+        # At least the wall time in seconds, so that the epoch also increases when the store has been lost.
         self.epoch = store.begin_epoch(moment().wall // SECOND)
 
     def _moment(self) -> Timestamp:
@@ -79,17 +83,20 @@
         return self._turn_moment
 
     def __len__(self) -> int:
-        """Records held."""
+        """The number of records."""
         return len(self._records)
 
     def record(self, dialog: str) -> DialogRecord | None:
-        """The record of a dialog; None: there is none."""
+        """Returns the record of a dialog, or None."""
         return self._records.get(dialog)
 
-    # At the start
+    # Start
 
     def take_over(self, release_delay: int) -> list[tuple[DialogRecord, RecoveryPlan]]:
-        """What the previous incarnation left, with what each needs; damaged records are removed."""
+        """Takes over the previous incarnation's records and returns each with its recovery plan.
+
+        Removes damaged and expired records. `release_delay` is in ns.
+        """
         now = self._moment()
         taken_over: list[tuple[DialogRecord, RecoveryPlan]] = []
         for found in self._store.records():
@@ -99,10 +106,11 @@
                 continue
             plan = plan_on_restart(found, now, release_delay)
             if plan.action in (RecoveryAction.FORGET, RecoveryAction.CANCEL_ATTEMPT):
-                # Past its time; an attempt in flight then was cut with the previous incarnation's connection.
+                # Expired. An attempt that was in flight ended with the previous incarnation's connection.
                 self._store.delete(found.dialog_id)
                 continue
-            # Its time goes on from here by this boot's clock, with the least that may be left of it.
+            # From here on the caller's time is measured by this boot's clock, starting with the least that
+            # may be left of it.
             record = lifecycle.take_over(found, self.epoch, now, plan.time_left)
             self._put(record)
             taken_over.append((record, plan))
@@ -111,7 +119,7 @@
     # Transitions
 
     def on_accepted(self, request: setup.Setup, caller: str, time_left: int, now: int) -> None:
-        """A dialog is owed an answer; it is not recorded while the store fails."""
+        """Records an accepted dialog, to which an answer is owed; does nothing while the store is failing."""
         if now < self._suspended_until:
             return
         self._put(
@@ -129,7 +137,7 @@
         )
 
     def on_attempt_sent(self, dialog: str, attempt: int, server: str, incarnation: int) -> None:
-        """An attempt is about to leave to a server's present incarnation."""
+        """Records an attempt that this turn sends to the current incarnation of a server."""
         if (record := self._records.get(dialog)) is not None:
             now = self._moment()
             if record.phase is Phase.CANCELLED:
@@ -137,13 +145,13 @@
             self._put(lifecycle.start_attempt(record, attempt, server, incarnation, now))
 
     def on_attempt_cancelled(self, dialog: str) -> None:
-        """The attempt in flight is cancelled: the release delay runs from here."""
+        """Records that the attempt in flight is cancelled; its release delay starts now."""
         record = self._records.get(dialog)
         if record is not None and record.phase in (Phase.IN_FLIGHT, Phase.CANCELLED):
             self._put(lifecycle.cancel_attempt(record, self._moment()))
 
     def on_attempt_ended(self, dialog: str, outcome: Outcome) -> None:
-        """An attempt has ended; unless its server closed it, the release delay runs."""
+        """Records that an attempt has ended; unless its server closed it, its release delay starts now."""
         record = self._records.get(dialog)
         if record is None or record.phase not in (Phase.IN_FLIGHT, Phase.CANCELLED):
             return
@@ -153,12 +161,12 @@
             self._put(lifecycle.cancel_attempt(record, self._moment()))
 
     def on_established(self, dialog: str) -> None:
-        """The attempt in flight is established."""
+        """Records that the attempt in flight is established."""
         if (record := self._records.get(dialog)) is not None and record.phase is Phase.IN_FLIGHT:
             self._put(lifecycle.establish(record, self._moment()))
 
     def on_answered(self, dialog: str, answer: str, retry_after: int, deadline: int) -> None:
-        """The dialog is rejected or has failed: on record until the caller's deadline."""
+        """Records the answer of a rejected or failed dialog, to be kept until the caller's deadline."""
         if (record := self._records.get(dialog)) is None:
             return
         now = self._moment()
@@ -168,16 +176,16 @@
         self._answered.append((deadline, dialog))
 
     def keep_answer_until(self, dialog: str, deadline: int) -> None:
-        """Keeps an answer of the previous incarnation until its caller's deadline."""
+        """Keeps an answer that the previous incarnation recorded until its caller's deadline."""
         self._answered.append((deadline, dialog))
 
     def on_dialog_closed(self, dialog: str) -> None:
-        """The proxy holds the dialog no more: an answer stays until its deadline, all else leaves."""
+        """Removes the record of a dialog that the proxy has removed, unless it holds an answer."""
         if (record := self._records.get(dialog)) is not None and record.phase is not Phase.CONCLUDED:
             self.remove(dialog)
 
     def remove(self, dialog: str) -> None:
-        """Removes a record: nothing is owed any more."""
+        """Removes a record, if there is one."""
         if self._records.pop(dialog, None) is not None:
             self._store.delete(dialog)
 
@@ -185,21 +193,24 @@
         self._records[record.dialog_id] = record
         self._store.put(record)
 
-    # The turn's end
+    # End of a turn
 
     def commit(self, now: int) -> None:
-        """Commits what a turn changed, before its messages leave; all of it is on record then, or nothing."""
+        """Commits the changes of a turn as a whole, before its messages are sent.
+
+        If the store fails, all records are removed.
+        """
         self._turn_moment = None
         if now >= self._swept_at + SWEEP_INTERVAL:
             self._swept_at = now
             self._sweep(now)
         try:
             self._store.commit()
-        except Exception as error:  # whatever a store raises, calls go on without it
+        except Exception as error:  # whatever the store raises, calls continue without it
             self._on_store_failed(now, error)
 
     def _sweep(self, now: int) -> None:
-        # Deadlines are nearly in order: one that is not waits behind the others, for as long as they do.
+        # The deadlines are nearly sorted. One that is out of order is removed later, after those before it.
         while self._answered and self._answered[0][0] <= now:
             dialog = self._answered.popleft()[1]
             record = self._records.get(dialog)
@@ -215,5 +226,5 @@
         try:
             self._store.clear()
         except Exception as clear_error:
-            # A start that reads it would go on from what is no longer so.
+            # A process that started with this store would continue from outdated records.
             log.critical("ledger-stale", why=str(clear_error), do="remove the store before the next start")
--- a/valverouter/edge/recovery_state.py
+++ b/valverouter/edge/recovery_state.py
@@ -1,4 +1,4 @@
-"""What an edge proxy with a store knows of dialogs that outlive a restart or a connection."""
+"""The state that a resumable edge proxy keeps for recovering dialogs after a restart or a lost connection."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 @dataclass(slots=True)
 class RecoveryState:
-    """The records of dialogs, and what those of a previous incarnation wait for.
+    """The recovery log, and the state of dialogs whose recovery is not complete; the dicts are by dialog id.
 
-    `pending`: what a dialog waits for before its flow goes on; leaves with the dialog. `unreported_ends`: how
-    an established one ended while its caller was away; leaves with the dialog. `attempt_offsets`: how many
-    attempts of a dialog the previous incarnation had numbered; emptied by timers past the dialog's time.
+    `pending`: the action that a dialog waits for before its routing continues. `unreported_ends`: why an
+    established dialog ended while its caller was disconnected. Entries of both are removed with the dialog.
+    `attempt_offsets`: how many attempts of a dialog the previous incarnation numbered; a timer removes an
+    entry some time after the dialog's deadline. `pacing`: the queries to servers that wait or are unanswered.
     """
 
     log: RecoveryLog
--- a/valverouter/edge/reload.py
+++ b/valverouter/edge/reload.py
@@ -1,4 +1,4 @@
-"""Configuration that changes while an edge proxy runs: what acts, what acted before, and the way back."""
+"""Configuration reloads of a running edge proxy, and their rollback by the change guard."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 
 
 class ConfigReloader:
-    """Replaces the attempt policies and the cross-region rules of a running proxy, under a change guard."""
+    """Replaces the attempt policies and cross-region rules of a running proxy, watched by a change guard."""
 
     def __init__(self, context: ProxyContext) -> None:
-        """Watches over the configuration of `context`."""
+        """Manages the configuration in `context`."""
         self.guard = ChangeGuard()
         self._context = context
-        # What acted before the last change, for as long as the guard may go back to it.
+        # The configuration before the last change, to which the guard may roll back; None if there is none.
         self._previous: EdgeConfig | None = None
 
     def policies_of(self, config: EdgeConfig) -> AttemptPolicies | None:
-        """The attempt policies of another configuration; None: it has none. InvalidConfigError.
+        """Builds the attempt policies of a new configuration; None if it has none.
 
-        Its check may take long; callers run it in a thread.
+        Raises InvalidConfigError. The checks may take long, so callers run this in a thread.
         """
         return AttemptPolicies(self._merged(config)) if config.attempts else None
 
     def on_reload(self, event: ReloadRequested) -> None:
-        """Another configuration was read, whole."""
+        """Applies a new configuration."""
         self._apply(event, is_rollback=False)
 
     def reject(self, file: str, why: str, **details: Any) -> None:
-        """Logs that a configuration does not act, and which generation goes on acting."""
+        """Logs that a configuration is rejected, and which generation stays in effect."""
         self._context.log.error(
             "configuration-rejected", generation=self._context.generation, file=file, why=why, **details
         )
 
     def apply_retry_budgets(self) -> None:
-        """Hands the retry budgets that act at present to the decisions."""
+        """Passes the retry budgets of the current configuration to the driver."""
         context, policies = self._context, self._context.attempt_policies
         set_retry_budgets = context.driver.set_retry_budgets
         if policies is None:
@@ -53,10 +53,10 @@
             context.run_decision("", set_retry_budgets, budgets, default)
 
     def on_final_answer(self, traffic_type: str, is_rejected: bool, attempts: int) -> None:
-        """Counts a final answer; where a change harms, logs it, and rolls back if that is configured."""
+        """Counts a final answer; logs a regression after a change, and rolls back if that is configured."""
         context = self._context
         if traffic_type not in context.config.deployment.traffic_types:
-            return  # a name of the caller's own; counted, each would stay in memory
+            return  # a name that the caller made up; counting these would use unbounded memory
         regression = self.guard.on_final_answer(context.now, traffic_type, is_rejected, attempts)
         if regression is None:
             return
@@ -75,17 +75,18 @@
     def _apply(self, event: ReloadRequested, is_rollback: bool) -> None:
         context, new, old = self._context, event.config, self._context.config
         if old.ends and not new.ends:
-            # A file cut off at a line's end may pass every check, with half of its sections.
+            # A file that was truncated at the end of a line may pass all checks with half of its sections.
             self.reject(event.file, f"the file was cut off: its last line is not {END_MARKER!r}")
             return
         merged = self._merged(new)
         unapplied = [name for name in old.__struct_fields__ if getattr(merged, name) != getattr(new, name)]
         try:
-            # Open dialogs carry the attempt policy that they began with; the new ones are for those to come.
+            # Open dialogs keep the attempt policy that they started with; the new policies apply to later
+            # ones.
             policies = event.policies or self.policies_of(new)
             if context.cross_region is not None and new.crossing is not None:
                 context.cross_region.reconfigure(new.crossing, context.now)
-        except Exception as error:  # problems of the file, and memory that runs out on the way
+        except Exception as error:  # problems in the file, and running out of memory
             self.reject(event.file, str(error) or type(error).__name__)
             return
         context.attempt_policies, context.config = policies, merged
@@ -104,7 +105,7 @@
         )
 
     def _merged(self, new: EdgeConfig) -> EdgeConfig:
-        """The present configuration with what of the new one may change while running."""
+        """Returns the current configuration with those sections of `new` that may change at run time."""
         return msgspec.structs.replace(
             self._context.config,
             crossing=new.crossing,
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -1,4 +1,7 @@
-"""Attempts on record, and those of a previous incarnation or a lost connection: their servers are asked."""
+"""Recording of attempts, and queries to servers about those whose status is unknown.
+
+The status of an attempt is unknown after a restart of this process or the loss of a connection.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +19,18 @@
 
 
 class ResumableAttempts(AttemptHandler):
-    """Records each attempt before it leaves, and finds out what became of those in doubt."""
+    """Records each attempt before it is sent, and queries servers for attempts whose status is unknown."""
 
     def __init__(
         self, context: ProxyContext, dialogs: DialogTable, links: ServerLinks, state: RecoveryState
     ) -> None:
-        """`state` holds the records, and which attempts are in doubt."""
+        """`state` holds the records and the pending recovery actions."""
         super().__init__(context, dialogs, links)
         self._incarnations = links.incarnations
         self._state = state
         self._pending = state.pending
 
-    # On record, before it leaves
+    # Recording attempts
 
     def _on_attempt_sent(self, entry: DialogEntry, server: str) -> None:
         assert entry.attempt is not None
@@ -35,11 +38,11 @@
         self._state.log.on_attempt_sent(entry.setup.dialog, entry.attempt, server, incarnation)
 
     def decision_number(self, dialog_id: str, attempt: int) -> int:
-        """An attempt's number without those of the previous incarnation, which the decisions never saw."""
+        """Returns an attempt's number without those of the previous incarnation, unknown to the driver."""
         return attempt - self._state.attempt_offsets.get(dialog_id, 0)
 
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
-        """Records the cancel, also of an attempt that had not left: the event that it never ran follows."""
+        """Records the cancel and cancels; for an unsent attempt an event reports later that it never ran."""
         self._state.log.on_attempt_cancelled(entry.setup.dialog)
         super().cancel(entry, outcome)
 
@@ -51,7 +54,7 @@
             self._state.log.on_attempt_ended(entry.setup.dialog, outcome)
 
     def _confirm_record(self, entry: DialogEntry) -> None:
-        """Tells the server that the dialog is on record: it need not cut it should this connection go."""
+        """Notifies the server that the dialog is on record, so it keeps it if this connection is lost."""
         link = entry.link
         if link is None or entry.attempt is None or not link.can_resume:
             return
@@ -60,13 +63,13 @@
             link.send(setup.Persisted(*key))
 
     def abort_dialog(self, dialog_id: str, reason: str) -> None:
-        """Ends a dialog from outside the decisions; one in doubt is cancelled at its server either way."""
+        """Ends a dialog without the driver; an attempt whose status is unknown is cancelled in any case."""
         if self._pending.pop(dialog_id, None) is RecoveryAction.QUERY_SERVER:
             self.withdraw(self._entries[dialog_id])
         super().abort_dialog(dialog_id, reason)
 
     def withdraw(self, entry: DialogEntry) -> None:
-        """Cancels a previous incarnation's attempt, where its server was asked for it and may have it."""
+        """Cancels an attempt of unknown status, if its server was queried for it and may still have it."""
         link, attempt, entry.attempt = entry.link, entry.attempt, None
         if link is None or attempt is None:
             return
@@ -76,17 +79,21 @@
         link.attempts[key] = True
         link.send(setup.Cancel(*key))
 
-    # Asking servers for attempts in doubt
+    # Querying servers for attempts of unknown status
 
     def query_link(self, link: ServerLink, incarnation: int) -> None:
-        """A server is there: it is asked for attempts in doubt, where it is the process that had them."""
+        """Queues queries to a newly connected server for the attempts of unknown status that it was sent.
+
+        `incarnation`: the server's. Attempts sent to another incarnation are resolved without a query.
+        """
         for dialog_id in self._in_doubt():
             entry, record = self._entries[dialog_id], self._state.log.record(dialog_id)
             if record is None or record.server != link.server:
                 continue
             is_same_process = record.server_incarnation in (0, incarnation)
             if not is_same_process or not link.can_resume:
-                # Another process never had it; one of an older version dropped it with the connection.
+                # Another process never had the attempt; one with an older protocol version dropped it with
+                # the connection.
                 self.on_peer_status(entry, PeerStatus.UNKNOWN, is_same_process)
                 continue
             entry.link = link
@@ -102,14 +109,14 @@
         ]
 
     def _query_next(self) -> None:
-        """Asks for as many as the pace allows."""
+        """Sends the queries that are due by the pacing."""
         for dialog_id, server in self._state.pacing.take_due(self._context.now):
             entry, link = self._entries.get(dialog_id), self._links.get(server)
             if not self._query(entry, link):
                 self._state.pacing.on_reply(server)
 
     def _query(self, entry: DialogEntry | None, link: ServerLink | None) -> bool:
-        """Whether a server was asked for an attempt; it is not where that is in doubt no more."""
+        """Queries a server for an attempt; returns False without sending if its status is known by now."""
         if entry is None or entry.attempt is None or link is None:
             return False
         is_in_doubt = (
@@ -139,10 +146,13 @@
         self._query_next()
 
     def on_peer_status(self, entry: DialogEntry, status: PeerStatus, is_same_process: bool) -> None:
-        """What a server says of an attempt in doubt, or its silence."""
+        """Handles a server's status of an attempt, or NO_RESPONSE; what follows is given by its record.
+
+        `is_same_process`: the status is of the server process that the attempt was sent to.
+        """
         dialog_id, link = entry.setup.dialog, entry.link
         record = self._state.log.record(dialog_id)
-        if record is None:  # the store failed meanwhile, and what it held of this attempt is void
+        if record is None:  # the store has failed meanwhile and was cleared
             self.abort_dialog(dialog_id, "internal")
             return
         del self._pending[dialog_id]
@@ -157,7 +167,7 @@
         self._apply(entry, plan)
 
     def _apply(self, entry: DialogEntry, plan: RecoveryPlan) -> None:
-        """Does what the record of a dialog needs, now that its server's status is known."""
+        """Carries out the plan for a dialog's record."""
         dialog_id, link = entry.setup.dialog, entry.link
         if plan.action is RecoveryAction.RESEND_ANSWER:
             if not entry.is_established:
@@ -178,13 +188,13 @@
                 self._context.now + plan.delay, RecoveryTimer(dialog_id, RecoveryAction.AWAIT_RELEASE)
             )
 
-    # Links that are lost
+    # Lost links
 
     def on_link_down(self, event: LinkDown) -> None:
-        """What is established on record is asked for on the next connection, not cut at once.
+        """Marks recorded established dialogs for a query on the next connection instead of ending them.
 
-        A connection that does not come about is answer enough: a server that died has cut it, and a caller
-        who hears of it late dials again late.
+        If no connection can be made, they end at once without a query: a server that died has cut them, and
+        the sooner their callers are notified, the sooner they can dial again.
         """
         link = event.link
         if link.is_final or not event.sent:
@@ -198,7 +208,7 @@
         super().on_link_down(LinkDown(link, event.reason, event.sent - in_doubt, event.unsent))
 
     def _becomes_doubtful(self, link: ServerLink, key: tuple[str, int]) -> bool:
-        """Whether an attempt on a lost connection is asked for again."""
+        """Whether an attempt on a lost connection is queried on the next one; if so, starts its timeout."""
         dialog_id, attempt = key
         entry = self._entries.get(dialog_id)
         if entry is None or entry.link is not link or entry.attempt != attempt:
--- a/valverouter/edge/resumable_dialogs.py
+++ b/valverouter/edge/resumable_dialogs.py
@@ -1,4 +1,4 @@
-"""The table of dialogs whose records outlive a restart of this process."""
+"""The table of dialogs with records in the recovery log."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResumableDialogs(DialogTable):
-    """Moves a dialog's record as it moves the dialog."""
+    """A dialog table that keeps each dialog's record up to date."""
 
     def __init__(self, context: ProxyContext, reloader: ConfigReloader, state: RecoveryState) -> None:
         """`state` holds the records."""
@@ -20,13 +20,13 @@
         self._state = state
 
     def accept(self, entry: DialogEntry) -> None:
-        """Records that an answer is owed."""
+        """Accepts a dialog and records that an answer is owed to it."""
         super().accept(entry)
         now = self._context.now
         self._state.log.on_accepted(entry.setup, entry.caller.name, entry.deadline - now, now)
 
     def answer(self, entry: DialogEntry, message: FinalAnswer) -> None:
-        """Records an answer that ends the dialog, in case its caller asks for it again."""
+        """Records an answer that ends the dialog, for a caller that resumes it later; sends the answer."""
         if self._context.now < entry.deadline and not isinstance(message, setup.Established):
             retry_after = message.retry_after if isinstance(message, setup.Rejected) else 0
             kind = message.answer_name
@@ -34,9 +34,9 @@
         super().answer(entry, message)
 
     def end(self, entry: DialogEntry, reason: str) -> None:
-        """Ends a dialog, or remembers its end for a caller that is away.
+        """Ends a dialog; if its caller is disconnected, stores the reason until it resumes the dialog.
 
-        Told that nothing is known of it, such a caller would dial again.
+        A caller that was answered Unknown instead would dial again.
         """
         dialog_id = entry.setup.dialog
         if isinstance(entry.caller, DetachedCaller) and reason != "released":
@@ -46,7 +46,7 @@
         super().end(entry, reason)
 
     def remove(self, entry: DialogEntry) -> None:
-        """Nothing more is owed for a dialog: what is known of it leaves."""
+        """Removes a dialog to which nothing more is owed, together with its recovery state."""
         super().remove(entry)
         dialog_id = entry.setup.dialog
         self._state.log.on_dialog_closed(dialog_id)
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -1,9 +1,9 @@
-"""An edge proxy whose accepted dialogs outlive its restart, and a caller's broken connection.
+"""An edge proxy whose accepted dialogs survive its restart and the loss of a caller's connection.
 
-It moves a record for each dialog (`recovery_log`), committed at the end of each turn, before what the turn
-queued leaves. At its start it takes over what a previous incarnation left: what each dialog needs is decided
-by `valverouter.recovery`, and so is how fast servers are asked. A dialog goes on once its caller has come
-back for it; without, nobody would hear the answer.
+It keeps a record of each dialog (`recovery_log`) and commits the changes at the end of each turn, before the
+messages queued in the turn are sent. At its start it takes over the records of the previous incarnation.
+`valverouter.recovery` decides what each dialog needs and how fast servers are queried. The routing of a
+dialog continues once its caller has resumed it; before, nobody would receive the answer.
 """
 
 from __future__ import annotations
@@ -24,21 +24,22 @@
 from valverouter.signalling import setup
 from valverouter.terms.edge import EdgeConfig
 
-# For so long a server is given to say what became of an attempt that was in flight; for one that is
-# established, as long as its caller has to come back. Nanoseconds.
+# How long a server has to report the status of an attempt that was in flight, ns. For an established attempt
+# it has as long as the caller has to resume, `resume_within`.
 QUERY_TIMEOUT = 1_000_000_000
-# A dialog of a previous incarnation numbers its attempts on from that one's. Its numbers are remembered so
-# much longer than its time, until the last message on any of them has come.
+# The attempts of a dialog that was taken over are numbered after those of the previous incarnation. The
+# offset is kept for this time after the dialog's deadline, until the last message about any attempt has
+# arrived; ns.
 ATTEMPT_OFFSET_LIFETIME = 60_000_000_000
 
 
 def make_edge_proxy(config: EdgeConfig, runtime: Runtime, store: RecordStore | None) -> EdgeProxy:
-    """An instance, resumable where it has a store."""
+    """Returns a ResumableProxy if there is a store, otherwise an EdgeProxy."""
     return EdgeProxy(config, runtime) if store is None else ResumableProxy(config, runtime, store)
 
 
 class ResumableProxy(EdgeProxy):
-    """An instance with a store for the records of its dialogs."""
+    """An edge proxy with a store for the records of its dialogs."""
 
     attempts: ResumableAttempts
     requests: ResumableRequests
@@ -111,10 +112,11 @@
         self.context.timers.schedule(at, RecoveryTimer(dialog_id, action))
 
     def _on_recovery_timer(self, timer: RecoveryTimer) -> None:
-        """The time that something was given is over.
+        """Handles the expiry of a timer, whose action says what has expired.
 
-        FORGET: a caller's time to come back; LET_GO: the time of a dialog that has not gone on; ANSWER: the
-        lifetime of its attempt numbers; else the time of what the dialog waits for.
+        FORGET: the caller's time to resume. CANCEL_ATTEMPT: the time of a dialog whose routing has not
+        continued. RESEND_ANSWER: the lifetime of its attempt offset. QUERY_SERVER, AWAIT_RELEASE: the time
+        for that pending action.
         """
         dialog_id = timer.dialog_id
         if timer.action is RecoveryAction.RESEND_ANSWER:
@@ -141,7 +143,7 @@
 
 
 def _request_of(record: DialogRecord, time_left: int) -> setup.Setup:
-    """The set-up that a record was made of, with what is left of its time."""
+    """Returns the set-up that a record was made from, with `time_left` ns of the caller's time left."""
     return setup.Setup(
         dialog=record.dialog_id,
         traffic_type=record.traffic_type,
--- a/valverouter/edge/resumable_requests.py
+++ b/valverouter/edge/resumable_requests.py
@@ -1,4 +1,4 @@
-"""Callers whose connection is gone and that may come back for their dialogs."""
+"""Requests of callers that may lose their connection and resume their dialogs on another."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class ResumableRequests(CallerRequests):
-    """Keeps the dialogs of callers that are away; a dialog goes on once its caller has come back for it."""
+    """Keeps the dialogs of disconnected callers, and continues a dialog once its caller has resumed it."""
 
     def __init__(
         self, context: ProxyContext, dialogs: DialogTable, attempts: ResumableAttempts, state: RecoveryState
     ) -> None:
-        """`state` holds the records, and what dialogs wait for."""
+        """`state` holds the records and the pending recovery actions."""
         super().__init__(context, dialogs, attempts)
         self._resumable_attempts = attempts
         self._state = state
 
     def on_caller_disconnected(self, event: CallerDisconnected) -> None:
-        """A caller's connection is gone: its dialogs are kept for as long as it has to come back."""
+        """Keeps the dialogs of a disconnected caller, which it may resume within `resume_within`."""
         context = self._context
         if not event.caller.can_resume or context.shutdown.is_draining:
             super().on_caller_disconnected(event)
@@ -44,14 +44,14 @@
         caller.dialogs.add(entry.setup.dialog)
 
     def on_caller_message(self, event: CallerMessage) -> None:
-        """A caller asks, or comes back for a dialog."""
+        """Handles a caller's request, among them Resume."""
         if isinstance(event.message, setup.Resume):
             self._resume(event.caller, event.message.dialog)
         else:
             super().on_caller_message(event)
 
     def on_cancel_or_release(self, caller: CallerConnection, message: setup.LegMessage) -> None:
-        """Releases an established dialog that is in doubt without waiting for its server."""
+        """Releases an established dialog whose status is being queried without waiting for its server."""
         entry = self._entries.get(message.dialog)
         is_in_doubt = self._state.pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
         if entry is None or not entry.is_established or not is_in_doubt:
@@ -61,7 +61,7 @@
             self._dialogs.end(entry, "released")
 
     def _resume(self, caller: CallerConnection, dialog_id: str) -> None:
-        """A caller comes back for a dialog: it hears what it is owed, and the dialog's flow goes on."""
+        """Handles a caller's Resume: sends what is owed to it, and continues the routing of the dialog."""
         entry = self._entries.get(dialog_id)
         if entry is None or entry.caller.name != caller.name:
             caller.send(self._recorded_answer(caller, dialog_id))
@@ -89,9 +89,9 @@
         return setup.Failed(dialog_id, 0, "failed")
 
     def continue_dialog(self, entry: DialogEntry) -> None:
-        """Nothing of the previous incarnation is in the way any more: the decisions get the dialog.
+        """Passes a dialog to the driver, once no earlier attempt of it may still be running.
 
-        Without its caller it waits, since nobody would hear the answer.
+        While its caller is disconnected the dialog waits, since nobody would receive the answer.
         """
         request = entry.setup
         if isinstance(entry.caller, DetachedCaller):
--- a/valverouter/edge/runtime.py
+++ b/valverouter/edge/runtime.py
@@ -1,8 +1,7 @@
-"""The seam between an edge proxy and the machine: streams, datagrams, wall time, a file or two, and the turn.
+"""The interface between an edge proxy and its environment: streams, datagrams, clocks and files.
 
-`valverouter.edge.sockets` is the machine itself. Tests and scenarios in virtual time hand in a runtime of
-their own, so that the same proxy runs under trio's MockClock on streams in memory, with the same result every
-run.
+`valverouter.edge.sockets` implements it with the operating system. Tests and scenarios in virtual time use an
+implementation in memory, so that the same proxy runs deterministically under trio's MockClock.
 """
 
 from __future__ import annotations
@@ -14,62 +13,66 @@
 
 from valverouter.recovery.lifecycle import Timestamp
 
-# Bytes read from a stream at a time, and the longest datagram.
+# Bytes read from a stream at a time.
 READ_SIZE = 64 * 1024
+# Bytes of the longest datagram.
 MAX_DATAGRAM_SIZE = 2_048
 
 Handler = Callable[[trio.abc.Stream], Awaitable[object]]
 
 
 class DatagramSocket(Protocol):
-    """A socket for datagrams; nothing here ever waits but `wait_readable`. Addresses are IP:PORT."""
+    """A datagram socket; only `wait_readable` blocks. Addresses are IP:PORT."""
 
     address: str
 
     def send(self, data: bytes, address: str) -> bool:
-        """Whether it left; one that does not at once is dropped, as the network may drop any."""
+        """Sends a datagram, or drops it if it can't be sent at once; returns whether it was sent."""
 
     def receive(self) -> tuple[bytes, str] | None:
-        """A datagram that has arrived, cut off after MAX_DATAGRAM_SIZE bytes, and its sender."""
+        """Returns a received datagram and its sender; None if there is none.
+
+        Data beyond MAX_DATAGRAM_SIZE bytes is cut off.
+        """
 
     async def wait_readable(self) -> None:
-        """Returns when one may have arrived."""
+        """Waits until a datagram may have arrived."""
 
     def close(self) -> None:
-        """Frees the address."""
+        """Closes the socket and frees its address."""
 
 
 class Runtime(Protocol):
-    """What an edge proxy asks of the place where it runs. Addresses are HOST:PORT."""
+    """The environment of an edge proxy. Addresses are HOST:PORT."""
 
     def wall_time(self) -> int:
-        """Wall time in ns since 1970: to date what an earlier start wrote, never to measure a duration."""
+        """Returns wall time, ns since 1970: for dating files of an earlier process, never for durations."""
 
     def moment(self) -> Timestamp:
-        """Wall time and the monotonic clock of this boot, as records keep them over a restart."""
+        """Returns wall time and the monotonic clock of this boot, as stored in dialog records."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """A stream to a peer; OSError when there is none. The caller limits the wait."""
+        """Connects to a peer; raises OSError on failure. The caller sets a timeout."""
 
     async def serve(
         self, address: str, handler: Handler, task_status: trio.TaskStatus[str], refuse: Handler | None = None
     ) -> None:
-        """Serves until cancelled, a task for each stream; `started` with the address in use.
+        """Serves until cancelled, with a task per stream; calls `task_status.started` with the bound address.
 
-        `refuse` gets, one at a time, those that came while there was no descriptor for another.
+        `refuse` handles, one at a time, the connections that arrive while no file descriptor is free.
         """
 
     def bind_datagrams(self, address: str) -> DatagramSocket:
-        """A socket bound there; OSError when it can't be."""
+        """Returns a socket bound to `address`; raises OSError if that fails."""
 
     def max_descriptors(self) -> int:
-        """How many this process may hold at present."""
+        """Returns the current limit of open file descriptors of this process."""
 
     async def checkpoint(self) -> None:
-        """Before each turn of the instance: a checkpoint, and where a test holds it up."""
+        """Executes a trio checkpoint before each turn of the event loop; tests stall the process here."""
 
     async def read_file(self, path: str) -> bytes | None:
-        """A file that an earlier start kept; None when there is none to read."""
+        """Returns the content of a file; None if it can't be read."""
 
     async def write_file(self, path: str, data: bytes) -> None:
-        """Writes a file whole or not at all; OSError when it can't be written."""
+        """Writes a file atomically; raises OSError on failure."""
--- a/valverouter/edge/sockets.py
+++ b/valverouter/edge/sockets.py
@@ -1,4 +1,4 @@
-"""The machine as an edge proxy's runtime: TCP and UDP sockets, files, and the system's clocks."""
+"""The operating system as an edge proxy's runtime: TCP and UDP sockets, files, and the system's clocks."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 from valverouter.edge.runtime import MAX_DATAGRAM_SIZE, READ_SIZE, DatagramSocket, Handler
 from valverouter.recovery.lifecycle import Timestamp
 
-# What the kernel keeps of datagrams while this process does not run, as far as it allows so much.
+# Requested size of a UDP socket's receive buffer, bytes: holds datagrams while this process does not run. The
+# kernel may grant less.
 DATAGRAM_BUFFER_SIZE = 1024 * 1024
-# What accept says when this process or the machine has nothing left for another connection.
+# Errors of accept when the process or the machine has no resources for another connection.
 RESOURCE_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS))
-# Before accepting is tried again then, in seconds.
+# Seconds that accepting and refusing one connection may take after such an error, and the wait after a
+# MemoryError.
 ACCEPT_RETRY_S = 0.1
+# Unanswered keepalive probes after which a peer is considered gone.
 KEEPALIVE_PROBES = 3
-# What poll says of a peer that has closed; Linux alone knows it apart from bytes to be read.
+# The poll flag of a peer that has closed. Only Linux distinguishes this from data to read.
 PEER_CLOSED = getattr(select, "POLLRDHUP", 0)
-# Addresses that a datagram socket remembers parsed.
+# Parsed addresses cached per datagram socket.
 MAX_PARSED_ADDRESSES = 10_000
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of HOST:PORT; ValueError where it is none."""
+    """Splits HOST:PORT into host and port; raises ValueError for anything else."""
     host, _, port = address.rpartition(":")
     if not host or not port.isascii() or not port.isdigit():
         raise ValueError(f"{address!r} is no HOST:PORT")
@@ -39,10 +42,11 @@
 
 
 class PlainSocketStream(trio.abc.Stream):
-    """A connected socket, read when trio says that it is readable and written first without a wait.
+    """A connected socket with less overhead than trio's SocketStream.
 
-    Trio's own stream tries, asks whether it was cancelled and yields at each call, in both directions; here a
-    read waits once, and a write that the kernel takes at once costs its system call alone.
+    Trio's stream tries the system call, checks for cancellation and yields on each call, in both directions.
+    Here a read waits until the socket is readable and then reads once, and a write that the kernel accepts
+    immediately costs only its system call.
     """
 
     def __init__(self, stream: trio.SocketStream, silence: int = 0) -> None:
@@ -52,9 +56,9 @@
             self._enable_keepalive(silence)
 
     def _enable_keepalive(self, silence: int) -> None:
-        """Lets the kernel probe a silent peer, and close within `silence` ns one that is not there.
+        """Makes the kernel probe an idle peer and close the connection `silence` ns after its last response.
 
-        A machine that lost its power closes nothing, and an idle connection to it would stay for good.
+        A machine that loses power does not close its connections, and an idle one would stay open forever.
         """
         first = max(1, silence // 2 // 10**9)
         between = max(1, (silence // 10**9 - first) // KEEPALIVE_PROBES)
@@ -68,15 +72,15 @@
             self._socket.setsockopt(socket.IPPROTO_TCP, option, value)
 
     def send_now(self, data: bytes) -> int:
-        """How many bytes the kernel took without a wait."""
+        """Sends without waiting; returns the number of bytes that the kernel accepted."""
         try:
             return self._socket.send(data)
         except OSError:
-            return 0  # full, or gone: `send_all` waits or tells
+            return 0  # buffer full or connection lost: `send_all` waits or raises
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes have arrived that nobody has read."""
+        """Whether received bytes wait to be read."""
         try:
             return bool(self._socket.recv(1, socket.MSG_PEEK))
         except OSError:
@@ -84,7 +88,7 @@
 
     @property
     def peer_has_closed(self) -> bool:
-        """Whether the peer has closed, also where bytes that it sent before lie unread."""
+        """Whether the peer has closed, even if bytes that it sent before are still unread."""
         if self._socket.fileno() < 0:
             return True
         poll = select.poll()
@@ -93,10 +97,10 @@
         try:
             return any(flags & closed for _, flags in poll.poll(0))
         except OSError:
-            return False  # where it can't be polled, the reader finds out
+            return False  # if the socket can't be polled, the reader will detect the close
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Sends everything, waiting where the kernel has no space."""
+        """Sends all of `data`, waiting while the kernel's buffer is full."""
         await trio.lowlevel.checkpoint()
         rest = memoryview(data)
         with _as_trio_errors():
@@ -107,24 +111,24 @@
                     await trio.lowlevel.wait_writable(self._socket)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Returns when the kernel has space."""
+        """Waits until the kernel's buffer has space."""
         with _as_trio_errors():
             if self._socket.fileno() < 0:
                 raise trio.ClosedResourceError("this stream was closed here")
             await trio.lowlevel.wait_writable(self._socket)
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """What has arrived, at most so many bytes; empty: the peer has closed."""
+        """Waits for data and returns at most `max_bytes` bytes; empty if the peer has closed."""
         with _as_trio_errors():
             while True:
-                if self._socket.fileno() < 0:  # trio's own loop would fall over a closed one
+                if self._socket.fileno() < 0:  # trio's event loop would fail on a closed socket
                     raise trio.ClosedResourceError("this stream was closed here")
                 await trio.lowlevel.wait_readable(self._socket)
                 with suppress(BlockingIOError):
                     return self._socket.recv(max_bytes or READ_SIZE)
 
     def close_now(self) -> None:
-        """Closes the socket without a wait."""
+        """Closes the socket without waiting."""
         if self._socket.fileno() >= 0:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
@@ -136,7 +140,7 @@
 
 
 class UdpSocket:
-    """A UDP socket of the machine."""
+    """A UDP socket of the operating system."""
 
     def __init__(self, address: str) -> None:
         host, port = split_address(address)
@@ -150,11 +154,11 @@
             self._socket.close()
             raise
         self.address = _format_address(self._socket.getsockname())
-        # Addresses by their text, as many as a fleet has; emptied when there are too many.
+        # Cache of parsed addresses, one per member of the fleet; cleared above MAX_PARSED_ADDRESSES.
         self._resolved: dict[str, tuple[str, int]] = {}
 
     def send(self, data: bytes, address: str) -> bool:
-        """Whether the kernel took it."""
+        """Sends a datagram; returns whether the kernel accepted it."""
         destination = self._resolved.get(address)
         if destination is None:
             if len(self._resolved) > MAX_PARSED_ADDRESSES:
@@ -163,26 +167,26 @@
         try:
             self._socket.sendto(data, destination)
         except OSError:
-            return False  # full, nobody there, no way there: as good as lost
+            return False  # buffer full, port closed or no route: the datagram counts as lost
         return True
 
     def receive(self) -> tuple[bytes, str] | None:
-        """A datagram that has arrived, and its sender; None: none has."""
+        """Returns a received datagram and its sender; None if there is none."""
         while True:
             try:
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_SIZE)
             except BlockingIOError:
                 return None
             except OSError:
-                continue  # an earlier datagram of ours was refused; that is all it says
+                continue  # reports only that an earlier datagram sent here was refused
             return data, _format_address(source)
 
     async def wait_readable(self) -> None:
-        """Returns when a datagram may have arrived."""
+        """Waits until a datagram may have arrived."""
         await trio.lowlevel.wait_readable(self._socket)
 
     def close(self) -> None:
-        """Frees the address."""
+        """Closes the socket and frees its address."""
         if self._socket.fileno() >= 0:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
@@ -207,17 +211,17 @@
     try:
         stream = PlainSocketStream(accepted, silence)
     except OSError:
-        return  # closed again already
+        return  # the peer has already closed the connection
     await handler(stream)
 
 
 async def _accept(
     listener: trio.SocketListener, nursery: trio.Nursery, handler: Handler, refuse: Handler, silence: int
 ) -> None:
-    """Accepts until cancelled.
+    """Accepts connections until cancelled.
 
-    With no descriptor left callers would wait in the backlog and hear nothing; the one spare is given up for
-    as long as it takes to refuse each.
+    If all file descriptors are in use, clients would wait in the backlog without a response. So one spare
+    descriptor is kept, and closed while a connection is accepted to be refused.
     """
     spare = os.open(os.devnull, os.O_RDONLY)
     try:
@@ -244,28 +248,32 @@
 
 
 class SocketRuntime:
-    """The machine. Delayed sending (Nagle) is off: set-ups are small and urgent."""
+    """The runtime on the operating system. Nagle's algorithm is off: set-ups are small and urgent."""
 
     _boot_id = ""
 
     def __init__(self, silence: int = 0, max_descriptors: int = 0) -> None:
-        """A peer silent for `silence` ns is probed. `max_descriptors` 0: the kernel's limit."""
+        """`silence`: ns after which an idle peer must have responded to keepalive probes; 0: no probes.
+
+        `max_descriptors`: the limit of open file descriptors; 0: the kernel's limit.
+        """
         self._silence = silence
         self._max_descriptors = max_descriptors
-        # The monotonic clock counts from the boot that this names; without it only wall time is left.
+        # Identifies the boot that the monotonic clock counts from. Unreadable: only wall time can be
+        # compared.
         with suppress(OSError):
             self._boot_id = Path("/proc/sys/kernel/random/boot_id").read_text("ascii").strip()
 
     def wall_time(self) -> int:
-        """Wall time in ns since 1970."""
+        """Returns wall time, ns since 1970."""
         return time.time_ns()
 
     def moment(self) -> Timestamp:
-        """Wall time and the monotonic clock of this boot."""
+        """Returns wall time and the monotonic clock of this boot."""
         return Timestamp(time.time_ns(), time.monotonic_ns(), self._boot_id)
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """A TCP stream to a peer; OSError when there is none."""
+        """Connects to a peer by TCP; raises OSError on failure."""
         host, port = split_address(address)
         return PlainSocketStream(await trio.open_tcp_stream(host, port), self._silence)
 
@@ -276,7 +284,7 @@
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
         refuse: Handler | None = None,
     ) -> None:
-        """Serves until cancelled, a task for each stream; `started` with the address in use."""
+        """Serves until cancelled, with a task per stream; `task_status.started` gets the bound address."""
         host, port = split_address(address)
         listeners = await trio.open_tcp_listeners(port, host=host or None)
         bound = listeners[0].socket.getsockname()[1]
@@ -286,33 +294,33 @@
                 nursery.start_soon(_accept, listener, nursery, handler, refuse or handler, self._silence)
 
     def bind_datagrams(self, address: str) -> DatagramSocket:
-        """A UDP socket bound there; OSError when it can't be."""
+        """Returns a UDP socket bound to `address`; raises OSError if that fails."""
         return UdpSocket(address)
 
     def max_descriptors(self) -> int:
-        """How many descriptors this process may hold at present."""
+        """Returns the current limit of open file descriptors of this process."""
         limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         return min(limit, self._max_descriptors) if self._max_descriptors else limit
 
     async def checkpoint(self) -> None:
-        """Gives the other tasks their turn."""
+        """Lets the other tasks run."""
         await trio.lowlevel.checkpoint()
 
     async def read_file(self, path: str) -> bytes | None:
-        """A file's content; None when there is none to read."""
+        """Returns the content of a file; None if it can't be read."""
         try:
             return await trio.Path(path).read_bytes()
         except OSError:
             return None
 
     async def write_file(self, path: str, data: bytes) -> None:
-        """Writes a file whole or not at all; OSError."""
-        # A disk that hangs keeps its thread, not the instance, which could not end otherwise.
+        """Writes a file atomically, in a thread; raises OSError on failure."""
+        # Abandoned on cancel: a hung disk then blocks only the thread, and the process can still end.
         await trio.to_thread.run_sync(_write_atomically, Path(path), data, abandon_on_cancel=True)
 
 
 def _write_atomically(path: Path, data: bytes) -> None:
-    # A reader after a crash must find the old content or the new, not half of either.
+    # After a crash the file must have either its old or its new content, complete.
     temporary = path.with_name(f"{path.name}.new")
     with temporary.open("wb") as file:
         file.write(data)
