--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -1,6 +1,7 @@
-"""Recording of attempts, and queries to servers about those whose status is unknown.
+"""Recording of attempts, and queries to servers about unresolved ones.
 
-The status of an attempt is unknown after a restart of this process or the loss of a connection.
+An attempt is unresolved after a restart of this process or the loss of its connection, until its server has
+reported its status or has not responded in time.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class ResumableAttempts(AttemptHandler):
-    """Records each attempt before it is sent, and queries servers for attempts whose status is unknown."""
+    """Records each attempt before it is sent, and queries servers for the status of unresolved attempts."""
 
     def __init__(
         self, context: ProxyContext, dialogs: DialogTable, links: ServerLinks, state: RecoveryState
@@ -63,13 +64,13 @@
             link.send(setup.Persisted(*key))
 
     def abort_dialog(self, dialog_id: str, reason: str) -> None:
-        """Ends a dialog without the driver; an attempt whose status is unknown is cancelled in any case."""
+        """Ends a dialog without the driver; an unresolved attempt is cancelled even if it is established."""
         if self._pending.pop(dialog_id, None) is RecoveryAction.QUERY_SERVER:
             self.withdraw(self._entries[dialog_id])
         super().abort_dialog(dialog_id, reason)
 
     def withdraw(self, entry: DialogEntry) -> None:
-        """Cancels an attempt of unknown status, if its server was queried for it and may still have it."""
+        """Cancels an unresolved attempt, if its server was queried for it and may still have it."""
         link, attempt, entry.attempt = entry.link, entry.attempt, None
         if link is None or attempt is None:
             return
@@ -79,10 +80,10 @@
         link.attempts[key] = True
         link.send(setup.Cancel(*key))
 
-    # Querying servers for attempts of unknown status
+    # Querying servers for unresolved attempts
 
     def query_link(self, link: ServerLink, incarnation: int) -> None:
-        """Queues queries to a newly connected server for the attempts of unknown status that it was sent.
+        """Queues queries to a newly connected server for the unresolved attempts that were sent to it.
 
         `incarnation`: the server's. Attempts sent to another incarnation are resolved without a query.
         """
@@ -116,7 +117,7 @@
                 self._state.pacing.on_reply(server)
 
     def _query(self, entry: DialogEntry | None, link: ServerLink | None) -> bool:
-        """Queries a server for an attempt; returns False without sending if its status is known by now."""
+        """Queries a server for an attempt; returns False without sending if it is no longer unresolved."""
         if entry is None or entry.attempt is None or link is None:
             return False
         is_in_doubt = (
@@ -146,7 +147,7 @@
         self._query_next()
 
     def on_peer_status(self, entry: DialogEntry, status: PeerStatus, is_same_process: bool) -> None:
-        """Handles a server's status of an attempt, or NO_RESPONSE; what follows is given by its record.
+        """Resolves an attempt by its server's status or NO_RESPONSE, and carries out the resulting plan.
 
         `is_same_process`: the status is of the server process that the attempt was sent to.
         """
@@ -191,7 +192,7 @@
     # Lost links
 
     def on_link_down(self, event: LinkDown) -> None:
-        """Marks recorded established dialogs for a query on the next connection instead of ending them.
+        """Makes recorded established dialogs unresolved, to be queried on the next connection, not ended.
 
         If no connection can be made, they end at once without a query: a server that died has cut them, and
         the sooner their callers are notified, the sooner they can dial again.
@@ -208,7 +209,10 @@
         super().on_link_down(LinkDown(link, event.reason, event.sent - in_doubt, event.unsent))
 
     def _becomes_doubtful(self, link: ServerLink, key: tuple[str, int]) -> bool:
-        """Whether an attempt on a lost connection is queried on the next one; if so, starts its timeout."""
+        """Makes an established attempt on a lost connection unresolved and starts its timeout.
+
+        Returns whether the attempt is to be queried on the next connection.
+        """
         dialog_id, attempt = key
         entry = self._entries.get(dialog_id)
         if entry is None or entry.link is not link or entry.attempt != attempt:
--- a/valverouter/edge/resumable_requests.py
+++ b/valverouter/edge/resumable_requests.py
@@ -51,7 +51,7 @@
             super().on_caller_message(event)
 
     def on_cancel_or_release(self, caller: CallerConnection, message: setup.LegMessage) -> None:
-        """Releases an established dialog whose status is being queried without waiting for its server."""
+        """Releases an established dialog with an unresolved attempt without waiting for its server."""
         entry = self._entries.get(message.dialog)
         is_in_doubt = self._state.pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
         if entry is None or not entry.is_established or not is_in_doubt:
