--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -238,7 +238,7 @@
     assert not matches_peer("gw-*", "g")
     groups = "[trunk-group any]\npeers = *\n[trunk-group one]\npeers = gw-1*\n[attempts a]\nlegs = 2\n"
     found = policies_of(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
-    assert found.match_input("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
+    assert found.attributes_of("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
     assert found.explain("plain", 1, "gw-12")["legs"].value == 5
     assert found.explain("plain", 1, "gw-2")["legs"].value == 2
 
--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -48,31 +48,33 @@
             for number in server_set.servers
         }
         self._sections = {section.name: section for section in config.attempts.sections}
-        self._rules = [rule for section in config.attempts.sections for rule in _rules(section, POLICY_KEYS)]
+        self._rules = [
+            rule for section in config.attempts.sections for rule in _rules_of(section, POLICY_KEYS)
+        ]
         self._budget_rules = [
-            rule for section in config.attempts.sections for rule in _rules(section, BUDGET_KEYS)
+            rule for section in config.attempts.sections for rule in _rules_of(section, BUDGET_KEYS)
         ]
         # Cache of resolved policies, keyed by traffic type and the set of matching rules. Not keyed by called
         # number: nearly every dialog has a new one, and resolving costs far more than matching. The size is
         # bounded by the combinations of rules in the file.
         self._resolved: dict[tuple[str, tuple[bool, ...]], AttemptPolicy | None] = {}
-        if problems := [*self._find_ties(), *self._find_violations()]:
+        if problems := [*self._ambiguity_problems(), *self._constraint_problems()]:
             raise InvalidConfigError(sorted(problems, key=lambda problem: problem.line))
 
     def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
         """Returns a dialog's policy; None if the default applies: no rule matches or the type is unknown."""
-        attributes = self.match_input(traffic_type, number, peer, first_choice)
+        attributes = self.attributes_of(traffic_type, number, peer, first_choice)
         if traffic_type not in self._deployment.traffic_types:
             return None
         key = traffic_type, tuple(rule.condition.matches(attributes) for rule in self._rules)
         if key not in self._resolved:
             found = resolve(self._rules, attributes)
-            self._resolved[key] = self._policy(traffic_type, found) if found else None
+            self._resolved[key] = self._build_policy(traffic_type, found) if found else None
         return self._resolved[key]
 
-    def match_input(
+    def attributes_of(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> DialogAttributes:
         """Returns the attributes that a dialog's rules are matched against.
@@ -107,22 +109,22 @@
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> dict[str, EffectiveSetting]:
         """Returns the effective value of each key for a dialog, with the section and line that set it."""
-        attributes = self.match_input(traffic_type, number, peer, first_choice)
+        attributes = self.attributes_of(traffic_type, number, peer, first_choice)
         found = resolve(self._rules, attributes)
-        policy = self._policy(traffic_type, found)
+        policy = self._build_policy(traffic_type, found)
         budget = resolve(self._budget_rules, DialogAttributes("", "", "", "", attributes.server_set))
         effective = _retry_budget(budget)
         values = {key: getattr(policy, field) for key, field in POLICY_FIELDS.items()}
         values |= {"tokens": effective.max_tokens / TOKEN, "fraction": effective.token_ratio / TOKEN}
-        shown = {}
+        explained = {}
         for key, value in values.items():
             source = DEFAULT_SOURCE
             setting = _deciding_key(key, found)
             if effective_setting := {**found, **budget}.get(setting):
                 section = self._sections[effective_setting.source]
                 source = f"{section.file}:{section.lines[setting]} [attempts {section.name}]"
-            shown[key] = EffectiveSetting(value, source)
-        return shown
+            explained[key] = EffectiveSetting(value, source)
+        return explained
 
     def worst_case_policy(
         self, traffic_type: str, number: int, no_answer: int, peer: str = "", first_choice: int = -1
@@ -132,7 +134,9 @@
         `no_answer`: the caller's no-answer time in ns. A server may ask for any retry-after up to the
         resulting no-answer timeout.
         """
-        policy = self.policy_for(traffic_type, number, peer, first_choice) or self._policy(traffic_type, {})
+        policy = self.policy_for(traffic_type, number, peer, first_choice) or self._build_policy(
+            traffic_type, {}
+        )
         timeout = min(no_answer, policy.no_answer_timeout or no_answer)
         allowed = self._deployment.max_attempts
         total = min(policy.max_total_attempts or allowed, allowed)
@@ -153,15 +157,15 @@
         return found
 
     def _trunk_group(self, peer: str) -> str:
-        fits = [
+        patterns = [
             (len(pattern), name)
             for name, group in self._groups.items()
             for pattern in group.peers
             if matches_peer(pattern, peer)
         ]
-        return max(fits, default=(0, ""))[1]
+        return max(patterns, default=(0, ""))[1]
 
-    def _policy(self, traffic_type: str, found: Mapping[str, EffectiveSetting]) -> AttemptPolicy:
+    def _build_policy(self, traffic_type: str, found: Mapping[str, EffectiveSetting]) -> AttemptPolicy:
         known_type = self._deployment.traffic_types.get(traffic_type)
         objective = known_type.latency_objective if known_type is not None else 0
         configured = {
@@ -174,14 +178,16 @@
             policy = replace(policy, attempt_timeout=min(by_share, policy.attempt_timeout or by_share))
         return policy
 
-    def _find_ties(self) -> list[ConfigProblem]:
+    def _ambiguity_problems(self) -> list[ConfigProblem]:
         return [
-            self._problem(tie.second, tie.key, f"ties with [attempts {tie.first}]: both match {tie.overlap}")
+            self._make_problem(
+                tie.second, tie.key, f"ties with [attempts {tie.first}]: both match {tie.overlap}"
+            )
             for rules in (self._rules, self._budget_rules)
             for tie in find_ambiguous_rules(rules)
         ]
 
-    def _find_violations(self) -> list[ConfigProblem]:
+    def _constraint_problems(self) -> list[ConfigProblem]:
         """Checks the resulting policy of every combination of sections that can match one dialog."""
         problems: dict[tuple[str, str], ConfigProblem] = {}
         combinations = intersection_closure([rule.condition for rule in self._rules], MAX_COMBINATIONS)
@@ -203,13 +209,13 @@
                 if find_ambiguous_rules(matching):
                     continue
                 found = resolve(self._rules, attributes)
-                for key, reason in self._violations_of(self._policy(traffic_type, found)):
+                for key, reason in self._problems_of(self._build_policy(traffic_type, found)):
                     setting = _deciding_key(key, found)
                     rule = found[setting].source if setting in found else matching[0].name
-                    problems.setdefault((rule, setting), self._problem(rule, setting, reason))
+                    problems.setdefault((rule, setting), self._make_problem(rule, setting, reason))
         return list(problems.values())
 
-    def _violations_of(self, policy: AttemptPolicy) -> list[PolicyProblem]:
+    def _problems_of(self, policy: AttemptPolicy) -> list[PolicyProblem]:
         bounded = replace(policy, no_answer_timeout=policy.no_answer_timeout or NO_TIMEOUT)
         found = policy_problems(bounded, self._deployment.release_delay, self._deployment.max_attempts)
         if policy.retry_after > self._deployment.max_retry_after:
@@ -228,7 +234,7 @@
             )
         return found
 
-    def _problem(self, rule: str, key: str, reason: str) -> ConfigProblem:
+    def _make_problem(self, rule: str, key: str, reason: str) -> ConfigProblem:
         section = self._sections[rule]
         line = section.lines.get(key, section.line)
         return ConfigProblem(section.file, line, f"attempts {section.name}", key, reason)
@@ -243,8 +249,10 @@
 
 def _retry_budget(found: Mapping[str, EffectiveSetting]) -> RetryBudgetConfig:
     tokens = round(found["tokens"].value * TOKEN) if "tokens" in found else DEFAULT_RETRY_BUDGET.max_tokens
-    adds = round(found["fraction"].value * TOKEN) if "fraction" in found else DEFAULT_RETRY_BUDGET.token_ratio
-    return RetryBudgetConfig(tokens, adds)
+    token_ratio = (
+        round(found["fraction"].value * TOKEN) if "fraction" in found else DEFAULT_RETRY_BUDGET.token_ratio
+    )
+    return RetryBudgetConfig(tokens, token_ratio)
 
 
 def _deciding_key(key: str, found: Mapping[str, EffectiveSetting]) -> str:
@@ -253,9 +261,9 @@
     return "server_share" if key == "leg_time_out" and is_from_share else key
 
 
-def _rules(section: AttemptSection, sets: tuple[str, ...]) -> list[PolicyRule]:
+def _rules_of(section: AttemptSection, key_names: tuple[str, ...]) -> list[PolicyRule]:
     keys = section.keys
-    values = {key: value for key in sets if (value := getattr(keys, key)) is not None}
+    values = {key: value for key in key_names if (value := getattr(keys, key)) is not None}
     if not values:
         return []
     return [
--- a/valverouter/edge/discovery.py
+++ b/valverouter/edge/discovery.py
@@ -98,13 +98,13 @@
         """Connects, and reconnects after each failure, until cancelled."""
         while True:
             await self._requested.wait()
-            reason, began = "failed", trio.current_time()
+            reason, started_at = "failed", trio.current_time()
             with isolate_failure("list", lambda: self._config.list_service):
                 reason = await self._run_connection()
             was_up, self.is_up = self.is_up, False
             # A connection that lasted less than 1 s counts as another failure: without that, a service that
             # closes after each message is connected to ten times a second by every edge proxy.
-            self.tries = 1 if was_up and trio.current_time() - began >= 1 else self.tries + 1
+            self.tries = 1 if was_up and trio.current_time() - started_at >= 1 else self.tries + 1
             log.warning("discovery-down", service=self._config.list_service, why=reason, tries=self.tries)
             if not self._config.deployment.endpoint_list_is_pushed and not was_up:
                 # The driver decides when to request the list again. A connection that had delivered a list is
@@ -141,17 +141,17 @@
 
         Raises trio.TooSlowError if no list arrives within `hello_within`.
         """
-        with trio.fail_after(self._config.links.hello_within / 1e9) as patience:
+        with trio.fail_after(self._config.links.hello_within / 1e9) as timeout_scope:
             await stream.send_all(session.hello_frame())
             while data := await self._receive(stream, session):
                 for message in session.receive(data):
                     if isinstance(message, Welcome):
                         await stream.send_all(session.send(self.replica.watch()))
                     elif isinstance(message, Snapshot | Change):
-                        patience.deadline = float("inf")
+                        timeout_scope.deadline = float("inf")
                         self.is_up = True
-                        if (answer := self._on_message(message)) is not None:
-                            await stream.send_all(session.send(answer))
+                        if (reply := self._on_message(message)) is not None:
+                            await stream.send_all(session.send(reply))
                 self._updated.set()
             session.end()
 
@@ -174,7 +174,7 @@
 
     def _on_message(self, message: Snapshot | Change) -> object:
         """Queues the update, if any, and returns the reply to the service, or None."""
-        rows, answer = self.replica.on_message(message)
+        rows, reply = self.replica.on_message(message)
         if rows is not None:
             now = self._clock.now()
             received_at = self._received_at | {row.server: now for row in rows}
@@ -183,9 +183,9 @@
             is_complete = isinstance(message, Snapshot)
             kind = EndpointUpdateKind.COMPLETE if is_complete else EndpointUpdateKind.INCREMENTAL
             self._events.put_urgent(EndpointUpdate(kind, rows))
-        if answer is not None:
+        if reply is not None:
             log.warning("endpoint-update-missed", have=self.replica.number, told=message.number)
-        return answer
+        return reply
 
     async def persist(self) -> None:
         """Writes each received list to the cache.
--- a/valverouter/edge/incarnations.py
+++ b/valverouter/edge/incarnations.py
@@ -6,7 +6,7 @@
 from valverouter.signalling.serverlist import EndpointRow
 
 # Previous incarnations remembered per server.
-MAX_PREVIOUS = 4
+MAX_PREVIOUS_INCARNATIONS = 4
 
 
 class IncarnationTracker:
@@ -30,7 +30,7 @@
     def __init__(self, slow_start_duration: int = 0) -> None:
         self._slow_start_duration = slow_start_duration
         self._known: dict[str, tuple[int, int]] = {}
-        # By server: the last MAX_PREVIOUS incarnations that a smaller one replaced.
+        # By server: the last MAX_PREVIOUS_INCARNATIONS incarnations that a smaller one replaced.
         self._previous: dict[str, tuple[int, ...]] = {}
         # Servers known only from the cached list; removed with their first row of the live list.
         self._cached: set[str] = set()
@@ -56,7 +56,7 @@
         if incarnation < known[0]:
             if age is None or now - age <= known[1]:
                 return False
-            self._previous[server] = (known[0], *previous)[:MAX_PREVIOUS]
+            self._previous[server] = (known[0], *previous)[:MAX_PREVIOUS_INCARNATIONS]
         return True
 
     def current(self, server: str) -> int | None:
--- a/valverouter/edge/logs.py
+++ b/valverouter/edge/logs.py
@@ -97,17 +97,17 @@
 
         If the last write ended within a line, that line is ended first.
         """
-        rest = memoryview(data)
+        remaining = memoryview(data)
         try:
             if self._is_mid_line:
                 os.write(self._descriptor, b"\n")
                 self._is_mid_line = False
-            while rest:
-                rest = rest[os.write(self._descriptor, rest) :]
+            while remaining:
+                remaining = remaining[os.write(self._descriptor, remaining) :]
         except OSError:
-            left = data[: len(data) - len(rest)]
-            self._is_mid_line = self._is_mid_line or (bool(left) and not left.endswith(b"\n"))
-        return bytes(rest)
+            written = data[: len(data) - len(remaining)]
+            self._is_mid_line = self._is_mid_line or (bool(written) and not written.endswith(b"\n"))
+        return bytes(remaining)
 
 
 def configure_logging(config: LogConfig) -> None:
--- a/valverouter/edge/recovery_log.py
+++ b/valverouter/edge/recovery_log.py
@@ -61,26 +61,26 @@
 class RecoveryLog:
     """The records of open and established dialogs, and of rejected or failed ones until their deadline.
 
-    `moment` returns the present timestamp; `now` arguments are in ns of the proxy's clock.
+    `clock` returns the present timestamp; `now` arguments are in ns of the proxy's clock.
     """
 
-    def __init__(self, store: RecordStore, moment: Callable[[], Timestamp]) -> None:
+    def __init__(self, store: RecordStore, clock: Callable[[], Timestamp]) -> None:
         self._store = store
-        self._clock = moment
+        self._clock = clock
         # The timestamp of the current turn, shared by all its transitions; None until the first of them.
-        self._turn_moment: Timestamp | None = None
+        self._turn_timestamp: Timestamp | None = None
         self._records: dict[str, DialogRecord] = {}
         # Deadlines and ids of answered dialogs, whose records are kept until then for callers that resume.
         self._answered: deque[tuple[int, str]] = deque()
         self._swept_at = 0
         self._suspended_until = 0
         # At least the wall time in seconds, so that the epoch also increases when the store has been lost.
-        self.epoch = store.begin_epoch(moment().wall // SECOND)
+        self.epoch = store.begin_epoch(clock().wall // SECOND)
 
-    def _moment(self) -> Timestamp:
-        if self._turn_moment is None:
-            self._turn_moment = self._clock()
-        return self._turn_moment
+    def _current_timestamp(self) -> Timestamp:
+        if self._turn_timestamp is None:
+            self._turn_timestamp = self._clock()
+        return self._turn_timestamp
 
     def __len__(self) -> int:
         """The number of records."""
@@ -97,21 +97,21 @@
 
         Removes damaged and expired records. `release_delay` is in ns.
         """
-        now = self._moment()
+        now = self._current_timestamp()
         taken_over: list[tuple[DialogRecord, RecoveryPlan]] = []
-        for found in self._store.records():
-            if not isinstance(found, DialogRecord):
-                log.error("record-damaged", dialog=found.key, why=found.reason)
-                self._store.delete(found.key)
+        for stored in self._store.records():
+            if not isinstance(stored, DialogRecord):
+                log.error("record-damaged", dialog=stored.key, why=stored.reason)
+                self._store.delete(stored.key)
                 continue
-            plan = plan_on_restart(found, now, release_delay)
+            plan = plan_on_restart(stored, now, release_delay)
             if plan.action in (RecoveryAction.FORGET, RecoveryAction.CANCEL_ATTEMPT):
                 # Expired. An attempt that was in flight ended with the previous incarnation's connection.
-                self._store.delete(found.dialog_id)
+                self._store.delete(stored.dialog_id)
                 continue
             # From here on the caller's time is measured by this boot's clock, starting with the least that
             # may be left of it.
-            record = lifecycle.take_over(found, self.epoch, now, plan.time_left)
+            record = lifecycle.take_over(stored, self.epoch, now, plan.time_left)
             self._put(record)
             taken_over.append((record, plan))
         return taken_over
@@ -129,7 +129,7 @@
                 request.traffic_type,
                 request.preferred_server_number,
                 request.called_number,
-                self._moment(),
+                self._current_timestamp(),
                 time_left,
                 self.epoch,
                 was_interrupted=request.was_interrupted,
@@ -139,7 +139,7 @@
     def on_attempt_sent(self, dialog: str, attempt: int, server: str, incarnation: int) -> None:
         """Records an attempt that this turn sends to the current incarnation of a server."""
         if (record := self._records.get(dialog)) is not None:
-            now = self._moment()
+            now = self._current_timestamp()
             if record.phase is Phase.CANCELLED:
                 record = lifecycle.end_attempt(record, now)  # the release delay has passed
             self._put(lifecycle.start_attempt(record, attempt, server, incarnation, now))
@@ -148,7 +148,7 @@
         """Records that the attempt in flight is cancelled; its release delay starts now."""
         record = self._records.get(dialog)
         if record is not None and record.phase in (Phase.IN_FLIGHT, Phase.CANCELLED):
-            self._put(lifecycle.cancel_attempt(record, self._moment()))
+            self._put(lifecycle.cancel_attempt(record, self._current_timestamp()))
 
     def on_attempt_ended(self, dialog: str, outcome: Outcome) -> None:
         """Records that an attempt has ended; unless its server closed it, its release delay starts now."""
@@ -156,20 +156,20 @@
         if record is None or record.phase not in (Phase.IN_FLIGHT, Phase.CANCELLED):
             return
         if outcome in CLOSED_OUTCOMES:
-            self._put(lifecycle.end_attempt(record, self._moment()))
+            self._put(lifecycle.end_attempt(record, self._current_timestamp()))
         elif record.phase is Phase.IN_FLIGHT:
-            self._put(lifecycle.cancel_attempt(record, self._moment()))
+            self._put(lifecycle.cancel_attempt(record, self._current_timestamp()))
 
     def on_established(self, dialog: str) -> None:
         """Records that the attempt in flight is established."""
         if (record := self._records.get(dialog)) is not None and record.phase is Phase.IN_FLIGHT:
-            self._put(lifecycle.establish(record, self._moment()))
+            self._put(lifecycle.establish(record, self._current_timestamp()))
 
     def on_answered(self, dialog: str, answer: str, retry_after: int, deadline: int) -> None:
         """Records the answer of a rejected or failed dialog, to be kept until the caller's deadline."""
         if (record := self._records.get(dialog)) is None:
             return
-        now = self._moment()
+        now = self._current_timestamp()
         if record.phase is Phase.IN_FLIGHT:
             record = lifecycle.cancel_attempt(record, now)
         self._put(lifecycle.conclude(record, answer, retry_after, now))
@@ -200,7 +200,7 @@
 
         If the store fails, all records are removed.
         """
-        self._turn_moment = None
+        self._turn_timestamp = None
         if now >= self._swept_at + SWEEP_INTERVAL:
             self._swept_at = now
             self._sweep(now)
--- a/valverouter/edge/reload.py
+++ b/valverouter/edge/reload.py
@@ -30,7 +30,7 @@
 
         Raises InvalidConfigError. The checks may take long, so callers run this in a thread.
         """
-        return AttemptPolicies(self._merged(config)) if config.attempts else None
+        return AttemptPolicies(self._merge(config)) if config.attempts else None
 
     def on_reload(self, event: ReloadRequested) -> None:
         """Applies a new configuration."""
@@ -78,7 +78,7 @@
             # A file that was truncated at the end of a line may pass all checks with half of its sections.
             self.reject(event.file, f"the file was cut off: its last line is not {END_MARKER!r}")
             return
-        merged = self._merged(new)
+        merged = self._merge(new)
         unapplied = [name for name in old.__struct_fields__ if getattr(merged, name) != getattr(new, name)]
         try:
             # Open dialogs keep the attempt policy that they started with; the new policies apply to later
@@ -104,7 +104,7 @@
             waits_for_a_start=unapplied,
         )
 
-    def _merged(self, new: EdgeConfig) -> EdgeConfig:
+    def _merge(self, new: EdgeConfig) -> EdgeConfig:
         """Returns the current configuration with those sections of `new` that may change at run time."""
         return msgspec.structs.replace(
             self._context.config,
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -50,11 +50,11 @@
     def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
         if outcome is Outcome.ESTABLISHED:
             self._state.log.on_established(entry.setup.dialog)
-            self._confirm_record(entry)
+            self._send_persisted(entry)
         else:
             self._state.log.on_attempt_ended(entry.setup.dialog, outcome)
 
-    def _confirm_record(self, entry: DialogEntry) -> None:
+    def _send_persisted(self, entry: DialogEntry) -> None:
         """Notifies the server that the dialog is on record, so it keeps it if this connection is lost."""
         link = entry.link
         if link is None or entry.attempt is None or not link.can_resume:
@@ -66,10 +66,10 @@
     def abort_dialog(self, dialog_id: str, reason: str) -> None:
         """Ends a dialog without the driver; an unresolved attempt is cancelled even if it is established."""
         if self._pending.pop(dialog_id, None) is RecoveryAction.QUERY_SERVER:
-            self.withdraw(self._entries[dialog_id])
+            self.cancel_unresolved(self._entries[dialog_id])
         super().abort_dialog(dialog_id, reason)
 
-    def withdraw(self, entry: DialogEntry) -> None:
+    def cancel_unresolved(self, entry: DialogEntry) -> None:
         """Cancels an unresolved attempt, if its server was queried for it and may still have it."""
         link, attempt, entry.attempt = entry.link, entry.attempt, None
         if link is None or attempt is None:
@@ -82,12 +82,12 @@
 
     # Querying servers for unresolved attempts
 
-    def query_link(self, link: ServerLink, incarnation: int) -> None:
+    def enqueue_queries(self, link: ServerLink, incarnation: int) -> None:
         """Queues queries to a newly connected server for the unresolved attempts that were sent to it.
 
         `incarnation`: the server's. Attempts sent to another incarnation are resolved without a query.
         """
-        for dialog_id in self._in_doubt():
+        for dialog_id in self._unresolved_dialogs():
             entry, record = self._entries[dialog_id], self._state.log.record(dialog_id)
             if record is None or record.server != link.server:
                 continue
@@ -102,28 +102,28 @@
             priority_weight = traffic_type.priority_weight if traffic_type is not None else 0
             time_left = entry.deadline - self._context.now
             self._state.pacing.enqueue(dialog_id, link.server, time_left, priority_weight)
-        self._query_next()
+        self._send_due_queries()
 
-    def _in_doubt(self) -> list[str]:
+    def _unresolved_dialogs(self) -> list[str]:
         return [
             dialog_id for dialog_id, action in self._pending.items() if action is RecoveryAction.QUERY_SERVER
         ]
 
-    def _query_next(self) -> None:
+    def _send_due_queries(self) -> None:
         """Sends the queries that are due by the pacing."""
         for dialog_id, server in self._state.pacing.take_due(self._context.now):
             entry, link = self._entries.get(dialog_id), self._links.get(server)
-            if not self._query(entry, link):
+            if not self._send_query(entry, link):
                 self._state.pacing.on_reply(server)
 
-    def _query(self, entry: DialogEntry | None, link: ServerLink | None) -> bool:
+    def _send_query(self, entry: DialogEntry | None, link: ServerLink | None) -> bool:
         """Queries a server for an attempt; returns False without sending if it is no longer unresolved."""
         if entry is None or entry.attempt is None or link is None:
             return False
-        is_in_doubt = (
+        is_unresolved = (
             self._pending.get(entry.setup.dialog) is RecoveryAction.QUERY_SERVER and entry.link is link
         )
-        if not is_in_doubt or not link.is_writable:
+        if not is_unresolved or not link.is_writable:
             return False
         key = entry.setup.dialog, entry.attempt
         link.attempts[key] = False
@@ -132,11 +132,11 @@
 
     def _on_answer(self, link: ServerLink, message: setup.LegMessage) -> None:
         entry, key = self._entries.get(message.dialog), (message.dialog, message.leg)
-        was_asked = (
+        was_queried = (
             self._pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
             and link.attempts.get(key) is False
         )
-        if entry is None or not was_asked or entry.attempt != message.leg:
+        if entry is None or not was_queried or entry.attempt != message.leg:
             super()._on_answer(link, message)
             return
         is_established = isinstance(message, setup.Established)
@@ -144,7 +144,7 @@
             del link.attempts[key]
         self._state.pacing.on_reply(link.server)
         self.on_peer_status(entry, PeerStatus.ESTABLISHED if is_established else PeerStatus.UNKNOWN, True)
-        self._query_next()
+        self._send_due_queries()
 
     def on_peer_status(self, entry: DialogEntry, status: PeerStatus, is_same_process: bool) -> None:
         """Resolves an attempt by its server's status or NO_RESPONSE, and carries out the resulting plan.
@@ -175,14 +175,14 @@
                 self._state.log.on_established(dialog_id)
                 server = link.server if link is not None else ""
                 self._dialogs.answer(entry, setup.Established(dialog_id, 0, server))
-            self._confirm_record(entry)
+            self._send_persisted(entry)
         elif plan.action is RecoveryAction.RESEND_ANSWER_AND_END:
-            self.withdraw(entry)
+            self.cancel_unresolved(entry)
             self._dialogs.end(entry, "cut")
         elif plan.action is RecoveryAction.FORGET:
             self._dialogs.remove(entry)
         else:
-            self.withdraw(entry)
+            self.cancel_unresolved(entry)
             self._state.log.on_attempt_cancelled(dialog_id)
             self._pending[dialog_id] = RecoveryAction.AWAIT_RELEASE
             self._timers.schedule(
@@ -199,16 +199,16 @@
         """
         link = event.link
         if link.is_final or not event.sent:
-            for dialog_id in self._in_doubt():
+            for dialog_id in self._unresolved_dialogs():
                 record = self._state.log.record(dialog_id)
                 if record is not None and record.server == link.server:
                     self.on_peer_status(self._entries[dialog_id], PeerStatus.UNKNOWN, True)
-        in_doubt = (
-            set() if link.is_final else {key for key in event.sent if self._becomes_doubtful(link, key)}
+        keys_to_query = (
+            set() if link.is_final else {key for key in event.sent if self._make_unresolved(link, key)}
         )
-        super().on_link_down(LinkDown(link, event.reason, event.sent - in_doubt, event.unsent))
+        super().on_link_down(LinkDown(link, event.reason, event.sent - keys_to_query, event.unsent))
 
-    def _becomes_doubtful(self, link: ServerLink, key: tuple[str, int]) -> bool:
+    def _make_unresolved(self, link: ServerLink, key: tuple[str, int]) -> bool:
         """Makes an established attempt on a lost connection unresolved and starts its timeout.
 
         Returns whether the attempt is to be queried on the next connection.
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -65,23 +65,23 @@
     def _on_link_up(self, event: LinkUp) -> None:
         super()._on_link_up(event)
         if event.link.is_writable:
-            self.attempts.query_link(event.link, event.welcome.incarnation)
+            self.attempts.enqueue_queries(event.link, event.welcome.incarnation)
 
     # Dialogs of a previous incarnation
 
     def _on_start(self) -> None:
         context = self.context
         context.now = now = context.clock.now()
-        found = self.recovery.log.take_over(context.config.deployment.release_delay)
-        for record, plan in found:
+        recovered = self.recovery.log.take_over(context.config.deployment.release_delay)
+        for record, plan in recovered:
             if plan.action is RecoveryAction.RESEND_ANSWER:
                 self.recovery.log.keep_answer_until(record.dialog_id, now + plan.time_left)
             else:
                 self._take_over(record, plan)
-        if found:
+        if recovered:
             self._log.info(
                 "dialogs-recovered",
-                dialogs=len(found),
+                dialogs=len(recovered),
                 standing=self.established_dialogs,
                 epoch=context.epoch,
             )
@@ -92,7 +92,7 @@
         resume_deadline = now + max(plan.time_left, config.ledger.resume_within)
         caller = DetachedCaller(record.caller, resume_deadline)
         entry = DialogEntry(
-            _request_of(record, plan.time_left), caller, deadline, attempts_started=record.attempt + 1
+            _setup_from_record(record, plan.time_left), caller, deadline, attempts_started=record.attempt + 1
         )
         self.dialogs.add(entry)
         if entry.attempts_started:
@@ -142,7 +142,7 @@
             self.attempts.abort_dialog(entry.setup.dialog, "caller-gone")
 
 
-def _request_of(record: DialogRecord, time_left: int) -> setup.Setup:
+def _setup_from_record(record: DialogRecord, time_left: int) -> setup.Setup:
     """Returns the set-up that a record was made from, with `time_left` ns of the caller's time left."""
     return setup.Setup(
         dialog=record.dialog_id,
--- a/valverouter/edge/resumable_requests.py
+++ b/valverouter/edge/resumable_requests.py
@@ -33,9 +33,9 @@
             super().on_caller_disconnected(event)
             return
         deadline = context.now + context.config.ledger.resume_within
-        absent = DetachedCaller(event.caller.name, deadline)
+        detached = DetachedCaller(event.caller.name, deadline)
         for dialog_id in list(event.caller.dialogs):
-            self._attach(self._entries[dialog_id], absent)
+            self._attach(self._entries[dialog_id], detached)
             context.timers.schedule(deadline, RecoveryTimer(dialog_id, RecoveryAction.FORGET))
 
     def _attach(self, entry: DialogEntry, caller: CallerConnection) -> None:
@@ -53,11 +53,11 @@
     def on_cancel_or_release(self, caller: CallerConnection, message: setup.LegMessage) -> None:
         """Releases an established dialog with an unresolved attempt without waiting for its server."""
         entry = self._entries.get(message.dialog)
-        is_in_doubt = self._state.pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
-        if entry is None or not entry.is_established or not is_in_doubt:
+        is_unresolved = self._state.pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
+        if entry is None or not entry.is_established or not is_unresolved:
             super().on_cancel_or_release(caller, message)
         elif entry.caller is caller:
-            self._resumable_attempts.withdraw(entry)
+            self._resumable_attempts.cancel_unresolved(entry)
             self._dialogs.end(entry, "released")
 
     def _resume(self, caller: CallerConnection, dialog_id: str) -> None:
--- a/valverouter/edge/sockets.py
+++ b/valverouter/edge/sockets.py
@@ -60,12 +60,12 @@
 
         A machine that loses power does not close its connections, and an idle one would stay open forever.
         """
-        first = max(1, silence // 2 // 10**9)
-        between = max(1, (silence // 10**9 - first) // KEEPALIVE_PROBES)
+        first_probe_s = max(1, silence // 2 // 10**9)
+        probe_interval_s = max(1, (silence // 10**9 - first_probe_s) // KEEPALIVE_PROBES)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         for option, value in (
-            (socket.TCP_KEEPIDLE, first),
-            (socket.TCP_KEEPINTVL, between),
+            (socket.TCP_KEEPIDLE, first_probe_s),
+            (socket.TCP_KEEPINTVL, probe_interval_s),
             (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
             (socket.TCP_USER_TIMEOUT, silence // 10**6),
         ):
@@ -102,11 +102,11 @@
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
         """Sends all of `data`, waiting while the kernel's buffer is full."""
         await trio.lowlevel.checkpoint()
-        rest = memoryview(data)
+        remaining = memoryview(data)
         with _as_trio_errors():
-            while rest:
+            while remaining:
                 try:
-                    rest = rest[self._socket.send(rest) :]
+                    remaining = remaining[self._socket.send(remaining) :]
                 except BlockingIOError:
                     await trio.lowlevel.wait_writable(self._socket)
 
