--- a/tests/attempt_files.py
+++ b/tests/attempt_files.py
@@ -1,4 +1,4 @@
-"""Configuration files with sections of attempts, and the policies in them."""
+"""Edge configurations with [attempts] sections, and the attempt policies built from them."""
 
 from __future__ import annotations
 
--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -1,4 +1,4 @@
-"""Attempt policies of a file: what is rejected and why, what is accepted, and that it keeps the rules."""
+"""Attempt policies of a file: which are rejected and why, and that the accepted ones keep the rules."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
 
 
 def policies_or_problems(text: str) -> tuple[AttemptPolicies | None, list[ConfigProblem]]:
-    """The policies in a file, or None and its problems."""
+    """Returns the policies in a file, or None and the file's problems."""
     try:
         return policies_of(text), []
     except InvalidConfigError as error:
         return None, error.problems
 
 
-# One line a file: its sections in short, and what its flaw says. A bare line of keys is one section.
+# Invalid files, each with a part of its problem's message. Keys without a header form one [attempts] section.
 BAD = [
     ("legs = 7", "<= 6"),
     ("legs = 0", ">= 1"),
@@ -238,12 +238,12 @@
     assert not matches_peer("gw-*", "g")
     groups = "[trunk-group any]\npeers = *\n[trunk-group one]\npeers = gw-1*\n[attempts a]\nlegs = 2\n"
     found = policies_of(groups + "[attempts b]\ntrunk_group = one\nlegs = 5")
-    assert found.attributes_of("plain", 1, "gw-12").trunk_group == "one", "the longest pattern is meant"
+    assert found.attributes_of("plain", 1, "gw-12").trunk_group == "one", "the longest matching pattern wins"
     assert found.explain("plain", 1, "gw-12")["legs"].value == 5
     assert found.explain("plain", 1, "gw-2")["legs"].value == 2
 
 
-# Fuzzed files, and random courses of the Driver under those that are taken
+# Fuzzed files, and random dialogs of the Driver under the files that are accepted
 
 PIECES = [
     "legs = 1", "legs = 3", "legs_in_all = 5", "legs = 6", "leg_time_out = 200ms",
@@ -300,7 +300,7 @@
 def test_ten_thousand_random_dialogs_under_random_files_break_no_rule(seed: int) -> None:
     chance = random.Random(seed)
     for at, found in enumerate(random_files(chance, 25)):
-        rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # the same file in small fleets and large
+        rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # small and large fleets
         rig.driver.set_retry_budgets(found.retry_budgets(), found.default_retry_budget())
         for dialog in range(50):
             number, peer, first = chance.choice([7, 21]), chance.choice(["", "gw-1"]), chance.randint(-1, 4)
@@ -325,7 +325,7 @@
     route: tuple[int, str, int],
     no_answer: int,
 ) -> None:
-    """One dialog to its answer, the wire played by chance; asserts the rules on what was wished."""
+    """Runs one dialog to its answer with random attempt outcomes, and asserts the rules on the commands."""
     reckoned = found.worst_case_policy("plain", route[0], no_answer, *route[1:])
     latest, legs_most = ends_of(reckoned)
     began, legs, released_at, no_agents = rig.now, 0, 0, False
@@ -344,7 +344,7 @@
         assert isinstance(wish, DialogAction)
         if not isinstance(leg := wish.action, StartAttempt):
             break
-        assert rig.now >= released_at, "a resend within the release time"
+        assert rig.now >= released_at, "a retry within the release delay"
         assert rig.now < leg.deadline <= began + no_answer
         legs += 1
         outcome, rest = chance.choice(FATES), leg.deadline - rig.now
@@ -355,7 +355,8 @@
         asked_wait = chance.randint(0, 2 * SECOND) if outcome is Outcome.FULL else 0
         rig.result(name, leg.server, outcome, legs - 1, retry_after=asked_wait)
     assert rig.now - began <= latest <= no_answer
-    # A reply of no free agent goes on at once, as an attempt that has not failed: up to the fleet's legs.
+    # An attempt that found no free agent does not count as failed, and the next follows at once: only the
+    # total of attempts limits these.
     assert legs <= (reckoned.max_total_attempts if no_agents else reckoned.max_attempts)
     assert legs <= legs_most
     if isinstance(leg, Reject):
@@ -374,7 +375,7 @@
     rig.driver.tick(rig.now)
 
 
-# Reading while it is written
+# Reading a file while it is written
 
 
 async def test_a_file_being_written_is_read_when_it_has_settled(
@@ -433,4 +434,4 @@
     diff = valverouter("terms", "diff", str(good), str(other))
     assert diff.returncode == 1
     assert "plain, [attempts a]: legs 2 to 4" in diff.stdout
-    assert "[attempts b]: legs" not in diff.stdout, "the more specific section is as it was"
+    assert "[attempts b]: legs" not in diff.stdout, "the more specific section is unchanged"
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -1,4 +1,4 @@
-"""Attempt policies as a file states them, on the wire and in the emulated policy."""
+"""Attempt policies of a configuration file take effect on the wire and in scenarios."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         legs = [(at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)]
         assert [m.leg for _, m in sorted(legs, key=lambda one: one[0])] == [0, 1]
         assert legs[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
-        assert len(caller.all(setup.Rejected)) == 1, "answered at once after its last leg"
+        assert len(caller.all(setup.Rejected)) == 1, "answered at once after the last attempt"
 
 
 async def test_open_dialogs_keep_the_attempt_policy_they_started_with(autojump_clock: MockClock) -> None:
@@ -72,7 +72,9 @@
         assert over - sent == pytest.approx(1.4, abs=0.005)
         rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=terms_with_ties()))
         await trio.sleep(0.05)
-        assert rig.edge.context.attempt_policies is not None, "a refused file leaves the old one acting"
+        assert rig.edge.context.attempt_policies is not None, (
+            "the old file stays in effect after a rejected one"
+        )
 
 
 def terms_with_ties() -> Any:
@@ -114,13 +116,13 @@
     async with rigged(1, ini(sections)) as rig:
         for name in ("gw-1", "other"):
             caller = await rig.caller(name)
-            await trio.sleep(6)  # news of a failure at its one server must fade first
+            await trio.sleep(6)  # until the earlier failures of the only server have lost their effect
             began = trio.current_time()
             await caller.send(dial(f"to {name}", no_answer=4 * SECOND))
             answer = await caller.next(setup.Rejected | setup.Failed)
             took = trio.current_time() - began
             assert took == pytest.approx({"gw-1": 2.0, "other": 3.95}[name], abs=0.01), answer
-        for _ in range(20):  # the one server is shunned now: declined at once
+        for _ in range(20):  # the only server is avoided now: rejected at once
             await caller.send(dial(f"again {_}"))
         await trio.sleep(0.01)
         assert all(m.retry_after <= 0.19 * SECOND for m in caller.all(setup.Rejected))
@@ -131,7 +133,7 @@
     far = rig.policy.table.servers["s0"].budget
     far.on_failure()
     rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
-    assert (far.tokens, far.config.token_ratio) == (4_500, 200), "the share that was left is left"
+    assert (far.tokens, far.config.token_ratio) == (4_500, 200), "the fill level is kept"
     assert rig.policy.table.servers["s1"].budget.tokens == 10_000
     far.on_failure()
     far.on_failure()
@@ -141,10 +143,10 @@
     assert far.tokens == 2_700
     assert far.allows_retry
     rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
-    assert far.tokens == 2_700, "a change that does not concern it changes nothing"
+    assert far.tokens == 2_700, "setting the same budget again changes nothing"
     rig.listed([interface.Endpoint("s0b", 0, True, started_at=rig.now)])
     assert rig.policy.table.servers["s0b"].budget.tokens == 5_000, (
-        "a fresh start begins full, on its own terms"
+        "a newly started server begins with a full budget of its own configuration"
     )
 
 
--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -1,4 +1,4 @@
-"""A reload changes the attempt policies of new dialogs, and of no open one."""
+"""A reload changes the attempt policies of new dialogs and not those of open ones."""
 
 from __future__ import annotations
 
@@ -31,9 +31,10 @@
 async def surge(
     changes: dict[int, str], dialogs: int = 300
 ) -> tuple[list[tuple[float, str, int]], list[Any], int]:
-    """Dialogs at 200/s to servers full at first legs, that ask for a second; at so many ms other sections.
+    """Starts dialogs at 200/s whose first attempts are answered Full with a retry-after of 1 s.
 
-    Gives the legs with their times, the final answers, and the generation at the end.
+    `changes`: sections to reload, by ms since the start. Returns the attempts with their times, the final
+    answers, and the last configuration generation.
     """
     async with rigged(SERVERS, ini("[attempts a]\nlegs = 3")) as rig:
         caller = await rig.caller()
@@ -64,7 +65,8 @@
 
 
 async def test_reloads_in_a_surge_lose_no_dialog_and_start_no_retry_early(autojump_clock: MockClock) -> None:
-    # Twice within a second while retries wait: those who began before keep their legs and their moments.
+    # Two reloads within a second while retries wait. Dialogs that started before keep their attempts and the
+    # times of their retries.
     before, answers, _ = await surge({})
     after, answers_after, generation = await surge(
         {900: "[attempts a]\nlegs = 2", 1300: "[attempts a]\nlegs = 1"}
@@ -73,7 +75,7 @@
     for got in (answers, answers_after):
         assert sorted(answer.dialog for answer in got) == sorted(f"d{at}" for at in range(300))
     waits = [at for at, _, leg in before if leg]
-    assert len(waits) > 50, "retries were waiting"
+    assert len(waits) > 50, "there are retries to compare"
     early = {f"d{at}" for at in range(int(0.85 * 200))}
     assert {d for _, d, leg in after if leg and d in early}
     assert max(leg for _, d, leg in after if d not in early and int(d[1:]) > 1.35 * 200) == 0
@@ -107,7 +109,7 @@
     whole = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 1", END_MARKER)
     with capture_logs() as logged:
         async with rigged(1, whole) as rig:
-            rig.edge.reload(terms(whole[: whole.index("[attempts b]")]))  # passes every check by itself
+            rig.edge.reload(terms(whole[: whole.index("[attempts b]")]))  # valid by itself
             await trio.sleep(0.1)
             assert rig.edge.generation == 1
             assert len(rig.edge.config.attempts.sections) == 2
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -1,4 +1,4 @@
-"""Accepted dialogs outlive the edge proxy's kill, their caller's connection and the store's failures."""
+"""Accepted dialogs survive a kill of the edge proxy, a lost caller connection and failures of the store."""
 
 from __future__ import annotations
 
@@ -56,15 +56,15 @@
 
 
 class Kept(Rig):
-    """The rig with an edge proxy on a store."""
+    """A rig whose edge proxy has a store."""
 
     def make_edge(self) -> EdgeProxy:
-        # The store outlives each edge proxy: made with the first, before the rig is whole.
+        # The first edge proxy, made by Rig.__init__, creates the store; later ones reuse it.
         self.store: MemoryLedgerStore = getattr(self, "store", None) or MemoryLedgerStore()
         return ResumableProxy(self.terms, self.runtime, self.store)
 
     async def again(self, moved: int = 0, boot: str = "memory") -> None:
-        """Kills the edge proxy and starts another on its store; `moved`: the wall clock in between."""
+        """Kills the edge proxy and starts another on its store, with the wall clock shifted by `moved` ns."""
         self.scope.cancel()
         await trio.sleep(0.01)
         self.runtime = MemoryRuntime(self.network)
@@ -86,7 +86,7 @@
 
 
 async def leg_at(rig: Kept, kind: type = setup.Setup, within: float = 5.0) -> tuple[Peer, Any]:
-    """The next message of a kind at whichever server it comes to."""
+    """Returns the next message of a kind at any server, with the connection that received it."""
     with trio.fail_after(within):
         while True:
             for server in rig.servers.values():
@@ -97,7 +97,7 @@
 
 
 async def stood(rig: Kept) -> tuple[Peer, Peer, Any]:
-    """A dialog that stands: its caller, the link that it stands on, and its leg."""
+    """Establishes dialog d1; returns its caller, its server's connection and the set-up received there."""
     caller = await rig.caller()
     await caller.send(dial())
     link, leg = await leg_at(rig)
@@ -221,7 +221,7 @@
 async def test_without_its_caller_nothing_goes_on_and_an_established_dialog_is_let_go(
     autojump_clock: MockClock,
 ) -> None:
-    # Its caller may have come again at another edge proxy.
+    # The caller may have dialled again at another edge proxy, so nobody would receive the answer here.
     async with kept() as rig:
         caller = await rig.caller()
         await caller.send(dial("out", 0), dial("up", 1))
@@ -258,7 +258,7 @@
 
 
 async def test_a_set_up_whose_connection_went_before_its_turn_is_not_taken(autojump_clock: MockClock) -> None:
-    # Nobody was told that it was taken; taken all the same, it would be nobody's.
+    # The caller got no Provisional, so it will not resume the dialog; an accepted one would have no caller.
     async with kept() as rig:
         caller = await rig.caller()
         rig.nursery.start_soon(rig.runtime.stall, SECOND)
@@ -286,7 +286,7 @@
         await back.next(setup.Established)
         await back.cut()
         await trio.sleep(6)
-        assert link.all(setup.Release) == [setup.Release("d1", leg.leg)], "it did not come back in time"
+        assert link.all(setup.Release) == [setup.Release("d1", leg.leg)], "the caller did not resume in time"
 
 
 @pytest.mark.parametrize("how", ["held", "unknown", "refused", "gone from the list"])
@@ -313,7 +313,7 @@
             assert (await caller.next(setup.Ended)).reason == "released"
         else:
             assert (await caller.next(setup.Ended)).reason == "cut"
-            assert trio.current_time() - began < 1, "told at once, so that its caller may dial again"
+            assert trio.current_time() - began < 1, "reported at once, so that the caller can dial again"
         await trio.sleep(0.1)
         assert not rig.store.committed
         assert not rig.edge.dialogs.entries
@@ -336,7 +336,8 @@
         rows = run_virtual(killed(4, 0, ledger=ledger), breaks)
         accounted(rows)
         cut.append(sum(one.answers["cut"] for one in account_by_type(rows).values()))
-    # What stood within the way to its server and back before a break is not on record there yet.
+    # Some dialogs are cut: those established less than a round trip before a loss, whose server has not yet
+    # received Persisted.
     assert cut[0] < cut[1] / 20
     assert cut[1] > 50
 
@@ -365,8 +366,8 @@
     [(0, "memory", True), (-60 * SECOND, "memory", True), (-60 * SECOND, "other", False), (0, "other", True)],
 )
 async def test_clocks_over_a_restart(moved: int, boot: str, known: bool, autojump_clock: MockClock) -> None:
-    # Within a boot the monotonic clock tells, however the wall clock was set; over one a clock that was set
-    # back leaves no one knowing whether its time is over, and it is not answered.
+    # Within one boot the monotonic clock measures the caller's time, however the wall clock is set. Across a
+    # boot, with the wall clock set back, the deadline may have passed: the dialog is not answered.
     async with kept() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -417,14 +418,14 @@
         rig.store.commit_fails = True
         await caller.send(dial("d2", 1))
         await leg_at(rig)
-        assert not rig.store.committed, "what was not moved on would let a second leg out after a kill"
+        assert not rig.store.committed, "an outdated record could cause a second attempt after a kill"
         rig.store.commit_fails = False
         await link.send(setup.Established("d1", leg.leg))
         await caller.next(setup.Established)
         await trio.sleep(10.1)
         await caller.send(dial("d3"))
         await trio.sleep(0.1)
-        assert set(rig.store.committed) == {"d3"}, "recorded again, what is new"
+        assert set(rig.store.committed) == {"d3"}, "new dialogs are recorded again"
 
 
 async def test_no_word_leaves_before_its_record(autojump_clock: MockClock, monkeypatch: Any) -> None:
@@ -447,8 +448,9 @@
 async def test_a_time_out_behind_a_full_event_queue_still_gets_its_dialog_an_answer(
     closing: Any, autojump_clock: MockClock
 ) -> None:
-    # Found by a kill under load: the closing word was read and waited, more than a batch behind; the cancel
-    # that the time-out wished for raised in the session, and no answer ever followed.
+    # Found by kills under load: the server's closing message had been read but waited in the event queue,
+    # more than a batch back, when the attempt timed out. The cancel then raised in the session, which had
+    # already closed the attempt, and the dialog was never answered.
     async with rigged(1) as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=SECOND))
@@ -464,7 +466,7 @@
         assert rig.edge.counters.failures == 0
 
 
-# Whole days with kills
+# Scenarios with kills
 
 
 def killed(seed: int, kills: int = 4, length: int = 6, ledger: bool = True, more: str = "") -> ScenarioConfig:
@@ -473,7 +475,7 @@
     text += "[ledger]\n" if ledger else ""
     slot = (length * 1_000 - 500) // max(1, -(-kills // 3))
     for at in range(kills):
-        # An edge proxy is killed again once it runs: in slots of its own.
+        # Each edge proxy is killed at most once per time slot, so it runs again before its next kill.
         start, lasts = at // 3 * slot + chance.randrange(200, slot - 350), chance.choice((20, 100, 300))
         text += f"[trouble k{at}]\nkind = balancer_crash\nstart = {start}ms\nlength = {lasts}ms\n"
         text += f"on = e{at % 3}\n"
@@ -491,7 +493,7 @@
 def test_days_with_kills_account_for_every_dialog(seed: int) -> None:
     rows = run_virtual(killed(seed))
     assert accounted(rows).resumptions > 20
-    assert rows == run_virtual(killed(seed)), "the same rows every time"
+    assert rows == run_virtual(killed(seed)), "a run is deterministic"
 
 
 SLOW = "[trouble s]\nkind = slow\nstart = 1s\nlength = 4s\nsize = 4\non = s0, s1\n"
@@ -516,7 +518,7 @@
 
 
 def at_message(number: int) -> Callable[[ScenarioFakes, list[VirtualEdge]], None]:
-    """Kills e0 as the far ends see its n-th message of dialogs pass, and starts it again 50 ms later."""
+    """Kills e0 when its peers record its n-th dialog message, and starts it again 50 ms later."""
 
     def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         passes: Any = fakes.tap.record_message
@@ -692,7 +694,7 @@
 
 
 def starts(folder: Path, listen: str = "127.0.0.1:0") -> tuple[int, str]:
-    """Exit code and log of `valverouter edge`, asked to stop once it listens."""
+    """Runs `valverouter edge` and stops it once it listens; returns its exit code and log."""
     (folder / "e.ini").write_text(EDGE.format(folder=folder / "store", listen=listen))
     words = [sys.executable, "-m", "valverouter.cli", "edge", str(folder / "e.ini")]
     with subprocess.Popen(words, stderr=subprocess.PIPE, text=True) as ran:
@@ -726,7 +728,7 @@
     if how == "no store":
         data.write_bytes(b"\xff" * 8_192)
     elif how == "cut off":
-        # Mapped past its end, the file ended the process by a signal, at every start anew.
+        # Reading the memory map beyond the end of the file killed the process by a signal at every start.
         data.write_bytes(data.read_bytes()[:20_000])
     elif how == "a page of noughts":
         pages = data.read_bytes()
