--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -51,7 +51,7 @@
 
 
 # Invalid files, each with a part of its problem's message. Keys without a header form one [attempts] section.
-BAD = [
+INVALID_FILES = [
     ("legs = 7", "<= 6"),
     ("legs = 0", ">= 1"),
     ("legs = -1", ">= 1"),
@@ -141,7 +141,7 @@
     ("[attempts a\nlegs = 2", "neither [section]"),
 ]
 
-GOOD = [
+VALID_FILES = [
     ("legs = 1", {"legs": 1}),
     ("legs = 6", {"legs": 6}),
     ("legs = 2\nlegs_in_all = 2", {"legs_in_all": 2}),
@@ -176,30 +176,30 @@
 ]
 
 
-def whole(text: str) -> str:
+def with_section_header(text: str) -> str:
     return text if text.startswith("[") else f"[attempts a]\n{text}"
 
 
-@pytest.mark.parametrize(("text", "said"), BAD)
-def test_an_invalid_file_is_rejected_as_a_whole_with_line_and_reason(text: str, said: str) -> None:
+@pytest.mark.parametrize(("text", "message"), INVALID_FILES)
+def test_invalid_file_is_rejected_as_a_whole_with_line_and_reason(text: str, message: str) -> None:
     with pytest.raises(InvalidConfigError) as caught:
-        policies_of(whole(text))
-    assert any(said in str(flaw) for flaw in caught.value.problems), str(caught.value)
-    assert all(flaw.line > len(INI.splitlines()) for flaw in caught.value.problems)
+        policies_of(with_section_header(text))
+    assert any(message in str(problem) for problem in caught.value.problems), str(caught.value)
+    assert all(problem.line > len(INI.splitlines()) for problem in caught.value.problems)
 
 
-@pytest.mark.parametrize(("text", "effective"), GOOD)
+@pytest.mark.parametrize(("text", "effective"), VALID_FILES)
 def test_a_valid_file_gives_the_stated_policy(text: str, effective: dict[str, float]) -> None:
-    found = policies_of(whole(text)).explain("plain", 21, "gw-7", 1)
+    found = policies_of(with_section_header(text)).explain("plain", 21, "gw-7", 1)
     assert {key: found[key].value for key in effective} == effective
 
 
 def test_there_are_enough_invalid_and_valid_files() -> None:
-    assert len(BAD) >= 60
-    assert len(GOOD) >= 20
+    assert len(INVALID_FILES) >= 60
+    assert len(VALID_FILES) >= 20
 
 
-def test_budgets_are_those_of_each_server_set_and_of_the_rest() -> None:
+def test_retry_budgets_by_server_set_and_for_other_servers() -> None:
     found = policies_of(
         "[attempts a]\ntokens = 4\n[attempts b]\nserver_set = near\ntokens = 6\nfraction = 0.2\n" + SETS
     )
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "text", "means"),
+    ("kind", "text", "expected"),
     [
         ("span", "0", 0),
         ("span", "2 min", 120 * SECOND),
@@ -226,11 +226,11 @@
         ("peers", "gw-*, c.1", ("gw-*", "c.1")),
     ],
 )
-def test_values_of_the_grammar(kind: str, text: str, means: object) -> None:
-    assert lazy_reader(kind)(text) == means
+def test_value_grammar(kind: str, text: str, expected: object) -> None:
+    assert lazy_reader(kind)(text) == expected
 
 
-def test_peers_match_by_name_or_by_their_beginning() -> None:
+def test_peers_match_by_name_or_by_prefix() -> None:
     assert matches_peer("gw-*", "gw-7")
     assert matches_peer("*", "x")
     assert matches_peer("c", "c")
@@ -279,118 +279,127 @@
     assert (policies is None) == bool(problems)
 
 
-def random_files(chance: random.Random, many: int) -> list[AttemptPolicies]:
-    taken: list[AttemptPolicies] = []
-    while len(taken) < many:
+def random_policies(rng: random.Random, count: int) -> list[AttemptPolicies]:
+    accepted: list[AttemptPolicies] = []
+    while len(accepted) < count:
         sections = [
-            "\n".join([f"[attempts {name}]", *chance.sample(PIECES[:-4], chance.randint(1, 5))])
-            for name in "abc"[: chance.randint(1, 3)]
+            "\n".join([f"[attempts {name}]", *rng.sample(PIECES[:-4], rng.randint(1, 5))])
+            for name in "abc"[: rng.randint(1, 3)]
         ]
         try:
-            taken.append(policies_of("\n".join([*sections, SETS])))
+            accepted.append(policies_of("\n".join([*sections, SETS])))
         except InvalidConfigError:
             continue
-    return taken
+    return accepted
 
 
-FATES = [Outcome.RESET, Outcome.FULL, Outcome.TIMED_OUT, Outcome.FAULT, Outcome.UNREACHABLE, Outcome.NO_AGENT]
+FAILURES = [
+    Outcome.RESET,
+    Outcome.FULL,
+    Outcome.TIMED_OUT,
+    Outcome.FAULT,
+    Outcome.UNREACHABLE,
+    Outcome.NO_AGENT,
+]
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_ten_thousand_random_dialogs_under_random_files_break_no_rule(seed: int) -> None:
-    chance = random.Random(seed)
-    for at, found in enumerate(random_files(chance, 25)):
+def test_ten_thousand_random_dialogs_with_random_policies_break_no_rule(seed: int) -> None:
+    rng = random.Random(seed)
+    for at, found in enumerate(random_policies(rng, 25)):
         rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # small and large fleets
         rig.driver.set_retry_budgets(found.retry_budgets(), found.default_retry_budget())
         for dialog in range(50):
-            number, peer, first = chance.choice([7, 21]), chance.choice(["", "gw-1"]), chance.randint(-1, 4)
-            no_answer = chance.choice([1, 3, 9]) * SECOND
-            terms_ = found.policy_for("plain", number, peer, first)
-            if terms_ is not None and terms_.no_answer_timeout:
-                no_answer = min(no_answer, terms_.no_answer_timeout)
-            one_course(rig, chance, found, f"d{dialog}", (number, peer, first), no_answer)
+            number, peer, first = rng.choice([7, 21]), rng.choice(["", "gw-1"]), rng.randint(-1, 4)
+            no_answer = rng.choice([1, 3, 9]) * SECOND
+            policy = found.policy_for("plain", number, peer, first)
+            if policy is not None and policy.no_answer_timeout:
+                no_answer = min(no_answer, policy.no_answer_timeout)
+            run_random_dialog(rig, rng, found, f"d{dialog}", (number, peer, first), no_answer)
 
 
 @functools.lru_cache
-def ends_of(reckoned: AttemptPolicy) -> tuple[int, int]:
-    every = list(timelines(reckoned))
-    return max(course.answered_at for course in every), max(course.attempts for course in every)
+def worst_case_bounds(policy: AttemptPolicy) -> tuple[int, int]:
+    all_timelines = list(timelines(policy))
+    return max(timeline.answered_at for timeline in all_timelines), max(
+        timeline.attempts for timeline in all_timelines
+    )
 
 
-def one_course(
+def run_random_dialog(
     rig: Rig,
-    chance: random.Random,
+    rng: random.Random,
     found: AttemptPolicies,
     name: str,
     route: tuple[int, str, int],
     no_answer: int,
 ) -> None:
     """Runs one dialog to its answer with random attempt outcomes, and asserts the rules on the commands."""
-    reckoned = found.worst_case_policy("plain", route[0], no_answer, *route[1:])
-    latest, legs_most = ends_of(reckoned)
-    began, legs, released_at, no_agents = rig.now, 0, 0, False
-    attempts = found.policy_for("plain", *route)
+    worst_case = found.worst_case_policy("plain", route[0], no_answer, *route[1:])
+    latest, most_attempts = worst_case_bounds(worst_case)
+    began, attempts_started, released_at, no_agents = rig.now, 0, 0, False
+    policy = found.policy_for("plain", *route)
     rig.driver.start_dialog(
-        Dialog(name, "plain", began + no_answer, route[2], route[0], attempt_policy=attempts)
+        Dialog(name, "plain", began + no_answer, route[2], route[0], attempt_policy=policy)
     )
     while True:
-        wish = next(
+        command = next(
             c for c in rig.take() if (isinstance(c, DialogAction) and c.dialog_id == name) or is_retry(c)
         )
-        if isinstance(wish, Timer):
-            passes(rig, wish.duration)
-            rig.driver.on_timer(wish.timer_id)
+        if isinstance(command, Timer):
+            advance(rig, command.duration)
+            rig.driver.on_timer(command.timer_id)
             continue
-        assert isinstance(wish, DialogAction)
-        if not isinstance(leg := wish.action, StartAttempt):
+        assert isinstance(command, DialogAction)
+        if not isinstance(action := command.action, StartAttempt):
             break
         assert rig.now >= released_at, "a retry within the release delay"
-        assert rig.now < leg.deadline <= began + no_answer
-        legs += 1
-        outcome, rest = chance.choice(FATES), leg.deadline - rig.now
-        passes(rig, rest if outcome is Outcome.TIMED_OUT else chance.randint(0, rest))
+        assert rig.now < action.deadline <= began + no_answer
+        attempts_started += 1
+        outcome, time_left = rng.choice(FAILURES), action.deadline - rig.now
+        advance(rig, time_left if outcome is Outcome.TIMED_OUT else rng.randint(0, time_left))
         if outcome in (Outcome.RESET, Outcome.TIMED_OUT):
             released_at = rig.now + 300 * MS
         no_agents |= outcome is Outcome.NO_AGENT
-        asked_wait = chance.randint(0, 2 * SECOND) if outcome is Outcome.FULL else 0
-        rig.result(name, leg.server, outcome, legs - 1, retry_after=asked_wait)
+        requested_delay = rng.randint(0, 2 * SECOND) if outcome is Outcome.FULL else 0
+        rig.result(name, action.server, outcome, attempts_started - 1, retry_after=requested_delay)
     assert rig.now - began <= latest <= no_answer
     # An attempt that found no free agent does not count as failed, and the next follows at once: only the
     # total of attempts limits these.
-    assert legs <= (reckoned.max_total_attempts if no_agents else reckoned.max_attempts)
-    assert legs <= legs_most
-    if isinstance(leg, Reject):
-        assert leg.retry_after <= 2 * SECOND
+    assert attempts_started <= (worst_case.max_total_attempts if no_agents else worst_case.max_attempts)
+    assert attempts_started <= most_attempts
+    if isinstance(action, Reject):
+        assert action.retry_after <= 2 * SECOND
 
 
 def is_retry(command: object) -> bool:
     return isinstance(command, Timer) and command.duration != tuning.HEARTBEAT_INTERVAL
 
 
-def passes(rig: Rig, span: int) -> None:
-    for _ in range(span // (100 * MS)):
+def advance(rig: Rig, duration: int) -> None:
+    for _ in range(duration // (100 * MS)):
         rig.now += 100 * MS
         rig.driver.tick(rig.now)
-    rig.now += span % (100 * MS)
+    rig.now += duration % (100 * MS)
     rig.driver.tick(rig.now)
 
 
 # Reading a file while it is written
 
 
-async def test_a_file_being_written_is_read_when_it_has_settled(
+async def test_file_being_written_is_read_once_it_is_stable(
     tmp_path: Path, autojump_clock: MockClock
 ) -> None:
     path = tmp_path / "edge.ini"
     text = INI.replace("edge:1", "h:1").replace("list:1", "h:2") + "\n[attempts a]\nlegs = 2\n"
     path.write_text(text[:-9])
 
-    async def rest() -> None:
+    async def write_rest() -> None:
         await trio.sleep(0.05)
         path.write_text(text)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(rest)
+        nursery.start_soon(write_rest)
         found = await load_when_stable(path)
     assert AttemptPolicies(found).explain("plain", 1)["legs"].value == 2
     assert not found.ends
@@ -418,10 +427,10 @@
     good.write_text(good.read_text().replace("prefix = 29", "prefix = 29\nserver_set = near"))
     bad.write_text(f"{text}\n[attempts a]\nlegs = 9\n[attempts b]\nretry_base = 9s\n")
     other.write_text(good.read_text().replace("legs = 2", "legs = 4"))
-    sound = valverouter("terms", "check", str(good))
-    assert sound.returncode == 0
-    assert "sound, 2 sections" in sound.stdout
-    assert "plain: 6 legs" in sound.stdout
+    valid = valverouter("terms", "check", str(good))
+    assert valid.returncode == 0
+    assert "sound, 2 sections" in valid.stdout
+    assert "plain: 6 legs" in valid.stdout
     refused = valverouter("terms", "check", str(good), str(bad))
     assert refused.returncode == 2
     assert "[attempts a] legs" in refused.stderr
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -38,7 +38,7 @@
     assert policies_of(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
 
 
-async def test_attempts_and_timeouts_on_the_wire_are_those_of_the_file(autojump_clock: MockClock) -> None:
+async def test_attempts_and_timeouts_on_the_wire_match_the_file(autojump_clock: MockClock) -> None:
     text = ini("[attempts a]\nprefix = 2\nlegs = 2\nleg_time_out = 700ms\nrelease_wait = 400ms")
     async with rigged(3, text) as rig:
         caller = await rig.caller()
@@ -48,9 +48,11 @@
         await first.next(setup.Cancel)
         assert first.at(setup.Cancel) - first.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
         await trio.sleep(2)
-        legs = [(at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)]
-        assert [m.leg for _, m in sorted(legs, key=lambda one: one[0])] == [0, 1]
-        assert legs[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
+        setups = [
+            (at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)
+        ]
+        assert [m.leg for _, m in sorted(setups, key=lambda one: one[0])] == [0, 1]
+        assert setups[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
         assert len(caller.all(setup.Rejected)) == 1, "answered at once after the last attempt"
 
 
@@ -67,17 +69,17 @@
         assert one.at(setup.Cancel) - one.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
         while (await two.next(setup.Cancel)).dialog != "new":
             pass
-        sent = next(at for at, m in two.heard if isinstance(m, setup.Setup) and m.dialog == "new")
-        over = next(at for at, m in two.heard if isinstance(m, setup.Cancel) and m.dialog == "new")
-        assert over - sent == pytest.approx(1.4, abs=0.005)
-        rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=terms_with_ties()))
+        sent_at = next(at for at, m in two.heard if isinstance(m, setup.Setup) and m.dialog == "new")
+        cancelled_at = next(at for at, m in two.heard if isinstance(m, setup.Cancel) and m.dialog == "new")
+        assert cancelled_at - sent_at == pytest.approx(1.4, abs=0.005)
+        rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=ambiguous_sections()))
         await trio.sleep(0.05)
         assert rig.edge.context.attempt_policies is not None, (
             "the old file stays in effect after a rejected one"
         )
 
 
-def terms_with_ties() -> Any:
+def ambiguous_sections() -> Any:
     return terms(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
 
 
@@ -107,9 +109,7 @@
     assert "a resend 1000000 ns after" in refused.stderr
 
 
-async def test_objective_no_answer_time_and_retry_after_are_those_of_the_file(
-    autojump_clock: MockClock,
-) -> None:
+async def test_objective_no_answer_time_and_retry_after_match_the_file(autojump_clock: MockClock) -> None:
     sections = (
         "[trunk-group gw]\npeers = gw-*\n[attempts a]\ntrunk_group = gw\nno_answer = 2s\ncome_back = 1s"
     )
@@ -130,20 +130,20 @@
 
 def test_retry_budgets_change_by_server_and_keep_their_fill_level() -> None:
     rig = Rig(servers=2)
-    far = rig.policy.table.servers["s0"].budget
-    far.on_failure()
+    budget = rig.policy.table.servers["s0"].budget
+    budget.on_failure()
     rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
-    assert (far.tokens, far.config.token_ratio) == (4_500, 200), "the fill level is kept"
+    assert (budget.tokens, budget.config.token_ratio) == (4_500, 200), "the fill level is kept"
     assert rig.policy.table.servers["s1"].budget.tokens == 10_000
-    far.on_failure()
-    far.on_failure()
-    assert far.tokens == 2_500, "exactly half is not more than half"
-    assert not far.allows_retry, "exactly half is not more than half"
-    far.on_success()
-    assert far.tokens == 2_700
-    assert far.allows_retry
+    budget.on_failure()
+    budget.on_failure()
+    assert budget.tokens == 2_500, "exactly half is not more than half"
+    assert not budget.allows_retry, "exactly half is not more than half"
+    budget.on_success()
+    assert budget.tokens == 2_700
+    assert budget.allows_retry
     rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
-    assert far.tokens == 2_700, "setting the same budget again changes nothing"
+    assert budget.tokens == 2_700, "setting the same budget again changes nothing"
     rig.listed([interface.Endpoint("s0b", 0, True, started_at=rig.now)])
     assert rig.policy.table.servers["s0b"].budget.tokens == 5_000, (
         "a newly started server begins with a full budget of its own configuration"
@@ -159,15 +159,15 @@
     assert rig.said() == "aborted"
 
 
-def test_a_scenario_shows_attempts_timeouts_and_gaps_of_the_file_by_type() -> None:
+def test_scenario_attempts_timeouts_and_gaps_match_the_file_by_type() -> None:
     path = Path(__file__).parent.parent / "deploy" / "days" / "attempts.ini"
     rows = run_virtual(load_scenario(path))
     assert audit(rows).passed
-    hasty, patient = attempt_statistics(rows)["booking"], attempt_statistics(rows)["reschedule"]
-    assert hasty.max_attempts == 2
-    assert hasty.cancelled_after is not None
-    assert hasty.min_retry_gap is not None
-    assert 600 * MS <= hasty.cancelled_after[0] <= hasty.cancelled_after[1] <= 701 * MS
-    assert 450 * MS <= hasty.min_retry_gap < 1000 * MS
-    assert patient.cancelled_after is not None
-    assert patient.cancelled_after[1] == pytest.approx(2 * SECOND, abs=MS)
+    booking, reschedule = attempt_statistics(rows)["booking"], attempt_statistics(rows)["reschedule"]
+    assert booking.max_attempts == 2
+    assert booking.cancelled_after is not None
+    assert booking.min_retry_gap is not None
+    assert 600 * MS <= booking.cancelled_after[0] <= booking.cancelled_after[1] <= 701 * MS
+    assert 450 * MS <= booking.min_retry_gap < 1000 * MS
+    assert reschedule.cancelled_after is not None
+    assert reschedule.cancelled_after[1] == pytest.approx(2 * SECOND, abs=MS)
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -41,12 +41,12 @@
 from valverouter.terms.day import ScenarioConfig, scenario_config
 from valverouter.terms.ini import IniFile
 
-DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
-CALM = DAY[: DAY.index("[trouble ")]
+BAD_DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
+FAULT_FREE = BAD_DAY[: BAD_DAY.index("[trouble ")]
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
+def silence_logs() -> Iterator[None]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     yield
     structlog.reset_defaults()
@@ -55,7 +55,7 @@
 # A scripted edge proxy that is killed and started again
 
 
-class Kept(Rig):
+class ResumableRig(Rig):
     """A rig whose edge proxy has a store."""
 
     def make_edge(self) -> EdgeProxy:
@@ -63,14 +63,14 @@
         self.store: MemoryLedgerStore = getattr(self, "store", None) or MemoryLedgerStore()
         return ResumableProxy(self.terms, self.runtime, self.store)
 
-    async def again(self, moved: int = 0, boot: str = "memory") -> None:
-        """Kills the edge proxy and starts another on its store, with the wall clock shifted by `moved` ns."""
+    async def restart_edge(self, clock_shift: int = 0, boot_id: str = "memory") -> None:
+        """Kills the edge proxy and starts another on its store; shifts the wall clock by `clock_shift` ns."""
         self.scope.cancel()
         await trio.sleep(0.01)
         self.runtime = MemoryRuntime(self.network)
-        if moved or boot != "memory":
+        if clock_shift or boot_id != "memory":
             now = self.runtime.moment
-            self.runtime.moment = lambda: Timestamp(now().wall + moved, now().monotonic, boot)  # type: ignore[method-assign]
+            self.runtime.moment = lambda: Timestamp(now().wall + clock_shift, now().monotonic, boot_id)  # type: ignore[method-assign]
         self.edge = self.make_edge()
         await self.nursery.start(self.run_edge)
         await trio.sleep(0.1)
@@ -80,12 +80,14 @@
 
 
 @asynccontextmanager
-async def kept(servers: int = 2, version: int = 2) -> AsyncIterator[Kept]:
-    async with rigged_as(Kept, servers, version=version) as rig:
+async def resumable_rig(servers: int = 2, version: int = 2) -> AsyncIterator[ResumableRig]:
+    async with rigged_as(ResumableRig, servers, version=version) as rig:
         yield rig
 
 
-async def leg_at(rig: Kept, kind: type = setup.Setup, within: float = 5.0) -> tuple[Peer, Any]:
+async def next_at_any_server(
+    rig: ResumableRig, kind: type = setup.Setup, within: float = 5.0
+) -> tuple[Peer, Any]:
     """Returns the next message of a kind at any server, with the connection that received it."""
     with trio.fail_after(within):
         while True:
@@ -96,35 +98,37 @@
             await trio.sleep(0.01)
 
 
-async def stood(rig: Kept) -> tuple[Peer, Peer, Any]:
+async def established_dialog(rig: ResumableRig) -> tuple[Peer, Peer, Any]:
     """Establishes dialog d1; returns its caller, its server's connection and the set-up received there."""
     caller = await rig.caller()
     await caller.send(dial())
-    link, leg = await leg_at(rig)
-    await link.send(setup.Established("d1", leg.leg))
+    link, request = await next_at_any_server(rig)
+    await link.send(setup.Established("d1", request.leg))
     await caller.next(setup.Established)
-    return caller, link, leg
+    return caller, link, request
 
 
-async def test_an_answer_given_before_the_kill_is_given_again_the_same(autojump_clock: MockClock) -> None:
-    async with kept(0) as rig:
+async def test_final_answer_sent_before_a_kill_is_repeated_unchanged(autojump_clock: MockClock) -> None:
+    async with resumable_rig(0) as rig:
         caller = await rig.caller()
         await caller.send(dial())
         first = await caller.next(setup.Rejected)
-        await rig.again()
+        await rig.restart_edge()
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
         assert await back.next(setup.Rejected) == first
 
 
-async def test_answers_leave_the_store_once_their_callers_time_is_over(autojump_clock: MockClock) -> None:
-    async with kept(0) as rig:
+async def test_answers_are_removed_from_the_store_after_the_callers_deadline(
+    autojump_clock: MockClock,
+) -> None:
+    async with resumable_rig(0) as rig:
         caller = await rig.caller()
         for at in range(50):
             await caller.send(dial(f"d{at}", no_answer=2 * SECOND))
         await trio.sleep(0.5)
         assert len(rig.store.committed) == 50
-        await rig.again()
+        await rig.restart_edge()
         back = await rig.caller()
         await trio.sleep(2.5)
         await back.send(dial("last"))
@@ -134,38 +138,38 @@
         assert await back.next(setup.Unknown) == setup.Unknown("d3")
 
 
-async def test_an_attempt_in_flight_at_the_kill_goes_again_after_the_release_time_under_a_new_number(
+async def test_attempt_in_flight_at_a_kill_is_retried_after_the_release_delay_with_a_new_number(
     autojump_clock: MockClock,
 ) -> None:
-    async with kept() as rig:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        link, first = await leg_at(rig)
-        await rig.again()
+        link, first = await next_at_any_server(rig)
+        await rig.restart_edge()
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
         await back.next(setup.Provisional)
         asked_at = trio.current_time()
-        link, resumed = await leg_at(rig, setup.Resume)
+        link, resumed = await next_at_any_server(rig, setup.Resume)
         assert resumed == setup.Resume("d1", first.leg)
         await link.send(setup.Unknown("d1", first.leg))
-        link, second = await leg_at(rig)
+        link, second = await next_at_any_server(rig)
         assert second.leg == first.leg + 1
         assert trio.current_time() - asked_at >= 0.3
         await link.send(setup.Established("d1", second.leg))
-        stands = await back.next(setup.Established)
-        assert (stands.dialog, stands.leg) == ("d1", 0)
-        assert (await leg_at(rig, setup.Persisted))[1] == setup.Persisted("d1", second.leg)
+        established = await back.next(setup.Established)
+        assert (established.dialog, established.leg) == ("d1", 0)
+        assert (await next_at_any_server(rig, setup.Persisted))[1] == setup.Persisted("d1", second.leg)
         assert rig.edge.context.driver.open_dialogs == 0
-        assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
+        assert not any(server.in_flight for server in rig.edge.context.driver.policy.table.servers.values())
 
 
-async def test_an_established_dialog_outlives_the_kill_and_its_end_is_told(autojump_clock: MockClock) -> None:
-    async with kept() as rig:
-        _, link, leg = await stood(rig)
-        assert (await leg_at(rig, setup.Persisted))[1] == setup.Persisted("d1", leg.leg)
-        await rig.again()
-        link, resumed = await leg_at(rig, setup.Resume)
+async def test_established_dialog_survives_a_kill_and_its_end_is_reported(autojump_clock: MockClock) -> None:
+    async with resumable_rig() as rig:
+        _, link, request = await established_dialog(rig)
+        assert (await next_at_any_server(rig, setup.Persisted))[1] == setup.Persisted("d1", request.leg)
+        await rig.restart_edge()
+        link, resumed = await next_at_any_server(rig, setup.Resume)
         await link.send(setup.Established("d1", resumed.leg))
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
@@ -178,16 +182,16 @@
 
 
 @pytest.mark.parametrize("how", ["unknown", "older version", "another process"])
-async def test_what_stood_and_is_gone_is_answered_again_and_ended(
+async def test_established_dialog_lost_by_its_server_is_answered_again_and_ended(
     how: str, autojump_clock: MockClock
 ) -> None:
-    async with kept(1, version=1 if how == "older version" else 2) as rig:
-        _, link, _ = await stood(rig)
+    async with resumable_rig(1, version=1 if how == "older version" else 2) as rig:
+        _, link, _ = await established_dialog(rig)
         if how == "another process":
             rig.servers["s0"].incarnation += 1
-        await rig.again()
+        await rig.restart_edge()
         if how == "unknown":
-            link, resumed = await leg_at(rig, setup.Resume)
+            link, resumed = await next_at_any_server(rig, setup.Resume)
             await link.send(setup.Unknown("d1", resumed.leg))
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
@@ -197,20 +201,20 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "older version", "another process"])
-async def test_an_attempt_whose_server_can_not_tell_is_waited_out(
+async def test_attempt_without_a_status_waits_for_the_release_delay(
     how: str, autojump_clock: MockClock
 ) -> None:
-    async with kept(1, version=1 if how == "older version" else 2) as rig:
+    async with resumable_rig(1, version=1 if how == "older version" else 2) as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        await leg_at(rig)
+        await next_at_any_server(rig)
         if how == "another process":
             rig.servers["s0"].incarnation += 1
         began = trio.current_time()
-        await rig.again()
+        await rig.restart_edge()
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
-        link, second = await leg_at(rig)
+        link, second = await next_at_any_server(rig)
         assert second.leg == 1
         assert trio.current_time() - began >= 0.3
         if how == "silent":
@@ -218,23 +222,23 @@
             assert link.at(setup.Setup) - link.at(setup.Cancel) >= 0.3
 
 
-async def test_without_its_caller_nothing_goes_on_and_an_established_dialog_is_let_go(
+async def test_dialogs_that_are_not_resumed_do_not_continue_and_established_ones_are_released(
     autojump_clock: MockClock,
 ) -> None:
     # The caller may have dialled again at another edge proxy, so nobody would receive the answer here.
-    async with kept() as rig:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial("out", 0), dial("up", 1))
-        await leg_at(rig)
-        await leg_at(rig)
-        up = rig.servers["s1"].link
-        await up.send(setup.Established("up", 0))
+        await next_at_any_server(rig)
+        await next_at_any_server(rig)
+        established_at = rig.servers["s1"].link
+        await established_at.send(setup.Established("up", 0))
         await caller.next(setup.Established)
-        await rig.again()
-        for server, dialog, word in (("s0", "out", setup.Unknown), ("s1", "up", setup.Established)):
+        await rig.restart_edge()
+        for server, dialog, answer in (("s0", "out", setup.Unknown), ("s1", "up", setup.Established)):
             link = rig.servers[server].link
             assert await link.next(setup.Resume) == setup.Resume(dialog, 0)
-            await link.send(word(dialog, 0))
+            await link.send(answer(dialog, 0))
         await trio.sleep(10)
         assert rig.servers["s1"].link.all(setup.Release) == [setup.Release("up", 0)]
         assert not any(server.link.all(setup.Setup) for server in rig.servers.values())
@@ -243,12 +247,12 @@
         assert not rig.edge.dialogs.entries
 
 
-async def test_another_caller_gets_nothing_of_it(autojump_clock: MockClock) -> None:
-    async with kept() as rig:
+async def test_dialog_can_be_resumed_only_by_its_own_caller(autojump_clock: MockClock) -> None:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        await leg_at(rig)
-        await rig.again()
+        await next_at_any_server(rig)
+        await rig.restart_edge()
         other = await rig.caller("c1")
         await other.send(setup.Resume("d1"))
         assert await other.next(setup.Unknown) == setup.Unknown("d1")
@@ -257,9 +261,11 @@
         await back.next(setup.Provisional)
 
 
-async def test_a_set_up_whose_connection_went_before_its_turn_is_not_taken(autojump_clock: MockClock) -> None:
+async def test_setup_is_not_accepted_if_its_connection_closes_before_its_turn(
+    autojump_clock: MockClock,
+) -> None:
     # The caller got no Provisional, so it will not resume the dialog; an accepted one would have no caller.
-    async with kept() as rig:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         rig.nursery.start_soon(rig.runtime.stall, SECOND)
         await caller.send(dial())
@@ -272,44 +278,48 @@
         await back.next(setup.Unknown)
 
 
-async def test_a_callers_broken_connection_costs_nothing_that_is_here(autojump_clock: MockClock) -> None:
-    async with kept() as rig:
+async def test_dialogs_survive_the_loss_of_their_callers_connection(autojump_clock: MockClock) -> None:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        link, leg = await leg_at(rig)
+        link, request = await next_at_any_server(rig)
         await caller.cut()
         await trio.sleep(0.05)
-        await link.send(setup.Established("d1", leg.leg))
+        await link.send(setup.Established("d1", request.leg))
         await trio.sleep(0.05)
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
         await back.next(setup.Established)
         await back.cut()
         await trio.sleep(6)
-        assert link.all(setup.Release) == [setup.Release("d1", leg.leg)], "the caller did not resume in time"
+        assert link.all(setup.Release) == [setup.Release("d1", request.leg)], (
+            "the caller did not resume in time"
+        )
 
 
 @pytest.mark.parametrize("how", ["held", "unknown", "refused", "gone from the list"])
-async def test_an_established_dialog_over_a_link_that_breaks(how: str, autojump_clock: MockClock) -> None:
-    async with kept(1) as rig:
-        caller, link, leg = await stood(rig)
+async def test_established_dialog_when_the_connection_to_its_server_is_lost(
+    how: str, autojump_clock: MockClock
+) -> None:
+    async with resumable_rig(1) as rig:
+        caller, link, request = await established_dialog(rig)
         server, began = rig.servers["s0"], trio.current_time()
         if how == "gone from the list":
             await rig.tell(server.row("gone"))
         if how in ("held", "unknown"):
             await link.cut()
             await trio.sleep(0.5)
-            assert await server.link.next(setup.Resume) == setup.Resume("d1", leg.leg)
+            assert await server.link.next(setup.Resume) == setup.Resume("d1", request.leg)
             assert not caller.all(setup.Ended)
-            word = setup.Established if how == "held" else setup.Unknown
-            await server.link.send(word("d1", leg.leg))
+            answer = setup.Established if how == "held" else setup.Unknown
+            await server.link.send(answer("d1", request.leg))
         else:
             server.scope.cancel()
         if how == "held":
-            assert await server.link.next(setup.Persisted) == setup.Persisted("d1", leg.leg)
+            assert await server.link.next(setup.Persisted) == setup.Persisted("d1", request.leg)
             await caller.send(setup.Release("d1"))
-            assert await server.link.next(setup.Release) == setup.Release("d1", leg.leg)
-            await server.link.send(setup.Ended("d1", leg.leg, "released"))
+            assert await server.link.next(setup.Release) == setup.Release("d1", request.leg)
+            await server.link.send(setup.Ended("d1", request.leg, "released"))
             assert (await caller.next(setup.Ended)).reason == "released"
         else:
             assert (await caller.next(setup.Ended)).reason == "cut"
@@ -320,21 +330,23 @@
         assert rig.edge.counters.failures == 0
 
 
-def test_more_dialogs_live_on_where_links_break_and_servers_live(monkeypatch: pytest.MonkeyPatch) -> None:
-    def breaks(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-        async def at_times() -> None:
+def test_fewer_dialogs_are_cut_when_connections_to_live_servers_are_lost(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def close_connections(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+        async def close_repeatedly() -> None:
             for at in range(6):
                 await trio.sleep(0.8)
                 for wire in list(fakes.servers[f"s{at % 4}"].connections):
                     wire.close()
 
         assert fakes.nursery is not None
-        fakes.nursery.start_soon(at_times)
+        fakes.nursery.start_soon(close_repeatedly)
 
     cut = []
     for ledger in (True, False):
-        rows = run_virtual(killed(4, 0, ledger=ledger), breaks)
-        accounted(rows)
+        rows = run_virtual(scenario_with_kills(4, 0, ledger=ledger), close_connections)
+        passing_audit(rows)
         cut.append(sum(one.answers["cut"] for one in account_by_type(rows).values()))
     # Some dialogs are cut: those established less than a round trip before a loss, whose server has not yet
     # received Persisted.
@@ -343,14 +355,14 @@
 
 
 @pytest.mark.parametrize("reason", ["over", "cut"])
-async def test_an_end_while_its_caller_is_away_is_told_when_it_is_back(
+async def test_end_of_a_dialog_is_reported_when_its_disconnected_caller_resumes(
     reason: str, autojump_clock: MockClock
 ) -> None:
-    async with kept() as rig:
-        caller, link, leg = await stood(rig)
+    async with resumable_rig() as rig:
+        caller, link, request = await established_dialog(rig)
         await caller.cut()
         await trio.sleep(0.05)
-        await link.send(setup.Ended("d1", leg.leg, reason))
+        await link.send(setup.Ended("d1", request.leg, reason))
         await trio.sleep(0.05)
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
@@ -362,40 +374,42 @@
 
 
 @pytest.mark.parametrize(
-    ("moved", "boot", "known"),
+    ("clock_shift", "boot_id", "is_deadline_known"),
     [(0, "memory", True), (-60 * SECOND, "memory", True), (-60 * SECOND, "other", False), (0, "other", True)],
 )
-async def test_clocks_over_a_restart(moved: int, boot: str, known: bool, autojump_clock: MockClock) -> None:
+async def test_callers_deadline_after_a_restart_with_changed_clocks(
+    clock_shift: int, boot_id: str, is_deadline_known: bool, autojump_clock: MockClock
+) -> None:
     # Within one boot the monotonic clock measures the caller's time, however the wall clock is set. Across a
     # boot, with the wall clock set back, the deadline may have passed: the dialog is not answered.
-    async with kept() as rig:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        await leg_at(rig)
-        await rig.again(moved, boot)
+        await next_at_any_server(rig)
+        await rig.restart_edge(clock_shift, boot_id)
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
-        if known:
+        if is_deadline_known:
             await back.next(setup.Provisional)
         else:
             await back.next(setup.Unknown)
             assert not rig.edge.dialogs.entries
 
 
-async def test_a_dialog_that_has_used_its_attempts_is_declined_with_a_time_to_come_back(
+async def test_dialog_without_remaining_attempts_is_rejected_with_a_retry_after(
     autojump_clock: MockClock,
 ) -> None:
-    async with kept(1) as rig:
+    async with resumable_rig(1) as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        for leg in range(3):
-            link, sent = await leg_at(rig, within=9)
-            assert sent.leg == leg
-            await rig.again()
+        for attempt in range(3):
+            link, sent = await next_at_any_server(rig, within=9)
+            assert sent.leg == attempt
+            await rig.restart_edge()
             caller = await rig.caller()
             await caller.send(setup.Resume("d1"))
             await caller.next(setup.Provisional)
-            link, resumed = await leg_at(rig, setup.Resume)
+            link, resumed = await next_at_any_server(rig, setup.Resume)
             await link.send(setup.Unknown("d1", resumed.leg))
         assert (await caller.next(setup.Rejected)).retry_after > 0
 
@@ -403,24 +417,24 @@
 @pytest.mark.parametrize(
     ("used", "left"), [(0, (3, 0)), (1, (2, 5)), (2, (1, 4)), (3, None), (6, None)], ids=str
 )
-def test_attempts_that_are_left(used: int, left: tuple[int, int] | None) -> None:
-    terms = AttemptPolicy(3, SECOND, 0, 300 * MS, 200 * MS, 2 * SECOND)
-    found = remaining_attempt_policy(terms, used, 6)
+def test_remaining_attempt_policy(used: int, left: tuple[int, int] | None) -> None:
+    policy = AttemptPolicy(3, SECOND, 0, 300 * MS, 200 * MS, 2 * SECOND)
+    found = remaining_attempt_policy(policy, used, 6)
     assert (None if found is None else (found.max_attempts, found.max_total_attempts)) == left
 
 
-async def test_a_store_that_fails_costs_the_records_and_not_the_calls(autojump_clock: MockClock) -> None:
-    async with kept() as rig:
+async def test_store_failure_loses_records_but_no_calls(autojump_clock: MockClock) -> None:
+    async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial("d1"))
-        link, leg = await leg_at(rig)
+        link, request = await next_at_any_server(rig)
         assert set(rig.store.committed) == {"d1"}
         rig.store.commit_fails = True
         await caller.send(dial("d2", 1))
-        await leg_at(rig)
+        await next_at_any_server(rig)
         assert not rig.store.committed, "an outdated record could cause a second attempt after a kill"
         rig.store.commit_fails = False
-        await link.send(setup.Established("d1", leg.leg))
+        await link.send(setup.Established("d1", request.leg))
         await caller.next(setup.Established)
         await trio.sleep(10.1)
         await caller.send(dial("d3"))
@@ -428,24 +442,26 @@
         assert set(rig.store.committed) == {"d3"}, "new dialogs are recorded again"
 
 
-async def test_no_word_leaves_before_its_record(autojump_clock: MockClock, monkeypatch: Any) -> None:
-    async with kept() as rig:
+async def test_records_are_committed_before_messages_are_sent(
+    autojump_clock: MockClock, monkeypatch: Any
+) -> None:
+    async with resumable_rig() as rig:
         seen: list[tuple[str, bool]] = []
-        departs = rig.edge.context.send_batch.end
+        end_batch = rig.edge.context.send_batch.end
 
         def end() -> None:
-            waiting = [box for box in rig.edge.context.send_batch._queues if box._queued]
-            seen.append(("departs" if waiting else "idle", bool(rig.store._pending)))
-            departs()
+            waiting = [queue for queue in rig.edge.context.send_batch._queues if queue._queued]
+            seen.append(("sends" if waiting else "idle", bool(rig.store._pending)))
+            end_batch()
 
         monkeypatch.setattr(rig.edge.context.send_batch, "end", end)
-        await stood(rig)
+        await established_dialog(rig)
         assert seen
         assert not any(pending for _, pending in seen)
 
 
 @pytest.mark.parametrize("closing", [setup.Full, setup.Fault], ids=["full", "fault"])
-async def test_a_time_out_behind_a_full_event_queue_still_gets_its_dialog_an_answer(
+async def test_timeout_behind_a_full_event_queue_still_leads_to_an_answer(
     closing: Any, autojump_clock: MockClock
 ) -> None:
     # Found by kills under load: the server's closing message had been read but waited in the event queue,
@@ -455,12 +471,12 @@
         caller = await rig.caller()
         await caller.send(dial(no_answer=SECOND))
         link = rig.servers["s0"].link
-        leg = await link.next(setup.Setup)
+        request = await link.next(setup.Setup)
         await trio.sleep(0.8)
         rig.nursery.start_soon(rig.runtime.stall, 170 * MS)
         await trio.sleep(0.05)
         await link.send(*[setup.LoadReported(setup.Load(lines=9, free_lines=9))] * 40)
-        await link.send(closing("d1", leg.leg))
+        await link.send(closing("d1", request.leg))
         await caller.next(setup.Failed | setup.Rejected, within=1)
         await trio.sleep(0.2)
         assert rig.edge.counters.failures == 0
@@ -469,20 +485,22 @@
 # Scenarios with kills
 
 
-def killed(seed: int, kills: int = 4, length: int = 6, ledger: bool = True, more: str = "") -> ScenarioConfig:
-    chance = random.Random(f"{seed}/kills")
-    text = CALM.replace("length = 30s\nseed = 7", f"length = {length}s\nseed = {seed}") + more
+def scenario_with_kills(
+    seed: int, kills: int = 4, length: int = 6, ledger: bool = True, more: str = ""
+) -> ScenarioConfig:
+    rng = random.Random(f"{seed}/kills")
+    text = FAULT_FREE.replace("length = 30s\nseed = 7", f"length = {length}s\nseed = {seed}") + more
     text += "[ledger]\n" if ledger else ""
     slot = (length * 1_000 - 500) // max(1, -(-kills // 3))
     for at in range(kills):
         # Each edge proxy is killed at most once per time slot, so it runs again before its next kill.
-        start, lasts = at // 3 * slot + chance.randrange(200, slot - 350), chance.choice((20, 100, 300))
-        text += f"[trouble k{at}]\nkind = balancer_crash\nstart = {start}ms\nlength = {lasts}ms\n"
+        start, duration = at // 3 * slot + rng.randrange(200, slot - 350), rng.choice((20, 100, 300))
+        text += f"[trouble k{at}]\nkind = balancer_crash\nstart = {start}ms\nlength = {duration}ms\n"
         text += f"on = e{at % 3}\n"
     return scenario_config(IniFile(text, "killed"), "killed")
 
 
-def accounted(rows: list[tap.Row]) -> Verdict:
+def passing_audit(rows: list[tap.Row]) -> Verdict:
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
     assert verdict.forgotten_dialogs == 0
@@ -490,26 +508,32 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_days_with_kills_account_for_every_dialog(seed: int) -> None:
-    rows = run_virtual(killed(seed))
-    assert accounted(rows).resumptions > 20
-    assert rows == run_virtual(killed(seed)), "a run is deterministic"
+def test_scenarios_with_kills_account_for_every_dialog(seed: int) -> None:
+    rows = run_virtual(scenario_with_kills(seed))
+    assert passing_audit(rows).resumptions > 20
+    assert rows == run_virtual(scenario_with_kills(seed)), "a run is deterministic"
 
 
-SLOW = "[trouble s]\nkind = slow\nstart = 1s\nlength = 4s\nsize = 4\non = s0, s1\n"
-MUTE = "[trouble m]\nkind = answer_lost\nstart = 1s\nlength = 4s\nsize = 0.5\non = s0, s1\n"
-DOWN = "[trouble d]\nkind = crash\nstart = 2s\nlength = 1s\non = s0, s1\n"
+SLOW_SERVERS = "[trouble s]\nkind = slow\nstart = 1s\nlength = 4s\nsize = 4\non = s0, s1\n"
+LOST_ANSWERS = "[trouble m]\nkind = answer_lost\nstart = 1s\nlength = 4s\nsize = 0.5\non = s0, s1\n"
+CRASHED_SERVERS = "[trouble d]\nkind = crash\nstart = 2s\nlength = 1s\non = s0, s1\n"
 
 
-@pytest.mark.parametrize("more", [SLOW, MUTE, DOWN, SLOW + DOWN], ids=["slow", "mute", "down", "both"])
-def test_kills_while_servers_are_in_trouble(more: str) -> None:
-    accounted(run_virtual(killed(11, 6, more=more)))
+@pytest.mark.parametrize(
+    "more",
+    [SLOW_SERVERS, LOST_ANSWERS, CRASHED_SERVERS, SLOW_SERVERS + CRASHED_SERVERS],
+    ids=["slow", "mute", "down", "both"],
+)
+def test_kills_during_server_faults(more: str) -> None:
+    passing_audit(run_virtual(scenario_with_kills(11, 6, more=more)))
 
 
-def test_more_is_served_with_a_ledger_than_without() -> None:
+def test_service_level_is_higher_with_a_dialog_store() -> None:
     served = []
     for ledger in (False, True):
-        pairs = [(one := killed(seed, 6, ledger=ledger), run_virtual(one)) for seed in range(20, 24)]
+        pairs = [
+            (one := scenario_with_kills(seed, 6, ledger=ledger), run_virtual(one)) for seed in range(20, 24)
+        ]
         served.append(
             sum(weighted_service_level(account_by_type(rows), one.importance) for one, rows in pairs)
             / len(pairs)
@@ -517,45 +541,45 @@
     assert served[1] > served[0] + 0.01
 
 
-def at_message(number: int) -> Callable[[ScenarioFakes, list[VirtualEdge]], None]:
+def kill_at_message(number: int) -> Callable[[ScenarioFakes, list[VirtualEdge]], None]:
     """Kills e0 when its peers record its n-th dialog message, and starts it again 50 ms later."""
 
     def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-        passes: Any = fakes.tap.record_message
+        original_record_message: Any = fakes.tap.record_message
         count = 0
 
-        def message_(edge: str, peer: str, sent: bool, message: Any) -> None:
+        def counting_record_message(edge: str, peer: str, sent: bool, message: Any) -> None:
             nonlocal count
-            passes(edge, peer, sent, message)
+            original_record_message(edge, peer, sent, message)
             if edge == "e0" and isinstance(message, setup.LegMessage):
                 count += 1
                 if count == number:
                     edges[0]._scope.cancel()
                     assert fakes.nursery is not None
-                    fakes.nursery.start_soon(again)
+                    fakes.nursery.start_soon(start_again)
 
-        async def again() -> None:
+        async def start_again() -> None:
             await trio.sleep(0.05)
             await edges[0].start()
 
-        fakes.tap.record_message = message_  # type: ignore[method-assign]
+        fakes.tap.record_message = counting_record_message  # type: ignore[method-assign]
 
     return prepare
 
 
-def few(seed: int) -> ScenarioConfig:
-    script = killed(seed, 0, 2)
-    return msgspec.structs.replace(script, callers=msgspec.structs.replace(script.callers, rate=9.0))
+def few_dialogs(seed: int) -> ScenarioConfig:
+    scenario = scenario_with_kills(seed, 0, 2)
+    return msgspec.structs.replace(scenario, callers=msgspec.structs.replace(scenario.callers, rate=9.0))
 
 
 @pytest.mark.parametrize("number", range(1, 49))
 def test_a_kill_at_every_message_of_a_few_dialogs(number: int) -> None:
-    accounted(run_virtual(few(3), at_message(number)))
+    passing_audit(run_virtual(few_dialogs(3), kill_at_message(number)))
 
 
-def test_a_kill_while_it_takes_over() -> None:
+def test_kills_during_recovery() -> None:
     def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-        async def kills() -> None:
+        async def kill_repeatedly() -> None:
             await trio.sleep(1.5)
             for pause in (0.0, 0.001, 0.004, 0.02, 0.3, 0.0):
                 await edges[0].kill()
@@ -564,53 +588,55 @@
                 await trio.sleep(pause)
 
         assert fakes.nursery is not None
-        fakes.nursery.start_soon(kills)
+        fakes.nursery.start_soon(kill_repeatedly)
 
-    assert accounted(run_virtual(killed(5, 0, 4), prepare)).resumptions > 5
+    assert passing_audit(run_virtual(scenario_with_kills(5, 0, 4), prepare)).resumptions > 5
 
 
-def test_a_planted_restart_without_the_release_time_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound, init = ResumableAttempts.on_peer_status, ResumableProxy.__init__
+def test_audit_detects_a_restart_that_skips_the_release_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    original_on_peer_status, init = ResumableAttempts.on_peer_status, ResumableProxy.__init__
     proxies: dict[ResumableAttempts, ResumableProxy] = {}
 
-    def known(self: ResumableProxy, *args: Any) -> None:
+    def recording_init(self: ResumableProxy, *args: Any) -> None:
         init(self, *args)
         proxies[self.attempts] = self
 
-    def hasty(self: ResumableAttempts, entry: Any, status: Any, is_same_process: bool) -> None:
-        sound(self, entry, status, is_same_process)
+    def without_release_delay(
+        self: ResumableAttempts, entry: Any, status: Any, is_same_process: bool
+    ) -> None:
+        original_on_peer_status(self, entry, status, is_same_process)
         if not entry.is_established and entry.setup.dialog in self._pending:
             proxies[self].requests.continue_dialog(entry)
 
-    monkeypatch.setattr(ResumableProxy, "__init__", known)
-    monkeypatch.setattr(ResumableAttempts, "on_peer_status", hasty)
-    broken: set[int] = set()
+    monkeypatch.setattr(ResumableProxy, "__init__", recording_init)
+    monkeypatch.setattr(ResumableAttempts, "on_peer_status", without_release_delay)
+    violated: set[int] = set()
     for seed in range(1, 6):
-        broken |= audit(run_virtual(killed(seed, 6, more=SLOW))).violated_rules()
-    assert 5 in broken
+        violated |= audit(run_virtual(scenario_with_kills(seed, 6, more=SLOW_SERVERS))).violated_rules()
+    assert 5 in violated
 
 
-def test_a_planted_store_that_forgets_answers_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_audit_detects_a_store_that_loses_its_records(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(MemoryLedgerStore, "records", lambda self: [])
-    assert 1 in audit(run_virtual(killed(1))).violated_rules()
+    assert 1 in audit(run_virtual(scenario_with_kills(1))).violated_rules()
 
 
 def test_sigkill_under_load_on_loopback(tmp_path: Path) -> None:
-    played = killed(2, kills=5, length=5)
-    verdict = accounted(run_loopback(played, tmp_path))
+    scenario = scenario_with_kills(2, kills=5, length=5)
+    verdict = passing_audit(run_loopback(scenario, tmp_path))
     assert verdict.resumptions > 10
     for place in range(3):
         assert (tmp_path / f"e{place}.ledger" / "data.mdb").exists()
 
 
-def test_the_emulator_takes_over_as_the_program_does() -> None:
+def test_emulated_recovery_matches_the_program() -> None:
     served: dict[str, list[float]] = {"emulated": [], "program": [], "without": []}
     for seed in range(30, 38):
-        played = killed(seed, 6, more=SLOW)
-        for name, rows in (("emulated", run_emulated(played).rows), ("program", run_virtual(played))):
-            assert accounted(rows).resumptions > 10
-            served[name].append(weighted_service_level(account_by_type(rows), played.importance))
-        without = killed(seed, 6, more=SLOW, ledger=False)
+        scenario = scenario_with_kills(seed, 6, more=SLOW_SERVERS)
+        for name, rows in (("emulated", run_emulated(scenario).rows), ("program", run_virtual(scenario))):
+            assert passing_audit(rows).resumptions > 10
+            served[name].append(weighted_service_level(account_by_type(rows), scenario.importance))
+        without = scenario_with_kills(seed, 6, more=SLOW_SERVERS, ledger=False)
         served["without"].append(
             weighted_service_level(account_by_type(run_emulated(without).rows), without.importance)
         )
@@ -619,9 +645,9 @@
     assert means["emulated"] > means["without"] + 0.01
 
 
-def test_an_emulated_edge_proxy_and_its_servers_keep_nothing_that_has_ended() -> None:
-    played = killed(3, 6)
-    fleet = Fleet(played, edge_plans(played))
+def test_emulated_edge_proxies_and_servers_retain_no_ended_dialogs() -> None:
+    scenario = scenario_with_kills(3, 6)
+    fleet = Fleet(scenario, edge_plans(scenario))
     simulate_day(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)
     for edge in fleet.edges:
@@ -634,7 +660,7 @@
 # The store
 
 
-def test_a_voided_store_is_empty_and_goes_on(tmp_path: Path) -> None:
+def test_store_accepts_records_after_clear(tmp_path: Path) -> None:
     moment = Timestamp(1, 1, "b")
     with DialogStore(tmp_path / "store") as store:
         store.put(DialogRecord("d1", "c0", "plain", 0, 0, moment, SECOND, 1))
@@ -648,38 +674,38 @@
         assert store.begin_epoch(5) == 1_001
 
 
-def test_damaged_records_cost_themselves_alone(tmp_path: Path) -> None:
+def test_damaged_record_does_not_affect_others(tmp_path: Path) -> None:
     moment = Timestamp(1, 1, "b")
     with DialogStore(tmp_path / "store") as store:
         store.put(DialogRecord("sound", "c0", "plain", 0, 0, moment, SECOND, 0))
         store.commit()
         with store._env.begin(write=True, db=store._dialogs) as txn:
             txn.put(b"d\xff", b"no checksum fits this")
-        owed = RecoveryLog(store, lambda: moment)
-        assert [record.dialog_id for record, _ in owed.take_over(300 * MS)] == ["sound"]
-        owed.commit(0)
+        recovery_log = RecoveryLog(store, lambda: moment)
+        assert [record.dialog_id for record, _ in recovery_log.take_over(300 * MS)] == ["sound"]
+        recovery_log.commit(0)
         assert [one.dialog_id for one in store.records() if isinstance(one, DialogRecord)] == ["sound"]
         assert not list(store.repair())
-        assert len(owed) == 1
+        assert len(recovery_log) == 1
 
 
-def test_a_record_of_a_release_time_counts_as_let_go() -> None:
+def test_recorded_phase_after_an_attempt_ends() -> None:
     store = MemoryLedgerStore()
-    owed = RecoveryLog(store, lambda: Timestamp(1, 1, "b"))
-    owed.on_accepted(dial(), "c0", SECOND, 0)
-    owed.on_attempt_sent("d1", 0, "s0", 1)
-    owed.on_attempt_ended("d1", Outcome.TIMED_OUT)
-    owed.commit(0)
+    recovery_log = RecoveryLog(store, lambda: Timestamp(1, 1, "b"))
+    recovery_log.on_accepted(dial(), "c0", SECOND, 0)
+    recovery_log.on_attempt_sent("d1", 0, "s0", 1)
+    recovery_log.on_attempt_ended("d1", Outcome.TIMED_OUT)
+    recovery_log.commit(0)
     phases = [store.committed["d1"].phase]
-    owed.on_attempt_sent("d1", 1, "s1", 1)
-    owed.on_attempt_ended("d1", Outcome.FULL)
-    owed.commit(0)
+    recovery_log.on_attempt_sent("d1", 1, "s1", 1)
+    recovery_log.on_attempt_ended("d1", Outcome.FULL)
+    recovery_log.commit(0)
     assert [*phases, store.committed["d1"].phase] == [Phase.CANCELLED, Phase.WAITING]
 
 
 # The command
 
-EDGE = """
+EDGE_INI = """
 [edge]
 name = e
 listen = {listen}
@@ -693,31 +719,31 @@
 """
 
 
-def starts(folder: Path, listen: str = "127.0.0.1:0") -> tuple[int, str]:
+def run_edge_command(folder: Path, listen: str = "127.0.0.1:0") -> tuple[int, str]:
     """Runs `valverouter edge` and stops it once it listens; returns its exit code and log."""
-    (folder / "e.ini").write_text(EDGE.format(folder=folder / "store", listen=listen))
-    words = [sys.executable, "-m", "valverouter.cli", "edge", str(folder / "e.ini")]
-    with subprocess.Popen(words, stderr=subprocess.PIPE, text=True) as ran:
-        said, asked = [], False
-        assert ran.stderr is not None
-        for line in ran.stderr:
-            said.append(line)
-            if '"edge-listening"' in line and not asked:
-                ran.terminate()
-                asked = True
-    return ran.returncode, "".join(said)
+    (folder / "e.ini").write_text(EDGE_INI.format(folder=folder / "store", listen=listen))
+    command = [sys.executable, "-m", "valverouter.cli", "edge", str(folder / "e.ini")]
+    with subprocess.Popen(command, stderr=subprocess.PIPE, text=True) as process:
+        lines, is_stopping = [], False
+        assert process.stderr is not None
+        for line in process.stderr:
+            lines.append(line)
+            if '"edge-listening"' in line and not is_stopping:
+                process.terminate()
+                is_stopping = True
+    return process.returncode, "".join(lines)
 
 
 def test_two_processes_on_one_store(tmp_path: Path) -> None:
     with DialogStore(tmp_path / "store"):
-        code, said = starts(tmp_path)
+        code, log = run_edge_command(tmp_path)
     assert code == 3
-    assert "held by another process" in said
-    assert "Traceback" not in said
+    assert "held by another process" in log
+    assert "Traceback" not in log
 
 
-@pytest.mark.parametrize("how", ["another version", "no store", "cut off", "a page of noughts"])
-def test_a_store_that_can_not_be_read_is_set_aside(how: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("how", ["another version", "no store", "cut off", "a page of zeros"])
+def test_unreadable_store_is_moved_aside(how: str, tmp_path: Path) -> None:
     with DialogStore(tmp_path / "store") as store:
         for at in range(400):
             store.put(DialogRecord(f"d{at}", "c0", "plain", 0, 0, Timestamp(1, 1, "b"), SECOND, 0))
@@ -730,19 +756,19 @@
     elif how == "cut off":
         # Reading the memory map beyond the end of the file killed the process by a signal at every start.
         data.write_bytes(data.read_bytes()[:20_000])
-    elif how == "a page of noughts":
+    elif how == "a page of zeros":
         pages = data.read_bytes()
         at = next(at for at in range(8_192, len(pages), 4_096) if b"plain" in pages[at : at + 4_096])
         data.write_bytes(pages[:at] + bytes(4_096) + pages[at + 4_096 :])
-    code, said = starts(tmp_path)
-    assert code == 0, said
-    assert "Traceback" not in said, said
-    assert '"ledger-set-aside"' in said
+    code, log = run_edge_command(tmp_path)
+    assert code == 0, log
+    assert "Traceback" not in log, log
+    assert '"ledger-set-aside"' in log
     assert any(one.name.startswith("store.aside-") for one in tmp_path.iterdir())
 
 
-def test_an_address_in_use_is_told_with_a_ledger_too(tmp_path: Path) -> None:
-    code, said = starts(tmp_path, "192.0.2.1:1")
+def test_unusable_listen_address_is_reported_with_a_store(tmp_path: Path) -> None:
+    code, log = run_edge_command(tmp_path, "192.0.2.1:1")
     assert code == 3
-    assert "could-not-run" in said
-    assert "Traceback" not in said
+    assert "could-not-run" in log
+    assert "Traceback" not in log
