--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -29,6 +29,7 @@
 from click.testing import CliRunner
 
 from valverouter.cli import fleet_view, fleet_view_output, ledger, regions
+from valverouter.config import recorded_calls
 from valverouter.edge import endpoint_cache
 from valverouter.experiments import runner
 from valverouter.experiments.plan import Run
@@ -38,10 +39,10 @@
 from valverouter.ledger.raft_store import RaftStore
 from valverouter.ledger.supervisor_store import SupervisorStore
 from valverouter.membership import messages, records
+from valverouter.platform_edge import translation as platform_translation
+from valverouter.platform_protocol import bus, lines
 from valverouter.recovery import learned_state, lifecycle
 from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
-from valverouter.relayedge import translation as relay_words
-from valverouter.relaywire import bus, lines
 from valverouter.rollout import (
     disruption_limits,
     disruption_permits,
@@ -54,8 +55,7 @@
     status,
     supervisor_state,
 )
-from valverouter.signalling import framing, greeting, serverlist, setup, tap
-from valverouter.terms import calls
+from valverouter.signalling import framing, greeting, serverlist, setup, traffic_record
 
 KEY = bytes(range(32))
 
@@ -442,7 +442,7 @@
 
 # The platform's
 
-ASKED = relay_words.RelaySetup(
+ASKED = platform_translation.RelaySetup(
     *LEG,
     traffic_type="booking",
     time_left=739,
@@ -455,8 +455,8 @@
 HOST = bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)
 PLATFORM: dict[str, Any] = {
     "asked": ASKED,
-    "answered": relay_words.EstablishedWithDescription(*LEG, "s11", LOAD, description="v=1"),
-    "stood": relay_words.EstablishedDialog(ASKED, "s12"),
+    "answered": platform_translation.EstablishedWithDescription(*LEG, "s11", LOAD, description="v=1"),
+    "stood": platform_translation.EstablishedDialog(ASKED, "s12"),
     "batch": bus.Batch(
         751,
         [bus.BusEvent(757, bus.Topology([bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)], True))],
@@ -468,22 +468,24 @@
 # The rows of a record
 
 ROWS: dict[str, Any] = {
-    "passed": tap.MessageRow(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
-    "told": tap.EndpointUpdateRow(2, 797, "e1", "s1", "draining"),
-    "lost": tap.ConnectionLostRow(3, 809, "e1", "s1"),
-    "began": tap.ServerStartedRow(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
-    "fault": tap.FaultRow(5, 829, 839, "stall", "e1"),
-    "placed": tap.PlacementRow(6, 853, "e1", "north"),
-    "opened": tap.CallersStartedRow(7, 857),
-    "terms": tap.AuditConfigRow(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
-    "ran": tap.EdgeProcessRow(9, 883, "e1", "life-1", True),
-    "found": tap.MembershipEventRow(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
-    "viewed": tap.MembershipViewRow(11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}),
-    "settles": tap.ConvergenceDeadlineRow(12, 911, 919, 929),
-    "limited": tap.DisruptionLimitsRow(13, 937, 2, 1),
-    "turned": tap.StepRow(14, 941, "e1", 947, 2, True, "done"),
-    "runs": tap.ProgramVersionRow(15, 953, "e1", "v16"),
-    "ordered": tap.OperationRow(
+    "passed": traffic_record.MessageRow(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
+    "told": traffic_record.EndpointUpdateRow(2, 797, "e1", "s1", "draining"),
+    "lost": traffic_record.ConnectionLostRow(3, 809, "e1", "s1"),
+    "began": traffic_record.ServerStartedRow(4, 811, "s1", 821, 0.25, 823, 1.5, 827),
+    "fault": traffic_record.FaultRow(5, 829, 839, "stall", "e1"),
+    "placed": traffic_record.PlacementRow(6, 853, "e1", "north"),
+    "opened": traffic_record.CallersStartedRow(7, 857),
+    "terms": traffic_record.AuditConfigRow(8, 859, 863, 877, {"booking": 881}, {"booking": 0.5}),
+    "ran": traffic_record.EdgeProcessRow(9, 883, "e1", "life-1", True),
+    "found": traffic_record.MembershipEventRow(10, 887, "e1", "life-1", "gone", "e2", "life-2"),
+    "viewed": traffic_record.MembershipViewRow(
+        11, 907, "e1", "life-1", "digest-1", "settled", {"e2": "life-2"}
+    ),
+    "settles": traffic_record.ConvergenceDeadlineRow(12, 911, 919, 929),
+    "limited": traffic_record.DisruptionLimitsRow(13, 937, 2, 1),
+    "turned": traffic_record.StepRow(14, 941, "e1", 947, 2, True, "done"),
+    "runs": traffic_record.ProgramVersionRow(15, 953, "e1", "v16"),
+    "ordered": traffic_record.OperationRow(
         16, 967, "o12", "release", "v17", "ended", "done", {"e1": ("done", 971, "v16")}
     ),
 }
@@ -502,10 +504,10 @@
 
 
 CALLS = [
-    calls.RecordedCall(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991),
-    calls.RecordedCall(2_000_000_000, "info"),
+    recorded_calls.RecordedCall(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991),
+    recorded_calls.RecordedCall(2_000_000_000, "info"),
 ]
-PASSED_DEFAULTS = tap.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
+PASSED_DEFAULTS = traffic_record.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
 LINE_DEFAULTS = lines.Line("ping", "", {}, None, None)
 RUN = Run({"decisions": "first", "callers": "40"}, 3, "[day]\nlength = 1 s\n")
 FIGURES = {"declined": 0.125, "wasted": 0.5}
@@ -550,7 +552,7 @@
         | _named("defaults", DEFAULTS, Format.FRAME)
         | _named("defaults", {"row": PASSED_DEFAULTS, "line": LINE_DEFAULTS}, Format.JSON)
         | _named("platform", PLATFORM, Format.JSON)
-        | _named("row", ROWS, Format.JSON, tap.Row)
+        | _named("row", ROWS, Format.JSON, traffic_record.Row)
         | {key: Sample(value, Format.JSON) for key, value in told.items()}
     )
 
@@ -594,8 +596,8 @@
     greeting,
     setup,
     serverlist,
-    tap,
-    relay_words,
+    traffic_record,
+    platform_translation,
     bus,
     lines,
 )
@@ -686,24 +688,24 @@
     serverlist.DrainRequest: "leave",
     serverlist.DrainEnded: "returns",
     serverlist.DrainReply: "left",
-    tap.MessageRow: "passed",
-    tap.EndpointUpdateRow: "told",
-    tap.ConnectionLostRow: "lost",
-    tap.ServerStartedRow: "began",
-    tap.FaultRow: "fault",
-    tap.PlacementRow: "placed",
-    tap.CallersStartedRow: "opened",
-    tap.AuditConfigRow: "terms",
-    tap.EdgeProcessRow: "ran",
-    tap.MembershipEventRow: "found",
-    tap.MembershipViewRow: "viewed",
-    tap.ConvergenceDeadlineRow: "settles",
-    tap.DisruptionLimitsRow: "limited",
-    tap.StepRow: "turned",
-    tap.ProgramVersionRow: "runs",
-    tap.OperationRow: "ordered",
-    relay_words.RelaySetup: "setup",
-    relay_words.EstablishedWithDescription: "stands",
+    traffic_record.MessageRow: "passed",
+    traffic_record.EndpointUpdateRow: "told",
+    traffic_record.ConnectionLostRow: "lost",
+    traffic_record.ServerStartedRow: "began",
+    traffic_record.FaultRow: "fault",
+    traffic_record.PlacementRow: "placed",
+    traffic_record.CallersStartedRow: "opened",
+    traffic_record.AuditConfigRow: "terms",
+    traffic_record.EdgeProcessRow: "ran",
+    traffic_record.MembershipEventRow: "found",
+    traffic_record.MembershipViewRow: "viewed",
+    traffic_record.ConvergenceDeadlineRow: "settles",
+    traffic_record.DisruptionLimitsRow: "limited",
+    traffic_record.StepRow: "turned",
+    traffic_record.ProgramVersionRow: "runs",
+    traffic_record.OperationRow: "ordered",
+    platform_translation.RelaySetup: "setup",
+    platform_translation.EstablishedWithDescription: "stands",
 }
 
 
@@ -766,11 +768,11 @@
 
 
 def write_record(file: Path) -> None:
-    tap.write_rows(file, ROWS.values())
+    traffic_record.write_rows(file, ROWS.values())
 
 
 def write_calls(file: Path) -> None:
-    calls.write_calls(file, CALLS)
+    recorded_calls.write_calls(file, CALLS)
 
 
 def write_list_cache(file: Path) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,24 +11,24 @@
 import trio
 from trio.testing import MockClock
 
-from tests.rig import dial, rigged
+from tests.edge_harness import dial, rigged
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
-from valverouter.days.emulated import edge_plans, run_emulated
-from valverouter.days.virtual import run_virtual
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import simulate_day
 from valverouter.emulator.simulation import EPOCH, RandomStream, Simulation
-from valverouter.experiments.daypage import day_page
+from valverouter.experiments.scenario_page import day_page
+from valverouter.scenarios.emulated import edge_plans, run_emulated
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 from valverouter.servermodel.events import ServerEventKind
 from valverouter.servermodel.profile import ServerProfile
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling import setup
-from valverouter.signalling.tap import MessageRow
-from valverouter.terms.day import ScenarioConfig, load_scenario, scenario_config
-from valverouter.terms.ini import IniFile
+from valverouter.signalling.traffic_record import MessageRow
 
 MS, SECOND = 10**6, 10**9
 DAYS = Path(__file__).parent.parent / "deploy" / "days"
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -17,16 +17,12 @@
 import trio
 from trio.testing import MockClock
 
-from tests.rig import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
+from tests.edge_harness import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
-from valverouter.days.emulated import edge_plans, run_emulated
-from valverouter.days.loopback import run_loopback
-from valverouter.days.memory_network import MemoryRuntime
-from valverouter.days.memory_store import MemoryLedgerStore
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.virtual import VirtualEdge, run_virtual
+from valverouter.config.ini import IniFile
+from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.recovery_log import RecoveryLog
 from valverouter.edge.resumable_attempts import ResumableAttempts
@@ -37,9 +33,13 @@
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
 from valverouter.recovery.plan import remaining_attempt_policy
-from valverouter.signalling import setup, tap
-from valverouter.terms.day import ScenarioConfig, scenario_config
-from valverouter.terms.ini import IniFile
+from valverouter.scenarios.emulated import edge_plans, run_emulated
+from valverouter.scenarios.loopback import run_loopback
+from valverouter.scenarios.memory_network import MemoryRuntime
+from valverouter.scenarios.memory_store import MemoryLedgerStore
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.virtual import VirtualEdge, run_virtual
+from valverouter.signalling import setup, traffic_record
 
 BAD_DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
 FAULT_FREE = BAD_DAY[: BAD_DAY.index("[trouble ")]
@@ -500,7 +500,7 @@
     return scenario_config(IniFile(text, "killed"), "killed")
 
 
-def passing_audit(rows: list[tap.Row]) -> Verdict:
+def passing_audit(rows: list[traffic_record.Row]) -> Verdict:
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
     assert verdict.forgotten_dialogs == 0
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -8,12 +8,12 @@
 
 import click
 
-from valverouter.cli.common import FILE, RULE_VIOLATED, console
+from valverouter.cli.command_support import FILE, RULE_VIOLATED, console
 from valverouter.cli.fleet_processes import raft_server, supervisor
 from valverouter.cli.fleet_view import view
 from valverouter.cli.operations import COMMANDS
-from valverouter.days.emulated_membership import run_emulated_membership
-from valverouter.terms.day import load_scenario
+from valverouter.config.scenario import load_scenario
+from valverouter.scenarios.emulated_membership import run_emulated_membership
 
 NS_PER_S = 1e9
 
--- a/valverouter/edge/logs.py
+++ b/valverouter/edge/logs.py
@@ -19,7 +19,7 @@
 
 import structlog
 
-from valverouter.terms.edge import LogConfig
+from valverouter.config.edge import LogConfig
 
 MAX_QUEUED_BYTES = 1024 * 1024
 # Seconds before the next write after a failed one.
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -8,6 +8,7 @@
 
 from __future__ import annotations
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.edge.caller import DetachedCaller
 from valverouter.edge.caller_requests import CallerRequests
 from valverouter.edge.dialogs import DialogEntry, DialogTable
@@ -22,7 +23,6 @@
 from valverouter.recovery.lifecycle import DialogRecord, Phase
 from valverouter.recovery.plan import PeerStatus, RecoveryAction, RecoveryPlan
 from valverouter.signalling import setup
-from valverouter.terms.edge import EdgeConfig
 
 # How long a server has to report the status of an attempt that was in flight, ns. For an established attempt
 # it has as long as the caller has to resume, `resume_within`.
--- a/valverouter/days/server_agent.py
+++ b/valverouter/scenarios/server_agent.py
@@ -4,7 +4,7 @@
 server is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance
 does: serving, and ready once the server is warm.
 
-python -m valverouter.days.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
+python -m valverouter.scenarios.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 import trio
 
+from valverouter.config.gossip import derive_key
 from valverouter.edge.sockets import UdpSocket, split_address
 from valverouter.fleet.authentication import Authenticator, DatagramReader
 from valverouter.fleet.instance_status import VERSION_VARIABLE
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.rollout.reports import InstanceCounters
-from valverouter.terms.between import derive_key
 
 MESSAGE_BYTES = 64
 WARM = b"warm"
