--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -69,8 +69,8 @@
         await trio.sleep(0.01)
         self.runtime = MemoryRuntime(self.network)
         if clock_shift or boot_id != "memory":
-            now = self.runtime.moment
-            self.runtime.moment = lambda: Timestamp(now().wall + clock_shift, now().monotonic, boot_id)  # type: ignore[method-assign]
+            now = self.runtime.timestamp
+            self.runtime.timestamp = lambda: Timestamp(now().wall + clock_shift, now().monotonic, boot_id)  # type: ignore[method-assign]
         self.edge = self.make_edge()
         await self.nursery.start(self.run_edge)
         await trio.sleep(0.1)
--- a/valverouter/cli/edge.py
+++ b/valverouter/cli/edge.py
@@ -118,7 +118,9 @@
     async for _ in requests:
         try:
             config = await load_when_stable(file)
-            proxy.reload(config, await trio.to_thread.run_sync(proxy.policies_of, config), str(file))
+            proxy.reload(
+                config, await trio.to_thread.run_sync(proxy.build_attempt_policies, config), str(file)
+            )
         except InvalidConfigError as error:
             proxy.reject_reload(str(file), str(error), flaws=len(error.problems))
         except Exception as error:
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -177,13 +177,13 @@
         """Another configuration while running.
 
         Its cross-region rules and attempt policies act, the rest waits for a new start. `policies`: what
-        `policies_of` made of it, in a thread where the check may take long.
+        `build_attempt_policies` made of it, in a thread where the check may take long.
         """
         self.context.events.put(ReloadRequested(config, policies, file))
 
-    def policies_of(self, config: EdgeConfig) -> AttemptPolicies | None:
+    def build_attempt_policies(self, config: EdgeConfig) -> AttemptPolicies | None:
         """The attempt policies of another configuration; InvalidConfigError."""
-        return self.reloader.policies_of(config)
+        return self.reloader.build_attempt_policies(config)
 
     def reject_reload(self, file: str, why: str, **details: Any) -> None:
         """Logs that a configuration could not be read; the present one goes on acting."""
--- a/valverouter/edge/reload.py
+++ b/valverouter/edge/reload.py
@@ -25,7 +25,7 @@
         # The configuration before the last change, to which the guard may roll back; None if there is none.
         self._previous: EdgeConfig | None = None
 
-    def policies_of(self, config: EdgeConfig) -> AttemptPolicies | None:
+    def build_attempt_policies(self, config: EdgeConfig) -> AttemptPolicies | None:
         """Builds the attempt policies of a new configuration; None if it has none.
 
         Raises InvalidConfigError. The checks may take long, so callers run this in a thread.
@@ -83,7 +83,7 @@
         try:
             # Open dialogs keep the attempt policy that they started with; the new policies apply to later
             # ones.
-            policies = event.policies or self.policies_of(new)
+            policies = event.policies or self.build_attempt_policies(new)
             if context.cross_region is not None and new.crossing is not None:
                 context.cross_region.reconfigure(new.crossing, context.now)
         except Exception as error:  # problems in the file, and running out of memory
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -46,7 +46,7 @@
 
     def __init__(self, config: EdgeConfig, runtime: Runtime, store: RecordStore) -> None:
         """Begins a new epoch of `store`."""
-        self.recovery = RecoveryState(RecoveryLog(store, runtime.moment))
+        self.recovery = RecoveryState(RecoveryLog(store, runtime.timestamp))
         super().__init__(config, runtime, self.recovery.log.epoch)
         self._handlers[RecoveryTimer] = self._on_recovery_timer
 
--- a/valverouter/edge/runtime.py
+++ b/valverouter/edge/runtime.py
@@ -48,7 +48,7 @@
     def wall_time(self) -> int:
         """Returns wall time, ns since 1970: for dating files of an earlier process, never for durations."""
 
-    def moment(self) -> Timestamp:
+    def timestamp(self) -> Timestamp:
         """Returns wall time and the monotonic clock of this boot, as stored in dialog records."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
--- a/valverouter/edge/sockets.py
+++ b/valverouter/edge/sockets.py
@@ -268,7 +268,7 @@
         """Returns wall time, ns since 1970."""
         return time.time_ns()
 
-    def moment(self) -> Timestamp:
+    def timestamp(self) -> Timestamp:
         """Returns wall time and the monotonic clock of this boot."""
         return Timestamp(time.time_ns(), time.monotonic_ns(), self._boot_id)
 
--- a/valverouter/scenarios/memory_network.py
+++ b/valverouter/scenarios/memory_network.py
@@ -188,7 +188,7 @@
         """The wall clock, ns since 1970."""
         return WALL_CLOCK_START + round(trio.current_time() * NS_PER_S) - self._wall_clock_setback
 
-    def moment(self) -> Timestamp:
+    def timestamp(self) -> Timestamp:
         """The time on both clocks; all instances of a run share one boot."""
         return Timestamp(self.wall_time(), round(trio.current_time() * NS_PER_S), "memory")
 
