--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -1,4 +1,4 @@
-"""Attempt policies: the file's sections as rules, checked against the limits that the fleet must keep."""
+"""Attempt policies: the [attempts] sections of a file as rules, checked against the fleet's limits."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
 from valverouter.policy.tuning import BACKOFF_BASE, BACKOFF_CAP, MAX_ATTEMPTS, TOKEN
 
-DEFAULT_SOURCE = "the decisions' own"
-# Combinations of sections that are checked.
+# The source that `explain` shows for a value that no section sets.
+DEFAULT_SOURCE = "default"
+# The most combinations of overlapping sections that are checked; a file with more is rejected.
 MAX_COMBINATIONS = 20_000
-# A no-answer time beyond any caller's.
+# Stands for an unlimited no-answer time in the checks, ns.
 NO_TIMEOUT = 1 << 62
 
 
 class AttemptPolicies:
-    """Which attempt policy each dialog gets.
+    """Selects the attempt policy of each dialog, and the retry budget of each server.
 
-    Raises InvalidConfigError with every problem; then nothing of the file acts.
+    The constructor raises InvalidConfigError with all problems found; such a file takes no effect at all.
     """
 
     def __init__(self, config: EdgeConfig) -> None:
@@ -47,35 +48,39 @@
             for number in server_set.servers
         }
         self._sections = {section.name: section for section in config.attempts.sections}
-        self._rules = [rule for section in config.attempts.sections for rule in _rules(section, POLICY_KEYS)]
+        self._rules = [
+            rule for section in config.attempts.sections for rule in _rules_of(section, POLICY_KEYS)
+        ]
         self._budget_rules = [
-            rule for section in config.attempts.sections for rule in _rules(section, BUDGET_KEYS)
+            rule for section in config.attempts.sections for rule in _rules_of(section, BUDGET_KEYS)
         ]
-        # By type and which rules match, not by number: nearly every dialog's number is new, and resolving
-        # costs far more than matching. As many as the file has such combinations.
+        # Cache of resolved policies, keyed by traffic type and the set of matching rules. Not keyed by called
+        # number: nearly every dialog has a new one, and resolving costs far more than matching. The size is
+        # bounded by the combinations of rules in the file.
         self._resolved: dict[tuple[str, tuple[bool, ...]], AttemptPolicy | None] = {}
-        if problems := [*self._find_ties(), *self._find_violations()]:
+        if problems := [*self._ambiguity_problems(), *self._constraint_problems()]:
             raise InvalidConfigError(sorted(problems, key=lambda problem: problem.line))
 
     def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
-        """A dialog's policy; None where no section touches it, or its type is unknown: the default acts."""
-        attributes = self.match_input(traffic_type, number, peer, first_choice)
+        """Returns a dialog's policy; None if the default applies: no rule matches or the type is unknown."""
+        attributes = self.attributes_of(traffic_type, number, peer, first_choice)
         if traffic_type not in self._deployment.traffic_types:
             return None
         key = traffic_type, tuple(rule.condition.matches(attributes) for rule in self._rules)
         if key not in self._resolved:
             found = resolve(self._rules, attributes)
-            self._resolved[key] = self._policy(traffic_type, found) if found else None
+            self._resolved[key] = self._build_policy(traffic_type, found) if found else None
         return self._resolved[key]
 
-    def match_input(
+    def attributes_of(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> DialogAttributes:
-        """What of a dialog decides on its policy.
+        """Returns the attributes that a dialog's rules are matched against.
 
-        Its trunk group is its caller's, its server set that of its first choice.
+        The trunk group is found by the caller's name (`peer`), the server set by the preferred server's
+        number (`first_choice`).
         """
         return DialogAttributes(
             traffic_type,
@@ -86,7 +91,10 @@
         )
 
     def retry_budgets(self) -> dict[int, RetryBudgetConfig]:
-        """Retry budgets by server number, where a section of that server's set, or one for all, sets them."""
+        """Returns the retry budgets of the servers in server sets, by server number.
+
+        Empty if no section sets a retry budget.
+        """
         return {
             number: _retry_budget(resolve(self._budget_rules, DialogAttributes("", "", "", "", name)))
             for number, name in self._server_sets.items()
@@ -94,35 +102,41 @@
         }
 
     def default_retry_budget(self) -> RetryBudgetConfig:
-        """The retry budget of servers in no set."""
+        """Returns the retry budget of servers that belong to no server set."""
         return _retry_budget(resolve(self._budget_rules, DialogAttributes("")))
 
     def explain(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> dict[str, EffectiveSetting]:
-        """Each key's value for such a dialog, and the section and line that it comes from."""
-        attributes = self.match_input(traffic_type, number, peer, first_choice)
+        """Returns the effective value of each key for a dialog, with the section and line that set it."""
+        attributes = self.attributes_of(traffic_type, number, peer, first_choice)
         found = resolve(self._rules, attributes)
-        policy = self._policy(traffic_type, found)
+        policy = self._build_policy(traffic_type, found)
         budget = resolve(self._budget_rules, DialogAttributes("", "", "", "", attributes.server_set))
         effective = _retry_budget(budget)
         values = {key: getattr(policy, field) for key, field in POLICY_FIELDS.items()}
         values |= {"tokens": effective.max_tokens / TOKEN, "fraction": effective.token_ratio / TOKEN}
-        shown = {}
+        explained = {}
         for key, value in values.items():
             source = DEFAULT_SOURCE
             setting = _deciding_key(key, found)
             if effective_setting := {**found, **budget}.get(setting):
                 section = self._sections[effective_setting.source]
                 source = f"{section.file}:{section.lines[setting]} [attempts {section.name}]"
-            shown[key] = EffectiveSetting(value, source)
-        return shown
+            explained[key] = EffectiveSetting(value, source)
+        return explained
 
     def worst_case_policy(
         self, traffic_type: str, number: int, no_answer: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy:
-        """A dialog's policy for its worst case: its caller's no-answer time, any wait of a server."""
-        policy = self.policy_for(traffic_type, number, peer, first_choice) or self._policy(traffic_type, {})
+        """Returns a dialog's policy with every limit filled in, for computing its worst case.
+
+        `no_answer`: the caller's no-answer time in ns. A server may ask for any retry-after up to the
+        resulting no-answer timeout.
+        """
+        policy = self.policy_for(traffic_type, number, peer, first_choice) or self._build_policy(
+            traffic_type, {}
+        )
         timeout = min(no_answer, policy.no_answer_timeout or no_answer)
         allowed = self._deployment.max_attempts
         total = min(policy.max_total_attempts or allowed, allowed)
@@ -131,7 +145,7 @@
         )
 
     def sample_routes(self) -> dict[str, tuple[int, str, int]]:
-        """For each section the number, peer and first choice of a dialog on its route, by its name."""
+        """Returns, by section, a called number, caller name and preferred server that the section matches."""
         found = {}
         for section in self._sections.values():
             keys = section.keys
@@ -143,15 +157,15 @@
         return found
 
     def _trunk_group(self, peer: str) -> str:
-        fits = [
+        patterns = [
             (len(pattern), name)
             for name, group in self._groups.items()
             for pattern in group.peers
             if matches_peer(pattern, peer)
         ]
-        return max(fits, default=(0, ""))[1]
+        return max(patterns, default=(0, ""))[1]
 
-    def _policy(self, traffic_type: str, found: Mapping[str, EffectiveSetting]) -> AttemptPolicy:
+    def _build_policy(self, traffic_type: str, found: Mapping[str, EffectiveSetting]) -> AttemptPolicy:
         known_type = self._deployment.traffic_types.get(traffic_type)
         objective = known_type.latency_objective if known_type is not None else 0
         configured = {
@@ -159,25 +173,27 @@
         }
         policy = replace(default_policy(self._deployment, objective), **configured)
         if "server_share" in found:
-            # Of two ways to say how long one server may take the shorter acts.
+            # `server_share` and `leg_time_out` both limit an attempt's duration: the shorter one applies.
             by_share = max(1, int(found["server_share"].value * policy.latency_objective))
             policy = replace(policy, attempt_timeout=min(by_share, policy.attempt_timeout or by_share))
         return policy
 
-    def _find_ties(self) -> list[ConfigProblem]:
+    def _ambiguity_problems(self) -> list[ConfigProblem]:
         return [
-            self._problem(tie.second, tie.key, f"ties with [attempts {tie.first}]: both match {tie.overlap}")
+            self._make_problem(
+                tie.second, tie.key, f"ties with [attempts {tie.first}]: both match {tie.overlap}"
+            )
             for rules in (self._rules, self._budget_rules)
             for tie in find_ambiguous_rules(rules)
         ]
 
-    def _find_violations(self) -> list[ConfigProblem]:
-        """Each combination of sections that some dialog can meet is checked as a whole."""
+    def _constraint_problems(self) -> list[ConfigProblem]:
+        """Checks the resulting policy of every combination of sections that can match one dialog."""
         problems: dict[tuple[str, str], ConfigProblem] = {}
         combinations = intersection_closure([rule.condition for rule in self._rules], MAX_COMBINATIONS)
         if len(combinations) > MAX_COMBINATIONS:
             section = next(iter(self._sections.values()))
-            reason = f"the sections overlap in more than {MAX_COMBINATIONS} ways; fewer can be checked"
+            reason = f"the sections overlap in more than {MAX_COMBINATIONS} combinations, too many to check"
             return [ConfigProblem(section.file, section.line, f"attempts {section.name}", "", reason)]
         all_types = list(self._deployment.traffic_types)
         for condition in combinations:
@@ -193,36 +209,39 @@
                 if find_ambiguous_rules(matching):
                     continue
                 found = resolve(self._rules, attributes)
-                for key, reason in self._violations_of(self._policy(traffic_type, found)):
+                for key, reason in self._problems_of(self._build_policy(traffic_type, found)):
                     setting = _deciding_key(key, found)
                     rule = found[setting].source if setting in found else matching[0].name
-                    problems.setdefault((rule, setting), self._problem(rule, setting, reason))
+                    problems.setdefault((rule, setting), self._make_problem(rule, setting, reason))
         return list(problems.values())
 
-    def _violations_of(self, policy: AttemptPolicy) -> list[PolicyProblem]:
+    def _problems_of(self, policy: AttemptPolicy) -> list[PolicyProblem]:
         bounded = replace(policy, no_answer_timeout=policy.no_answer_timeout or NO_TIMEOUT)
         found = policy_problems(bounded, self._deployment.release_delay, self._deployment.max_attempts)
         if policy.retry_after > self._deployment.max_retry_after:
             limit = self._deployment.max_retry_after
             found.append(
-                PolicyProblem("come_back", f"past the fleet's come_back_limit of {limit} ns, which would act")
+                PolicyProblem(
+                    "come_back", f"past the fleet's come_back_limit of {limit} ns, which would apply instead"
+                )
             )
         if 0 < policy.no_answer_timeout <= self._answer_margin:
             found.append(
                 PolicyProblem(
-                    "no_answer", f"within answer_margin, {self._answer_margin} ns: no answer could travel"
+                    "no_answer",
+                    f"within answer_margin, {self._answer_margin} ns: no answer could arrive in time",
                 )
             )
         return found
 
-    def _problem(self, rule: str, key: str, reason: str) -> ConfigProblem:
+    def _make_problem(self, rule: str, key: str, reason: str) -> ConfigProblem:
         section = self._sections[rule]
         line = section.lines.get(key, section.line)
         return ConfigProblem(section.file, line, f"attempts {section.name}", key, reason)
 
 
 def default_policy(deployment: Deployment, latency_objective: int) -> AttemptPolicy:
-    """The policy that acts where no file says otherwise."""
+    """Returns the policy of a traffic type for which no section sets anything; times in ns."""
     return AttemptPolicy(
         MAX_ATTEMPTS, latency_objective, 0, deployment.release_delay, BACKOFF_BASE, BACKOFF_CAP
     )
@@ -230,19 +249,21 @@
 
 def _retry_budget(found: Mapping[str, EffectiveSetting]) -> RetryBudgetConfig:
     tokens = round(found["tokens"].value * TOKEN) if "tokens" in found else DEFAULT_RETRY_BUDGET.max_tokens
-    adds = round(found["fraction"].value * TOKEN) if "fraction" in found else DEFAULT_RETRY_BUDGET.token_ratio
-    return RetryBudgetConfig(tokens, adds)
+    token_ratio = (
+        round(found["fraction"].value * TOKEN) if "fraction" in found else DEFAULT_RETRY_BUDGET.token_ratio
+    )
+    return RetryBudgetConfig(tokens, token_ratio)
 
 
 def _deciding_key(key: str, found: Mapping[str, EffectiveSetting]) -> str:
-    """The setting that a value comes from: an attempt's timeout may come from a server's share."""
+    """Returns the key that determines a value: `server_share` may determine the attempt timeout."""
     is_from_share = "server_share" in found and "leg_time_out" not in found
     return "server_share" if key == "leg_time_out" and is_from_share else key
 
 
-def _rules(section: AttemptSection, sets: tuple[str, ...]) -> list[PolicyRule]:
+def _rules_of(section: AttemptSection, key_names: tuple[str, ...]) -> list[PolicyRule]:
     keys = section.keys
-    values = {key: value for key in sets if (value := getattr(keys, key)) is not None}
+    values = {key: value for key in key_names if (value := getattr(keys, key)) is not None}
     if not values:
         return []
     return [
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -1,9 +1,9 @@
-"""An edge proxy whose accepted dialogs outlive its restart, and a caller's broken connection.
+"""An edge proxy whose accepted dialogs survive its restart and the loss of a caller's connection.
 
-It moves a record for each dialog (`recovery_log`), committed at the end of each turn, before what the turn
-queued leaves. At its start it takes over what a previous incarnation left: what each dialog needs is decided
-by `valverouter.recovery`, and so is how fast servers are asked. A dialog goes on once its caller has come
-back for it; without, nobody would hear the answer.
+It keeps a record of each dialog (`recovery_log`) and commits the changes at the end of each turn, before the
+messages queued in the turn are sent. At its start it takes over the records of the previous incarnation.
+`valverouter.recovery` decides what each dialog needs and how fast servers are queried. The routing of a
+dialog continues once its caller has resumed it; before, nobody would receive the answer.
 """
 
 from __future__ import annotations
@@ -24,28 +24,29 @@
 from valverouter.recovery.plan import PeerStatus, RecoveryAction, RecoveryPlan
 from valverouter.signalling import setup
 
-# For so long a server is given to say what became of an attempt that was in flight; for one that is
-# established, as long as its caller has to come back. Nanoseconds.
+# How long a server has to report the status of an attempt that was in flight, ns. For an established attempt
+# it has as long as the caller has to resume, `resume_within`.
 QUERY_TIMEOUT = 1_000_000_000
-# A dialog of a previous incarnation numbers its attempts on from that one's. Its numbers are remembered so
-# much longer than its time, until the last message on any of them has come.
+# The attempts of a dialog that was taken over are numbered after those of the previous incarnation. The
+# offset is kept for this time after the dialog's deadline, until the last message about any attempt has
+# arrived; ns.
 ATTEMPT_OFFSET_LIFETIME = 60_000_000_000
 
 
 def make_edge_proxy(config: EdgeConfig, runtime: Runtime, store: RecordStore | None) -> EdgeProxy:
-    """An instance, resumable where it has a store."""
+    """Returns a ResumableProxy if there is a store, otherwise an EdgeProxy."""
     return EdgeProxy(config, runtime) if store is None else ResumableProxy(config, runtime, store)
 
 
 class ResumableProxy(EdgeProxy):
-    """An instance with a store for the records of its dialogs."""
+    """An edge proxy with a store for the records of its dialogs."""
 
     attempts: ResumableAttempts
     requests: ResumableRequests
 
     def __init__(self, config: EdgeConfig, runtime: Runtime, store: RecordStore) -> None:
         """Begins a new epoch of `store`."""
-        self.recovery = RecoveryState(RecoveryLog(store, runtime.moment))
+        self.recovery = RecoveryState(RecoveryLog(store, runtime.timestamp))
         super().__init__(config, runtime, self.recovery.log.epoch)
         self._handlers[RecoveryTimer] = self._on_recovery_timer
 
@@ -64,23 +65,23 @@
     def _on_link_up(self, event: LinkUp) -> None:
         super()._on_link_up(event)
         if event.link.is_writable:
-            self.attempts.query_link(event.link, event.welcome.incarnation)
+            self.attempts.enqueue_queries(event.link, event.welcome.incarnation)
 
     # Dialogs of a previous incarnation
 
     def _on_start(self) -> None:
         context = self.context
         context.now = now = context.clock.now()
-        found = self.recovery.log.take_over(context.config.deployment.release_delay)
-        for record, plan in found:
+        recovered = self.recovery.log.take_over(context.config.deployment.release_delay)
+        for record, plan in recovered:
             if plan.action is RecoveryAction.RESEND_ANSWER:
                 self.recovery.log.keep_answer_until(record.dialog_id, now + plan.time_left)
             else:
                 self._take_over(record, plan)
-        if found:
+        if recovered:
             self._log.info(
                 "dialogs-recovered",
-                dialogs=len(found),
+                dialogs=len(recovered),
                 standing=self.established_dialogs,
                 epoch=context.epoch,
             )
@@ -91,7 +92,7 @@
         resume_deadline = now + max(plan.time_left, config.ledger.resume_within)
         caller = DetachedCaller(record.caller, resume_deadline)
         entry = DialogEntry(
-            _request_of(record, plan.time_left), caller, deadline, attempts_started=record.attempt + 1
+            _setup_from_record(record, plan.time_left), caller, deadline, attempts_started=record.attempt + 1
         )
         self.dialogs.add(entry)
         if entry.attempts_started:
@@ -111,10 +112,11 @@
         self.context.timers.schedule(at, RecoveryTimer(dialog_id, action))
 
     def _on_recovery_timer(self, timer: RecoveryTimer) -> None:
-        """The time that something was given is over.
+        """Handles the expiry of a timer, whose action says what has expired.
 
-        FORGET: a caller's time to come back; LET_GO: the time of a dialog that has not gone on; ANSWER: the
-        lifetime of its attempt numbers; else the time of what the dialog waits for.
+        FORGET: the caller's time to resume. CANCEL_ATTEMPT: the time of a dialog whose routing has not
+        continued. RESEND_ANSWER: the lifetime of its attempt offset. QUERY_SERVER, AWAIT_RELEASE: the time
+        for that pending action.
         """
         dialog_id = timer.dialog_id
         if timer.action is RecoveryAction.RESEND_ANSWER:
@@ -140,8 +142,8 @@
             self.attempts.abort_dialog(entry.setup.dialog, "caller-gone")
 
 
-def _request_of(record: DialogRecord, time_left: int) -> setup.Setup:
-    """The set-up that a record was made of, with what is left of its time."""
+def _setup_from_record(record: DialogRecord, time_left: int) -> setup.Setup:
+    """Returns the set-up that a record was made from, with `time_left` ns of the caller's time left."""
     return setup.Setup(
         dialog=record.dialog_id,
         traffic_type=record.traffic_type,
