--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -129,22 +129,22 @@
     )
 
 
-NEWS = (member_record(),)
-HEAD = ("e1", 101, 103)
+UPDATES = (member_record(),)
+HEADER = ("e1", 101, 103)
 
 MEMBERSHIP: dict[str, Any] = {
-    "ping": messages.Ping(*HEAD, 5, 107, NEWS),
-    "ack": messages.Ack(*HEAD, 6, "e2", 109, NEWS),
-    "ask": messages.PingReq(*HEAD, 7, "e3", 113, "127.0.0.3:7103", NEWS),
-    "nack": messages.Nack(*HEAD, 8),
-    "gossip": messages.Gossip(*HEAD, NEWS),
-    "sync": messages.SyncDigests(*HEAD, (127, 131), NEWS),
-    "pages": messages.SyncRecords(*HEAD, (137, 139), NEWS),
+    "ping": messages.Ping(*HEADER, 5, 107, UPDATES),
+    "ack": messages.Ack(*HEADER, 6, "e2", 109, UPDATES),
+    "ask": messages.PingReq(*HEADER, 7, "e3", 113, "127.0.0.3:7103", UPDATES),
+    "nack": messages.Nack(*HEADER, 8),
+    "gossip": messages.Gossip(*HEADER, UPDATES),
+    "sync": messages.SyncDigests(*HEADER, (127, 131), UPDATES),
+    "pages": messages.SyncRecords(*HEADER, (137, 139), UPDATES),
 }
 
 # What an instance tells of itself, and of its view
 
-COUNTS = reports.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
+COUNTERS = reports.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
 
 def view_row(state: records.MemberState = records.MemberState.LEFT) -> queries.MemberRow:
@@ -154,18 +154,18 @@
 
 
 VIEW = tuple(view_row(state) for state in records.MemberState)
-VIEWS: dict[str, Any] = {
-    "query": queries.ViewQuery(*HEAD, 9, 4),
-    "count": queries.CountersQuery(*HEAD, 10),
-    "counted": queries.CountersReply(*HEAD, 12, COUNTS),
-    "shown": queries.ViewPage(*HEAD, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
+VIEW_MESSAGES: dict[str, Any] = {
+    "query": queries.ViewQuery(*HEADER, 9, 4),
+    "count": queries.CountersQuery(*HEADER, 10),
+    "counted": queries.CountersReply(*HEADER, 12, COUNTERS),
+    "shown": queries.ViewPage(*HEADER, 14, 1, 3, "doubting", {"stranger": 21, "replay": 22}, VIEW),
 }
 
-PIECE = fragmentation.Fragment("c1", 193, 197, 2, 5, b"of a parcel")
+FRAGMENT = fragmentation.Fragment("c1", 193, 197, 2, 5, b"of a parcel")
 
 # Orders and permits
 
-UNITS = (
+INSTANCES = (
     disruption_limits.Instance("e5", disruption_limits.InstanceKind.EDGE, "east", 199, 1.5),
     disruption_limits.Instance("s6", disruption_limits.InstanceKind.SERVER, "west", 211, 2.5),
 )
@@ -176,12 +176,12 @@
     "back": disruption_permits.InstanceReturned("e8", 223),
     "away": disruption_permits.InstanceLost("e10"),
     "enrol": disruption_permits.EnrollInstances(
-        UNITS,
+        INSTANCES,
         ((disruption_limits.InstanceKind.SERVER, LIMITS), (disruption_limits.InstanceKind.EDGE, LIMITS)),
     ),
     "halt": disruption_permits.HaltDisruptions("as asked", True),
 }
-ORDER_COMMANDS: dict[str, Any] = {
+OPERATION_COMMANDS: dict[str, Any] = {
     "place": operations.Submit("o2", operations.OperationKind.RELEASE, ("e5", "e8"), "v5", 227, "tool"),
     "went": operations.StepReported("o3", "e11", 229, operations.StepStatus.DRAINED, "emptied"),
     "next": operations.Advance("o4", 3),
@@ -189,9 +189,9 @@
     "runs": operations.InstanceReported("e12", "v6", ("v6", "v7"), 239, 2, False),
     "retire": operations.Retire("e13"),
 }
-COMMANDS = PERMIT_COMMANDS | ORDER_COMMANDS
+COMMANDS = PERMIT_COMMANDS | OPERATION_COMMANDS
 MEMBERS = raft_log.Configuration((("c1", 241), ("c2", 251)))
-WANT = operations.DesiredState("v8", False, 257, 1, "o6")
+DESIRED_STATE = operations.DesiredState("v8", False, 257, 1, "o6")
 PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
@@ -199,21 +199,21 @@
     return operations.Participant(step, 269, 3, "v9", "slow")
 
 
-def order(kind: operations.OperationKind, phase: operations.OperationPhase) -> operations.Operation:
+def operation(kind: operations.OperationKind, phase: operations.OperationPhase) -> operations.Operation:
     """With a member for each step."""
     members = {f"m{at}": member(step) for at, step in enumerate(operations.StepStatus)}
     waves = [["m0"], list(members)[1:]]
-    head = f"o-{kind.value}", kind, "v10", 271, "operator"
-    return operations.Operation(*head, waves, members, [1], phase, 1, True, "halted", "partly")
+    header = f"o-{kind.value}", kind, "v10", 271, "operator"
+    return operations.Operation(*header, waves, members, [1], phase, 1, True, "halted", "partly")
 
 
-def book() -> operation_log.OperationLog:
+def full_operation_log() -> operation_log.OperationLog:
     """Every kind of order and every phase of one, at least once each."""
     phases = list(operations.OperationPhase)
     kinds = [list(operations.OperationKind)[at % len(operations.OperationKind)] for at in range(len(phases))]
-    placed = [order(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
+    submitted = [operation(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
     register = disruption_permits.PermitRegister(
-        {unit.name: unit for unit in UNITS},
+        {unit.name: unit for unit in INSTANCES},
         {disruption_limits.InstanceKind.EDGE: LIMITS, disruption_limits.InstanceKind.SERVER: LIMITS},
         {"e14": PERMIT, "e10": None},
         {
@@ -223,7 +223,11 @@
         "until noon",
     )
     return operation_log.OperationLog(
-        register, {"e14": WANT}, {"e14": ("v8", "v9")}, {f"{at}": one for at, one in enumerate(placed)}, 277
+        register,
+        {"e14": DESIRED_STATE},
+        {"e14": ("v8", "v9")},
+        {f"{number}": entry for number, entry in enumerate(submitted)},
+        277,
     )
 
 
@@ -232,19 +236,19 @@
 
 def entries() -> tuple[raft_log.LogEntry, ...]:
     """One of each command, the members, and a leader's first word."""
-    what = [*COMMANDS.values(), MEMBERS, None]
-    return tuple(raft_log.LogEntry(281 + at, one) for at, one in enumerate(what))
+    commands = [*COMMANDS.values(), MEMBERS, None]
+    return tuple(raft_log.LogEntry(281 + index, command) for index, command in enumerate(commands))
 
 
 def snapshot() -> raft_log.Snapshot:
-    return raft_log.Snapshot(283, 280, MEMBERS, book())
+    return raft_log.Snapshot(283, 280, MEMBERS, full_operation_log())
 
 
-def kept_entries() -> tuple[serialization.StoredEntry, ...]:
+def stored_entries() -> tuple[serialization.StoredEntry, ...]:
     return tuple(serialization.to_stored_entry(entry) for entry in entries())
 
 
-COUNCIL: dict[str, Any] = {
+RAFT_MESSAGES: dict[str, Any] = {
     "vote": raft_messages.RequestVote(293, "c1", 307, 311, 313, True),
     "voted": raft_messages.RequestVoteResponse(317, "c2", 331, True, True),
     "appended": raft_messages.AppendEntriesResponse(337, "c3", 347, True, 349, 353),
@@ -254,9 +258,13 @@
 
 # Keepers, and the words between seats, keepers and tools
 
-FACTS = reports.InstanceInfo("e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12"))
-REPORT = reports.SupervisorReport(FACTS, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTS)
-MEMORY = supervisor_state.SupervisorState(
+INSTANCE_INFO = reports.InstanceInfo(
+    "e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12")
+)
+REPORT = reports.SupervisorReport(
+    INSTANCE_INFO, "v12", True, 401, 2, "failed", "no port", 4, True, False, COUNTERS
+)
+SUPERVISOR_STATE = supervisor_state.SupervisorState(
     "v13",
     False,
     "409 boot",
@@ -267,11 +275,13 @@
     ],
 )
 
-WORDS: dict[str, Any] = {
-    **{f"votes-{name}": fleet_messages.RaftEnvelope("c2", message) for name, message in COUNCIL.items()},
+CONTROL_MESSAGES: dict[str, Any] = {
+    **{
+        f"votes-{name}": fleet_messages.RaftEnvelope("c2", message) for name, message in RAFT_MESSAGES.items()
+    },
     "here": fleet_messages.NodeAnnouncement("c3", 431),
     "reported": fleet_messages.ReportMessage(REPORT, 433, 439),
-    "worded": fleet_messages.DesiredStateMessage("c1", "e16", 443, 449, WANT, True),
+    "worded": fleet_messages.DesiredStateMessage("c1", "e16", 443, 449, DESIRED_STATE, True),
     **{
         f"asks-{name}": fleet_messages.ClientRequest(457 + at, "do", command, "about")
         for at, (name, command) in enumerate(COMMANDS.items())
@@ -279,8 +289,8 @@
     "tells": fleet_messages.ClientResponse(461, "c1", True, "c2", msgspec.Raw(b"\xa5whole")),
 }
 
-PLACED = operations.SubmitResult("o10", (("e5",), ("e8", "e11")), "refused")
-TOOL_PAGE = status.FleetStatus(
+SUBMIT_RESULT = operations.SubmitResult("o10", (("e5",), ("e8", "e11")), "refused")
+FLEET_STATUS = status.FleetStatus(
     "c1",
     463,
     ("c1", "c2"),
@@ -339,8 +349,8 @@
 # The set-up protocol and the list's
 
 LOAD = setup.Load(0.75, 6, 7, 8, 9)
-LEG = ("d1", 5)
-SETUP_KINDS = (
+ATTEMPT_ID = ("d1", 5)
+SETUP_MESSAGE_TYPES = (
     setup.Setup
     | setup.Cancel
     | setup.Release
@@ -361,28 +371,28 @@
 )
 SETUP: dict[str, Any] = {
     "setup": setup.Setup(
-        *LEG,
+        *ATTEMPT_ID,
         traffic_type="booking",
         time_left=601,
         preferred_server_number=3,
         called_number=607,
         was_interrupted=True,
     ),
-    "cancel": setup.Cancel(*LEG),
-    "release": setup.Release(*LEG),
-    "resume": setup.Resume(*LEG),
-    "kept": setup.Persisted(*LEG),
-    "provisional": setup.Provisional(*LEG),
-    "stands": setup.Established(*LEG, "s3", LOAD),
-    "ended": setup.Ended(*LEG, "released", LOAD),
-    "line-busy": setup.LineBusy(*LEG, LOAD),
-    "full": setup.Full(*LEG, 613, LOAD),
-    "no-agent": setup.NoAgent(*LEG, LOAD),
-    "fault": setup.Fault(*LEG, "crashed", LOAD),
-    "cancelled": setup.Cancelled(*LEG, LOAD),
-    "declined": setup.Rejected(*LEG, 617),
-    "aborted": setup.Failed(*LEG, "caller-gone"),
-    "unknown": setup.Unknown(*LEG),
+    "cancel": setup.Cancel(*ATTEMPT_ID),
+    "release": setup.Release(*ATTEMPT_ID),
+    "resume": setup.Resume(*ATTEMPT_ID),
+    "kept": setup.Persisted(*ATTEMPT_ID),
+    "provisional": setup.Provisional(*ATTEMPT_ID),
+    "stands": setup.Established(*ATTEMPT_ID, "s3", LOAD),
+    "ended": setup.Ended(*ATTEMPT_ID, "released", LOAD),
+    "line-busy": setup.LineBusy(*ATTEMPT_ID, LOAD),
+    "full": setup.Full(*ATTEMPT_ID, 613, LOAD),
+    "no-agent": setup.NoAgent(*ATTEMPT_ID, LOAD),
+    "fault": setup.Fault(*ATTEMPT_ID, "crashed", LOAD),
+    "cancelled": setup.Cancelled(*ATTEMPT_ID, LOAD),
+    "declined": setup.Rejected(*ATTEMPT_ID, 617),
+    "aborted": setup.Failed(*ATTEMPT_ID, "caller-gone"),
+    "unknown": setup.Unknown(*ATTEMPT_ID),
     "reported": setup.LoadReported(LOAD),
 }
 GREETING: dict[str, Any] = {
@@ -391,12 +401,12 @@
     "error": greeting.Error("malformed", "not a map"),
     "not-understood": greeting.NotUnderstood("brand-new"),
 }
-LIST_ROWS = [
+ENDPOINT_ROWS = [
     serverlist.EndpointRow("s5", 1, "in-service", "127.0.0.5:7005", "east", 647, 653),
     serverlist.EndpointRow("s6", 2, "draining", "127.0.0.6:7006", "west", 659, 661),
     serverlist.EndpointRow("s7", 3, "gone", "127.0.0.7:7007", "north", 673, 677),
 ]
-LIST_KINDS = (
+LIST_MESSAGE_TYPES = (
     serverlist.Watch
     | serverlist.Snapshot
     | serverlist.Change
@@ -404,10 +414,10 @@
     | serverlist.DrainEnded
     | serverlist.DrainReply
 )
-LIST: dict[str, Any] = {
+LIST_MESSAGES: dict[str, Any] = {
     "watch": serverlist.Watch("epoch-1", 683),
-    "snapshot": serverlist.Snapshot("epoch-2", 691, LIST_ROWS),
-    "change": serverlist.Change("epoch-3", 701, LIST_ROWS),
+    "snapshot": serverlist.Snapshot("epoch-2", 691, ENDPOINT_ROWS),
+    "change": serverlist.Change("epoch-3", 701, ENDPOINT_ROWS),
     "leave": serverlist.DrainRequest("s8", 709),
     "returns": serverlist.DrainEnded("s9", 719),
     "left": serverlist.DrainReply("s10", 727, True, "in time"),
@@ -438,12 +448,12 @@
     "change": serverlist.Change("epoch-3", 701, [serverlist.EndpointRow("s5", 1, "gone", "", "", 0, None)]),
     "left": serverlist.DrainReply("s10", 727, True, ""),
 }
-LIST_CACHE = endpoint_cache.CachedEndpoints(733, LIST_ROWS[:2])
+ENDPOINT_CACHE = endpoint_cache.CachedEndpoints(733, ENDPOINT_ROWS[:2])
 
 # The platform's
 
-ASKED = platform_translation.RelaySetup(
-    *LEG,
+PLATFORM_SETUP = platform_translation.RelaySetup(
+    *ATTEMPT_ID,
     traffic_type="booking",
     time_left=739,
     preferred_server_number=4,
@@ -454,9 +464,9 @@
 )
 HOST = bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)
 PLATFORM: dict[str, Any] = {
-    "asked": ASKED,
-    "answered": platform_translation.EstablishedWithDescription(*LEG, "s11", LOAD, description="v=1"),
-    "stood": platform_translation.EstablishedDialog(ASKED, "s12"),
+    "asked": PLATFORM_SETUP,
+    "answered": platform_translation.EstablishedWithDescription(*ATTEMPT_ID, "s11", LOAD, description="v=1"),
+    "stood": platform_translation.EstablishedDialog(PLATFORM_SETUP, "s12"),
     "batch": bus.Batch(
         751,
         [bus.BusEvent(757, bus.Topology([bus.Host("h1", "Ready", "127.0.0.8:1", "north", 2, 761)], True))],
@@ -493,7 +503,7 @@
 # Files in text
 
 
-def account_rows() -> list[dict[str, Any]]:
+def usage_rows() -> list[dict[str, Any]]:
     """The usage of one traffic type between two regions, in one minute."""
     usage = CrossRegionUsage()
     counts = UsageCounters(8, 2, 1, 3, 4, 5, 6, 7)
@@ -503,14 +513,14 @@
     return usage.to_rows("e1", 977, 983)
 
 
-CALLS = [
+RECORDED_CALLS = [
     recorded_calls.RecordedCall(1_250_000_000, "booking", 2, 3_500_000_000, 4, 991),
     recorded_calls.RecordedCall(2_000_000_000, "info"),
 ]
-PASSED_DEFAULTS = traffic_record.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
+MESSAGE_ROW_DEFAULTS = traffic_record.MessageRow(1, 773, "e1", "s1", True, "hello", "", 0, 0, "")
 LINE_DEFAULTS = lines.Line("ping", "", {}, None, None)
 RUN = Run({"decisions": "first", "callers": "40"}, 3, "[day]\nlength = 1 s\n")
-FIGURES = {"declined": 0.125, "wasted": 0.5}
+METRICS = {"declined": 0.125, "wasted": 0.5}
 
 
 # What they are together
@@ -522,38 +532,42 @@
 
 def samples() -> dict[str, Sample]:
     """By a key that stays, however classes are called."""
-    plain: dict[str, Any] = {
+    msgpack_values: dict[str, Any] = {
         **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
         **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
         "fleet.envelope": authentication.Envelope(3, MEMBERSHIP["ping"]),
-        "fleet.posted": authentication.FragmentEnvelope(4, PIECE),
-        **{f"council.entry-{at}": entry for at, entry in enumerate(kept_entries())},
+        "fleet.posted": authentication.FragmentEnvelope(4, FRAGMENT),
+        **{f"council.entry-{at}": entry for at, entry in enumerate(stored_entries())},
         "council.snapshot": serialization.to_stored_snapshot(snapshot()),
-        "orders.placed": PLACED,
-        "orders.shown": TOOL_PAGE,
+        "orders.placed": SUBMIT_RESULT,
+        "orders.shown": FLEET_STATUS,
         "permits.answer": disruption_permits.PermitDecision("o7/e14", PERMIT, "given"),
-        "keeper.memory": MEMORY,
+        "keeper.memory": SUPERVISOR_STATE,
         "keeper.report": REPORT,
         **{f"ledger.record-{phase.value}": dialog_record(phase) for phase in lifecycle.Phase},
         "ledger.learnt": LEARNED_STATE,
         "ledger.damaged": dialog_store.DamagedEntry("dialogs", "d9", "its checksum does not fit"),
     }
-    told = {"orders.json-placed": PLACED, "orders.json-shown": TOOL_PAGE, "list.cache": LIST_CACHE}
+    json_values = {
+        "orders.json-placed": SUBMIT_RESULT,
+        "orders.json-shown": FLEET_STATUS,
+        "list.cache": ENDPOINT_CACHE,
+    }
     return (
-        {key: Sample(value) for key, value in plain.items()}
+        {key: Sample(value) for key, value in msgpack_values.items()}
         | _named("membership", MEMBERSHIP, Format.MSGPACK, messages.Message)
-        | _named("fleet", VIEWS | {"piece": PIECE}, Format.MSGPACK)
-        | _named("sealed", MEMBERSHIP | VIEWS, Format.DATAGRAM, authentication.Envelope)
-        | _named("sealed", {"piece": PIECE}, Format.DATAGRAM, authentication.FragmentEnvelope)
-        | _named("words", WORDS, Format.MSGPACK, fleet_messages.ControlMessage)
-        | _named("setup", SETUP, Format.FRAME, SETUP_KINDS)
+        | _named("fleet", VIEW_MESSAGES | {"piece": FRAGMENT}, Format.MSGPACK)
+        | _named("sealed", MEMBERSHIP | VIEW_MESSAGES, Format.DATAGRAM, authentication.Envelope)
+        | _named("sealed", {"piece": FRAGMENT}, Format.DATAGRAM, authentication.FragmentEnvelope)
+        | _named("words", CONTROL_MESSAGES, Format.MSGPACK, fleet_messages.ControlMessage)
+        | _named("setup", SETUP, Format.FRAME, SETUP_MESSAGE_TYPES)
         | _named("greeting", GREETING, Format.FRAME, greeting.Greeting)
-        | _named("list", LIST, Format.FRAME, LIST_KINDS)
+        | _named("list", LIST_MESSAGES, Format.FRAME, LIST_MESSAGE_TYPES)
         | _named("defaults", DEFAULTS, Format.FRAME)
-        | _named("defaults", {"row": PASSED_DEFAULTS, "line": LINE_DEFAULTS}, Format.JSON)
+        | _named("defaults", {"row": MESSAGE_ROW_DEFAULTS, "line": LINE_DEFAULTS}, Format.JSON)
         | _named("platform", PLATFORM, Format.JSON)
         | _named("row", ROWS, Format.JSON, traffic_record.Row)
-        | {key: Sample(value, Format.JSON) for key, value in told.items()}
+        | {key: Sample(value, Format.JSON) for key, value in json_values.items()}
     )
 
 
@@ -712,7 +726,7 @@
 # Stores, as folders
 
 
-def write_ledger(folder: Path) -> None:
+def write_dialog_store(folder: Path) -> None:
     with dialog_store.DialogStore(folder) as ledger:
         ledger.begin_epoch(547)
         for phase in lifecycle.Phase:
@@ -721,10 +735,10 @@
         ledger.commit()
 
 
-def write_council(folder: Path) -> None:
-    with closing(RaftStore(folder, 997)) as durable:
+def write_raft_store(folder: Path) -> None:
+    with closing(RaftStore(folder, 997)) as store:
         first = snapshot().last_included_index + 1
-        durable.commit(
+        store.commit(
             [
                 raft_log.SaveTerm(1009, "c2"),
                 raft_log.SaveSnapshot(snapshot()),
@@ -733,15 +747,15 @@
         )
 
 
-def write_keeper(folder: Path) -> None:
-    with closing(SupervisorStore(folder)) as durable:
-        durable.save(MEMORY)
+def write_supervisor_store(folder: Path) -> None:
+    with closing(SupervisorStore(folder)) as store:
+        store.save(SUPERVISOR_STATE)
 
 
 STORES: dict[str, Callable[[Path], None]] = {
-    "ledger": write_ledger,
-    "council": write_council,
-    "keeper": write_keeper,
+    "ledger": write_dialog_store,
+    "council": write_raft_store,
+    "keeper": write_supervisor_store,
 }
 
 
@@ -763,8 +777,8 @@
 # Text files, and what commands print as text
 
 
-def write_accounts(file: Path) -> None:
-    file.write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in account_rows()))
+def write_usage(file: Path) -> None:
+    file.write_bytes(b"".join(msgspec.json.encode(row) + b"\n" for row in usage_rows()))
 
 
 def write_record(file: Path) -> None:
@@ -772,17 +786,17 @@
 
 
 def write_calls(file: Path) -> None:
-    recorded_calls.write_calls(file, CALLS)
+    recorded_calls.write_calls(file, RECORDED_CALLS)
 
 
 def write_list_cache(file: Path) -> None:
-    file.write_bytes(msgspec.json.encode(LIST_CACHE))
+    file.write_bytes(msgspec.json.encode(ENDPOINT_CACHE))
 
 
 # What commands print as JSON, for programs of the operators
 
 
-def heard() -> list[view_comparison.ViewAnswer]:
+def view_answers() -> list[view_comparison.ViewAnswer]:
     """Two answers that differ, of whole views, and one that is not whole."""
     first = view_comparison.ViewAnswer("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
     second = view_comparison.ViewAnswer(
@@ -793,24 +807,24 @@
 
 def print_view(file: Path) -> None:
     with file.open("w") as out, redirect_stdout(out):
-        fleet_view_output.print_json(heard(), fleet_view._exit_code(heard()) == 0)
+        fleet_view_output.print_json(view_answers(), fleet_view._exit_code(view_answers()) == 0)
 
 
 def print_view_metrics(file: Path) -> None:
     with file.open("w") as out, redirect_stdout(out):
-        fleet_view_output.print_metrics(heard())
+        fleet_view_output.print_metrics(view_answers())
 
 
 def print_regions(file: Path) -> None:
     with tempfile.TemporaryDirectory() as scratch:
         rows = Path(scratch, "accounts.jsonl")
-        write_accounts(rows)
+        write_usage(rows)
         _run(regions.regions, ["report", "--json", "--edges", "2", str(rows)], file)
 
 
 def print_ledger(file: Path) -> None:
     with tempfile.TemporaryDirectory() as scratch:
-        write_ledger(Path(scratch, "ledger"))
+        write_dialog_store(Path(scratch, "ledger"))
         _run(ledger.ledger, ["export", str(Path(scratch, "ledger"))], file)
 
 
@@ -818,12 +832,12 @@
     file.write_bytes(CliRunner().invoke(command, arguments, catch_exceptions=False).stdout_bytes)
 
 
-TEXTS: dict[str, Callable[[Path], None]] = {
+TEXT_FILES: dict[str, Callable[[Path], None]] = {
     "fleet-view.json": print_view,
     "fleet-view-metrics.txt": print_view_metrics,
     "regions-report.json": print_regions,
     "ledger-export.jsonl": print_ledger,
-    "accounts.jsonl": write_accounts,
+    "accounts.jsonl": write_usage,
     "record.jsonl": write_record,
     "calls.csv": write_calls,
     "list-cache.json": write_list_cache,
@@ -832,16 +846,16 @@
 
 def run_row(file: Path) -> list[Any]:
     """An experiment's run as kept in SQLite, without its key and version, which name the program's source."""
-    with closing(runner.RunStore(file)) as kept:
-        kept.save(RUN, FIGURES)
-        (row,) = kept._db.execute("select variant, seed, levels, day, figures from runs").fetchall()
+    with closing(runner.RunStore(file)) as store:
+        store.save(RUN, METRICS)
+        (row,) = store._db.execute("select variant, seed, levels, day, figures from runs").fetchall()
         return list(row)
 
 
 # Writing it all
 
 
-def _compacted(folder: Path, to: Path) -> None:
+def _copy_compacted(folder: Path, to: Path) -> None:
     to.mkdir(parents=True)
     with closing(lmdb.open(str(folder), max_dbs=8, readonly=True, lock=False)) as env:
         env.copy(str(to), compact=True)
@@ -853,18 +867,18 @@
 
 def write_all(folder: Path) -> None:
     folder.mkdir(parents=True)
-    _write_json(folder / "messages.json", {key: one.encode().hex() for key, one in samples().items()})
+    _write_json(folder / "messages.json", {key: sample.encode().hex() for key, sample in samples().items()})
     _write_json(
         folder / "enumerations.json",
-        {key: [one.value for one in kind] for key, kind in enumerations().items()},
+        {key: [member.value for member in kind] for key, kind in enumerations().items()},
     )
-    for name, write in TEXTS.items():
+    for name, write in TEXT_FILES.items():
         write(folder / name)
     with tempfile.TemporaryDirectory() as scratch:
         for name, write in STORES.items():
             write(Path(scratch, name))
             _write_json(folder / f"{name}.json", tables(Path(scratch, name)))
-            _compacted(Path(scratch, name), folder / name)
+            _copy_compacted(Path(scratch, name), folder / name)
         _write_json(folder / "run.json", run_row(Path(scratch, "runs.sqlite")))
 
 
--- a/tests/test_dialog_store.py
+++ b/tests/test_dialog_store.py
@@ -32,7 +32,7 @@
 from valverouter.recovery.lifecycle import DialogRecord, Phase
 
 
-def test_what_was_committed_is_read_back_and_what_was_not_is_not(tmp_path: Path) -> None:
+def test_only_committed_changes_are_read_back(tmp_path: Path) -> None:
     with DialogStore(tmp_path) as store:
         assert store.begin_epoch() == 1
         for dialog in "abc":
@@ -63,17 +63,15 @@
         assert [entry.dialog_id for entry in store.records() if isinstance(entry, DialogRecord)] == [name]
 
 
-@pytest.mark.parametrize("spot", [0, 3, 4, 20, -1])
-def test_a_flipped_byte_costs_that_entry_alone_and_repair_says_what_was_lost(
-    tmp_path: Path, spot: int
-) -> None:
+@pytest.mark.parametrize("offset", [0, 3, 4, 20, -1])
+def test_a_flipped_byte_damages_one_entry_and_repair_returns_it(tmp_path: Path, offset: int) -> None:
     with DialogStore(tmp_path) as store:
         for dialog in "abc":
             store.put(record(dialog))
         store.commit()
         with store._env.begin(write=True, db=store._dialogs) as transaction:
             value = bytearray(transaction.get(b"b") or b"")
-            value[spot] ^= 0x40
+            value[offset] ^= 0x40
             transaction.put(b"b", bytes(value))
         found = list(store.records())
         assert [entry.dialog_id for entry in found if isinstance(entry, DialogRecord)] == ["a", "c"]
@@ -81,7 +79,7 @@
         assert not any(isinstance(entry, DamagedEntry) for entry in store.records())
 
 
-def test_a_second_process_and_another_version_are_refused(tmp_path: Path) -> None:
+def test_a_second_process_and_another_format_version_are_refused(tmp_path: Path) -> None:
     with DialogStore(tmp_path) as store:
         with pytest.raises(StoreLockedError):
             DialogStore(tmp_path)
@@ -102,33 +100,33 @@
         DialogStore(tmp_path)
 
 
-def fill(store: DialogStore) -> int:
+def fill_store(store: DialogStore) -> int:
     """Commits twenty records at a time until the store is full; returns how many it took."""
-    for kept in count(step=20):
+    for stored in count(step=20):
         for number in range(20):
-            store.put(record(f"d{kept + number}"))
+            store.put(record(f"d{stored + number}"))
         try:
             store.commit()
         except StoreFullError:
-            return kept
+            return stored
     raise AssertionError("unreachable")
 
 
-def test_a_full_store_refuses_the_whole_commit_and_goes_on_when_some_have_ended(tmp_path: Path) -> None:
+def test_a_full_store_rejects_whole_commits_until_records_are_deleted(tmp_path: Path) -> None:
     with DialogStore(tmp_path, max_bytes=256 * 1024) as store:
-        kept = fill(store)
-        assert sum(1 for _ in store.records()) == kept > 500
+        stored = fill_store(store)
+        assert sum(1 for _ in store.records()) == stored > 500
         assert store.pending_changes == 0
-        for name in sorted(f"d{number}" for number in range(kept))[: kept // 2]:
+        for name in sorted(f"d{number}" for number in range(stored))[: stored // 2]:
             store.delete(name)
         store.commit()
         store.put(record("after"))
         assert store.commit() == 1
 
 
-def test_the_size_is_flat_over_a_long_load(tmp_path: Path) -> None:
+def test_the_size_stays_bounded_under_steady_load(tmp_path: Path) -> None:
     with DialogStore(tmp_path) as store:
-        used = []
+        sizes = []
         for number in range(6_000):
             store.put(record(f"d{number}"))
             if number >= 200:
@@ -136,8 +134,8 @@
             if number % 10 == 0:
                 store.commit()
             if number % 1_000 == 999:
-                used.append(store.bytes_in_use())
-        assert used[-1] <= used[1] * 1.2
+                sizes.append(store.bytes_in_use())
+        assert sizes[-1] <= sizes[1] * 1.2
 
 
 WRITER = """
@@ -160,7 +158,7 @@
 """
 
 
-def test_a_process_killed_at_any_moment_leaves_whole_commits(tmp_path: Path) -> None:
+def test_a_killed_process_leaves_only_complete_commits(tmp_path: Path) -> None:
     generator = random.Random(2)
     for _ in range(4):
         writer = subprocess.Popen(
@@ -185,17 +183,15 @@
             store.commit()
 
 
-def test_a_commit_that_the_disk_refuses_leaves_nothing_pending(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    class Refusing:
+def test_a_failed_commit_leaves_nothing_pending(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    class FailingEnvironment:
         def begin(self, **options: Any) -> Any:
             raise lmdb.DiskError("No space left on device")
 
     with DialogStore(tmp_path) as store:
         store.put(record())
         env = store._env
-        monkeypatch.setattr(store, "_env", Refusing())
+        monkeypatch.setattr(store, "_env", FailingEnvironment())
         with pytest.raises(StoreFullError, match="No space left"):
             store.commit()
         monkeypatch.setattr(store, "_env", env)
@@ -215,18 +211,18 @@
         store.commit()
         with store._env.begin(write=True, db=store._dialogs) as transaction:
             transaction.put(b"c", b"nonsense")
-        held = valverouter("ledger", "inspect", str(folder))
-    assert held.returncode == 2
-    assert "held by another process" in held.stderr
-    shown = valverouter("ledger", "inspect", str(folder))
-    assert "2 dialogs" in shown.stdout
-    assert "out: 1" in shown.stdout
+        locked = valverouter("ledger", "inspect", str(folder))
+    assert locked.returncode == 2
+    assert "held by another process" in locked.stderr
+    inspected = valverouter("ledger", "inspect", str(folder))
+    assert "2 dialogs" in inspected.stdout
+    assert "out: 1" in inspected.stdout
     assert valverouter("ledger", "verify", str(folder)).returncode == 1
     assert "lost: dialogs 'c'" in valverouter("ledger", "repair", str(folder)).stdout
     assert valverouter("ledger", "verify", str(folder)).returncode == 0
     lines = valverouter("ledger", "export", str(folder)).stdout.splitlines()
     assert [msgspec.json.decode(line)["dialog"] for line in lines] == ["a", "b"]
-    none = valverouter("ledger", "inspect", str(tmp_path / "nowhere"))
-    assert none.returncode == 2
-    assert "no store" in none.stderr
+    missing = valverouter("ledger", "inspect", str(tmp_path / "nowhere"))
+    assert missing.returncode == 2
+    assert "no store" in missing.stderr
     assert not (tmp_path / "nowhere").exists()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -27,7 +27,7 @@
 # The state machine
 
 
-def test_transitions_of_a_dialog_and_what_each_leaves_on_record() -> None:
+def test_transitions_and_the_records_they_produce() -> None:
     entry = lifecycle.start_attempt(record(), 0, "s0", 5, timestamp(1))
     assert (entry.phase, entry.attempt, entry.server, entry.server_incarnation) == (
         Phase.IN_FLIGHT,
@@ -35,15 +35,23 @@
         "s0",
         5,
     )
-    gone = lifecycle.cancel_attempt(entry, timestamp(2))
-    assert lifecycle.cancel_attempt(gone, timestamp(3)).changed_at == timestamp(3), (
+    cancelled = lifecycle.cancel_attempt(entry, timestamp(2))
+    assert lifecycle.cancel_attempt(cancelled, timestamp(3)).changed_at == timestamp(3), (
         "cancelled again, its release delay starts again"
     )
-    again = lifecycle.start_attempt(lifecycle.end_attempt(gone, timestamp(4)), 1, "s1", 6, timestamp(5))
-    up = lifecycle.establish(again, timestamp(6))
-    assert (up.phase, up.final_answer, up.attempt) == (Phase.ESTABLISHED, "stands", 1)
-    done = lifecycle.conclude(gone, "declined", 125 * MS, timestamp(3))
-    assert (done.phase, done.final_answer, done.retry_after) == (Phase.CONCLUDED, "declined", 125 * MS)
+    second = lifecycle.start_attempt(lifecycle.end_attempt(cancelled, timestamp(4)), 1, "s1", 6, timestamp(5))
+    established = lifecycle.establish(second, timestamp(6))
+    assert (established.phase, established.final_answer, established.attempt) == (
+        Phase.ESTABLISHED,
+        "stands",
+        1,
+    )
+    rejected = lifecycle.conclude(cancelled, "declined", 125 * MS, timestamp(3))
+    assert (rejected.phase, rejected.final_answer, rejected.retry_after) == (
+        Phase.CONCLUDED,
+        "declined",
+        125 * MS,
+    )
     assert lifecycle.take_over(entry, 2).epoch == 2
 
 
@@ -79,7 +87,7 @@
             transition(record(phase=phase))
 
 
-def test_an_attempt_number_is_never_reused_and_an_earlier_epoch_is_fenced_off() -> None:
+def test_a_used_attempt_number_or_epoch_is_rejected() -> None:
     entry = lifecycle.end_attempt(lifecycle.start_attempt(record(), 0, "s0", 1, timestamp(0)), timestamp(1))
     with pytest.raises(InvalidTransitionError, match="leg 0 after leg 0"):
         lifecycle.start_attempt(entry, 0, "s1", 1, timestamp(2))
@@ -118,10 +126,12 @@
     assert elapsed_bounds(earlier, now) == (least, most)
 
 
-def test_a_dialog_that_may_be_past_its_time_is_never_answered() -> None:
-    set_back = timestamp(5, "b2", 0)
+def test_a_dialog_possibly_past_its_deadline_is_never_answered() -> None:
+    clock_set_back = timestamp(5, "b2", 0)
     for phase in Phase:
-        action = plan_on_restart(record(phase=phase, final_answer="declined"), set_back, RELEASE_DELAY).action
+        action = plan_on_restart(
+            record(phase=phase, final_answer="declined"), clock_set_back, RELEASE_DELAY
+        ).action
         assert action in (Action.FORGET, Action.CANCEL_ATTEMPT) or phase is Phase.ESTABLISHED
 
 
@@ -208,29 +218,29 @@
 # Query pacing
 
 
-def test_the_least_time_left_goes_first_and_of_equal_ones_the_higher_priority() -> None:
+def test_queries_are_ordered_by_time_left_then_by_priority() -> None:
     pacer = QueryPacer()
     for dialog_id, seconds, weight in (("late", 5, 9), ("soon", 1, 1), ("soon-urgent", 1, 6), ("mid", 3, 1)):
         pacer.enqueue(dialog_id, "s0", seconds * SECOND, weight)
     assert [dialog_id for dialog_id, _ in pacer.take_due(0)] == ["soon-urgent", "soon", "mid", "late"]
 
 
-def test_a_server_that_does_not_reply_is_asked_less_and_others_are_not() -> None:
+def test_only_a_server_that_does_not_reply_is_sent_fewer_queries() -> None:
     pacer = QueryPacer()
     for number in range(3_000):
         pacer.enqueue(f"d{number}", f"s{number % 2}", 5 * SECOND, 1)
-    asked, now = {"s0": 0, "s1": 0}, 0
+    query_counts, now = {"s0": 0, "s1": 0}, 0
     while now < 20 * SECOND:
         for _, server in pacer.take_due(now):
-            asked[server] += 1
+            query_counts[server] += 1
             if server == "s0":
                 pacer.on_timeout(server, now)
             else:
                 pacer.on_reply(server)
         now += 10 * MS
-    assert asked["s1"] == 1_500
-    assert len(pacer) == 1_500 - asked["s0"]
-    assert asked["s0"] <= 60, "eight at first, then entry for each rest"
+    assert query_counts["s1"] == 1_500
+    assert len(pacer) == 1_500 - query_counts["s0"]
+    assert query_counts["s0"] <= 60, "eight at first, then entry for each rest"
     assert pacer._servers["s0"].window == MIN_WINDOW
 
 
@@ -248,17 +258,17 @@
 # Learned state
 
 
-def test_an_old_token_deficit_does_not_throttle_and_a_fresh_one_does() -> None:
-    spent = LearnedServerState("s0", 5, 4_000, 10_000, 800 * MS, 3 * SECOND)
-    fresh = decay(spent, 5, 100 * MS, 100 * MS)
+def test_a_token_deficit_throttles_only_while_it_is_recent() -> None:
+    depleted = LearnedServerState("s0", 5, 4_000, 10_000, 800 * MS, 3 * SECOND)
+    fresh = decay(depleted, 5, 100 * MS, 100 * MS)
     assert fresh is not None
     assert fresh.tokens * 2 <= fresh.max_tokens
     assert fresh.ejection_left == 2_900 * MS
     assert 700 * MS < fresh.queue_delay < 800 * MS
-    hour = decay(spent, 5, 3_600 * SECOND, 3_600 * SECOND)
-    assert hour is None
-    in_doubt = decay(spent, 5, 0, 1 << 62)
-    assert in_doubt is not None
-    assert in_doubt.tokens == 10_000
-    assert in_doubt.queue_delay == 800 * MS
-    assert decay(spent, 6, 0, 0) is None, "nothing holds for another process of that server"
+    after_an_hour = decay(depleted, 5, 3_600 * SECOND, 3_600 * SECOND)
+    assert after_an_hour is None
+    unknown_elapsed = decay(depleted, 5, 0, 1 << 62)
+    assert unknown_elapsed is not None
+    assert unknown_elapsed.tokens == 10_000
+    assert unknown_elapsed.queue_delay == 800 * MS
+    assert decay(depleted, 6, 0, 0) is None, "nothing holds for another process of that server"
--- a/valverouter/ledger/dialog_store.py
+++ b/valverouter/ledger/dialog_store.py
@@ -75,9 +75,9 @@
         `max_bytes`: what entries may take. StoreLockedError, or StoreError where it can't be read.
         """
         self.path = path
-        syncs = sync == SYNC_EACH_COMMIT
+        sync_commits = sync == SYNC_EACH_COMMIT
         self._environment = LockedEnvironment(
-            path, map_size=MAP_SIZE_FACTOR * max_bytes, max_dbs=3, sync=syncs, metasync=syncs
+            path, map_size=MAP_SIZE_FACTOR * max_bytes, max_dbs=3, sync=sync_commits, metasync=sync_commits
         )
         self._env = self._environment.lmdb
         try:
@@ -180,7 +180,7 @@
                 for (table, key), entry in changes.items():
                     self._apply(transaction, table, key, entry)
         except (lmdb.Error, OSError) as error:
-            raise self._full(error) from error
+            raise self._full_error(error) from error
         return len(changes)
 
     def _apply(self, transaction: Any, table: Any, key: str, entry: Entry | None) -> None:
@@ -191,7 +191,7 @@
         self._bytes_since_count += len(value)
         transaction.put(_encode_key(key), value, db=table)
 
-    def _full(self, error: Exception) -> StoreFullError:
+    def _full_error(self, error: Exception) -> StoreFullError:
         return StoreFullError(f"{self.path}: {type(error).__name__}: {error}")
 
     def _ensure_capacity(self, changes: Mapping[Any, Entry | None]) -> None:
@@ -212,7 +212,7 @@
                 for table in (self._dialogs, self._servers):
                     transaction.drop(table, delete=False)
         except (lmdb.Error, OSError) as error:
-            raise self._full(error) from error
+            raise self._full_error(error) from error
 
     # Reading back
 
--- a/valverouter/recovery/learned_state.py
+++ b/valverouter/recovery/learned_state.py
@@ -18,7 +18,7 @@
 # A queue delay fades to nothing over this time.
 QUEUE_DELAY_LIFETIME: Final = 2 * SECOND
 # About 18 minutes, after which any deficit is gone; it bounds the exponent where the time is unknown.
-_MAX_FADING_TIME: Final = 1 << 40
+_MAX_DECAY_TIME: Final = 1 << 40
 
 
 class LearnedServerState(Struct, frozen=True, array_like=True):
@@ -58,5 +58,5 @@
 
 def _refilled_tokens(state: LearnedServerState, elapsed: int) -> int:
     missing = state.max_tokens - state.tokens
-    half_lives = min(elapsed, _MAX_FADING_TIME) / TOKEN_DEFICIT_HALF_LIFE
+    half_lives = min(elapsed, _MAX_DECAY_TIME) / TOKEN_DEFICIT_HALF_LIFE
     return state.max_tokens - int(missing * 0.5**half_lives)
--- a/valverouter/recovery/model/__init__.py
+++ b/valverouter/recovery/model/__init__.py
@@ -9,7 +9,7 @@
     rule 5        no attempt within the release delay of a cancelled one
     progress      a running proxy with time left and an unanswered dialog always has something to wait for
 
-An `Omission` names one write or safeguard that is left out; the steps that then break a rule are the proof
+An `Safeguard` names one write or safeguard that is left out; the steps that then break a rule are the proof
 that it is needed. Connections end with the proxy's process: what it had sent to the server may still arrive,
 in order, at any later time, or never; what was on its way to it is lost.
 
--- a/valverouter/recovery/model/proxy.py
+++ b/valverouter/recovery/model/proxy.py
@@ -22,14 +22,14 @@
     CHANGED_AT,
     DEADLINE,
     MAX_ATTEMPTS,
-    NOT_WAITING,
+    NO_RELEASE_DELAY,
     RELEASE_DELAY,
     ForgetDialog,
     Message,
     MessageKind,
-    Omission,
     Operation,
     RuleViolationError,
+    Safeguard,
     SendAnswer,
     SendCancel,
     SendProvisional,
@@ -57,20 +57,20 @@
 class Proxy:
     """The proxy's decisions, but for what `omitted` leaves out."""
 
-    omitted: Omission | None = None
+    omitted: Safeguard | None = None
 
     def accept(self, record: DialogRecord) -> tuple[Operation, ...]:
         """A new dialog: its record, the provisional answer, the first attempt."""
         return (
-            *self._write(record, Omission.ACCEPTED_RECORD),
+            *self._write(record, Safeguard.ACCEPTED_RECORD),
             SendProvisional(),
             *self._next_attempt(record, 0),
         )
 
     # Sequences of operations, each write before the message that depends on it
 
-    def _write(self, record: DialogRecord, written: Omission) -> tuple[Operation, ...]:
-        return () if written is self.omitted else (WriteRecord(record, written),)
+    def _write(self, record: DialogRecord, safeguard: Safeguard) -> tuple[Operation, ...]:
+        return () if safeguard is self.omitted else (WriteRecord(record, safeguard),)
 
     def _next_attempt(self, record: DialogRecord, now: int) -> tuple[Operation, ...]:
         """The next attempt, or a rejection where none is left."""
@@ -78,23 +78,23 @@
         if attempt >= MAX_ATTEMPTS or now >= LAST_TICK:
             return self._conclude(record, ANSWER_REJECTED)
         started = start_attempt(record, attempt, "s", 1, CHANGED_AT)
-        return (*self._write(started, Omission.ATTEMPT_RECORD), SendSetup(started))
+        return (*self._write(started, Safeguard.ATTEMPT_RECORD), SendSetup(started))
 
     def _conclude(self, record: DialogRecord, answer: str) -> tuple[Operation, ...]:
         concluded = conclude(record, answer, 0, CHANGED_AT)
-        return (*self._write(concluded, Omission.ANSWER_RECORD), SendAnswer(answer, concluded))
+        return (*self._write(concluded, Safeguard.ANSWER_RECORD), SendAnswer(answer, concluded))
 
     def _establish(self, record: DialogRecord) -> tuple[Operation, ...]:
         established = record if record.phase is Phase.ESTABLISHED else establish(record, CHANGED_AT)
         return (
-            *self._write(established, Omission.ESTABLISHED_RECORD),
+            *self._write(established, Safeguard.ESTABLISHED_RECORD),
             SendAnswer(ANSWER_ESTABLISHED, established),
         )
 
     def _cancel(self, record: DialogRecord) -> tuple[Operation, ...]:
         cancelled = cancel_attempt(record, CHANGED_AT)
         return (
-            *self._write(cancelled, Omission.CANCEL_RECORD),
+            *self._write(cancelled, Safeguard.CANCEL_RECORD),
             SendCancel(record.attempt, cancelled),
             StartReleaseDelay(),
         )
@@ -171,7 +171,7 @@
         record = state.known
         if record is None:
             return
-        if state.release_until != NOT_WAITING and record.phase is Phase.CANCELLED:
+        if state.release_until != NO_RELEASE_DELAY and record.phase is Phase.CANCELLED:
             yield from self._release_delay_steps(state, record)
         if state.query_pending:
             yield Step("the server does not respond", self._on_status(state, record, PeerStatus.NO_RESPONSE))
@@ -182,11 +182,11 @@
     def _release_delay_steps(self, state: State, record: DialogRecord) -> Iterator[Step]:
         if state.now >= state.release_until:
             operations = self._next_attempt(end_attempt(record, CHANGED_AT), state.now)
-            released = replace(state, operations=operations, release_until=NOT_WAITING)
+            released = replace(state, operations=operations, release_until=NO_RELEASE_DELAY)
             yield Step("the release delay is over", released)
         if state.now == LAST_TICK:
             operations = self._conclude(record, ANSWER_FAILED)
-            out_of_time = replace(state, operations=operations, release_until=NOT_WAITING)
+            out_of_time = replace(state, operations=operations, release_until=NO_RELEASE_DELAY)
             yield Step("the dialog's time is nearly over", out_of_time)
 
 
@@ -199,7 +199,7 @@
         operations=(),
         known=None,
         query_pending=False,
-        release_until=NOT_WAITING,
+        release_until=NO_RELEASE_DELAY,
         stale_to_server=(*state.stale_to_server, *state.to_server),
         to_server=(),
         to_proxy=(),
--- a/valverouter/recovery/model/search.py
+++ b/valverouter/recovery/model/search.py
@@ -13,9 +13,9 @@
 from valverouter.recovery.model.server import Server
 from valverouter.recovery.model.state import (
     DEADLINE,
-    NOT_WAITING,
-    Omission,
+    NO_RELEASE_DELAY,
     RuleViolationError,
+    Safeguard,
     State,
     Step,
     timestamp,
@@ -29,7 +29,7 @@
 class Model:
     """The world with at most `max_crashes` crashes; `omitted` leaves one write or safeguard out."""
 
-    def __init__(self, omitted: Omission | None = None, max_crashes: int = 2) -> None:
+    def __init__(self, omitted: Safeguard | None = None, max_crashes: int = 2) -> None:
         """Without arguments: the whole model, as the program is."""
         self._max_crashes = max_crashes
         self._proxy = Proxy(omitted)
@@ -65,7 +65,7 @@
         return False
     if state.answer or state.now >= DEADLINE:
         return False
-    waits_for_timer = state.release_until != NOT_WAITING or record.phase is Phase.IN_FLIGHT
+    waits_for_timer = state.release_until != NO_RELEASE_DELAY or record.phase is Phase.IN_FLIGHT
     return not (state.query_pending or waits_for_timer or state.to_proxy)
 
 
@@ -102,8 +102,8 @@
                 if after not in origins:
                     origins[after] = _Origin(state, description)
                     unexplored.append(after)
-        except (RuleViolationError, InvalidTransitionError) as broken:
-            return _violation(origins, state, str(broken))
+        except (RuleViolationError, InvalidTransitionError) as error:
+            return _violation(origins, state, str(error))
         if len(origins) > max_states:
             raise TooManyStatesError(f"more than {max_states} states")
     return Exploration([], len(origins))
--- a/valverouter/recovery/model/server.py
+++ b/valverouter/recovery/model/server.py
@@ -9,14 +9,14 @@
     AttemptState,
     Message,
     MessageKind,
-    Omission,
     RuleViolationError,
+    Safeguard,
     State,
     Step,
 )
 from valverouter.recovery.plan import PeerStatus
 
-STATUS_OF = {
+PEER_STATUS = {
     AttemptState.UNSEEN: PeerStatus.UNKNOWN,
     AttemptState.IN_FLIGHT: PeerStatus.IN_PROGRESS,
     AttemptState.ESTABLISHED: PeerStatus.ESTABLISHED,
@@ -29,7 +29,7 @@
 class Server:
     """The server's steps, but for what `omitted` leaves out."""
 
-    omitted: Omission | None = None
+    omitted: Safeguard | None = None
 
     def steps(self, state: State) -> Iterator[Step]:
         """Every delivery that may come next, and everything that the server may do by itself."""
@@ -37,7 +37,7 @@
             message, rest = state.to_server[0], state.to_server[1:]
             yield self._receive(replace(state, to_server=rest), message, "")
         yield from self._stale_steps(state)
-        yield from _own_steps(state)
+        yield from _spontaneous_steps(state)
 
     def _stale_steps(self, state: State) -> Iterator[Step]:
         """A connection keeps its order: of each killed proxy the first message comes next, or none at all."""
@@ -50,9 +50,9 @@
             lost = replace(state, stale_to_server=remaining)
             yield Step(f"the rest from epoch {epoch} is lost", lost)
 
-    def _receive(self, state: State, message: Message, sender: str) -> Step:
-        description = f"{message}{sender} reaches the server"
-        if message.epoch < state.server_epoch and self.omitted is not Omission.EPOCH_FENCE:
+    def _receive(self, state: State, message: Message, origin: str) -> Step:
+        description = f"{message}{origin} reaches the server"
+        if message.epoch < state.server_epoch and self.omitted is not Safeguard.EPOCH_FENCE:
             return Step(f"{description} and is fenced off", state)
         state = replace(state, server_epoch=max(message.epoch, state.server_epoch))
         attempt = state.attempts[message.attempt]
@@ -62,12 +62,12 @@
             case MessageKind.CANCEL if attempt in CANCELLABLE:
                 state = _with_attempt(state, message.attempt, AttemptState.CLOSED)
             case MessageKind.QUERY if state.is_running:
-                reply = Message(MessageKind.STATUS, message.attempt, state.epoch, STATUS_OF[attempt])
+                reply = Message(MessageKind.STATUS, message.attempt, state.epoch, PEER_STATUS[attempt])
                 state = replace(state, to_proxy=(*state.to_proxy, reply))
         return Step(description, state)
 
 
-def _own_steps(state: State) -> Iterator[Step]:
+def _spontaneous_steps(state: State) -> Iterator[Step]:
     for attempt, attempt_state in enumerate(state.attempts):
         if attempt_state is AttemptState.IN_FLIGHT:
             established = _respond(state, attempt, AttemptState.ESTABLISHED, MessageKind.ESTABLISHED)
--- a/valverouter/recovery/model/state.py
+++ b/valverouter/recovery/model/state.py
@@ -16,12 +16,12 @@
 RELEASE_DELAY = 1
 MAX_ATTEMPTS = 2
 # No release delay is running.
-NOT_WAITING = -1
+NO_RELEASE_DELAY = -1
 # Earlier than any release delay reaches back.
-LONG_AGO = -9
+NEVER_CANCELLED = -9
 
 
-class Omission(Enum):
+class Safeguard(Enum):
     """A write or a safeguard that a model leaves out, to show that a rule breaks without it."""
 
     ACCEPTED_RECORD = "accepted record"
@@ -68,10 +68,10 @@
 
 
 class WriteRecord(Struct, frozen=True):
-    """The record goes to the store; `written` names which of the writes it is."""
+    """The record goes to the store; `safeguard` names which of the writes it is."""
 
     record: DialogRecord
-    written: Omission
+    safeguard: Safeguard
 
 
 class SendSetup(Struct, frozen=True):
@@ -130,7 +130,7 @@
 
     `known` and `stored`: the record in the proxy's memory and in its store. `operations`: writes and sends
     that the proxy still has to carry out, in order. `query_pending`: it waits for a STATUS; `release_until`:
-    for a release delay, NOT_WAITING where it does not. `stale_to_server` was sent by killed proxies.
+    for a release delay, NO_RELEASE_DELAY where it does not. `stale_to_server` was sent by killed proxies.
     `attempts` is the server's view. `accepted`, `answer`: what the caller was told, "" for no answer yet.
     """
 
@@ -142,13 +142,13 @@
     stored: DialogRecord | None = None
     operations: tuple[Operation, ...] = ()
     query_pending: bool = False
-    release_until: int = NOT_WAITING
+    release_until: int = NO_RELEASE_DELAY
     to_server: tuple[Message, ...] = ()
     stale_to_server: tuple[Message, ...] = ()
     to_proxy: tuple[Message, ...] = ()
     attempts: tuple[AttemptState, ...] = (AttemptState.UNSEEN,) * MAX_ATTEMPTS
     server_epoch: int = 0
-    cancelled_at: int = LONG_AGO
+    cancelled_at: int = NEVER_CANCELLED
     accepted: bool = False
     answer: str = ""
 
