--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""The state machine of a dialog's record, plans after a restart, query pacing, decay of learned state."""
+"""Tests of recovery: the state machine of records, recovery plans, query pacing, decay of learned state."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     )
     cancelled = lifecycle.cancel_attempt(entry, timestamp(2))
     assert lifecycle.cancel_attempt(cancelled, timestamp(3)).changed_at == timestamp(3), (
-        "cancelled again, its release delay starts again"
+        "the release delay of an attempt cancelled again restarts"
     )
     second = lifecycle.start_attempt(lifecycle.end_attempt(cancelled, timestamp(4)), 1, "s1", 6, timestamp(5))
     established = lifecycle.establish(second, timestamp(6))
@@ -89,15 +89,15 @@
 
 def test_a_used_attempt_number_or_epoch_is_rejected() -> None:
     entry = lifecycle.end_attempt(lifecycle.start_attempt(record(), 0, "s0", 1, timestamp(0)), timestamp(1))
-    with pytest.raises(InvalidTransitionError, match="leg 0 after leg 0"):
+    with pytest.raises(InvalidTransitionError, match="attempt number 0 is not above the last one, 0"):
         lifecycle.start_attempt(entry, 0, "s1", 1, timestamp(2))
-    with pytest.raises(InvalidTransitionError, match="epoch 1 after 1"):
+    with pytest.raises(InvalidTransitionError, match="epoch 1 is not above the record's epoch 1"):
         lifecycle.take_over(entry, 1)
-    with pytest.raises(InvalidTransitionError, match="no answer"):
+    with pytest.raises(InvalidTransitionError, match="can't be concluded with the answer 'stands'"):
         lifecycle.conclude(entry, "stands", 0, timestamp(2))
 
 
-# Time over a restart
+# Elapsed time across a restart
 
 
 @pytest.mark.parametrize(
@@ -109,15 +109,20 @@
             timestamp(350, wall_ms=0),
             250 * MS,
             250 * MS,
-        ),  # entry boot: a clock that is set changes nothing
+        ),  # one boot: setting the wall clock has no effect
         (timestamp(100), timestamp(5, "b2", 10**6 + 400), 0, 300 * MS),
-        (timestamp(100), timestamp(5, "b2", 10**6 - 60_000), 0, 1 << 62),  # set back a minute over the boot
+        (
+            timestamp(100),
+            timestamp(5, "b2", 10**6 - 60_000),
+            0,
+            1 << 62,
+        ),  # wall clock set back by a minute across the reboot
         (
             timestamp(100),
             timestamp(50, wall_ms=10**6 + 400),
             0,
             300 * MS,
-        ),  # the monotonic clock went back: another boot
+        ),  # a monotonic clock that went back means a reboot
     ],
 )
 def test_bounds_of_the_time_between_two_timestamps(
@@ -146,7 +151,7 @@
         (Phase.IN_FLIGHT, 8_999, Action.QUERY_SERVER),
         (Phase.IN_FLIGHT, 9_000, Action.CANCEL_ATTEMPT),
         (Phase.CANCELLED, 100, Action.AWAIT_RELEASE),
-        (Phase.CANCELLED, 8_000, Action.AWAIT_RELEASE),  # however long ago: the cancel may never have left
+        (Phase.CANCELLED, 8_000, Action.AWAIT_RELEASE),  # however old: the cancel may never have been sent
         (Phase.CANCELLED, 9_000, Action.FORGET),
         (Phase.ESTABLISHED, 100, Action.QUERY_SERVER),
         (Phase.ESTABLISHED, 90_000, Action.QUERY_SERVER),
@@ -240,7 +245,7 @@
         now += 10 * MS
     assert query_counts["s1"] == 1_500
     assert len(pacer) == 1_500 - query_counts["s0"]
-    assert query_counts["s0"] <= 60, "eight at first, then entry for each rest"
+    assert query_counts["s0"] <= 60, "eight at first, then one after each pause"
     assert pacer._servers["s0"].window == MIN_WINDOW
 
 
@@ -271,4 +276,4 @@
     assert unknown_elapsed is not None
     assert unknown_elapsed.tokens == 10_000
     assert unknown_elapsed.queue_delay == 800 * MS
-    assert decay(depleted, 6, 0, 0) is None, "nothing holds for another process of that server"
+    assert decay(depleted, 6, 0, 0) is None, "the state does not apply to another incarnation of the server"
--- a/valverouter/recovery/__init__.py
+++ b/valverouter/recovery/__init__.py
@@ -1,6 +1,6 @@
-"""Recovery after a restart: what each dialog of a killed process needs.
+"""Recovery of the dialogs of a killed edge proxy process after its restart.
 
-Pure decisions without I/O: `lifecycle` (a record's state machine), `plan` (what a record needs), `pacing`
-(how fast servers are asked), `learned_state` (what of a server's state outlives a restart), `model` (a model
-check of the first two).
+Pure functions without I/O: `lifecycle` (the state machine of a dialog's record), `plan` (the recovery action
+for a record), `pacing` (the rate of status queries to servers), `learned_state` (the learned state of servers
+that is kept over a restart), `model` (a model check of `lifecycle` and `plan`).
 """
--- a/valverouter/recovery/learned_state.py
+++ b/valverouter/recovery/learned_state.py
@@ -1,9 +1,10 @@
-"""What of a server's learned state is worth keeping over a restart, and for how long.
+"""Persists the learned state of servers over a restart of the edge proxy, and decays it with its age.
 
-Kept: retry tokens, since a server that was throttled a second ago is no better for our restart; the queue
-delay and the ejection last known, while they would still hold. Not kept: concurrency windows and attempts in
-flight, which belong to answers that nobody will receive. Slow start always begins anew: a slot that the
-earlier process may have used is never used again, however old the record (rule 4).
+Stored: the retry tokens, since restarting the proxy doesn't make an overloaded server healthy; the last known
+queue delay and ejection, until they expire. Not stored: the concurrency window and the attempts in flight,
+since their answers are lost with the connections of the previous process. Slow start always restarts from the
+beginning: a slot that the previous process may have used is never used again, however old the record is
+(rule 4).
 """
 
 from __future__ import annotations
@@ -13,18 +14,19 @@
 from msgspec import Struct
 
 SECOND: Final = 1_000_000_000
-# Half of the missing tokens are granted again after this time: an hour-old deficit must not throttle.
+# Half of the missing tokens are restored after this time, so that an hour-old deficit doesn't throttle; ns.
 TOKEN_DEFICIT_HALF_LIFE: Final = 10 * SECOND
-# A queue delay fades to nothing over this time.
+# A stored queue delay decreases linearly to zero over this time, ns.
 QUEUE_DELAY_LIFETIME: Final = 2 * SECOND
-# About 18 minutes, after which any deficit is gone; it bounds the exponent where the time is unknown.
+# About 18 minutes, ns: no deficit is left after it. Bounds the exponent when the elapsed time is unknown.
 _MAX_DECAY_TIME: Final = 1 << 40
 
 
 class LearnedServerState(Struct, frozen=True, array_like=True):
-    """What was learned of one server process, as last written. Stored by position: the order stays.
+    """The learned state of one server process when last stored.
 
-    `tokens` and `max_tokens` in thousandths of a retry token; `queue_delay` and `ejection_left` in ns.
+    Fields are stored by position, so their order must not change. `tokens` and `max_tokens` are in
+    thousandths of a retry token; `queue_delay` and the remaining time of an ejection, `ejection_left`, in ns.
     """
 
     server: str
@@ -38,11 +40,12 @@
 def decay(
     state: LearnedServerState, server_incarnation: int, min_elapsed: int, max_elapsed: int
 ) -> LearnedServerState | None:
-    """What is left of it when between `min_elapsed` and `max_elapsed` ns have gone by.
+    """Returns the state after between `min_elapsed` and `max_elapsed` ns have elapsed.
 
-    None: nothing is left, or it is of another process of that server. In doubt the figure that is kinder to
-    the server's callers is taken: missing tokens fade by the most time that may have passed, so that an old
-    record can't throttle; the queue delay by the least, so that a fresh one still warns.
+    Returns None if nothing of it is left, or if the server has restarted since (another incarnation). When
+    the elapsed time is uncertain, the bound that is better for callers applies: the token deficit and the
+    ejection decay by the maximum, so that an old record can't throttle; the queue delay by the minimum, so
+    that a recent one still counts.
     """
     if server_incarnation != state.server_incarnation:
         return None
--- a/valverouter/recovery/lifecycle.py
+++ b/valverouter/recovery/lifecycle.py
@@ -1,15 +1,15 @@
-"""The state machine of a dialog's record: which write must be on disk before which message leaves.
+"""The state machine of a dialog's record, which must be written before each message that depends on it.
 
-    message                               on disk before it leaves
-    Provisional to the caller             the dialog's record: from then on its caller has to get an answer
+    message                               write that must be on disk before the message is sent
+    Provisional to the caller             the dialog's record: from then on the caller is owed an answer
     Setup to a server                     the attempt, its server and that server's incarnation
-    the next Setup after a failed one     the same, and no sooner than the release delay
-    Cancel to a server                    the cancel, so that its release delay is waited for
-    the final answer to the caller        the answer itself: after a restart it can only be repeated
+    the next Setup after a failed one     the same, and not before the release delay has passed
+    Cancel to a server                    the cancel, so that a restarted process waits for the release delay
+    the final answer to the caller        the answer: after a restart it can only be repeated, not changed
 
-A record leaves the store once its caller has the answer and no dialog is established, or once its time is
-over. A transition that the table does not allow raises InvalidTransitionError: a fault of this program, found
-before anything is sent.
+A record is removed once its caller has the answer and no dialog is established, or once its deadline has
+passed; that of an established dialog is kept until the dialog ends. A transition that the record's phase
+doesn't allow raises InvalidTransitionError: it is a bug in this program, detected before a message is sent.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 import msgspec
 from msgspec import Struct
 
-# The values of DialogRecord.final_answer, as they are stored.
+# The stored values of DialogRecord.final_answer.
 ANSWER_ESTABLISHED: Final = "stands"
 ANSWER_REJECTED: Final = "declined"
 ANSWER_FAILED: Final = "aborted"
 
-# The upper bound of an elapsed time that is not known, ns.
+# The upper bound of an unknown elapsed time, ns.
 UNBOUNDED: Final = 1 << 62
 
 
 class Phase(Enum):
-    """Where a dialog is. The values are stored.
+    """The phase of a dialog. The values are stored.
 
-    WAITING: no attempt is in flight. CANCELLED: the attempt was cancelled and its release delay runs.
-    CONCLUDED: it was rejected or has failed, and the final answer is on record.
+    WAITING: no attempt is in flight. CANCELLED: the attempt was cancelled and its release delay is running.
+    CONCLUDED: the dialog was rejected or has failed, and the record has its final answer.
     """
 
     WAITING = "waiting"
@@ -44,7 +44,7 @@
 
 
 class Timestamp(Struct, frozen=True, array_like=True):
-    """A time on this machine: wall clock (ns since 1970), and the monotonic clock (ns) of one boot."""
+    """A time on this machine: the wall clock (ns since 1970) and the monotonic clock (ns) of one boot."""
 
     wall: int
     monotonic: int
@@ -52,11 +52,13 @@
 
 
 class DialogRecord(Struct, frozen=True, array_like=True):
-    """A dialog as the store holds it. Stored by position: the order of the fields stays.
+    """A dialog as stored. Fields are stored by position, so their order must not change.
 
-    `time_left`: what was left of the caller's time at `accepted_at`, ns. `epoch`: that of the instance that
-    wrote the record. `attempt`: the number of the last attempt sent, -1 for none; `server` and
-    `server_incarnation` say which process of which server has it. `retry_after`: of a rejection, ns.
+    `time_left`: the time from `accepted_at` to the caller's deadline, ns. `epoch`: the epoch of the edge
+    proxy process that wrote the record. `attempt`: the number of the last attempt sent, -1 for none; `server`
+    and `server_incarnation` identify the server process that it was sent to. `changed_at`: the time of the
+    last transition. `retry_after`: sent with a rejection, ns. `was_interrupted`: the caller's set-up replaces
+    an established dialog that was lost.
     """
 
     dialog_id: str
@@ -84,10 +86,15 @@
 def start_attempt(
     record: DialogRecord, attempt: int, server: str, server_incarnation: int, now: Timestamp
 ) -> DialogRecord:
-    """An attempt is about to leave. Each has a number of its own, and only one is in flight at a time."""
+    """Returns the record to store before an attempt is sent; no other attempt may be in flight.
+
+    Attempt numbers increase and are never reused.
+    """
     _require_phase(record, Phase.WAITING)
     if attempt <= record.attempt:
-        raise InvalidTransitionError(f"{record.dialog_id}: leg {attempt} after leg {record.attempt}")
+        raise InvalidTransitionError(
+            f"{record.dialog_id}: attempt number {attempt} is not above the last one, {record.attempt}"
+        )
     return msgspec.structs.replace(
         record,
         phase=Phase.IN_FLIGHT,
@@ -99,19 +106,25 @@
 
 
 def cancel_attempt(record: DialogRecord, now: Timestamp) -> DialogRecord:
-    """The attempt is about to be cancelled, possibly again: its release delay starts now."""
+    """Returns the record to store before the attempt is cancelled, or cancelled again.
+
+    The release delay starts at `now`.
+    """
     _require_phase(record, Phase.IN_FLIGHT, Phase.CANCELLED)
     return msgspec.structs.replace(record, phase=Phase.CANCELLED, changed_at=now)
 
 
 def end_attempt(record: DialogRecord, now: Timestamp) -> DialogRecord:
-    """The server closed the attempt, or its release delay has passed: another may start."""
+    """Returns the record after the server closed the attempt or the release delay passed.
+
+    The next attempt may then start.
+    """
     _require_phase(record, Phase.IN_FLIGHT, Phase.CANCELLED)
     return msgspec.structs.replace(record, phase=Phase.WAITING, changed_at=now)
 
 
 def establish(record: DialogRecord, now: Timestamp) -> DialogRecord:
-    """The attempt is established, which is also the final answer."""
+    """Returns the record of an established attempt, which is also the final answer to the caller."""
     _require_phase(record, Phase.IN_FLIGHT)
     return msgspec.structs.replace(
         record, phase=Phase.ESTABLISHED, final_answer=ANSWER_ESTABLISHED, changed_at=now
@@ -119,10 +132,12 @@
 
 
 def conclude(record: DialogRecord, final_answer: str, retry_after: int, now: Timestamp) -> DialogRecord:
-    """The dialog is rejected or has failed. An attempt in flight must have been cancelled before."""
+    """Returns the record of a rejected or failed dialog. An attempt in flight must be cancelled first."""
     _require_phase(record, Phase.WAITING, Phase.CANCELLED)
     if final_answer not in (ANSWER_REJECTED, ANSWER_FAILED):
-        raise InvalidTransitionError(f"{record.dialog_id}: {final_answer!r} is no answer")
+        raise InvalidTransitionError(
+            f"{record.dialog_id}: a dialog can't be concluded with the answer {final_answer!r}"
+        )
     return msgspec.structs.replace(
         record, phase=Phase.CONCLUDED, final_answer=final_answer, retry_after=retry_after, changed_at=now
     )
@@ -131,12 +146,15 @@
 def take_over(
     record: DialogRecord, epoch: int, now: Timestamp | None = None, time_left: int = 0
 ) -> DialogRecord:
-    """A later instance takes the dialog over; its epoch fences off an earlier one that still runs.
+    """Returns the record as taken over by a later process with the given epoch.
 
-    With `now`, the caller's time is `time_left` ns from there on.
+    The higher epoch fences off the previous process if it is still running. If `now` is given, the caller's
+    deadline becomes `time_left` ns after `now`.
     """
     if epoch <= record.epoch:
-        raise InvalidTransitionError(f"{record.dialog_id}: epoch {epoch} after {record.epoch}")
+        raise InvalidTransitionError(
+            f"{record.dialog_id}: epoch {epoch} is not above the record's epoch {record.epoch}"
+        )
     if now is None:
         return msgspec.structs.replace(record, epoch=epoch)
     return msgspec.structs.replace(record, epoch=epoch, accepted_at=now, time_left=time_left)
@@ -144,14 +162,15 @@
 
 def _require_phase(record: DialogRecord, *allowed: Phase) -> None:
     if record.phase not in allowed:
-        raise InvalidTransitionError(f"{record.dialog_id}: not from {record.phase.value}")
+        raise InvalidTransitionError(f"{record.dialog_id}: not allowed in phase {record.phase.value}")
 
 
 def elapsed_bounds(earlier: Timestamp, now: Timestamp) -> tuple[int, int]:
-    """The least and the most time that may have gone by between two timestamps, ns.
+    """Returns the minimum and the maximum time that may have elapsed between two timestamps, ns.
 
-    Within one boot the monotonic clock is exact. Across a boot only wall time is left, and it may have been
-    set: forward, so the least is nothing; back, so where it runs backwards the most is unknown (UNBOUNDED).
+    Within one boot the monotonic clock is exact. Across a reboot only the wall clock can be compared, and it
+    may have been set in between. If it was set forward, less time has elapsed than it shows, so the minimum
+    is zero. If it shows that time ran backwards, it was set back and the maximum is UNBOUNDED.
     """
     if earlier.boot_id == now.boot_id and now.monotonic >= earlier.monotonic:
         elapsed = now.monotonic - earlier.monotonic
--- a/valverouter/recovery/pacing.py
+++ b/valverouter/recovery/pacing.py
@@ -1,9 +1,9 @@
-"""In which order, and how fast, a restarted instance asks servers for the attempts of the process before it.
+"""Paces the status queries that a restarted process sends to servers about its predecessor's attempts.
 
-A restart with thousands of records must not be a surge at servers that are in trouble already. Each server
-has a window of unanswered queries (AIMD): it widens with each reply, as the routing policy's window for
-attempts does, and halves when none comes in time. Within it the queries with the least time left go first, of
-equal times those with the higher priority weight.
+After a restart with thousands of records, querying all at once could overload servers that are already in
+trouble. Each server has an AIMD window of unanswered queries: it grows with each reply, like the routing
+policy's window of attempts in flight, and is halved when a query times out. Queries with the least time left
+are sent first, and among equal times those with the higher priority weight.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from typing import Final, NamedTuple
 
 SECOND: Final = 1_000_000_000
-# Unanswered queries at one server.
+# Limits of the window, in unanswered queries at one server.
 INITIAL_WINDOW: Final = 8.0
 MIN_WINDOW: Final = 1.0
 MAX_WINDOW: Final = 64.0
-# Times left within one bucket count as equal, so that the priority weight decides; ns.
+# Queries whose times left fall into the same bucket are ordered by priority weight; ns.
 TIME_LEFT_BUCKET: Final = SECOND // 4
 
 
 class _Query(NamedTuple):
-    """A query that waits; heap order is the order of the fields."""
+    """A waiting query. The order of the fields defines the order in the heap."""
 
     time_left_bucket: int
     negative_weight: float
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class _ServerQueue:
-    """The queries of one server: those that wait, and how many are unanswered."""
+    """The queries to one server: `waiting` is a heap, `in_flight` counts the unanswered ones."""
 
     window: float = INITIAL_WINDOW
     in_flight: int = 0
@@ -40,15 +40,15 @@
     paused_until: int = 0
 
     def may_send(self, now: int) -> bool:
-        """Whether a query waits and may leave now."""
+        """Returns whether a query is waiting and may be sent now."""
         return bool(self.waiting) and self.in_flight < int(self.window) and now >= self.paused_until
 
 
 @dataclass(slots=True)
 class QueryPacer:
-    """Queries that wait, by server; each leaves when it is sent, or discarded with its dialog.
+    """Queues of waiting queries by server. A query is removed when it is sent or when its dialog has ended.
 
-    `pause`: how long a server that did not reply is left alone, ns.
+    `pause`: the time without queries to a server after a timeout, ns.
     """
 
     pause: int = SECOND // 2
@@ -57,23 +57,26 @@
     _last_serial: int = 0
 
     def __len__(self) -> int:
-        """How many queries wait."""
+        """Returns the number of waiting queries."""
         return sum(len(queue.waiting) for queue in self._servers.values()) - len(self._discarded)
 
     def enqueue(self, dialog_id: str, server: str, time_left: int, priority_weight: float) -> None:
-        """A dialog whose server has to be asked; `time_left`: of its caller's time, ns."""
+        """Adds a query to the server of a dialog's attempt; `time_left`: until the caller's deadline, ns."""
         self._last_serial += 1
         query = _Query(time_left // TIME_LEFT_BUCKET, -priority_weight, self._last_serial, dialog_id)
         heapq.heappush(self._servers.setdefault(server, _ServerQueue()).waiting, query)
 
     def discard(self, dialog_id: str) -> None:
-        """The dialog is over: its query is not sent any more."""
+        """Drops the waiting query of a dialog that has ended, if there is one."""
         queues = self._servers.values()
         if any(dialog_id == query.dialog_id for queue in queues for query in queue.waiting):
             self._discarded.add(dialog_id)
 
     def take_due(self, now: int) -> list[tuple[str, str]]:
-        """Dialog ids with the servers to ask now, the least time left first at each server."""
+        """Removes the queries to send now and returns their dialog ids and servers.
+
+        At each server the query with the least time left comes first.
+        """
         due = []
         for server, queue in self._servers.items():
             while queue.may_send(now):
@@ -86,13 +89,16 @@
         return due
 
     def on_reply(self, server: str) -> None:
-        """The server replied: its window widens by one a window's worth of replies."""
+        """Handles a reply of a server: its window grows by one query per window of replies."""
         queue = self._servers[server]
         queue.in_flight -= 1
         queue.window = min(MAX_WINDOW, queue.window + 1 / queue.window)
 
     def on_timeout(self, server: str, now: int) -> None:
-        """The server did not reply in time: half the window, after a pause."""
+        """Handles a query that timed out: halves the server's window and pauses its queries.
+
+        Further timeouts during the pause don't halve the window again.
+        """
         queue = self._servers[server]
         queue.in_flight -= 1
         if now >= queue.paused_until:
--- a/valverouter/recovery/plan.py
+++ b/valverouter/recovery/plan.py
@@ -1,7 +1,7 @@
-"""What a restarted instance does with each record, and with a server's status of an attempt.
+"""Plans the recovery of a dialog from its record and from the server's status of its attempt.
 
-Where times are in doubt the plan is the one that breaks no rule whichever is true: a dialog that may be past
-its time is not answered, and a release delay that may not have passed is waited for whole.
+When the elapsed time is uncertain, the plan breaks no rule for any time within the bounds: a dialog that may
+be past its deadline is not answered, and a release delay that may not have passed is waited for in full.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class RecoveryAction(Enum):
-    """What a record needs.
+    """The recovery action for a dialog.
 
-    FORGET: nothing more. RESEND_ANSWER: the answer on record goes out, again if need be.
-    RESEND_ANSWER_AND_END: the same, then the word that the established dialog has ended; its server is sent a
-    cancel where it may not know. CONTINUE_ROUTING: the routing policy goes on with the time that is left.
-    AWAIT_RELEASE: the release delay first. QUERY_SERVER: its server is asked for the attempt.
-    CANCEL_ATTEMPT: the attempt is cancelled, then the release delay runs.
+    FORGET: remove the record. RESEND_ANSWER: send the recorded answer, again if it was already sent.
+    RESEND_ANSWER_AND_END: the same, then report that the established dialog has ended; cancel the attempt if
+    its server may not know that. CONTINUE_ROUTING: continue with the routing policy in the remaining time.
+    AWAIT_RELEASE: wait for the release delay, then continue. QUERY_SERVER: query the server for the status of
+    the attempt. CANCEL_ATTEMPT: cancel the attempt, then wait for the release delay.
     """
 
     FORGET = auto()
@@ -33,9 +33,9 @@
 
 
 class PeerStatus(Enum):
-    """What a server says of an attempt that it is asked for.
+    """A server's status of an attempt.
 
-    UNKNOWN: this process of it knows no such attempt. NO_RESPONSE: it said nothing within the time given.
+    UNKNOWN: the present server process has no such attempt. NO_RESPONSE: the query timed out.
     """
 
     ESTABLISHED = auto()
@@ -45,13 +45,13 @@
     NO_RESPONSE = auto()
 
 
-# The attempt may still run at its server.
+# Statuses with which the attempt may still be in progress or established at its server.
 _MAY_BE_RUNNING = (PeerStatus.ESTABLISHED, PeerStatus.IN_PROGRESS, PeerStatus.NO_RESPONSE)
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveryPlan:
-    """The action, the least that is left of the caller's time, and the delay before any new attempt; ns."""
+    """A recovery action, the minimum time to the caller's deadline and the delay before a new attempt, ns."""
 
     action: RecoveryAction
     time_left: int = 0
@@ -59,11 +59,11 @@
 
 
 def plan_on_restart(record: DialogRecord, now: Timestamp, release_delay: int) -> RecoveryPlan:
-    """What a record needs when a new instance finds it; `release_delay` in ns."""
+    """Returns the plan for a record that a restarted process found in its store; `release_delay` is in ns."""
     _, max_elapsed = elapsed_bounds(record.accepted_at, now)
     time_left = record.time_left - max_elapsed
     if record.phase is Phase.ESTABLISHED:
-        # Past its caller's time too: an established dialog goes on until one side ends it.
+        # Also past the caller's deadline: an established dialog lasts until one side ends it.
         return RecoveryPlan(RecoveryAction.QUERY_SERVER, max(0, time_left))
     if time_left <= 0:
         is_in_flight = record.phase is Phase.IN_FLIGHT
@@ -74,8 +74,8 @@
         case Phase.IN_FLIGHT:
             return RecoveryPlan(RecoveryAction.QUERY_SERVER, time_left)
         case Phase.CANCELLED:
-            # However long ago it was written: the cancel may never have left, so it goes again, and the
-            # release delay runs from now. The model finds the second attempt that a shorter wait lets out.
+            # However old the record is, the cancel may never have been sent. So it is sent again, and the
+            # release delay starts now. With a shorter delay the model finds a second attempt in flight.
             return RecoveryPlan(RecoveryAction.AWAIT_RELEASE, time_left, release_delay)
         case Phase.WAITING:
             return RecoveryPlan(RecoveryAction.CONTINUE_ROUTING, time_left)
@@ -84,9 +84,9 @@
 def plan_on_status(
     record: DialogRecord, status: PeerStatus, same_incarnation: bool, time_left: int, release_delay: int
 ) -> RecoveryPlan:
-    """What follows from a server's status of an attempt.
+    """Returns the plan for a dialog after its server's status of the attempt.
 
-    `same_incarnation`: the status is of the server process that the attempt was sent to. Times in ns.
+    `same_incarnation`: the status comes from the server process that the attempt was sent to. Times in ns.
     """
     if record.phase is Phase.ESTABLISHED:
         return _plan_established(status, time_left)
@@ -101,27 +101,30 @@
         case PeerStatus.CLOSED:
             return RecoveryPlan(RecoveryAction.CONTINUE_ROUTING, time_left)
         case PeerStatus.UNKNOWN if not same_incarnation:
-            # This process never had it; what the former one held ended with it, as after a reset.
+            # The present server process never received it, and the attempts of the previous one ended with
+            # that process, as after a connection reset.
             return RecoveryPlan(RecoveryAction.AWAIT_RELEASE, time_left, release_delay)
         case PeerStatus.UNKNOWN | PeerStatus.NO_RESPONSE:
-            # An attempt that the same process does not know may still be on its way, on a broken connection.
+            # The set-up may still be in transit on a broken connection, even if the server process that it
+            # was sent to doesn't know it.
             return RecoveryPlan(RecoveryAction.CANCEL_ATTEMPT, time_left, release_delay)
 
 
 def _plan_established(status: PeerStatus, time_left: int) -> RecoveryPlan:
-    # Whether the caller was told so is not known, and forgetting the dialog here left callers without any
-    # answer. Repeating it changes nothing for a caller that has it; the end follows where it is over.
+    # It is not known whether the caller received the answer, and removing the record here left callers
+    # without any answer. A repeated answer has no effect on a caller that already has it. If the attempt is
+    # no longer established, the end of the dialog is reported after the answer.
     is_established = status is PeerStatus.ESTABLISHED
     action = RecoveryAction.RESEND_ANSWER if is_established else RecoveryAction.RESEND_ANSWER_AND_END
     return RecoveryPlan(action, time_left)
 
 
 def remaining_attempt_policy(policy: AttemptPolicy, used: int, allowed: int) -> AttemptPolicy | None:
-    """The policy of a dialog that continues after `used` attempts of an earlier process; None: none is left.
+    """Returns the attempt policy for a dialog that continues after `used` attempts of an earlier process.
 
-    `allowed`: the fleet's limit of attempts a dialog. Which of the used ones were retries and which went on
-    from a server without a free agent is not on record: each counts as both, so that no restart lets out more
-    attempts than the fleet allows.
+    Returns None if no attempt is left. `allowed`: the fleet's limit of attempts per dialog. The record
+    doesn't say which attempts were retries and which followed a server without a free agent, so each counts
+    as both: otherwise a restart could allow more attempts than the fleet's limit.
     """
     attempts_left = policy.max_attempts - used
     total_left = min(policy.max_total_attempts or allowed, allowed) - used
