--- a/tests/test_recovery_model.py
+++ b/tests/test_recovery_model.py
@@ -1,4 +1,4 @@
-"""The model check of recovery: no rule breaks, and leaving any safeguard out breaks one."""
+"""The model check of recovery: no rule is violated, and omitting any one safeguard violates a rule."""
 
 from __future__ import annotations
 
@@ -27,7 +27,11 @@
 
 
 def test_the_model_finds_two_former_faults_of_the_recovery_plans(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An old cancel taken for delivered; an established dialog forgotten with its answer unsent."""
+    """Checks that the model detects two former faults of the recovery plans.
+
+    One took an old cancel as delivered and skipped the release delay. The other removed the record of an
+    established dialog that had ended, although its caller might not have received the answer.
+    """
 
     def without_release_delay(record: DialogRecord, now: Timestamp, release_delay: int) -> RecoveryPlan:
         plan = plan_on_restart(record, now, release_delay)
@@ -47,4 +51,6 @@
 
     monkeypatch.setattr(model_proxy, "plan_on_status", without_answer)
     violation = explore(Model(max_crashes=2)).violation
-    assert violation[-1].startswith("rule 1: the caller was told that its dialog was accepted")
+    assert violation[-1].startswith(
+        "rule 1: the caller got the provisional answer, and its dialog has no record"
+    )
--- a/valverouter/recovery/model/operations.py
+++ b/valverouter/recovery/model/operations.py
@@ -1,4 +1,4 @@
-"""The proxy's writes and sends, carried out one at a time; the rules are checked as each message leaves."""
+"""The proxy's writes and sends, performed one at a time; the rules are checked when a message is sent."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Operations:
-    """Carries operations out, but for what `omitted` leaves out."""
+    """Performs the proxy's operations, without the `omitted` safeguard."""
 
     omitted: Safeguard | None = None
 
     def perform_next(self, state: State) -> Step:
-        """The first operation that waits; RuleViolationError where it breaks a rule."""
+        """Performs the first pending operation. Raises RuleViolationError if it violates a rule."""
         operation = state.operations[0]
         state = replace(state, operations=state.operations[1:])
         match operation:
@@ -47,7 +47,7 @@
             case StartReleaseDelay():
                 return self._start_release_delay(state)
             case SendProvisional():
-                return Step("the caller is told that its dialog was accepted", replace(state, accepted=True))
+                return Step("the caller gets the provisional answer", replace(state, accepted=True))
             case SendAnswer(answer, record):
                 return _answer_caller(_with_record(state, record), answer)
             case _:
@@ -69,17 +69,17 @@
             case SendQuery(attempt):
                 return _send_to_server(state, MessageKind.QUERY, attempt)
             case _:
-                raise AssertionError(f"{operation} sends nothing")
+                raise AssertionError(f"{operation} is not a message to the server")
 
     def _check_setup(self, state: State, attempt: int) -> None:
         if AttemptState.IN_FLIGHT in self._attempts_after_delivery(state):
             raise RuleViolationError(f"rule 2: attempt {attempt} starts while another is in flight")
         since_cancel = state.now - state.cancelled_at
         if since_cancel < RELEASE_DELAY:
-            raise RuleViolationError(f"rule 5: attempt {attempt} starts {since_cancel} after a cancel")
+            raise RuleViolationError(f"rule 5: attempt {attempt} starts {since_cancel} ticks after a cancel")
 
     def _attempts_after_delivery(self, state: State) -> list[AttemptState]:
-        """The server's attempts as they will be when everything sent so far has arrived."""
+        """Returns the states of the server's attempts after the delivery of all messages in transit."""
         attempts = list(state.attempts)
         newest_epoch = max(state.epoch, state.server_epoch)
         for message in (*state.to_server, *state.stale_to_server):
@@ -98,10 +98,10 @@
 
 def _answer_caller(state: State, answer: str) -> Step:
     if state.now >= DEADLINE:
-        return Step("the answer is withheld, being past the caller's deadline", state)
+        return Step("no answer is sent after the caller's deadline", state)
     if state.answer and state.answer != answer:
-        raise RuleViolationError(f"rule 1: the caller is answered {answer} after {state.answer}")
-    return Step(f"the caller is answered {answer}", replace(state, answer=answer))
+        raise RuleViolationError(f"rule 1: the caller gets the answer {answer} after {state.answer}")
+    return Step(f"the caller gets the answer {answer}", replace(state, answer=answer))
 
 
 def _send_to_server(state: State, kind: MessageKind, attempt: int) -> Step:
--- a/valverouter/recovery/model/proxy.py
+++ b/valverouter/recovery/model/proxy.py
@@ -1,4 +1,4 @@
-"""What a running edge proxy decides: each method gives the state with the operations that follow."""
+"""The decisions of a running edge proxy. They add the resulting operations to the state."""
 
 from __future__ import annotations
 
@@ -49,31 +49,31 @@
     plan_on_status,
 )
 
-# From this tick on a final answer has to go, and no attempt starts.
+# At this tick the final answer must be sent, and from it on no attempt starts.
 LAST_TICK = DEADLINE - 1
 
 
 @dataclass(frozen=True, slots=True)
 class Proxy:
-    """The proxy's decisions, but for what `omitted` leaves out."""
+    """The proxy's decisions, without the `omitted` safeguard."""
 
     omitted: Safeguard | None = None
 
     def accept(self, record: DialogRecord) -> tuple[Operation, ...]:
-        """A new dialog: its record, the provisional answer, the first attempt."""
+        """Returns a new dialog's operations: its record, the provisional answer and the first attempt."""
         return (
             *self._write(record, Safeguard.ACCEPTED_RECORD),
             SendProvisional(),
             *self._next_attempt(record, 0),
         )
 
-    # Sequences of operations, each write before the message that depends on it
+    # Sequences of operations: each write comes before the message that depends on it
 
     def _write(self, record: DialogRecord, safeguard: Safeguard) -> tuple[Operation, ...]:
         return () if safeguard is self.omitted else (WriteRecord(record, safeguard),)
 
     def _next_attempt(self, record: DialogRecord, now: int) -> tuple[Operation, ...]:
-        """The next attempt, or a rejection where none is left."""
+        """Returns the operations for the next attempt, or for a rejection if none is left."""
         attempt = record.attempt + 1
         if attempt >= MAX_ATTEMPTS or now >= LAST_TICK:
             return self._conclude(record, ANSWER_REJECTED)
@@ -102,12 +102,12 @@
     # Restart and recovery
 
     def restart(self, state: State) -> Step:
-        """A new process reads the store and acts on the plan for what it finds."""
+        """Starts a new process, which reads the store and follows the plan for its record."""
         fresh = replace(state, is_running=True, epoch=state.epoch + 1, known=state.stored)
         if state.stored is None:
             if state.accepted and not state.answer and state.now < DEADLINE:
                 raise RuleViolationError(
-                    "rule 1: the caller was told that its dialog was accepted, and no record of it exists"
+                    "rule 1: the caller got the provisional answer, and its dialog has no record"
                 )
             return Step("the proxy restarts and finds no record", fresh)
         record = take_over(state.stored, fresh.epoch)
@@ -148,7 +148,7 @@
     # Events
 
     def on_message(self, state: State, message: Message) -> State:
-        """A message from the server; one that belongs to no present attempt changes nothing."""
+        """Handles a message from the server; ignores one that doesn't belong to the current attempt."""
         record = state.known
         if record is None or message.epoch != state.epoch or message.attempt != record.attempt:
             return state
@@ -163,7 +163,7 @@
         return replace(state, operations=operations, query_pending=False)
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Everything that a running proxy with no operation left may react to."""
+        """Yields a step for each event that a running proxy without pending operations may handle next."""
         if state.to_proxy:
             message, rest = state.to_proxy[0], state.to_proxy[1:]
             received = self.on_message(replace(state, to_proxy=rest), message)
@@ -174,7 +174,7 @@
         if state.release_until != NO_RELEASE_DELAY and record.phase is Phase.CANCELLED:
             yield from self._release_delay_steps(state, record)
         if state.query_pending:
-            yield Step("the server does not respond", self._on_status(state, record, PeerStatus.NO_RESPONSE))
+            yield Step("the status query times out", self._on_status(state, record, PeerStatus.NO_RESPONSE))
         elif record.phase is Phase.IN_FLIGHT and state.now < DEADLINE:
             timed_out = replace(state, operations=self._cancel(record))
             yield Step("the attempt times out", timed_out)
@@ -187,11 +187,11 @@
         if state.now == LAST_TICK:
             operations = self._conclude(record, ANSWER_FAILED)
             out_of_time = replace(state, operations=operations, release_until=NO_RELEASE_DELAY)
-            yield Step("the dialog's time is nearly over", out_of_time)
+            yield Step("the dialog is at its last tick before the deadline", out_of_time)
 
 
 def crash(state: State) -> Step:
-    """The process is killed: its memory is lost, and so is what was on its way to it."""
+    """Kills the process: its memory and the messages in transit to it are lost."""
     after = replace(
         state,
         is_running=False,
--- a/valverouter/recovery/model/search.py
+++ b/valverouter/recovery/model/search.py
@@ -1,4 +1,4 @@
-"""All steps of the modelled world, and the breadth-first walk over them."""
+"""All transitions of the model, and the breadth-first search over its states."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 
 class TooManyStatesError(OverflowError):
-    """The walk was stopped: it saw more states than it was allowed."""
+    """The search stopped because it reached more states than allowed."""
 
 
 class Model:
-    """The world with at most `max_crashes` crashes; `omitted` leaves one write or safeguard out."""
+    """A model with at most `max_crashes` crashes of the proxy and, optionally, one `omitted` safeguard."""
 
     def __init__(self, omitted: Safeguard | None = None, max_crashes: int = 2) -> None:
-        """Without arguments: the whole model, as the program is."""
+        """Creates the model; by default with all safeguards, like the program."""
         self._max_crashes = max_crashes
         self._proxy = Proxy(omitted)
         self._operations = Operations(omitted)
         self._server = Server(omitted)
 
     def initial_state(self) -> State:
-        """The proxy has read a set-up and has everything still to do."""
+        """Returns the state in which the proxy has received a set-up and performed no operation yet."""
         record = DialogRecord("d", "c", "plain", 0, 0, timestamp(0), DEADLINE, 1)
         return State(known=record, operations=self._proxy.accept(record))
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Every step that may come next; RuleViolationError where the next one breaks a rule."""
+        """Yields every possible next step. Raises RuleViolationError if one violates a rule."""
         if state.is_running and state.operations:
             yield self._operations.perform_next(state)
         elif state.is_running:
@@ -52,14 +52,14 @@
         if not state.is_running:
             yield self._proxy.restart(state)
         if state.operations:
-            return  # the server's steps and the clock commute with writes and sends: taken after them
+            return  # the steps of the server and the clock commute with writes and sends
         yield from self._server.steps(state)
         if state.now <= DEADLINE:
             yield Step("time passes", replace(state, now=state.now + 1))
 
 
 def is_stuck(state: State) -> bool:
-    """Whether a running proxy has an unanswered dialog with time left, and nothing to do or to wait for."""
+    """Returns whether a running proxy with an unanswered dialog and time left has no event to wait for."""
     record = state.known
     if not state.is_running or record is None or state.operations:
         return False
@@ -71,32 +71,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Exploration:
-    """What a walk found: the shortest steps to a broken rule, the rule last; empty where none is broken."""
+    """The result of a search.
+
+    `violation`: a shortest sequence of steps that violates a rule, with the rule as its last item; empty if
+    there is none. `states`: the number of states reached.
+    """
 
     violation: list[str]
     states: int
 
 
 class _Origin(NamedTuple):
-    """The step that first led to a state."""
+    """The step by which a state was first reached."""
 
     previous: State
     description: str
 
 
-# By state reached; None for the initial one.
+# By reached state; None for the initial state.
 _Origins: TypeAlias = dict[State, _Origin | None]
 
 
 def explore(model: Model, max_states: int = 2_000_000) -> Exploration:
-    """Walks every state that the model can reach; TooManyStatesError past `max_states`."""
+    """Explores reachable states up to the first violation. Raises TooManyStatesError past `max_states`."""
     initial = model.initial_state()
     origins: _Origins = {initial: None}
     unexplored = deque([initial])
     while unexplored:
         state = unexplored.popleft()
         if is_stuck(state):
-            return _violation(origins, state, "progress: nothing is left to wait for")
+            return _violation(origins, state, "progress: the proxy has no event to wait for")
         try:
             for description, after in model.steps(state):
                 if after not in origins:
--- a/valverouter/recovery/model/server.py
+++ b/valverouter/recovery/model/server.py
@@ -1,4 +1,4 @@
-"""The server: deliveries to it, from the running proxy and from killed ones, and what it does by itself."""
+"""The server: deliveries from the running proxy and from killed ones, and the server's spontaneous steps."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """The server's steps, but for what `omitted` leaves out."""
+    """The server's steps, without the `omitted` safeguard."""
 
     omitted: Safeguard | None = None
 
     def steps(self, state: State) -> Iterator[Step]:
-        """Every delivery that may come next, and everything that the server may do by itself."""
+        """Yields every delivery to the server and every spontaneous step of it that may come next."""
         if state.to_server:
             message, rest = state.to_server[0], state.to_server[1:]
             yield self._receive(replace(state, to_server=rest), message, "")
@@ -40,7 +40,11 @@
         yield from _spontaneous_steps(state)
 
     def _stale_steps(self, state: State) -> Iterator[Step]:
-        """A connection keeps its order: of each killed proxy the first message comes next, or none at all."""
+        """Yields the deliveries from killed proxies.
+
+        Connections preserve order: from each killed proxy the first message in transit is delivered next, or
+        all the rest is lost.
+        """
         stale = state.stale_to_server
         for epoch in sorted({message.epoch for message in stale}):
             index = next(index for index, message in enumerate(stale) if message.epoch == epoch)
@@ -48,12 +52,12 @@
             yield self._receive(replace(state, stale_to_server=rest), stale[index], " of a killed proxy")
             remaining = tuple(message for message in stale if message.epoch != epoch)
             lost = replace(state, stale_to_server=remaining)
-            yield Step(f"the rest from epoch {epoch} is lost", lost)
+            yield Step(f"the remaining messages of epoch {epoch} are lost", lost)
 
     def _receive(self, state: State, message: Message, origin: str) -> Step:
         description = f"{message}{origin} reaches the server"
         if message.epoch < state.server_epoch and self.omitted is not Safeguard.EPOCH_FENCE:
-            return Step(f"{description} and is fenced off", state)
+            return Step(f"{description} and is rejected by the epoch fence", state)
         state = replace(state, server_epoch=max(message.epoch, state.server_epoch))
         attempt = state.attempts[message.attempt]
         match message.kind:
@@ -76,7 +80,7 @@
             yield Step(f"the server fails attempt {attempt}", failed)
         elif attempt_state is AttemptState.ESTABLISHED:
             closed = _with_attempt(state, attempt, AttemptState.CLOSED)
-            yield Step(f"established attempt {attempt} ends", closed)
+            yield Step(f"the dialog established by attempt {attempt} ends", closed)
 
 
 def _respond(state: State, attempt: int, attempt_state: AttemptState, kind: MessageKind) -> State:
--- a/valverouter/recovery/model/state.py
+++ b/valverouter/recovery/model/state.py
@@ -1,4 +1,4 @@
-"""The modelled world: one dialog with its edge proxy, store, server, caller and connections."""
+"""The state of the model: one dialog with its edge proxy, store, server, caller and connections."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 DEADLINE = 4
 RELEASE_DELAY = 1
 MAX_ATTEMPTS = 2
-# No release delay is running.
+# The value of State.release_until when no release delay is running.
 NO_RELEASE_DELAY = -1
-# Earlier than any release delay reaches back.
+# The initial value of State.cancelled_at, further back than a release delay.
 NEVER_CANCELLED = -9
 
 
 class Safeguard(Enum):
-    """A write or a safeguard that a model leaves out, to show that a rule breaks without it."""
+    """A write or check that a model can omit, to show that a rule is violated without it."""
 
     ACCEPTED_RECORD = "accepted record"
     ATTEMPT_RECORD = "attempt record"
@@ -34,7 +34,7 @@
 
 
 class AttemptState(Enum):
-    """What a server holds of an attempt. UNSEEN: nothing yet."""
+    """The state of an attempt at the server. UNSEEN: the server has not received it."""
 
     UNSEEN = "unseen"
     IN_FLIGHT = "in flight"
@@ -43,7 +43,7 @@
 
 
 class MessageKind(Enum):
-    """Messages between proxy and server: the first three go to the server, the others come from it."""
+    """Messages between proxy and server: the first three are sent by the proxy, the others by the server."""
 
     SETUP = "SETUP"
     CANCEL = "CANCEL"
@@ -54,7 +54,7 @@
 
 
 class Message(Struct, frozen=True):
-    """A message on a connection; `epoch` is that of the proxy at its end, `status` answers a QUERY."""
+    """A message on a connection. `epoch`: the epoch of the proxy on it; `status`: the reply to a QUERY."""
 
     kind: MessageKind
     attempt: int
@@ -62,54 +62,54 @@
     status: PeerStatus | None = None
 
     def __str__(self) -> str:
-        """Its name, status and attempt, for the description of a step."""
+        """Returns the message's kind, status and attempt, for the description of a step."""
         status = f" {self.status.name}" if self.status is not None else ""
         return f"{self.kind.value}{status} {self.attempt}"
 
 
 class WriteRecord(Struct, frozen=True):
-    """The record goes to the store; `safeguard` names which of the writes it is."""
+    """Writes the record to the store; `safeguard` identifies the write."""
 
     record: DialogRecord
     safeguard: Safeguard
 
 
 class SendSetup(Struct, frozen=True):
-    """An attempt starts; `record` is what the proxy knows from then on."""
+    """Sends a set-up; `record` is the proxy's record from then on."""
 
     record: DialogRecord
 
 
 class SendCancel(Struct, frozen=True):
-    """An attempt is cancelled; `record` is what the proxy knows from then on, None: as before."""
+    """Sends a cancel; `record` is the proxy's record from then on, None: unchanged."""
 
     attempt: int
     record: DialogRecord | None = None
 
 
 class SendQuery(Struct, frozen=True):
-    """The server is asked for the state of an attempt."""
+    """Queries the server for the status of an attempt."""
 
     attempt: int
 
 
 class StartReleaseDelay(Struct, frozen=True):
-    """The release delay of the cancelled attempt starts."""
+    """Starts the release delay of the cancelled attempt."""
 
 
 class SendProvisional(Struct, frozen=True):
-    """The caller is told that its dialog was accepted."""
+    """Sends the provisional answer to the caller."""
 
 
 class SendAnswer(Struct, frozen=True):
-    """The caller gets a final answer; `record` is what the proxy knows from then on, None: as before."""
+    """Sends a final answer to the caller; `record` is the proxy's record from then on, None: unchanged."""
 
     answer: str
     record: DialogRecord | None = None
 
 
 class ForgetDialog(Struct, frozen=True):
-    """The record leaves memory and store."""
+    """Removes the record from memory and from the store."""
 
 
 Operation: TypeAlias = (
@@ -126,12 +126,14 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """The whole world of one dialog.
-
-    `known` and `stored`: the record in the proxy's memory and in its store. `operations`: writes and sends
-    that the proxy still has to carry out, in order. `query_pending`: it waits for a STATUS; `release_until`:
-    for a release delay, NO_RELEASE_DELAY where it does not. `stale_to_server` was sent by killed proxies.
-    `attempts` is the server's view. `accepted`, `answer`: what the caller was told, "" for no answer yet.
+    """The state of the proxy, store, server, caller and connections of one dialog.
+
+    `known` and `stored`: the record in the proxy's memory and in its store. `operations`: the proxy's pending
+    writes and sends, in order. `query_pending`: the proxy is waiting for a STATUS. `release_until`: the tick
+    at which the release delay ends, or NO_RELEASE_DELAY. `to_server`, `stale_to_server` and `to_proxy`:
+    messages in transit, the stale ones from killed proxies. `attempts`: the states of the attempts at the
+    server. `cancelled_at`: the tick of the last cancel. `accepted`: the caller got the provisional answer.
+    `answer`: the final answer that the caller got, "" for none.
     """
 
     now: int = 0
@@ -154,20 +156,20 @@
 
 
 class Step(NamedTuple):
-    """One step of the world: what happens, and the state after it."""
+    """One transition of the model: its description and the resulting state."""
 
     description: str
     state: State
 
 
 class RuleViolationError(Exception):
-    """A step breaks a rule; the text says which and how."""
+    """A step violates a rule; the text names the rule and the violation."""
 
 
 def timestamp(tick: int) -> Timestamp:
-    """A tick as records hold times. All proxies run within one boot of the machine."""
+    """Converts a tick to a timestamp of a record. All proxies run within one boot of the machine."""
     return Timestamp(tick, tick, "boot")
 
 
-# No decision reads when a record last changed: one time for all of them merges states that are alike.
+# No decision depends on a record's `changed_at`. A constant merges states that differ only in it.
 CHANGED_AT = timestamp(0)
