--- a/tests/test_dialog_store.py
+++ b/tests/test_dialog_store.py
@@ -1,4 +1,4 @@
-"""The dialog store: whole commits, damaged entries, bounded size, and the commands that read it."""
+"""Tests of the dialog store: atomic commits, damaged entries, bounded size and the `ledger` commands."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
     with pytest.raises(StoreError, match="format 9"):
         DialogStore(tmp_path)
     with pytest.raises(StoreError, match="format 9"):
-        DialogStore(tmp_path)  # the refusal released the lock
+        DialogStore(tmp_path)  # the failed open released the lock
 
 
 def test_a_damaged_file_is_refused_and_not_read_as_empty(tmp_path: Path) -> None:
@@ -101,7 +101,7 @@
 
 
 def fill_store(store: DialogStore) -> int:
-    """Commits twenty records at a time until the store is full; returns how many it took."""
+    """Commits twenty records at a time until the store is full; returns the number stored."""
     for stored in count(step=20):
         for number in range(20):
             store.put(record(f"d{stored + number}"))
@@ -147,7 +147,7 @@
     store.begin_epoch()
     number = 0
     while True:
-        # Each commit holds a pair: a torn entry would show entry half.
+        # Each commit has a pair of records: after a partial commit, one of them would be missing.
         store.put(record(f"{number}-a"))
         store.put(record(f"{number}-b"))
         store.delete(f"{number - 40}-a")
@@ -165,7 +165,7 @@
             [sys.executable, "-c", WRITER, str(tmp_path)], stdout=subprocess.PIPE, text=True
         )
         assert writer.stdout is not None
-        assert writer.stdout.readline(), "the writer commits"
+        assert writer.stdout.readline(), "the writer made no commit"
         time.sleep(generator.uniform(0.01, 0.1))
         os.kill(writer.pid, signal.SIGKILL)
         reported = [int(line) for line in writer.stdout.read().splitlines()]
@@ -176,7 +176,7 @@
                 name[:-2] for name in found if name.endswith("b")
             }
             if reported:
-                assert f"{reported[-1] - 1}-a" in found, "a commit that returned is there"
+                assert f"{reported[-1] - 1}-a" in found, "a commit that had returned is missing"
             assert not any(isinstance(entry, DamagedEntry) for entry in store.records())
             for entry in found:
                 store.delete(entry)
--- a/valverouter/ledger/__init__.py
+++ b/valverouter/ledger/__init__.py
@@ -1,5 +1,5 @@
-"""Embedded stores (lmdb): the edge proxy's dialogs, the control plane's log, the supervisor's state.
+"""Embedded lmdb stores: the edge proxy's dialogs, the control plane's raft log, the supervisor's state.
 
-`storage` holds what they share (lock, checksums, replacing a damaged store), `dialog_store` the records of
-dialogs, `export` their JSON form.
+`storage` has the common functions (lock, checksums, replacement of a damaged store), `dialog_store` stores
+the records of dialogs, `export` converts them to JSON.
 """
--- a/valverouter/ledger/dialog_store.py
+++ b/valverouter/ledger/dialog_store.py
@@ -1,13 +1,13 @@
-"""An embedded store (lmdb) of the dialogs that an edge proxy still has to answer: its recovery log.
+"""The edge proxy's recovery log: an embedded lmdb store of dialog records and learned server state.
 
-Changes are collected and committed whole or not at all: a commit is one transaction, so after a kill at any
-moment the store holds it or does not. Whether it also survives the machine going down is up to the sync
-policy: `each` waits for the disk at every commit, `none` leaves it to the system (a killed process loses
-nothing by that). Every value carries its checksum, since lmdb does not notice a flipped byte in one.
+Pending changes are committed in one transaction, so a process killed at any time leaves either all changes of
+a commit or none. The sync policy decides whether commits survive a crash of the machine: `each` waits for the
+disk at every commit, `none` leaves flushing to the operating system (a killed process loses nothing by that).
+Every value has a checksum, since lmdb doesn't detect a flipped byte in a value.
 
-One process at a time: a second one gets StoreLockedError. The size is bounded when the store is opened; a
-full store keeps what it holds and refuses the commit (StoreFullError), so that the caller accepts no new
-dialogs until some have ended.
+Only one process can open a store; a second one gets StoreLockedError. The maximum size is set on opening. A
+full store keeps its entries and rejects the commit with StoreFullError; the edge proxy then clears it and
+stops recording dialogs for a time.
 """
 
 from __future__ import annotations
@@ -37,13 +37,14 @@
 FORMAT_VERSION: Final = 1
 MIB: Final = 1024 * 1024
 DEFAULT_MAX_BYTES: Final = 64 * MIB
-# lmdb writes beside what it replaces, deletions too: a store filled to its map can't even be emptied. So the
-# map is larger than what entries may take, by this factor.
+# Ratio of lmdb's map size to the maximum size of entries. lmdb copies pages on every write, also on deletion:
+# in a store that fills its map, entries could not even be deleted.
 MAP_SIZE_FACTOR: Final = 4
-# Live bytes are counted again once a 64th of the maximum was written: at each commit it cost a third of it.
+# The live bytes are counted again once this fraction of the maximum has been written. Counting them at every
+# commit took a third of the commit's time.
 RECOUNT_DIVISOR: Final = 64
 SYNC_EACH_COMMIT: Final = "each"
-# The tables, as they are called in the file and in DamagedEntry.
+# Names of the tables in the file and in DamagedEntry.
 DIALOGS: Final = "dialogs"
 SERVERS: Final = "servers"
 
@@ -55,11 +56,11 @@
 
 
 class StoreFullError(StoreError):
-    """The commit did not fit, or the disk refused it: nothing of it is kept."""
+    """A commit exceeded the maximum size or failed on disk; none of its changes is stored."""
 
 
 class DamagedEntry(msgspec.Struct, frozen=True, rename={"reason": "why"}):
-    """An entry that can't be read, and why."""
+    """An entry that can't be read, with the reason."""
 
     table: str
     key: str
@@ -67,12 +68,13 @@
 
 
 class DialogStore:
-    """An open store. `delete` takes dialogs out; servers' entries are replaced, one a server."""
+    """An open dialog store. Learned state has one entry per server, which is replaced and never deleted."""
 
     def __init__(self, path: Path, max_bytes: int = DEFAULT_MAX_BYTES, sync: str = "none") -> None:
-        """Opens the store in the folder `path`, which is made where there is none.
+        """Opens the store in the folder `path`, or creates it.
 
-        `max_bytes`: what entries may take. StoreLockedError, or StoreError where it can't be read.
+        `max_bytes`: the maximum size of the entries; `sync`: `each` or `none`, see the module. Raises
+        StoreLockedError if another process has locked it, StoreError if it can't be read.
         """
         self.path = path
         sync_commits = sync == SYNC_EACH_COMMIT
@@ -91,14 +93,14 @@
         except StoreError:
             self.close()
             raise
-        # By table and key; None deletes the entry. Emptied by each commit.
+        # Uncommitted changes by table and key; None deletes the entry.
         self._pending: dict[tuple[Any, str], Entry | None] = {}
         self._max_bytes = max_bytes
-        # Bytes written since the live ones were last counted: the first commit counts.
+        # Bytes written since the last count of live bytes; its initial value makes the first commit count.
         self._bytes_since_count = max_bytes
 
     def __enter__(self) -> DialogStore:
-        """The store, closed at the end of the block."""
+        """Returns the store, which is closed at the end of the block."""
         return self
 
     def __exit__(
@@ -108,13 +110,13 @@
         self.close()
 
     def close(self) -> None:
-        """Releases the store. Changes that were not committed are lost."""
+        """Closes the store and releases its lock. Uncommitted changes are lost."""
         self._environment.close()
 
     def verify(self) -> None:
-        """Walks every page once; StoreError where pages of the store are damaged.
+        """Reads every page once. Raises StoreError if pages are damaged.
 
-        A damaged entry alone is no error here: it is for whoever reads the entries.
+        A damaged entry is no error here; it is reported when the entries are read.
         """
         try:
             for table in (self._dialogs, self._servers):
@@ -132,7 +134,7 @@
         elif int(version) != FORMAT_VERSION:
             raise StoreError(
                 f"{self.path} has format {int(version)}, this version reads {FORMAT_VERSION}: export it with "
-                "the one that wrote it, or move it away and lose what it holds"
+                "the version that wrote it, or move it away, which loses its records"
             )
 
     def _write_meta(self, key: bytes, value: int) -> None:
@@ -141,7 +143,7 @@
         self._env.sync(True)
 
     def begin_epoch(self, minimum: int = 0) -> int:
-        """A number above any earlier instance's, at least `minimum`; on disk before it is returned."""
+        """Begins a new epoch: above all earlier ones, at least `minimum`, on disk before it is returned."""
         with self._env.begin(db=self._meta) as transaction:
             epoch = max(minimum, int(transaction.get(b"epoch") or 0) + 1)
         self._write_meta(b"epoch", epoch)
@@ -150,11 +152,11 @@
     # Changes
 
     def put(self, record: DialogRecord) -> None:
-        """Stores a dialog's record with the next commit, which encodes its last state alone."""
+        """Adds or replaces a dialog's record with the next commit, which writes only the last one put."""
         self._pending[self._dialogs, record.dialog_id] = record
 
     def delete(self, dialog_id: str) -> None:
-        """Takes a dialog's record out with the next commit."""
+        """Removes a dialog's record with the next commit."""
         self._pending[self._dialogs, dialog_id] = None
 
     def put_learned_state(self, state: LearnedServerState) -> None:
@@ -163,13 +165,13 @@
 
     @property
     def pending_changes(self) -> int:
-        """How many changes wait for a commit."""
+        """The number of uncommitted changes."""
         return len(self._pending)
 
     def commit(self) -> int:
-        """Writes all pending changes in one transaction and returns how many they were.
+        """Writes all pending changes in one transaction and returns their number.
 
-        StoreFullError: none of them is kept, and they are no longer pending.
+        Raises StoreFullError if that fails; the changes are then discarded.
         """
         changes, self._pending = self._pending, {}
         if not changes:
@@ -201,11 +203,14 @@
             return
         live = self.live_bytes()
         if live >= self._max_bytes:
-            raise StoreFullError(f"{self.path}: {live} bytes live, {self._max_bytes} are allowed")
+            raise StoreFullError(f"{self.path}: entries take {live} bytes, the maximum is {self._max_bytes}")
         self._bytes_since_count = 0
 
     def clear(self) -> None:
-        """Takes every entry out and gives pending changes up. StoreFullError: the store is as it was."""
+        """Removes all entries and discards pending changes.
+
+        Raises StoreFullError if that fails; the stored entries are then unchanged.
+        """
         self._pending = {}
         try:
             with self._env.begin(write=True) as transaction:
@@ -214,14 +219,14 @@
         except (lmdb.Error, OSError) as error:
             raise self._full_error(error) from error
 
-    # Reading back
+    # Reading
 
     def records(self) -> Iterator[DialogRecord | DamagedEntry]:
-        """Every committed record of a dialog; an entry that can't be read as DamagedEntry."""
+        """Yields all committed dialog records, and a DamagedEntry for each that can't be read."""
         yield from self._read_table(self._dialogs, DIALOGS, _record_decoder)
 
     def learned_states(self) -> Iterator[LearnedServerState | DamagedEntry]:
-        """Every committed learned state of a server; an entry that can't be read as DamagedEntry."""
+        """Yields the committed learned states of servers, and a DamagedEntry for each that can't be read."""
         yield from self._read_table(self._servers, SERVERS, _learned_state_decoder)
 
     def _read_table(self, table: Any, name: str, decoder: Any) -> Iterator[Any]:
@@ -230,12 +235,12 @@
                 yield _decode(bytes(key), bytes(value), name, decoder)
 
     def damaged_entries(self) -> list[DamagedEntry]:
-        """Every entry that can't be read."""
+        """Returns all entries that can't be read."""
         entries = (*self.records(), *self.learned_states())
         return [entry for entry in entries if isinstance(entry, DamagedEntry)]
 
     def repair(self) -> list[DamagedEntry]:
-        """Takes out what can't be read, and returns what was lost by it."""
+        """Removes all entries that can't be read and returns them."""
         lost = self.damaged_entries()
         tables = {DIALOGS: self._dialogs, SERVERS: self._servers}
         with self._env.begin(write=True) as transaction:
@@ -245,7 +250,7 @@
         return lost
 
     def live_bytes(self) -> int:
-        """Bytes of the pages that entries take now."""
+        """Returns the size of the pages that hold entries now, in bytes."""
         total = 0
         with self._env.begin() as transaction:
             for table in (self._dialogs, self._servers):
@@ -255,12 +260,12 @@
         return total
 
     def bytes_in_use(self) -> int:
-        """Bytes of the pages in use; pages of deleted entries count, and are used again."""
+        """Returns the bytes in use, including pages of deleted entries, which lmdb reuses."""
         return bytes_in_use(self._env)
 
 
 def _encode_key(key: str) -> bytes:
-    # A damaged entry's key may be no text; it is deleted under the bytes it has.
+    # The key of a damaged entry may be invalid UTF-8; surrogateescape restores its bytes.
     return key.encode("utf-8", "surrogateescape")
 
 
@@ -268,7 +273,7 @@
     name = key.decode("utf-8", "surrogateescape")
     body = verified_body(value)
     if body is None:
-        return DamagedEntry(table, name, "its checksum does not fit")
+        return DamagedEntry(table, name, "checksum mismatch")
     try:
         return decoder.decode(body)
     except msgspec.DecodeError as error:
--- a/valverouter/ledger/export.py
+++ b/valverouter/ledger/export.py
@@ -1,4 +1,4 @@
-"""A dialog's record as `valverouter ledger export` prints it."""
+"""Converts dialog records to the output of `valverouter ledger export`."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def export_row(record: DialogRecord) -> dict[str, Any]:
-    """The record's fields under the export's keys, in its order: both stay when fields are renamed.
+    """Returns the record's fields by their keys in the export, whose names and order must not change.
 
-    Timestamps become arrays of wall time, monotonic time (ns) and boot id; times are in ns.
+    Timestamps become arrays of wall time, monotonic time (both in ns) and boot id; durations are in ns.
     """
     return {
         "dialog": record.dialog_id,
--- a/valverouter/ledger/storage.py
+++ b/valverouter/ledger/storage.py
@@ -1,4 +1,4 @@
-"""What every lmdb store shares: the folder's lock, checksums of values, and replacing a damaged store."""
+"""Common functions of the lmdb stores: folder lock, checksums of values, replacement of a damaged store."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 LOCK_FILE: Final = "owner"
 DATA_FILE: Final = "data.mdb"
-# CRC-32, big-endian, before the body of each value.
+# Length of the big-endian CRC-32 that precedes the body of each value.
 CHECKSUM_BYTES: Final = 4
 
 
 class StoreError(Exception):
-    """The store can't be used as it is; the text says why and what to do."""
+    """The store can't be used in its present state; the text says why and, where possible, what to do."""
 
 
 class StoreLockedError(StoreError):
-    """Another process holds the store."""
+    """The store is locked by another process."""
 
 
 def acquire_lock(path: Path) -> BinaryIO:
-    """Makes the folder and locks it for this process until the returned file is closed.
+    """Creates the folder if necessary and locks it until the returned file is closed.
 
-    StoreLockedError where another process holds it.
+    Raises StoreLockedError if another process has locked it.
     """
     path.mkdir(parents=True, exist_ok=True)
     lock = (path / LOCK_FILE).open("wb")
@@ -43,12 +43,12 @@
 
 
 class LockedEnvironment:
-    """An lmdb environment in a folder that this process holds until it is closed."""
+    """An lmdb environment whose folder is locked by this process until `close`."""
 
     def __init__(self, path: Path, **options: Any) -> None:
-        """Opens the folder, made where there is none, with `options` of lmdb.
+        """Opens the environment with lmdb's `options`, and creates the folder if it doesn't exist.
 
-        StoreLockedError where another process holds it, StoreError where lmdb can't open it.
+        Raises StoreLockedError if another process has locked the folder, StoreError if lmdb can't open it.
         """
         self._lock = acquire_lock(path)
         try:
@@ -59,13 +59,13 @@
             raise StoreError(f"{path}: {error}") from error
 
     def close(self) -> None:
-        """Closes the environment and lets other processes open it."""
+        """Closes the environment and releases the lock."""
         self.lmdb.close()
         self._lock.close()
 
 
 class Closable(Protocol):
-    """A store, as far as opening it needs to know."""
+    """The part of a store's interface that `open_or_set_aside` uses."""
 
     def close(self) -> None:
         """Releases the store and its lock."""
@@ -77,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStore(Generic[Store, Content]):
-    """An open store with what was read from it.
+    """An open store and the content read from it.
 
-    `problem`: why an earlier store was set aside, empty if none was; `set_aside_to`: where that is now.
+    `problem`: why an unreadable store was set aside, empty if none was; `set_aside_to`: its new path.
     """
 
     store: Store
@@ -91,9 +91,10 @@
 def open_or_set_aside(
     path: Path, open_store: Callable[[], Store], read_content: Callable[[Store], Content]
 ) -> OpenedStore[Store, Content]:
-    """Opens the store at `path` and reads it whole; one that can't be read is set aside for a fresh one.
+    """Opens the store at `path` and reads its content.
 
-    StoreLockedError where another process holds it.
+    A store that can't be read is set aside, that is renamed, and replaced by an empty one. Raises
+    StoreLockedError if another process has locked it.
     """
     try:
         return _open_and_read(open_store, read_content)
@@ -118,16 +119,16 @@
 
 
 def bytes_in_use(env: Any) -> int:
-    """Bytes of an lmdb environment's pages in use, with those of deleted entries, which are used again."""
+    """Returns the bytes in use by an lmdb environment, including reusable pages of deleted entries."""
     info, stat = env.info(), env.stat()
     return int((info["last_pgno"] + 1) * stat["psize"])
 
 
 def extend_truncated_file(path: Path, env: Any) -> None:
-    """Extends a data file that was cut off to the size that its environment expects.
+    """Extends a truncated data file with zeros to the size that its environment expects.
 
-    A file that was cut off is mapped past its end, and reading there ends the process by a signal, at every
-    start anew. Filled with zeros, its missing pages read as damaged.
+    lmdb maps a truncated file beyond its end, and reading there kills the process by a signal at every start.
+    Pages of zeros are reported as damaged instead.
     """
     file = path / DATA_FILE
     expected = bytes_in_use(env)
@@ -136,12 +137,12 @@
 
 
 def with_checksum(body: bytes) -> bytes:
-    """The value to store for `body`: lmdb does not notice a flipped byte in a value."""
+    """Returns the value to store for `body`: with a checksum, since lmdb doesn't detect flipped bytes."""
     return zlib.crc32(body).to_bytes(CHECKSUM_BYTES, "big") + body
 
 
 def verified_body(value: bytes) -> bytes | None:
-    """The body of a stored value; None where its checksum does not match or the body is empty."""
+    """Returns the body of a stored value, or None if its checksum doesn't match or the body is empty."""
     checksum, body = value[:CHECKSUM_BYTES], value[CHECKSUM_BYTES:]
     if not body or zlib.crc32(body) != int.from_bytes(checksum, "big"):
         return None
