--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -1,14 +1,14 @@
-"""One sample of everything that is written to disk or sent between processes, built with today's classes.
+"""Samples of all values that are written to disk or sent between processes, built with the current classes.
 
-`tests/data/132c5ee/` holds what the program at that commit made of these samples; test_stored_formats.py
-compares what it makes of them now. Later versions read the stores and hear the messages of earlier ones, so
-the files there are never written anew: a class or field that is renamed is renamed here and keeps its name on
-the wire (`tag="..."`, `rename={...}`).
+`tests/data/132c5ee/` has these samples as the program encoded them at that commit; test_stored_formats.py
+compares them with the current encoding. Later versions read the stores and messages of earlier ones, so the
+files there are never regenerated: when a class or field is renamed, it is renamed here, too, and keeps its
+encoded name (`tag="..."`, `rename={...}`).
 
-Values are passed by position, since their order is part of the formats. No field has its default and, as far
-as its type allows, no two fields of a sample have the same value.
+Values are passed by position, since their order is part of the formats. No field has its default value and,
+as far as its type allows, no two fields of a sample have the same value.
 
-    python -m tests.stored_values FOLDER    writes all of the files into FOLDER, which must not exist
+    python -m tests.stored_values FOLDER    writes all files to FOLDER, which must not exist
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class Format(Enum):
-    """How a sample is written."""
+    """The encoding of a sample."""
 
     MSGPACK = "msgpack"
     JSON = "json"
@@ -71,7 +71,10 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """`kind`: the type as which a receiver decodes it, a union where several types may come."""
+    """A value and its encoding.
+
+    `kind`: the type as which a receiver decodes it, possibly a union; None: the value's own type.
+    """
 
     value: Any
     format: Format = Format.MSGPACK
@@ -142,7 +145,7 @@
     "pages": messages.SyncRecords(*HEADER, (137, 139), UPDATES),
 }
 
-# What an instance tells of itself, and of its view
+# An instance's counters and its membership view
 
 COUNTERS = reports.InstanceCounters(149, True, True, 151, 157, 163, 167, "settled", 173, "v3", 179)
 
@@ -163,7 +166,7 @@
 
 FRAGMENT = fragmentation.Fragment("c1", 193, 197, 2, 5, b"of a parcel")
 
-# Orders and permits
+# Operations and permits
 
 INSTANCES = (
     disruption_limits.Instance("e5", disruption_limits.InstanceKind.EDGE, "east", 199, 1.5),
@@ -200,7 +203,7 @@
 
 
 def operation(kind: operations.OperationKind, phase: operations.OperationPhase) -> operations.Operation:
-    """With a member for each step."""
+    """An operation with one participant for each step status."""
     members = {f"m{at}": member(step) for at, step in enumerate(operations.StepStatus)}
     waves = [["m0"], list(members)[1:]]
     header = f"o-{kind.value}", kind, "v10", 271, "operator"
@@ -208,7 +211,7 @@
 
 
 def full_operation_log() -> operation_log.OperationLog:
-    """Every kind of order and every phase of one, at least once each."""
+    """An operation log with each kind and each phase of an operation at least once."""
     phases = list(operations.OperationPhase)
     kinds = [list(operations.OperationKind)[at % len(operations.OperationKind)] for at in range(len(phases))]
     submitted = [operation(kind, phase) for kind, phase in zip(kinds, phases, strict=True)]
@@ -231,11 +234,11 @@
     )
 
 
-# The council
+# Raft
 
 
 def entries() -> tuple[raft_log.LogEntry, ...]:
-    """One of each command, the members, and a leader's first word."""
+    """One log entry for each command, for the configuration, and for a leader's no-op (None)."""
     commands = [*COMMANDS.values(), MEMBERS, None]
     return tuple(raft_log.LogEntry(281 + index, command) for index, command in enumerate(commands))
 
@@ -256,7 +259,7 @@
     "install": serialization.to_wire(raft_messages.InstallSnapshot(389, "c5", snapshot())),
 }
 
-# Keepers, and the words between seats, keepers and tools
+# Supervisors, and the messages between control plane members, supervisors and tools
 
 INSTANCE_INFO = reports.InstanceInfo(
     "e16", disruption_limits.InstanceKind.SERVER, "north", 397, 3.5, ("v11", "v12")
@@ -320,7 +323,7 @@
     503,
 )
 
-# Dialogs that an edge proxy owes answers to
+# Records of an edge proxy's dialogs
 
 
 def dialog_record(phase: lifecycle.Phase = lifecycle.Phase.IN_FLIGHT) -> lifecycle.DialogRecord:
@@ -346,7 +349,7 @@
 
 LEARNED_STATE = learned_state.LearnedServerState("s2", 577, 587, 1000, 593, 599)
 
-# The set-up protocol and the list's
+# The set-up protocol and the endpoint list protocol
 
 LOAD = setup.Load(0.75, 6, 7, 8, 9)
 ATTEMPT_ID = ("d1", 5)
@@ -422,8 +425,8 @@
     "returns": serverlist.DrainEnded("s9", 719),
     "left": serverlist.DrainReply("s10", 727, True, "in time"),
 }
-# What is at its default is not sent: a default that changes would be another value to an earlier version. So
-# here each is written out.
+# Fields with their default values are not sent, so a changed default would be a different value for an
+# earlier version. Here each default is written out.
 NO_LOAD = setup.Load(None, None, None, None, None)
 DEFAULTS: dict[str, Any] = {
     "setup": setup.Setup(
@@ -450,7 +453,7 @@
 }
 ENDPOINT_CACHE = endpoint_cache.CachedEndpoints(733, ENDPOINT_ROWS[:2])
 
-# The platform's
+# The platform's protocol
 
 PLATFORM_SETUP = platform_translation.RelaySetup(
     *ATTEMPT_ID,
@@ -475,7 +478,7 @@
     "sent-line": lines._OutgoingLine("setup", "id-2", {"class": "booking"}, 17, "v=3"),
 }
 
-# The rows of a record
+# Rows of the traffic record
 
 ROWS: dict[str, Any] = {
     "passed": traffic_record.MessageRow(1, 773, "e1", "s1", True, "setup", "d1", 5, 787, "booking"),
@@ -500,7 +503,7 @@
     ),
 }
 
-# Files in text
+# Text files
 
 
 def usage_rows() -> list[dict[str, Any]]:
@@ -523,7 +526,7 @@
 METRICS = {"declined": 0.125, "wasted": 0.5}
 
 
-# What they are together
+# All samples
 
 
 def _named(prefix: str, values: dict[str, Any], format_: Format, kind: Any = None) -> dict[str, Sample]:
@@ -531,7 +534,7 @@
 
 
 def samples() -> dict[str, Sample]:
-    """By a key that stays, however classes are called."""
+    """All samples by a key that doesn't change when classes are renamed."""
     msgpack_values: dict[str, Any] = {
         **{f"membership.record-{state.value}": member_record(state) for state in records.MemberState},
         **{f"fleet.row-{state.value}": view_row(state) for state in records.MemberState},
@@ -572,7 +575,7 @@
 
 
 def enumerations() -> dict[str, type[Enum]]:
-    """Those that are written by value."""
+    """The enumerations whose values are written or sent."""
     return {
         "membership.state": records.MemberState,
         "membership.phase": records.Phase,
@@ -584,7 +587,7 @@
     }
 
 
-# Which classes there are
+# All Struct classes
 
 MODULES = (
     messages,
@@ -618,7 +621,7 @@
 
 
 def structs() -> Iterator[tuple[str, type[msgspec.Struct]]]:
-    """Every Struct of the modules whose Structs are written or sent, by module and name."""
+    """Yields name and class of every Struct of the modules whose Structs are written or sent."""
     for module in MODULES:
         for name, kind in vars(module).items():
             is_struct = isinstance(kind, type) and issubclass(kind, msgspec.Struct)
@@ -626,8 +629,8 @@
                 yield f"{module.__name__.removeprefix('valverouter.')}.{name}", kind
 
 
-# FleetMessage, LegMessage: bases only. _MessageTag: decoded alone.
-# AppendEntries, InstallSnapshot: sent by their wire forms.
+# FleetMessage and LegMessage are base classes, _MessageTag is only decoded. AppendEntries and InstallSnapshot
+# are sent as WireAppendEntries and WireInstallSnapshot.
 NEVER_WRITTEN = (
     messages.FleetMessage,
     setup.LegMessage,
@@ -723,7 +726,7 @@
 }
 
 
-# Stores, as folders
+# Stores
 
 
 def write_dialog_store(folder: Path) -> None:
@@ -760,7 +763,7 @@
 
 
 def tables(folder: Path) -> dict[str, dict[str, str]]:
-    """What a store holds: table, key in hex, value in hex. The table of a store without named ones is ''."""
+    """Returns the content of a store by table, in hex. The table of a store without named ones is ''."""
     with closing(lmdb.open(str(folder), max_dbs=8, readonly=True, lock=False)) as env, env.begin() as read:
         entries = {bytes(key): bytes(value) for key, value in read.cursor()}
         if b"memory" in entries:
@@ -774,7 +777,7 @@
         return found
 
 
-# Text files, and what commands print as text
+# Text files and text output of commands
 
 
 def write_usage(file: Path) -> None:
@@ -793,11 +796,11 @@
     file.write_bytes(msgspec.json.encode(ENDPOINT_CACHE))
 
 
-# What commands print as JSON, for programs of the operators
+# JSON output of commands, for the operators' programs
 
 
 def view_answers() -> list[view_comparison.ViewAnswer]:
-    """Two answers that differ, of whole views, and one that is not whole."""
+    """Two answers with complete but different views, and an incomplete one."""
     first = view_comparison.ViewAnswer("127.0.0.1:7101", "e1", 101, 103, "settled", {"replay": 22}, {0: VIEW})
     second = view_comparison.ViewAnswer(
         "127.0.0.2:7102", "e2", 107, 109, "doubting", {"stranger": 21}, {0: VIEW[:1]}
@@ -845,14 +848,14 @@
 
 
 def run_row(file: Path) -> list[Any]:
-    """An experiment's run as kept in SQLite, without its key and version, which name the program's source."""
+    """Returns an experiment's run as stored in SQLite, except its key and version, which name the source."""
     with closing(runner.RunStore(file)) as store:
         store.save(RUN, METRICS)
         (row,) = store._db.execute("select variant, seed, levels, day, figures from runs").fetchall()
         return list(row)
 
 
-# Writing it all
+# Writing all files
 
 
 def _copy_compacted(folder: Path, to: Path) -> None:
--- a/tests/test_stored_formats.py
+++ b/tests/test_stored_formats.py
@@ -1,5 +1,8 @@
-"""What earlier versions stored and sent is read as ever, and what is stored and sent now is the same to the
-byte: tests/stored_values.py says how its samples were made."""
+"""Compatibility with values stored and sent by earlier versions.
+
+Archived values must be decoded as before, and current ones encoded byte for byte as archived;
+tests/stored_values.py says how the archive was made.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
 
 def copy_store(name: str, tmp_path: Path) -> Path:
-    """Opening a store writes into its folder."""
+    """Returns a copy of an archived store, since opening a store writes to its folder."""
     shutil.copytree(ARCHIVE / name, tmp_path / name)
     return tmp_path / name
 
@@ -124,11 +127,11 @@
     ]
 
 
-# That nothing is missing
+# Completeness of the samples
 
 
 def nested_values(value: Any) -> Iterator[Any]:
-    """Every Struct and dataclass in a sample, itself included."""
+    """Yields every Struct and dataclass in a value, including the value itself."""
     if isinstance(value, msgspec.Struct):
         yield value
         for name in value.__struct_fields__:
@@ -157,7 +160,7 @@
 
 
 def defaults(kind: type[Any]) -> dict[str, Any]:
-    """By field, where it has one; what a factory makes included."""
+    """Returns the default values by field, including those made by factories."""
     struct_fields = msgspec.structs.fields(kind) if issubclass(kind, msgspec.Struct) else fields(kind)
     found: dict[str, Any] = {}
     for field in struct_fields:
@@ -175,7 +178,7 @@
 
 @pytest.mark.parametrize("kind", INSTANCES, ids=lambda kind: f"{kind.__module__}.{kind.__name__}")
 def test_every_field_has_a_non_default_value_in_a_sample(kind: type[Any]) -> None:
-    """A field that is left out of a message, or read from another, would not show otherwise."""
+    """A field that is missing from a message or read from another field would not be noticed otherwise."""
     for name, default in defaults(kind).items():
         assert any(getattr(item, name) != default for item in INSTANCES[kind]), name
 
