--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -94,7 +94,7 @@
     assert "[attempts a]" in explained.stdout
     shown = valverouter("terms", "courses", old)
     assert "plain: answered at 8950ms, 6 legs" in shown.stdout
-    assert "leg 2" in shown.stdout
+    assert "attempt 2" in shown.stdout
     diff = valverouter("terms", "diff", old, new)
     assert diff.returncode == 1
     assert "plain, 0: legs 2 to 4" in diff.stdout
@@ -102,7 +102,7 @@
     assert valverouter("terms", "diff", old, old).returncode == 0
     refused = valverouter("check", bad)
     assert refused.returncode == 2
-    assert "a resend 1000000 ns after" in refused.stderr
+    assert "a retry 1000000 ns after" in refused.stderr
 
 
 async def test_objective_no_answer_time_and_retry_after_are_those_of_the_file(
--- a/valverouter/attempts/change_guard.py
+++ b/valverouter/attempts/change_guard.py
@@ -1,9 +1,9 @@
-"""A guard over configuration changes that pass every check and still do harm.
+"""Detects configuration changes that pass validation and still cause harm.
 
-Before a change the guard records, by traffic type, which fraction of the dialogs was rejected and which
-needed a retry; old observations decay. After a change it counts afresh for a while and compares. It reports a
-rise that neither chance nor the time before the change explains. Whether to roll back is up to the caller;
-the guard does not judge the rollback itself, so there is no loop.
+Before a change the guard records, by traffic type, the fractions of dialogs that were rejected and that
+needed a retry; old observations decay. After a change it counts separately for an observation period and
+compares. It reports an increase that neither chance nor the baseline explains. Whether to roll back is up to
+the caller; a rollback itself is not observed, so that it cannot cause another one.
 """
 
 from __future__ import annotations
@@ -13,26 +13,28 @@
 
 SECOND = 1_000_000_000
 
-# A fault of a minute ago says little about the present.
+# Short enough that a fault of a minute ago has little weight.
 BASELINE_HALF_LIFE = 30 * SECOND
-# Decay is applied at most this often: it is not worth computing at each of many answers.
+# The least time between two decays: computing one at each of many answers is not worth its cost.
 DECAY_INTERVAL = SECOND
-# How long after a change the guard compares, and from how many dialogs of a type on.
+# How long after a change the guard compares.
 OBSERVATION_PERIOD = 30 * SECOND
+# The dialogs of a type after a change from which on the guard compares them.
 MIN_DIALOGS = 20
-# A regression is a fraction of at least MIN_FRACTION, above the former one by this factor, and by this many
-# standard errors.
+# The least fraction after a change that is a regression.
 MIN_FRACTION = 0.1
+# The least ratio of the fractions after and before a change in a regression.
 MIN_INCREASE_FACTOR = 2.0
+# The least difference between these fractions in a regression, in standard errors.
 MIN_STANDARD_ERRORS = 3.0
 
-# The compared metrics by the names that logs show, and the count that each is computed from.
+# The compared metrics by their names in the log, and the counter that each is computed from.
 _COUNT_OF_METRIC = {"declined": "rejected", "retried": "retried"}
 
 
 @dataclass(slots=True)
 class _DialogCounts:
-    """Dialogs of one type, decayed or of one observation period."""
+    """Counts of the dialogs of one type: decayed (the baseline), or of one observation period."""
 
     dialogs: float = 0.0
     rejected: float = 0.0
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Regression:
-    """A metric that rose after a change: its fractions before and after, the latter of so many dialogs."""
+    """An increase of a metric after a change: its fractions before and after, the latter of `dialogs`."""
 
     traffic_type: str
     metric: str
@@ -78,7 +80,7 @@
     def on_final_answer(
         self, now: int, traffic_type: str, rejected: bool, attempts: int
     ) -> Regression | None:
-        """Records a dialog's final answer; returns a regression when it becomes certain, once each."""
+        """Records a dialog's final answer; returns a regression when it becomes significant, once each."""
         if self._is_observing(now):
             counts = self.observed.setdefault(traffic_type, _DialogCounts())
         else:
@@ -92,7 +94,7 @@
         return self._find_regression(traffic_type, counts) if self.changed_at is not None else None
 
     def on_change(self, now: int, observe: bool = True) -> None:
-        """Starts an observation period at a change; `observe` False for a rollback, which is not judged."""
+        """Starts an observation period at a change; `observe` is False for a rollback."""
         self._merge_into_baseline()
         for counts in self.baseline.values():
             counts.decay(now)
@@ -103,7 +105,7 @@
         return self.changed_at is not None and now - self.changed_at <= OBSERVATION_PERIOD
 
     def _merge_into_baseline(self) -> None:
-        """Ends an observation: what was observed becomes part of what the next change is compared with."""
+        """Ends an observation period: its counts become part of the baseline of the next change."""
         for traffic_type, counts in self.observed.items():
             self.baseline.setdefault(traffic_type, _DialogCounts()).add(counts)
         self.observed = {}
@@ -123,8 +125,8 @@
 
 
 def _expected(events: float, dialogs: float, observed_dialogs: float) -> tuple[float, float]:
-    """The fraction to expect from the baseline, and the largest one that is no regression."""
-    # Half an event and one dialog are added, so that a baseline of few dialogs gives no certainty.
+    """The fraction expected from the baseline, and the largest fraction that is not a regression."""
+    # Half an event and one dialog are added, so that a baseline of few dialogs does not appear certain.
     fraction = (events + 0.5) / (dialogs + 1)
     error = math.sqrt(fraction * (1 - fraction) * (1 / observed_dialogs + 1 / (dialogs + 1)))
     limit = max(MIN_FRACTION, MIN_INCREASE_FACTOR * fraction, fraction + MIN_STANDARD_ERRORS * error)
--- a/valverouter/attempts/matching.py
+++ b/valverouter/attempts/matching.py
@@ -1,9 +1,9 @@
 """Matching of policy rules: of the rules that match a dialog, the most specific one sets each key.
 
 A rule matches by traffic type and by route: called-number prefix, region, trunk group and server set.
-Whatever a rule leaves out matches everything. A rule is more specific than another when the other matches
-everything that it matches. Two rules are ambiguous when they set the same key, some dialog matches both, and
-neither is more specific; a configuration with such rules is rejected when it is loaded.
+An omitted attribute matches everything. A rule is more specific than another if the other one matches every
+dialog that it matches. Two rules are ambiguous if they set the same key, some dialog matches both, and
+neither is more specific; a configuration with ambiguous rules is rejected when it is loaded.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MatchCondition:
-    """What a rule requires of a dialog; None, or an empty prefix, requires nothing."""
+    """The attributes that a rule requires of a dialog; None, or an empty prefix, matches any dialog."""
 
     traffic_type: str | None = None
     prefix: str = ""
@@ -36,7 +36,7 @@
     server_set: str | None = None
 
     def __str__(self) -> str:
-        """The condition as messages about a configuration show it; operators may know the text."""
+        """The condition as messages about a configuration show it; operators may search for this text."""
         values = ", ".join(f"{name}={getattr(self, name)!r}" for name in _CONDITION_FIELDS)
         return f"When({values})"
 
@@ -47,13 +47,13 @@
         )
 
     def covers(self, other: MatchCondition) -> bool:
-        """Whether this matches every dialog that `other` matches."""
+        """Whether this condition matches every dialog that `other` matches."""
         return other.prefix.startswith(self.prefix) and all(
             getattr(self, name) in (None, getattr(other, name)) for name in _EXACT_FIELDS
         )
 
     def intersection(self, other: MatchCondition) -> MatchCondition | None:
-        """The condition for exactly the dialogs that match both; None where no dialog can."""
+        """The condition for exactly the dialogs that match both; None if no dialog can."""
         shorter, longer = sorted((self.prefix, other.prefix), key=len)
         if not longer.startswith(shorter):
             return None
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveSetting:
-    """The value of a key for a dialog, and where it comes from: the name of a rule, or a place in a file."""
+    """The value of a key for a dialog, and its source: the name of a rule, or a position in a file."""
 
     value: Any
     source: str
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AmbiguousRules:
-    """The names of two rules that set `key` for the dialogs of `overlap`, neither being more specific."""
+    """The names of two rules that set `key` for the dialogs of `overlap`; neither is more specific."""
 
     first: str
     second: str
@@ -98,11 +98,11 @@
 
 
 class AmbiguousRulesError(ValueError):
-    """No matching rule is the most specific; raised only for rules that were not checked when loaded."""
+    """No matching rule is the most specific; raised only for rules that were not checked on loading."""
 
 
 def resolve(rules: Sequence[PolicyRule], dialog: DialogAttributes) -> dict[str, EffectiveSetting]:
-    """The effective setting of each key that any matching rule sets. Raises AmbiguousRulesError."""
+    """The effective setting of each key that any matching rule sets; raises AmbiguousRulesError."""
     settings: dict[str, EffectiveSetting] = {}
     for key in {key for rule in rules for key in rule.values}:
         matching = [rule for rule in rules if key in rule.values and rule.condition.matches(dialog)]
@@ -118,15 +118,15 @@
     ]
     if len(most_specific) != 1:
         names = ", ".join(rule.name for rule in matching)
-        raise AmbiguousRulesError(f"{key}: {names} tie for {dialog}")
+        raise AmbiguousRulesError(f"{key}: none of {names} is the most specific rule for {dialog}")
     return most_specific[0]
 
 
 def intersection_closure(conditions: Sequence[MatchCondition], limit: int) -> list[MatchCondition]:
-    """The conditions and all their intersections, of any number of them.
+    """The conditions and all intersections of two or more of them.
 
-    Three sections together may break a constraint that no two of them break. Stops early once there are more
-    than `limit`, when the result is of no use.
+    More than two are needed, since three sections together may break a constraint that no two of them break.
+    Stops early, with an incomplete result, once there are more than `limit`.
     """
     closure = dict.fromkeys(conditions)
     unexpanded = list(closure)
@@ -141,7 +141,7 @@
 
 
 def find_ambiguous_rules(rules: Sequence[PolicyRule]) -> list[AmbiguousRules]:
-    """All ambiguous pairs, but for those that a third rule resolves by its more specific condition."""
+    """All ambiguous pairs of rules, except those that a third, more specific rule resolves."""
     ambiguous: list[AmbiguousRules] = []
     for first, second in combinations(rules, 2):
         overlap = first.condition.intersection(second.condition)
@@ -161,7 +161,7 @@
 def _is_resolved(
     rules: Sequence[PolicyRule], pair: tuple[PolicyRule, PolicyRule], key: str, overlap: MatchCondition
 ) -> bool:
-    """Whether a rule beside the pair sets the key for exactly the dialogs that both match."""
+    """Whether another rule sets the key for exactly the dialogs that both rules of the pair match."""
     return any(
         key in rule.values and rule.condition == overlap
         for rule in rules
--- a/valverouter/attempts/worst_case.py
+++ b/valverouter/attempts/worst_case.py
@@ -1,10 +1,10 @@
 """The worst case of an attempt policy: the extreme timelines that it allows, and its problems.
 
-The timelines follow the routing decisions. An attempt lasts until it is answered or times out. After a
-failure the retry waits for a backoff with full jitter, at least for the release delay or for the time that a
-full server asked for. A retry that would not start before the no-answer timeout is not made, and the dialog
-is answered at once. So the answer always comes by the no-answer timeout, whatever the jitter; a timeline
-shows how many attempts fit, and which settings can never take effect.
+The timelines follow the routing decisions. An attempt lasts until it is answered or times out. A retry waits
+for a backoff with full jitter, but at least for the release delay, or for the retry-after of a full server. A
+retry that could not start before the no-answer timeout is not made, and the dialog is answered at once. The
+final answer is therefore never later than the no-answer timeout, whatever the jitter; a timeline shows how
+many attempts fit, and which settings can never take effect.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimeline:
-    """A dialog from its arrival to its answer, and how many attempts that took."""
+    """A dialog from its arrival to its final answer, and its number of attempts."""
 
     steps: tuple[TimelineStep, ...]
     answered_at: int
@@ -65,12 +65,12 @@
 
 
 _Steps = tuple[TimelineStep, ...]
-# The steps that lead to the start of an attempt, by the moment of that start.
+# The steps before an attempt, by the time of its start.
 _Starts = dict[int, _Steps]
 
 
 def backoff_delay(policy: AttemptPolicy, retry: int, jitter: float, minimum: int) -> int:
-    """The delay before a retry (from 1), as the routing policy computes it; `jitter` from 0 to 1."""
+    """The delay before retry number `retry` (from 1), as in the routing policy; `jitter` from 0 to 1."""
     doublings = min(retry - 1, MAX_DOUBLINGS)
     return max(minimum, int(jitter * min(policy.backoff_cap, policy.backoff_base << doublings)))
 
@@ -78,9 +78,9 @@
 def timelines(policy: AttemptPolicy) -> Iterator[AttemptTimeline]:
     """Timelines at the extremes of every duration, among them the longest and the one with most attempts.
 
-    An attempt fails at once, as it times out, or as late as a retry still fits; a backoff is the shortest,
-    the longest, or the longest that still fits. Only one of the timelines that start an attempt at the same
-    moment is continued, since what can follow is the same.
+    An attempt fails at once, at its timeout, or at the latest time that permits a retry; a backoff is the
+    shortest, the longest, or the longest that still fits. Of the timelines that start an attempt at the same
+    time only one is continued, since their continuations are the same.
     """
     starts: _Starts = {0: ()}
     max_total = max(policy.max_attempts, policy.max_total_attempts)
@@ -90,7 +90,7 @@
             for end in _attempt_ends(policy, start, attempt):
                 if attempt < max_total:
                     _add_start_after_no_agent(policy, attempt, start, steps, end, next_starts)
-                description = f"leg {attempt}: {end.description}"
+                description = f"attempt {attempt}: {end.description}"
                 step = TimelineStep(start, end.at - start, StepKind.ATTEMPT, description)
                 yield from _after_failure(policy, attempt, (*steps, step), end.at, next_starts)
         starts = next_starts
@@ -99,9 +99,9 @@
 def _add_start_after_no_agent(
     policy: AttemptPolicy, attempt: int, start: int, steps: _Steps, end: _AttemptEnd, next_starts: _Starts
 ) -> None:
-    """A server without a free agent is left for another at once, and the attempt does not count as failed."""
+    """Adds the next attempt after a server without a free agent: at once, since this is not a failure."""
     left_at = min(end.at, policy.no_answer_timeout - 1)
-    description = f"leg {attempt}: no free agent there"
+    description = f"attempt {attempt}: server without a free agent"
     step = TimelineStep(start, left_at - start, StepKind.ATTEMPT, description)
     next_starts.setdefault(left_at, (*steps, step))
 
@@ -109,7 +109,7 @@
 def _after_failure(
     policy: AttemptPolicy, attempt: int, steps: _Steps, failed_at: int, next_starts: _Starts
 ) -> Iterator[AttemptTimeline]:
-    """The timelines that end with this attempt; those that go on are added to `next_starts`."""
+    """The timelines that end with this attempt; those with a retry are added to `next_starts`."""
     if failed_at >= policy.no_answer_timeout or attempt >= policy.max_attempts:
         yield _answered(steps, failed_at, attempt, "answered")
         return
@@ -120,7 +120,7 @@
             step = TimelineStep(failed_at, backoff.duration, StepKind.BACKOFF, description)
             next_starts.setdefault(retry_at, (*steps, step))
         else:
-            late = f"{backoff.description} of {backoff.duration} ns would pass the no-answer time"
+            late = f"{backoff.description}: a retry after {backoff.duration} ns exceeds the no-answer timeout"
             yield _answered(steps, failed_at, attempt, f"answered: {late}")
 
 
@@ -129,42 +129,42 @@
 
 
 def _attempt_ends(policy: AttemptPolicy, start: int, attempt: int) -> Iterator[_AttemptEnd]:
-    """The extreme moments at which an attempt can end."""
+    """The extreme times at which an attempt can end."""
     latest = policy.no_answer_timeout
     if policy.attempt_timeout:
         latest = min(latest, start + policy.attempt_timeout)
-    yield _AttemptEnd(latest, "its time is up")
+    yield _AttemptEnd(latest, "timed out")
     if latest > start:
-        yield _AttemptEnd(start, "it fails at once")
+        yield _AttemptEnd(start, "failed at once")
     for minimum in {policy.release_delay, 0, policy.max_server_retry_after}:
         last_retry = policy.no_answer_timeout - 1 - minimum
         if start < last_retry < latest and attempt < policy.max_attempts:
-            yield _AttemptEnd(last_retry, "it fails as late as a retry still fits")
+            yield _AttemptEnd(last_retry, "failed at the latest time that permits a retry")
 
 
 def _backoffs(policy: AttemptPolicy, retry: int, remaining: int) -> Iterator[_Backoff]:
     """The extreme delays before a retry, with `remaining` nanoseconds left until the no-answer timeout."""
-    minimums = {policy.release_delay: "release time", 0: "full, no wait asked"}
-    minimums.setdefault(policy.max_server_retry_after, "the longest asked wait")
+    minimums = {policy.release_delay: "release delay", 0: "server full, no retry-after"}
+    minimums.setdefault(policy.max_server_retry_after, "longest retry-after")
     for minimum, description in minimums.items():
         shortest = backoff_delay(policy, retry, 0.0, minimum)
         longest = backoff_delay(policy, retry, 1.0, minimum)
-        yield _Backoff(shortest, f"{description}, the least draw")
-        yield _Backoff(longest, f"{description}, the largest draw")
+        yield _Backoff(shortest, f"{description}, least jitter")
+        yield _Backoff(longest, f"{description}, most jitter")
         if shortest < remaining - 1 < longest:
-            yield _Backoff(remaining - 1, f"{description}, a draw that just fits")
+            yield _Backoff(remaining - 1, f"{description}, longest jitter that fits")
     if 0 < remaining - 1 < policy.max_server_retry_after:
-        # A server may ask for any delay up to the longest, so also for one that just fits.
-        yield _Backoff(remaining - 1, "an asked wait that just fits")
+        # The retry-after of a server may be any duration up to the longest, so also one that just fits.
+        yield _Backoff(remaining - 1, "longest retry-after that fits")
 
 
 def longest_timeline(policy: AttemptPolicy) -> AttemptTimeline:
-    """The timeline whose answer comes last; of those the one with most steps."""
+    """The timeline with the latest answer; among equals the one with the most steps."""
     return max(timelines(policy), key=lambda timeline: (timeline.answered_at, len(timeline.steps)))
 
 
 def policy_problems(policy: AttemptPolicy, min_release_delay: int, max_attempts: int) -> list[PolicyProblem]:
-    """What in the policy breaks a constraint or can never take effect; empty for a sound one."""
+    """The settings of the policy that break a constraint or can never take effect, with the reasons."""
     problems: list[PolicyProblem] = []
 
     def problem(key: str, reason: str) -> None:
@@ -172,39 +172,37 @@
 
     no_answer = f"{policy.no_answer_timeout} ns"
     if not 1 <= policy.max_attempts <= max_attempts:
-        problem("legs", f"{policy.max_attempts} legs, from 1 to {max_attempts} are allowed")
+        problem("legs", f"{policy.max_attempts} attempts; must be from 1 to {max_attempts}")
     total = policy.max_total_attempts
     if total and not policy.max_attempts <= total <= max_attempts:
-        problem("legs_in_all", f"{total}, from legs, {policy.max_attempts}, to {max_attempts} are allowed")
+        problem("legs_in_all", f"{total}; must be from legs, {policy.max_attempts}, to {max_attempts}")
     if policy.release_delay < min_release_delay:
-        accepted = f"{min_release_delay} ns or more"
-        problem("release_wait", f"a resend {policy.release_delay} ns after a time-out; {accepted}")
+        accepted = f"must be {min_release_delay} ns or more"
+        problem("release_wait", f"a retry {policy.release_delay} ns after a timeout; {accepted}")
     if policy.latency_objective > policy.no_answer_timeout:
-        problem("objective", f"past the no-answer time of {no_answer}")
+        problem("objective", f"exceeds the no-answer timeout of {no_answer}")
     if policy.backoff_base > policy.backoff_cap:
         problem("retry_base", f"above retry_cap, {policy.backoff_cap} ns")
     if policy.attempt_timeout >= policy.no_answer_timeout:
-        problem("leg_time_out", f"never acts; below no_answer, {no_answer}, or left out")
+        problem("leg_time_out", f"never takes effect; must be below no_answer, {no_answer}, or omitted")
     elif (timeline := _timeline_without_retry(policy)) is not None:
-        problem("leg_time_out", f"leaves no time for another leg: {format_timeline(timeline)}")
+        problem("leg_time_out", f"leaves no time for a retry: {format_timeline(timeline)}")
     return problems
 
 
 def _timeline_without_retry(policy: AttemptPolicy) -> AttemptTimeline | None:
-    """The timeline of a timeout that leaves no time for any retry; None where a retry can follow."""
+    """The timeline of an attempt timeout that leaves no time for a retry; None if a retry can follow."""
     timeout = policy.attempt_timeout
     if not timeout or policy.max_attempts <= 1 or timeout + policy.release_delay < policy.no_answer_timeout:
         return None
     steps = (
-        TimelineStep(0, timeout, StepKind.ATTEMPT, "leg 1: its time is up"),
-        TimelineStep(
-            timeout, policy.release_delay, StepKind.BACKOFF, "retry 1: release time, the least draw"
-        ),
+        TimelineStep(0, timeout, StepKind.ATTEMPT, "attempt 1: timed out"),
+        TimelineStep(timeout, policy.release_delay, StepKind.BACKOFF, "retry 1: release delay, least jitter"),
     )
-    late = f"that would pass the no-answer time of {policy.no_answer_timeout} ns"
+    late = f"the retry exceeds the no-answer timeout of {policy.no_answer_timeout} ns"
     return _answered(steps, timeout, 1, f"answered: {late}")
 
 
 def format_timeline(timeline: AttemptTimeline) -> str:
-    """A timeline in one line, step by step."""
+    """Formats a timeline as one line, step by step."""
     return "; ".join(f"at {step.start} ns {step.description}, {step.duration} ns" for step in timeline.steps)
--- a/valverouter/driver.py
+++ b/valverouter/driver.py
@@ -1,7 +1,7 @@
-"""Runs the dialogs of one edge proxy: their generators, their timers, and which attempt belongs to which.
+"""Runs the dialogs of one edge proxy: their flows, their timers and the attempts that belong to them.
 
-It decides nothing: each dialog's flow comes from valverouter.policy, the commands go to whoever owns the
-wire. The simulator's adapter and the edge proxy use it alike.
+The driver makes no decisions: each dialog's flow comes from valverouter.policy, and the commands go to the
+signalling stack. The emulator and the edge proxy both use it.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 )
 from valverouter.policy.routing import RoutingPolicy
 
-# The key of the policy's own flow among the open dialogs, whose ids are never empty.
+# The key of the policy's maintenance flow in the table of open dialogs; ids of dialogs are never empty.
 MAINTENANCE = ""
 
 
 class UnansweredDialogError(RuntimeError):
-    """A dialog's flow ended in a way that leaves its caller without an answer."""
+    """A dialog's flow ended without a final answer for its caller."""
 
 
 @dataclass(slots=True)
 class _OpenDialog:
-    """One open flow: how many attempts were sent, the one in flight, and the timer it waits for."""
+    """An open flow: how many attempts were sent, the one in flight, and the timer that it waits for."""
 
     flow: DialogFlow
     attempts: int = 0
@@ -52,7 +52,7 @@
 
 
 class Driver:
-    """The dialogs of one edge proxy. Each table is emptied as its dialogs and timers end."""
+    """Runs the dialogs of one edge proxy. Entries of its tables are removed when dialogs and timers end."""
 
     def __init__(
         self, deployment: Deployment, seed: int, now: int, cross_region: CrossRegionRule | None = None
@@ -66,7 +66,7 @@
 
     @property
     def open_dialogs(self) -> int:
-        """How many dialogs have no final answer yet."""
+        """The number of dialogs without a final answer."""
         return len(self._open_dialogs) - 1
 
     def tick(self, now: int) -> None:
@@ -74,16 +74,16 @@
         self.policy.tick(now)
 
     def take_commands(self) -> list[Command]:
-        """The commands since the last call, in their order."""
+        """Returns the commands since the last call, in order."""
         commands, self.commands = self.commands, []
         return commands
 
     def start_dialog(self, dialog: Dialog) -> None:
-        """Begins a dialog; its first command is there when this returns."""
+        """Starts a dialog; its first command is available on return."""
         self._start(dialog.id, self.policy.dialog_flow(dialog))
 
     def update_endpoints(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Takes in an update of the endpoint list, or that it could not be had."""
+        """Applies an endpoint update, or handles a failed request for the list."""
         self.policy.table.update_endpoints(self.policy.now, kind, endpoints)
         maintenance = self._open_dialogs[MAINTENANCE]
         if maintenance.timer_id is None and kind is not EndpointUpdateKind.CACHED:
@@ -92,15 +92,15 @@
     def set_retry_budgets(
         self, by_number: Mapping[int, RetryBudgetConfig], default: RetryBudgetConfig
     ) -> None:
-        """Sets the retry budgets by server number, and that of all other servers."""
+        """Sets the retry budgets by server number, and the default for all other servers."""
         self.policy.table.set_retry_budgets(by_number, default)
 
     def update_load(self, server: str, report: LoadReport) -> None:
-        """Takes in the load report of a server."""
+        """Applies the load report of a server."""
         self.policy.table.update_load(self.policy.now, server, report)
 
     def on_attempt_result(self, result: AttemptResult) -> None:
-        """Resumes the dialog that the result is for; cancels attempts that it shows to be lost."""
+        """Resumes the dialog of the result; cancels attempts which the result shows to be lost."""
         for dialog_id, attempt in self.policy.on_attempt_result(result):
             other = self._open_dialogs.get(dialog_id)
             if other is not None and other.in_flight == attempt:
@@ -121,7 +121,7 @@
             self._close(dialog_id, dialog)
 
     def on_timer(self, timer_id: int) -> None:
-        """Resumes the flow that waits for this timer, if it still does."""
+        """Resumes the flow that waits for the timer, if any."""
         key = self._timers.pop(timer_id, None)
         dialog = self._open_dialogs.get(key) if key is not None else None
         if key is not None and dialog is not None and dialog.timer_id == timer_id:
@@ -144,7 +144,7 @@
         except StopIteration:
             is_established = isinstance(result, AttemptResult) and result.outcome is Outcome.ESTABLISHED
             if not is_established:
-                raise UnansweredDialogError(f"dialog {key} was left without an answer") from None
+                raise UnansweredDialogError(f"the flow of dialog {key} ended without an answer") from None
             del self._open_dialogs[key]
             return
         match action:
--- a/valverouter/interface.py
+++ b/valverouter/interface.py
@@ -1,6 +1,6 @@
-"""The types between the routing policy and whoever runs it: events in, actions out.
+"""The interface between the routing policy and the code that runs it: events in, actions out.
 
-Times are whole nanoseconds of the caller's clock. Ids are opaque and handed back as they came.
+Times are whole nanoseconds of the clock of the code that runs it. Ids are opaque and returned unchanged.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt went, as answered by its server or as the signalling stack found."""
+    """The outcome of an attempt, as answered by its server or as detected by the signalling stack."""
 
     ESTABLISHED = auto()
     ENDED = auto()
@@ -28,10 +28,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an update of the endpoint list covers.
-
-    Some entries, all, all from a cache, or that it could not be had.
-    """
+    """The kind of an endpoint update: some entries, all, all from a cache, or a failure to get the list."""
 
     INCREMENTAL = auto()
     COMPLETE = auto()
@@ -41,9 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficType:
-    """One traffic type.
+    """A traffic type; `latency_objective` and `mean_duration` of its dialogs are in nanoseconds.
 
-    Its latency objective, its priority, and the numbers of servers that may take it (None: all).
+    `idempotent`: an attempt may be retried although its server may have begun the set-up. `server_numbers`:
+    the servers that may take the type (None: all).
     """
 
     latency_objective: int
@@ -55,11 +53,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The configuration of one edge proxy, as handed over at its start.
+    """The configuration of one edge proxy, given at its start; durations in nanoseconds.
 
-    `fleet_index` is this one's place among `edge_proxies`. `own_server_number`: the server that is itself
-    (-1: none). `slow_start_fraction` of its warm capacity is what a server bears at its start, growing evenly
-    over `slow_start_duration`; it is overloaded by `overload_multiple` of that within `overload_window`.
+    `fleet_index` is the index of this edge proxy among `edge_proxies`. `own_server_number`: the number of the
+    server that is this edge proxy itself (-1: none). When a server starts, its capacity is
+    `slow_start_fraction` of its warm capacity and grows linearly over `slow_start_duration`; set-ups of
+    `overload_multiple` times that capacity within `overload_window` overload it.
     """
 
     traffic_types: dict[str, TrafficType]
@@ -79,12 +78,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptPolicy:
-    """How the attempts of one dialog are made; spans in whole nanoseconds.
+    """The limits on the attempts of one dialog; durations in whole nanoseconds.
 
-    0 stands for: the caller's own `no_answer_timeout`; no `attempt_timeout` but the deadline; the policy's
-    own `retry_after`; the fleet's `max_total_attempts`. `max_attempts` counts the first one too;
-    `max_total_attempts` also those that went on at once from a server without a free agent.
-    `max_server_retry_after` only bounds what is computed of the longest course.
+    0 means: for `no_answer_timeout`, the caller's own; for `attempt_timeout`, none but the deadline; for
+    `retry_after`, the routing policy's own; for `max_total_attempts`, the fleet's. `max_attempts` includes
+    the first attempt; `max_total_attempts` also includes those at a server without a free agent, after which
+    another server is tried at once. `max_server_retry_after` is used only to compute the worst case.
     """
 
     max_attempts: int
@@ -101,10 +100,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetConfig:
-    """A server's retry budget in thousandths of a token: its full count, and what an established dialog adds.
+    """A server's retry budget in thousandths of a token: its maximum, and what an established dialog adds.
 
-    The source (gRFC A6) bounds both: 10 tokens or fewer, a ratio under a half. The threshold is not
-    configurable.
+    The source (gRFC A6) limits both: to 10 tokens or fewer, and to a ratio below one half. The threshold is
+    not configurable.
     """
 
     max_tokens: int
@@ -113,10 +112,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Dialog:
-    """A dialog handed to this edge proxy, which must give it exactly one final answer by its deadline.
+    """A dialog to route; it must get exactly one final answer by its deadline.
 
-    `was_interrupted`: it was established before and lost its server. `in_transit`: only the preferred server
-    will do.
+    `was_interrupted`: the dialog was established before and lost its server. `in_transit`: only the preferred
+    server may be selected.
     """
 
     id: str
@@ -131,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The load that a server reported; None where it gives no figure. `queue_delay` in nanoseconds."""
+    """The load that a server reported; None for a value that it omitted. `queue_delay` is in nanoseconds."""
 
     free_lines: float | None = None
     lines: float | None = None
@@ -140,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The result of an attempt; an established one brings a second result when the dialog ends."""
+    """The result of an attempt; an established attempt has a second result when its dialog ends."""
 
     dialog_id: str
     attempt: int
@@ -158,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of the endpoint list; `started_at` 0 stands for long ago."""
+    """One entry of the endpoint list; `started_at` is 0 for a server that is past its slow start."""
 
     id: str
     number: int
@@ -169,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Forward the dialog to a server; resumed with the AttemptResult, by the deadline at the latest."""
+    """Forwards the dialog to a server; the flow is resumed with the AttemptResult, by the deadline."""
 
     server: str
     deadline: int
@@ -177,14 +176,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Delay:
-    """Wait; resumed with None once the duration has passed."""
+    """Waits; the flow is resumed with None once the duration has passed."""
 
     duration: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, with the duration after which to retry (0: no advice)."""
+    """Final answer: rejected, with the duration after which the caller may retry (0: not given)."""
 
     retry_after: int = 0
 
@@ -196,14 +195,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt of the dialog; its result still comes."""
+    """Cancels an attempt of the dialog; its result still follows."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the endpoint list and its watch events; resumed with the EndpointUpdateKind of the answer."""
+    """Requests the endpoint list and its updates; the flow is resumed with the kind of the response."""
 
 
 Action = StartAttempt | Delay | Reject | Fail | Subscribe
@@ -213,7 +212,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """Call the driver's `on_timer` with the id after the duration."""
+    """Requests a call of the driver's `on_timer` with the id after the duration."""
 
     duration: int
     timer_id: int
@@ -221,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DialogAction:
-    """An action with the dialog that it is for, ready for the signalling stack."""
+    """An action and the dialog that it applies to, for the signalling stack."""
 
     dialog_id: str
     action: StartAttempt | CancelAttempt | Reject | Fail
@@ -235,9 +234,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CrossRegionBudget:
-    """At most `attempts` cross-region attempts of the whole fleet in any `window`, and `burst` at one moment.
+    """A limit on the fleet's cross-region attempts: `attempts` in any `window` (ns), and `burst` at once.
 
-    `edge_proxies` share it, this one with `fleet_index`; they exchange nothing.
+    `edge_proxies` share the budget without communication; `fleet_index` is the index of this one.
     """
 
     attempts: int
@@ -249,10 +248,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CrossRegionPolicy:
-    """How one traffic type may cross regions.
+    """The conditions on which attempts of one traffic type may cross regions.
 
-    `budget` None: no limit; `pairs` of regions have budgets of their own.
-    `urgent`: crosses as soon as the home region lacks capacity, may use the reserve, and beyond it overdraws.
+    `budget` None: no limit. `pairs`: budgets by home and remote region. `urgent`: the type crosses as soon as
+    the home region lacks capacity, may use the reserve, and is overdrawn beyond that.
     """
 
     budget: CrossRegionBudget | None = None
@@ -262,10 +261,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CrossRegionConfig:
-    """What may cross from this edge proxy's `home_region`, and how far the fleet's clocks may differ.
+    """The policies, by traffic type, for attempts from `home_region` to other regions.
 
-    A type that is not in `policies` never crosses. `reserved_fraction` of a server's lines is left to callers
-    of its own region.
+    A type that is not in `policies` never crosses. `clock_skew` (ns): how far the fleet's clocks may differ.
+    `reserved_fraction` of a server's lines is reserved for callers of its own region.
     """
 
     home_region: str
@@ -276,28 +275,28 @@
 
 
 class CrossRegionRule(Protocol):
-    """What the server selection asks before an attempt goes to another region, and reports after."""
+    """The rule that the server selection consults before a cross-region attempt and informs after it."""
 
     def is_remote(self, region: str) -> bool:
-        """Whether the region is another one than the home region."""
+        """Whether the region differs from the home region."""
 
     def allows(
         self, now: int, traffic_type: str, region: str, delay_fraction: float, free_fraction: float | None
     ) -> bool:
-        """Whether an attempt of the type may go there now; asking costs nothing.
+        """Whether an attempt of the type may go to the region now; nothing is charged.
 
-        `delay_fraction`: the server's queue delay, of the longest accepted; `free_fraction`: of its lines, if
-        known.
+        `delay_fraction`: the server's queue delay as a fraction of the longest accepted; `free_fraction`: the
+        fraction of its lines that are free, None if unknown.
         """
 
     def on_selection(self, now: int, home_available: bool) -> None:
-        """A server was selected for a dialog: whether one of the home region admits it."""
+        """Records a dialog's server selection: whether a server in the home region was available to it."""
 
     def on_attempt_started(self, now: int, traffic_type: str, region: str, key: tuple[str, int]) -> None:
-        """An attempt goes to that region, crossing or not; what it costs is paid here."""
+        """Records an attempt to the region, home or remote; a cross-region attempt is charged here."""
 
     def on_rejected(self, now: int, traffic_type: str) -> None:
-        """A dialog is rejected though a server in another region would have admitted it."""
+        """Records a dialog that is rejected although a remote server would have admitted it."""
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
-        """The result of any attempt; gives back what an attempt that was never sent did not use."""
+        """Handles the result of any attempt; refunds an attempt that was never sent."""
--- a/valverouter/policy/retry.py
+++ b/valverouter/policy/retry.py
@@ -1,4 +1,7 @@
-"""Retry budget, decision, backoff, by "A retry package owned by bedrock", whose names are in parentheses."""
+"""The retry budget, the retry decision and the backoff.
+
+They follow "A retry package owned by bedrock"; the names that it uses are given in parentheses.
+"""
 
 from enum import Enum, auto
 
@@ -10,7 +13,7 @@
 
 
 class RetryDecision(Enum):
-    """What follows a failed attempt (Decision)."""
+    """The decision after a failed attempt (Decision)."""
 
     RETRY = auto()
     EXHAUSTED = auto()
@@ -19,24 +22,24 @@
 
 
 class RetryBudget:
-    """The retry tokens of one server (Budget): starts full; first attempts are never limited by it."""
+    """The retry tokens of one server (Budget). It starts full and never limits first attempts."""
 
     def __init__(self, config: RetryBudgetConfig = DEFAULT_RETRY_BUDGET) -> None:
         self.config = config
         self.tokens = config.max_tokens
 
     def reconfigure(self, config: RetryBudgetConfig) -> None:
-        """Keeps the fraction of tokens left, so that a new configuration neither forgives nor punishes."""
+        """Applies a configuration, which keeps the fraction of tokens left: it neither refills nor drains."""
         if config != self.config:
             self.tokens = self.tokens * config.max_tokens // self.config.max_tokens
             self.config = config
 
     def on_failure(self) -> None:
-        """Takes one token for a retryable failure."""
+        """Removes one token after a retryable failure."""
         self.tokens = max(0, self.tokens - tuning.TOKEN)
 
     def on_success(self) -> None:
-        """Adds the token ratio for an established dialog."""
+        """Adds the token ratio after an established dialog."""
         self.tokens = min(self.config.max_tokens, self.tokens + self.config.token_ratio)
 
     @property
@@ -48,7 +51,10 @@
 def decide_retry(
     budget: RetryBudget, attempts: int, max_attempts: int, retry_at: int, deadline: int
 ) -> RetryDecision:
-    """What follows a retryable failure (Done): takes the token, then checks in the paper's order."""
+    """Decides what follows a retryable failure (Done).
+
+    Removes the token first, then checks the reasons against a retry in the paper's order.
+    """
     budget.on_failure()
     if attempts >= max_attempts:
         return RetryDecision.EXHAUSTED
@@ -60,12 +66,15 @@
 
 
 def exponential_backoff(base: int, doublings: int, cap: int) -> int:
-    """`base` doubled so many times, at most `cap`."""
+    """Returns `base` doubled `doublings` times, at most `cap`."""
     return min(cap, base << min(doublings, MAX_DOUBLINGS))
 
 
 def retry_delay(
     retry: int, draw: float, minimum: int, base: int = tuning.BACKOFF_BASE, cap: int = tuning.BACKOFF_CAP
 ) -> int:
-    """The delay before retry number `retry`, from 1 (Exponential, full jitter by `draw`, from 0 up to 1)."""
+    """Returns the delay before the retry with this number, from 1 (Exponential).
+
+    The backoff has full jitter: `draw` is a random number from 0 (included) to 1 (excluded).
+    """
     return max(minimum, int(draw * exponential_backoff(base, retry - 1, cap)))
--- a/valverouter/policy/routing.py
+++ b/valverouter/policy/routing.py
@@ -1,4 +1,4 @@
-"""The decisions of one edge proxy: each dialog's flow from its arrival to its final answer.
+"""The routing decisions of one edge proxy: the flow of each dialog from its arrival to its final answer.
 
 A flow is a generator that yields actions and is resumed with their results; `tick` sets the clock.
 """
@@ -11,12 +11,15 @@
 from valverouter.policy.server_table import ServerTable
 from valverouter.randomness import CounterRandom
 
-# Outcomes that prove that the server has not begun to set the dialog up.
+# Outcomes which prove that the server has not begun to set up the dialog.
 NOT_BEGUN = (Outcome.FULL, Outcome.NO_AGENT, Outcome.UNREACHABLE)
 
 
 class RoutingPolicy:
-    """All decisions of one edge proxy; its tables hold what is in flight, listed or recent."""
+    """Makes all routing decisions of one edge proxy.
+
+    Its tables are bounded: they contain attempts in flight, listed servers and recently busy numbers.
+    """
 
     def __init__(
         self, deployment: interface.Deployment, seed: int, now: int, cross_region: Rule = None
@@ -27,24 +30,24 @@
         self.table = ServerTable(deployment)
         self.random = CounterRandom(seed)
         self.selector = ServerSelector(deployment, self.table, self.random, cross_region)
-        # Called numbers whose lines were all busy, until when; emptied as that passes.
+        # Called numbers whose lines were all busy, with the time (ns) when the entry expires.
         self._busy_numbers: dict[int, int] = {}
 
     def tick(self, now: int) -> None:
-        """Sets the clock; missed heartbeats are a stall of this process, taken out of every age."""
+        """Sets the clock. Missed heartbeats show a stall of this process, which no age may include."""
         stalled = now - self.now - tuning.HEARTBEAT_INTERVAL
         if stalled > tuning.HEARTBEAT_INTERVAL:
             self.table.exclude_stall(stalled)
         self.now = now
 
     def on_attempt_result(self, result: interface.AttemptResult) -> list[interface.AttemptKey]:
-        """Learns from a result, also of a dialog that has ended; gives lost attempts, which are to cancel."""
+        """Updates the server of a result, also after its dialog's end; returns lost attempts to cancel."""
         if self.cross_region is not None:
             self.cross_region.on_attempt_result(self.now, result)
         return self.table.on_attempt_result(self.now, result)
 
-    def dialog_flow(self, dialog: Dialog) -> DialogFlow:  # noqa: C901 - kept in one piece
-        """One dialog from arrival to final answer; long, since a flow is kept in one piece."""
+    def dialog_flow(self, dialog: Dialog) -> DialogFlow:  # noqa: C901 - the whole flow is one generator
+        """Runs one dialog from arrival to final answer; kept in one function to be read in order."""
         traffic_type = self.deployment.traffic_types.get(dialog.traffic_type)
         if traffic_type is None or self._is_number_busy(dialog.called_number):
             yield self._reject(dialog.attempt_policy)
@@ -77,10 +80,10 @@
                 return
             may_go_on = attempts < self._max_total_attempts(policy) and self.now < dialog.deadline
             if outcome is Outcome.NO_AGENT and may_go_on:
-                # The load report was older than the lines: another server at once, nothing has failed.
+                # The load report was out of date. Nothing has failed: try another server without delay.
                 continue
             if outcome is Outcome.NOT_SENT or self.now >= dialog.deadline:
-                # The caller's time is over, or nothing was sent: neither says anything of the server.
+                # The deadline has passed or nothing was sent: neither says anything about the server.
                 yield interface.Fail()
                 return
             minimum = result.retry_after if outcome in NOT_BEGUN else policy.release_delay
@@ -97,7 +100,7 @@
             yield interface.Delay(delay)
 
     def maintenance_flow(self) -> DialogFlow:
-        """Asks for the endpoint list where it isn't pushed, then beats so that a stall of ours shows."""
+        """Subscribes to the endpoint list unless it is pushed, then issues heartbeats that show stalls."""
         failed = interface.EndpointUpdateKind.FAILED
         tries = 0
         while not self.deployment.endpoint_list_is_pushed and (yield interface.Subscribe()) is failed:
@@ -111,7 +114,7 @@
         return AttemptPolicy(tuning.MAX_ATTEMPTS, *times, tuning.BACKOFF_BASE, tuning.BACKOFF_CAP)
 
     def _attempt_deadline(self, dialog: Dialog, policy: AttemptPolicy) -> int:
-        # An attempt's own time-out, where there is one, leaves the rest of the time to another server.
+        # An attempt timeout, if configured, leaves time for an attempt at another server.
         until = self.now + policy.attempt_timeout
         return min(dialog.deadline, until) if policy.attempt_timeout else dialog.deadline
 
--- a/valverouter/policy/selection.py
+++ b/valverouter/policy/selection.py
@@ -1,4 +1,8 @@
-"""Selects the server of an attempt: the preferred one, else the shorter queue of two drawn by capacity."""
+"""Selects the server of an attempt.
+
+The preferred server comes first. Otherwise two servers are drawn at random, weighted by spare capacity, and
+the one with the shorter queue delay is selected.
+"""
 
 from dataclasses import dataclass
 
@@ -15,7 +19,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """What a server is selected for, when, and the longest queue delay accepted."""
+    """A request for a server: the dialog, the time, and the longest queue delay accepted (both in ns)."""
 
     dialog: Dialog
     traffic_type: TrafficType
@@ -25,7 +29,10 @@
 
 
 class ServerSelector:
-    """The server rule; `region_blocked`: the cross-region rule kept the last dialog from a server."""
+    """Selects servers for one edge proxy.
+
+    `region_blocked`: in the latest selection, the cross-region rule excluded a server that admits the dialog.
+    """
 
     def __init__(self, deployment: Deployment, table: ServerTable, random: CounterRandom, rule: Rule) -> None:
         self.region_blocked = False
@@ -39,7 +46,10 @@
         self._priority_types = {name for name, kind in types.items() if kind.priority_weight > lowest}
 
     def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
-        """A server that admits an attempt of the dialog, none of `tried` while another does; None: none."""
+        """Returns a server that admits an attempt of the dialog, or None.
+
+        A server in `tried` is returned only if no other server admits the attempt.
+        """
         eligible = [
             server
             for server in self.table.servers.values()
@@ -58,7 +68,7 @@
         others = self._prefer_home([server for server in admitting if server is not preferred], request)
         untried = [server for server in others if server.endpoint.id not in tried] or others
         if preferred in admitting and not untried and preferred and self._region_allows(preferred, request):
-            # Tried by this dialog before, but the only one left.
+            # The dialog has tried it before, but no other server is left.
             untried = [preferred]
         if not untried or not self._admits_spillover(admitting, others, request):
             return None
@@ -70,7 +80,8 @@
         is_priority = dialog.traffic_type in self._priority_types or dialog.was_interrupted
         fraction = tuning.PRIORITY_DELAY_FRACTION
         if not is_priority:
-            # Drawn per dialog so that a growing queue rejects a growing fraction, not all at one moment.
+            # Drawn for each dialog, so that a growing queue rejects a growing fraction of the dialogs
+            # instead of all at once.
             fraction = tuning.MIN_DELAY_FRACTION + tuning.DELAY_FRACTION_RANGE * self._random.draw()
         return Request(dialog, kind, now, is_priority, int(objective * fraction))
 
@@ -95,7 +106,8 @@
         rule, with_capacity = self._cross_region, [one for one in admitting if self._capacity.spare(one) > 0]
         if rule is None:
             return with_capacity
-        # Crossing costs time and the other region's lines. We know too little there to judge spare capacity.
+        # A remote server adds latency and takes lines from its own region. Too little is known of it here to
+        # judge its spare capacity.
         home = [server for server in with_capacity if not rule.is_remote(server.endpoint.region)]
         rule.on_selection(request.now, bool(home))
         if home:
@@ -117,7 +129,8 @@
         return allowed
 
     def _admits_spillover(self, admitting: Servers, others: Servers, request: Request) -> bool:
-        # What many servers can't take overloads the few that can: only what fits spare capacity goes on.
+        # The load that many servers cannot take would overload the few that can: only as much of it as fits
+        # into their spare capacity is admitted.
         if request.is_priority:
             return True
         rule = self._cross_region
@@ -134,7 +147,8 @@
         return first if first.queue_delay(now) <= second.queue_delay(now) else second
 
     def _weighted_choice(self, servers: Servers) -> ServerState:
-        # By spare capacity: drawn evenly, what large servers can't take would overload the small ones.
+        # Weighted by spare capacity: with an even draw, the load that large servers cannot take would
+        # overload the small ones.
         weights = [max(MIN_WEIGHT, self._capacity.spare(server)) for server in servers]
         left = self._random.draw() * sum(weights)
         for server, weight in zip(servers, weights, strict=True):
--- a/valverouter/policy/server_state.py
+++ b/valverouter/policy/server_state.py
@@ -1,4 +1,4 @@
-"""What is known of one server: latency, window of attempts in flight, ejection, slow-start slots."""
+"""The state of one server: latency, window of attempts in flight, ejection and slow-start slots."""
 
 from valverouter.interface import Endpoint, RetryBudgetConfig
 from valverouter.policy import tuning
@@ -6,7 +6,10 @@
 
 
 class ServerState:
-    """The state of one server since its latest start; for `quota_interval` see `tuning`."""
+    """The state of one server since its latest start.
+
+    `quota_interval` parameters are in nanoseconds; `tuning` explains the term.
+    """
 
     def __init__(self, endpoint: Endpoint, now: int, budget: RetryBudgetConfig) -> None:
         self.endpoint = endpoint
@@ -20,22 +23,24 @@
         self.min_latency = 0
         self.latency_sampled_at = now
         self.latency_sample_lifetime: float = tuning.LATENCY_SAMPLE_LIFETIME
-        # Unanswered attempts by (dialog, attempt) with their time of sending; emptied by their results.
+        # When each unanswered attempt was sent, by (dialog, attempt); an entry is removed by its result.
         self.in_flight: dict[tuple[str, int], int] = {}
         self.window = tuning.WINDOW_INITIAL
         self.window_reduced_at = now
         self.consecutive_failures = 0
         self.failed_at = now
         self.ejected_until = 0
-        # Slots accrued since the server's start, and the number of the last one used.
+        # Slots accrued since the server's start, including fractions of a slot.
         self.slow_start_slots = 0.0
         self.slots_accrued_at = endpoint.started_at
+        # The number of the latest used slot.
         self.slot_used = 0
 
     def queue_delay(self, now: int) -> int:
-        """How long a set-up is expected to wait at the server."""
-        # The age of an unanswered attempt shows a silent server or a growing queue before any answer can; not
-        # that of one overtaken by the answer to a later one, which is lost, not queued.
+        """Returns the expected queue delay (ns) of a new set-up at the server."""
+        # The age of an unanswered attempt shows a silent server or a growing queue before any answer can. It
+        # does not count for an attempt that was overtaken by the answer to a later one: that attempt is lost,
+        # not queued.
         decay = max(0.0, 1 - (now - self.latency_sampled_at) / self.latency_sample_lifetime)
         known = self.reported_queue_delay if self.reported_queue_delay is not None else self.mean_latency
         queued_since = self.newest_established_sent_at - tuning.OVERTAKEN_MARGIN
@@ -43,7 +48,7 @@
         return max(int(known * decay), now - oldest)
 
     def record_latency(self, latency: int, now: int, quota_interval: float) -> None:
-        """Takes a set-up latency into the moving average."""
+        """Adds a set-up latency to the moving average."""
         lifetime = tuning.LATENCY_SAMPLE_INTERVALS * quota_interval
         self.latency_sample_lifetime = max(tuning.LATENCY_SAMPLE_LIFETIME, lifetime)
         change = tuning.LATENCY_SAMPLE_WEIGHT * (latency - self.mean_latency)
@@ -51,24 +56,28 @@
         self.latency_sampled_at = now
 
     def adjust_window(self, is_prompt: bool, sent_at: int, now: int) -> None:
-        """Widens the window after a prompt answer, narrows it after a late one or a failure (AIMD)."""
+        """Widens the window after a prompt answer, narrows it after a late answer or a failure (AIMD)."""
         if is_prompt:
             increase = tuning.WINDOW_INCREASE * min(self.window, 1 / self.window)
             self.window = min(tuning.WINDOW_MAX, self.window + increase)
         elif sent_at >= self.window_reduced_at:
-            # Once a round trip: attempts sent before the last reduction show the same congestion again.
+            # At most once per round trip: attempts sent before the last reduction show the same congestion.
             self.window = max(tuning.WINDOW_MIN, self.window * tuning.WINDOW_DECREASE_FACTOR)
             self.window_reduced_at = now
 
     def eject(self, now: int, quota_interval: float) -> None:
-        """Ejects the server after a failure, for a time that doubles with each consecutive one."""
+        """Ejects the server after a failure, for a time that doubles with each consecutive failure."""
         self.consecutive_failures += 1
         self.failed_at = now
         self.ejected_until = now + self._ejection_backoff(quota_interval)
 
     def is_ejected(self, now: int, quota_interval: float) -> bool:
-        """Whether a server that failed last admits no attempt now: after the backoff one at a time."""
-        # A backoff that a quiet hour made long is over once traffic is back: it follows the present interval.
+        """Whether a server whose latest attempt failed admits no attempt now.
+
+        After the ejection it admits one attempt at a time.
+        """
+        # The present quota interval applies: an ejection that began in a quiet hour, when quota intervals are
+        # long, ends early if traffic returns.
         until = min(self.ejected_until, self.failed_at + self._ejection_backoff(quota_interval))
         return now < until or bool(self.in_flight)
 
--- a/valverouter/policy/server_table.py
+++ b/valverouter/policy/server_table.py
@@ -1,4 +1,4 @@
-"""The table of servers: takes endpoint updates, load reports and results into each server's state."""
+"""The table of servers, updated by endpoint updates, load reports and results of attempts."""
 
 from collections.abc import Mapping, Sequence
 
@@ -16,14 +16,14 @@
 
 
 class ServerTable:
-    """All listed servers by id; an entry is removed when the endpoint list drops it."""
+    """The state of all listed servers by id; an entry is removed when the endpoint list drops its server."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
         self.servers: dict[str, ServerState] = {}
         self.capacity = CapacityTracker(deployment, self.servers)
         self.slow_start = SlowStart(deployment, self.capacity)
-        # Retry budgets by server number where they are not the default; replaced as a whole.
+        # Retry budgets that differ from the default, by server number. The mapping is replaced as a whole.
         self._budgets: Mapping[int, BudgetConfig] = {}
         self._default_budget = DEFAULT_RETRY_BUDGET
         self._no_agent_duration = tuning.NO_AGENT_DURATION * (self.capacity.mean_duration or DEFAULT_DURATION)
@@ -32,14 +32,14 @@
         self._max_prompt_latency = int(tuning.PROMPT_MAX_FRACTION * shortest)
 
     def exclude_stall(self, stalled: int) -> None:
-        """Takes a stall of this process out of every age: it says nothing of the servers."""
+        """Excludes a stall of this process (ns) from every age, since it says nothing about the servers."""
         for server in self.servers.values():
             server.in_flight = {key: sent_at + stalled for key, sent_at in server.in_flight.items()}
             server.latency_sampled_at += stalled
             server.newest_established_sent_at += stalled
 
     def update_endpoints(self, now: int, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
-        """Takes in endpoints; an update that is not incremental removes the servers that it leaves out."""
+        """Applies an endpoint update; one that is not incremental removes the servers that it omits."""
         if kind is UpdateKind.FAILED:
             return
         if kind is not UpdateKind.INCREMENTAL:
@@ -60,12 +60,12 @@
         if known and not (endpoint.in_service and endpoint.started_at != known.endpoint.started_at):
             known.endpoint = endpoint
             return
-        # A fresh start owes nothing to the process before it, its attempts included.
+        # Nothing known of the previous process, attempts in flight included, applies to a restarted server.
         self.servers[endpoint.id] = server = ServerState(endpoint, now, self._budget_of(endpoint))
         server.slow_start_slots = self._deployment.fleet_index / self._deployment.edge_proxies
 
     def set_retry_budgets(self, by_number: Mapping[int, BudgetConfig], default: BudgetConfig) -> None:
-        """Sets the retry budgets by server number, and that of all other servers."""
+        """Sets the retry budgets by server number, and the default for all other servers."""
         self._budgets, self._default_budget = by_number, default
         for server in self.servers.values():
             server.budget.reconfigure(self._budget_of(server.endpoint))
@@ -74,7 +74,7 @@
         return self._budgets.get(endpoint.number, self._default_budget)
 
     def update_load(self, now: int, server_id: str, report: LoadReport) -> None:
-        """Takes in a server's load report."""
+        """Applies a server's load report."""
         server = self.servers.get(server_id)
         if server is None:
             return
@@ -84,7 +84,7 @@
             server.lines = report.lines
             server.busy_lines = report.lines - report.free_lines
             if self.capacity.decayed_peak(server, now) < 1:
-                # Nothing is known, or no more than at the start.
+                # No peak is known, or only one from when hardly any line was busy.
                 self._record_peak(now, server)
         if report.queue_delay is not None:
             server.reported_queue_delay = report.queue_delay
@@ -93,7 +93,8 @@
         if free_lines < 1:
             server.no_agent_until = max(server.no_agent_until, now + int(self._no_agent_duration))
             return
-        # One free line, reported to hundreds of edge proxies, brings that server hundreds of vain attempts.
+        # One free line, reported to hundreds of edge proxies, would bring the server hundreds of attempts, of
+        # which all but one fail.
         interval = self.capacity.quota_interval(server)
         recovery = (
             self.capacity.line_sharers * tuning.NO_AGENT_RECOVERY_FRACTION * self.capacity.mean_duration
@@ -106,7 +107,7 @@
             self.capacity.record_peak(server, now)
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> list[AttemptKey]:
-        """Learns from a result, also of an ended dialog; gives lost attempts, which are to cancel."""
+        """Updates the server of a result, also after its dialog's end; returns lost attempts to cancel."""
         server = self.servers.get(result.server)
         if server is None:
             return []
@@ -116,7 +117,7 @@
         if sent_at is None or result.outcome in UNINFORMATIVE:
             return []
         if result.outcome is Outcome.NO_AGENT:
-            # About the lines, not the processor: the server is neither slow nor failing.
+            # This concerns the lines, not the processor: the server is neither slow nor failing.
             interval = tuning.NO_AGENT_INTERVALS * self.capacity.quota_interval(server)
             server.no_agent_until = now + int(max(self._no_agent_duration, interval))
         elif result.outcome in ANSWERED:
@@ -133,8 +134,9 @@
         if outcome is Outcome.ESTABLISHED:
             server.min_latency = min(server.min_latency or latency, latency)
             server.newest_established_sent_at = max(server.newest_established_sent_at, sent_at)
-        # A far region's answers are never prompt against a short objective, however idle its server, hence
-        # the least latency; a server that began congested shows a congested one, hence the limit on that.
+        # Answers from a distant region are never prompt by a short objective, however idle the server, so a
+        # multiple of the server's least latency counts as prompt too. The multiple is limited, because a
+        # server that was congested from the start has a high least latency.
         multiple = tuning.PROMPT_MIN_LATENCY_MULTIPLE * server.min_latency
         limit = max(self._prompt_latency, min(multiple, self._max_prompt_latency))
         server.adjust_window(latency <= limit, sent_at, now)
@@ -142,14 +144,15 @@
             self._record_peak(now, server)
 
     def _on_failure(self, now: int, server: ServerState, sent_at: int) -> None:
-        # The Retry-After of a full server binds the dialog that got it; for others our own latencies decide.
+        # The retry-after of a full server applies to the dialog that received it only. For other dialogs, the
+        # latencies measured by this edge proxy decide.
         interval = self.capacity.quota_interval(server)
         server.adjust_window(False, sent_at, now)
         server.record_latency(max(now - sent_at, server.mean_latency), now, interval)
         server.eject(now, interval)
 
     def _take_overtaken(self, server: ServerState, sent_at: int) -> list[AttemptKey]:
-        # A server takes set-ups in order: an attempt sent well before one established now is lost.
+        # A server processes set-ups in order: an attempt sent well before one established now is lost.
         if not self._deployment.can_cancel:
             return []
         lost = [key for key, at in server.in_flight.items() if at < sent_at - tuning.OVERTAKEN_MARGIN]
--- a/valverouter/policy/tuning.py
+++ b/valverouter/policy/tuning.py
@@ -1,62 +1,98 @@
-"""Tuned values of the routing policy; spans in whole nanoseconds.
+"""Tuned values of the routing policy; durations in whole nanoseconds.
 
-_INTERVALS count quota intervals: times in which our even quota of a server is one attempt. Among many edge
-proxies those are long; what was learned must hold for some of them, or an overloaded server stays so.
+The quota interval of a server is the time in which this edge proxy's even share of the server's capacity is
+one attempt; constants ending in _INTERVALS count these. In a large fleet quota intervals are long. What an
+edge proxy has learned of a server must stay in effect for several of them, or an overloaded server would stay
+overloaded.
 """
 
 MS = 1_000_000
 SECOND = 1_000 * MS
 
-# The retry budget, in thousandths of a token so that tenths add up exactly.
+# One retry token. Budgets count thousandths of a token, so that tenths add up exactly.
 TOKEN = 1_000
+# Tokens of a full retry budget.
 MAX_TOKENS = 10 * TOKEN
+# Tokens that an established dialog adds to the retry budget of its server.
 TOKEN_RATIO = TOKEN // 10
-# The backoff before a retry, and the attempts of a dialog.
+
+# The longest backoff before the first retry; it doubles with each further retry, up to the cap.
 BACKOFF_BASE = 200 * MS
 BACKOFF_CAP = 2 * SECOND
+# Attempts of a dialog, the first included.
 MAX_ATTEMPTS = 3
-# Set-up latency as measured: the weight of a new sample, and how long a sample takes to decay to nothing.
+
+# The weight of a new sample in the moving average of a server's set-up latency, from 0 to 1.
 LATENCY_SAMPLE_WEIGHT = 0.4
+# The least time in which that average decays to zero without a new sample.
 LATENCY_SAMPLE_LIFETIME = 2 * SECOND
+# The same in quota intervals; the longer of the two applies.
 LATENCY_SAMPLE_INTERVALS = 4
-# The ejection of a server after a failure; it doubles with each consecutive failure.
+
+# The ejection of a server after a failure; it doubles with each consecutive failure, up to the cap.
 EJECTION_BASE = 500 * MS
+# The same in quota intervals; the longer of the two applies.
 EJECTION_BASE_INTERVALS = 2
+# The longest ejection.
 EJECTION_CAP = 4 * SECOND
+# The same in quota intervals; the longer of the two applies.
 EJECTION_CAP_INTERVALS = 8
-# The longest queue delay of a server that may be selected, as a fraction of the latency objective.
+
+# The longest queue delay of a server that may be selected, as a fraction of the latency objective: the least
+# that is drawn for a dialog.
 MIN_DELAY_FRACTION = 0.25
+# How far above the least fraction that of a dialog may be drawn.
 DELAY_FRACTION_RANGE = 0.2
+# The fraction for priority traffic types and interrupted dialogs, which is not drawn.
 PRIORITY_DELAY_FRACTION = 0.6
-# The window of attempts in flight at a server (AIMD); under one it still lets a single attempt through. An
-# answer is prompt within a fraction of the shortest objective, or a multiple of the least latency seen.
+
+# The window of attempts in flight at a server (AIMD) when the server starts.
 WINDOW_INITIAL = 4.0
 WINDOW_MAX = 8.0
+# A window below one still admits a single attempt.
 WINDOW_MIN = 0.2
+# A prompt answer widens a window w by this times min(w, 1 / w).
 WINDOW_INCREASE = 0.5
+# A late answer or a failure multiplies the window by this.
 WINDOW_DECREASE_FACTOR = 0.6
+# An answer within this fraction of the shortest latency objective is prompt.
 PROMPT_FRACTION = 0.3
+# The limit of PROMPT_MIN_LATENCY_MULTIPLE, as a fraction of the shortest latency objective.
 PROMPT_MAX_FRACTION = 0.5
+# An answer within this multiple of the least latency seen at its server is prompt, too.
 PROMPT_MIN_LATENCY_MULTIPLE = 2
-# How long a server counts as having no free agent, in mean dialog durations and after an attempt answered so;
-# for which fraction of a duration what the fleet takes must be free to end it.
+
+# How long a server counts as having no free agent, as a fraction of the mean dialog duration.
 NO_AGENT_DURATION = 0.1
+# The same in quota intervals, after an attempt with that answer; the longer of the two applies.
 NO_AGENT_INTERVALS = 4
+# A server counts as having free agents again once its free lines last for this fraction of the mean dialog
+# duration at the fleet's rate of attempts.
 NO_AGENT_RECOVERY_FRACTION = 0.02
-# How long a called number whose lines were all busy is taken to stay so.
+
+# How long a called number whose lines were all busy is assumed to stay busy.
 BUSY_NUMBER_DURATION = 5 * SECOND
-# The fraction of what overloads a server in slow start that the fleet may send it; what is left of a peak of
-# busy lines after a second; the fleet's interval between probes while nothing is known of a server.
+
+# The fraction of the load that overloads a server in slow start which the fleet may send to it.
 SLOW_START_MARGIN = 0.9
+# The fraction of a peak of busy lines that remains after a second.
 CAPACITY_DECAY_PER_SECOND = 0.98
+# The interval between the fleet's probes of a server in slow start while nothing is known of its capacity.
 MIN_PROBE_INTERVAL = 2 * SECOND
-# How many standard deviations above the baseline busy lines show a queue; for which fraction of a dialog's
-# duration the load of servers passed over must fit into spare capacity.
+
+# Busy lines indicate a queue when they exceed the baseline by this many standard deviations.
 SPARE_CAPACITY_SIGMAS = 2
+# The load of the servers that were passed over, for this fraction of a dialog's duration, must fit into the
+# spare capacity of the others.
 SPILLOVER_FRACTION = 0.1
-# An attempt sent this long before one that is established now is lost; above what the network reorders.
+
+# An attempt sent this long before one that has just been established is lost. The margin exceeds the
+# reordering by the network.
 OVERTAKEN_MARGIN = 100 * MS
-# How often we look at our own clock: a missed look is a stall of this process, not silence of the servers.
+
+# The interval between two checks of this process's own clock: a missed check is a stall of this process, not
+# silence of the servers.
 HEARTBEAT_INTERVAL = 100 * MS
-# The Retry-After of a rejection, before jitter.
+
+# The mean retry-after of a rejection; jitter is applied to it.
 RETRY_AFTER = SECOND // 8
--- a/valverouter/regions/cross_region_limiter.py
+++ b/valverouter/regions/cross_region_limiter.py
@@ -1,9 +1,9 @@
-"""The limiter of cross-region attempts: which may leave the home region, and which quota pays for each.
+"""The limiter of cross-region attempts: which may leave the home region, and which quota each is charged to.
 
-A server in the home region comes first. Beyond it, a routine dialog may spill over only while the spillover
-gate is open, to a server with capacity beyond the needs of its own region's callers, and within its budget.
-An urgent dialog spills over as soon as no home server is available: on its own budget, then on the reserve,
-which routine types never touch, and beyond both as an overdraft.
+Servers in the home region are preferred. A routine dialog may spill over only while the spillover gate is
+open, within its budget, and to a server with capacity beyond the needs of its own region's callers. An urgent
+dialog spills over as soon as no home server is available: it is charged to its own budget, then to the
+reserve, which routine types never use, and beyond both as an overdraft.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from valverouter.regions.time_sliced_quota import TimeSlicedQuota
 from valverouter.regions.usage import CrossRegionUsage, UsageCounters, UsageKey
 
-# Of the queue delay that its type tolerates, the fraction that a routine dialog may find at a remote server:
-# the remaining capacity belongs to the callers of that region first.
+# The longest queue delay of a remote server that a routine dialog may use, as a fraction of the longest that
+# the dialog accepts: the callers of the remote region have priority on the remaining capacity.
 ROUTINE_DELAY_FRACTION = 0.5
 
 UNKNOWN_REGION = "?"
-# As the remote region of a quota: every region but home, and the type's own budget in the whole fleet.
+# The remote region of a quota for all regions but home.
 ANY_REGION = "*"
+# The remote region of a type's quota for the whole fleet.
 WHOLE_FLEET = ""
 
 _UNSENT_OUTCOMES = (Outcome.UNREACHABLE, Outcome.NOT_SENT)
@@ -32,7 +33,7 @@
 
 @dataclass(slots=True)
 class _ChargedAttempt:
-    """A cross-region attempt that is in flight or established, and what it was charged to.
+    """A cross-region attempt that is in flight or established, and the quota that it was charged to.
 
     `quota` is None for an overdraft and for a type without a limit. `established_at` 0: still in flight.
     """
@@ -47,8 +48,8 @@
 class CrossRegionLimiter:
     """The cross-region rule of one edge proxy.
 
-    Implements `CrossRegionRule`. Charged attempts leave its table with their results, established ones with
-    the end of their dialogs.
+    Implements `CrossRegionRule`. A charged attempt is removed from the table by its result, an established
+    one at the end of its dialog.
     """
 
     def __init__(self, config: CrossRegionConfig, now: int) -> None:
@@ -59,11 +60,11 @@
         self._apply(config, now, now)
 
     def reconfigure(self, config: CrossRegionConfig, now: int) -> None:
-        """Applies another configuration; open attempts keep their slots, usage and gate stay as they are.
+        """Applies another configuration; open attempts keep their slots, and usage and gate are unchanged.
 
-        The new quotas start one window later: what was sent on the old ones during the last window would be
-        permitted twice otherwise. Raises ValueError, and changes nothing, for a budget that never permits an
-        attempt.
+        The new quotas start one window later: otherwise the attempts that were charged to the old quotas in
+        the last window could be made twice. Raises ValueError, and changes nothing, for a budget that never
+        permits an attempt.
         """
         CrossRegionLimiter(config, now)
         self._apply(config, now, None)
@@ -83,7 +84,7 @@
             for (home, remote), budget in (policy.pairs or {}).items():
                 if home == config.home_region:
                     quotas[traffic_type, remote] = quota(budget)
-        # Assigned together: running out of memory halfway must not leave some of the old and some of the new.
+        # Assigned together, so that running out of memory before cannot leave a mix of old and new quotas.
         self.config, self._reserve, self._quotas = config, reserve, quotas
 
     def is_remote(self, region: str) -> bool:
@@ -99,8 +100,8 @@
     ) -> bool:
         """Whether an attempt of the type may go to `region` now. Nothing is charged.
 
-        `delay_fraction`: the server's queue delay over what the dialog tolerates; `free_fraction`: of the
-        server's lines, None where it reports none.
+        `delay_fraction`: the server's queue delay as a fraction of the longest that the dialog accepts;
+        `free_fraction`: the fraction of the server's lines that are free, None if it reports no lines.
         """
         policy = self.config.policies.get(traffic_type)
         if policy is None:
@@ -130,9 +131,9 @@
         self.usage.record(now, self._usage_key(traffic_type, UNKNOWN_REGION), UsageCounters(rejected=1))
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
-        """Takes in the result of any attempt, or the end of an established one.
+        """Handles the result of any attempt, or the end of an established one.
 
-        An attempt that was never sent is refunded; one that failed at the remote server has used its slot.
+        An attempt that was never sent is refunded; one that failed at the remote server is not.
         """
         key = (result.dialog_id, result.attempt)
         attempt = self._charged.get(key)
@@ -153,11 +154,11 @@
 
     @property
     def circuits_in_use(self) -> int:
-        """Established cross-region dialogs."""
+        """The number of established cross-region dialogs."""
         return sum(bool(attempt.established_at) for attempt in self._charged.values())
 
     def _has_spare_capacity(self, delay_fraction: float, free_fraction: float | None) -> bool:
-        # A server that reports nothing of its lines is judged by its queue delay alone.
+        # A server that does not report its lines is judged by its queue delay alone.
         is_reserved = free_fraction is not None and free_fraction <= self.config.reserved_fraction
         return not is_reserved and delay_fraction <= ROUTINE_DELAY_FRACTION
 
@@ -165,7 +166,7 @@
         return UsageKey(traffic_type, self.config.home_region, region or UNKNOWN_REGION)
 
     def _quota_for(self, traffic_type: str, region: str) -> TimeSlicedQuota | None:
-        """The narrowest quota given: of the pair of regions, of all that leaves home, of the whole fleet."""
+        """The most specific quota: of the pair of regions, else of all remote regions, else of the fleet."""
         quotas = self._quotas
         of_pair = quotas.get((traffic_type, region)) or quotas.get((traffic_type, ANY_REGION))
         return of_pair or quotas.get((traffic_type, WHOLE_FLEET))
--- a/valverouter/regions/planner.py
+++ b/valverouter/regions/planner.py
@@ -1,8 +1,8 @@
-"""A planner of cross-region traffic: the least of it that carries a demand within capacities and budgets.
+"""Plans cross-region traffic: the least of it that serves a demand within capacities and budgets.
 
-Advice for operators; no routing decision uses it. The plan is a linear program over rates, in attempts a
-second, by traffic type, region and serving region, solved by HiGHS through scipy. It first minimizes what
-stays unserved, weighted by priority, and then what crosses a region's border.
+The plan is advice for operators; no routing decision uses it. It is the solution of a linear program over
+rates, in attempts per second, by traffic type, region and serving region, solved by HiGHS through scipy. The
+program first minimizes the unserved rates, weighted by priority, and then the cross-region rates.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from valverouter.regions.cross_region_limiter import ANY_REGION
 
-# The cost of an attempt that leaves its region, against one left unserved with priority weight 1: small
-# enough that leaving one unserved is never preferred.
+# The cost of a cross-region attempt, relative to an unserved one with priority weight 1: small enough that
+# leaving an attempt unserved is never preferred.
 CROSS_REGION_COST = 1e-3
 # Rates and shadow prices up to this count as zero.
 TOLERANCE = 1e-6
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Dialogs a second of one traffic type in one region; `mean_duration` in seconds."""
+    """Dialogs per second of one traffic type in one region; `mean_duration` in seconds."""
 
     traffic_type: str
     region: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegionCapacity:
-    """What the servers of a region can do together: set-ups a second, and lines."""
+    """The total capacity of a region's servers: set-ups per second, and lines."""
 
     region: str
     rate: float
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimit:
-    """A budget as a rate a second, of a type's cross-region attempts in all or between two regions."""
+    """A type's budget as a rate per second: of all its cross-region attempts, or of those of one `pair`."""
 
     traffic_type: str
     rate: float
@@ -52,9 +52,9 @@
 
 @dataclass(slots=True)
 class Plan:
-    """Rates a second: cross-region ones by (type, home, remote), unserved ones by (type, region).
+    """Rates per second: cross-region ones by (type, home, remote), unserved ones by (type, region).
 
-    `binding_constraints` are texts for the reader.
+    `binding_constraints` names the capacities and budgets that limit the plan, as text for operators.
     """
 
     cross_region: dict[tuple[str, str, str], float] = field(default_factory=dict)
@@ -65,25 +65,27 @@
 
     @property
     def served_fraction(self) -> float:
-        """What can be served of all that is offered, by number of dialogs."""
+        """The fraction of the offered dialogs that can be served."""
         return self.served / self.offered if self.offered else 1.0
 
 
 class _Route(NamedTuple):
-    """A variable of the program: the rate of one demand that one region serves."""
+    """A variable of the program: the part of one demand's rate that one region serves."""
 
     demand: int
     region: str
 
 
 class _UpperBound(NamedTuple):
+    """An inequality of the program: the rates, weighted by column, add up to at most the limit."""
+
     name: str
     limit: float
     coefficients: dict[int, float]
 
 
 class _LinearProgram:
-    """The program's columns: the routes, then for each demand the rate that stays unserved."""
+    """The linear program. Its columns are the routes, then the unserved rate of each demand."""
 
     def __init__(
         self, demands: list[Demand], capacities: list[RegionCapacity], limits: list[RateLimit]
@@ -98,7 +100,7 @@
         ]
 
     def crosses(self, route: _Route) -> bool:
-        """Whether the serving region is another than the demand's."""
+        """Whether the serving region differs from the demand's."""
         return route.region != self.demands[route.demand].region
 
     def unserved_column(self, demand: int) -> int:
@@ -111,7 +113,7 @@
         return len(self.routes) + len(self.demands)
 
     def costs(self) -> np.ndarray:
-        """What is minimized, by column."""
+        """The costs by column, whose sum is minimized."""
         costs = np.zeros(self.width)
         for column, route in enumerate(self.routes):
             costs[column] = CROSS_REGION_COST * self.crosses(route)
@@ -120,7 +122,7 @@
         return costs
 
     def demand_rows(self) -> np.ndarray:
-        """One equation for each demand: served anywhere and unserved together are its rate."""
+        """One equation for each demand: its served rates and its unserved rate add up to its rate."""
         rows = np.zeros((len(self.demands), self.width))
         for index in range(len(self.demands)):
             rows[index, self.unserved_column(index)] = 1
@@ -167,8 +169,11 @@
 
 
 def plan(demands: list[Demand], capacities: list[RegionCapacity], limits: list[RateLimit]) -> Plan:
-    """The plan. Raises ValueError where regions don't match, a figure is negative or no plan exists."""
-    # Imported here because it takes half a second, which commands that plan nothing should not wait for.
+    """Computes the plan.
+
+    Raises ValueError if the region of a demand has no capacity, a demand is negative, or no plan exists.
+    """
+    # Imported here because the import takes half a second, which other commands should not have to wait.
     from scipy.optimize import linprog
 
     _check_demands(demands, capacities)
@@ -194,7 +199,9 @@
         if demand.region not in regions:
             raise ValueError(f"demand in {demand.region!r}, which has no servers listed")
         if demand.rate < 0 or demand.mean_duration < 0:
-            raise ValueError(f"demand of {demand.traffic_type} in {demand.region} is negative")
+            raise ValueError(
+                f"rate or mean duration of the demand of {demand.traffic_type} in {demand.region} is negative"
+            )
 
 
 def _plan_of(program: _LinearProgram, rates: list[float], shadow_prices: list[float]) -> Plan:
--- a/valverouter/regions/spillover_gate.py
+++ b/valverouter/regions/spillover_gate.py
@@ -1,8 +1,8 @@
-"""The spillover gate: whether routine dialogs may leave the home region at this moment.
+"""The spillover gate: whether routine dialogs may leave the home region now.
 
-The gate opens on evidence from this edge proxy's own dialogs, namely the fraction of them for which no server
-in the home region was available, and closes once that evidence has been gone for a while. Counts decay with
-time, so an edge proxy with few dialogs judges by its most recent ones and a busy one by a fraction of many.
+The gate opens when no server in the home region was available to a given fraction of this edge proxy's own
+dialogs, and closes once the fraction has been low for a period. Counts decay with time, so an edge proxy with
+few dialogs judges by its most recent ones and a busy one by a fraction of many.
 """
 
 from __future__ import annotations
@@ -11,25 +11,27 @@
 
 SECOND = 1_000_000_000
 
-# Long against the set-up of one dialog, short against the 5 to 19 s that a region typically lacks lines.
+# Long compared with the set-up of one dialog, short compared with the 5 to 19 s for which a region typically
+# lacks lines.
 EVIDENCE_HALF_LIFE = 2 * SECOND
-# The fraction of selections without an available home server that opens the gate, and the one up to which the
-# home region counts as healthy.
+# The fraction of selections without an available home server that opens the gate.
 OPEN_THRESHOLD = 0.2
+# The fraction up to which the home region counts as healthy.
 CLOSE_THRESHOLD = 0.05
-# The gate closes after the home region was healthy for this long. The period doubles, up to the maximum, when
-# the gate opens again soon after it closed, and is reset otherwise: hysteresis against a flapping fault.
+# The gate closes after the home region was healthy for this long. The period doubles when the gate opens
+# again soon after it closed, and is reset otherwise: hysteresis against a flapping fault.
 MIN_HEALTHY_PERIOD = 2 * SECOND
+# The limit of the doubled period.
 MAX_HEALTHY_PERIOD = 16 * SECOND
-# The decayed count of failed selections that is needed to open: at least three quarters of one fresh failure.
+# The decayed count of failed selections that is needed to open the gate: three quarters of a fresh failure.
 MIN_FRESH_FAILURES = 0.75
 
 
 class SpilloverGate:
-    """One edge proxy's view of the health of its home region. `openings` counts how often the gate opened."""
+    """One edge proxy's gate, by the health of its home region; `openings` counts how often it opened."""
 
     def __init__(self) -> None:
-        """A closed gate without any evidence."""
+        """Creates a closed gate without any recorded selection."""
         self.is_open = False
         self.openings = 0
         self._selections = 0.0
@@ -53,7 +55,7 @@
             self._unhealthy_at = now
 
     def allows(self, now: int) -> bool:
-        """Whether routine dialogs may spill over at `now`; closes the gate when it is due."""
+        """Whether routine dialogs may spill over at `now`; closes the gate after the healthy period."""
         if self.is_open and now - self._unhealthy_at > self._healthy_period:
             self.is_open = False
             self._closed_at = now
--- a/valverouter/regions/usage.py
+++ b/valverouter/regions/usage.py
@@ -1,4 +1,4 @@
-"""Cross-region usage by traffic type and pair of regions: the totals of a run, and its last hour by minutes.
+"""Cross-region usage by traffic type and pair of regions: the totals of a run, and its last hour by minute.
 
 Memory is bounded by the number of traffic types and regions times RETAINED_MINUTES.
 """
@@ -12,15 +12,16 @@
 MINUTE_NS = 60 * 1_000_000_000
 RETAINED_MINUTES = 60
 
-# Values of `minute` in rows that are no minute's: the totals of a run, and the row of the instance itself.
+# The `minute` of rows with the totals of a run.
 TOTALS_ROW = -1
+# The `minute` of the row that records the instance itself.
 INSTANCE_ROW = -2
 
 Row = dict[str, Any]
 
 
 class UsageKey(NamedTuple):
-    """What usage is counted by: a traffic type and the pair of regions, in the direction of the attempts."""
+    """The key of usage counters: a traffic type and a pair of regions, in the direction of the attempts."""
 
     traffic_type: str
     home_region: str
@@ -31,10 +32,10 @@
 class UsageCounters:
     """Counts of one usage key.
 
-    `attempts` were charged: of them `reserve` to the reserve and `overdraft` beyond every budget. `not_sent`
-    were refunded because they never left; `reset` lost their connection. `established` attempts used circuits
-    for `circuit_ns` nanoseconds together. `rejected` counts dialogs that were rejected although a remote
-    server would have accepted them.
+    `attempts` counts charged attempts, of which `reserve` were charged to the reserve and `overdraft`
+    exceeded every budget. `not_sent` attempts were refunded because they were never sent; `reset` ones lost
+    their connection. `established` attempts used circuits for `circuit_ns` nanoseconds in total. `rejected`
+    counts dialogs that were rejected although a remote server would have accepted them.
     """
 
     attempts: int = 0
@@ -57,11 +58,11 @@
 
     @classmethod
     def from_row(cls, row: Row) -> UsageCounters:
-        """The counts in a stored row; raises KeyError where one is missing."""
+        """The counts in a stored row; raises KeyError if one is missing."""
         return cls(**{name: row[column] for name, column in _COLUMN_OF_FIELD.items()})
 
 
-# The column names are part of the stored rows and of the report's JSON, so they outlive renamed fields.
+# The column names are part of the stored rows and of the report's JSON; renaming a field doesn't change them.
 _COLUMN_OF_FIELD = {
     "attempts": "legs",
     "reserve": "reserve",
@@ -77,13 +78,13 @@
 
 @dataclass(slots=True)
 class CrossRegionUsage:
-    """The usage of one edge proxy; `totals` of its run and `minutes` by the number of the minute."""
+    """The usage of one edge proxy: the `totals` of its run, and `minutes` by the number of the minute."""
 
     totals: dict[UsageKey, UsageCounters] = field(default_factory=dict)
     minutes: dict[int, dict[UsageKey, UsageCounters]] = field(default_factory=dict)
 
     def record(self, now: int, key: UsageKey, counts: UsageCounters) -> None:
-        """Adds `counts` to the totals and to the minute of `now`; drops minutes that are too old to keep."""
+        """Adds `counts` to the totals and to the minute of `now`; removes minutes past their retention."""
         minute = now // MINUTE_NS
         if minute not in self.minutes:
             oldest = minute - RETAINED_MINUTES
@@ -93,10 +94,10 @@
             usage.setdefault(key, UsageCounters()).add(counts)
 
     def to_rows(self, edge: str, started_at: int, now: int) -> list[Row]:
-        """The usage as rows for storage: one of the instance, then the totals, then the minutes in order.
+        """The usage as rows for storage: the instance row, then the totals, then the minutes in order.
 
-        The row of the instance is there even without any usage, so that an instance that sent nothing to
-        another region differs from one whose record is missing.
+        The instance row is written even without any usage, to tell an instance that sent nothing to another
+        region from one whose record is missing.
         """
         instance = {"edge": edge, "started_at": started_at, "until": now}
         periods = [(TOTALS_ROW, self.totals), *sorted(self.minutes.items())]
@@ -112,7 +113,7 @@
 
 
 def merge_totals(records: Iterable[list[Row]]) -> dict[UsageKey, UsageCounters]:
-    """The totals of many instances' records added up, sorted by key."""
+    """The sums of the totals in the records of many instances, sorted by key."""
     merged: dict[UsageKey, UsageCounters] = {}
     for rows in records:
         for row in rows:
@@ -134,7 +135,7 @@
 
 
 def missing_records(records: Iterable[list[Row]], expected: int) -> list[str]:
-    """What the records can't account for, as lines of text: instances of the `expected` without a record."""
+    """Lines of text about missing records: how many of the `expected` edge proxies have none."""
     edges = {row["edge"] for rows in records for row in rows}
     if len(edges) < expected:
         return [f"{expected - len(edges)} of {expected} edge proxies left no record"]
