--- a/tests/test_time_sliced_quota.py
+++ b/tests/test_time_sliced_quota.py
@@ -14,7 +14,7 @@
 from valverouter.regions.time_sliced_quota import (
     TimeSlicedQuota,
     expected_utilization,
-    infeasibility,
+    infeasibility_reason,
     max_rate,
     slot_lifetime,
     slot_spacing,
@@ -43,7 +43,7 @@
     # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
     # in the middle and forget what they spent.
     skew = skew_ms * MS
-    if infeasibility(budget, skew):
+    if infeasibility_reason(budget, skew):
         return
     budget = with_default_burst(budget, skew)
     off = [chance.randint(-skew, skew) for _ in range(budget.edge_proxies)]
@@ -118,6 +118,6 @@
     ],
 )
 def test_an_infeasible_budget_is_rejected_with_a_reason(budget: CrossRegionBudget, said: str) -> None:
-    assert said in infeasibility(budget, 10 * MS)
+    assert said in infeasibility_reason(budget, 10 * MS)
     with pytest.raises(ValueError, match=said):
         TimeSlicedQuota(budget, 10 * MS, START)
--- a/valverouter/attempts/worst_case.py
+++ b/valverouter/attempts/worst_case.py
@@ -120,8 +120,10 @@
             step = TimelineStep(failed_at, backoff.duration, StepKind.BACKOFF, description)
             next_starts.setdefault(retry_at, (*steps, step))
         else:
-            late = f"{backoff.description}: a retry after {backoff.duration} ns exceeds the no-answer timeout"
-            yield _answered(steps, failed_at, attempt, f"answered: {late}")
+            reason = (
+                f"{backoff.description}: a retry after {backoff.duration} ns exceeds the no-answer timeout"
+            )
+            yield _answered(steps, failed_at, attempt, f"answered: {reason}")
 
 
 def _answered(steps: _Steps, at: int, attempts: int, description: str) -> AttemptTimeline:
@@ -199,8 +201,8 @@
         TimelineStep(0, timeout, StepKind.ATTEMPT, "attempt 1: timed out"),
         TimelineStep(timeout, policy.release_delay, StepKind.BACKOFF, "retry 1: release delay, least jitter"),
     )
-    late = f"the retry exceeds the no-answer timeout of {policy.no_answer_timeout} ns"
-    return _answered(steps, timeout, 1, f"answered: {late}")
+    reason = f"the retry exceeds the no-answer timeout of {policy.no_answer_timeout} ns"
+    return _answered(steps, timeout, 1, f"answered: {reason}")
 
 
 def format_timeline(timeline: AttemptTimeline) -> str:
--- a/valverouter/driver.py
+++ b/valverouter/driver.py
@@ -34,7 +34,7 @@
 from valverouter.policy.routing import RoutingPolicy
 
 # The key of the policy's maintenance flow in the table of open dialogs; ids of dialogs are never empty.
-MAINTENANCE = ""
+MAINTENANCE_KEY = ""
 
 
 class UnansweredDialogError(RuntimeError):
@@ -62,7 +62,7 @@
         self._open_dialogs: dict[str, _OpenDialog] = {}
         self._timers: dict[int, str] = {}
         self._last_timer_id = 0
-        self._start(MAINTENANCE, self.policy.maintenance_flow())
+        self._start(MAINTENANCE_KEY, self.policy.maintenance_flow())
 
     @property
     def open_dialogs(self) -> int:
@@ -85,9 +85,9 @@
     def update_endpoints(self, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Applies an endpoint update, or handles a failed request for the list."""
         self.policy.table.update_endpoints(self.policy.now, kind, endpoints)
-        maintenance = self._open_dialogs[MAINTENANCE]
+        maintenance = self._open_dialogs[MAINTENANCE_KEY]
         if maintenance.timer_id is None and kind is not EndpointUpdateKind.CACHED:
-            self._resume(MAINTENANCE, maintenance, kind)
+            self._resume(MAINTENANCE_KEY, maintenance, kind)
 
     def set_retry_budgets(
         self, by_number: Mapping[int, RetryBudgetConfig], default: RetryBudgetConfig
--- a/valverouter/policy/capacity.py
+++ b/valverouter/policy/capacity.py
@@ -30,14 +30,14 @@
     def decayed_peak(self, server: ServerState, now: int) -> float:
         """Returns the server's peak, decayed since it was recorded; 0 if none is known."""
         peak, recorded_at = self._peaks.get(server.endpoint.number, (0.0, now))
-        left: float = tuning.CAPACITY_DECAY_PER_SECOND ** ((now - recorded_at) / tuning.SECOND)
-        return peak * left
+        remaining: float = tuning.CAPACITY_DECAY_PER_SECOND ** ((now - recorded_at) / tuning.SECOND)
+        return peak * remaining
 
     def keep_only(self, numbers: set[int]) -> None:
         """Removes the peaks of all other server numbers."""
         self._peaks = {number: peak for number, peak in self._peaks.items() if number in numbers}
 
-    def load_elsewhere(self, numbers: set[int], allowed: frozenset[int] | None) -> float:
+    def sum_of_other_peaks(self, numbers: set[int], allowed: frozenset[int] | None) -> float:
         """Returns the sum of the peaks of the servers not in `numbers`; `allowed` (if any) limits them."""
         others = (number for number in self._peaks if number not in numbers)
         return sum(self._peaks[number][0] for number in others if allowed is None or number in allowed)
@@ -47,9 +47,9 @@
 
         Without a peak of its own it is the server's lines times the least ratio of peak to lines elsewhere.
         """
-        known = self._peaks.get(server.endpoint.number)
-        if known is not None:
-            return known[0]
+        recorded = self._peaks.get(server.endpoint.number)
+        if recorded is not None:
+            return recorded[0]
         ratios = [
             self._peaks[other.endpoint.number][0] / other.lines
             for other in self._servers.values()
@@ -62,8 +62,8 @@
         # A set-up that waits for the processor occupies a line too, so busy lines beyond the baseline and its
         # random variation are a queue.
         baseline = self.baseline(server)
-        chance = tuning.SPARE_CAPACITY_SIGMAS * baseline**0.5
-        return baseline + chance - server.busy_lines if baseline else 1.0
+        variation = tuning.SPARE_CAPACITY_SIGMAS * baseline**0.5
+        return baseline + variation - server.busy_lines if baseline else 1.0
 
     def quota_interval(self, server: ServerState) -> float:
         """Returns the time (ns) in which this edge proxy's even share of the baseline is one attempt.
@@ -104,11 +104,14 @@
         # slots that lapse, offset by its fleet index: the slots open in any one window stay below the load
         # that overloads the server.
         window, interval = self._deployment.overload_window, self._capacity.quota_interval(server)
-        lapse = min(window, interval) if interval else window
-        bearable = self._deployment.overload_multiple * fraction * tuning.SLOW_START_MARGIN
-        safe_rate = bearable / interval if interval else 0.0
+        slot_lifetime = min(window, interval) if interval else window
+        max_load = self._deployment.overload_multiple * fraction * tuning.SLOW_START_MARGIN
+        safe_rate = max_load / interval if interval else 0.0
         min_rate = 1 / (tuning.MIN_PROBE_INTERVAL * self._deployment.edge_proxies)
-        rate = max(safe_rate * window / (window + lapse), min_rate)
+        rate = max(safe_rate * window / (window + slot_lifetime), min_rate)
         server.slow_start_slots += rate * (now - server.slots_accrued_at)
         server.slots_accrued_at = now
-        return int(server.slow_start_slots) > server.slot_used and server.slow_start_slots % 1 <= rate * lapse
+        return (
+            int(server.slow_start_slots) > server.slot_used
+            and server.slow_start_slots % 1 <= rate * slot_lifetime
+        )
--- a/valverouter/policy/routing.py
+++ b/valverouter/policy/routing.py
@@ -7,12 +7,12 @@
 from valverouter.interface import AttemptPolicy, Dialog, DialogFlow, Outcome, TrafficType
 from valverouter.policy import tuning
 from valverouter.policy.retry import RetryDecision, decide_retry, retry_delay
-from valverouter.policy.selection import Rule, ServerSelector
+from valverouter.policy.selection import OptionalCrossRegionRule, ServerSelector
 from valverouter.policy.server_table import ServerTable
 from valverouter.randomness import CounterRandom
 
 # Outcomes which prove that the server has not begun to set up the dialog.
-NOT_BEGUN = (Outcome.FULL, Outcome.NO_AGENT, Outcome.UNREACHABLE)
+SETUP_NOT_BEGUN = (Outcome.FULL, Outcome.NO_AGENT, Outcome.UNREACHABLE)
 
 
 class RoutingPolicy:
@@ -22,7 +22,11 @@
     """
 
     def __init__(
-        self, deployment: interface.Deployment, seed: int, now: int, cross_region: Rule = None
+        self,
+        deployment: interface.Deployment,
+        seed: int,
+        now: int,
+        cross_region: OptionalCrossRegionRule = None,
     ) -> None:
         self.deployment = deployment
         self.now = now
@@ -35,9 +39,9 @@
 
     def tick(self, now: int) -> None:
         """Sets the clock. Missed heartbeats show a stall of this process, which no age may include."""
-        stalled = now - self.now - tuning.HEARTBEAT_INTERVAL
-        if stalled > tuning.HEARTBEAT_INTERVAL:
-            self.table.exclude_stall(stalled)
+        stall = now - self.now - tuning.HEARTBEAT_INTERVAL
+        if stall > tuning.HEARTBEAT_INTERVAL:
+            self.table.exclude_stall(stall)
         self.now = now
 
     def on_attempt_result(self, result: interface.AttemptResult) -> list[interface.AttemptKey]:
@@ -78,20 +82,20 @@
                 self._busy_numbers[dialog.called_number] = self.now + tuning.BUSY_NUMBER_DURATION
                 yield interface.Fail()
                 return
-            may_go_on = attempts < self._max_total_attempts(policy) and self.now < dialog.deadline
-            if outcome is Outcome.NO_AGENT and may_go_on:
+            may_try_another = attempts < self._max_total_attempts(policy) and self.now < dialog.deadline
+            if outcome is Outcome.NO_AGENT and may_try_another:
                 # The load report was out of date. Nothing has failed: try another server without delay.
                 continue
             if outcome is Outcome.NOT_SENT or self.now >= dialog.deadline:
                 # The deadline has passed or nothing was sent: neither says anything about the server.
                 yield interface.Fail()
                 return
-            minimum = result.retry_after if outcome in NOT_BEGUN else policy.release_delay
+            minimum = result.retry_after if outcome in SETUP_NOT_BEGUN else policy.release_delay
             base, cap = policy.backoff_base, policy.backoff_cap
             delay = retry_delay(attempts, self.random.draw(), minimum, base, cap)
             max_attempts = min(policy.max_attempts, self.deployment.max_attempts)
             decision = decide_retry(server.budget, attempts, max_attempts, self.now + delay, dialog.deadline)
-            if not traffic_type.idempotent and outcome not in NOT_BEGUN:
+            if not traffic_type.idempotent and outcome not in SETUP_NOT_BEGUN:
                 yield interface.Fail()
                 return
             if decision is not RetryDecision.RETRY:
--- a/valverouter/policy/server_table.py
+++ b/valverouter/policy/server_table.py
@@ -10,8 +10,8 @@
 from valverouter.policy.retry import DEFAULT_RETRY_BUDGET
 from valverouter.policy.server_state import ServerState
 
-ANSWERED = (Outcome.ESTABLISHED, Outcome.ENDED, Outcome.LINE_BUSY, Outcome.FAULT)
-UNINFORMATIVE = (Outcome.NOT_SENT, Outcome.CANCELLED)
+ANSWERED_OUTCOMES = (Outcome.ESTABLISHED, Outcome.ENDED, Outcome.LINE_BUSY, Outcome.FAULT)
+UNINFORMATIVE_OUTCOMES = (Outcome.NOT_SENT, Outcome.CANCELLED)
 DEFAULT_DURATION = 10 * tuning.SECOND
 
 
@@ -31,12 +31,12 @@
         self._prompt_latency = int(tuning.PROMPT_FRACTION * shortest)
         self._max_prompt_latency = int(tuning.PROMPT_MAX_FRACTION * shortest)
 
-    def exclude_stall(self, stalled: int) -> None:
+    def exclude_stall(self, stall: int) -> None:
         """Excludes a stall of this process (ns) from every age, since it says nothing about the servers."""
         for server in self.servers.values():
-            server.in_flight = {key: sent_at + stalled for key, sent_at in server.in_flight.items()}
-            server.latency_sampled_at += stalled
-            server.newest_established_sent_at += stalled
+            server.in_flight = {key: sent_at + stall for key, sent_at in server.in_flight.items()}
+            server.latency_sampled_at += stall
+            server.newest_established_sent_at += stall
 
     def update_endpoints(self, now: int, kind: UpdateKind, endpoints: Sequence[Endpoint]) -> None:
         """Applies an endpoint update; one that is not incremental removes the servers that it omits."""
@@ -49,7 +49,7 @@
         for endpoint in endpoints:
             self._update_endpoint(now, endpoint)
         for server in [
-            one for one in self.servers.values() if not one.endpoint.in_service and not one.in_flight
+            state for state in self.servers.values() if not state.endpoint.in_service and not state.in_flight
         ]:
             del self.servers[server.endpoint.id]
         if kind is not UpdateKind.INCREMENTAL:
@@ -114,15 +114,15 @@
         if result.load_report is not None:
             self.update_load(now, result.server, result.load_report)
         sent_at = server.in_flight.pop((result.dialog_id, result.attempt), None)
-        if sent_at is None or result.outcome in UNINFORMATIVE:
+        if sent_at is None or result.outcome in UNINFORMATIVE_OUTCOMES:
             return []
         if result.outcome is Outcome.NO_AGENT:
             # This concerns the lines, not the processor: the server is neither slow nor failing.
             interval = tuning.NO_AGENT_INTERVALS * self.capacity.quota_interval(server)
             server.no_agent_until = now + int(max(self._no_agent_duration, interval))
-        elif result.outcome in ANSWERED:
+        elif result.outcome in ANSWERED_OUTCOMES:
             self._on_answer(now, server, result.outcome, sent_at)
-            return self._take_overtaken(server, sent_at) if result.outcome is Outcome.ESTABLISHED else []
+            return self._remove_overtaken(server, sent_at) if result.outcome is Outcome.ESTABLISHED else []
         elif result.outcome is not Outcome.TIMED_OUT or sent_at > server.newest_established_sent_at:
             self._on_failure(now, server, sent_at)
         return []
@@ -151,7 +151,7 @@
         server.record_latency(max(now - sent_at, server.mean_latency), now, interval)
         server.eject(now, interval)
 
-    def _take_overtaken(self, server: ServerState, sent_at: int) -> list[AttemptKey]:
+    def _remove_overtaken(self, server: ServerState, sent_at: int) -> list[AttemptKey]:
         # A server processes set-ups in order: an attempt sent well before one established now is lost.
         if not self._deployment.can_cancel:
             return []
--- a/valverouter/regions/planner.py
+++ b/valverouter/regions/planner.py
@@ -178,7 +178,7 @@
 
     _check_demands(demands, capacities)
     program = _LinearProgram(demands, capacities, limits)
-    found = linprog(
+    solution = linprog(
         program.costs(),
         program.bound_rows(),
         np.array([bound.limit for bound in program.bounds]),
@@ -186,11 +186,11 @@
         [demand.rate for demand in demands],
         method="highs",
     )
-    if not found.success:
-        raise ValueError(f"no plan: {found.message}")
-    assert found.x is not None
-    shadow_prices = [float(price) for price in found.ineqlin.marginals]
-    return _plan_of(program, [float(rate) for rate in found.x], shadow_prices)
+    if not solution.success:
+        raise ValueError(f"no plan: {solution.message}")
+    assert solution.x is not None
+    shadow_prices = [float(price) for price in solution.ineqlin.marginals]
+    return _to_plan(program, [float(rate) for rate in solution.x], shadow_prices)
 
 
 def _check_demands(demands: list[Demand], capacities: list[RegionCapacity]) -> None:
@@ -204,7 +204,7 @@
             )
 
 
-def _plan_of(program: _LinearProgram, rates: list[float], shadow_prices: list[float]) -> Plan:
+def _to_plan(program: _LinearProgram, rates: list[float], shadow_prices: list[float]) -> Plan:
     result = Plan(offered=sum(demand.rate for demand in program.demands))
     for column, route in enumerate(program.routes):
         result.served += rates[column]
--- a/valverouter/regions/time_sliced_quota.py
+++ b/valverouter/regions/time_sliced_quota.py
@@ -17,7 +17,7 @@
 
 from valverouter.interface import CrossRegionBudget
 
-NANOSECONDS = 1e9
+NANOSECONDS_PER_SECOND = 1e9
 # Below 2 a slot would lapse the moment it opens.
 MIN_BURST = 2
 
@@ -28,10 +28,10 @@
     def __init__(self, budget: CrossRegionBudget, clock_skew: int, now: int) -> None:
         """Creates a quota with slots from `now` on; `clock_skew` (ns) bounds the difference between clocks.
 
-        Raises ValueError with the `infeasibility` of a budget that could never permit an attempt.
+        Raises ValueError with the `infeasibility_reason` of a budget that could never permit an attempt.
         """
         budget = with_default_burst(budget, clock_skew)
-        if reason := infeasibility(budget, clock_skew):
+        if reason := infeasibility_reason(budget, clock_skew):
             raise ValueError(reason)
         self.budget = budget
         self.spacing = slot_spacing(budget)
@@ -85,7 +85,7 @@
 
 def max_rate(budget: CrossRegionBudget) -> float:
     """Attempts per second that the whole fleet can sustain while every edge proxy has some to send."""
-    return NANOSECONDS / slot_spacing(budget)
+    return NANOSECONDS_PER_SECOND / slot_spacing(budget)
 
 
 def expected_utilization(budget: CrossRegionBudget, clock_skew: int, demand: float) -> float:
@@ -94,24 +94,24 @@
     An edge proxy with several open slots nearly always finds one. An edge proxy that rarely has a slot uses
     it only if an attempt happens to arrive while the slot is open.
     """
-    turn_interval = budget.edge_proxies * slot_spacing(budget) / NANOSECONDS
-    lifetime = slot_lifetime(budget, clock_skew) / NANOSECONDS
+    own_slot_interval = budget.edge_proxies * slot_spacing(budget) / NANOSECONDS_PER_SECOND
+    lifetime = slot_lifetime(budget, clock_skew) / NANOSECONDS_PER_SECOND
     if lifetime <= 0 or demand <= 0:
         return 0.0
-    used_in_turn = 1 - math.exp(-demand * min(lifetime, turn_interval))
+    use_probability = 1 - math.exp(-demand * min(lifetime, own_slot_interval))
     # The open slots are modelled as a queue of limited length: a new slot is lost when the queue is full.
-    places = int(lifetime / turn_interval)
-    if places < 1:
-        return used_in_turn
-    load = 1 / (turn_interval * demand)
-    return max(used_in_turn, 1 - _full_probability(places, load))
+    max_length = int(lifetime / own_slot_interval)
+    if max_length < 1:
+        return use_probability
+    load = 1 / (own_slot_interval * demand)
+    return max(use_probability, 1 - _full_probability(max_length, load))
 
 
-def _full_probability(places: int, load: float) -> float:
+def _full_probability(max_length: int, load: float) -> float:
     """The probability that an M/M/1 queue of this maximum length is full."""
     if abs(load - 1) <= 1e-9:
-        return 1 / (places + 1)
-    return load**places * (1 - load) / (1 - load ** (places + 1))
+        return 1 / (max_length + 1)
+    return load**max_length * (1 - load) / (1 - load ** (max_length + 1))
 
 
 def with_default_burst(budget: CrossRegionBudget, clock_skew: int) -> CrossRegionBudget:
@@ -123,7 +123,7 @@
     """
     if budget.burst or budget.attempts < MIN_BURST:
         return budget
-    demand = budget.attempts * NANOSECONDS / budget.window / budget.edge_proxies
+    demand = budget.attempts * NANOSECONDS_PER_SECOND / budget.window / budget.edge_proxies
     candidates = [replace(budget, burst=burst) for burst in range(MIN_BURST, budget.attempts + 1)]
     return max(
         candidates,
@@ -131,7 +131,7 @@
     )
 
 
-def infeasibility(budget: CrossRegionBudget, clock_skew: int) -> str:
+def infeasibility_reason(budget: CrossRegionBudget, clock_skew: int) -> str:
     """The reason why the budget could never permit an attempt; empty for a feasible budget."""
     budget = with_default_burst(budget, clock_skew)
     if not 1 <= budget.burst <= budget.attempts:
