--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,8 +1,10 @@
-"""What 20, 30 and 200 instances of the real decisions together send one cold server, in every window.
+"""The attempts of a whole fleet at one server in slow start stay below its overload in every window.
 
-Virtual time, fixed seeds. Every set-up is wanted at the server that starts cold, four times what it carries
-when warm; a few instances see many times the mean; all start again in the ramp, in steps or at once, and each
-former self goes on for a while beside its successor, under the same place.
+Edge proxies share no state, so their quotas at a cold server could add up to an overload. Fleets of 20, 30
+and 200 drivers run in virtual time with fixed seeds. All dialogs prefer the cold server, at four times its
+warm capacity, and a few edge proxies get many times the mean load. During the slow start every edge proxy is
+restarted, in steps or all at once, and its previous process keeps running for a while beside the new one,
+with the same fleet index.
 """
 
 from __future__ import annotations
@@ -41,7 +43,10 @@
 
 @dataclass
 class FleetSimulation:
-    """One cold server, three warm ones. `length` of a dialog, `usual` busy lines of a server that is warm."""
+    """A fleet, one cold server and three warm ones.
+
+    `duration` is the mean of a dialog in nanoseconds, `warm_busy_lines` the busy lines of a warm server.
+    """
 
     edge_proxies: int
     seed: int
@@ -186,7 +191,7 @@
         self.overlap_ends_at[fleet_index] = self.now + PROCESS_OVERLAP
 
     def overloaded_windows(self) -> list[tuple[int, float]]:
-        """Each window, ended by a set-up while the server is cold, that passes what is put down to chance."""
+        """Each window, ended by an attempt in the slow start, that exceeds its limit by more than chance."""
         warm_rate, window = self.warm_busy_lines * SECOND / self.duration, deque[int]()
         found = []
         for at in self.sent:
--- a/valverouter/driver.py
+++ b/valverouter/driver.py
@@ -1,7 +1,7 @@
 """Runs the dialogs of one edge proxy: their flows, their timers and the attempts that belong to them.
 
 The driver makes no decisions: each dialog's flow comes from valverouter.policy, and the commands go to the
-signalling stack. The emulator and the edge proxy both use it.
+signalling stack. The edge proxy, the emulator and the simulator adapter use it alike.
 """
 
 from __future__ import annotations
