--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -15,7 +15,7 @@
 from tests.helpers import Rig
 from tests.rig import INI, dial, rigged, terms
 from tests.test_days import valverouter
-from tests.test_worst_case import TERMS
+from tests.test_worst_case import POLICY
 from valverouter import interface
 from valverouter.attempts.matching import EffectiveSetting
 from valverouter.audit.attempts import attempt_statistics
@@ -34,7 +34,7 @@
     line = text.splitlines().index("leg_time_out = 700ms") + 1
     assert found["leg_time_out"] == EffectiveSetting(700 * MS, f"rig.ini:{line} [attempts b]")
     assert found["retry_cap"].source == "the decisions' own"
-    assert policies_of(text).policy_for("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
+    assert policies_of(text).policy_for("plain", 3) == replace(POLICY, max_attempts=2, no_answer_timeout=0)
     assert policies_of(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
 
 
--- a/tests/test_change_guard.py
+++ b/tests/test_change_guard.py
@@ -18,19 +18,26 @@
 MS, SECOND = 10**6, 10**9
 
 
-def fed(
-    guard: ChangeGuard, now: int, dialogs: int, declined: float, legs: int = 1, kind: str = "plain"
+def feed(
+    guard: ChangeGuard,
+    now: int,
+    dialogs: int,
+    rejected_fraction: float,
+    attempts: int = 1,
+    traffic_type: str = "plain",
 ) -> list[Regression]:
     found = []
     for at in range(dialogs):
-        down = int((at + 1) * declined) > int(at * declined)
-        if (harm := guard.on_final_answer(now + at * 50 * MS, kind, down, legs)) is not None:
-            found.append(harm)
+        rejected = int((at + 1) * rejected_fraction) > int(at * rejected_fraction)
+        if (
+            regression := guard.on_final_answer(now + at * 50 * MS, traffic_type, rejected, attempts)
+        ) is not None:
+            found.append(regression)
     return found
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "told"),
+    ("before", "after", "expected"),
     [
         ((200, 0.02), (100, 0.5), ["declined"]),
         ((200, 0.02), (100, 0.05), []),
@@ -40,21 +47,21 @@
     ],
 )
 def test_a_significant_rise_over_the_baseline_is_reported_once(
-    before: tuple[int, float], after: tuple[int, float], told: list[str]
+    before: tuple[int, float], after: tuple[int, float], expected: list[str]
 ) -> None:
     guard = ChangeGuard()
-    assert fed(guard, SECOND, *before) == []
+    assert feed(guard, SECOND, *before) == []
     guard.on_change(20 * SECOND)
-    assert [harm.metric for harm in fed(guard, 20 * SECOND, *after)] == told
+    assert [regression.metric for regression in feed(guard, 20 * SECOND, *after)] == expected
 
 
 def test_retries_are_compared_too_and_traffic_types_separately() -> None:
     guard = ChangeGuard()
-    fed(guard, SECOND, 100, 0.0)
-    fed(guard, SECOND, 100, 0.0, kind="other")
+    feed(guard, SECOND, 100, 0.0)
+    feed(guard, SECOND, 100, 0.0, traffic_type="other")
     guard.on_change(20 * SECOND)
-    assert [harm.metric for harm in fed(guard, 20 * SECOND, 40, 0.0, legs=2)] == ["retried"]
-    assert fed(guard, 20 * SECOND, 40, 0.0, kind="other") == []
+    assert [regression.metric for regression in feed(guard, 20 * SECOND, 40, 0.0, attempts=2)] == ["retried"]
+    assert feed(guard, 20 * SECOND, 40, 0.0, traffic_type="other") == []
 
 
 async def test_a_harmful_configuration_is_reported_and_rolled_back_once(autojump_clock: MockClock) -> None:
@@ -64,15 +71,15 @@
         async with rigged(2, INI.replace("name = e0", "name = e0\nreturns = yes")) as rig:
             caller, served = await rig.caller(), 0
 
-            async def answers(link: Any) -> None:
+            async def answer_setups(link: Any) -> None:
                 while True:
-                    asked = await link.next(setup.Setup, within=1_000)
+                    request = await link.next(setup.Setup, within=1_000)
                     await trio.sleep(0.01)
-                    if (asked.dialog, asked.leg) in link.session.legs:
-                        await link.send(setup.Established(asked.dialog, asked.leg))
+                    if (request.dialog, request.leg) in link.session.legs:
+                        await link.send(setup.Established(request.dialog, request.leg))
 
             for server in rig.servers.values():
-                rig.nursery.start_soon(answers, server.link)
+                rig.nursery.start_soon(answer_setups, server.link)
             for at in range(200):
                 if at == 60:
                     rig.edge.reload(msgspec.structs.replace(terms(harmful), returns=True))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,53 +16,57 @@
 from valverouter.policy.retry import RetryBudget, RetryDecision, decide_retry, retry_delay
 
 
-@pytest.mark.parametrize(("failures", "stands", "tokens", "allows"), [
+@pytest.mark.parametrize(("failures", "established", "tokens", "allows"), [
         (0, 0, 10_000, True), (0, 3, 10_000, True), (4, 0, 6_000, True), (5, 0, 5_000, False),
         (5, 1, 5_100, True), (10, 0, 0, False), (12, 50, 5_000, False), (12, 51, 5_100, True),
 ])
-def test_budget(failures: int, stands: int, tokens: int, allows: bool) -> None:
+def test_retry_budget_counts_tokens(failures: int, established: int, tokens: int, allows: bool) -> None:
     budget = RetryBudget()
     for _ in range(failures):
         budget.on_failure()
-    for _ in range(stands):
+    for _ in range(established):
         budget.on_success()
     assert (budget.tokens, budget.allows_retry) == (tokens, allows)
 
 
-@pytest.mark.parametrize(("tokens", "legs", "again_at", "verdict"), [
+@pytest.mark.parametrize(("tokens", "attempts", "retry_at", "expected"), [
         (10_000, 1, 99, RetryDecision.RETRY), (6_000, 1, 99, RetryDecision.THROTTLED),
         (6_001, 1, 99, RetryDecision.RETRY),
         (6_000, 3, 100, RetryDecision.EXHAUSTED), (6_000, 1, 100, RetryDecision.THROTTLED),
         (10_000, 1, 100, RetryDecision.EXPIRED),
 ])
-def test_order_of_reasons(tokens: int, legs: int, again_at: int, verdict: RetryDecision) -> None:
+def test_retry_decision_checks_attempts_then_budget_then_deadline(
+    tokens: int, attempts: int, retry_at: int, expected: RetryDecision
+) -> None:
     budget = RetryBudget()
     budget.tokens = tokens
-    assert decide_retry(budget, legs, 3, again_at, 100) is verdict
+    assert decide_retry(budget, attempts, 3, retry_at, 100) is expected
     assert budget.tokens == tokens - 1_000
 
 
-@pytest.mark.parametrize(("retry", "draw", "least", "wait"), [
+@pytest.mark.parametrize(("retry", "draw", "minimum", "delay"), [
         (1, 0.0, 0, 0), (1, 0.5, 0, 100 * MS), (2, 0.5, 0, 200 * MS), (5, 0.5, 0, SECOND),
         (99, 0.999, 0, 1998 * MS), (1, 0.5, 300 * MS, 300 * MS),
 ])
-def test_retry_wait(retry: int, draw: float, least: int, wait: int) -> None:
-    assert retry_delay(retry, draw, least) == wait
+def test_retry_delay(retry: int, draw: float, minimum: int, delay: int) -> None:
+    assert retry_delay(retry, draw, minimum) == delay
 
 
-@pytest.mark.parametrize(("terms", "kind", "first", "said"), [
+@pytest.mark.parametrize(("deployment", "traffic_type", "preferred", "expected"), [
         ({}, "plain", 2, "s2"), ({"servers": 0}, "plain", 0, "declined"),
         ({"servers": 1}, "plain", 5, "s0"), ({"servers": 1}, "only-1", 0, "declined"),
         ({"servers": 2}, "only-1", 0, "s1"), ({"servers": 2, "own_server_number": 0}, "plain", 0, "s1"),
         ({}, "unknown", 0, "declined"), ({"servers": 2}, "transit", 9, "declined"),
 ])
-def test_first_choice(terms: dict[str, int], kind: str, first: int, said: str) -> None:
-    rig = Rig(**terms)
-    rig.dialog(first, kind.replace("transit", "plain"), in_transit=kind == "transit")
-    assert rig.said() == said
+def test_preferred_server(
+    deployment: dict[str, int], traffic_type: str, preferred: int, expected: str
+) -> None:
+    rig = Rig(**deployment)
+    rig.dialog(preferred, traffic_type.replace("transit", "plain"), in_transit=traffic_type == "transit")
+    assert rig.said() == expected
 
 
-@pytest.mark.parametrize(("outcome", "more", "said"), [
+@pytest.mark.parametrize(("outcome", "options", "expected"), [
         (Outcome.LINE_BUSY, {}, "aborted"), (Outcome.NOT_SENT, {}, "aborted"), (Outcome.FULL, {}, "waits"),
         (Outcome.FULL, {"retry_after": 3 * SECOND}, "declined"), (Outcome.TIMED_OUT, {}, "waits"),
         (Outcome.RESET, {}, "waits"), (Outcome.UNREACHABLE, {}, "waits"), (Outcome.NO_AGENT, {}, "s1"),
@@ -70,42 +74,44 @@
         (Outcome.FULL, {"kind": "once"}, "waits"),
         (Outcome.FULL, {"terms": {"max_attempts": 1}}, "declined"),
 ])
-def test_what_follows_a_leg(outcome: Outcome, more: dict[str, Any], said: str) -> None:
-    rig = Rig(servers=2, **more.pop("terms", {}))
-    id_ = rig.dialog(0, more.pop("kind", "plain"))
+def test_action_after_an_attempt(outcome: Outcome, options: dict[str, Any], expected: str) -> None:
+    rig = Rig(servers=2, **options.pop("terms", {}))
+    id_ = rig.dialog(0, options.pop("kind", "plain"))
     rig.take()
-    rig.result(id_, "s0", outcome, **more)
-    assert rig.said() == said
+    rig.result(id_, "s0", outcome, **options)
+    assert rig.said() == expected
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED])
 @pytest.mark.parametrize("release", [0, 300 * MS, 900 * MS])
-def test_release_is_awaited_and_one_leg_is_out(outcome: Outcome, release: int) -> None:
+def test_a_retry_waits_for_the_release_delay_and_is_the_only_attempt_in_flight(
+    outcome: Outcome, release: int
+) -> None:
     rig = Rig(servers=2, release_delay=release)
     id_ = rig.dialog(0)
     rig.result(id_, "s0", outcome)
-    told = rig.now
+    failed_at = rig.now
     rig.result(id_, "s0", outcome)
     rig.wake()
-    assert rig.now - told >= release
+    assert rig.now - failed_at >= release
     assert rig.said() == "s1"
 
 
-@pytest.mark.parametrize(("ahead", "said"), [(2900 * MS, "declined"), (3 * SECOND, "aborted")])
-def test_answer_in_time_after_a_late_time_out(ahead: int, said: str) -> None:
+@pytest.mark.parametrize(("elapsed", "expected"), [(2900 * MS, "declined"), (3 * SECOND, "aborted")])
+def test_final_answer_after_a_late_timeout(elapsed: int, expected: str) -> None:
     rig = Rig()
     id_ = rig.dialog(0)
     rig.take()
-    rig.ahead(ahead)
+    rig.ahead(elapsed)
     rig.result(id_, "s0", Outcome.TIMED_OUT)
     rig.result(id_, "s0", Outcome.TIMED_OUT)
-    assert rig.said() == said
+    assert rig.said() == expected
     assert rig.driver.open_dialogs == 0
     tokens = next(iter(rig.policy.table.servers.values())).budget.tokens
-    assert tokens == (9_000 if said == "declined" else 10_000)
+    assert tokens == (9_000 if expected == "declined" else 10_000)
 
 
-def test_nothing_after_the_caller_is_gone_but_the_server_is_learnt() -> None:
+def test_a_result_after_the_caller_is_gone_only_updates_the_server() -> None:
     rig = Rig()
     id_ = rig.dialog(0)
     rig.driver.on_caller_gone(id_)
@@ -116,19 +122,19 @@
     assert rig.policy.table.servers["s0"].mean_latency == 700 * MS
 
 
-@pytest.mark.parametrize("scope", [EndpointUpdateKind.INCREMENTAL, EndpointUpdateKind.COMPLETE])
-def test_nothing_new_to_a_server_told_gone(scope: EndpointUpdateKind) -> None:
+@pytest.mark.parametrize("update_kind", [EndpointUpdateKind.INCREMENTAL, EndpointUpdateKind.COMPLETE])
+def test_no_new_attempt_at_a_removed_server(update_kind: EndpointUpdateKind) -> None:
     rig = Rig(servers=2)
     id_ = rig.dialog(0)
-    rig.listed([Endpoint("s0", 0, False), Endpoint("s1", 1, True)], scope)
+    rig.listed([Endpoint("s0", 0, False), Endpoint("s1", 1, True)], update_kind)
     rig.result(id_, "s0", Outcome.FULL)
     rig.wake()
     rig.dialog(0)
     assert rig.said() == "s1 s1"
 
 
-@pytest.mark.parametrize(("age", "most"), [(0, 2), (20 * SECOND, 1000)])
-def test_cold_server_gets_a_share_also_with_no_history(age: int, most: int) -> None:
+@pytest.mark.parametrize(("age", "maximum"), [(0, 2), (20 * SECOND, 1000)])
+def test_slow_start_limits_attempts_without_history(age: int, maximum: int) -> None:
     rig = Rig(servers=1)
     rig.listed([Endpoint("s0", 0, True, rig.now - age)])
     sent = 0
@@ -138,12 +144,14 @@
         if rig.said() == "s0":
             sent += 1
             rig.result(id_, "s0", Outcome.ESTABLISHED)
-    assert sent <= most
+    assert sent <= maximum
     assert sent or age == 0
 
 
-@pytest.mark.parametrize(("proxies", "every", "least"), [(2, 100, 0.8), (40, 900, 0.5), (40, 50, 0.9)])
-def test_turns_at_a_cold_server_keep_any_window_under_the_tip(proxies: int, every: int, least: float) -> None:
+@pytest.mark.parametrize(("proxies", "interval", "minimum"), [(2, 100, 0.8), (40, 900, 0.5), (40, 50, 0.9)])
+def test_slow_start_slots_keep_every_window_below_the_overload(
+    proxies: int, interval: int, minimum: float
+) -> None:
     fleet = [Rig(servers=1, edge_proxies=proxies, fleet_index=n) for n in range(proxies)]
     for rig in fleet:
         rig.driver.update_load("s0", LoadReport(free_lines=100, lines=400))
@@ -153,7 +161,7 @@
     for at in range(0, 6_000, 50):
         for n, rig in enumerate(fleet):
             rig.ahead(50 * MS)
-            if (at + 50 * n) % every == 0:
+            if (at + 50 * n) % interval == 0:
                 id_ = rig.dialog(0)
                 if rig.said() == "s0":
                     sent.append(at)
@@ -162,10 +170,10 @@
     for start in sent:
         now = 0.35 + 0.65 * (4 + start / 1000) / 15
         assert sum(start <= at < start + 1000 for at in sent) <= 2.5 * now * 30
-    assert len(sent) >= least * 30 * 6 * 0.65
+    assert len(sent) >= minimum * 30 * 6 * 0.65
 
 
-def test_restart_under_the_same_id_starts_full() -> None:
+def test_a_restarted_server_has_a_full_retry_budget() -> None:
     rig = Rig(servers=1)
     for _ in range(2):
         rig.result(rig.dialog(0), "s0", Outcome.TIMED_OUT)
@@ -175,17 +183,17 @@
     assert rig.policy.table.servers["s0"].budget.tokens == 10_000
 
 
-@pytest.mark.parametrize(("quiet", "said"), [(100 * MS, "s0"), (1400 * MS, "s1")])
-def test_silent_server_is_passed_by_on_its_unanswered_legs_age(quiet: int, said: str) -> None:
+@pytest.mark.parametrize(("silence", "expected"), [(100 * MS, "s0"), (1400 * MS, "s1")])
+def test_a_silent_server_is_avoided_by_the_age_of_an_unanswered_attempt(silence: int, expected: str) -> None:
     rig = Rig(servers=2)
     rig.dialog(0)
     rig.take()
-    rig.ahead(quiet)
+    rig.ahead(silence)
     rig.dialog(0)
-    assert rig.said() == said
+    assert rig.said() == expected
 
 
-def test_failing_server_gets_single_legs_after_growing_pauses_but_is_never_shut_out() -> None:
+def test_a_failing_server_is_probed_at_growing_intervals_up_to_a_limit() -> None:
     rig = Rig(servers=1)
     sent_at: list[int] = []
     for _ in range(400):
@@ -198,26 +206,28 @@
     assert gaps[0] < gaps[-1] <= tuning.EJECTION_CAP + 3 * SECOND
 
 
-@pytest.mark.parametrize(("gap", "outcome", "may", "said"), [
+@pytest.mark.parametrize(("gap", "outcome", "can_cancel", "expected"), [
         (300 * MS, Outcome.ESTABLISHED, True, "cancels"), (300 * MS, Outcome.ESTABLISHED, False, ""),
         (50 * MS, Outcome.ESTABLISHED, True, ""), (300 * MS, Outcome.LINE_BUSY, True, "aborted"),
 ])
-def test_leg_overtaken_by_a_stand(gap: int, outcome: Outcome, may: bool, said: str) -> None:
-    rig = Rig(servers=1, can_cancel=may)
+def test_an_attempt_overtaken_by_an_established_one_is_cancelled(
+    gap: int, outcome: Outcome, can_cancel: bool, expected: str
+) -> None:
+    rig = Rig(servers=1, can_cancel=can_cancel)
     lost = rig.dialog(0)
     rig.ahead(gap)
     later = rig.dialog(0, called_number=9)
     rig.take()
     rig.result(later, "s0", outcome)
-    assert rig.said() == said
-    if said == "cancels":
+    assert rig.said() == expected
+    if expected == "cancels":
         rig.result(lost, "s0", Outcome.CANCELLED)
         assert rig.policy.table.servers["s0"].consecutive_failures == 0
         assert rig.said() == "waits"
 
 
 @pytest.mark.parametrize("stall", [900 * MS, 5 * SECOND])
-def test_stall_of_our_own_is_not_held_against_servers(stall: int) -> None:
+def test_a_stall_of_this_process_does_not_count_against_servers(stall: int) -> None:
     rig = Rig()
     id_ = rig.dialog(0, no_answer=9 * SECOND)
     rig.take()
@@ -228,37 +238,39 @@
     assert rig.policy.table.servers["s0"].mean_latency <= tuning.HEARTBEAT_INTERVAL
 
 
-@pytest.mark.parametrize(("delay", "grows"), [(50 * MS, True), (1400 * MS, False)])
-def test_window_follows_own_delays(delay: int, grows: bool) -> None:
+@pytest.mark.parametrize(("latency", "grows"), [(50 * MS, True), (1400 * MS, False)])
+def test_the_window_follows_the_measured_latency(latency: int, grows: bool) -> None:
     rig = Rig(servers=1)
     id_ = rig.dialog(0)
-    rig.ahead(delay)
+    rig.ahead(latency)
     rig.result(id_, "s0", Outcome.ESTABLISHED)
     assert (rig.policy.table.servers["s0"].window > tuning.WINDOW_INITIAL) is grows
 
 
-@pytest.mark.parametrize(("waits", "grows"), [
+@pytest.mark.parametrize(("latencies", "grows"), [
     ([300, 550], True),  # no wait there could shorten it below 300 ms
     ([100, 550], False),
     ([300, -20, 550], True),  # a fault is told without a wait and shows no least
     ([900, 900], False),  # a server that began in a jam
 ])
-def test_a_far_region_is_not_a_late_one(waits: list[int], grows: bool) -> None:
+def test_answers_from_a_distant_region_can_be_prompt(latencies: list[int], grows: bool) -> None:
     rig = Rig(servers=1)
-    for wait in waits:
+    for latency in latencies:
         before = rig.policy.table.servers["s0"].window
         id_ = rig.dialog(0)
-        rig.ahead(abs(wait) * MS)
-        rig.result(id_, "s0", Outcome.ESTABLISHED if wait > 0 else Outcome.FAULT)
+        rig.ahead(abs(latency) * MS)
+        rig.result(id_, "s0", Outcome.ESTABLISHED if latency > 0 else Outcome.FAULT)
         rig.ahead(SECOND)
     assert (rig.policy.table.servers["s0"].window > before) is grows
 
 
-@pytest.mark.parametrize(("busy", "prompt", "said"), [
+@pytest.mark.parametrize(("busy", "prompt", "expected"), [
         ([100, 100], False, "s1"), ([100, 119], False, "s1"), ([100, 121], False, "declined"),
         ([100, 121], True, "s1"), ([], False, "s1"),
 ])
-def test_second_choices_go_only_where_lines_leave_room(busy: list[int], prompt: bool, said: str) -> None:
+def test_spillover_goes_only_to_servers_with_spare_capacity(
+    busy: list[int], prompt: bool, expected: str
+) -> None:
     rig = Rig(servers=2)
     for lines in busy:
         rig.driver.update_load("s1", LoadReport(free_lines=400 - lines, lines=400))
@@ -267,10 +279,10 @@
     rig.driver.update_load("s0", LoadReport(free_lines=0, lines=9))
     rig.take()
     rig.dialog(0)
-    assert rig.said() == said
+    assert rig.said() == expected
 
 
-def test_second_choices_are_drawn_by_room() -> None:
+def test_spillover_is_weighted_by_spare_capacity() -> None:
     rig = Rig(servers=4)
     for name, lines in (("s0", 1), ("s1", 10), ("s2", 1000), ("s3", 10)):
         rig.driver.update_load(name, LoadReport(free_lines=0 if name == "s0" else 999, lines=999 + lines))
@@ -282,32 +294,34 @@
     assert 70 < sent.count("s2") < 99
 
 
-@pytest.mark.parametrize(("passed_by", "more", "least", "most"), [
+@pytest.mark.parametrize(("full_servers", "options", "minimum", "maximum"), [
         (1, {}, 99, 99), (4, {}, 30, 70), (16, {}, 3, 25), (16, {"was_interrupted": True}, 99, 99),
         (16, {"kind": "worthy"}, 99, 99),
 ])
-def test_second_choices_are_thinned_to_the_room_left(
-    passed_by: int, more: dict[str, Any], least: int, most: int
+def test_spillover_is_limited_to_the_spare_capacity(
+    full_servers: int, options: dict[str, Any], minimum: int, maximum: int
 ) -> None:
-    rig = Rig(servers=passed_by + 1)
-    for n in range(passed_by + 1):
+    rig = Rig(servers=full_servers + 1)
+    for n in range(full_servers + 1):
         rig.driver.update_load(f"s{n}", LoadReport(free_lines=600, lines=1000))
-    for n in range(passed_by):
+    for n in range(full_servers):
         rig.driver.update_load(f"s{n}", LoadReport(free_lines=0, lines=400))
     sent = 0
     for _ in range(99):
-        id_ = rig.dialog(0, **more)
-        if rig.said().endswith(f"s{passed_by}"):
+        id_ = rig.dialog(0, **options)
+        if rig.said().endswith(f"s{full_servers}"):
             sent += 1
-            rig.result(id_, f"s{passed_by}", Outcome.NOT_SENT)
-    assert least <= sent <= most
+            rig.result(id_, f"s{full_servers}", Outcome.NOT_SENT)
+    assert minimum <= sent <= maximum
 
 
-@pytest.mark.parametrize(("proxies", "after", "said"), [
+@pytest.mark.parametrize(("proxies", "after", "expected"), [
         (4, 1400 * MS, "s1"), (4, 2100 * MS, "s0"), (400, 30 * SECOND, "s1"), (400, 200 * SECOND, "s0"),
 ])
 @pytest.mark.parametrize("outcome", [Outcome.ESTABLISHED, Outcome.FULL])
-def test_bad_news_holds_for_turns(proxies: int, after: int, said: str, outcome: Outcome) -> None:
+def test_latency_and_ejection_last_for_quota_intervals(
+    proxies: int, after: int, expected: str, outcome: Outcome
+) -> None:
     rig = Rig(servers=2, edge_proxies=proxies)
     for name in ("s0", "s1"):
         rig.driver.update_load(name, LoadReport(free_lines=300, lines=400))
@@ -317,10 +331,10 @@
     rig.take()
     rig.ahead(after)
     rig.dialog(0)
-    assert rig.said() == said
+    assert rig.said() == expected
 
 
-def test_asked_wait_binds_its_dialog_but_not_the_server() -> None:
+def test_retry_after_applies_to_its_dialog_but_not_to_the_server() -> None:
     rig = Rig(servers=1)
     rig.result(rig.dialog(0), "s0", Outcome.FULL, retry_after=5 * SECOND)
     rig.ahead(tuning.EJECTION_BASE)
@@ -328,21 +342,23 @@
     assert rig.said() == "s0 declined s0"
 
 
-def test_no_agent_is_not_held_against_the_processor() -> None:
+def test_no_agent_is_not_a_failure_of_the_server() -> None:
     rig = Rig(servers=1)
     rig.result(rig.dialog(0), "s0", Outcome.NO_AGENT)
-    far = rig.policy.table.servers["s0"]
-    assert (far.consecutive_failures, far.window, far.budget.tokens) == (0, tuning.WINDOW_INITIAL, 10_000)
+    server = rig.policy.table.servers["s0"]
+    assert (server.consecutive_failures, server.window, server.budget.tokens) == (
+        0, tuning.WINDOW_INITIAL, 10_000
+    )
     assert rig.said() == "s0 declined"
     rig.driver.update_load("s0", LoadReport(free_lines=4, lines=9))
     rig.dialog(0)
     assert rig.said() == "s0"
 
 
-@pytest.mark.parametrize(("proxies", "free", "said"), [
+@pytest.mark.parametrize(("proxies", "free", "expected"), [
         (4, 1, "s0"), (400, 1, "declined"), (400, 7, "declined"), (400, 9, "s0"),
 ])
-def test_free_agents_must_do_for_the_fleet(proxies: int, free: int, said: str) -> None:
+def test_free_agents_must_suffice_for_the_fleet(proxies: int, free: int, expected: str) -> None:
     rig = Rig(servers=1, edge_proxies=proxies)
     rig.driver.update_load("s0", LoadReport(free_lines=0, lines=400 if proxies > 4 else 40))
     rig.driver.update_load("s0", LoadReport(free_lines=100, lines=500))
@@ -351,10 +367,10 @@
     rig.ahead(1100 * MS)
     rig.driver.update_load("s0", LoadReport(free_lines=free, lines=400))
     rig.dialog(0)
-    assert rig.said() == said
+    assert rig.said() == expected
 
 
-def test_busy_number_is_left_alone_for_a_while() -> None:
+def test_a_busy_number_is_rejected_for_a_while() -> None:
     rig = Rig(servers=2)
     rig.result(rig.dialog(0, called_number=5), "s0", Outcome.LINE_BUSY)
     rig.dialog(0, called_number=5)
@@ -365,7 +381,7 @@
     assert not rig.policy._busy_numbers
 
 
-def test_list_is_asked_for_until_it_comes() -> None:
+def test_the_subscription_is_retried_until_the_list_arrives() -> None:
     rig = Rig(endpoint_list_is_pushed=False)
     assert rig.said() == "asks"
     rig.listed([], EndpointUpdateKind.FAILED)
@@ -376,43 +392,43 @@
 
 
 @pytest.mark.parametrize("limit", [0, 400 * MS])
-def test_come_back_keeps_to_what_callers_heed(limit: int) -> None:
+def test_retry_after_does_not_exceed_the_maximum(limit: int) -> None:
     assert Rig(max_retry_after=limit).policy._reject(None).retry_after <= limit
 
 
-SHORT = {name: replace(kind, mean_duration=SECOND) for name, kind in TYPES.items()}
+SHORT_TYPES = {name: replace(traffic_type, mean_duration=SECOND) for name, traffic_type in TYPES.items()}
 
 
-@pytest.mark.parametrize(("kinds", "after", "said"), [
+@pytest.mark.parametrize(("traffic_types", "after", "expected"), [
     (TYPES, 150, "declined"), (TYPES, 850, "declined"), (TYPES, 1_050, "s0"),
-    (SHORT, 50, "declined"), (SHORT, 150, "s0"),
+    (SHORT_TYPES, 50, "declined"), (SHORT_TYPES, 150, "s0"),
 ])
-def test_news_of_no_agent_holds_for_a_share_of_a_dialog(
-    kinds: dict[str, TrafficType], after: int, said: str
+def test_no_agent_lasts_for_a_fraction_of_a_dialog_duration(
+    traffic_types: dict[str, TrafficType], after: int, expected: str
 ) -> None:
     # Dialogs of one second on a server that told once of no free line: a whole second of news left it idle.
-    rig = Rig(servers=1, traffic_types=kinds)
+    rig = Rig(servers=1, traffic_types=traffic_types)
     rig.driver.update_load("s0", LoadReport(free_lines=0, lines=100))
     rig.take()
     rig.ahead(after * MS)
     rig.dialog(0)
-    assert rig.said() == said
+    assert rig.said() == expected
 
 
-@pytest.mark.parametrize("kinds", [TYPES, SHORT])
-def test_room_for_what_is_passed_by_does_not_hang_on_how_long_dialogs_last(
-    kinds: dict[str, TrafficType],
+@pytest.mark.parametrize("traffic_types", [TYPES, SHORT_TYPES])
+def test_spillover_does_not_depend_on_the_dialog_duration(
+    traffic_types: dict[str, TrafficType],
 ) -> None:
-    rig = Rig(servers=2, traffic_types=kinds)
+    rig = Rig(servers=2, traffic_types=traffic_types)
     for server, busy in (("s0", 200), ("s1", 100)):
         rig.driver.update_load(server, LoadReport(free_lines=400 - busy, lines=400))
     rig.driver.update_load("s0", LoadReport(free_lines=0, lines=400))
     rig.take()
-    stood = 0
+    established = 0
     for _ in range(200):
         id_ = rig.dialog(0)
-        stood += (said := rig.said()) == "s1"
-        if said == "s1":
+        established += (command := rig.said()) == "s1"
+        if command == "s1":
             rig.result(id_, "s1", Outcome.ESTABLISHED)
     # A tenth of a dialog's length must find room: twenty of two hundred lines, and two sigmas are twenty.
-    assert stood == 200
+    assert established == 200
--- a/tests/test_rule_matching.py
+++ b/tests/test_rule_matching.py
@@ -19,8 +19,8 @@
 )
 
 
-def rule(name: str, legs: int = 0, **when: Any) -> PolicyRule:
-    return PolicyRule(MatchCondition(**when), {"legs": legs}, name)
+def rule(name: str, legs: int = 0, **condition: Any) -> PolicyRule:
+    return PolicyRule(MatchCondition(**condition), {"legs": legs}, name)
 
 
 RULES = [
@@ -60,18 +60,22 @@
 
 
 def test_ambiguous_rules_are_found_with_their_overlap() -> None:
-    crossing = [rule("urgent", traffic_type="urgent"), rule("sofia", prefix="2")]
-    (tie,) = find_ambiguous_rules(crossing)
-    assert (tie.first, tie.second, tie.overlap) == ("urgent", "sofia", MatchCondition("urgent", "2"))
+    overlapping = [rule("urgent", traffic_type="urgent"), rule("sofia", prefix="2")]
+    (ambiguity,) = find_ambiguous_rules(overlapping)
+    assert (ambiguity.first, ambiguity.second, ambiguity.overlap) == (
+        "urgent",
+        "sofia",
+        MatchCondition("urgent", "2"),
+    )
     with pytest.raises(AmbiguousRulesError):
-        resolve(crossing, DialogAttributes("urgent", "2"))
-    assert find_ambiguous_rules([*crossing, rule("both", traffic_type="urgent", prefix="2")]) == []
+        resolve(overlapping, DialogAttributes("urgent", "2"))
+    assert find_ambiguous_rules([*overlapping, rule("both", traffic_type="urgent", prefix="2")]) == []
     assert len(find_ambiguous_rules([rule("one", region="a"), rule("two", region="a")])) == 1
     assert find_ambiguous_rules([rule("one", region="a"), rule("two", region="b")]) == []
     assert find_ambiguous_rules([rule("one", prefix="21"), rule("two", prefix="22")]) == []
 
 
-whens = st.builds(
+conditions = st.builds(
     MatchCondition,
     st.none() | st.sampled_from("ab"),
     st.sampled_from(["", "2", "21", "3"]),
@@ -79,19 +83,19 @@
 )
 
 
-@given(st.lists(whens, max_size=6))
-def test_unambiguous_rules_resolve_for_every_dialog(made: list[MatchCondition]) -> None:
-    rules = [PolicyRule(when, {"legs": at}, str(at)) for at, when in enumerate(made)]
-    every = [
+@given(st.lists(conditions, max_size=6))
+def test_unambiguous_rules_resolve_for_every_dialog(conditions: list[MatchCondition]) -> None:
+    rules = [PolicyRule(condition, {"legs": at}, str(at)) for at, condition in enumerate(conditions)]
+    dialogs = [
         DialogAttributes(kind, number, region)
         for kind in "abc"
         for number in ("2", "21", "3", "4")
         for region in "xyz"
     ]
-    tied = False
-    for asked in every:
+    is_ambiguous = False
+    for dialog in dialogs:
         try:
-            resolve(rules, asked)
+            resolve(rules, dialog)
         except AmbiguousRulesError:
-            tied = True
-    assert tied <= bool(find_ambiguous_rules(rules))
+            is_ambiguous = True
+    assert is_ambiguous <= bool(find_ambiguous_rules(rules))
--- a/tests/test_time_sliced_quota.py
+++ b/tests/test_time_sliced_quota.py
@@ -26,8 +26,8 @@
 
 
 budgets = st.builds(
-    lambda legs, burst, window, edges: CrossRegionBudget(
-        legs, window * MS, burst and 2 + burst % max(1, legs - 1), edges, 0
+    lambda attempts, burst, window, edge_proxies: CrossRegionBudget(
+        attempts, window * MS, burst and 2 + burst % max(1, attempts - 1), edge_proxies, 0
     ),
     st.integers(2, 40),
     st.integers(0, 40),
@@ -38,7 +38,7 @@
 
 @given(budgets, st.integers(0, 60), st.builds(random.Random, st.integers(0, 2**32)))
 def test_no_window_exceeds_the_budget_for_any_senders(
-    budget: CrossRegionBudget, skew_ms: int, chance: random.Random
+    budget: CrossRegionBudget, skew_ms: int, rng: random.Random
 ) -> None:
     # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
     # in the middle and forget what they spent.
@@ -46,70 +46,70 @@
     if infeasibility_reason(budget, skew):
         return
     budget = with_default_burst(budget, skew)
-    off = [chance.randint(-skew, skew) for _ in range(budget.edge_proxies)]
-    sharers = [
-        TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), skew, START + off[at])
+    clock_offsets = [rng.randint(-skew, skew) for _ in range(budget.edge_proxies)]
+    quotas = [
+        TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), skew, START + clock_offsets[at])
         for at in range(budget.edge_proxies)
     ]
     now, sent = START, []
     for _ in range(300):
-        now += chance.choice(
-            [0, 0, MS, slot_spacing(budget) // 3, slot_lifetime(budget, skew), budget.window]
-        )
-        for at in chance.sample(range(budget.edge_proxies), min(budget.edge_proxies, 12)):
-            if chance.random() < 0.02:
-                off[at] = chance.randint(-skew, skew)
-                sharers[at] = TimeSlicedQuota(
-                    dataclasses.replace(budget, fleet_index=at), skew, now + off[at]
+        now += rng.choice([0, 0, MS, slot_spacing(budget) // 3, slot_lifetime(budget, skew), budget.window])
+        for at in rng.sample(range(budget.edge_proxies), min(budget.edge_proxies, 12)):
+            if rng.random() < 0.02:
+                clock_offsets[at] = rng.randint(-skew, skew)
+                quotas[at] = TimeSlicedQuota(
+                    dataclasses.replace(budget, fleet_index=at), skew, now + clock_offsets[at]
                 )
-            while sharers[at].acquire(now + off[at]) is not None:
+            while quotas[at].acquire(now + clock_offsets[at]) is not None:
                 sent.append(now)
             assert (
-                sharers[at].used_slots
+                quotas[at].used_slots
                 <= slot_lifetime(budget, skew) // (slot_spacing(budget) * budget.edge_proxies) + 1
             )
     assert max_in_window(sent, budget.window) <= budget.attempts
 
 
-@pytest.mark.parametrize("edges", [1, 4, 281])
-def test_a_saturated_fleet_of_any_size_uses_the_whole_budget(edges: int) -> None:
-    budget = CrossRegionBudget(40, 10 * SECOND, 10, edges, 0)
-    sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edges)]
+@pytest.mark.parametrize("edge_proxies", [1, 4, 281])
+def test_a_saturated_fleet_of_any_size_uses_the_whole_budget(edge_proxies: int) -> None:
+    budget = CrossRegionBudget(40, 10 * SECOND, 10, edge_proxies, 0)
+    quotas = [
+        TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(edge_proxies)
+    ]
     sent = 0
     for step in range(6_000):
         now = START + step * 10 * MS
-        sent += sum(one.acquire(now) is not None for one in sharers)
+        sent += sum(quota.acquire(now) is not None for quota in quotas)
     assert 0.97 < sent / 60 / max_rate(budget) < 1.03
 
 
-@pytest.mark.parametrize(("edges", "least"), [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
-def test_the_default_burst_maximizes_utilization(edges: int, least: float) -> None:
-    budget = with_default_burst(CrossRegionBudget(120, 10 * SECOND, 0, edges, 0), 50 * MS)
-    wished = 12 / edges
+@pytest.mark.parametrize(("edge_proxies", "minimum"), [(1, 0.85), (4, 0.7), (50, 0.45), (281, 0.15)])
+def test_the_default_burst_maximizes_utilization(edge_proxies: int, minimum: float) -> None:
+    budget = with_default_burst(CrossRegionBudget(120, 10 * SECOND, 0, edge_proxies, 0), 50 * MS)
+    demand = 12 / edge_proxies
 
-    def used(one: CrossRegionBudget) -> float:
-        return max_rate(one) * expected_utilization(one, 50 * MS, wished)
+    def used_rate(candidate: CrossRegionBudget) -> float:
+        return max_rate(candidate) * expected_utilization(candidate, 50 * MS, demand)
 
     others = [dataclasses.replace(budget, burst=burst) for burst in (2, 5, 30, 60, 90, 119)]
-    assert used(budget) >= max(map(used, others))
-    assert used(budget) >= least * 12
+    assert used_rate(budget) >= max(map(used_rate, others))
+    assert used_rate(budget) >= minimum * 12
 
 
 def test_expected_utilization_matches_a_simulation_of_low_demand() -> None:
     budget = CrossRegionBudget(40, 10 * SECOND, 10, 200, 0)
-    chance = random.Random(5)
-    sharers = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
+    rng = random.Random(5)
+    quotas = [TimeSlicedQuota(dataclasses.replace(budget, fleet_index=at), 0, START) for at in range(200)]
     sent = 0
     for step in range(12_000):
-        for one in sharers:
-            if chance.random() < 0.05 * 0.01:
-                sent += one.acquire(START + step * 10 * MS) is not None
-    told = expected_utilization(budget, 0, 0.05) * max_rate(budget)
-    assert sent / 120 == pytest.approx(told, rel=0.15)
+        for quota in quotas:
+            if rng.random() < 0.05 * 0.01:
+                sent += quota.acquire(START + step * 10 * MS) is not None
+    expected_rate = expected_utilization(budget, 0, 0.05) * max_rate(budget)
+    assert sent / 120 == pytest.approx(expected_rate, rel=0.15)
 
 
 @pytest.mark.parametrize(
-    ("budget", "said"),
+    ("budget", "reason"),
     [
         (CrossRegionBudget(10, SECOND, 1, 3, 0), "lapse"),
         (CrossRegionBudget(10, SECOND, 11, 3, 0), "must lie"),
@@ -117,7 +117,7 @@
         (CrossRegionBudget(100, SECOND, 2, 3, 0), "skew"),
     ],
 )
-def test_an_infeasible_budget_is_rejected_with_a_reason(budget: CrossRegionBudget, said: str) -> None:
-    assert said in infeasibility_reason(budget, 10 * MS)
-    with pytest.raises(ValueError, match=said):
+def test_an_infeasible_budget_is_rejected_with_a_reason(budget: CrossRegionBudget, reason: str) -> None:
+    assert reason in infeasibility_reason(budget, 10 * MS)
+    with pytest.raises(ValueError, match=reason):
         TimeSlicedQuota(budget, 10 * MS, START)
--- a/tests/test_worst_case.py
+++ b/tests/test_worst_case.py
@@ -20,15 +20,15 @@
 MS, SECOND = 10**6, 10**9
 
 
-TERMS = AttemptPolicy(3, 1500 * MS, 9 * SECOND, 300 * MS, 200 * MS, 2 * SECOND)
+POLICY = AttemptPolicy(3, 1500 * MS, 9 * SECOND, 300 * MS, 200 * MS, 2 * SECOND)
 
 
 def test_the_longest_timeline_ends_at_the_no_answer_timeout_in_contiguous_steps() -> None:
-    course = longest_timeline(TERMS)
-    assert course.answered_at == 9 * SECOND
-    assert course.steps[0].start == 0
-    for step, after in zip(course.steps, course.steps[1:], strict=False):
-        assert after.start == step.start + step.duration
+    timeline = longest_timeline(POLICY)
+    assert timeline.answered_at == 9 * SECOND
+    assert timeline.steps[0].start == 0
+    for step, following in zip(timeline.steps, timeline.steps[1:], strict=False):
+        assert following.start == step.start + step.duration
 
 
 @given(
@@ -45,67 +45,67 @@
     ),
     st.builds(random.Random, st.integers(0, 2**32)),
 )
-def test_no_random_timeline_exceeds_the_worst_case(terms: AttemptPolicy, chance: random.Random) -> None:
-    at, leg, most = 0, 1, longest_timeline(terms)
+def test_no_random_timeline_exceeds_the_worst_case(policy: AttemptPolicy, rng: random.Random) -> None:
+    at, attempt, longest = 0, 1, longest_timeline(policy)
     while True:
-        until = (
-            min(terms.no_answer_timeout, at + terms.attempt_timeout)
-            if terms.attempt_timeout
-            else terms.no_answer_timeout
+        latest_end = (
+            min(policy.no_answer_timeout, at + policy.attempt_timeout)
+            if policy.attempt_timeout
+            else policy.no_answer_timeout
         )
-        at = chance.randint(at, until)
-        if at >= terms.no_answer_timeout or leg >= terms.max_attempts:
+        at = rng.randint(at, latest_end)
+        if at >= policy.no_answer_timeout or attempt >= policy.max_attempts:
             break
-        least = chance.choice([terms.release_delay, chance.randint(0, terms.max_server_retry_after)])
-        wait = backoff_delay(terms, leg, chance.random(), least)
-        if at + wait >= terms.no_answer_timeout:
+        minimum = rng.choice([policy.release_delay, rng.randint(0, policy.max_server_retry_after)])
+        delay = backoff_delay(policy, attempt, rng.random(), minimum)
+        if at + delay >= policy.no_answer_timeout:
             break
-        at, leg = at + wait, leg + 1
-    assert at <= most.answered_at <= terms.no_answer_timeout
-    assert leg <= max(course.attempts for course in timelines(terms))
+        at, attempt = at + delay, attempt + 1
+    assert at <= longest.answered_at <= policy.no_answer_timeout
+    assert attempt <= max(timeline.attempts for timeline in timelines(policy))
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_backoff_delays_are_those_of_the_routing_policy(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for retry in range(1, 6):
-        draw, least = chance.random(), chance.randint(0, SECOND)
-        assert backoff_delay(TERMS, retry, draw, least) == retry_delay(retry, draw, least)
+        draw, minimum = rng.random(), rng.randint(0, SECOND)
+        assert backoff_delay(POLICY, retry, draw, minimum) == retry_delay(retry, draw, minimum)
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_dialogs_of_the_driver_stay_within_the_worst_case(seed: int) -> None:
-    chance, rig = random.Random(seed), Rig(servers=4)
-    no_answer = chance.choice([2, 3, 9]) * SECOND
-    terms = replace(
-        TERMS,
+    rng, rig = random.Random(seed), Rig(servers=4)
+    no_answer = rng.choice([2, 3, 9]) * SECOND
+    policy = replace(
+        POLICY,
         no_answer_timeout=no_answer,
         max_attempts=tuning.MAX_ATTEMPTS,
         max_server_retry_after=2 * SECOND,
     )
-    began, dialog, leg = rig.now, rig.dialog(0, no_answer=no_answer), 0
-    fates = [
+    started_at, dialog, attempt = rig.now, rig.dialog(0, no_answer=no_answer), 0
+    outcomes = [
         interface.Outcome.RESET,
         interface.Outcome.FULL,
         interface.Outcome.TIMED_OUT,
         interface.Outcome.FAULT,
     ]
     while True:
-        orders = [c for c in rig.driver.commands if isinstance(c, interface.DialogAction)]
-        if any(isinstance(order.action, interface.Reject | interface.Fail) for order in orders):
+        commands = [c for c in rig.driver.commands if isinstance(c, interface.DialogAction)]
+        if any(isinstance(command.action, interface.Reject | interface.Fail) for command in commands):
             break
-        if orders:
+        if commands:
             rig.take()
-            outcome = chance.choice(fates)
-            rest = began + no_answer - rig.now
-            rig.ahead(rest if outcome is Outcome.TIMED_OUT else chance.randint(0, rest))
-            server = getattr(orders[0].action, "server", "")
-            rig.result(dialog, server, outcome, leg, retry_after=chance.randint(0, 2 * SECOND))
-            leg += 1
+            outcome = rng.choice(outcomes)
+            remaining = started_at + no_answer - rig.now
+            rig.ahead(remaining if outcome is Outcome.TIMED_OUT else rng.randint(0, remaining))
+            server = getattr(commands[0].action, "server", "")
+            rig.result(dialog, server, outcome, attempt, retry_after=rng.randint(0, 2 * SECOND))
+            attempt += 1
         else:
             rig.wake()
-    assert rig.now - began <= longest_timeline(terms).answered_at
-    assert leg <= max(course.attempts for course in timelines(terms))
+    assert rig.now - started_at <= longest_timeline(policy).answered_at
+    assert attempt <= max(timeline.attempts for timeline in timelines(policy))
 
 
 @pytest.mark.parametrize(
@@ -122,5 +122,5 @@
 def test_settings_that_break_a_constraint_or_never_take_effect_are_problems(
     change: dict[str, Any], key: str
 ) -> None:
-    assert [found for found, _ in policy_problems(replace(TERMS, **change), 300 * MS, 6)] == [key]
-    assert policy_problems(TERMS, 300 * MS, 6) == []
+    assert [found for found, _ in policy_problems(replace(POLICY, **change), 300 * MS, 6)] == [key]
+    assert policy_problems(POLICY, 300 * MS, 6) == []
