--- a/tests/test_change_guard.py
+++ b/tests/test_change_guard.py
@@ -1,4 +1,4 @@
-"""The guard reports a regression after a change, once, and the edge proxy rolls back."""
+"""The change guard reports a regression after a change once, and the edge proxy rolls the change back."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 async def test_a_harmful_configuration_is_reported_and_rolled_back_once(autojump_clock: MockClock) -> None:
-    # One leg of a millisecond passes every check, and no server answers so fast.
+    # A single attempt with a timeout of 1 ms passes validation, but no server answers that fast.
     harmful = ini("[attempts a]\nlegs = 1\nleg_time_out = 1ms")
     with capture_logs() as logged:
         async with rigged(2, INI.replace("name = e0", "name = e0\nreturns = yes")) as rig:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The decisions: budget, order of reasons, waits, choice of server, the five rules, each failure found."""
+"""The routing policy: retry budget, retry decision and delay, server selection, and faults found earlier."""
 # fmt: off
 
 
@@ -156,7 +156,7 @@
     for rig in fleet:
         rig.driver.update_load("s0", LoadReport(free_lines=100, lines=400))
         rig.listed([Endpoint("s0", 0, True, rig.now)])
-        rig.ahead(4 * SECOND)  # quiet at first: nothing may be saved up
+        rig.ahead(4 * SECOND)  # no dialogs at first: unused slots must lapse, not accumulate
     sent: list[int] = []
     for at in range(0, 6_000, 50):
         for n, rig in enumerate(fleet):
@@ -166,7 +166,7 @@
                 if rig.said() == "s0":
                     sent.append(at)
                     rig.result(id_, "s0", Outcome.ESTABLISHED)
-    # 300 busy lines at 10 s a dialog are 30 set-ups a second when warm.
+    # 300 busy lines and dialogs of 10 s are 30 set-ups per second at the warm server.
     for start in sent:
         now = 0.35 + 0.65 * (4 + start / 1000) / 15
         assert sum(start <= at < start + 1000 for at in sent) <= 2.5 * now * 30
@@ -248,10 +248,10 @@
 
 
 @pytest.mark.parametrize(("latencies", "grows"), [
-    ([300, 550], True),  # no wait there could shorten it below 300 ms
+    ([300, 550], True),  # the least latency of this server is 300 ms, even without a queue
     ([100, 550], False),
-    ([300, -20, 550], True),  # a fault is told without a wait and shows no least
-    ([900, 900], False),  # a server that began in a jam
+    ([300, -20, 550], True),  # a fault is answered without a set-up and does not lower the least latency
+    ([900, 900], False),  # a server that was congested from the start
 ])
 def test_answers_from_a_distant_region_can_be_prompt(latencies: list[int], grows: bool) -> None:
     rig = Rig(servers=1)
@@ -406,7 +406,8 @@
 def test_no_agent_lasts_for_a_fraction_of_a_dialog_duration(
     traffic_types: dict[str, TrafficType], after: int, expected: str
 ) -> None:
-    # Dialogs of one second on a server that told once of no free line: a whole second of news left it idle.
+    # A single load report without a free line once blocked the server for a whole second, which left it idle
+    # when dialogs last one second.
     rig = Rig(servers=1, traffic_types=traffic_types)
     rig.driver.update_load("s0", LoadReport(free_lines=0, lines=100))
     rig.take()
@@ -430,5 +431,5 @@
         established += (command := rig.said()) == "s1"
         if command == "s1":
             rig.result(id_, "s1", Outcome.ESTABLISHED)
-    # A tenth of a dialog's length must find room: twenty of two hundred lines, and two sigmas are twenty.
+    # The load of a tenth of a dialog must fit: 20 of 200 lines, and the spare capacity of two sigmas is 20.
     assert established == 200
--- a/tests/test_cross_region_limiter.py
+++ b/tests/test_cross_region_limiter.py
@@ -1,4 +1,4 @@
-"""What the cross-region limiter allows, charges and refunds, by itself and under the routing policy."""
+"""The cross-region limiter: admission, charges and refunds, alone and under the routing policy."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def with_open_gate(limiter: CrossRegionLimiter) -> CrossRegionLimiter:
-    """Crossing opened by what its dialogs found at home."""
+    """Opens the limiter's spillover gate by selections without an available home server."""
     for at in range(5):
         limiter.on_selection(NOW - at * MS, False)
     return limiter
@@ -122,7 +122,7 @@
     assert allows(limiter, "routine") == refunded
     before = limiter.usage.totals[UsageKey("routine", "sofia", "varna")].attempts
     limiter.on_attempt_result(NOW, AttemptResult("d", 0, "s", outcome))
-    assert allows(limiter, "routine") == refunded, "nothing is given back twice"
+    assert allows(limiter, "routine") == refunded, "an attempt is refunded once"
     assert limiter.usage.totals[UsageKey("routine", "sofia", "varna")].attempts == before
     assert not limiter._charged
     assert before >= min_attempts
@@ -166,7 +166,7 @@
     window = 10 * SECOND
     for at in range(0, 40 * SECOND, SECOND // 4):
         limiter.on_selection(NOW + at, False)
-        assert not (allows(limiter, "routine", now=NOW + at) and at < window), "a window passes first"
+        assert not (allows(limiter, "routine", now=NOW + at) and at < window), "quotas start later"
     assert any(allows(limiter, "routine", now=NOW + at) for at in range(window, 3 * window, SECOND))
     limiter.on_attempt_result(NOW, AttemptResult("d", 0, "s", Outcome.UNREACHABLE))
     assert limiter.usage.totals[UsageKey("urgent", "sofia", "varna")] == UsageCounters(not_sent=1)
@@ -198,11 +198,11 @@
     assert rig.said() == "h0"
     rig.driver.update_load("h0", LoadReport(free_lines=0))
     rig.dialog(0)
-    assert rig.said() == "h1", "home before away"
+    assert rig.said() == "h1", "home before remote"
     rig.driver.update_load("h1", LoadReport(free_lines=0))
     for _ in range(6):
         rig.dialog(0)
-    assert set(rig.said().split()) == {"a2", "u3"}, "a server whose region is not told counts as away"
+    assert set(rig.said().split()) == {"a2", "u3"}, "a server without a region is remote"
 
 
 def test_a_remote_first_choice_is_replaced_where_the_limiter_forbids_it() -> None:
--- a/tests/test_cross_region_usage.py
+++ b/tests/test_cross_region_usage.py
@@ -1,4 +1,4 @@
-"""Cross-region usage: bounded memory, and records of many instances merged."""
+"""Cross-region usage: bounded memory, and merging of the records of many instances."""
 
 from __future__ import annotations
 
--- a/tests/test_spillover_gate.py
+++ b/tests/test_spillover_gate.py
@@ -1,4 +1,4 @@
-"""When the spillover gate opens and closes."""
+"""The conditions that open and close the spillover gate."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     gate, now = SpilloverGate(), START
     for at in range(40):
         gate.on_selection(now + at * 100 * MS, at % 20 != 19)
-    assert not gate.allows(now + 4 * SECOND), "one dialog in twenty is no trouble"
+    assert not gate.allows(now + 4 * SECOND), "one dialog in twenty is below the threshold"
     now += 10 * SECOND
     for at in range(20):
         gate.on_selection(now + at * 100 * MS, at % 3 != 0)
@@ -30,7 +30,7 @@
 
 
 def test_a_flapping_fault_does_not_make_the_gate_flap() -> None:
-    # Lacks for half a second every three seconds, for two minutes.
+    # No home server is available for half a second in every three seconds, for two minutes.
     gate = SpilloverGate()
     for at in range(1_200):
         now = START + at * 100 * MS
--- a/tests/test_spillover_planner.py
+++ b/tests/test_spillover_planner.py
@@ -1,4 +1,4 @@
-"""The planner of cross-region traffic, against cases computed by hand."""
+"""The planner of cross-region traffic, compared with cases computed by hand."""
 
 from __future__ import annotations
 
--- a/tests/test_time_sliced_quota.py
+++ b/tests/test_time_sliced_quota.py
@@ -1,4 +1,4 @@
-"""A time-sliced quota permits no more than its budget in any window, and as much of it as possible."""
+"""A time-sliced quota permits no more than its budget in any window, and uses as much of it as possible."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 def test_no_window_exceeds_the_budget_for_any_senders(
     budget: CrossRegionBudget, skew_ms: int, rng: random.Random
 ) -> None:
-    # Every edge proxy is greedy at random moments, its clock is off by up to the skew, and some start again
-    # in the middle and forget what they spent.
+    # Each edge proxy uses all its slots at random times, its clock is off by up to the skew, and some restart
+    # during the run and lose the record of their used slots.
     skew = skew_ms * MS
     if infeasibility_reason(budget, skew):
         return
--- a/tests/test_worst_case.py
+++ b/tests/test_worst_case.py
@@ -1,4 +1,4 @@
-"""No dialog exceeds the worst case of its attempt policy, and problems of a policy are found."""
+"""No dialog exceeds the worst case of its attempt policy, and problems of a policy are reported."""
 
 from __future__ import annotations
 
