--- a/valverouter/policy/tuning.py
+++ b/valverouter/policy/tuning.py
@@ -16,8 +16,9 @@
 # Tokens that an established dialog adds to the retry budget of its server.
 TOKEN_RATIO = TOKEN // 10
 
-# The longest backoff before the first retry; it doubles with each further retry, up to the cap.
+# The longest backoff before the first retry; it doubles with each further retry.
 BACKOFF_BASE = 200 * MS
+# The longest backoff before any retry.
 BACKOFF_CAP = 2 * SECOND
 # Attempts of a dialog, the first included.
 MAX_ATTEMPTS = 3
@@ -26,30 +27,31 @@
 LATENCY_SAMPLE_WEIGHT = 0.4
 # The least time in which that average decays to zero without a new sample.
 LATENCY_SAMPLE_LIFETIME = 2 * SECOND
-# The same in quota intervals; the longer of the two applies.
+# The least such time in quota intervals; the longer of the two applies.
 LATENCY_SAMPLE_INTERVALS = 4
 
-# The ejection of a server after a failure; it doubles with each consecutive failure, up to the cap.
+# The ejection of a server after a failure; it doubles with each consecutive failure.
 EJECTION_BASE = 500 * MS
-# The same in quota intervals; the longer of the two applies.
+# This ejection in quota intervals; the longer of the two applies.
 EJECTION_BASE_INTERVALS = 2
-# The longest ejection.
+# The longest ejection after any number of failures.
 EJECTION_CAP = 4 * SECOND
-# The same in quota intervals; the longer of the two applies.
+# The longest ejection in quota intervals; the longer of the two applies.
 EJECTION_CAP_INTERVALS = 8
 
-# The longest queue delay of a server that may be selected, as a fraction of the latency objective: the least
-# that is drawn for a dialog.
+# A server is selected only up to a queue delay that is a fraction of the latency objective. The fraction is
+# drawn at random for each selection; this is the lower end of its range.
 MIN_DELAY_FRACTION = 0.25
-# How far above the least fraction that of a dialog may be drawn.
+# The width of the range.
 DELAY_FRACTION_RANGE = 0.2
-# The fraction for priority traffic types and interrupted dialogs, which is not drawn.
+# The fraction for priority traffic types and interrupted dialogs, for which nothing is drawn.
 PRIORITY_DELAY_FRACTION = 0.6
 
 # The window of attempts in flight at a server (AIMD) when the server starts.
 WINDOW_INITIAL = 4.0
+# The largest window.
 WINDOW_MAX = 8.0
-# A window below one still admits a single attempt.
+# The smallest window; a window below one still admits a single attempt.
 WINDOW_MIN = 0.2
 # A prompt answer widens a window w by this times min(w, 1 / w).
 WINDOW_INCREASE = 0.5
@@ -64,7 +66,7 @@
 
 # How long a server counts as having no free agent, as a fraction of the mean dialog duration.
 NO_AGENT_DURATION = 0.1
-# The same in quota intervals, after an attempt with that answer; the longer of the two applies.
+# How long after an attempt with that answer, in quota intervals; the longer of the two applies.
 NO_AGENT_INTERVALS = 4
 # A server counts as having free agents again once its free lines last for this fraction of the mean dialog
 # duration at the fleet's rate of attempts.
