--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -11,9 +11,9 @@
 
 import click
 
-from valverouter.cli.common import FAILED, INTERRUPTED, INVALID_INPUT, first_cause
+from valverouter.cli.command_support import FAILED, INTERRUPTED, INVALID_INPUT, first_cause
+from valverouter.config.ini import InvalidConfigError
 from valverouter.ledger.storage import StoreError
-from valverouter.terms.ini import InvalidConfigError
 
 # Each command with its module, which is imported when the command is called: importing all of them, with what
 # draws charts and plays scenarios, took half of the time in which an edge proxy starts.
@@ -72,15 +72,15 @@
         click.echo(f"valverouter: {error}", err=True)
         sys.exit(INVALID_INPUT)
     except RuntimeError as error:
-        from valverouter.load.drive import LoadFailedError
+        from valverouter.load_test.drive import LoadFailedError
 
         if not isinstance(error, LoadFailedError):
             raise
         click.echo(f"valverouter: {error}", err=True)
         sys.exit(FAILED)
     except BaseExceptionGroup as group:
-        from valverouter.days.loopback import EdgeFailedError
-        from valverouter.load.drive import LoadFailedError
+        from valverouter.load_test.drive import LoadFailedError
+        from valverouter.scenarios.loopback import EdgeFailedError
 
         if group.split((EdgeFailedError, LoadFailedError, OSError))[1] is not None:
             raise
--- a/valverouter/days/membership_recorder.py
+++ b/valverouter/scenarios/membership_recorder.py
@@ -11,20 +11,20 @@
 
 import trio
 
-from valverouter.days.network_paths import path_faults
-from valverouter.days.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.config.gossip import derive_key
+from valverouter.config.scenario_sections import ScenarioGossipConfig
 from valverouter.edge.runtime import Runtime
 from valverouter.fleet.client import FleetClient
 from valverouter.fleet.view_comparison import ViewAnswer
 from valverouter.membership.records import LIVE_STATES
-from valverouter.signalling.tap import (
+from valverouter.scenarios.network_paths import path_faults
+from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
+from valverouter.signalling.traffic_record import (
     ConvergenceDeadlineRow,
     EdgeProcessRow,
     MembershipEventRow,
     MembershipViewRow,
 )
-from valverouter.terms.between import derive_key
-from valverouter.terms.scenario_sections import ScenarioGossipConfig
 
 # The fleet's key is made of this; it protects nothing but a run.
 GOSSIP_KEY_MATERIAL = b"the key of a day's fleet, which protects nothing but a day"
