--- a/valverouter/experiments/variants.py
+++ b/valverouter/experiments/variants.py
@@ -33,52 +33,60 @@
 class _Baseline(ServerSelector):
     """Selects among all servers that are in service and may take the type, by one figure alone."""
 
-    def _open(self, kind: TrafficType) -> list[ServerState]:
+    def _open(self, traffic_type: TrafficType) -> list[ServerState]:
         return [
             server
             for server in self.table.servers.values()
             if server.endpoint.in_service
-            and (kind.server_numbers is None or server.endpoint.number in kind.server_numbers)
+            and (traffic_type.server_numbers is None or server.endpoint.number in traffic_type.server_numbers)
         ]
 
 
 class AnyServer(_Baseline):
     """One drawn at random, whatever is known of it."""
 
-    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+    def select(
+        self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
+    ) -> ServerState | None:
         """Any server that is open."""
-        servers = self._open(kind)
+        servers = self._open(traffic_type)
         return servers[int(self._random.draw() * len(servers))] if servers else None
 
 
 class PreferredOnly(_Baseline):
     """The preferred server, at every attempt."""
 
-    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+    def select(
+        self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
+    ) -> ServerState | None:
         """The preferred server, if it is open."""
         number = dialog.preferred_server_number
-        return next((server for server in self._open(kind) if server.endpoint.number == number), None)
+        return next((server for server in self._open(traffic_type) if server.endpoint.number == number), None)
 
 
 class ShortestQueue(_Baseline):
     """The shortest queue delay known; of equal ones the preferred server, else drawn."""
 
-    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+    def select(
+        self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
+    ) -> ServerState | None:
         """The open server with the shortest queue."""
 
         def order(server: ServerState) -> tuple[int, bool, float]:
             is_other = server.endpoint.number != dialog.preferred_server_number
             return server.queue_delay(now), is_other, self._random.draw()
 
-        return min(self._open(kind), key=order, default=None)
+        return min(self._open(traffic_type), key=order, default=None)
 
 
 class TwoChoices(_Baseline):
     """The preferred server, and after it the shorter queue of two drawn; nothing else is looked at."""
 
-    def select(self, now: int, dialog: Dialog, kind: TrafficType, tried: set[str]) -> ServerState | None:
+    def select(
+        self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
+    ) -> ServerState | None:
         """The preferred server, else the better of two drawn."""
-        servers, number = self._open(kind), dialog.preferred_server_number
+        servers, number = self._open(traffic_type), dialog.preferred_server_number
         preferred = next((server for server in servers if server.endpoint.number == number), None)
         if preferred is not None and preferred.endpoint.id not in tried:
             return preferred
