--- a/valverouter/edge/__init__.py
+++ b/valverouter/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The running edge proxy on trio: hosts a Driver, its links, listener, server list and clock."""
+"""The edge proxy on trio: hosts a Driver with its server links, caller listener, endpoint list and clock."""
--- a/valverouter/edge/attempts.py
+++ b/valverouter/edge/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of dialogs at servers: started as the decisions ask, ended by an answer, a time-out or a loss."""
+"""Attempts at servers: started by the driver, ended by an answer, a time-out or a lost link."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     setup.NoAgent: Outcome.NO_AGENT,
     setup.Fault: Outcome.FAULT,
     setup.Cancelled: Outcome.CANCELLED,
-    # Of a previous incarnation's attempt that nobody waits for any more.
+    # Answers a Resume for an attempt of our previous incarnation; handled here if no dialog waits for it.
     setup.Unknown: Outcome.RESET,
 }
 
 
 class ForbiddenAttemptError(RuntimeError):
-    """The decisions asked for an attempt that the rules forbid; the dialog is ended."""
+    """The driver requested an attempt that the rules forbid; the dialog is ended."""
 
 
 class AttemptHandler:
-    """Carries out attempts and tells the decisions, and the caller, how they fared."""
+    """Carries out attempts and reports their outcomes to the driver and the caller."""
 
     def __init__(self, context: ProxyContext, dialogs: DialogTable, links: ServerLinks) -> None:
         """Works on the dialogs in `dialogs` through the links in `links`."""
@@ -44,27 +44,28 @@
         self._entries = dialogs.entries
         self._links = links.by_server
 
-    # Hooks of proxies that keep their dialogs over a restart
+    # Hooks for proxies whose dialogs survive a restart
 
     def _on_attempt_sent(self, entry: DialogEntry, server: str) -> None:
-        """Its attempt is on the way to a server, and leaves with this turn's end at the earliest."""
+        """Called when an attempt was queued for a server; it is sent at the end of this turn or later."""
 
     def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
-        """An attempt of an open dialog is established or has ended, and nobody has been told yet."""
+        """Called with the outcome of an open dialog's attempt, before the driver and the caller get it."""
 
     def decision_number(self, dialog_id: str, attempt: int) -> int:
-        """An attempt's number as the decisions count it."""
+        """Returns the number by which the driver knows an attempt."""
         return attempt
 
-    # Commands of the decisions
+    # Commands of the driver
 
     def start(self, dialog_id: str, action: StartAttempt) -> None:
-        """Sends an attempt to a server; ForbiddenAttemptError where the rules forbid one now."""
+        """Sends an attempt to a server; raises ForbiddenAttemptError if the dialog may not start one."""
         entry = self._startable_entry(dialog_id)
         attempt = entry.attempt = entry.attempts_started
         entry.attempts_started += 1
         if not entry.caller.is_reachable:
-            # The one place where an attempt begins, so the one that asks. The event of its end is on the way.
+            # Every attempt starts here, so this check covers them all. The event that reports the caller's
+            # disconnection has not been handled yet.
             entry.attempt = None
             self.abort_dialog(dialog_id, "caller-gone")
             self.report_result(dialog_id, attempt, action.server, Outcome.NOT_SENT)
@@ -72,8 +73,8 @@
         key = dialog_id, attempt
         entry.link = link = self._links.get(action.server)
         if link is None or not link.in_service or not link.is_writable or link.has_attempt(key):
-            # Proven not to have run; handed in as an event of its own, so that no dialog flow resumes inside
-            # another.
+            # The attempt never ran. Its end is queued as an event, so that no dialog flow is resumed from
+            # within another one.
             self._events.put(AttemptEnded(dialog_id, attempt, action.server, Outcome.UNREACHABLE))
             return
         time_left = max(1, entry.deadline - self._context.now)
@@ -86,34 +87,35 @@
     def _startable_entry(self, dialog_id: str) -> DialogEntry:
         entry = self._entries.get(dialog_id)
         if entry is None:
-            raise ForbiddenAttemptError(f"a leg for {dialog_id!r}, which is not open here")
+            raise ForbiddenAttemptError(f"attempt for dialog {dialog_id!r}, which is not open here")
         if entry.attempt is not None:
-            raise ForbiddenAttemptError(f"a second leg for {dialog_id!r} while leg {entry.attempt} is out")
+            raise ForbiddenAttemptError(
+                f"second attempt for dialog {dialog_id!r} while attempt {entry.attempt} is in flight"
+            )
         return entry
 
     def on_cancel_requested(self, entry: DialogEntry, attempt: int) -> None:
-        """The decisions stop waiting for an attempt of theirs, by their number of it."""
+        """Cancels the attempt in flight if `attempt` is its number in the driver."""
         if entry.attempt is None or entry.is_established or entry.link is None:
             return
         if self.decision_number(entry.setup.dialog, entry.attempt) == attempt:
             self.cancel(entry, Outcome.CANCELLED)
 
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
-        """Cancels the attempt in flight; the decisions hear `outcome` once the cancel has left.
+        """Cancels the attempt in flight; the driver gets `outcome` once the cancel has been sent.
 
-        Its release delay counts from the moment when the cancel left, not from when it was asked for:
-        behind a peer that reads slowly the two lie apart. Should the link go first, LinkDown ends the
-        attempt.
+        The release delay counts from when the cancel was sent, not from when it was requested: with a peer
+        that reads slowly, these can be far apart. If the link goes down first, LinkDown ends the attempt.
         """
         link, attempt, dialog_id = entry.link, entry.attempt, entry.setup.dialog
         assert link is not None
         assert attempt is not None
         key = (dialog_id, attempt)
         if key not in link.attempts:
-            return  # the link went down, or never took it: the event of its end waits in the queue
+            return  # the link went down or never accepted it: the event of its end is queued
         if link.has_closed(key):
-            # So does its closing message. Cancelling what the session has closed raised, and with it went the
-            # dialog's answer.
+            # Its closing message is queued. Cancelling a leg that the session has closed raised an exception,
+            # and the dialog lost its answer.
             return
         if link.withdraw(key):
             self._events.put(AttemptEnded(dialog_id, attempt, link.server, Outcome.UNREACHABLE))
@@ -123,9 +125,9 @@
         link.send(setup.Cancel(dialog_id, attempt), on_sent=lambda: self._events.put(ended))
 
     def abort_dialog(self, dialog_id: str, reason: str) -> None:
-        """Ends a dialog from outside the decisions.
+        """Ends a dialog without a command of the driver.
 
-        They forget it, its attempt is cancelled, its caller is told.
+        The driver drops it, its attempt is cancelled or released, and the caller gets `reason`.
         """
         entry = self._entries[dialog_id]
         if entry.is_established:
@@ -138,18 +140,18 @@
             self.cancel(entry, Outcome.CANCELLED)
         self._dialogs.answer(entry, setup.Failed(dialog_id, entry.setup.leg, reason))
 
-    # Ends at this side
+    # Attempts ended at this side
 
     def is_in_flight(self, timeout: AttemptEnded) -> bool:
-        """Whether an attempt whose time is up is still in flight.
+        """Whether the attempt of a time-out event is still in flight.
 
-        Nearly all ended long before, and their time-outs need no handling.
+        Nearly all attempts end long before their time-out, which then needs no handling.
         """
         entry = self._entries.get(timeout.dialog_id)
         return entry is not None and entry.attempt == timeout.attempt and not entry.is_established
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt was not sent, was cancelled, or its time is up."""
+        """Handles an attempt that was not sent, was cancelled or timed out."""
         entry = self._entries.get(event.dialog_id)
         if entry is None or entry.attempt != event.attempt or entry.is_established:
             self._on_stale_attempt_ended(event)
@@ -158,7 +160,8 @@
             self.cancel(entry, event.outcome)
             latest = entry.deadline - self._context.config.answer_margin
             if self._context.now < latest:
-                # Behind a peer that stopped reading the cancel may never leave; the answer is owed.
+                # If the peer has stopped reading, the cancel may never be sent, but the caller must still be
+                # answered in time.
                 self._timers.schedule(latest, event)
                 return
         self._end(entry, event.outcome)
@@ -172,19 +175,20 @@
         )
 
     def _on_stale_attempt_ended(self, event: AttemptEnded) -> None:
-        """The dialog went first; the decisions still count this attempt as in flight."""
+        """Reports the end of an attempt whose dialog has ended: the driver still counts it as in flight."""
         if event.outcome is Outcome.TIMED_OUT:
             return
         if (link := self._links.get(event.server)) is not None:
             link.attempts.pop((event.dialog_id, event.attempt), None)
-        # Taken back before it left because its caller gave up, it says nothing of the server: reported as
-        # unreachable, one caller that takes back what it asks for at once shut the server out.
+        # The caller cancelled and the attempt was withdrawn unsent, which says nothing about the server.
+        # When this was reported as UNREACHABLE, one caller that cancelled its set-ups at once got the server
+        # ejected.
         unsent = event.outcome is Outcome.UNREACHABLE
         outcome = Outcome.NOT_SENT if unsent else event.outcome
         self.report_result(event.dialog_id, event.attempt, event.server, outcome)
 
     def report_result(self, dialog_id: str, attempt: int, server: str, outcome: Outcome) -> None:
-        """Tells the decisions of an attempt that no dialog here waits for."""
+        """Reports the outcome of an attempt that no open dialog waits for to the driver."""
         result = AttemptResult(dialog_id, self.decision_number(dialog_id, attempt), server, outcome)
         self._context.run_decision("", self._driver.on_attempt_result, result)
 
@@ -196,7 +200,7 @@
         load_report: LoadReport | None = None,
         answer: setup.Established | None = None,
     ) -> None:
-        """Tells the decisions how an attempt fared, and the caller when it is established."""
+        """Reports an attempt's outcome to the driver and sends the caller an Established."""
         request, attempt, link = entry.setup, entry.attempt, entry.link
         assert attempt is not None
         self._on_outcome(entry, outcome)
@@ -217,10 +221,10 @@
             answer = msgspec.structs.replace(answer, leg=request.leg, server=server, report=None)
             self._dialogs.answer(entry, answer)
 
-    # Messages of servers
+    # Messages from servers
 
     def on_server_message(self, event: ServerMessage) -> None:
-        """A server answers an attempt, or reports its load."""
+        """Handles a server's answer to an attempt, or its load report."""
         link, message = event.link, event.message
         if isinstance(message, setup.LoadReported):
             load_report = load_report_of(message.report) or LoadReport()
@@ -229,7 +233,7 @@
             self._on_answer(link, message)
 
     def _on_answer(self, link: ServerLink, message: setup.LegMessage) -> None:
-        """A server's message about an attempt; one that is over here only informs the decisions."""
+        """Handles a message about an attempt; if it is no longer current, only the driver gets it."""
         key = (message.dialog, message.leg)
         if key not in link.attempts:
             return
@@ -253,10 +257,10 @@
     def _on_stale_answer(
         self, link: ServerLink, message: setup.LegMessage, load_report: LoadReport | None
     ) -> None:
-        """We have cancelled this attempt: the server frees what may be established, by that cancel.
+        """Handles a message about an attempt that was cancelled here.
 
-        Its entry goes with the closing message in either case: kept, every cancelled attempt would stay for
-        the life of the link.
+        The server releases an established leg when it receives the cancel. The closing message removes the
+        attempt from the link, or cancelled attempts would accumulate until the link goes down.
         """
         closes = not isinstance(message, setup.Established)
         if closes and not link.attempts.pop((message.dialog, message.leg)):
@@ -264,10 +268,10 @@
         if load_report is not None:
             self._context.run_decision("", self._driver.update_load, link.server, load_report)
 
-    # Links that are lost
+    # Lost links
 
     def on_link_down(self, event: LinkDown) -> None:
-        """A connection is gone, or could not be made: its attempts are reset, unsent ones unreachable."""
+        """Ends the attempts of a lost connection: RESET if they were sent, else UNREACHABLE."""
         link = event.link
         attempts = len(event.sent | event.unsent)
         self._log.info("link-down", server=link.server, why=event.reason, legs=attempts)
@@ -288,7 +292,7 @@
 
 
 def load_report_of(load: setup.Load | None) -> LoadReport | None:
-    """A server's load as the decisions take it; None: the server reported none."""
+    """Converts a load report to the driver's type; None if there is none."""
     if load is None:
         return None
     return LoadReport(free_lines=load.free_lines, lines=load.lines, queue_delay=load.queue_delay)
--- a/valverouter/edge/caller.py
+++ b/valverouter/edge/caller.py
@@ -1,4 +1,4 @@
-"""Callers' connections: their dialogs in, provisional and final answers out."""
+"""Callers' connections: read set-ups, cancels and releases; send provisional and final answers."""
 
 from __future__ import annotations
 
@@ -24,8 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerMessage:
-    """A caller asks: Setup, Cancel or Release. `received_at`: when its last byte was
-    read, 0: with its turn."""
+    """A Setup, Cancel or Release of a caller.
+
+    `received_at` is when its last byte was read; 0 means that it counts as received in the turn that
+    handles it.
+    """
 
     caller: CallerConnection
     message: setup.LegMessage
@@ -34,16 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """A caller's connection is gone: nobody is left to hear the answers to its dialogs."""
+    """A caller's connection was lost: answers to its dialogs can no longer be delivered."""
 
     caller: CallerConnection
 
 
 class CallerConnection:
-    """One caller's connection. `dialogs` are its open and established ones; each leaves when it is over.
+    """One caller's connection. `dialogs` holds its open and established dialogs.
 
-    `pending_setups` counts its set-ups that were read and have not been handled, by dialog;
-    `cancelled_setups` are those of them that it cancelled meanwhile. Both leave when the set-up is handled.
+    `pending_setups` counts, by dialog, the set-ups that were read but not yet handled; `cancelled_setups`
+    holds the dialogs among them that the caller has cancelled since. Entries of both are removed when the
+    set-up is handled.
     """
 
     def __init__(
@@ -69,28 +73,31 @@
 
     @property
     def can_resume(self) -> bool:
-        """Whether it may come back for its dialogs, by our welcome and its protocol version."""
+        """Whether the caller may reconnect and resume its dialogs.
+
+        That requires an epoch in our welcome and version 2 of the protocol.
+        """
         return self._welcome.epoch > 0 and self._session.version >= 2
 
     @property
     def is_reachable(self) -> bool:
-        """Whether somebody may still wait for its dialogs.
+        """Whether the caller may still be waiting for its dialogs.
 
-        Asked where an attempt begins: a close may lie behind bytes that nobody has read yet, or wait in the
-        kernel while this process is busy.
+        Checked before each attempt: the connection may already be closed by the peer without its reader
+        knowing, if the close is queued behind unread bytes or in the kernel while this process is busy.
         """
         return self.can_resume or not (self.is_closed or getattr(self._stream, "peer_has_closed", False))
 
     @property
     def is_closed(self) -> bool:
-        """Whether this connection is over, as far as its reader knows."""
+        """Whether this connection has ended, as far as its reader knows."""
         return self._has_ended or self._scope.cancel_called
 
     def enqueue(self, message: setup.LegMessage, received_at: int = 0) -> None:
         """Queues a message of this caller as an event.
 
-        A cancel does not wait behind the others, nor is the dialog's own set-up then handled as if nothing
-        had been said.
+        A cancel is queued ahead of regular events. If the dialog's set-up is itself still queued, the cancel
+        is noted, so that the set-up starts no attempt.
         """
         if isinstance(message, setup.Setup):
             self.pending_setups[message.dialog] += 1
@@ -103,7 +110,7 @@
         self._events.put(CallerMessage(self, message, received_at))
 
     def begin_setup(self, dialog_id: str) -> bool:
-        """A set-up of this caller is handled; whether it is still wanted."""
+        """Marks a set-up of this caller as handled; returns False if it has been cancelled."""
         is_wanted = dialog_id not in self.cancelled_setups
         self.pending_setups[dialog_id] -= 1
         if self.pending_setups[dialog_id] <= 0:
@@ -112,7 +119,7 @@
         return is_wanted
 
     def send(self, message: Any) -> None:
-        """Queues an answer; a caller that reads too slowly to take it loses its connection."""
+        """Queues an answer; closes the connection if the caller reads too slowly and the queue is full."""
         if self._scope.cancel_called:
             return
         try:
@@ -122,16 +129,16 @@
             self._scope.cancel()
 
     def expire(self, dialog_id: str, leg: int) -> None:
-        """The caller's time for this dialog has passed: both sides drop it without a message."""
+        """Drops a dialog whose caller's deadline has passed; the caller drops it too, without a message."""
         self._session.drop((dialog_id, leg))
 
     def refuse(self, error: ProtocolError) -> None:
-        """What this connection asked for can't be: it ends with one clear error."""
+        """Closes the connection after an Error message, because of a request that can't be served."""
         log.warning("caller-refused", caller=self.name, code=error.code, why=str(error))
         self._send_queue.put(self._session.error_frame(error), on_sent=self._scope.cancel)
 
     async def run(self) -> None:
-        """Serves until either side ends; whatever happens here costs this connection alone."""
+        """Serves the connection until either side closes it; a failure affects this connection only."""
         with isolate_failure("caller", lambda: self.name), self._scope:
             async with self._stream as stream, trio.open_nursery() as nursery:
                 nursery.start_soon(self._write, stream)
@@ -153,7 +160,7 @@
         log.warning("caller-silent", why="no hello in time")
 
     async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
-        """Sends the last message to a caller that broke the protocol."""
+        """Sends an Error message to a caller that violated the protocol."""
         log.warning("caller-refused", caller=self.name, code=error.code, why=str(error))
         await send_farewell(stream, self._session, error)
 
@@ -166,8 +173,8 @@
     async def _read(self, stream: trio.abc.Stream) -> None:
         deadline = trio.current_time() + self._config.hello_within / 1e9
         while data := await receive_by(stream, READ_SIZE, deadline):
-            # Before its messages are taken apart: ten thousand callers' reads at once would each go past the
-            # bound by hundreds of events, here they hold their bytes.
+            # Waits before decoding: with ten thousand callers reading at once, each would exceed the queue's
+            # capacity by hundreds of events. Here they wait with undecoded bytes instead.
             await self._events.wait_for_space()
             for message in self._session.receive(data):
                 if isinstance(message, Hello):
@@ -182,9 +189,9 @@
 
 
 class DetachedCaller(CallerConnection):
-    """Stands in for a caller whose connection is gone and that may come back.
+    """Takes the place of a disconnected caller that may reconnect.
 
-    What it is sent goes nowhere, and is sent again when it asks.
+    Messages to it are discarded; the caller gets them when it reconnects and resumes its dialogs.
     """
 
     def __init__(self, name: str, back_by: int) -> None:
@@ -196,16 +203,16 @@
 
     @property
     def can_resume(self) -> bool:
-        """It may come back."""
+        """Always true: a detached caller may reconnect until `resume_deadline`."""
         return True
 
     @property
     def is_reachable(self) -> bool:
-        """Its dialogs go on until it has had its time to come back."""
+        """Always true: its dialogs continue until `resume_deadline`."""
         return True
 
     def send(self, message: Any) -> None:
-        """Nobody is there to read it."""
+        """Discards the message: there is no connection."""
 
     def expire(self, dialog_id: str, leg: int) -> None:
-        """There is no connection to drop the dialog from."""
+        """Does nothing: there is no session that tracks the dialog."""
--- a/valverouter/edge/caller_listener.py
+++ b/valverouter/edge/caller_listener.py
@@ -1,4 +1,4 @@
-"""The listener for callers: as many connections as there are descriptors for, the others refused."""
+"""The listener for callers: refuses connections above the limit set by the process's file descriptors."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from valverouter.signalling.setup import SetupSession
 from valverouter.terms.ini import format_duration
 
-# Descriptors that callers leave to the rest: the list, files, what the interpreter holds; and for each link,
-# since one that is made again may overlap the connection before.
+# File descriptors not available to callers: the list service's connection, files, the interpreter's own.
 RESERVED_DESCRIPTORS = 32
+# A new connection to a server may overlap with the one that it replaces.
 DESCRIPTORS_PER_LINK = 2
-# For so long a refused caller may take to read the reason, in seconds.
+# How long a refused caller may take to read the reason, in seconds.
 REFUSAL_TIMEOUT_S = 0.1
-# Refusals are logged no oftener than once in so long; nanoseconds.
+# Refusals are logged at most once per interval of this length, in nanoseconds.
 REFUSAL_LOG_INTERVAL = 1_000_000_000
 
 
@@ -29,7 +29,7 @@
     """Admits callers' connections and runs each."""
 
     def __init__(self, context: ProxyContext, links: ServerLinks, incarnation: int) -> None:
-        """`links` come before callers: without one no caller is served, and one lost must be made again."""
+        """Descriptors are reserved for `links`: without links, which must reconnect, no caller is served."""
         self.open_connections = 0
         self._context = context
         self._links = links.by_server
@@ -39,7 +39,7 @@
 
     @property
     def max_connections(self) -> int:
-        """How many callers' connections there are descriptors for, within the configured limit."""
+        """The limit of callers' connections: the configured one, or the available descriptors if fewer."""
         descriptors = self._context.runtime.max_descriptors()
         available = descriptors - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_LINK * len(self._links)
         return min(self._context.config.links.callers, available)
@@ -56,26 +56,26 @@
             self.open_connections -= 1
 
     def make_space(self) -> bool:
-        """Whether another caller's connection was closed for the one that comes."""
+        """Tries to close another caller's connection for a new one; returns whether one was closed."""
         return False
 
     async def run_connection(self, stream: trio.abc.Stream) -> None:
-        """Runs a connection that was admitted."""
+        """Runs an admitted connection."""
         context = self._context
         welcome = Welcome(0, context.config.name, self._incarnation, epoch=context.epoch)
         caller = CallerConnection(stream, context.config.links, context.events, welcome, context.send_batch)
         await caller.run()
 
     async def refuse(self, stream: trio.abc.Stream) -> None:
-        """Refuses a connection that there is no descriptor for, with a time to come back."""
+        """Refuses a connection above the limit with an Error message that gives a retry-after."""
         self._refused += 1
         self._log_refusal()
-        back = format_duration(self._context.config.deployment.max_retry_after)
-        error = ProtocolError("too-many", f"no room for another connection; come back after {back}")
+        retry_after = format_duration(self._context.config.deployment.max_retry_after)
+        error = ProtocolError("too-many", f"connection limit reached; retry after {retry_after}")
         broken = trio.BrokenResourceError, trio.ClosedResourceError
         with trio.move_on_after(REFUSAL_TIMEOUT_S), suppress(*broken):
             await stream.send_all(SetupSession().error_frame(error))
-            # What it sent is read, or closing would be a reset that takes the message from it.
+            # Closing with unread input would reset the connection, and the caller would lose the message.
             while await stream.receive_some(READ_SIZE):
                 pass
         await trio.aclose_forcefully(stream)
--- a/valverouter/edge/caller_requests.py
+++ b/valverouter/edge/caller_requests.py
@@ -1,4 +1,4 @@
-"""What callers ask for: dialogs accepted and handed to the decisions, cancelled, released, or left behind."""
+"""Callers' requests: passes set-ups to the driver; handles cancels, releases and disconnections."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class CallerRequests:
-    """Carries out callers' messages."""
+    """Handles callers' messages and disconnections."""
 
     def __init__(self, context: ProxyContext, dialogs: DialogTable, attempts: AttemptHandler) -> None:
-        """Puts accepted dialogs into `dialogs`; `attempts` ends those that are cancelled."""
+        """Accepted dialogs are added to `dialogs`; `attempts` ends those that are cancelled."""
         self._context = context
         self._dialogs = dialogs
         self._entries = dialogs.entries
         self._attempts = attempts
 
     def on_caller_message(self, event: CallerMessage) -> None:
-        """A caller asks for a dialog, or cancels or releases one."""
+        """Handles a set-up, cancel or release."""
         message = event.message
         if isinstance(message, setup.Setup):
             self.accept(event.caller, message, self._received_at(event, message.time_left))
@@ -31,39 +31,39 @@
             self.on_cancel_or_release(event.caller, message)
 
     def _received_at(self, event: CallerMessage, no_answer: int) -> int:
-        """When a set-up came. What was read after a stop may have come long before."""
+        """When a set-up arrived; if it was read after a stall, this may be long before it was read."""
         context = self._context
         read_at = event.received_at or context.now
         unread = context.unread_since and self._received_during_stall(no_answer)
         return min(read_at, unread) if unread else read_at
 
     def _received_during_stall(self, no_answer: int) -> int:
-        """When a set-up came that lay unread while this process was stopped; 0 where that can't be said.
+        """The assumed arrival time of a set-up read after a stall; 0 if none can be assumed.
 
-        Nothing tells how long it lay there, so it counts as having come at the stop's beginning: counted from
-        the wake, its answer came after its caller's time. Of a stop longer than that time nothing can be said
-        at all; such a caller gets its answer as soon as can be.
+        Its real arrival time is unknown, so it counts as received when the stall began. Counted from the end
+        of the stall, its answer came after the caller's deadline. If the stall was longer than the caller's
+        time limit, no arrival time can be assumed, and the caller is answered as soon as possible.
         """
         context = self._context
         since = context.unread_since
         return since if since + no_answer - context.config.answer_margin > context.now else 0
 
     def on_caller_disconnected(self, event: CallerDisconnected) -> None:
-        """A caller's connection is gone, and with it whoever waited for its dialogs."""
+        """Ends the dialogs of a caller whose connection was lost."""
         for dialog_id in list(event.caller.dialogs):
             self._attempts.abort_dialog(dialog_id, "caller-gone")
 
     def accept(self, caller: CallerConnection, request: setup.Setup, received_at: int) -> None:
-        """A set-up has its turn: it is accepted, or rejected where this proxy takes none."""
+        """Accepts a set-up, or rejects it if this proxy is draining or at its limit of open dialogs."""
         context = self._context
         is_wanted = caller.begin_setup(request.dialog)
         if self._is_abandoned(caller, request):
             return
         if request.dialog in self._entries:
-            caller.refuse(ProtocolError("out-of-state", f"dialog {request.dialog!r} is open here already"))
+            caller.refuse(ProtocolError("out-of-state", f"dialog {request.dialog!r} is already open here"))
             return
         if context.shutdown.is_draining or len(self._entries) >= context.config.links.open_dialogs:
-            # Not a choice among dialogs: this instance takes none.
+            # The driver is not consulted: this instance rejects every new dialog.
             retry_after = context.config.deployment.max_retry_after
             caller.send(setup.Rejected(request.dialog, request.leg, retry_after))
             context.counters.answers["declined-here"] += 1
@@ -78,7 +78,7 @@
         self._start(entry, received_at)
 
     def _is_abandoned(self, caller: CallerConnection, request: setup.Setup) -> bool:
-        """Whether who sent a set-up has gone before its turn, connection and all; nothing is owed then."""
+        """Whether the caller disconnected before its set-up was handled; it is not answered then."""
         if caller.is_reachable and not caller.is_closed:
             return False
         self._context.counters.answers["gone-before-its-turn"] += 1
@@ -86,7 +86,11 @@
         return True
 
     def _start(self, entry: DialogEntry, received_at: int) -> None:
-        """Hands an accepted dialog to the decisions, with the time that caller and policy leave it."""
+        """Passes an accepted dialog to the driver.
+
+        Its deadline is the caller's minus the answer margin, or earlier if the attempt policy has a shorter
+        no-answer time-out.
+        """
         request = entry.setup
         time_limit = request.time_left - self._context.config.answer_margin
         if received_at + time_limit <= self._context.now:
@@ -98,7 +102,7 @@
         self.start_dialog(request, received_at + time_limit, policy)
 
     def policy_for(self, request: setup.Setup, caller: str) -> AttemptPolicy | None:
-        """The attempt policy of a dialog; None: the decisions' default."""
+        """Returns the attempt policy of a dialog; None for the driver's default."""
         policies = self._context.attempt_policies
         if policies is None:
             return None
@@ -107,7 +111,7 @@
         )
 
     def start_dialog(self, request: setup.Setup, deadline: int, policy: AttemptPolicy | None) -> None:
-        """Hands a dialog to the decisions."""
+        """Passes a dialog to the driver."""
         dialog = Dialog(
             id=request.dialog,
             traffic_type=request.traffic_type,
@@ -121,9 +125,9 @@
         context.run_decision(request.dialog, context.driver.start_dialog, dialog)
 
     def on_cancel_or_release(self, caller: CallerConnection, message: setup.LegMessage) -> None:
-        """The caller cancels an open dialog, or releases an established one.
+        """Cancels an open dialog or releases an established one.
 
-        Its session drops those that crossed our answer.
+        A cancel or release that crossed our answer was already dropped by the session.
         """
         entry = self._entries.get(message.dialog)
         if entry is None or entry.caller is not caller:
@@ -131,5 +135,5 @@
         if not entry.is_established:
             self._attempts.abort_dialog(message.dialog, "cancelled")
         else:
-            # Ended follows from the server; should the link go first, it is cut.
+            # The server sends Ended; if the link is lost first, the dialog ends with reason `cut`.
             self._dialogs.release(entry)
--- a/valverouter/edge/clock.py
+++ b/valverouter/edge/clock.py
@@ -10,9 +10,9 @@
 
 
 class Clock:
-    """Wall time at the start, carried on by the monotonic clock: never set back, never near 0.
+    """The wall time at the start, advanced by the monotonic clock, so that it never goes back.
 
-    The decisions take a start time of 0 for 'long ago', so no moment of this clock may come close to it.
+    The driver treats a start time of 0 as 'long ago', so this clock must never be near 0.
     """
 
     def __init__(self, wall_time: int) -> None:
@@ -20,42 +20,45 @@
         self._started_at = trio.current_time()
 
     def now(self) -> int:
-        """The present moment, in nanoseconds."""
+        """The current time, in nanoseconds."""
         return self._wall_at_start + round((trio.current_time() - self._started_at) * 1e9)
 
     def trio_time(self, at: int) -> float:
-        """When trio should wake us for a moment; a rounding early is made up by looking at `now` again."""
+        """Converts a time of this clock to seconds of trio's clock.
+
+        Rounding may make it slightly early; callers compare with `now` again when they wake up.
+        """
         return self._started_at + (at - self._wall_at_start) / 1e9
 
 
 class TimerQueue:
-    """Timers by their time. One leaves when it is due, or with `retain` where it is no longer wanted."""
+    """Timers in the order in which they are due; removed when due, or with `retain`."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Any]] = []
         self._serial = 0
 
     def schedule(self, at: int, timer: Any) -> None:
-        """Adds a timer that is due `at` a moment of the clock."""
+        """Adds a timer that is due at time `at`, in nanoseconds."""
         self._serial += 1
         heapq.heappush(self._heap, (at, self._serial, timer))
 
     def __len__(self) -> int:
-        """Timers that are not yet due."""
+        """The number of queued timers."""
         return len(self._heap)
 
     def retain(self, wanted: Callable[[Any], bool]) -> None:
-        """Drops all timers but those that are `wanted`."""
+        """Removes all timers for which `wanted` returns False."""
         self._heap = [entry for entry in self._heap if wanted(entry[2])]
         heapq.heapify(self._heap)
 
     @property
     def next_due_at(self) -> int | None:
-        """When the next timer is due; None: there is none."""
+        """When the next timer is due; None if there is none."""
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: int) -> Any | None:
-        """A timer whose time has come, in the order of their times; None: there is none."""
+        """Removes and returns the earliest timer if it is due; None otherwise."""
         if self._heap and self._heap[0][0] <= now:
             return heapq.heappop(self._heap)[2]
         return None
--- a/valverouter/edge/connections.py
+++ b/valverouter/edge/connections.py
@@ -1,4 +1,4 @@
-"""How every connection's task ends: faults held to it, and one last message to the peer."""
+"""Helpers for connection tasks: failure isolation, reads with a deadline, the final Error message."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @contextmanager
 def isolate_failure(kind: str, peer: Callable[[], str]) -> Iterator[None]:
-    """Logs an unexpected fault in one connection's task, which costs that connection alone.
+    """Logs an unexpected exception in a connection's task, so that only that connection is lost.
 
-    Without it the fault would end the instance, and every dialog here would lose its answer.
+    Otherwise the exception would end the instance, and no open dialog would be answered.
     """
     try:
         yield
@@ -27,11 +27,11 @@
 
 
 async def receive_by(stream: trio.abc.Stream, max_bytes: int, deadline: float) -> bytes:
-    """What arrives by `deadline`, in seconds of trio's clock; empty: the peer has closed.
+    """Returns the bytes received by `deadline`, in seconds of trio's clock; empty if the peer has closed.
 
-    Raises trio.TooSlowError where nothing has arrived. The deadline bounds the wait alone: with one scope
-    around the whole reading, what had come in time while this process was stopped was read, and its
-    connection cancelled while it was handled.
+    Raises trio.TooSlowError if none were received. The deadline applies to the wait only: with one cancel
+    scope around reading and handling, data that had arrived in time while this process was stopped was read,
+    but its connection was cancelled while the data was handled.
     """
     if deadline != float("inf"):
         with trio.move_on_at(deadline):
@@ -42,10 +42,10 @@
 
 
 async def send_farewell(stream: trio.abc.Stream, session: Session, error: ProtocolError) -> None:
-    """Sends the one clear error, if the peer still reads; its connection is closed either way.
+    """Sends an Error message if the peer still reads; the caller then closes the connection in any case.
 
-    A peer that does not read has its writer waiting on the stream already, and trio lets only one wait: such
-    a peer gets no message, which it would not read.
+    If the peer does not read, the connection's writer is already blocked in a send, and trio allows only one
+    task to send. Such a peer gets no message, which it would not read anyway.
     """
     with (
         trio.move_on_after(0.1),
--- a/valverouter/edge/context.py
+++ b/valverouter/edge/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one edge proxy share: configuration, clock, queues and the decisions it hosts."""
+"""The state shared by an edge proxy's components: configuration, clock, queues and the Driver."""
 
 from __future__ import annotations
 
@@ -26,11 +26,16 @@
 
 @dataclass(slots=True)
 class ProxyCounters:
-    """What happened since the start; `answers` and `attempts` by kind, in fixed memory."""
+    """Counters since the start of the process.
+
+    `answers` and `attempts` count by kind; the set of kinds is fixed, so their memory is bounded. `failures`
+    counts exceptions in event handling and the driver, `withheld` answers not sent because the
+    caller's deadline had passed, `stalls` periods in which this process did not run.
+    """
 
     answers: Counter[str] = field(default_factory=Counter)
     attempts: Counter[str] = field(default_factory=Counter)
-    # Established, but after the latency objective of their traffic type.
+    # Dialogs established after the latency objective of their traffic type.
     late: int = 0
     failures: int = 0
     withheld: int = 0
@@ -38,15 +43,15 @@
 
 
 class ProxyContext:
-    """The state that every part of an edge proxy reads; each part keeps its own tables.
+    """The state that all components of an edge proxy read; each component keeps its own tables.
 
-    `now` is the moment of the current turn in nanoseconds, `config` what acts at present. `epoch`, told to
-    peers, is over 0 where accepted dialogs outlive a restart. `unread_since` is set after this process did
-    not run, until all that arrived meanwhile has been read: when it last ran; 0: nothing unread.
+    `now` is the time of the current turn in nanoseconds, `config` the active configuration. `epoch` is sent
+    to peers; it is positive if accepted dialogs survive a restart. After a stall, `unread_since` is the time
+    of the last turn before it, until everything that arrived during the stall has been handled; else it is 0.
     """
 
     def __init__(self, config: EdgeConfig, runtime: Runtime, epoch: int = 0) -> None:
-        """Builds the decisions of `config`; InvalidConfigError where its attempt policies can't be used."""
+        """Builds the Driver for `config`; raises InvalidConfigError if its attempt policies are invalid."""
         self.config = config
         self.runtime = runtime
         self.epoch = epoch
@@ -63,39 +68,38 @@
         self.counters = ProxyCounters()
         self.shutdown = GracefulShutdown()
         self.unread_since = 0
-        # Ends a dialog whose decisions have failed, where it is open here. Set by the proxy that joins the
-        # parts.
+        # Ends an open dialog for which the driver has raised an exception. Set by the EdgeProxy.
         self.on_decision_failed: Callable[[str], None] = lambda dialog_id: None
         self._draws = 0
         self._last_failure = ""
         self._repeated_failures = 0
 
     def run_decision(self, dialog_id: str, action: Callable[..., None], *args: Any) -> bool:
-        """Calls into the decisions; whether they returned.
+        """Calls into the Driver; returns False if it raised an exception.
 
-        An exception of theirs ends the dialog that it is about, with an answer, and nothing else.
+        The exception ends the dialog `dialog_id` with an answer; other dialogs are not affected.
         """
         try:
             action(*args)
-        except Exception as error:  # whatever the decisions raise, the other dialogs must go on
+        except Exception as error:  # no exception of the driver may affect other dialogs
             self._log_failure(dialog_id, error)
             self.on_decision_failed(dialog_id)
             return False
         return True
 
     def reconnect_delay(self, tries: int) -> int:
-        """The wait before connecting again, in nanoseconds: the decisions' full-jitter backoff.
+        """The delay before reconnecting, in nanoseconds: the driver's full-jitter backoff.
 
-        It has a stream of draws of its own.
+        It uses random draws of its own, so reconnections do not change the driver's draws.
         """
         self._draws += 1
         draw = zlib.crc32(b"link/%d/%d" % (self.config.seed, self._draws)) / 2**32
         return retry_delay(tries, draw, 0)
 
     def _log_failure(self, dialog_id: str, error: Exception) -> None:
-        """Logs a failure with its dialog; `again` counts those of one kind in a row.
+        """Logs an exception with its dialog; `again` counts consecutive failures of the same kind.
 
-        So one odd dialog looks different from decisions that fail at each.
+        This distinguishes a single faulty dialog from a driver that fails for every dialog.
         """
         frame = traceback.extract_tb(error.__traceback__)[-1]
         kind = f"{type(error).__name__} at {frame.name}:{frame.lineno}"
--- a/valverouter/edge/dialogs.py
+++ b/valverouter/edge/dialogs.py
@@ -1,4 +1,4 @@
-"""The dialogs that an edge proxy has accepted: their table, their one final answer, and their end."""
+"""The table of accepted dialogs; sends each dialog's one final answer and ends it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from valverouter.edge.reload import ConfigReloader
 from valverouter.signalling import setup
 
-# How an established dialog may end; a server's other reasons are counted as one.
+# The reasons for which an established dialog may end; any other reason from a server counts as `otherwise`.
 END_REASONS = ("over", "released", "cut")
 
 FinalAnswer = setup.Rejected | setup.Failed | setup.Established
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True)
 class DialogEntry:
-    """A dialog accepted here; the decisions are told of a deadline a little before `deadline`, its caller's.
+    """A dialog accepted here. `deadline` is the caller's; the driver gets a slightly earlier one.
 
-    `attempt` numbers the one in flight or established, on `link`; None: between two attempts.
+    `attempt` is the number of the attempt in flight or established on `link`; None between attempts.
     """
 
     setup: setup.Setup
@@ -35,10 +35,10 @@
 
 
 class DialogTable:
-    """Every dialog here, open or established, by its id in `entries`; each leaves with its end."""
+    """All open and established dialogs, by id in `entries`; a dialog is removed when it ends."""
 
     def __init__(self, context: ProxyContext, reloader: ConfigReloader) -> None:
-        """`reloader` hears of each final answer, for its change guard."""
+        """`reloader` is notified of each final answer, for its change guard."""
         self.entries: dict[str, DialogEntry] = {}
         self._context = context
         self._counters = context.counters
@@ -47,27 +47,28 @@
 
     @property
     def open_count(self) -> int:
-        """Dialogs whose final answer is still owed."""
+        """The number of dialogs that have not been sent their final answer."""
         return sum(not entry.is_established for entry in self.entries.values())
 
     @property
     def established_count(self) -> int:
-        """Dialogs that are established and have not ended."""
+        """The number of established dialogs."""
         return sum(entry.is_established for entry in self.entries.values())
 
     def accept(self, entry: DialogEntry) -> None:
-        """A dialog is owed an answer from here on."""
+        """Accepts a dialog, which must be given a final answer from here on."""
         self.add(entry)
 
     def add(self, entry: DialogEntry) -> None:
-        """Puts a dialog into the table."""
+        """Adds a dialog to the table and to its caller."""
         self.entries[entry.setup.dialog] = entry
         entry.caller.dialogs.add(entry.setup.dialog)
 
     def answer(self, entry: DialogEntry, message: FinalAnswer) -> None:
-        """Sends the one final answer.
+        """Sends a dialog's one final answer.
 
-        Past the caller's time none is sent: it waits no longer, and may have dialled again.
+        After the caller's deadline the answer is withheld: the caller no longer waits for it and may have
+        redialled. An established leg is released then.
         """
         kind = message.answer_name
         if late := self._context.now >= entry.deadline:
@@ -100,7 +101,7 @@
         self._reloader.on_final_answer(entry.setup.traffic_type, is_rejected, entry.attempts_started)
 
     def _is_late(self, entry: DialogEntry) -> bool:
-        """Whether it was established after the latency objective of its traffic type."""
+        """Whether the dialog was established later than its traffic type's latency objective allows."""
         traffic_type = self._context.config.deployment.traffic_types.get(entry.setup.traffic_type)
         if traffic_type is None:
             return False
@@ -108,9 +109,9 @@
         return self._context.now - accepted_at > traffic_type.latency_objective
 
     def release(self, entry: DialogEntry) -> None:
-        """Tells the server to release an established dialog.
+        """Asks the server to release an established dialog, at most once.
 
-        Once: a caller may release, and then its connection may go before the server's Ended comes.
+        A caller may send Release and then disconnect before the server's Ended arrives.
         """
         link, dialog_id = entry.link, entry.setup.dialog
         if link is None or entry.attempt is None or entry.is_released:
@@ -121,12 +122,12 @@
             link.send(setup.Release(dialog_id, entry.attempt))
 
     def end(self, entry: DialogEntry, reason: str) -> None:
-        """An established dialog has ended; its caller is told."""
+        """Ends an established dialog and sends Ended to its caller."""
         entry.caller.send(setup.Ended(entry.setup.dialog, entry.setup.leg, reason))
         self._counters.answers[f"ended-{reason if reason in END_REASONS else 'otherwise'}"] += 1
         self.remove(entry)
 
     def remove(self, entry: DialogEntry) -> None:
-        """Nothing more is owed for a dialog."""
+        """Removes a dialog that has ended from the table and from its caller."""
         del self.entries[entry.setup.dialog]
         entry.caller.dialogs.discard(entry.setup.dialog)
--- a/valverouter/edge/events.py
+++ b/valverouter/edge/events.py
@@ -1,6 +1,6 @@
-"""The events of an edge proxy: each is handled in one turn of its event loop, in the order of arrival.
+"""The events of an edge proxy, handled by its event loop in order of priority and arrival.
 
-Those of a connection are defined beside the connection's own code, which so imports nothing of this module.
+The events of a connection are defined in the connection's module, which avoids an import cycle.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended at this side: not sent, cancelled, or its time is up."""
+    """An attempt ended at this side: it was not sent, was cancelled or timed out. Also used as a timer."""
 
     dialog_id: str
     attempt: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryTimer:
-    """A dialog of a previous incarnation, or of a caller that is away: the time of its `action` is over."""
+    """The timer of a recovery `action` for a dialog of a previous incarnation or a detached caller is due."""
 
     dialog_id: str
     action: RecoveryAction
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadRequested:
-    """Another configuration, complete and checked; what can't change while running is logged.
+    """A complete and validated new configuration; settings that can't change while running are logged.
 
-    `policies`: made of it outside the event loop, which their check would hold up.
+    `policies` was built from it outside the event loop, which their validation would block.
     """
 
     config: EdgeConfig
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """Accept no more dialogs, answer those that are open, end."""
+    """A graceful shutdown is requested: accept no more dialogs, answer the open ones, end."""
 
 
 Event = (
--- a/valverouter/edge/lifecycle.py
+++ b/valverouter/edge/lifecycle.py
@@ -1,19 +1,23 @@
-"""The graceful shutdown of an edge proxy: no new dialogs, answers to the open ones, then a quiet end."""
+"""The graceful shutdown of an edge proxy: accepts no new dialogs, answers the open ones, then ends."""
 
 from __future__ import annotations
 
-# For so long the end waits for callers that go on asking, or do not read what they are sent; nanoseconds.
+# How long after the deadline the proxy still waits for callers that keep sending requests or do not read
+# their answers, in nanoseconds.
 FINAL_READ_LIMIT = 50_000_000
-# So many turns in a row must find nothing to handle, read or write before the process ends: what the kernel
-# has accepted meanwhile is seen only after its readers had their turn.
+# The number of consecutive turns that must find nothing to handle, read or write before the process ends:
+# data that the kernel has accepted is seen only after the readers have run.
 QUIET_TURNS = 2
 
 
 class GracefulShutdown:
-    """Draining from `begin` on, until every dialog has its answer or the deadline has passed."""
+    """The state of a graceful shutdown.
+
+    The proxy drains from `begin` on, until every dialog is answered or the deadline has passed.
+    """
 
     def __init__(self) -> None:
-        """Starts with a proxy that serves."""
+        """The proxy is not draining at first."""
         self.is_draining = False
         self._closing_at = self._deadline = 0
         self._quiet_turns = 0
@@ -29,7 +33,7 @@
         return self._closing_at, self._deadline
 
     def is_closing(self, now: int) -> bool:
-        """Whether it is time to close the connections on which nothing is open."""
+        """Whether the proxy is draining and should close callers' idle connections."""
         return self.is_draining and self._closing_at <= now
 
     def has_expired(self, now: int) -> bool:
@@ -37,6 +41,9 @@
         return self._deadline <= now
 
     def may_end(self, now: int, is_quiet: bool) -> bool:
-        """Whether the proxy may end after this turn, in which nothing was open any more."""
+        """Whether the proxy may end after this turn; called once per turn after no dialog is open.
+
+        `is_quiet` tells whether nothing remained to be handled, read or written in this turn.
+        """
         self._quiet_turns = self._quiet_turns + 1 if is_quiet else 0
         return self._quiet_turns >= QUIET_TURNS or now >= self._deadline + FINAL_READ_LIMIT
--- a/valverouter/edge/link.py
+++ b/valverouter/edge/link.py
@@ -1,4 +1,4 @@
-"""Links to servers: one connection each, made again with full-jitter backoff while in service."""
+"""Links to servers: each keeps one connection and reconnects with full-jitter backoff while in service."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerMessage:
-    """A server answers an attempt, or reports its load."""
+    """A server's answer to an attempt, or its load report."""
 
     link: ServerLink
     message: setup.LegMessage | setup.LoadReported
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """A server's welcome: the link carries attempts once the event loop knows who is there."""
+    """A server's welcome was received; the link sends attempts once the event loop has checked it."""
 
     link: ServerLink
     welcome: Welcome
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """A connection ended, or could not be made; with the attempts that had left on it and those unsent."""
+    """A connection ended or could not be made; with the attempts that were sent on it and those unsent."""
 
     link: ServerLink
     reason: str
@@ -50,11 +50,12 @@
 
 
 class ServerLink:
-    """One server's link.
+    """The link to one server.
 
-    `attempts` are those in flight or established on it, by dialog and number; True once cancelled here. Those
-    started while it connects wait for the welcome; while it waits to connect again, it takes none. Answers
-    empty `attempts`, and all leave at once when the link goes down.
+    `attempts` holds the attempts in flight or established on it, by dialog and number; the value is True once
+    the attempt was cancelled here. Attempts started while the link connects are queued until the welcome;
+    during the reconnect delay it accepts none. An attempt is removed when it ends, all of them when the link
+    goes down.
     """
 
     def __init__(
@@ -81,50 +82,50 @@
         self._events = events
         self._reconnect_delay = reconnect_delay
         self._batch = batch
-        # Set-ups from before the welcome, which empties this: until then there is no version to write them
-        # in.
+        # Set-ups queued before the welcome: until then, the protocol version to encode them in is unknown.
         self._early_attempts: dict[tuple[str, int], Any] = {}
         self._session: SetupSession | None = None
         self._send_queue: SendQueue | None = None
         self._connection = trio.CancelScope()
         self._close_reason = ""
         self._is_welcomed = False
-        # When the first message was sent since the last was received; None: nothing is awaited.
+        # When the first message was queued since the last one was received, in seconds of trio's clock;
+        # None if there is none.
         self._awaiting_since: float | None = None
 
     @property
     def is_final(self) -> bool:
-        """Whether no connection follows after a LinkDown."""
+        """Whether the link does not reconnect after a LinkDown."""
         return self.has_ended or not self.in_service
 
     def has_closed(self, key: tuple[str, int]) -> bool:
-        """Whether an attempt's closing message was read already and waits to be handled.
+        """Whether an attempt's closing message was read but is not yet handled.
 
-        Nothing more may be sent of that attempt.
+        No message may be sent for such an attempt.
         """
         return self._session is not None and self._is_welcomed and key not in self._session.legs
 
     @property
     def can_resume(self) -> bool:
-        """Whether the server can be asked for attempts of a previous connection."""
+        """Whether attempts of a previous connection can be resumed; needs protocol version 2."""
         return self._session is not None and self._session.version >= 2
 
     @property
     def is_up(self) -> bool:
-        """Whether the event loop has handled its welcome, and the connection holds."""
+        """Whether the event loop has handled the welcome and the connection is not closing."""
         return self._is_welcomed and self.is_writable
 
     @property
     def is_writable(self) -> bool:
-        """Whether a frame put now may still leave on a connection that is up or being made."""
+        """Whether a connection is up or being made on which a frame queued now may still be sent."""
         return self._send_queue is not None and not self._close_reason
 
     def has_attempt(self, key: tuple[str, int]) -> bool:
-        """Whether this key is still open here: its caller used an id again before its end came."""
+        """Whether an attempt with this key is open here: a caller may reuse a dialog id before it ended."""
         return key in self.attempts or (self._session is not None and key in self._session.legs)
 
     def start_attempt(self, key: tuple[str, int], message: Any) -> None:
-        """Queues a set-up for this server; it may be withdrawn until the stream takes it."""
+        """Queues a set-up for this server; it can be withdrawn until it is passed to the stream."""
         self.attempts[key] = False
         if self._is_welcomed:
             self.send(message, key)
@@ -134,7 +135,7 @@
     def send(
         self, message: Any, key: Hashable | None = None, on_sent: Callable[[], None] | None = None
     ) -> None:
-        """Queues a message; a peer that lets too much wait loses its connection, and LinkDown follows."""
+        """Queues a message; if the send queue is full, closes the connection, and LinkDown follows."""
         assert self._session is not None
         assert self._send_queue is not None
         try:
@@ -145,7 +146,7 @@
             self._awaiting_since = trio.current_time()
 
     def withdraw(self, key: tuple[str, int]) -> bool:
-        """Takes back a set-up that has not left; whether it could be. It is out of `attempts` then."""
+        """Withdraws an unsent set-up and removes its attempt; returns False if it may have been sent."""
         if self._early_attempts.pop(key, None) is None:
             if self._send_queue is None or not self._send_queue.withdraw(key):
                 return False
@@ -155,25 +156,25 @@
         return True
 
     def is_partly_sent(self, key: tuple[str, int]) -> bool:
-        """Whether the stream has been handed this set-up and not yet taken it."""
+        """Whether this set-up was passed to the stream, which has not yet accepted all of it."""
         return self._send_queue is not None and key in self._send_queue.in_flight
 
     def send_early_attempts(self) -> None:
-        """The event loop has handled the welcome: attempts that waited for it may leave."""
+        """Sends the set-ups queued before the welcome; called when the event loop has handled it."""
         if self._send_queue is None or self._session is None or not self._session.version:
-            return  # that connection is gone already
+            return  # that connection has already ended
         self._is_welcomed = True
         early, self._early_attempts = self._early_attempts, {}
         for key, message in early.items():
             self.send(message, key)
 
     def close(self, reason: str) -> None:
-        """Ends the present connection; LinkDown with the first reason given follows."""
+        """Ends the current connection; LinkDown with the first given reason follows."""
         self._close_reason = self._close_reason or reason
         self._connection.cancel()
 
     async def run(self) -> None:
-        """Connects, serves, waits, connects again; ends when the server is no longer in service."""
+        """Connects, serves, and reconnects after a delay; ends when the server is no longer in service."""
         tries = 0
         while self.in_service:
             began = trio.current_time()
@@ -185,14 +186,14 @@
             if self.in_service:
                 await trio.sleep(max(self._config.reconnect_least, self._reconnect_delay(tries)) / 1e9)
                 if not self.in_service:
-                    # Its server left the list during the wait: without an event the table would keep this
-                    # link, and take it for one that runs when the server comes back.
-                    self._on_down("no longer listed")
+                    # The server was taken out of service during the delay. Without this event the table would
+                    # keep the link and treat it as running when the server is listed again.
+                    self._on_down("the server is no longer in service")
         self.has_ended = True
 
     def _on_down(self, reason: str) -> None:
-        # The attempts go with the event: those of the next connection, started before it is handled, are not
-        # meant.
+        # The event carries the attempts: by the time it is handled, `attempts` may already hold some of the
+        # next connection.
         queue, attempts, self.attempts = self._send_queue, self.attempts, {}
         unsent = frozenset(
             key
@@ -205,9 +206,9 @@
         self._events.put(LinkDown(self, reason, frozenset(attempts) - unsent, unsent))
 
     async def _run_connection(self) -> str:
-        """Makes and serves one connection; the reason of its end."""
+        """Makes and serves one connection; returns the reason for which it ended."""
         hello = Hello((OLDEST_VERSION, NEWEST_VERSION), "edge", self._name, self._epoch)
-        self._close_reason = ""  # a close between two connections does not mean this one
+        self._close_reason = ""  # a close() between two connections does not apply to the new one
         self._session = session = SetupSession(hello)
         self._send_queue = queue = SendQueue(self._config.waiting_bytes, self._batch)
         self._connection = trio.CancelScope()
@@ -217,7 +218,7 @@
                 with trio.fail_after(self._config.connect_within / 1e9):
                     stream = await self._runtime.connect(self.address)
             except (OSError, ValueError, OverflowError, trio.TooSlowError) as error:
-                # ValueError, OverflowError: the list names an address that is none.
+                # ValueError, OverflowError: the endpoint list has an invalid address.
                 return f"no connection: {error or type(error).__name__}"
             async with stream, trio.open_nursery() as nursery:
                 try:
@@ -242,16 +243,16 @@
             self.close("reset")
 
     async def _watch_silence(self) -> None:
-        """Closes a connection whose server was sent something and says nothing at all.
+        """Closes a connection if the server sends nothing within the limit after a message to it.
 
-        Half open, it would take attempts for as long as the kernel goes on sending, a quarter of an hour or
-        for good. Idle is not silent.
+        A half-open connection would accept attempts for as long as the kernel retransmits: a quarter of an
+        hour, or indefinitely. An idle connection, with no message sent, is not closed.
         """
         limit = self._config.silence / 1e9
         while True:
             since = self._awaiting_since
             if since is not None and trio.current_time() >= since + limit:
-                self.close(f"silent for {limit:g} s")
+                self.close(f"no message received for {limit:g} s")
             await trio.sleep_until((trio.current_time() if since is None else since) + limit)
 
     async def _read(self, stream: trio.abc.Stream, session: SetupSession) -> None:
@@ -261,7 +262,7 @@
             await self._events.wait_for_space()
             for message in session.receive(data):
                 if isinstance(message, Provisional):
-                    continue  # checked by the session; it changes nothing here
+                    continue  # the session has checked it; no further handling is needed
                 if isinstance(message, Welcome):
                     deadline = float("inf")
                     self._events.put(LinkUp(self, message))
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -1,8 +1,8 @@
-"""One edge proxy: its parts joined, and the event loop that hands each event to the part it is for.
+"""The edge proxy: assembles its components and runs the event loop that dispatches events to them.
 
-Everything that touches the Driver happens in `_run_turns`, one event at a time: first the endpoint list's
-updates, then the rest in the order of arrival, then the timers that are due. Decisions are made by
-`valverouter.policy` alone; the parts keep track of who is owed which answer.
+All calls into the Driver are made from `_run_turns`, one event at a time: endpoint list updates first, then
+callers' cancellations, then other events in order of arrival, then due timers. Only `valverouter.policy`
+makes routing decisions; the components here track which caller is owed which answer.
 """
 
 from __future__ import annotations
@@ -51,29 +51,34 @@
 from valverouter.signalling import setup
 from valverouter.terms.edge import EdgeConfig
 
-# A turn that comes so much later than the next heartbeat was due shows that this process did not run.
+# A gap between two turns longer than this, in nanoseconds, shows that this process was not running: a
+# heartbeat timer is due at least every HEARTBEAT_INTERVAL.
 STALL_THRESHOLD = HEARTBEAT_INTERVAL + 50_000_000
-# For so long the readers then collect what came meanwhile: the list's updates are heard before any attempt
-# goes.
+# After a stall, the readers get this many seconds to read what arrived in the meantime, so that endpoint list
+# updates are handled before any attempt is sent.
 SETTLE_S = 0.005
 SETTLE = round(SETTLE_S * 1e9)
-# Events handled in one go before timers are looked at and the streams get their turn.
+# Events handled per turn before timers are checked and streams are written.
 MAX_BATCH = 16
-# From so many timers on, time-outs of attempts long ended are taken out: a caller may ask for an hour of
-# no-answer time and have its answer at once. Twice what stays then, at least so many, sets the next time.
+# Time-outs of ended attempts are pruned once more timers than this are queued: a caller may ask for a
+# no-answer time of an hour and be answered at once. The next limit is twice the number of timers that remain,
+# but never lower than this.
 MIN_TIMERS_PRUNED = 1_024
 
 MS = 1_000_000
 
 
 class EdgeProxy:
-    """An instance. What is open is in `dialogs` and `links`; each part is a class of its own module."""
+    """An edge proxy instance. Its open dialogs are in `dialogs`, its links to servers in `links`."""
 
-    # So long before the end of a graceful shutdown idle callers' connections are closed, nanoseconds.
+    # How long before the deadline of a graceful shutdown idle callers' connections are closed, nanoseconds.
     closing_period = 0
 
     def __init__(self, config: EdgeConfig, runtime: Runtime, epoch: int = 0) -> None:
-        """`epoch`, over 0 where accepted dialogs outlive a restart, is part of our welcome to peers."""
+        """Creates a proxy that is not yet running.
+
+        `epoch` is sent to peers in the welcome; it is positive if accepted dialogs survive a restart.
+        """
         self.address = ""
         self.ended = trio.Event()
         self.context = context = ProxyContext(config, runtime, epoch)
@@ -104,7 +109,7 @@
         }
         self.reloader.apply_retry_budgets()
 
-    # The parts; proxies of other protocols, and those that keep a store, have their own
+    # Factories for the components; overridden for other protocols and for proxies with a dialog store
 
     def _make_source(self) -> EndpointSource:
         context = self.context
@@ -127,70 +132,74 @@
     def _make_listener(self) -> CallerListener:
         return CallerListener(self.context, self.links, self.incarnation)
 
-    # What others ask of a running proxy
+    # Public interface
 
     @property
     def config(self) -> EdgeConfig:
-        """The configuration that acts at present."""
+        """The active configuration."""
         return self.context.config
 
     @property
     def counters(self) -> ProxyCounters:
-        """What happened since the start."""
+        """Counters since the start of this process."""
         return self.context.counters
 
     @property
     def generation(self) -> int:
-        """How many configurations have acted, this one among them."""
+        """The number of configurations activated so far, including the active one."""
         return self.context.generation
 
     @property
     def cross_region(self) -> CrossRegionLimiter | None:
-        """The limits of attempts in other regions; None: there are none."""
+        """The limiter of cross-region attempts; None if none is configured."""
         return self.context.cross_region
 
     @property
     def is_draining(self) -> bool:
-        """Whether it takes no more dialogs."""
+        """Whether the proxy is shutting down and accepts no more dialogs."""
         return self.context.shutdown.is_draining
 
     @property
     def open_dialogs(self) -> int:
-        """Dialogs whose final answer is still owed."""
+        """The number of dialogs that have not been sent their final answer."""
         return self.dialogs.open_count
 
     @property
     def established_dialogs(self) -> int:
-        """Dialogs that are established and have not ended."""
+        """The number of established dialogs."""
         return self.dialogs.established_count
 
     @property
     def is_ready(self) -> bool:
-        """Whether it has the endpoint list, and a server that it may send to."""
+        """Whether at least one listed server can be sent attempts."""
         return self.links.any_is_up
 
     def stop(self) -> None:
-        """Rejects what comes from here on, and ends once every dialog here has its answer."""
+        """Starts a graceful shutdown: rejects new dialogs and ends once every open one is answered."""
         self.context.events.put(StopRequested())
 
     def reload(self, config: EdgeConfig, policies: AttemptPolicies | None = None, file: str = "") -> None:
-        """Another configuration while running.
+        """Reloads the configuration.
 
-        Its cross-region rules and attempt policies act, the rest waits for a new start. `policies`: what
-        `policies_of` made of it, in a thread where the check may take long.
+        Cross-region rules and attempt policies take effect at once, all other settings with the next start.
+        `policies` is the result of `policies_of` for this configuration; building it may take long, so
+        callers do that in a thread.
         """
         self.context.events.put(ReloadRequested(config, policies, file))
 
     def policies_of(self, config: EdgeConfig) -> AttemptPolicies | None:
-        """The attempt policies of another configuration; InvalidConfigError."""
+        """Builds the attempt policies of a new configuration; raises InvalidConfigError."""
         return self.reloader.policies_of(config)
 
     def reject_reload(self, file: str, why: str, **details: Any) -> None:
-        """Logs that a configuration could not be read; the present one goes on acting."""
+        """Logs that a configuration could not be read; the active one stays in effect."""
         self.reloader.reject(file, why, **details)
 
     async def run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves until stopped or cancelled. `started` once it listens; OSError when it can't."""
+        """Serves until stopped or cancelled.
+
+        Reports `started` once it is listening; raises OSError if it cannot listen.
+        """
         context = self.context
         async with trio.open_nursery() as nursery:
             self.links.start_task = lambda link: nursery.start_soon(link.run)
@@ -216,23 +225,26 @@
     # Hooks
 
     def _on_start(self) -> None:
-        """Before the first caller and the first update of the endpoint list are handled."""
+        """Called before the first caller and the first endpoint list update are handled."""
 
     def _before_send(self, now: int) -> None:
-        """The end of a turn; nothing that it queued has left."""
+        """Called at the end of a turn, before the messages that it queued are sent."""
 
     @property
     def _is_done(self) -> bool:
-        """Whether a draining proxy may end."""
+        """Whether a draining proxy has no more open work."""
         return not self.open_dialogs
 
     @property
     def _is_quiet(self) -> bool:
-        """Whether nothing waits here to be handled, read or written."""
+        """Whether nothing remains to be handled, read or written."""
         return not len(self.context.events)
 
     def _close_idle_callers(self) -> None:
-        """The end is near, or nothing is open any more: callers are to ask elsewhere."""
+        """Closes idle callers' connections, so that they connect to other edge proxies.
+
+        Called shortly before the shutdown deadline, or once no dialog is open.
+        """
 
     # The event loop
 
@@ -240,12 +252,13 @@
         context = self.context
         driver, send_batch = context.driver, context.send_batch
         context.now = context.clock.now()
-        # The decisions may want something before anything happens: the endpoint list, where it must be asked
-        # for.
+        # The driver may issue commands before the first event, such as requesting the endpoint list
+        # if it is not pushed.
         self._execute_commands()
         while True:
             await self._wait_for_work()
-            # One moment for the batch: all that is here came before it, so no duration is measured too short.
+            # One timestamp for the whole batch: all queued events arrived before it, so no duration is
+            # measured too short.
             context.now = now = context.clock.now()
             send_batch.begin()
             context.run_decision("", driver.tick, now)
@@ -262,7 +275,7 @@
                 return
 
     async def _wait_for_work(self) -> None:
-        """Waits for an event or the next timer; after a stall, until what came meanwhile has been read."""
+        """Waits for an event or the next timer; after a stall, also gives the readers SETTLE_S seconds."""
         context = self.context
         next_at = context.timers.next_due_at
         deadline = float("inf") if next_at is None else context.clock.trio_time(next_at)
@@ -270,7 +283,7 @@
         await context.runtime.checkpoint()
         stall = context.clock.now() - self._last_turn_at
         if stall > STALL_THRESHOLD:
-            # Updates of the list from while we did not run must be handled before anything is sent.
+            # Endpoint list updates that arrived during the stall must be handled before anything is sent.
             context.counters.stalls += 1
             self._log.warning("event-loop-stalled", ms=stall // MS)
             context.unread_since = self._last_turn_at
@@ -297,7 +310,7 @@
         self._max_timers = max(MIN_TIMERS_PRUNED, 2 * len(timers))
 
     def _handle_safely(self, event: Event | Timer) -> None:
-        """Last resort: a fault in what we do with an event must not end the others' dialogs."""
+        """Handles an event; an exception is logged, so that one faulty event doesn't end other dialogs."""
         try:
             self._handlers[type(event)](event)
             self._execute_commands()
@@ -306,7 +319,7 @@
             self._log.critical("event-handling-failed", event_kind=type(event).__name__, exc_info=True)
 
     def _has_ended(self, now: int) -> bool:
-        """Whether a draining proxy has answered, sent and read everything, or its time is up."""
+        """Whether a draining proxy has answered, sent and read everything, or its deadline has passed."""
         context = self.context
         if not (self._is_done or context.shutdown.has_expired(now)):
             if context.shutdown.is_closing(now):
@@ -323,7 +336,7 @@
         context.timers.schedule(now + SETTLE, StopRequested())
         return False
 
-    # Events that concern the proxy as a whole
+    # Events that concern several components
 
     def _on_timer(self, timer: Timer) -> None:
         self.context.run_decision("", self.context.driver.on_timer, timer.timer_id)
@@ -339,7 +352,7 @@
         self.links.on_link_down(event)
 
     def _on_stop_requested(self, event: StopRequested) -> None:
-        """The first begins to drain; the next change nothing, they only wake the loop."""
+        """The first request starts draining; later ones only wake the event loop."""
         context = self.context
         if not context.shutdown.is_draining:
             moments = context.shutdown.begin(
@@ -353,7 +366,7 @@
         if dialog_id in self.dialogs.entries:
             self.attempts.abort_dialog(dialog_id, "internal")
 
-    # Commands of the decisions
+    # Commands of the driver
 
     def _execute_commands(self) -> None:
         context = self.context
@@ -374,7 +387,7 @@
             self._execute_action(command)
 
     def _execute_action(self, command: DialogAction) -> None:
-        """An action that ends the dialog, or its attempt."""
+        """Executes an action that ends the dialog or cancels its attempt."""
         dialog_id, action = command.dialog_id, command.action
         entry = self.dialogs.entries[dialog_id]
         if isinstance(action, Reject):
--- a/valverouter/edge/queues.py
+++ b/valverouter/edge/queues.py
@@ -1,4 +1,4 @@
-"""What waits to be handled and what waits to be sent: the event queue, and a send queue for each stream."""
+"""The event queue of an edge proxy, and the send queue of each stream."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 class EventQueue:
-    """Events in their order of arrival; updates of the endpoint list go first, then callers' cancellations.
+    """A queue with three priorities: endpoint list updates, callers' cancellations, all other events.
 
-    A server that is draining must get nothing new from that moment, so the list's update does not wait behind
-    what came before it. Nor does a caller's cancel, or the loss of its connection: an attempt begun for a
-    caller that has gone is one too many, however full the queue is. Readers wait while `capacity` events are
-    here: a slow instance holds its peers, not its memory.
+    Within a priority, events are in order of arrival. Updates overtake other events because a draining server
+    must not be sent new attempts from the update on. Cancels and lost callers' connections overtake set-ups
+    and answers, so that no attempt is started for a caller that is gone, however full the queue is. Readers
+    wait while `capacity` regular events are queued, so that a slow instance slows its peers down instead of
+    growing its memory.
     """
 
     def __init__(self, capacity: int = 4_096) -> None:
@@ -30,19 +31,19 @@
         self._wakeup_scope = trio.CancelScope()
 
     def __len__(self) -> int:
-        """Events that wait, of every priority."""
+        """The number of queued events of all priorities."""
         return len(self._urgent) + len(self._cancellations) + len(self._regular)
 
     def put(self, event: Any) -> None:
-        """Adds an event behind all others."""
+        """Adds an event of the lowest priority."""
         self._append(self._regular, event)
 
     def put_urgent(self, event: Any) -> None:
-        """Adds an update of the endpoint list, ahead of all but earlier updates."""
+        """Adds an endpoint list update, ahead of all events but earlier updates."""
         self._append(self._urgent, event)
 
     def put_cancellation(self, event: Any) -> None:
-        """Adds an event that tells that a caller waits no longer, ahead of regular events."""
+        """Adds a caller's cancel or the loss of its connection, ahead of regular events."""
         self._append(self._cancellations, event)
 
     def _append(self, queue: deque[Any], event: Any) -> None:
@@ -51,7 +52,7 @@
             self._waiter.set()
 
     def take(self) -> Any | None:
-        """The next event; None: nothing waits."""
+        """Removes and returns the next event; None if the queue is empty."""
         if self._urgent:
             return self._urgent.popleft()
         if self._cancellations:
@@ -64,20 +65,23 @@
         return event
 
     async def wait_for_space(self) -> None:
-        """Returns once fewer than `capacity` regular events wait."""
+        """Returns once fewer than `capacity` regular events are queued."""
         while len(self._regular) >= self._capacity:
-            # One event for all who wait: with one for each, only the last was ever woken, and the others'
-            # connections were never read again.
+            # All waiting readers share one trio.Event. When each created its own, only the last one was
+            # woken, and the other readers' connections were never read again.
             if self._has_space.is_set():
                 self._has_space = trio.Event()
             await self._has_space.wait()
 
     async def wait_for_event(self, deadline: float) -> None:
-        """Returns once an event is here, or trio's clock says `deadline` or one asked for before."""
+        """Returns once an event is queued or `deadline`, in seconds of trio's clock, has passed.
+
+        It may also return at the earlier deadline of a previous call.
+        """
         if len(self):
             return
-        # One scope for many waits: most deadlines are the same as the last, and a scope for each wait costs
-        # as much as the turn it waits for.
+        # One cancel scope serves many waits: most deadlines equal the previous one, and creating a scope for
+        # each wait costs as much as a turn of the event loop.
         if deadline < self._wakeup_scope.deadline:
             self._wakeup_scope.deadline = deadline
         self._waiter = trio.Event()
@@ -85,7 +89,7 @@
         self._waiter = None
 
     async def run_wakeups(self) -> None:
-        """Runs beside the event loop, and ends its wait when the deadline has passed."""
+        """Wakes `wait_for_event` at its deadline; runs as a task beside the event loop."""
         while True:
             with self._wakeup_scope:
                 await trio.sleep_forever()
@@ -95,21 +99,24 @@
 
 
 class SendQueueFullError(Exception):
-    """More waits for a peer than it may: it reads too slowly, its connection is closed."""
+    """The send queue's byte limit is exceeded because the peer reads too slowly; its connection is closed."""
 
 
 @runtime_checkable
 class NonBlockingStream(Protocol):
-    """A stream that can be asked to take what it has space for, without a wait."""
+    """A stream that can send as much as its buffer has space for, without blocking."""
 
     def send_now(self, data: bytes) -> int:
-        """How many bytes it took; 0 where it must be waited for, or has failed: `send_all` tells which."""
+        """Returns the number of bytes sent.
+
+        0 means that the stream is not writable or has failed; `send_all` then blocks or raises the error.
+        """
 
 
 class SendBatch:
-    """The send queues that a turn of the event loop put frames into, flushed at its end, in one write each.
+    """Collects the send queues used during a turn of the event loop and flushes each once at its end.
 
-    A writer woken for every frame costs a busy instance a fifth of its rate.
+    Waking a writer for every frame costs a busy instance a fifth of its throughput.
     """
 
     def __init__(self) -> None:
@@ -117,27 +124,28 @@
         self._queues: list[SendQueue] = []
 
     def begin(self) -> None:
-        """A turn begins: frames are held back until its end."""
+        """Starts a turn: frames are collected until its end."""
         self._is_open = True
 
     def end(self) -> None:
-        """The turn is over: its frames leave."""
+        """Ends the turn and flushes its send queues."""
         self._is_open = False
         queues, self._queues = self._queues, []
         for queue in queues:
             queue.flush()
 
     def collect(self, queue: SendQueue) -> bool:
-        """Whether a turn is under way; its end then flushes `queue`."""
+        """Registers `queue` to be flushed at the end of the turn; returns False if no turn is in progress."""
         if self._is_open:
             self._queues.append(queue)
         return self._is_open
 
 
 class SendQueue:
-    """Frames for one stream. One with a key may still be withdrawn until it is handed to the stream.
+    """Frames for one stream. A frame with a key can be withdrawn until it is passed to the stream.
 
-    What the stream has been handed and not yet taken is `in_flight`; only closing the connection stops that.
+    `in_flight` holds the frames passed to the stream and not yet accepted by it; only closing the connection
+    keeps those from being sent.
     """
 
     def __init__(self, max_bytes: int, batch: SendBatch | None = None) -> None:
@@ -153,24 +161,24 @@
         self.in_flight: Mapping[Hashable, tuple[bytes, SentCallback | None]] = {}
 
     def put(self, frame: bytes, key: Hashable | None = None, on_sent: SentCallback | None = None) -> None:
-        """Queues a frame; `on_sent` is called once the stream has taken it.
+        """Queues a frame; `on_sent` is called once the stream has accepted it.
 
-        SendQueueFullError, and nothing is kept of the frame, where too many bytes wait already.
+        Raises SendQueueFullError, without queueing the frame, if that would exceed the limit of queued bytes.
         """
         if self._queued_bytes + len(frame) > self._max_bytes:
-            raise SendQueueFullError(f"{self._queued_bytes} bytes wait already")
+            raise SendQueueFullError(f"{self._queued_bytes} bytes are already queued")
         self._last_key += 1
         self._queued[key if key is not None else self._last_key] = frame, on_sent
         self._queued_bytes += len(frame)
         if self._writer_wakeup is None or self._is_in_batch:
-            return  # its writer looks again before it waits
+            return  # the writer checks the queue again before it waits
         if self._stream is not None and self._batch is not None:
             self._is_in_batch = self._batch.collect(self)
         if not self._is_in_batch:
             self._writer_wakeup.set()
 
     def flush(self) -> None:
-        """At a turn's end: what the stream takes at once leaves, the rest wakes the writer."""
+        """Sends what the stream accepts without blocking, and wakes the writer to send the rest."""
         self._is_in_batch = False
         if self._writer_wakeup is None or self._stream is None or not self._queued:
             return
@@ -178,7 +186,7 @@
         taken = self._stream.send_now(data)
         if taken < len(data):
             self._writer_wakeup.set()
-        if taken:  # of what it took nothing of, all may still be withdrawn
+        if taken:  # if the stream accepted no byte, all frames can still be withdrawn
             batch, self._unsent = self._take_batch(), data[taken:]
             if not self._unsent:
                 self._on_batch_sent(batch)
@@ -195,7 +203,7 @@
                 on_sent()
 
     def withdraw(self, key: Hashable) -> bool:
-        """Whether the frame was still here; it will not leave any more."""
+        """Removes a queued frame; returns False if it was already passed to the stream."""
         found = self._queued.pop(key, None)
         if found is not None:
             self._queued_bytes -= len(found[0])
@@ -203,15 +211,15 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether the stream has taken all that was put here."""
+        """Whether the stream has accepted all frames."""
         return not (self._queued or self.in_flight or self._unsent)
 
     def is_queued(self, key: Hashable) -> bool:
-        """Whether the frame of that key may still be withdrawn."""
+        """Whether the frame with this key can still be withdrawn."""
         return key in self._queued
 
     async def run(self, stream: trio.abc.SendStream) -> None:
-        """Writes what comes until cancelled; raises the stream's own errors."""
+        """Writes queued frames until cancelled; raises the stream's errors."""
         self._stream = stream if isinstance(stream, NonBlockingStream) else None
         while True:
             if self._unsent:
--- a/valverouter/edge/server_links.py
+++ b/valverouter/edge/server_links.py
@@ -1,4 +1,4 @@
-"""The links to every listed server: made, taken out of service and closed as the endpoint list tells."""
+"""The links to all listed servers: made, taken out of service and closed according to the endpoint list."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class ServerLinks:
-    """A link for each server in service, by name in `by_server`, until the endpoint list removes it."""
+    """The links by server name in `by_server`; a link stays until the endpoint list removes its server."""
 
     def __init__(self, context: ProxyContext, source: EndpointSource) -> None:
-        """`source` holds the endpoint list as last received."""
+        """`source` holds the last received endpoint list."""
         self.by_server: dict[str, ServerLink] = {}
-        # Links to servers that are gone from the list; each is closed once nothing is open on it.
+        # Links to servers removed from the endpoint list; each is closed once no attempt is open on it.
         self.leaving: set[ServerLink] = set()
         self.incarnations = IncarnationTracker(context.config.deployment.slow_start_duration)
-        # Runs a link's task; set once the proxy runs.
+        # Starts a link's task; set when the proxy starts running.
         self.start_task: Callable[[ServerLink], None] | None = None
         self._context = context
         self._source = source
 
     @property
     def any_is_up(self) -> bool:
-        """Whether a server can be sent to."""
+        """Whether at least one server in service can be sent attempts."""
         return any(link.in_service and link.is_up for link in self.by_server.values())
 
     def make_link(self, server: str, address: str) -> ServerLink:
-        """A link that is not yet connected."""
+        """Creates a link that is not yet connected."""
         context = self._context
         return ServerLink(
             server,
@@ -50,7 +50,7 @@
         )
 
     def on_endpoint_update(self, update: EndpointUpdate) -> None:
-        """The endpoint list, or a change of it, was received."""
+        """Applies a complete endpoint list or an incremental update."""
         context = self._context
         is_complete = update.kind in (EndpointUpdateKind.COMPLETE, EndpointUpdateKind.CACHED)
         listed = {row.server for row in update.rows}
@@ -77,7 +77,7 @@
             self.incarnations.forget(row.server)
 
     def put_in_service(self, server: str, address: str) -> None:
-        """A server takes attempts at this address from here on."""
+        """Keeps or makes the link to a server in service at this address."""
         link = self.by_server.get(server)
         if link is not None and link.address == address and not link.has_ended:
             link.in_service = True
@@ -85,13 +85,13 @@
             return
         if link is not None:
             link.in_service = False
-            link.close("the list tells another address")
+            link.close("the server's address has changed")
         self.by_server[server] = link = self.make_link(server, address)
         assert self.start_task is not None
         self.start_task(link)
 
     def take_out_of_service(self, server: str, is_gone: bool) -> None:
-        """Draining or gone: from here on nothing new, also of what waits to be written."""
+        """Stops sending attempts to a draining or removed server, including those already queued."""
         link = self.by_server.get(server)
         if link is not None and is_gone:
             self.leaving.add(link)
@@ -100,10 +100,10 @@
             self._withdraw_all(link)
 
     def on_link_up(self, event: LinkUp) -> None:
-        """A server says who it is; a start that the list does not have yet counts from here.
+        """Checks a server's welcome; a restart that the endpoint list does not show yet takes effect now.
 
-        Attempts that wait for this link were decided for the process before: they go back to be decided
-        again, so that a fresh process does not receive what was meant for its previous incarnation.
+        Attempts queued on this link were routed to the server's previous incarnation. After a restart they
+        are withdrawn and routed again, so that the new incarnation does not receive them.
         """
         context, link, welcome = self._context, event.link, event.welcome
         if welcome.name != link.server:
@@ -122,12 +122,12 @@
         link.send_early_attempts()
 
     def _reject_misdirected(self, link: ServerLink, name: str) -> None:
-        """An address that another server took over.
+        """Closes a link whose address is now used by another server.
 
-        What we would send it for this one might break its drain, or push it over while it is warming up.
+        Attempts sent to that server might disturb its drain or overload it while it is warming up.
         """
         self._context.log.error("link-misdirected", server=link.server, address=link.address, answers_as=name)
-        link.close(f"{name!r} answers there")
+        link.close(f"server {name!r} answers at this address")
 
     def _withdraw_all(self, link: ServerLink) -> None:
         for dialog_id, attempt in list(link.attempts):
@@ -135,10 +135,10 @@
                 ended = AttemptEnded(dialog_id, attempt, link.server, Outcome.UNREACHABLE)
                 self._context.events.put(ended)
             elif link.is_partly_sent((dialog_id, attempt)):
-                link.close("a set-up is half out while the list says that it must not go")
+                link.close("a set-up was partly written when the server went out of service or restarted")
 
     def on_link_down(self, event: LinkDown) -> None:
-        """Forgets a link that is not made again; its attempts have been seen to."""
+        """Removes a link that does not reconnect; its attempts have already been ended."""
         link = event.link
         if link.is_final:
             self.leaving.discard(link)
@@ -146,7 +146,7 @@
                 del self.by_server[link.server]
 
     def close_idle_leaving(self) -> None:
-        """Closes the links to servers that are gone, where nothing is open any more."""
+        """Closes the links to removed servers on which no attempt is open."""
         for link in [link for link in self.leaving if not link.attempts]:
             self.leaving.discard(link)
-            link.close("gone from the list")
+            link.close("removed from the endpoint list")
--- a/valverouter/edge/signals.py
+++ b/valverouter/edge/signals.py
@@ -1,4 +1,4 @@
-"""The signals of a process that ends by itself: none is lost before the receiver, none kills behind it."""
+"""Signal handling for a graceful shutdown: no signal is lost before the receiver runs or kills after it."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 @contextmanager
 def receive_signals(*numbers: signal.Signals) -> Iterator[AsyncIterator[int]]:
-    """The signals that come from here on, by their numbers, for the main thread's trio run.
+    """Yields the numbers of signals received from here on, for the main thread's trio run.
 
-    Once closed, the process ignores them: it is ending, and with the default handlers, which trio gives back
-    and the interpreter's own end sets again, a second signal to stop killed it, its store not closed.
+    After the context has ended, the process ignores these signals, since it is shutting down. trio restores
+    the default handlers when its receiver closes, and so does the interpreter when it exits; with them, a
+    second stop signal killed the process before its dialog store was closed.
     """
     early: list[int] = []
     for number in numbers:
