--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""An edge proxy in memory with scripted peers: list service, servers and callers that do as the test says."""
+"""A test harness for the edge proxy in memory, with a scripted list service, servers and callers."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class Peer:
-    """One connection at the far end of the edge. `heard` keeps every message with its moment."""
+    """The peer's end of one connection to the edge proxy. `heard` records every message with its time."""
 
     def __init__(self, stream: trio.abc.Stream, session: Session) -> None:
         self.stream = stream
@@ -88,7 +88,7 @@
         self._stirred = trio.Event()
 
     async def next(self, kind: type | UnionType, within: float = 20.0) -> Any:
-        """The next message of a kind that no `next` has given yet; fails when it does not come in time."""
+        """Returns the next message of a kind that was not yet returned; fails if it does not come in time."""
         with trio.fail_after(within):
             while True:
                 while self._taken < len(self.heard):
@@ -109,7 +109,7 @@
 
 
 class FakeServer:
-    """A server that welcomes, and else does what the test sends on `link`."""
+    """A server that answers a Hello; everything else is sent by the test on `link`."""
 
     def __init__(self, rig: Rig, name: str, number: int, incarnation: int = 1, age: int = 10**15) -> None:
         self.rig = rig
@@ -139,7 +139,7 @@
                 await peer.cut()
 
     def stops_reading(self) -> None:
-        """Whatever the edge sends on this link from now on stays where it is."""
+        """From now on, what the edge proxy sends on the current link is not read."""
         self.link.reads = False
 
     def _react(self, message: Any) -> Any:
@@ -152,7 +152,7 @@
 
 
 class Rig:
-    """The network, the edge, its list service, and as many servers as asked for."""
+    """The network, the edge proxy, its list service and any number of servers."""
 
     def __init__(self, nursery: trio.Nursery, edge: EdgeConfig) -> None:
         self.nursery = nursery
@@ -201,7 +201,7 @@
             await self.edge.run(task_status)
 
     async def restart(self) -> None:
-        """The edge's process is killed and another started; what it held is gone, its files stay."""
+        """Kills the edge proxy's process and starts another; memory state is lost, files are kept."""
         self.scope.cancel()
         await trio.sleep(0.01)
         self.runtime = MemoryRuntime(self.network)
@@ -216,7 +216,7 @@
 async def rigged_as(
     sort: type[Sort], servers: int = 2, ini: str = INI, version: int = 1
 ) -> AsyncIterator[Sort]:
-    """An edge with its list and warm servers s0, s1 ... up, all links made."""
+    """Starts an edge proxy, its list service and warm servers s0, s1 ..., with all links up."""
     async with trio.open_nursery() as nursery:
         rig = sort(nursery, terms(ini))
         await nursery.start(rig.network.serve, "list:1", rig.serve_list)
--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -1,7 +1,7 @@
-"""Callers that have disconnected: no attempt begins for them, in whatever order their messages are read.
+"""Disconnected callers: no attempt is started for them, in whatever order events are read.
 
-On loopback sockets, where no turn of the instance begins before the test lets it: each bad order comes every
-time.
+The tests use loopback sockets and hold the edge proxy's event loop between turns, so that each bad order
+occurs in every run.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
 GOES = ["closes", "cancels"]
-# More messages than one turn takes.
+# More messages than one turn handles.
 CROWD = [f"{at:016x}" for at in range(1, 41)]
 
 
 @asynccontextmanager
 async def held(*names: str) -> AsyncIterator[tuple[Rig, Loopback]]:
-    """A rig on loopback, and its edge proxy's place."""
+    """Starts a harness on loopback sockets; yields it and the Loopback that holds the event loop."""
     async with relayed(*names, network=Loopback()) as rig:
         assert isinstance(rig.place, Loopback)
         yield rig, rig.place
@@ -35,7 +35,7 @@
 
 
 async def last_of_all(rig: Rig) -> None:
-    """One more caller's dialog has its answer: all that came before it has had its turn by then."""
+    """Returns once one more caller is answered; all earlier events have been handled by then."""
     client = await rig.client()
     await client.ask(LAST)
     await rig.until(lambda: [id_ for _, id_, _ in client.said] == [LAST])
@@ -47,7 +47,7 @@
 
 
 async def asks(client: Client, ids: list[str], rig: Rig) -> None:
-    """Sends set-ups; returns once all lie in the inbox."""
+    """Sends set-ups; returns once all are in the event queue."""
     before = len(rig.edge.context.events)
     for id_ in ids:
         await client.ask(id_)
@@ -55,7 +55,7 @@
 
 
 async def refused_once(rig: Rig, place: Loopback, client: Client) -> None:
-    """The first server is full for A, which then waits to be tried again; no turn begins from here on."""
+    """The first server rejects A, which then waits for its retry; the event loop is held from here on."""
     server = rig.servers["s0"]
     server.answers = False
     await client.ask(A)
@@ -69,7 +69,7 @@
 
 
 async def unread(rig: Rig, client: Client) -> None:
-    """Closes a connection whose reader waits for room, behind its own set-ups: the kernel has the close."""
+    """Closes a connection whose reader waits for space in the queue, so the close stays in the kernel."""
     caller = next(one for one in rig.edge.connected._useful if one.pending_setups)
     await client.ask(B)
     await client.stream.aclose()
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("how", GOES)
 async def test_who_leaves_in_a_retry_pause_gets_no_further_attempt(how: str) -> None:
-    # His word comes behind other callers' words, more than one turn takes, when the pause ends.
+    # When the retry delay ends, the caller's message is queued behind more messages than one turn handles.
     async with held() as (rig, place):
         client, crowd = await rig.client(), await rig.client()
         await refused_once(rig, place, client)
@@ -148,7 +148,7 @@
         await asks(crowd, CROWD[:5], rig)
         await client.ask(A)
         await goes(client, A, how)
-        # The set-up and the word on it are both here, though the inbox is full.
+        # The set-up and its cancel or close are both queued, though the event queue is full.
         await rig.until(lambda: len(rig.edge.context.events) == 7)
         place.go()
         await last_of_all(rig)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge proxy's hard cases, each caused by scripted peers in virtual time."""
+"""Races, failures and overload of the edge proxy, caused by scripted peers in virtual time."""
 
 from __future__ import annotations
 
@@ -60,10 +60,10 @@
 async def test_a_release_behind_a_cancel_costs_no_other_dialog_of_the_connection(
     autojump_clock: MockClock,
 ) -> None:
-    """The edge proxy ended the connection over it, and cut the 20 dialogs that stood there.
+    """Guards against a Release after a Cancel that ends the connection and cuts its 20 established dialogs.
 
-    The caller's session let the Release out although the set-up was only cancelled. It is refused where it
-    would be sent now; who sends it all the same, past any session, still breaks the protocol.
+    The caller's session sent the Release although the set-up was only cancelled. The session now refuses to
+    send it; a caller that sends it without a session still violates the protocol.
     """
     async with rigged() as rig:
         caller, server = await rig.caller(), rig.servers["s0"].link
@@ -106,7 +106,7 @@
             return
         again = await rig.servers["s1"].link.next(Setup)
         assert again.leg == 1
-        assert rig.servers["s1"].link.at(Setup) >= lost_at + 0.3, "the release time counts from the reset"
+        assert rig.servers["s1"].link.at(Setup) >= lost_at + 0.3, "the release delay counts from the reset"
         await rig.servers["s1"].link.send(Established("d1", 1))
         await caller.next(Established)
         assert len(finals(caller)) == 1
@@ -116,8 +116,8 @@
     ("late_ns", "may"), [(-MS, [Established]), (0, [Established, Failed]), (50 * MS, [Failed])]
 )
 async def test_stands_at_the_no_answer_time(autojump_clock: MockClock, late_ns: int, may: list[type]) -> None:
-    # The decisions' time ends 50 ms, the answer margin, before the caller's. At the very instant either may
-    # come first; whichever does is the one answer, and a leg that was given up is cancelled.
+    # The driver's deadline is 50 ms, the answer margin, before the caller's. At that very instant either
+    # answer may come first; the first is the only one, and after a Failed the leg is cancelled.
     async with rigged() as rig:
         caller = await rig.caller()
         dialled = trio.current_time()
@@ -174,7 +174,7 @@
             await caller.cut()
             assert await link.next(Release if when == "stands" else Cancel)
             await trio.sleep(0.1)
-            assert len(link.all(Release)) == (when == "stands"), "let go once"
+            assert len(link.all(Release)) == (when == "stands"), "released once"
         await trio.sleep(1)
         assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
         assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
@@ -190,7 +190,7 @@
         await link.next(Setup)
         await link.send(Full("d1"))
         assert isinstance(link.session, setup.SetupSession)
-        link.session.legs["d1", 0] = setup.LegPhase.OPEN  # a server that lost count
+        link.session.legs["d1", 0] = setup.LegPhase.OPEN  # a server that lost track of its legs
         await link.send(Established("d1"))
         again = await rig.servers["s1"].link.next(Setup)
         await rig.servers["s1"].link.send(Established("d1", again.leg))
@@ -198,12 +198,12 @@
         assert len(finals(caller)) == 1
         assert rig.servers["s1"].link.ended is None
         await trio.sleep(5)
-        assert link.ended is not None, "it is connected again"
-        assert len(rig.servers["s0"].links) == 2, "it is connected again"
+        assert link.ended is not None, "the link reconnected"
+        assert len(rig.servers["s0"].links) == 2, "the link reconnected"
 
 
 async def test_a_late_stands_after_a_cancel_is_not_used(autojump_clock: MockClock) -> None:
-    # The leg was overtaken and cancelled; its own Stands comes while the dialog waits its release time out.
+    # The leg was overtaken and cancelled; its Established arrives during the dialog's release delay.
     async with rigged() as rig:
         caller = await rig.caller()
         link, other = rig.servers["s0"].link, rig.servers["s1"].link
@@ -243,7 +243,7 @@
             far, rig.edge.context.driver.policy.now
         )
         assert 0.35 < share < 0.6
-        await rig.tell(server.row())  # the list's own word of that start, late: no second fresh start
+        await rig.tell(server.row())  # the list's late update about that restart starts no second slow start
         assert rig.edge.context.driver.policy.table.servers["s0"] is far
 
 
@@ -256,7 +256,7 @@
         server = rig.servers["s0"]
         assert link._send_queue is not None
         held = link._send_queue
-        waits, held._writer_wakeup = held._writer_wakeup, trio.Event()  # the writer sleeps on
+        waits, held._writer_wakeup = held._writer_wakeup, trio.Event()  # the writer is not woken
         await caller.send(dial())
         await trio.sleep(0.01)
         assert held.is_queued(("d1", 0))
@@ -277,7 +277,7 @@
         server, link = rig.servers["s0"], rig.edge.links.by_server["s0"]
         server.stops_reading()
         assert link._send_queue is not None
-        # More than the stream takes: the writer blocks.
+        # More than the stream's buffer holds, so the writer blocks.
         link._send_queue.put(bytes(3 * STREAM_BUFFER_SIZE), key="filler")
         await caller.send(dial())
         await trio.sleep(0.01)
@@ -330,18 +330,21 @@
 async def test_what_came_during_a_stop_has_no_more_time_than_its_caller_may_have_left(
     autojump_clock: MockClock,
 ) -> None:
-    """Found by courses of stops: reckoned from the wake, a stand was told after its caller's time."""
+    """Guards against an Established sent after the caller's deadline.
+
+    It came about when the time was counted from the end of a stall. Found by runs with random stalls.
+    """
     async with rigged(1) as rig:
         caller = await rig.caller()
         rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.5)
         await caller.send(dial(no_answer=5 * SECOND))
         asked = await rig.servers["s0"].link.next(setup.Setup)
-        assert asked.time_left <= 2 * SECOND, "it may have come when the stop began"
+        assert asked.time_left <= 2 * SECOND, "it may have arrived when the stall began"
         await trio.sleep(5)
         await caller.send(dial("d2", no_answer=5 * SECOND))
         asked = await rig.servers["s0"].link.next(setup.Setup)
-        assert asked.time_left > 4 * SECOND, "and what comes later has its whole time"
+        assert asked.time_left > 4 * SECOND, "a set-up after the stall has its full time"
 
 
 async def test_a_stall_of_the_edge_hears_the_list_before_it_sends(autojump_clock: MockClock) -> None:
@@ -428,7 +431,7 @@
         await rig.restart()
         await trio.sleep(0.1)
         assert set(rig.edge.context.driver.policy.table.servers) == {"s1"}, (
-            "a draining server is not sent to after a start"
+            "a draining server is not used after a restart"
         )
         caller = await rig.caller()
         await caller.send(dial())
@@ -438,13 +441,13 @@
 
 async def test_list_gaps_are_healed_and_leaving_servers_heeded_at_once(autojump_clock: MockClock) -> None:
     async with rigged(3) as rig:
-        rig.register.change([rig.servers["s1"].row("gone")])  # lost on the way
+        rig.register.change([rig.servers["s1"].row("gone")])  # this update is lost
         change = rig.register.change([rig.servers["s2"].row("draining")])
         assert rig.list is not None
         await rig.list.send(change)
         await trio.sleep(0.05)
         fars = rig.edge.context.driver.policy.table.servers
-        assert set(fars) == {"s0"}, "the gap is healed by a snapshot; s2 left at once"
+        assert set(fars) == {"s0"}, "a snapshot closes the gap; s2 is removed at once"
         assert rig.edge.source.replica.gap_count == 1
 
 
@@ -539,7 +542,7 @@
         await nursery.start(rig.run_edge)
         await trio.sleep(3)
         tries = rig.edge.source.tries
-        assert tries >= 2, "asked again after full-jitter waits"
+        assert tries >= 2, "requested again after full-jitter delays"
         await rig.server("s0", 0)
         rig.register.change([rig.servers["s0"].row()])
         await nursery.start(rig.network.serve, "list:1", rig.serve_list)
@@ -568,7 +571,8 @@
 
 
 async def test_an_id_used_again_while_its_last_attempt_is_cancelled(autojump_clock: MockClock) -> None:
-    # Found by a load whose callers came back under the same ids: the second leg 0 met the first on its link.
+    # Found by a load test whose callers reconnected and reused their dialog ids: the second leg 0 collided
+    # with the first one on the same link.
     async with rigged() as rig:
         first = await rig.caller("first")
         await first.send(dial())
@@ -613,7 +617,7 @@
 
 
 class Reluctant(trio.abc.SendStream):
-    """Takes so many bytes without a wait, as a socket with little room does."""
+    """Accepts `room` bytes without blocking, like a socket whose send buffer is nearly full."""
 
     def __init__(self, room: int) -> None:
         self.room = room
@@ -650,9 +654,8 @@
         assert not stream.got
         departures.end()
         assert bool(left) == (room == 100)
-        assert outbox.is_queued("a") == (
-            room == 0
-        )  # of what the stream took nothing of, all may be withdrawn
+        # If the stream accepted no byte, all frames can still be withdrawn.
+        assert outbox.is_queued("a") == (room == 0)
         outbox.put(b"third")
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
@@ -669,7 +672,7 @@
     bulk = bytes(range(256)) * 20_000
     assert near.send_now(b"now") == 3
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(near.send_all, bulk)  # more than the kernel holds: it must wait
+        nursery.start_soon(near.send_all, bulk)  # more than the kernel's buffer holds, so it blocks
         got = bytearray()
         with trio.fail_after(5):
             while len(got) < len(bulk) + 3:
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -1,4 +1,4 @@
-"""An edge proxy whose process stands still for seconds, as a paused machine does: SIGSTOP, then SIGCONT."""
+"""An edge proxy whose process is stopped for seconds, as on a paused machine: SIGSTOP, then SIGCONT."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from valverouter.terms import platform
 
 B = "b" * 16
-# Longer than a new connection may say nothing of use.
+# Longer than the time that a new connection has for its first valid request.
 STOP_S = platform.REQUEST_TIMEOUT / 1e9 + 0.3
 
 
 @asynccontextmanager
 async def platform_process(folder: Path, answers: bool = True) -> AsyncIterator[Drill]:
-    """The platform's edge proxy with two core servers, all connections up."""
+    """Starts the platform's edge proxy with two core servers and all connections up."""
     async with drill(folder, servers=0) as one:
         far = Far(one.nursery)
         bus_at = await one.nursery.start(far.network.serve, "127.0.0.1:0", far.bus.serve)
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def stopped(one: Drill, for_s: float) -> AsyncIterator[None]:
-    """What is sent inside lies unread until the process has been stopped for so long."""
+    """Stops the process for `for_s` seconds; what is sent in the block stays unread until then."""
     one.process.send_signal(signal.SIGSTOP)
     began = trio.current_time()
     try:
@@ -56,10 +56,10 @@
 
 
 async def test_a_new_connection_whose_first_set_up_lay_unread_keeps_it(tmp_path: Path) -> None:
-    """The set-up was read, and its connection closed behind it without an answer.
+    """Guards against closing a connection without an answer after its first set-up was read.
 
-    The limit for new connections that say nothing of use had passed during the stop, and cancelled the task
-    that was just handling what had come in time (`caller-refused kind=silent`).
+    The time limit for a new connection's first valid request passed during the stop and cancelled the task
+    while it handled a set-up that had arrived in time (`caller-refused kind=silent`).
     """
     async with platform_process(tmp_path) as one:
         stream = await SocketRuntime().connect(one.address)
@@ -96,9 +96,10 @@
 
 
 async def test_a_set_up_that_lay_unread_has_its_answer_within_its_caller_s_time(tmp_path: Path) -> None:
-    """Its time began anew with the wake: the answer came 1.4 s after its caller had given up.
+    """Guards against counting a set-up's time from the end of the stop.
 
-    The platform's callers tell when their bytes were read, which went before what is known of a stop.
+    The answer came 1.4 s after the caller's deadline: the platform's caller connections pass on when a
+    message's bytes were read, and that time took precedence over the known start of the stop.
     """
     left_s = 2.0
     async with platform_process(tmp_path, answers=False) as one:
@@ -110,16 +111,16 @@
         with trio.fail_after(10):
             (answer,) = isup.MessageReader().feed(await stream.receive_some())
         assert (answer.type, answer.id) == (isup.REL, B)
-        # The platform's slack on every time limit.
+        # The platform allows 50 ms of slack on every time limit.
         assert trio.current_time() - sent_at <= left_s + 0.05
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 async def test_signals_to_stop_in_series_end_the_process_by_itself(tmp_path: Path, number: int) -> None:
-    """One that came while the process was ending killed it: -15 or -2, its store not closed.
+    """Guards against a second signal that kills the process (-15 or -2) before its store is closed.
 
-    trio gives the former handlers back as its receiver closes, and the interpreter's own end comes behind.
-    Found by the soak, seeds 21 and 24, two of 60 courses.
+    trio restores the former handlers when its receiver closes, and so does the interpreter when it exits.
+    Found by the soak in two of 60 runs, seeds 21 and 24.
     """
     for at in range(3):
         (folder := tmp_path / str(at)).mkdir()
