--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -17,24 +17,24 @@
 from valverouter.relayedge.link import CONNECTIONS
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
-GOES = ["closes", "cancels"]
+LEAVING = ["closes", "cancels"]
 # More messages than one turn handles.
-CROWD = [f"{at:016x}" for at in range(1, 41)]
+OTHER_IDS = [f"{at:016x}" for at in range(1, 41)]
 
 
 @asynccontextmanager
-async def held(*names: str) -> AsyncIterator[tuple[Rig, Loopback]]:
+async def loopback_harness(*names: str) -> AsyncIterator[tuple[Rig, Loopback]]:
     """Starts a harness on loopback sockets; yields it and the Loopback that holds the event loop."""
     async with relayed(*names, network=Loopback()) as rig:
         assert isinstance(rig.place, Loopback)
         yield rig, rig.place
 
 
-async def goes(client: Client, id_: str, how: str) -> None:
+async def leave(client: Client, id_: str, how: str) -> None:
     await (client.stream.aclose() if how == "closes" else client.release(id_))
 
 
-async def last_of_all(rig: Rig) -> None:
+async def all_handled(rig: Rig) -> None:
     """Returns once one more caller is answered; all earlier events have been handled by then."""
     client = await rig.client()
     await client.ask(LAST)
@@ -42,11 +42,11 @@
     await trio.sleep(0.02)
 
 
-def set_ups(rig: Rig) -> list[str]:
+def sent_set_ups(rig: Rig) -> list[str]:
     return [id_ for server in rig.servers.values() for id_ in server.of("setup")]
 
 
-async def asks(client: Client, ids: list[str], rig: Rig) -> None:
+async def queue_set_ups(client: Client, ids: list[str], rig: Rig) -> None:
     """Sends set-ups; returns once all are in the event queue."""
     before = len(rig.edge.context.events)
     for id_ in ids:
@@ -54,7 +54,7 @@
     await rig.until(lambda: len(rig.edge.context.events) == before + len(ids))
 
 
-async def refused_once(rig: Rig, place: Loopback, client: Client) -> None:
+async def reject_first_attempt(rig: Rig, place: Loopback, client: Client) -> None:
     """The first server rejects A, which then waits for its retry; the event loop is held from here on."""
     server = rig.servers["s0"]
     server.answers = False
@@ -68,7 +68,7 @@
     place.hold()
 
 
-async def unread(rig: Rig, client: Client) -> None:
+async def close_unread(rig: Rig, client: Client) -> None:
     """Closes a connection whose reader waits for space in the queue, so the close stays in the kernel."""
     caller = next(one for one in rig.edge.connected._useful if one.pending_setups)
     await client.ask(B)
@@ -78,86 +78,86 @@
     assert B not in caller.pending_setups
 
 
-@pytest.mark.parametrize("how", GOES)
-async def test_who_left_before_his_set_up_had_its_turn_is_not_sent_on(how: str) -> None:
-    async with held() as (rig, place):
-        client, crowd = await rig.client(), await rig.client()
+@pytest.mark.parametrize("how", LEAVING)
+async def test_no_attempt_for_a_caller_that_left_before_its_set_up_was_handled(how: str) -> None:
+    async with loopback_harness() as (rig, place):
+        client, others = await rig.client(), await rig.client()
         place.hold()
-        await asks(client, [A], rig)
-        await asks(crowd, CROWD, rig)
-        await goes(client, A, how)
-        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD) + 2)
+        await queue_set_ups(client, [A], rig)
+        await queue_set_ups(others, OTHER_IDS, rig)
+        await leave(client, A, how)
+        await rig.until(lambda: len(rig.edge.context.events) == len(OTHER_IDS) + 2)
         place.go()
-        await last_of_all(rig)
-        assert A not in set_ups(rig)
+        await all_handled(rig)
+        assert A not in sent_set_ups(rig)
         assert A not in rig.edge.dialogs.entries
         assert not client.said
 
 
-async def test_a_close_that_nobody_has_read_is_seen_before_the_first_attempt() -> None:
-    async with held() as (rig, place):
+async def test_an_unread_close_is_detected_before_the_first_attempt() -> None:
+    async with loopback_harness() as (rig, place):
         client = await rig.client()
         place.hold()
         rig.edge.context.events._capacity = 1
-        await asks(client, CROWD[:MAX_PENDING_SETUPS], rig)
-        await unread(rig, client)
+        await queue_set_ups(client, OTHER_IDS[:MAX_PENDING_SETUPS], rig)
+        await close_unread(rig, client)
         place.go()
-        await last_of_all(rig)
-        assert set_ups(rig) == [LAST]
+        await all_handled(rig)
+        assert sent_set_ups(rig) == [LAST]
         assert set(rig.edge.dialogs.entries) == {LAST}
 
 
-async def test_a_close_that_nobody_has_read_is_seen_before_a_further_attempt() -> None:
-    async with held() as (rig, place):
+async def test_an_unread_close_is_detected_before_a_retry() -> None:
+    async with loopback_harness() as (rig, place):
         client = await rig.client()
-        await refused_once(rig, place, client)
+        await reject_first_attempt(rig, place, client)
         rig.edge.context.events._capacity = 1
-        await asks(client, CROWD[:MAX_PENDING_SETUPS], rig)
-        await unread(rig, client)
+        await queue_set_ups(client, OTHER_IDS[:MAX_PENDING_SETUPS], rig)
+        await close_unread(rig, client)
         await trio.sleep(0.25)  # past the longest first retry wait
         place.go()
-        await last_of_all(rig)
-        assert set_ups(rig) == [A, LAST]
+        await all_handled(rig)
+        assert sent_set_ups(rig) == [A, LAST]
         assert set(rig.edge.dialogs.entries) == {LAST}
 
 
-@pytest.mark.parametrize("how", GOES)
-async def test_who_leaves_in_a_retry_pause_gets_no_further_attempt(how: str) -> None:
+@pytest.mark.parametrize("how", LEAVING)
+async def test_no_retry_for_a_caller_that_left_during_the_retry_delay(how: str) -> None:
     # When the retry delay ends, the caller's message is queued behind more messages than one turn handles.
-    async with held() as (rig, place):
-        client, crowd = await rig.client(), await rig.client()
-        await refused_once(rig, place, client)
-        for id_ in CROWD:
-            await crowd.release(id_)
-        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD))
-        await goes(client, A, how)
-        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD) + 1)
+    async with loopback_harness() as (rig, place):
+        client, others = await rig.client(), await rig.client()
+        await reject_first_attempt(rig, place, client)
+        for id_ in OTHER_IDS:
+            await others.release(id_)
+        await rig.until(lambda: len(rig.edge.context.events) == len(OTHER_IDS))
+        await leave(client, A, how)
+        await rig.until(lambda: len(rig.edge.context.events) == len(OTHER_IDS) + 1)
         await trio.sleep(0.25)  # past the longest first retry wait
         place.go()
-        await last_of_all(rig)
-        assert set_ups(rig).count(A) == 1
+        await all_handled(rig)
+        assert sent_set_ups(rig).count(A) == 1
         assert A not in rig.edge.dialogs.entries
 
 
-@pytest.mark.parametrize("how", GOES)
-async def test_a_full_event_queue_keeps_no_one_s_leaving_unread(how: str) -> None:
-    async with held() as (rig, place):
-        client, crowd = await rig.client(), await rig.client()
+@pytest.mark.parametrize("how", LEAVING)
+async def test_a_full_event_queue_does_not_delay_a_cancel_or_close(how: str) -> None:
+    async with loopback_harness() as (rig, place):
+        client, others = await rig.client(), await rig.client()
         place.hold()
         rig.edge.context.events._capacity = 4
-        await asks(crowd, CROWD[:5], rig)
+        await queue_set_ups(others, OTHER_IDS[:5], rig)
         await client.ask(A)
-        await goes(client, A, how)
+        await leave(client, A, how)
         # The set-up and its cancel or close are both queued, though the event queue is full.
         await rig.until(lambda: len(rig.edge.context.events) == 7)
         place.go()
-        await last_of_all(rig)
-        assert A not in set_ups(rig)
+        await all_handled(rig)
+        assert A not in sent_set_ups(rig)
 
 
-@pytest.mark.parametrize("how", GOES)
-async def test_who_leaves_during_a_dial_leaves_nothing_for_it(how: str) -> None:
-    async with held("s0") as (rig, place):
+@pytest.mark.parametrize("how", LEAVING)
+async def test_no_attempt_for_a_caller_that_left_while_the_link_connected(how: str) -> None:
+    async with loopback_harness("s0") as (rig, place):
         server, client = rig.servers["s0"], await rig.client()
         place.dials["s0:1"] = trio.Event()
         await server.reset()
@@ -165,15 +165,15 @@
         await rig.until(lambda: getattr(link, "_connecting") == CONNECTIONS)  # noqa: B009
         await client.ask(A)
         await rig.until(lambda: A in rig.edge.dialogs.entries and rig.edge.dialogs.entries[A].attempt == 0)
-        await goes(client, A, how)
+        await leave(client, A, how)
         await rig.until(lambda: not rig.edge.dialogs.entries)
         place.dials.pop("s0:1").set()
-        await last_of_all(rig)
-        assert set_ups(rig) == [LAST]
+        await all_handled(rig)
+        assert sent_set_ups(rig) == [LAST]
 
 
-async def test_an_established_dialog_is_released_though_its_caller_s_word_overtakes_the_answer() -> None:
-    async with held("s0") as (rig, place):
+async def test_an_established_dialog_is_released_though_the_callers_release_overtakes_the_answer() -> None:
+    async with loopback_harness("s0") as (rig, place):
         server, client = rig.servers["s0"], await rig.client()
         server.answers = False
         await client.ask(A)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -34,20 +34,20 @@
     Setup,
 )
 
-FINAL = (Established, Rejected, Failed)
+FINAL_ANSWERS = (Established, Rejected, Failed)
 
 
-def finals(peer: Any) -> list[Any]:
-    return [message for _, message in peer.heard if isinstance(message, FINAL)]
+def final_answers(peer: Any) -> list[Any]:
+    return [message for _, message in peer.heard if isinstance(message, FINAL_ANSWERS)]
 
 
-async def test_a_dialog_there_and_back(autojump_clock: MockClock) -> None:
+async def test_a_dialog_from_setup_to_release(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
-        asked = await rig.servers["s0"].link.next(Setup)
-        assert (asked.dialog, asked.leg, asked.traffic_type) == ("d1", 0, "plain")
-        assert 8 * SECOND < asked.time_left <= 9 * SECOND
+        request = await rig.servers["s0"].link.next(Setup)
+        assert (request.dialog, request.leg, request.traffic_type) == ("d1", 0, "plain")
+        assert 8 * SECOND < request.time_left <= 9 * SECOND
         await rig.servers["s0"].link.send(Provisional("d1"), Established("d1"))
         assert (await caller.next(Established)).server == "s0"
         await caller.send(Release("d1"))
@@ -57,7 +57,7 @@
         assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
 
 
-async def test_a_release_behind_a_cancel_costs_no_other_dialog_of_the_connection(
+async def test_a_release_after_a_cancel_does_not_end_other_dialogs_of_the_connection(
     autojump_clock: MockClock,
 ) -> None:
     """Guards against a Release after a Cancel that ends the connection and cuts its 20 established dialogs.
@@ -89,51 +89,55 @@
         assert rig.edge.established_dialogs == 0
 
 
-@pytest.mark.parametrize("said", [[], [Provisional("d1")], [Provisional("d1"), Established("d1")]])
-async def test_a_server_drops_its_line_mid_attempt(autojump_clock: MockClock, said: list[Any]) -> None:
+@pytest.mark.parametrize("answers", [[], [Provisional("d1")], [Provisional("d1"), Established("d1")]])
+async def test_a_server_connection_lost_during_an_attempt(
+    autojump_clock: MockClock, answers: list[Any]
+) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         link = rig.servers["s0"].link
         await link.next(Setup)
-        if said:
-            await link.send(*said)
+        if answers:
+            await link.send(*answers)
         lost_at = trio.current_time()
         await link.cut()
-        if Established("d1") in said:
+        if Established("d1") in answers:
             assert await caller.next(Established)
             assert (await caller.next(Ended)).reason == "cut"
             return
-        again = await rig.servers["s1"].link.next(Setup)
-        assert again.leg == 1
+        retry = await rig.servers["s1"].link.next(Setup)
+        assert retry.leg == 1
         assert rig.servers["s1"].link.at(Setup) >= lost_at + 0.3, "the release delay counts from the reset"
         await rig.servers["s1"].link.send(Established("d1", 1))
         await caller.next(Established)
-        assert len(finals(caller)) == 1
+        assert len(final_answers(caller)) == 1
 
 
 @pytest.mark.parametrize(
-    ("late_ns", "may"), [(-MS, [Established]), (0, [Established, Failed]), (50 * MS, [Failed])]
+    ("late_ns", "allowed"), [(-MS, [Established]), (0, [Established, Failed]), (50 * MS, [Failed])]
 )
-async def test_stands_at_the_no_answer_time(autojump_clock: MockClock, late_ns: int, may: list[type]) -> None:
+async def test_established_at_the_deadline(
+    autojump_clock: MockClock, late_ns: int, allowed: list[type]
+) -> None:
     # The driver's deadline is 50 ms, the answer margin, before the caller's. At that very instant either
     # answer may come first; the first is the only one, and after a Failed the leg is cancelled.
     async with rigged() as rig:
         caller = await rig.caller()
-        dialled = trio.current_time()
+        sent_at = trio.current_time()
         await caller.send(dial(no_answer=2 * SECOND))
         link = rig.servers["s0"].link
         await link.next(Setup)
-        await trio.sleep_until(dialled + 1.95 + late_ns / 1e9)
+        await trio.sleep_until(sent_at + 1.95 + late_ns / 1e9)
         await link.send(Established("d1"))
         await trio.sleep(1)
-        (answer,) = finals(caller)
-        assert type(answer) in may
-        assert caller.at(type(answer)) < dialled + 2
+        (answer,) = final_answers(caller)
+        assert type(answer) in allowed
+        assert caller.at(type(answer)) < sent_at + 2
         assert bool(link.all(Cancel)) == isinstance(answer, Failed)
 
 
-async def test_cancel_crossing_stands(autojump_clock: MockClock) -> None:
+async def test_a_cancel_that_crosses_established(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -145,14 +149,14 @@
         assert await link.next(Cancel)
         await link.send(Ended("d1", reason="released"))
         await trio.sleep(0.1)
-        kinds = [type(message) for message in finals(caller)]
+        kinds = [type(message) for message in final_answers(caller)]
         assert kinds in ([Failed], [Established])
         assert rig.edge.open_dialogs == 0
         assert link.ended is None
 
 
-@pytest.mark.parametrize("when", ["before", "during", "stands"])
-async def test_a_caller_gone(autojump_clock: MockClock, when: str) -> None:
+@pytest.mark.parametrize("when", ["before", "during", "established"])
+async def test_a_caller_that_disconnects(autojump_clock: MockClock, when: str) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         link = rig.servers["s0"].link
@@ -165,24 +169,24 @@
         else:
             await caller.send(dial())
             await link.next(Setup)
-            if when == "stands":
+            if when == "established":
                 await link.send(Established("d1"))
                 await caller.next(Established)
-            if when == "stands":
+            if when == "established":
                 await caller.send(Release("d1"))
                 await trio.sleep(0.01)
             await caller.cut()
-            assert await link.next(Release if when == "stands" else Cancel)
+            assert await link.next(Release if when == "established" else Cancel)
             await trio.sleep(0.1)
-            assert len(link.all(Release)) == (when == "stands"), "released once"
+            assert len(link.all(Release)) == (when == "established"), "released once"
         await trio.sleep(1)
         assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
-        assert not any(far.in_flight for far in rig.edge.context.driver.policy.table.servers.values())
+        assert not any(
+            server_state.in_flight for server_state in rig.edge.context.driver.policy.table.servers.values()
+        )
 
 
-async def test_an_answer_for_a_attempt_already_ended_costs_only_that_connection(
-    autojump_clock: MockClock,
-) -> None:
+async def test_an_answer_to_an_ended_attempt_closes_only_that_connection(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -192,17 +196,17 @@
         assert isinstance(link.session, setup.SetupSession)
         link.session.legs["d1", 0] = setup.LegPhase.OPEN  # a server that lost track of its legs
         await link.send(Established("d1"))
-        again = await rig.servers["s1"].link.next(Setup)
-        await rig.servers["s1"].link.send(Established("d1", again.leg))
+        retry = await rig.servers["s1"].link.next(Setup)
+        await rig.servers["s1"].link.send(Established("d1", retry.leg))
         await caller.next(Established)
-        assert len(finals(caller)) == 1
+        assert len(final_answers(caller)) == 1
         assert rig.servers["s1"].link.ended is None
         await trio.sleep(5)
         assert link.ended is not None, "the link reconnected"
         assert len(rig.servers["s0"].links) == 2, "the link reconnected"
 
 
-async def test_a_late_stands_after_a_cancel_is_not_used(autojump_clock: MockClock) -> None:
+async def test_a_late_established_after_a_cancel_is_ignored(autojump_clock: MockClock) -> None:
     # The leg was overtaken and cancelled; its Established arrives during the dialog's release delay.
     async with rigged() as rig:
         caller = await rig.caller()
@@ -215,39 +219,41 @@
         assert (await link.next(Cancel)).dialog == "d1"
         await link.send(Established("d1"))
         await link.send(Ended("d1", reason="released"))
-        again = await other.next(Setup)
-        assert (again.dialog, again.leg) == ("d1", 1)
+        retry = await other.next(Setup)
+        assert (retry.dialog, retry.leg) == ("d1", 1)
         assert other.at(Setup) >= link.at(Cancel) + 0.3
-        assert [message.dialog for message in finals(caller)] == ["d2"]
+        assert [message.dialog for message in final_answers(caller)] == ["d2"]
         await other.send(Established("d1", 1))
         await trio.sleep(0.01)
-        assert [message.dialog for message in finals(caller)] == ["d2", "d1"]
+        assert [message.dialog for message in final_answers(caller)] == ["d2", "d1"]
 
 
-async def test_a_server_that_restarts_under_its_id_is_cold_before_the_list_says_so(
+async def test_a_restarted_server_is_in_slow_start_before_the_list_reports_it(
     autojump_clock: MockClock,
 ) -> None:
     async with rigged(1) as rig:
         server = rig.servers["s0"]
-        far = rig.edge.context.driver.policy.table.servers["s0"]
+        server_state = rig.edge.context.driver.policy.table.servers["s0"]
         assert (
-            rig.edge.context.driver.policy.table.slow_start.fraction(far, rig.edge.context.driver.policy.now)
+            rig.edge.context.driver.policy.table.slow_start.fraction(
+                server_state, rig.edge.context.driver.policy.now
+            )
             == 1.0
         )
         server.incarnation, server.age = 2, 100 * MS
         await server.link.cut()
         await trio.sleep(3)
         assert len(server.links) == 2
-        far = rig.edge.context.driver.policy.table.servers["s0"]
-        share = rig.edge.context.driver.policy.table.slow_start.fraction(
-            far, rig.edge.context.driver.policy.now
+        server_state = rig.edge.context.driver.policy.table.servers["s0"]
+        fraction = rig.edge.context.driver.policy.table.slow_start.fraction(
+            server_state, rig.edge.context.driver.policy.now
         )
-        assert 0.35 < share < 0.6
+        assert 0.35 < fraction < 0.6
         await rig.tell(server.row())  # the list's late update about that restart starts no second slow start
-        assert rig.edge.context.driver.policy.table.servers["s0"] is far
+        assert rig.edge.context.driver.policy.table.servers["s0"] is server_state
 
 
-async def test_an_attempt_in_the_send_queue_does_not_leave_once_its_server_drains(
+async def test_an_attempt_in_the_send_queue_is_not_sent_once_its_server_drains(
     autojump_clock: MockClock,
 ) -> None:
     async with rigged() as rig:
@@ -255,23 +261,25 @@
         link = rig.edge.links.by_server["s0"]
         server = rig.servers["s0"]
         assert link._send_queue is not None
-        held = link._send_queue
-        waits, held._writer_wakeup = held._writer_wakeup, trio.Event()  # the writer is not woken
+        send_queue = link._send_queue
+        wakeup, send_queue._writer_wakeup = send_queue._writer_wakeup, trio.Event()  # the writer is not woken
         await caller.send(dial())
         await trio.sleep(0.01)
-        assert held.is_queued(("d1", 0))
+        assert send_queue.is_queued(("d1", 0))
         assert not server.link.all(Setup)
         await rig.tell(server.row("draining"))
-        assert waits is not None
-        waits.set()
-        again = await rig.servers["s1"].link.next(Setup)
-        assert again.leg == 1
+        assert wakeup is not None
+        wakeup.set()
+        retry = await rig.servers["s1"].link.next(Setup)
+        assert retry.leg == 1
         assert not server.link.all(Setup)
         await rig.servers["s1"].link.send(Established("d1", 1))
         await caller.next(Established)
 
 
-async def test_a_half_written_attempt_to_a_draining_server_costs_the_link(autojump_clock: MockClock) -> None:
+async def test_a_partly_written_attempt_to_a_draining_server_closes_the_link(
+    autojump_clock: MockClock,
+) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         server, link = rig.servers["s0"], rig.edge.links.by_server["s0"]
@@ -292,7 +300,7 @@
         assert not former.all(Setup)
 
 
-async def test_the_answer_leaves_in_time_though_a_link_write_blocks(autojump_clock: MockClock) -> None:
+async def test_an_answer_is_sent_in_time_though_a_link_write_blocks(autojump_clock: MockClock) -> None:
     async with rigged(1) as rig:
         caller = await rig.caller()
         link = rig.edge.links.by_server["s0"]
@@ -301,15 +309,15 @@
         await caller.send(dial("warm", no_answer=2 * SECOND))
         await trio.sleep(0.01)
         link._send_queue.put(bytes(3 * STREAM_BUFFER_SIZE))
-        dialled = trio.current_time()
+        sent_at = trio.current_time()
         await caller.send(dial(no_answer=2 * SECOND))
         await trio.sleep(3)
-        answers = {m.dialog: at for at, m in caller.heard if isinstance(m, FINAL)}
+        answers = {m.dialog: at for at, m in caller.heard if isinstance(m, FINAL_ANSWERS)}
         assert set(answers) == {"warm", "d1"}
-        assert answers["d1"] < dialled + 2
+        assert answers["d1"] < sent_at + 2
 
 
-async def test_servers_lost_at_once(autojump_clock: MockClock) -> None:
+async def test_all_servers_lost_at_once(autojump_clock: MockClock) -> None:
     async with rigged(3) as rig:
         caller = await rig.caller()
         for number in range(3):
@@ -319,15 +327,15 @@
             server.scope.cancel()
         lost_at = trio.current_time()
         await trio.sleep(10)
-        assert sorted(message.dialog for message in finals(caller)) == ["d0", "d1", "d2"]
-        assert all(isinstance(message, Rejected) and message.retry_after for message in finals(caller))
+        assert sorted(message.dialog for message in final_answers(caller)) == ["d0", "d1", "d2"]
+        assert all(isinstance(message, Rejected) and message.retry_after for message in final_answers(caller))
         await caller.send(dial("d9"))
         answer = await caller.next(Rejected)
         assert answer.dialog in ("d0", "d1", "d2", "d9")
         assert trio.current_time() > lost_at
 
 
-async def test_what_came_during_a_stop_has_no_more_time_than_its_caller_may_have_left(
+async def test_a_set_up_received_during_a_stall_gets_at_most_its_callers_remaining_time(
     autojump_clock: MockClock,
 ) -> None:
     """Guards against an Established sent after the caller's deadline.
@@ -339,15 +347,15 @@
         rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.5)
         await caller.send(dial(no_answer=5 * SECOND))
-        asked = await rig.servers["s0"].link.next(setup.Setup)
-        assert asked.time_left <= 2 * SECOND, "it may have arrived when the stall began"
+        request = await rig.servers["s0"].link.next(setup.Setup)
+        assert request.time_left <= 2 * SECOND, "it may have arrived when the stall began"
         await trio.sleep(5)
         await caller.send(dial("d2", no_answer=5 * SECOND))
-        asked = await rig.servers["s0"].link.next(setup.Setup)
-        assert asked.time_left > 4 * SECOND, "a set-up after the stall has its full time"
+        request = await rig.servers["s0"].link.next(setup.Setup)
+        assert request.time_left > 4 * SECOND, "a set-up after the stall has its full time"
 
 
-async def test_a_stall_of_the_edge_hears_the_list_before_it_sends(autojump_clock: MockClock) -> None:
+async def test_list_updates_are_handled_before_sending_after_a_stall(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
@@ -361,7 +369,7 @@
         assert rig.servers["s1"].link.all(Setup)[-1].dialog == "long"
 
 
-async def test_an_answer_past_the_callers_time_is_withheld(autojump_clock: MockClock) -> None:
+async def test_an_answer_after_the_callers_deadline_is_withheld(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=1 * SECOND))
@@ -370,21 +378,21 @@
         await trio.sleep(0.5)
         await rig.servers["s0"].link.send(Established("d1"))
         await trio.sleep(4)
-        assert finals(caller) == []
+        assert final_answers(caller) == []
         assert rig.edge.counters.withheld == 1
         assert await rig.servers["s0"].link.next(Release)
         assert rig.edge.open_dialogs == rig.edge.established_dialogs == 0
 
 
-async def test_an_exception_in_the_decisions_ends_that_dialog_alone(
+async def test_an_exception_in_the_driver_ends_only_that_dialog(
     autojump_clock: MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    sound = RoutingPolicy.dialog_flow
+    original = RoutingPolicy.dialog_flow
 
     def faulty(self: RoutingPolicy, dialog: Any) -> Any:
         if dialog.id.startswith("odd"):
             raise ZeroDivisionError("odd")
-        return sound(self, dialog)
+        return original(self, dialog)
 
     monkeypatch.setattr(RoutingPolicy, "dialog_flow", faulty)
     with capture_logs() as logged:
@@ -394,7 +402,7 @@
             await rig.servers["s0"].link.next(Setup)
             await rig.servers["s0"].link.send(Established("d1"))
             await trio.sleep(0.01)
-            assert {m.dialog: type(m) for m in finals(caller)} == {
+            assert {m.dialog: type(m) for m in final_answers(caller)} == {
                 "odd1": Failed,
                 "odd2": Failed,
                 "odd3": Failed,
@@ -406,7 +414,7 @@
     assert [(entry["dialog"], entry["again"]) for entry in failed] == [("odd1", 0), ("odd2", 1), ("odd3", 2)]
 
 
-async def test_a_second_attempt_asked_for_while_one_is_in_flight_is_never_sent(
+async def test_a_second_attempt_requested_while_one_is_in_flight_is_never_sent(
     autojump_clock: MockClock,
 ) -> None:
     async with rigged() as rig:
@@ -416,16 +424,14 @@
         rig.edge.context.driver.commands.append(DialogAction("d1", StartAttempt("s1", 10**19)))
         await trio.sleep(0.2)
         assert not rig.servers["s1"].link.all(Setup)
-        assert [type(message) for message in finals(caller)] == [Failed]
+        assert [type(message) for message in final_answers(caller)] == [Failed]
 
 
-@pytest.mark.parametrize("cut_at", [0.2, 1.0])
-async def test_an_edge_killed_and_started_again_uses_its_cached_list(
-    autojump_clock: MockClock, cut_at: float
-) -> None:
+@pytest.mark.parametrize("kill_at", [0.2, 1.0])
+async def test_a_restarted_edge_proxy_uses_its_cached_list(autojump_clock: MockClock, kill_at: float) -> None:
     async with rigged() as rig:
         await rig.tell(rig.servers["s0"].row("draining"))
-        await trio.sleep(cut_at)
+        await trio.sleep(kill_at)
         assert rig.list is not None
         rig.network.listeners.pop("list:1")
         await rig.restart()
@@ -439,19 +445,19 @@
         rig.network.listeners["list:1"] = lambda stream: None
 
 
-async def test_list_gaps_are_healed_and_leaving_servers_heeded_at_once(autojump_clock: MockClock) -> None:
+async def test_list_gaps_are_closed_and_draining_servers_removed_at_once(autojump_clock: MockClock) -> None:
     async with rigged(3) as rig:
         rig.register.change([rig.servers["s1"].row("gone")])  # this update is lost
         change = rig.register.change([rig.servers["s2"].row("draining")])
         assert rig.list is not None
         await rig.list.send(change)
         await trio.sleep(0.05)
-        fars = rig.edge.context.driver.policy.table.servers
-        assert set(fars) == {"s0"}, "a snapshot closes the gap; s2 is removed at once"
+        servers = rig.edge.context.driver.policy.table.servers
+        assert set(servers) == {"s0"}, "a snapshot closes the gap; s2 is removed at once"
         assert rig.edge.source.replica.gap_count == 1
 
 
-async def test_a_contradictory_list_is_taken_word_by_word(autojump_clock: MockClock) -> None:
+async def test_contradictory_list_updates_are_applied_in_order(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         s0 = rig.servers["s0"]
         await rig.tell(s0.row("draining"))
@@ -481,7 +487,7 @@
 
 
 @pytest.mark.parametrize(("data", "code"), BAD)
-async def test_bad_input_gets_one_clear_error_and_costs_that_connection_alone(
+async def test_bad_input_gets_one_error_and_closes_only_that_connection(
     autojump_clock: MockClock, data: bytes, code: str
 ) -> None:
     async with rigged() as rig:
@@ -491,12 +497,12 @@
         await link.next(Setup)
         stream = await rig.network.connect("edge:1")
         await stream.send_all(data)
-        said: list[Any] = []
+        messages: list[Any] = []
         with trio.fail_after(1):
             reader = FrameReader()
             while chunk := await stream.receive_some():
-                said += [msgspec.msgpack.decode(body) for body in reader.feed(chunk)]
-        assert [word["code"] for word in said if word["t"] == "error"] == [code]
+                messages += [msgspec.msgpack.decode(body) for body in reader.feed(chunk)]
+        assert [message["code"] for message in messages if message["t"] == "error"] == [code]
         await link.send(Established("d1"))
         assert await good.next(Established)
         await trio.sleep(0.1)
@@ -516,7 +522,7 @@
         assert (await rig.servers["s0"].link.next(Setup)).dialog == "d1"
 
 
-async def test_stop_declines_new_dialogs_and_answers_those_here(autojump_clock: MockClock) -> None:
+async def test_stop_rejects_new_dialogs_and_answers_open_ones(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial("d1"))
@@ -525,9 +531,9 @@
         rig.edge.stop()
         await trio.sleep(0.01)
         await caller.send(dial("d2"))
-        declined = await caller.next(Rejected)
-        assert declined.dialog == "d2"
-        assert declined.retry_after > 0
+        rejected = await caller.next(Rejected)
+        assert rejected.dialog == "d2"
+        assert rejected.retry_after > 0
         await link.send(Established("d1"))
         assert await caller.next(Established)
         assert (await caller.next(Ended)).reason == "released"
@@ -535,7 +541,7 @@
         assert caller.ended is not None
 
 
-async def test_the_list_is_asked_for_where_it_is_not_pushed(autojump_clock: MockClock) -> None:
+async def test_the_list_is_requested_if_it_is_not_pushed(autojump_clock: MockClock) -> None:
     ini = INI.replace("list_is_pushed = yes", "list_is_pushed = no")
     async with trio.open_nursery() as nursery:
         rig = Rig(nursery, terms(ini))
@@ -551,9 +557,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_cancelled_attempt_that_the_server_confirms_leaves_no_trace(
-    autojump_clock: MockClock,
-) -> None:
+async def test_a_cancelled_attempt_that_the_server_confirms_is_removed(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         caller = await rig.caller()
         await caller.send(dial())
@@ -570,7 +574,7 @@
         assert not edge_link._session.legs
 
 
-async def test_an_id_used_again_while_its_last_attempt_is_cancelled(autojump_clock: MockClock) -> None:
+async def test_a_dialog_id_reused_while_its_last_attempt_is_cancelled(autojump_clock: MockClock) -> None:
     # Found by a load test whose callers reconnected and reused their dialog ids: the second leg 0 collided
     # with the first one on the same link.
     async with rigged() as rig:
@@ -581,13 +585,13 @@
         await trio.sleep(0.01)
         second = await rig.caller("second")
         await second.send(dial())
-        asked = await rig.servers["s1"].link.next(Setup)
-        await rig.servers["s1"].link.send(Established("d1", asked.leg))
+        request = await rig.servers["s1"].link.next(Setup)
+        await rig.servers["s1"].link.send(Established("d1", request.leg))
         assert await second.next(Established)
         assert rig.edge.counters.failures == 0
 
 
-async def test_a_setup_that_trickles_in_is_taken_when_it_is_whole(autojump_clock: MockClock) -> None:
+async def test_a_set_up_received_byte_by_byte_is_handled_when_complete(autojump_clock: MockClock) -> None:
     async with rigged() as rig:
         slow, good = await rig.caller("slow"), await rig.caller("good")
         for byte in slow.session.send(dial("d1")):
@@ -597,7 +601,7 @@
         assert [(await rig.servers["s0"].link.next(Setup)).dialog for _ in range(2)] == ["d1", "d2"]
 
 
-async def test_a_half_close_on_sockets_is_the_end_of_that_caller() -> None:
+async def test_a_half_close_disconnects_the_caller() -> None:
     ini = (
         INI.replace("edge:1", "127.0.0.1:0")
         .replace("list:1", "127.0.0.1:1")
@@ -616,74 +620,75 @@
         nursery.cancel_scope.cancel()
 
 
-class Reluctant(trio.abc.SendStream):
-    """Accepts `room` bytes without blocking, like a socket whose send buffer is nearly full."""
+class LimitedStream(trio.abc.SendStream):
+    """Accepts `capacity` bytes without blocking, like a socket whose send buffer is nearly full."""
 
-    def __init__(self, room: int) -> None:
-        self.room = room
-        self.got = bytearray()
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.received = bytearray()
 
     def send_now(self, data: bytes) -> int:
-        self.got += data[: self.room]
-        return min(self.room, len(data))
+        self.received += data[: self.capacity]
+        return min(self.capacity, len(data))
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
         await trio.sleep(0.01)
-        self.got += data
+        self.received += data
 
     async def wait_send_all_might_not_block(self) -> None: ...
 
     async def aclose(self) -> None: ...
 
 
-@pytest.mark.parametrize("room", [0, 3, 100])
-async def test_what_a_turn_put_leaves_at_its_end_whole_and_in_order(
-    room: int, autojump_clock: MockClock
+@pytest.mark.parametrize("capacity", [0, 3, 100])
+async def test_frames_queued_in_a_turn_are_sent_at_its_end_in_order(
+    capacity: int, autojump_clock: MockClock
 ) -> None:
-    stream, departures, left = Reluctant(room), SendBatch(), list[int]()
-    outbox = SendQueue(1000, departures)
+    stream, batch, sent = LimitedStream(capacity), SendBatch(), list[int]()
+    send_queue = SendQueue(1000, batch)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(outbox.run, stream)
+        nursery.start_soon(send_queue.run, stream)
         await trio.sleep(0.1)
-        departures.begin()
-        outbox.put(b"first", key="a")
-        outbox.put(b"taken back", key="b")
-        outbox.put(b"second", on_sent=lambda: left.append(1))
-        assert outbox.withdraw("b")
-        assert not left
-        assert not stream.got
-        departures.end()
-        assert bool(left) == (room == 100)
+        batch.begin()
+        send_queue.put(b"first", key="a")
+        send_queue.put(b"taken back", key="b")
+        send_queue.put(b"second", on_sent=lambda: sent.append(1))
+        assert send_queue.withdraw("b")
+        assert not sent
+        assert not stream.received
+        batch.end()
+        assert bool(sent) == (capacity == 100)
         # If the stream accepted no byte, all frames can still be withdrawn.
-        assert outbox.is_queued("a") == (room == 0)
-        outbox.put(b"third")
+        assert send_queue.is_queued("a") == (capacity == 0)
+        send_queue.put(b"third")
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
-    assert stream.got == b"firstsecondthird"
-    assert left == [1]
-    assert not outbox.in_flight
+    assert stream.received == b"firstsecondthird"
+    assert sent == [1]
+    assert not send_queue.in_flight
 
 
-async def test_a_plain_stream_carries_bytes_both_ways_and_tells_its_end_as_trio_does() -> None:
-    here, there = socket.socketpair()
+async def test_a_plain_stream_transfers_bytes_and_closes_like_a_trio_stream() -> None:
+    near_socket, far_socket = socket.socketpair()
     near, far = (
-        PlainSocketStream(trio.SocketStream(trio.socket.from_stdlib_socket(end))) for end in (here, there)
+        PlainSocketStream(trio.SocketStream(trio.socket.from_stdlib_socket(sock)))
+        for sock in (near_socket, far_socket)
     )
     bulk = bytes(range(256)) * 20_000
     assert near.send_now(b"now") == 3
     async with trio.open_nursery() as nursery:
         nursery.start_soon(near.send_all, bulk)  # more than the kernel's buffer holds, so it blocks
-        got = bytearray()
+        received = bytearray()
         with trio.fail_after(5):
-            while len(got) < len(bulk) + 3:
-                got += await far.receive_some()
-    assert got == b"now" + bulk
+            while len(received) < len(bulk) + 3:
+                received += await far.receive_some()
+    assert received == b"now" + bulk
     await far.aclose()
     assert near.send_now(b"x") == 0
     with pytest.raises(trio.BrokenResourceError):
         await near.send_all(b"x")
     assert await near.receive_some() == b""
     await near.aclose()
-    for act in (near.receive_some, lambda: near.send_all(b"x")):
+    for operation in (near.receive_some, lambda: near.send_all(b"x")):
         with pytest.raises(trio.ClosedResourceError):
-            await act()
+            await operation()
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -19,7 +19,7 @@
 from valverouter.signalling.setup import SetupSession
 from valverouter.terms import platform
 
-B = "b" * 16
+DIALOG_ID = "b" * 16
 # Longer than the time that a new connection has for its first valid request.
 STOP_S = platform.REQUEST_TIMEOUT / 1e9 + 0.3
 
@@ -27,96 +27,96 @@
 @asynccontextmanager
 async def platform_process(folder: Path, answers: bool = True) -> AsyncIterator[Drill]:
     """Starts the platform's edge proxy with two core servers and all connections up."""
-    async with drill(folder, servers=0) as one:
-        far = Far(one.nursery)
-        bus_at = await one.nursery.start(far.network.serve, "127.0.0.1:0", far.bus.serve)
+    async with drill(folder, servers=0) as harness:
+        far = Far(harness.nursery)
+        bus_at = await harness.nursery.start(far.network.serve, "127.0.0.1:0", far.bus.serve)
         servers = [await far.server(name) for name in ("s0", "s1")]
         for server in servers:
             server.answers = answers
         rows = [far.row(name, number) for number, name in enumerate(("s0", "s1"))]
-        known = [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": rows}}]
-        far.bus.events += known
-        await one.relay(configuration(known, free_port(), bus_at))
+        bus_events = [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": rows}}]
+        far.bus.events += bus_events
+        await harness.relay(configuration(bus_events, free_port(), bus_at))
         with trio.fail_after(20):
             while not all(len(server.streams) == 2 for server in servers):
                 await trio.sleep(0.01)
-        yield one
+        yield harness
 
 
 @asynccontextmanager
-async def stopped(one: Drill, for_s: float) -> AsyncIterator[None]:
-    """Stops the process for `for_s` seconds; what is sent in the block stays unread until then."""
-    one.process.send_signal(signal.SIGSTOP)
-    began = trio.current_time()
+async def stopped(harness: Drill, duration_s: float) -> AsyncIterator[None]:
+    """Stops the process for `duration_s` seconds; what is sent in the block stays unread until then."""
+    harness.process.send_signal(signal.SIGSTOP)
+    started_at = trio.current_time()
     try:
         yield
-        await trio.sleep_until(began + for_s)
+        await trio.sleep_until(started_at + duration_s)
     finally:
-        one.process.send_signal(signal.SIGCONT)
+        harness.process.send_signal(signal.SIGCONT)
 
 
-async def test_a_new_connection_whose_first_set_up_lay_unread_keeps_it(tmp_path: Path) -> None:
+async def test_a_first_set_up_unread_during_a_stop_is_answered(tmp_path: Path) -> None:
     """Guards against closing a connection without an answer after its first set-up was read.
 
     The time limit for a new connection's first valid request passed during the stop and cancelled the task
     while it handled a set-up that had arrived in time (`caller-refused kind=silent`).
     """
-    async with platform_process(tmp_path) as one:
-        stream = await SocketRuntime().connect(one.address)
+    async with platform_process(tmp_path) as harness:
+        stream = await SocketRuntime().connect(harness.address)
         await trio.sleep(0.1)
-        async with stopped(one, STOP_S):
-            await stream.send_all(set_up(B))
+        async with stopped(harness, STOP_S):
+            await stream.send_all(set_up(DIALOG_ID))
         with trio.fail_after(10):
             (answer,) = isup.MessageReader().feed(await stream.receive_some())
-        assert (answer.type, answer.id) == (isup.ANM, B)
+        assert (answer.type, answer.id) == (isup.ANM, DIALOG_ID)
 
 
-async def test_a_hello_that_lay_unread_is_welcomed(tmp_path: Path) -> None:
-    async with drill(tmp_path) as one:
-        await one.start(one.ini())
-        stream = await SocketRuntime().connect(one.address)
+async def test_a_hello_unread_during_a_stop_is_answered(tmp_path: Path) -> None:
+    async with drill(tmp_path) as harness:
+        await harness.start(harness.ini())
+        stream = await SocketRuntime().connect(harness.address)
         await trio.sleep(0.1)
         session = SetupSession(Hello((1, 1), "caller", "c0"))
-        async with stopped(one, STOP_S):
+        async with stopped(harness, STOP_S):
             await stream.send_all(session.hello_frame())
         with trio.fail_after(10):
             (welcome,) = session.receive(await stream.receive_some())
         assert isinstance(welcome, Welcome)
 
 
-async def test_a_connection_that_says_nothing_is_closed_all_the_same(tmp_path: Path) -> None:
-    async with platform_process(tmp_path) as one:
-        silent = await SocketRuntime().connect(one.address)
+async def test_a_silent_connection_is_still_closed_after_a_stop(tmp_path: Path) -> None:
+    async with platform_process(tmp_path) as harness:
+        silent = await SocketRuntime().connect(harness.address)
         await trio.sleep(0.1)
-        async with stopped(one, STOP_S):
+        async with stopped(harness, STOP_S):
             pass
         with trio.fail_after(10):
             assert await silent.receive_some() == b""
-        await (await passed(one.address)).aclose()
+        await (await passed(harness.address)).aclose()
 
 
-async def test_a_set_up_that_lay_unread_has_its_answer_within_its_caller_s_time(tmp_path: Path) -> None:
+async def test_a_set_up_unread_during_a_stop_is_answered_by_its_callers_deadline(tmp_path: Path) -> None:
     """Guards against counting a set-up's time from the end of the stop.
 
     The answer came 1.4 s after the caller's deadline: the platform's caller connections pass on when a
     message's bytes were read, and that time took precedence over the known start of the stop.
     """
-    left_s = 2.0
-    async with platform_process(tmp_path, answers=False) as one:
-        stream = await passed(one.address)
+    time_left_s = 2.0
+    async with platform_process(tmp_path, answers=False) as harness:
+        stream = await passed(harness.address)
         await trio.sleep(0.3)
-        async with stopped(one, 1.5):
-            await stream.send_all(set_up(B, left=round(left_s * 1e3)))
+        async with stopped(harness, 1.5):
+            await stream.send_all(set_up(DIALOG_ID, left=round(time_left_s * 1e3)))
             sent_at = trio.current_time()
         with trio.fail_after(10):
             (answer,) = isup.MessageReader().feed(await stream.receive_some())
-        assert (answer.type, answer.id) == (isup.REL, B)
+        assert (answer.type, answer.id) == (isup.REL, DIALOG_ID)
         # The platform allows 50 ms of slack on every time limit.
-        assert trio.current_time() - sent_at <= left_s + 0.05
+        assert trio.current_time() - sent_at <= time_left_s + 0.05
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-async def test_signals_to_stop_in_series_end_the_process_by_itself(tmp_path: Path, number: int) -> None:
+async def test_repeated_stop_signals_do_not_kill_the_process(tmp_path: Path, number: int) -> None:
     """Guards against a second signal that kills the process (-15 or -2) before its store is closed.
 
     trio restores the former handlers when its receiver closes, and so does the interpreter when it exits.
@@ -124,9 +124,9 @@
     """
     for at in range(3):
         (folder := tmp_path / str(at)).mkdir()
-        async with drill(folder) as one:
-            await one.start(one.ini())
-            while one.process.poll() is None:
-                one.process.send_signal(number)
+        async with drill(folder) as harness:
+            await harness.start(harness.ini())
+            while harness.process.poll() is None:
+                harness.process.send_signal(number)
                 await trio.sleep(0.0005)
-            assert one.process.returncode == 0
+            assert harness.process.returncode == 0
--- a/valverouter/edge/caller.py
+++ b/valverouter/edge/caller.py
@@ -194,12 +194,12 @@
     Messages to it are discarded; the caller gets them when it reconnects and resumes its dialogs.
     """
 
-    def __init__(self, name: str, back_by: int) -> None:
+    def __init__(self, name: str, resume_deadline: int) -> None:
         self.dialogs = set()
         self.pending_setups = Counter()
         self.cancelled_setups = set()
         self.name = name
-        self.resume_deadline = back_by
+        self.resume_deadline = resume_deadline
 
     @property
     def can_resume(self) -> bool:
--- a/valverouter/edge/clock.py
+++ b/valverouter/edge/clock.py
@@ -23,12 +23,12 @@
         """The current time, in nanoseconds."""
         return self._wall_at_start + round((trio.current_time() - self._started_at) * 1e9)
 
-    def trio_time(self, at: int) -> float:
+    def to_trio_time(self, time: int) -> float:
         """Converts a time of this clock to seconds of trio's clock.
 
         Rounding may make it slightly early; callers compare with `now` again when they wake up.
         """
-        return self._started_at + (at - self._wall_at_start) / 1e9
+        return self._started_at + (time - self._wall_at_start) / 1e9
 
 
 class TimerQueue:
@@ -38,18 +38,18 @@
         self._heap: list[tuple[int, int, Any]] = []
         self._serial = 0
 
-    def schedule(self, at: int, timer: Any) -> None:
-        """Adds a timer that is due at time `at`, in nanoseconds."""
+    def schedule(self, due_at: int, timer: Any) -> None:
+        """Adds a timer that is due at `due_at`, in nanoseconds."""
         self._serial += 1
-        heapq.heappush(self._heap, (at, self._serial, timer))
+        heapq.heappush(self._heap, (due_at, self._serial, timer))
 
     def __len__(self) -> int:
         """The number of queued timers."""
         return len(self._heap)
 
-    def retain(self, wanted: Callable[[Any], bool]) -> None:
-        """Removes all timers for which `wanted` returns False."""
-        self._heap = [entry for entry in self._heap if wanted(entry[2])]
+    def retain(self, predicate: Callable[[Any], bool]) -> None:
+        """Removes all timers for which `predicate` returns False."""
+        self._heap = [entry for entry in self._heap if predicate(entry[2])]
         heapq.heapify(self._heap)
 
     @property
--- a/valverouter/edge/context.py
+++ b/valverouter/edge/context.py
@@ -70,7 +70,7 @@
         self.unread_since = 0
         # Ends an open dialog for which the driver has raised an exception. Set by the EdgeProxy.
         self.on_decision_failed: Callable[[str], None] = lambda dialog_id: None
-        self._draws = 0
+        self._jitter_draws = 0
         self._last_failure = ""
         self._repeated_failures = 0
 
@@ -92,8 +92,8 @@
 
         It uses random draws of its own, so reconnections do not change the driver's draws.
         """
-        self._draws += 1
-        draw = zlib.crc32(b"link/%d/%d" % (self.config.seed, self._draws)) / 2**32
+        self._jitter_draws += 1
+        draw = zlib.crc32(b"link/%d/%d" % (self.config.seed, self._jitter_draws)) / 2**32
         return retry_delay(tries, draw, 0)
 
     def _log_failure(self, dialog_id: str, error: Exception) -> None:
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -56,8 +56,8 @@
 STALL_THRESHOLD = HEARTBEAT_INTERVAL + 50_000_000
 # After a stall, the readers get this many seconds to read what arrived in the meantime, so that endpoint list
 # updates are handled before any attempt is sent.
-SETTLE_S = 0.005
-SETTLE = round(SETTLE_S * 1e9)
+READ_DELAY_S = 0.005
+READ_DELAY = round(READ_DELAY_S * 1e9)
 # Events handled per turn before timers are checked and streams are written.
 MAX_BATCH = 16
 # Time-outs of ended attempts are pruned once more timers than this are queued: a caller may ask for a
@@ -209,7 +209,7 @@
             self._on_start()
             nursery.start_soon(self.source.run)
             nursery.start_soon(self.source.persist)
-            nursery.start_soon(context.events.run_wakeups)
+            nursery.start_soon(context.events.run_wakeup_timer)
             nursery.start_soon(self._accounts.run)
             serve = partial(context.runtime.serve, refuse=self.listener.refuse)
             self.address = await nursery.start(serve, context.config.listen, self.listener.serve)
@@ -275,10 +275,10 @@
                 return
 
     async def _wait_for_work(self) -> None:
-        """Waits for an event or the next timer; after a stall, also gives the readers SETTLE_S seconds."""
+        """Waits for an event or the next timer; after a stall, also gives readers READ_DELAY_S seconds."""
         context = self.context
         next_at = context.timers.next_due_at
-        deadline = float("inf") if next_at is None else context.clock.trio_time(next_at)
+        deadline = float("inf") if next_at is None else context.clock.to_trio_time(next_at)
         await context.events.wait_for_event(deadline)
         await context.runtime.checkpoint()
         stall = context.clock.now() - self._last_turn_at
@@ -287,7 +287,7 @@
             context.counters.stalls += 1
             self._log.warning("event-loop-stalled", ms=stall // MS)
             context.unread_since = self._last_turn_at
-            await trio.sleep(SETTLE_S)
+            await trio.sleep(READ_DELAY_S)
 
     def _handle_events(self) -> None:
         events, handle = self.context.events, self._handle_safely
@@ -333,7 +333,7 @@
         self._close_idle_callers()
         if context.shutdown.may_end(now, self._is_quiet):
             return True
-        context.timers.schedule(now + SETTLE, StopRequested())
+        context.timers.schedule(now + READ_DELAY, StopRequested())
         return False
 
     # Events that concern several components
--- a/valverouter/edge/queues.py
+++ b/valverouter/edge/queues.py
@@ -88,7 +88,7 @@
         await self._waiter.wait()
         self._waiter = None
 
-    async def run_wakeups(self) -> None:
+    async def run_wakeup_timer(self) -> None:
         """Wakes `wait_for_event` at its deadline; runs as a task beside the event loop."""
         while True:
             with self._wakeup_scope:
@@ -187,11 +187,11 @@
         if taken < len(data):
             self._writer_wakeup.set()
         if taken:  # if the stream accepted no byte, all frames can still be withdrawn
-            batch, self._unsent = self._take_batch(), data[taken:]
+            batch, self._unsent = self._start_batch(), data[taken:]
             if not self._unsent:
                 self._on_batch_sent(batch)
 
-    def _take_batch(self) -> dict[Hashable, tuple[bytes, SentCallback | None]]:
+    def _start_batch(self) -> dict[Hashable, tuple[bytes, SentCallback | None]]:
         self.in_flight = batch = self._queued
         self._queued, self._queued_bytes = {}, 0
         return batch
@@ -231,6 +231,6 @@
                 await self._writer_wakeup.wait()
                 self._writer_wakeup = None
                 continue
-            batch = self._take_batch()
+            batch = self._start_batch()
             await stream.send_all(b"".join([frame for frame, _ in batch.values()]))
             self._on_batch_sent(batch)
