--- a/valverouter/edge/caller_listener.py
+++ b/valverouter/edge/caller_listener.py
@@ -71,7 +71,7 @@
         self._refused += 1
         self._log_refusal()
         retry_after = format_duration(self._context.config.deployment.max_retry_after)
-        error = ProtocolError("too-many", f"connection limit reached; retry after {retry_after}")
+        error = ProtocolError("too-many", f"no room for another connection; come back after {retry_after}")
         broken = trio.BrokenResourceError, trio.ClosedResourceError
         with trio.move_on_after(REFUSAL_TIMEOUT_S), suppress(*broken):
             await stream.send_all(SetupSession().error_frame(error))
--- a/valverouter/edge/caller_requests.py
+++ b/valverouter/edge/caller_requests.py
@@ -60,7 +60,7 @@
         if self._is_abandoned(caller, request):
             return
         if request.dialog in self._entries:
-            caller.refuse(ProtocolError("out-of-state", f"dialog {request.dialog!r} is already open here"))
+            caller.refuse(ProtocolError("out-of-state", f"dialog {request.dialog!r} is open here already"))
             return
         if context.shutdown.is_draining or len(self._entries) >= context.config.links.open_dialogs:
             # The driver is not consulted: this instance rejects every new dialog.
