--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -27,7 +27,7 @@
 from tests.test_cross_region_config import GOOD as REGIONS
 from valverouter.days.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
 from valverouter.edge.clock import Clock
-from valverouter.edge.connections import send_farewell
+from valverouter.edge.connections import send_error
 from valverouter.edge.discovery import DiscoveryClient
 from valverouter.edge.incarnations import IncarnationTracker
 from valverouter.edge.logs import LogWriter
@@ -76,7 +76,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(stream.send_all, b"x" * 10_000_000)
         await trio.testing.wait_all_tasks_blocked()
-        await send_farewell(stream, SetupSession(), ProtocolError("malformed", "rubbish"))
+        await send_error(stream, SetupSession(), ProtocolError("malformed", "rubbish"))
         nursery.cancel_scope.cancel()
     await stream.aclose()
     far.close()
@@ -155,7 +155,7 @@
         for name in range(5):
             nursery.start_soon(reader, name)
         await trio.sleep(1)
-        while inbox.take() is not None:
+        while inbox.pop_next() is not None:
             await trio.sleep(0.01)
         await trio.sleep(1)
         nursery.cancel_scope.cancel()
@@ -599,7 +599,7 @@
             await rig.tell(fresh.row("gone"))  # and its machine closes nothing
         await trio.sleep(5)
         assert list(rig.edge.links.by_server) == ["s0"]
-        assert not rig.edge.links.leaving
+        assert not rig.edge.links.removed
         assert all(rig.servers[f"s{number}"].link.ended for number in range(1, 20))
 
 
--- a/valverouter/edge/attempts.py
+++ b/valverouter/edge/attempts.py
@@ -52,7 +52,7 @@
     def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
         """Called with the outcome of an open dialog's attempt, before the driver and the caller get it."""
 
-    def decision_number(self, dialog_id: str, attempt: int) -> int:
+    def driver_attempt_number(self, dialog_id: str, attempt: int) -> int:
         """Returns the number by which the driver knows an attempt."""
         return attempt
 
@@ -98,7 +98,7 @@
         """Cancels the attempt in flight if `attempt` is its number in the driver."""
         if entry.attempt is None or entry.is_established or entry.link is None:
             return
-        if self.decision_number(entry.setup.dialog, entry.attempt) == attempt:
+        if self.driver_attempt_number(entry.setup.dialog, entry.attempt) == attempt:
             self.cancel(entry, Outcome.CANCELLED)
 
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
@@ -189,7 +189,7 @@
 
     def report_result(self, dialog_id: str, attempt: int, server: str, outcome: Outcome) -> None:
         """Reports the outcome of an attempt that no open dialog waits for to the driver."""
-        result = AttemptResult(dialog_id, self.decision_number(dialog_id, attempt), server, outcome)
+        result = AttemptResult(dialog_id, self.driver_attempt_number(dialog_id, attempt), server, outcome)
         self._context.run_decision("", self._driver.on_attempt_result, result)
 
     def _end(
@@ -212,7 +212,7 @@
         kind = outcome.name.lower()
         self._counters.attempts[kind] += 1
         self._log.debug("attempt-ended", dialog=request.dialog, leg=attempt, server=server, outcome=kind)
-        number = self.decision_number(request.dialog, attempt)
+        number = self.driver_attempt_number(request.dialog, attempt)
         result = AttemptResult(
             request.dialog, number, server, outcome, retry_after=retry_after, load_report=load_report
         )
--- a/valverouter/edge/caller.py
+++ b/valverouter/edge/caller.py
@@ -10,7 +10,7 @@
 import structlog
 import trio
 
-from valverouter.edge.connections import isolate_failure, receive_by, send_farewell
+from valverouter.edge.connections import isolate_failure, receive_by, send_error
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
 from valverouter.edge.runtime import READ_SIZE
 from valverouter.signalling import setup
@@ -149,20 +149,20 @@
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
                     pass
                 except trio.TooSlowError:
-                    self._on_silent()
+                    self._on_read_timeout()
                 self._has_ended = True
                 nursery.cancel_scope.cancel()
         self._has_ended = True
         self._scope.cancel()
         self._events.put_cancellation(CallerDisconnected(self))
 
-    def _on_silent(self) -> None:
+    def _on_read_timeout(self) -> None:
         log.warning("caller-silent", why="no hello in time")
 
     async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
         """Sends an Error message to a caller that violated the protocol."""
         log.warning("caller-refused", caller=self.name, code=error.code, why=str(error))
-        await send_farewell(stream, self._session, error)
+        await send_error(stream, self._session, error)
 
     async def _write(self, stream: trio.abc.Stream) -> None:
         try:
--- a/valverouter/edge/connections.py
+++ b/valverouter/edge/connections.py
@@ -41,7 +41,7 @@
     return bytes(await stream.receive_some(max_bytes))
 
 
-async def send_farewell(stream: trio.abc.Stream, session: Session, error: ProtocolError) -> None:
+async def send_error(stream: trio.abc.Stream, session: Session, error: ProtocolError) -> None:
     """Sends an Error message if the peer still reads; the caller then closes the connection in any case.
 
     If the peer does not read, the connection's writer is already blocked in a send, and trio allows only one
@@ -51,5 +51,5 @@
         trio.move_on_after(0.1),
         suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError),
     ):
-        if farewell := session.error_frame(error):
-            await stream.send_all(farewell)
+        if frame := session.error_frame(error):
+            await stream.send_all(frame)
--- a/valverouter/edge/discovery.py
+++ b/valverouter/edge/discovery.py
@@ -10,7 +10,7 @@
 import trio
 
 from valverouter.edge.clock import Clock
-from valverouter.edge.connections import isolate_failure, send_farewell
+from valverouter.edge.connections import isolate_failure, send_error
 from valverouter.edge.endpoint_cache import EndpointCache
 from valverouter.edge.link import ReconnectDelay
 from valverouter.edge.queues import EventQueue
@@ -105,7 +105,7 @@
             if not self._config.deployment.endpoint_list_is_pushed and not was_up:
                 # The decisions say when to ask again; a link that had served is made again at once by us.
                 self._requested = trio.Event()
-                self._events.put_urgent(EndpointUpdate(EndpointUpdateKind.FAILED, []))
+                self._events.put_endpoint_update(EndpointUpdate(EndpointUpdateKind.FAILED, []))
                 continue
             await trio.sleep(self._reconnect_delay(self.tries) / 1e9)
 
@@ -123,7 +123,7 @@
             except ServiceSilentError as error:
                 return str(error)
             except ProtocolError as error:
-                await send_farewell(stream, session, error)
+                await send_error(stream, session, error)
                 return f"{error.code}: {error}"
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 return "reset"
@@ -173,7 +173,7 @@
             self._received_at = {server: at for server, at in received_at.items() if server in listed}
             is_complete = isinstance(message, Snapshot)
             kind = EndpointUpdateKind.COMPLETE if is_complete else EndpointUpdateKind.INCREMENTAL
-            self._events.put_urgent(EndpointUpdate(kind, rows))
+            self._events.put_endpoint_update(EndpointUpdate(kind, rows))
         if answer is not None:
             log.warning("endpoint-update-missed", have=self.replica.number, told=message.number)
         return answer
--- a/valverouter/edge/link.py
+++ b/valverouter/edge/link.py
@@ -9,7 +9,7 @@
 import structlog
 import trio
 
-from valverouter.edge.connections import isolate_failure, receive_by, send_farewell
+from valverouter.edge.connections import isolate_failure, receive_by, send_error
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
 from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.signalling import setup
@@ -228,7 +228,7 @@
                     await self._read(stream, session)
                 except ProtocolError as error:
                     reason = f"{error.code}: {error}"
-                    await send_farewell(stream, session, error)
+                    await send_error(stream, session, error)
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
                     reason = "reset"
                 except trio.TooSlowError:
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -205,7 +205,7 @@
             self.links.start_task = lambda link: nursery.start_soon(link.run)
             rows = await self.source.load_cached()
             if rows:
-                context.events.put_urgent(EndpointUpdate(EndpointUpdateKind.CACHED, rows))
+                context.events.put_endpoint_update(EndpointUpdate(EndpointUpdateKind.CACHED, rows))
             self._on_start()
             nursery.start_soon(self.source.run)
             nursery.start_soon(self.source.persist)
@@ -264,8 +264,8 @@
             context.run_decision("", driver.tick, now)
             self._handle_events()
             self._fire_timers(now)
-            if self.links.leaving:
-                self.links.close_idle_leaving()
+            if self.links.removed:
+                self.links.close_idle_removed()
             if len(context.timers) > self._max_timers:
                 self._prune_timers()
             self._before_send(now)
@@ -292,7 +292,7 @@
     def _handle_events(self) -> None:
         events, handle = self.context.events, self._handle_safely
         for _ in range(MAX_BATCH):
-            event = events.take()
+            event = events.pop_next()
             if event is None:
                 self.context.unread_since = 0
                 return
--- a/valverouter/edge/queues.py
+++ b/valverouter/edge/queues.py
@@ -38,7 +38,7 @@
         """Adds an event of the lowest priority."""
         self._append(self._regular, event)
 
-    def put_urgent(self, event: Any) -> None:
+    def put_endpoint_update(self, event: Any) -> None:
         """Adds an endpoint list update, ahead of all events but earlier updates."""
         self._append(self._urgent, event)
 
@@ -51,7 +51,7 @@
         if self._waiter is not None:
             self._waiter.set()
 
-    def take(self) -> Any | None:
+    def pop_next(self) -> Any | None:
         """Removes and returns the next event; None if the queue is empty."""
         if self._urgent:
             return self._urgent.popleft()
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -34,7 +34,7 @@
         incarnation = self._incarnations.current(server) or 0
         self._state.log.on_attempt_sent(entry.setup.dialog, entry.attempt, server, incarnation)
 
-    def decision_number(self, dialog_id: str, attempt: int) -> int:
+    def driver_attempt_number(self, dialog_id: str, attempt: int) -> int:
         """An attempt's number without those of the previous incarnation, which the decisions never saw."""
         return attempt - self._state.attempt_offsets.get(dialog_id, 0)
 
--- a/valverouter/edge/server_links.py
+++ b/valverouter/edge/server_links.py
@@ -22,7 +22,7 @@
         """`source` holds the last received endpoint list."""
         self.by_server: dict[str, ServerLink] = {}
         # Links to servers removed from the endpoint list; each is closed once no attempt is open on it.
-        self.leaving: set[ServerLink] = set()
+        self.removed: set[ServerLink] = set()
         self.incarnations = IncarnationTracker(context.config.deployment.slow_start_duration)
         # Starts a link's task; set when the proxy starts running.
         self.start_task: Callable[[ServerLink], None] | None = None
@@ -81,7 +81,7 @@
         link = self.by_server.get(server)
         if link is not None and link.address == address and not link.has_ended:
             link.in_service = True
-            self.leaving.discard(link)
+            self.removed.discard(link)
             return
         if link is not None:
             link.in_service = False
@@ -94,7 +94,7 @@
         """Stops sending attempts to a draining or removed server, including those already queued."""
         link = self.by_server.get(server)
         if link is not None and is_gone:
-            self.leaving.add(link)
+            self.removed.add(link)
         if link is not None and link.in_service:
             link.in_service = False
             self._withdraw_all(link)
@@ -141,12 +141,12 @@
         """Removes a link that does not reconnect; its attempts have already been ended."""
         link = event.link
         if link.is_final:
-            self.leaving.discard(link)
+            self.removed.discard(link)
             if self.by_server.get(link.server) is link:
                 del self.by_server[link.server]
 
-    def close_idle_leaving(self) -> None:
+    def close_idle_removed(self) -> None:
         """Closes the links to removed servers on which no attempt is open."""
-        for link in [link for link in self.leaving if not link.attempts]:
-            self.leaving.discard(link)
+        for link in [link for link in self.removed if not link.attempts]:
+            self.removed.discard(link)
             link.close("removed from the endpoint list")
--- a/valverouter/relayedge/bus_client.py
+++ b/valverouter/relayedge/bus_client.py
@@ -127,5 +127,5 @@
             now = self._runtime.wall_time()
             rows = [translation.endpoint_row(host, now) for host in event.topology.hosts]
             kind = EndpointUpdateKind.COMPLETE if event.topology.whole else EndpointUpdateKind.INCREMENTAL
-            self._events.put_urgent(EndpointUpdate(kind, rows))
+            self._events.put_endpoint_update(EndpointUpdate(kind, rows))
         self.offset = max(self.offset, batch.offset)
--- a/valverouter/relayedge/callers.py
+++ b/valverouter/relayedge/callers.py
@@ -206,7 +206,7 @@
         self._rejection_log.warn(error.code, str(error))
         self._scope.cancel()
 
-    def _on_silent(self) -> None:
+    def _on_read_timeout(self) -> None:
         self._rejection_log.warn("silent", "nothing of use in time")
 
     async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
