--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -12,9 +12,9 @@
 import pytest
 import trio
 
-from tests.relayrig import Client, Loopback, Rig, relayed, release
-from valverouter.relayedge.callers import MAX_PENDING_SETUPS
-from valverouter.relayedge.link import CONNECTIONS
+from tests.platform_harness import Client, Loopback, Rig, relayed, release
+from valverouter.platform_edge.callers import MAX_PENDING_SETUPS
+from valverouter.platform_edge.link import CONNECTIONS
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
 LEAVING = ["closes", "cancels"]
--- a/tests/test_disruption_limits.py
+++ b/tests/test_disruption_limits.py
@@ -1,4 +1,4 @@
-"""Limits of what may be unavailable at once, and the waves that are planned within them."""
+"""Disruption limits, and the planning of waves within them."""
 
 from __future__ import annotations
 
@@ -30,11 +30,17 @@
         find_exceeded_limit(limits, fleet, ["e1", "e2"], fleet[0])
     )
     tight = DisruptionLimits(max_unavailable=4, max_unavailable_per_region=3, min_capacity_fraction=0.5)
-    assert find_exceeded_limit(tight, fleet, ["e2"], fleet[0]) is not None, "a third of 300 stays, half must"
-    assert find_exceeded_limit(tight, fleet, ["e0"], fleet[0]) is None, "out already, it uses no more room"
+    assert find_exceeded_limit(tight, fleet, ["e2"], fleet[0]) is not None, (
+        "100 of 300 would remain, the minimum is 150"
+    )
+    assert find_exceeded_limit(tight, fleet, ["e0"], fleet[0]) is None, (
+        "already unavailable, its use does not change"
+    )
     server = Instance("s0", InstanceKind.SERVER, "north", 400, 1.0)
     both = [*fleet, server, Instance("s1", InstanceKind.SERVER, "north", 400, 1.0)]
-    assert find_exceeded_limit(limits, both, ["e0", "e1", "e2"], server) is None, "servers are counted apart"
+    assert find_exceeded_limit(limits, both, ["e0", "e1", "e2"], server) is None, (
+        "servers are counted separately"
+    )
 
 
 def test_a_region_keeps_its_minimum_of_processor_power() -> None:
@@ -69,11 +75,11 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(2, 40), st.integers(1, 8), st.integers(1, 4), st.sampled_from([0.0, 0.4, 0.7]))
-def test_waves_keep_every_limit_and_leave_nobody_out(
-    count: int, in_all: int, in_region: int, fraction: float
+def test_waves_keep_every_limit_and_include_every_instance(
+    count: int, in_fleet: int, in_region: int, fraction: float
 ) -> None:
     fleet = edge_proxies(count, ("n", "s", "w"))
-    limits = DisruptionLimits(in_all, in_region, min_capacity_fraction=fraction)
+    limits = DisruptionLimits(in_fleet, in_region, min_capacity_fraction=fraction)
     names = [instance.name for instance in fleet]
     problem = ""
     try:
@@ -85,7 +91,7 @@
         assert "least capacity" in problem
         return
     assert sorted(name for wave in waves for name in wave) == sorted(names)
-    assert len(waves[0]) == 1, "one first"
+    assert len(waves[0]) == 1, "the first wave has one instance"
     by_name = {instance.name: instance for instance in fleet}
     for wave in waves:
         assert len({by_name[name].region for name in wave}) == 1
--- a/tests/test_disruption_permits.py
+++ b/tests/test_disruption_permits.py
@@ -1,4 +1,4 @@
-"""The register of disruption permits, the fence, and what seeded simulations and the model find."""
+"""The permit register and the fence, by unit tests, seeded simulations and the model checker."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     register.apply(4, RequestPermit("b", "e0"))
     register.apply(5, InstanceReturned("e0", 2))
     assert register.unavailable["e0"] == Permit(4, "e0", ""), (
-        "the former permit's end, told late, ends nothing"
+        "a delayed return of an earlier permit has no effect"
     )
     register.apply(6, InstanceReturned("e0"))
     assert "e0" in register.unavailable
@@ -82,7 +82,7 @@
     assert not fence.accepts(Permit(5, "e0", ""))
     assert fence.accepts(Permit(2, "e1", ""))
     fence.end(Permit(8, "e0", ""))
-    assert not fence.accepts(Permit(8, "e0", "")), "a copy that comes late"
+    assert not fence.accepts(Permit(8, "e0", "")), "a delayed copy"
     assert fence.accepts(Permit(9, "e0", ""))
 
 
@@ -96,7 +96,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(COMMANDS, max_size=40))
-def test_any_commands_keep_the_limits_and_permit_numbers_increase(commands: list[PermitCommand]) -> None:
+def test_limits_hold_and_permit_numbers_increase_for_any_commands(commands: list[PermitCommand]) -> None:
     register, replica = (permit_register(DisruptionLimits(3, 2), 8) for _ in range(2))
     numbers = []
     for number, command in enumerate(commands, 2):
@@ -104,7 +104,7 @@
         assert replica.apply(number, command) == decision
         if decision is not None and decision.permit is not None:
             numbers.append(decision.permit.number)
-            assert len(register.unavailable) <= 3, "with those away counted"
+            assert len(register.unavailable) <= 3, "including lost instances"
             north = [name for name in register.unavailable if int(name[1:]) % 2 == 0]
             assert len(north) <= 2 or int(decision.permit.name[1:]) % 2
     assert numbers == sorted(set(numbers))
@@ -113,17 +113,17 @@
 # Simulations and the model
 
 
-def test_faults_break_no_limit_and_the_group_recovers() -> None:
-    went_out = 0
+def test_no_limit_is_exceeded_under_faults_and_the_group_recovers() -> None:
+    permits_used = 0
     for seed in range(14):
         simulation = PermitSimulation(seed)
         simulation.run(30)
         assert simulation.group.problem == "", f"seed {seed}"
-        went_out += simulation.counts["out"]
-    assert went_out > 100
+        permits_used += simulation.counts["out"]
+    assert permits_used > 100
 
 
-def test_faults_break_no_limit_of_a_group_of_five() -> None:
+def test_no_limit_is_exceeded_under_faults_in_a_group_of_five() -> None:
     for seed in range(100, 103):
         simulation = PermitSimulation(seed, group_size=5, holder_count=20, limits=DisruptionLimits(4, 2))
         simulation.run(30)
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("compaction_threshold", [8, 64])
 def test_a_member_that_lost_its_disk_catches_up_with_a_compacted_log(compaction_threshold: int) -> None:
-    """With the processes' threshold a run ends before its log is compacted, so none ever came to it."""
+    """Sets a low threshold: with the default one, a run ends before its log is compacted."""
     disks_lost = 0
     for seed in range(12):
         simulation = PermitSimulation(seed, compaction_threshold=compaction_threshold)
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("planted_fault", ["disk", "fence"])
 def test_the_simulation_finds_a_planted_fault(planted_fault: str) -> None:
-    """A member that votes on without its disk; a permit that is used again after its end."""
+    """disk: a member that lost its disk still votes. fence: a permit is used again after its end."""
 
     def run_simulations() -> None:
         for seed in range(60):
@@ -161,7 +161,7 @@
         (PermitModel(max_terms=2, max_log_length=1, max_crashes=1), 12_416),
     ],
 )
-def test_no_order_of_steps_lets_more_out_than_allowed(model: PermitModel, states: int) -> None:
+def test_no_interleaving_exceeds_the_limit(model: PermitModel, states: int) -> None:
     assert model.explore() == states
 
 
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -13,6 +13,7 @@
 
 import trio
 
+from valverouter.config.edge import EdgeConfig
 from valverouter.edge.accounts import AccountWriter
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.edge.attempts import AttemptHandler
@@ -49,7 +50,6 @@
 from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 from valverouter.signalling import setup
-from valverouter.terms.edge import EdgeConfig
 
 # A gap between two turns longer than this, in nanoseconds, shows that this process was not running: a
 # heartbeat timer is due at least every HEARTBEAT_INTERVAL.
--- a/valverouter/days/virtual.py
+++ b/valverouter/scenarios/virtual.py
@@ -11,15 +11,15 @@
 import trio
 import trio.testing
 
-from valverouter.days.memory_network import MemoryNetwork, MemoryRuntime
-from valverouter.days.memory_store import MemoryLedgerStore
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.scenario_runner import run_scenario
-from valverouter.days.virtual_membership import VirtualMembership
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
-from valverouter.signalling.tap import Row
-from valverouter.terms.day import ScenarioConfig
+from valverouter.scenarios.memory_network import MemoryNetwork, MemoryRuntime
+from valverouter.scenarios.memory_store import MemoryLedgerStore
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.scenario_runner import run_scenario
+from valverouter.scenarios.virtual_membership import VirtualMembership
+from valverouter.signalling.traffic_record import Row
 
 # After an edge proxy has ended, so that its peers see its connections close.
 STOP_WAIT_S = 0.01
