--- a/tests/attempt_files.py
+++ b/tests/attempt_files.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.edge_harness import INI, terms
+from tests.edge_harness import INI, parse_config
 from valverouter.edge.attempt_policies import AttemptPolicies
 
 
@@ -11,4 +11,4 @@
 
 
 def policies_of(text: str) -> AttemptPolicies:
-    return AttemptPolicies(terms(text))
+    return AttemptPolicies(parse_config(text))
--- a/tests/edge_harness.py
+++ b/tests/edge_harness.py
@@ -46,7 +46,7 @@
 """
 
 
-def terms(ini: str = INI) -> EdgeConfig:
+def parse_config(ini: str = INI) -> EdgeConfig:
     return edge_config(IniFile(ini, "rig.ini"))
 
 
@@ -56,12 +56,12 @@
     def __init__(self, stream: trio.abc.Stream, session: Session) -> None:
         self.stream = stream
         self.session = session
-        self.heard: list[tuple[float, Any]] = []
+        self.received: list[tuple[float, Any]] = []
         self.ended: float | None = None
         self.reads = True
         self.error: ProtocolError | None = None
-        self._stirred = trio.Event()
-        self._taken = 0
+        self._changed = trio.Event()
+        self._next_index = 0
 
     async def send(self, *messages: Any) -> None:
         await self.stream.send_all(b"".join(self.session.send(message) for message in messages))
@@ -72,47 +72,49 @@
                 if not self.reads:
                     await trio.sleep_forever()
                 for message in self.session.receive(data):
-                    self.heard.append((trio.current_time(), message))
+                    self.received.append((trio.current_time(), message))
                     if (answer := react(message)) is not None:
                         await self.send(answer)
-                    self._stir()
+                    self._notify()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except ProtocolError as error:
             self.error = error
         self.ended = trio.current_time()
-        self._stir()
+        self._notify()
 
-    def _stir(self) -> None:
-        self._stirred.set()
-        self._stirred = trio.Event()
+    def _notify(self) -> None:
+        self._changed.set()
+        self._changed = trio.Event()
 
     async def next(self, kind: type | UnionType, within: float = 20.0) -> Any:
         """Returns the next message of a kind that was not yet returned; fails if it does not come in time."""
         with trio.fail_after(within):
             while True:
-                while self._taken < len(self.heard):
-                    self._taken += 1
-                    message = self.heard[self._taken - 1][1]
+                while self._next_index < len(self.received):
+                    self._next_index += 1
+                    message = self.received[self._next_index - 1][1]
                     if isinstance(message, kind):
                         return message
-                await self._stirred.wait()
+                await self._changed.wait()
 
     def all(self, kind: type | UnionType) -> list[Any]:
-        return [message for _, message in self.heard if isinstance(message, kind)]
+        return [message for _, message in self.received if isinstance(message, kind)]
 
     def at(self, kind: type, nth: int = 0) -> float:
-        return [at for at, message in self.heard if isinstance(message, kind)][nth]
+        return [at for at, message in self.received if isinstance(message, kind)][nth]
 
-    async def cut(self) -> None:
+    async def close(self) -> None:
         await self.stream.aclose()
 
 
 class FakeServer:
     """A server that answers a Hello; everything else is sent by the test on `link`."""
 
-    def __init__(self, rig: Rig, name: str, number: int, incarnation: int = 1, age: int = 10**15) -> None:
-        self.rig = rig
+    def __init__(
+        self, harness: EdgeHarness, name: str, number: int, incarnation: int = 1, age: int = 10**15
+    ) -> None:
+        self.harness = harness
         self.name = name
         self.number = number
         self.incarnation = incarnation
@@ -127,7 +129,7 @@
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         with trio.CancelScope() as self.scope:
-            await self.rig.network.serve(f"{self.name}:1", self._serve, task_status)
+            await self.harness.network.serve(f"{self.name}:1", self._serve, task_status)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         peer = Peer(stream, SetupSession())
@@ -136,9 +138,9 @@
             await peer.read(self._react)
         finally:
             with trio.CancelScope(shield=True):
-                await peer.cut()
+                await peer.close()
 
-    def stops_reading(self) -> None:
+    def stop_reading(self) -> None:
         """From now on, what the edge proxy sends on the current link is not read."""
         self.link.reads = False
 
@@ -151,42 +153,42 @@
         return EndpointRow(self.name, self.number, phase, f"{self.name}:1", "", self.incarnation, self.age)
 
 
-class Rig:
+class EdgeHarness:
     """The network, the edge proxy, its list service and any number of servers."""
 
     def __init__(self, nursery: trio.Nursery, edge: EdgeConfig) -> None:
         self.nursery = nursery
         self.network = MemoryNetwork()
         self.runtime = MemoryRuntime(self.network)
-        self.terms = edge
-        self.register = EndpointRegistry("rig")
+        self.config = edge
+        self.registry = EndpointRegistry("rig")
         self.list: Peer | None = None
         self.servers: dict[str, FakeServer] = {}
         self.edge = self.make_edge()
         self.scope = trio.CancelScope()
 
     def make_edge(self) -> EdgeProxy:
-        return EdgeProxy(self.terms, self.runtime)
+        return EdgeProxy(self.config, self.runtime)
 
-    async def server(self, name: str, number: int, **more: int) -> FakeServer:
-        server = self.servers[name] = FakeServer(self, name, number, **more)
+    async def server(self, name: str, number: int, **options: int) -> FakeServer:
+        server = self.servers[name] = FakeServer(self, name, number, **options)
         await self.nursery.start(server.run)
         return server
 
-    async def tell(self, *rows: EndpointRow) -> None:
-        change = self.register.change(list(rows))
+    async def publish(self, *rows: EndpointRow) -> None:
+        change = self.registry.change(list(rows))
         if self.list is not None:
             await self.list.send(change)
             await trio.sleep(0.05)
 
     async def serve_list(self, stream: trio.abc.Stream) -> None:
         self.list = peer = Peer(stream, ListSession())
-        await peer.read(self._listing)
+        await peer.read(self._answer_watch)
 
-    def _listing(self, message: Any) -> Any:
+    def _answer_watch(self, message: Any) -> Any:
         if isinstance(message, Hello):
             return Welcome(1, "list")
-        return next(iter(self.register.answer(message)), None) if isinstance(message, Watch) else None
+        return next(iter(self.registry.answer(message)), None) if isinstance(message, Watch) else None
 
     async def caller(self, name: str = "c0", newest: int = 1) -> Peer:
         stream = await self.network.connect("edge:1")
@@ -209,30 +211,30 @@
         await self.nursery.start(self.run_edge)
 
 
-Sort = TypeVar("Sort", bound=Rig)
+HarnessT = TypeVar("HarnessT", bound=EdgeHarness)
 
 
 @asynccontextmanager
-async def rigged_as(
-    sort: type[Sort], servers: int = 2, ini: str = INI, version: int = 1
-) -> AsyncIterator[Sort]:
+async def running_harness(
+    harness_type: type[HarnessT], servers: int = 2, ini: str = INI, version: int = 1
+) -> AsyncIterator[HarnessT]:
     """Starts an edge proxy, its list service and warm servers s0, s1 ..., with all links up."""
     async with trio.open_nursery() as nursery:
-        rig = sort(nursery, terms(ini))
-        await nursery.start(rig.network.serve, "list:1", rig.serve_list)
+        harness = harness_type(nursery, parse_config(ini))
+        await nursery.start(harness.network.serve, "list:1", harness.serve_list)
         for number in range(servers):
-            (await rig.server(f"s{number}", number)).version = version
-        rig.register.change([server.row() for server in rig.servers.values()])
-        await nursery.start(rig.run_edge)
+            (await harness.server(f"s{number}", number)).version = version
+        harness.registry.change([server.row() for server in harness.servers.values()])
+        await nursery.start(harness.run_edge)
         await trio.sleep(0.1)
-        yield rig
+        yield harness
         nursery.cancel_scope.cancel()
 
 
 @asynccontextmanager
-async def rigged(servers: int = 2, ini: str = INI) -> AsyncIterator[Rig]:
-    async with rigged_as(Rig, servers, ini) as rig:
-        yield rig
+async def running_edge(servers: int = 2, ini: str = INI) -> AsyncIterator[EdgeHarness]:
+    async with running_harness(EdgeHarness, servers, ini) as harness:
+        yield harness
 
 
 def dial(dialog: str = "d1", first: int = 0, no_answer: int = 9 * SECOND, kind: str = "plain") -> setup.Setup:
--- a/tests/membership_service_harness.py
+++ b/tests/membership_service_harness.py
@@ -11,7 +11,7 @@
 import msgspec
 import trio
 
-from tests.edge_harness import terms
+from tests.edge_harness import parse_config
 from valverouter.config.gossip import GossipConfig, derive_key
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fleet.membership_service import MembershipService
@@ -57,7 +57,7 @@
 
 
 def edge_config(name: str) -> Any:
-    return msgspec.structs.replace(terms(), name=name)
+    return msgspec.structs.replace(parse_config(), name=name)
 
 
 @asynccontextmanager
--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -62,7 +62,7 @@
     async def _serve(self, stream: trio.abc.Stream) -> None:
         self.links.append(peer := Peer(stream, SetupSession()))
         await peer.read(self._react)
-        await peer.cut()
+        await peer.close()
 
     def _react(self, message: Any) -> Any:
         if isinstance(message, Hello):
@@ -80,7 +80,7 @@
         self.nursery, self.folder = nursery, folder
         self.file = folder / "edge.ini"
         self.servers: dict[str, Far] = {}
-        self.register = EndpointRegistry("drill")
+        self.registry = EndpointRegistry("drill")
         self.lists: list[Peer] = []
         self.lines: list[dict[str, Any]] = []
         self.other_lines: list[bytes] = []
@@ -98,20 +98,20 @@
             far = self.servers[f"s{number}"] = Far(f"s{number}", number)
             far.address = await self.nursery.start(far.run)
         self.list_at = await self.nursery.start(SocketRuntime().serve, "127.0.0.1:0", self._list)
-        self.register.change([far.row() for far in self.servers.values()])
+        self.registry.change([far.row() for far in self.servers.values()])
 
     async def _list(self, stream: trio.abc.Stream) -> None:
         self.lists.append(peer := Peer(stream, ListSession()))
         await peer.read(self._listing)
-        await peer.cut()
+        await peer.close()
 
     def _listing(self, message: Any) -> Any:
         if isinstance(message, Hello):
             return Welcome(1, "list")
-        return next(iter(self.register.answer(message)), None) if isinstance(message, Watch) else None
+        return next(iter(self.registry.answer(message)), None) if isinstance(message, Watch) else None
 
-    async def tell(self, *rows: EndpointRow) -> None:
-        await self.lists[-1].send(self.register.change(list(rows)))
+    async def publish(self, *rows: EndpointRow) -> None:
+        await self.lists[-1].send(self.registry.change(list(rows)))
 
     async def start(self, text: str, stderr: int | None = None) -> None:
         """Starts it and waits until it listens; with `stderr` of its own, until its port is known to us."""
--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 from trio.testing import MockClock
 
-from tests.edge_harness import INI, MS, SECOND, terms
+from tests.edge_harness import INI, MS, SECOND, parse_config
 from tests.helpers import Rig
 from tests.test_scenarios import valverouter
 from valverouter.attempts.worst_case import policy_problems, timelines
@@ -39,7 +39,7 @@
 
 
 def policies_of(text: str) -> AttemptPolicies:
-    return AttemptPolicies(terms(f"{INI}\n{text}"))
+    return AttemptPolicies(parse_config(f"{INI}\n{text}"))
 
 
 def policies_or_problems(text: str) -> tuple[AttemptPolicies | None, list[ConfigProblem]]:
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -12,7 +12,7 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini, policies_of
-from tests.edge_harness import INI, dial, rigged, terms
+from tests.edge_harness import INI, dial, parse_config, running_edge
 from tests.helpers import Rig
 from tests.test_scenarios import valverouter
 from tests.test_worst_case import TERMS
@@ -40,7 +40,7 @@
 
 async def test_attempts_and_timeouts_on_the_wire_are_those_of_the_file(autojump_clock: MockClock) -> None:
     text = ini("[attempts a]\nprefix = 2\nlegs = 2\nleg_time_out = 700ms\nrelease_wait = 400ms")
-    async with rigged(3, text) as rig:
+    async with running_edge(3, text) as rig:
         caller = await rig.caller()
         await caller.send(msgspec.structs.replace(dial("d1"), called_number=21))
         first = rig.servers["s0"].link
@@ -48,18 +48,20 @@
         await first.next(setup.Cancel)
         assert first.at(setup.Cancel) - first.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
         await trio.sleep(2)
-        legs = [(at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)]
+        legs = [
+            (at, m) for s in rig.servers.values() for at, m in s.link.received if isinstance(m, setup.Setup)
+        ]
         assert [m.leg for _, m in sorted(legs, key=lambda one: one[0])] == [0, 1]
         assert legs[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
         assert len(caller.all(setup.Rejected)) == 1, "answered at once after its last leg"
 
 
 async def test_open_dialogs_keep_the_attempt_policy_they_started_with(autojump_clock: MockClock) -> None:
-    async with rigged(2, ini("[attempts a]\nleg_time_out = 700ms")) as rig:
+    async with running_edge(2, ini("[attempts a]\nleg_time_out = 700ms")) as rig:
         caller = await rig.caller()
         await caller.send(dial("old"))
         await rig.servers["s0"].link.next(setup.Setup)
-        rig.edge.reload(terms(ini("[attempts a]\nleg_time_out = 1400ms")))
+        rig.edge.reload(parse_config(ini("[attempts a]\nleg_time_out = 1400ms")))
         await trio.sleep(0.05)
         await caller.send(dial("new", first=1))
         one, two = rig.servers["s0"].link, rig.servers["s1"].link
@@ -67,16 +69,16 @@
         assert one.at(setup.Cancel) - one.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
         while (await two.next(setup.Cancel)).dialog != "new":
             pass
-        sent = next(at for at, m in two.heard if isinstance(m, setup.Setup) and m.dialog == "new")
-        over = next(at for at, m in two.heard if isinstance(m, setup.Cancel) and m.dialog == "new")
+        sent = next(at for at, m in two.received if isinstance(m, setup.Setup) and m.dialog == "new")
+        over = next(at for at, m in two.received if isinstance(m, setup.Cancel) and m.dialog == "new")
         assert over - sent == pytest.approx(1.4, abs=0.005)
-        rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=terms_with_ties()))
+        rig.edge.reload(msgspec.structs.replace(parse_config(INI), attempts=terms_with_ties()))
         await trio.sleep(0.05)
         assert rig.edge.context.attempt_policies is not None, "a refused file leaves the old one acting"
 
 
 def terms_with_ties() -> Any:
-    return terms(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
+    return parse_config(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
 
 
 def test_terms_commands_explain_compare_and_check_files(tmp_path: Path) -> None:
@@ -111,7 +113,7 @@
     sections = (
         "[trunk-group gw]\npeers = gw-*\n[attempts a]\ntrunk_group = gw\nno_answer = 2s\ncome_back = 1s"
     )
-    async with rigged(1, ini(sections)) as rig:
+    async with running_edge(1, ini(sections)) as rig:
         for name in ("gw-1", "other"):
             caller = await rig.caller(name)
             await trio.sleep(6)  # news of a failure at its one server must fade first
--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -10,7 +10,7 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini
-from tests.edge_harness import dial, rigged, terms
+from tests.edge_harness import dial, parse_config, running_edge
 from valverouter.config.ini import END_MARKER
 from valverouter.signalling import setup
 
@@ -35,7 +35,7 @@
 
     Gives the legs with their times, the final answers, and the generation at the end.
     """
-    async with rigged(SERVERS, ini("[attempts a]\nlegs = 3")) as rig:
+    async with running_edge(SERVERS, ini("[attempts a]\nlegs = 3")) as rig:
         caller = await rig.caller()
         for server in rig.servers.values():
             rig.nursery.start_soon(failing, server.link, SECOND)
@@ -43,7 +43,7 @@
         async def reloads() -> None:
             for at, sections in changes.items():
                 await trio.sleep_until(began + at / 1000)
-                rig.edge.reload(terms(ini(sections)))
+                rig.edge.reload(parse_config(ini(sections)))
 
         began = trio.current_time()
         rig.nursery.start_soon(reloads)
@@ -54,10 +54,10 @@
         legs = [
             (when, m.dialog, m.leg)
             for server in rig.servers.values()
-            for when, m in server.link.heard
+            for when, m in server.link.received
             if isinstance(m, setup.Setup)
         ]
-        return sorted(legs), [m for _, m in caller.heard if isinstance(m, FINAL)], rig.edge.generation
+        return sorted(legs), [m for _, m in caller.received if isinstance(m, FINAL)], rig.edge.generation
 
 
 FINAL = setup.Established | setup.Rejected | setup.Failed
@@ -87,18 +87,18 @@
 ) -> None:
     old = "[attempts a]\ntype = plain\nprefix = 21\nleg_time_out = 700ms\n[attempts b]\nleg_time_out = 2s"
     new = "[attempts b]\nprefix = 21\nleg_time_out = 1400ms"
-    async with rigged(2, ini(old)) as rig:
+    async with running_edge(2, ini(old)) as rig:
         caller = await rig.caller()
         link = rig.servers["s0"].link
         for name, number in (("moves", 211), ("gone", 3)):
             await caller.send(msgspec.structs.replace(dial(name), called_number=number))
         await trio.sleep(0.3)
-        rig.edge.reload(terms(ini(new)))
+        rig.edge.reload(parse_config(ini(new)))
         await trio.sleep(0.1)
         await caller.send(msgspec.structs.replace(dial("after"), called_number=211))
         await trio.sleep(4)
-        sent = {m.dialog: at for at, m in link.heard if isinstance(m, setup.Setup) and not m.leg}
-        over = {m.dialog: at for at, m in link.heard if isinstance(m, setup.Cancel) and not m.leg}
+        sent = {m.dialog: at for at, m in link.received if isinstance(m, setup.Setup) and not m.leg}
+        over = {m.dialog: at for at, m in link.received if isinstance(m, setup.Cancel) and not m.leg}
         spans = {name: round(over[name] - sent[name], 2) for name in over}
         assert spans == {"moves": 0.7, "gone": 2.0, "after": 1.4}
 
@@ -106,12 +106,13 @@
 async def test_a_truncated_file_is_rejected_after_one_with_an_end_marker(autojump_clock: MockClock) -> None:
     whole = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 1", END_MARKER)
     with capture_logs() as logged:
-        async with rigged(1, whole) as rig:
-            rig.edge.reload(terms(whole[: whole.index("[attempts b]")]))  # passes every check by itself
+        async with running_edge(1, whole) as rig:
+            # The shortened file passes every check by itself.
+            rig.edge.reload(parse_config(whole[: whole.index("[attempts b]")]))
             await trio.sleep(0.1)
             assert rig.edge.generation == 1
             assert len(rig.edge.config.attempts.sections) == 2
-            rig.edge.reload(terms(whole.replace("legs = 2", "legs = 3")))
+            rig.edge.reload(parse_config(whole.replace("legs = 2", "legs = 3")))
             await trio.sleep(0.1)
             assert rig.edge.generation == 2
     (refused,) = [e for e in logged if e["event"] == "configuration-rejected"]
--- a/tests/test_change_guard.py
+++ b/tests/test_change_guard.py
@@ -11,7 +11,7 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini
-from tests.edge_harness import INI, dial, rigged, terms
+from tests.edge_harness import INI, dial, parse_config, running_edge
 from valverouter.attempts.change_guard import ChangeGuard, Regression
 from valverouter.signalling import setup
 
@@ -61,7 +61,7 @@
     # One leg of a millisecond passes every check, and no server answers so fast.
     harmful = ini("[attempts a]\nlegs = 1\nleg_time_out = 1ms")
     with capture_logs() as logged:
-        async with rigged(2, INI.replace("name = e0", "name = e0\nreturns = yes")) as rig:
+        async with running_edge(2, INI.replace("name = e0", "name = e0\nreturns = yes")) as rig:
             caller, served = await rig.caller(), 0
 
             async def answers(link: Any) -> None:
@@ -75,7 +75,7 @@
                 rig.nursery.start_soon(answers, server.link)
             for at in range(200):
                 if at == 60:
-                    rig.edge.reload(msgspec.structs.replace(terms(harmful), returns=True))
+                    rig.edge.reload(msgspec.structs.replace(parse_config(harmful), returns=True))
                 await caller.send(dial(f"d{at}", first=at % 2))
                 await trio.sleep(0.1)
             served = len(caller.all(setup.Established))
--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -9,7 +9,7 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
-from tests.edge_harness import rigged
+from tests.edge_harness import running_edge
 from valverouter.config.edge import edge_config
 from valverouter.config.ini import IniFile, InvalidConfigError
 from valverouter.interface import CrossRegionBudget
@@ -80,7 +80,7 @@
     ini = GOOD.replace("127.0.0.1:1", "edge:1", 1).replace("127.0.0.1:2", "list:1")
     structlog.reset_defaults()
     with capture_logs() as logged:
-        async with rigged(ini=ini) as rig:
+        async with running_edge(ini=ini) as rig:
             more = edge_config(IniFile(ini.replace("legs = 10", "legs = 20"), "e.ini"))
             rig.edge.reload(more)
             await trio.sleep(0.1)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -11,7 +11,7 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
-from tests.edge_harness import INI, MS, SECOND, Rig, dial, rigged, terms
+from tests.edge_harness import INI, MS, SECOND, EdgeHarness, dial, parse_config, running_edge
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.queues import SendBatch, SendQueue
 from valverouter.edge.sockets import PlainSocketStream, SocketRuntime, split_address
@@ -38,11 +38,11 @@
 
 
 def final_answers(peer: Any) -> list[Any]:
-    return [message for _, message in peer.heard if isinstance(message, FINAL_ANSWERS)]
+    return [message for _, message in peer.received if isinstance(message, FINAL_ANSWERS)]
 
 
 async def test_a_dialog_from_setup_to_release(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         request = await rig.servers["s0"].link.next(Setup)
@@ -65,7 +65,7 @@
     The caller's session sent the Release although the set-up was only cancelled. The session now refuses to
     send it; a caller that sends it without a session still violates the protocol.
     """
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller, server = await rig.caller(), rig.servers["s0"].link
         for number in range(20):
             await caller.send(dial(f"d{number}"))
@@ -93,7 +93,7 @@
 async def test_a_server_connection_lost_during_an_attempt(
     autojump_clock: MockClock, answers: list[Any]
 ) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         link = rig.servers["s0"].link
@@ -101,7 +101,7 @@
         if answers:
             await link.send(*answers)
         lost_at = trio.current_time()
-        await link.cut()
+        await link.close()
         if Established("d1") in answers:
             assert await caller.next(Established)
             assert (await caller.next(Ended)).reason == "cut"
@@ -122,7 +122,7 @@
 ) -> None:
     # The driver's deadline is 50 ms, the answer margin, before the caller's. At that very instant either
     # answer may come first; the first is the only one, and after a Failed the leg is cancelled.
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         sent_at = trio.current_time()
         await caller.send(dial(no_answer=2 * SECOND))
@@ -138,7 +138,7 @@
 
 
 async def test_a_cancel_that_crosses_established(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         link = rig.servers["s0"].link
@@ -157,13 +157,13 @@
 
 @pytest.mark.parametrize("when", ["before", "during", "established"])
 async def test_a_caller_that_disconnects(autojump_clock: MockClock, when: str) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         link = rig.servers["s0"].link
         if when == "before":
             await rig.runtime.connect("edge:1")  # a connection that never says hello
             await caller.send(dial())
-            await caller.cut()
+            await caller.close()
             await trio.sleep(0.1)
             assert len(link.all(Setup)) == len(link.all(Cancel)) <= 1
         else:
@@ -175,7 +175,7 @@
             if when == "established":
                 await caller.send(Release("d1"))
                 await trio.sleep(0.01)
-            await caller.cut()
+            await caller.close()
             assert await link.next(Release if when == "established" else Cancel)
             await trio.sleep(0.1)
             assert len(link.all(Release)) == (when == "established"), "released once"
@@ -187,7 +187,7 @@
 
 
 async def test_an_answer_to_an_ended_attempt_closes_only_that_connection(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         link = rig.servers["s0"].link
@@ -208,7 +208,7 @@
 
 async def test_a_late_established_after_a_cancel_is_ignored(autojump_clock: MockClock) -> None:
     # The leg was overtaken and cancelled; its Established arrives during the dialog's release delay.
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         link, other = rig.servers["s0"].link, rig.servers["s1"].link
         await caller.send(dial("d1"))
@@ -231,7 +231,7 @@
 async def test_a_restarted_server_is_in_slow_start_before_the_list_reports_it(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         server = rig.servers["s0"]
         server_state = rig.edge.context.driver.policy.table.servers["s0"]
         assert (
@@ -241,7 +241,7 @@
             == 1.0
         )
         server.incarnation, server.age = 2, 100 * MS
-        await server.link.cut()
+        await server.link.close()
         await trio.sleep(3)
         assert len(server.links) == 2
         server_state = rig.edge.context.driver.policy.table.servers["s0"]
@@ -249,14 +249,15 @@
             server_state, rig.edge.context.driver.policy.now
         )
         assert 0.35 < fraction < 0.6
-        await rig.tell(server.row())  # the list's late update about that restart starts no second slow start
+        # The list's late update about that restart starts no second slow start.
+        await rig.publish(server.row())
         assert rig.edge.context.driver.policy.table.servers["s0"] is server_state
 
 
 async def test_an_attempt_in_the_send_queue_is_not_sent_once_its_server_drains(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         link = rig.edge.links.by_server["s0"]
         server = rig.servers["s0"]
@@ -267,7 +268,7 @@
         await trio.sleep(0.01)
         assert send_queue.is_queued(("d1", 0))
         assert not server.link.all(Setup)
-        await rig.tell(server.row("draining"))
+        await rig.publish(server.row("draining"))
         assert wakeup is not None
         wakeup.set()
         retry = await rig.servers["s1"].link.next(Setup)
@@ -280,10 +281,10 @@
 async def test_a_partly_written_attempt_to_a_draining_server_closes_the_link(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         server, link = rig.servers["s0"], rig.edge.links.by_server["s0"]
-        server.stops_reading()
+        server.stop_reading()
         assert link._send_queue is not None
         # More than the stream's buffer holds, so the writer blocks.
         link._send_queue.put(bytes(3 * STREAM_BUFFER_SIZE), key="filler")
@@ -294,31 +295,31 @@
         link.attempts["d0", 0] = False
         link._send_queue.in_flight = {**link._send_queue.in_flight, ("d0", 0): (b"", None)}
         former = server.link
-        await rig.tell(server.row("draining"))
+        await rig.publish(server.row("draining"))
         assert (await rig.servers["s1"].link.next(Setup)).dialog == "d1"
         assert rig.edge.links.by_server.get("s0") is None
         assert not former.all(Setup)
 
 
 async def test_an_answer_is_sent_in_time_though_a_link_write_blocks(autojump_clock: MockClock) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         caller = await rig.caller()
         link = rig.edge.links.by_server["s0"]
         assert link._send_queue is not None
-        rig.servers["s0"].stops_reading()
+        rig.servers["s0"].stop_reading()
         await caller.send(dial("warm", no_answer=2 * SECOND))
         await trio.sleep(0.01)
         link._send_queue.put(bytes(3 * STREAM_BUFFER_SIZE))
         sent_at = trio.current_time()
         await caller.send(dial(no_answer=2 * SECOND))
         await trio.sleep(3)
-        answers = {m.dialog: at for at, m in caller.heard if isinstance(m, FINAL_ANSWERS)}
+        answers = {m.dialog: at for at, m in caller.received if isinstance(m, FINAL_ANSWERS)}
         assert set(answers) == {"warm", "d1"}
         assert answers["d1"] < sent_at + 2
 
 
 async def test_all_servers_lost_at_once(autojump_clock: MockClock) -> None:
-    async with rigged(3) as rig:
+    async with running_edge(3) as rig:
         caller = await rig.caller()
         for number in range(3):
             await caller.send(dial(f"d{number}", first=number))
@@ -342,7 +343,7 @@
 
     It came about when the time was counted from the end of a stall. Found by runs with random stalls.
     """
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         caller = await rig.caller()
         rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.5)
@@ -356,13 +357,13 @@
 
 
 async def test_list_updates_are_handled_before_sending_after_a_stall(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         rig.nursery.start_soon(rig.runtime.stall, 3 * SECOND)
         await trio.sleep(0.2)
         await caller.send(dial("short", no_answer=1 * SECOND), dial("long", no_answer=9 * SECOND))
         assert rig.list is not None
-        await rig.list.send(rig.register.change([rig.servers["s0"].row("draining")]))
+        await rig.list.send(rig.registry.change([rig.servers["s0"].row("draining")]))
         await trio.sleep(4)
         assert not rig.servers["s0"].link.all(Setup)
         assert rig.edge.counters.stalls == 1
@@ -370,7 +371,7 @@
 
 
 async def test_an_answer_after_the_callers_deadline_is_withheld(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=1 * SECOND))
         await rig.servers["s0"].link.next(Setup)
@@ -396,7 +397,7 @@
 
     monkeypatch.setattr(RoutingPolicy, "dialog_flow", faulty)
     with capture_logs() as logged:
-        async with rigged() as rig:
+        async with running_edge() as rig:
             caller = await rig.caller()
             await caller.send(dial("odd1"), dial("odd2"), dial("d1"), dial("odd3"))
             await rig.servers["s0"].link.next(Setup)
@@ -417,7 +418,7 @@
 async def test_a_second_attempt_requested_while_one_is_in_flight_is_never_sent(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         await rig.servers["s0"].link.next(Setup)
@@ -429,8 +430,8 @@
 
 @pytest.mark.parametrize("kill_at", [0.2, 1.0])
 async def test_a_restarted_edge_proxy_uses_its_cached_list(autojump_clock: MockClock, kill_at: float) -> None:
-    async with rigged() as rig:
-        await rig.tell(rig.servers["s0"].row("draining"))
+    async with running_edge() as rig:
+        await rig.publish(rig.servers["s0"].row("draining"))
         await trio.sleep(kill_at)
         assert rig.list is not None
         rig.network.listeners.pop("list:1")
@@ -446,9 +447,9 @@
 
 
 async def test_list_gaps_are_closed_and_draining_servers_removed_at_once(autojump_clock: MockClock) -> None:
-    async with rigged(3) as rig:
-        rig.register.change([rig.servers["s1"].row("gone")])  # this update is lost
-        change = rig.register.change([rig.servers["s2"].row("draining")])
+    async with running_edge(3) as rig:
+        rig.registry.change([rig.servers["s1"].row("gone")])  # this update is lost
+        change = rig.registry.change([rig.servers["s2"].row("draining")])
         assert rig.list is not None
         await rig.list.send(change)
         await trio.sleep(0.05)
@@ -458,14 +459,14 @@
 
 
 async def test_contradictory_list_updates_are_applied_in_order(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         s0 = rig.servers["s0"]
-        await rig.tell(s0.row("draining"))
-        await rig.tell(s0.row("in-service"))
+        await rig.publish(s0.row("draining"))
+        await rig.publish(s0.row("in-service"))
         caller = await rig.caller()
         await caller.send(dial())
         assert await s0.link.next(Setup)
-        await rig.tell(s0.row("gone"))
+        await rig.publish(s0.row("gone"))
         await caller.send(dial("d2"))
         assert (await rig.servers["s1"].link.next(Setup)).dialog == "d2"
 
@@ -490,7 +491,7 @@
 async def test_bad_input_gets_one_error_and_closes_only_that_connection(
     autojump_clock: MockClock, data: bytes, code: str
 ) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         good = await rig.caller("good")
         await good.send(dial())
         link = rig.servers["s0"].link
@@ -511,7 +512,7 @@
 
 
 async def test_unknown_messages_are_answered_and_unknown_fields_ignored(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         body = msgspec.msgpack.encode({"t": "weather", "sun": True})
         await caller.stream.send_all(len(body).to_bytes(4, "big") + body)
@@ -523,7 +524,7 @@
 
 
 async def test_stop_rejects_new_dialogs_and_answers_open_ones(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial("d1"))
         link = rig.servers["s0"].link
@@ -544,13 +545,13 @@
 async def test_the_list_is_requested_if_it_is_not_pushed(autojump_clock: MockClock) -> None:
     ini = INI.replace("list_is_pushed = yes", "list_is_pushed = no")
     async with trio.open_nursery() as nursery:
-        rig = Rig(nursery, terms(ini))
+        rig = EdgeHarness(nursery, parse_config(ini))
         await nursery.start(rig.run_edge)
         await trio.sleep(3)
         tries = rig.edge.source.tries
         assert tries >= 2, "requested again after full-jitter delays"
         await rig.server("s0", 0)
-        rig.register.change([rig.servers["s0"].row()])
+        rig.registry.change([rig.servers["s0"].row()])
         await nursery.start(rig.network.serve, "list:1", rig.serve_list)
         await trio.sleep(5)
         assert set(rig.edge.context.driver.policy.table.servers) == {"s0"}
@@ -558,7 +559,7 @@
 
 
 async def test_a_cancelled_attempt_that_the_server_confirms_is_removed(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         caller = await rig.caller()
         await caller.send(dial())
         link = rig.servers["s0"].link
@@ -577,11 +578,11 @@
 async def test_a_dialog_id_reused_while_its_last_attempt_is_cancelled(autojump_clock: MockClock) -> None:
     # Found by a load test whose callers reconnected and reused their dialog ids: the second leg 0 collided
     # with the first one on the same link.
-    async with rigged() as rig:
+    async with running_edge() as rig:
         first = await rig.caller("first")
         await first.send(dial())
         await rig.servers["s0"].link.next(Setup)
-        await first.cut()
+        await first.close()
         await trio.sleep(0.01)
         second = await rig.caller("second")
         await second.send(dial())
@@ -592,7 +593,7 @@
 
 
 async def test_a_set_up_received_byte_by_byte_is_handled_when_complete(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         slow, good = await rig.caller("slow"), await rig.caller("good")
         for byte in slow.session.send(dial("d1")):
             await slow.stream.send_all(bytes([byte]))
@@ -608,7 +609,7 @@
         .replace("list_cache = cache\n", "")
     )
     async with trio.open_nursery() as nursery:
-        proxy: EdgeProxy = await nursery.start(EdgeProxy(terms(ini), SocketRuntime()).run)
+        proxy: EdgeProxy = await nursery.start(EdgeProxy(parse_config(ini), SocketRuntime()).run)
         host, port = split_address(proxy.address)
         stream = await trio.open_tcp_stream(host, port)
         await stream.send_all(encode_frame(Hello((1, 1), "caller", "c")) + encode_frame(dial()))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -11,7 +11,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.edge_harness import dial, rigged
+from tests.edge_harness import dial, running_edge
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
@@ -265,7 +265,7 @@
 
 async def test_a_link_holds_no_cancelled_leg(autojump_clock: MockClock) -> None:
     # Found beside the emulated edge: the closing word of a leg let go left its entry for the link's life.
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         caller = await rig.caller()
         await caller.send(dial())
         link = rig.servers["s0"].link
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -21,7 +21,7 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
-from tests.edge_harness import INI, SECOND, Peer, dial, rigged, terms
+from tests.edge_harness import INI, SECOND, Peer, dial, parse_config, running_edge
 from tests.helpers import Rig as Quiet
 from tests.process_harness import Drill, drill
 from tests.test_cross_region_config import GOOD as REGIONS
@@ -63,7 +63,7 @@
 async def test_a_listed_address_that_is_none_costs_that_server_alone(tmp_path: Path, address: str) -> None:
     async with drill(tmp_path) as one:
         await one.start(one.ini())
-        await one.tell(EndpointRow("s9", 9, "in-service", address, "", 1, 1))
+        await one.publish(EndpointRow("s9", 9, "in-service", address, "", 1, 1))
         told = await one.event("link-down")
         assert told["server"] == "s9"
         assert told["why"].startswith("no connection")
@@ -85,7 +85,7 @@
 async def test_a_fault_in_one_connections_task_ends_neither_the_others_nor_the_instance(
     autojump_clock: MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         whole = SetupSession.receive
 
         def falls(session: SetupSession, data: Any) -> Any:
@@ -109,17 +109,17 @@
 
 
 async def test_a_server_gone_from_the_list_and_back_is_linked_again(autojump_clock: MockClock) -> None:
-    async with rigged() as rig:
+    async with running_edge() as rig:
         server = rig.servers["s0"]
         server.scope.cancel()
-        await server.link.cut()
+        await server.link.close()
         await trio.sleep(1)
-        await rig.tell(server.row("gone"))
+        await rig.publish(server.row("gone"))
         await trio.sleep(10)
         assert list(rig.edge.links.by_server) == ["s1"]
         server.incarnation += 1
         await rig.nursery.start(server.run)
-        await rig.tell(server.row())
+        await rig.publish(server.row())
         await trio.sleep(1)
         assert len(server.links) == 2
 
@@ -127,12 +127,12 @@
 async def test_an_attempt_cancelled_behind_a_server_that_stopped_reading_still_gets_its_answer(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(1, INI + "[attempts soon]\nleg_time_out = 500ms\n") as rig:
+    async with running_edge(1, INI + "[attempts soon]\nleg_time_out = 500ms\n") as rig:
         caller = await rig.caller()
         began = trio.current_time()
         await caller.send(dial(no_answer=3 * SECOND))
         await rig.servers["s0"].link.next(Setup)
-        rig.servers["s0"].stops_reading()
+        rig.servers["s0"].stop_reading()
         outbox = rig.edge.links.by_server["s0"]._send_queue
         assert outbox is not None
         outbox.put(bytes(3 * STREAM_BUFFER_SIZE))  # more than the stream takes: what follows waits behind it
@@ -248,11 +248,11 @@
 ) -> None:
     ini = REGIONS.replace("127.0.0.1:1", "edge:1", 1).replace("127.0.0.1:2", "list:1")
     with capture_logs() as logs:
-        async with rigged(1, ini) as rig:
+        async with running_edge(1, ini) as rig:
             rule = rig.edge.cross_region
             assert rule is not None
             before = (rule.config, dict(rule._quotas), rule._reserve, rig.edge.config, rig.edge.generation)
-            other = terms(ini.replace("legs = 10", "legs = 20"))
+            other = parse_config(ini.replace("legs = 10", "legs = 20"))
             for at in range(1, 20):
                 made = 0
 
@@ -290,7 +290,7 @@
     await stream.send_all(peer.session.hello_frame())
     with trio.fail_after(1):
         await peer.read()
-    await peer.cut()
+    await peer.close()
     return peer.error.code if peer.error else ""
 
 
@@ -307,7 +307,7 @@
         await one.stands("d1", caller)  # whoever is here is served
         one.limit(resource.RLIMIT_NOFILE, 4)
         for link in (*one.servers["s0"].links, *one.lists):
-            await link.cut()  # no descriptor for a new connection to either
+            await link.close()  # no descriptor for a new connection to either
         await one.event("discovery-down")
         await one.event("link-down", many=2)
         one.limit(resource.RLIMIT_NOFILE, 1_000)
@@ -315,7 +315,7 @@
         for at in range(20):
             more = await one.caller(f"c{at}")
             await one.stands(f"e{at}", more)
-            await more.cut()
+            await more.close()
         await trio.sleep(0.5)
         after = await one.settled()
         assert after["descriptors"] <= before["descriptors"] + 1
@@ -330,10 +330,10 @@
         callers = [await one.caller(f"c{at}") for at in range(3)]
         assert await refused(one) == "peer:too-many"
         for link in one.servers["s0"].links:
-            await link.cut()
+            await link.close()
         await one.event("link-up", many=2)
         await one.stands("d1", callers[0])
-        await callers[1].cut()
+        await callers[1].close()
         await trio.sleep(0.2)
         await one.stands("d2")
 
@@ -363,7 +363,7 @@
         assert lost == 3
         assert one.process.poll() is None
         for other in others:
-            await other.cut()
+            await other.close()
         one.limit(resource.RLIMIT_AS, resource.RLIM_INFINITY)
         await trio.sleep(0.5)
         await one.stands("d2")
@@ -381,7 +381,7 @@
                 await other.stream.send_all(b"\x00\x00\xff\xff" + bytes(60_000))
             await one.stands(f"d{times}", caller)
             for other in others:
-                await other.cut()
+                await other.close()
             await trio.sleep(0.4)
             after.append(one.holds())
         assert after[2]["descriptors"] <= before["descriptors"] + 1
@@ -456,14 +456,14 @@
 async def test_a_wall_clock_set_forward_makes_no_cold_server_look_warm(
     autojump_clock: MockClock, kept: str
 ) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         fresh = await rig.server("s1", 1, incarnation=5, age=0)
-        await rig.tell(fresh.row())
-        again = DiscoveryClient(rig.terms, rig.runtime, EventQueue(), Clock(0), lambda tries: 0)
+        await rig.publish(fresh.row())
+        again = DiscoveryClient(rig.config, rig.runtime, EventQueue(), Clock(0), lambda tries: 0)
         rig.runtime.wall_time = lambda: WALL_CLOCK_START + 3_600 * SECOND  # type: ignore[method-assign]
         if kept == "before":
             rows = {row.server: row for row in await again.load_cached()}
-        await rig.tell(rig.servers["s0"].row())  # kept once more, by the wrong clock
+        await rig.publish(rig.servers["s0"].row())  # kept once more, by the wrong clock
         if kept == "after":
             rows = {row.server: row for row in await again.load_cached()}
         assert rows["s1"].age is not None
@@ -475,14 +475,14 @@
 async def test_a_disk_that_hangs_holds_up_neither_the_lists_word_nor_the_stop(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(2) as rig:
+    async with running_edge(2) as rig:
 
         async def hangs(path: str, data: bytes) -> None:
             await trio.sleep_forever()
 
         rig.runtime.write_file = hangs  # type: ignore[method-assign]
-        await rig.tell(rig.servers["s1"].row())
-        await rig.tell(rig.servers["s0"].row("draining"))
+        await rig.publish(rig.servers["s1"].row())
+        await rig.publish(rig.servers["s0"].row("draining"))
         caller = await rig.caller()
         await caller.send(dial())
         assert (await rig.servers["s1"].link.next(Setup)).dialog == "d1"
@@ -496,7 +496,7 @@
     autojump_clock: MockClock, error: Exception
 ) -> None:
     with capture_logs() as logs:
-        async with rigged(1) as rig:
+        async with running_edge(1) as rig:
             whole = rig.runtime.write_file
 
             async def refuses(path: str, data: bytes) -> None:
@@ -504,9 +504,9 @@
 
             rig.runtime.write_file = refuses  # type: ignore[method-assign]
             for _ in range(3):
-                await rig.tell(rig.servers["s0"].row())
+                await rig.publish(rig.servers["s0"].row())
             rig.runtime.write_file = whole  # type: ignore[method-assign]
-            await rig.tell(rig.servers["s0"].row("draining"))
+            await rig.publish(rig.servers["s0"].row("draining"))
             assert b"draining" in rig.network.files["cache"]
             assert rig.edge.source.is_up
     told = [line["event"] for line in logs if "endpoint-cache" in line["event"]]
@@ -514,7 +514,7 @@
 
 
 async def test_a_list_service_that_closes_after_each_word_is_not_stormed(autojump_clock: MockClock) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         times = 0
 
         async def closes(stream: trio.abc.Stream) -> None:
@@ -525,18 +525,18 @@
             def once(message: Any) -> Any:
                 if isinstance(message, Watch):
                     rig.nursery.start_soon(later, peer)
-                    return Snapshot(f"epoch {times}", 1, list(rig.register.rows.values()))
-                return rig._listing(message)
+                    return Snapshot(f"epoch {times}", 1, list(rig.registry.rows.values()))
+                return rig._answer_watch(message)
 
             async def later(peer: Peer) -> None:
                 await trio.sleep(0.01)
-                await peer.cut()
+                await peer.close()
 
             await peer.read(once)
 
         rig.network.listeners["list:1"] = lambda stream: rig.nursery.start_soon(closes, stream)
         assert rig.list is not None
-        await rig.list.cut()
+        await rig.list.close()
         await trio.sleep(60)
         assert 20 <= times <= 90  # about one a second, each at a moment of its own
 
@@ -544,14 +544,14 @@
 async def test_a_cached_start_is_set_right_once_the_list_tells_that_the_server_is_warm(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         fresh = await rig.server("s1", 1, incarnation=5, age=0)
-        await rig.tell(fresh.row())
+        await rig.publish(fresh.row())
         rig.scope.cancel()
         await trio.sleep(100)
         fresh.age = 100 * SECOND
-        rig.register.change([fresh.row()])
-        rig.edge = EdgeProxy(rig.terms, rig.runtime)
+        rig.registry.change([fresh.row()])
+        rig.edge = EdgeProxy(rig.config, rig.runtime)
         await rig.nursery.start(rig.run_edge)
         await trio.sleep(0.1)
         far = rig.edge.context.driver.policy.table.servers["s1"]
@@ -562,12 +562,12 @@
 
 
 async def test_a_link_that_went_silent_is_given_up_and_made_again(autojump_clock: MockClock) -> None:
-    async with rigged(1, INI + "[links]\nsilence = 20s\n") as rig:
+    async with running_edge(1, INI + "[links]\nsilence = 20s\n") as rig:
         server = rig.servers["s0"]
         caller = await rig.caller()
         await trio.sleep(100)
         assert len(server.links) == 1  # idle is not silent
-        server.stops_reading()
+        server.stop_reading()
         for at in range(12):
             await caller.send(dial(f"d{at}", no_answer=2 * SECOND))
             await trio.sleep(2.5)
@@ -591,12 +591,12 @@
 async def test_links_to_servers_gone_for_good_are_closed_and_leave_no_entry(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         for number in range(1, 20):
             fresh = await rig.server(f"s{number}", 1)
-            await rig.tell(fresh.row())
+            await rig.publish(fresh.row())
             await trio.sleep(1)
-            await rig.tell(fresh.row("gone"))  # and its machine closes nothing
+            await rig.publish(fresh.row("gone"))  # and its machine closes nothing
         await trio.sleep(5)
         assert list(rig.edge.links.by_server) == ["s0"]
         assert not rig.edge.links.removed
@@ -607,10 +607,10 @@
     autojump_clock: MockClock,
 ) -> None:
     with capture_logs() as logs:
-        async with rigged(2) as rig:
-            await rig.tell(rig.servers["s1"].row("draining"))
+        async with running_edge(2) as rig:
+            await rig.publish(rig.servers["s1"].row("draining"))
             stale = EndpointRow("s7", 7, "in-service", "s1:1", "", 1, 10**15)
-            await rig.tell(stale)
+            await rig.publish(stale)
             caller = await rig.caller()
             for at in range(4):
                 await caller.send(dial(f"d{at}", first=7))
@@ -624,7 +624,7 @@
 async def test_a_server_whose_connections_fail_is_not_stormed_and_its_dialogs_are_answered(
     autojump_clock: MockClock, how: str
 ) -> None:
-    async with rigged(2) as rig:
+    async with running_edge(2) as rig:
         times = 0
         reset: dict[str, float] = {}
 
@@ -646,7 +646,7 @@
                             return
 
         rig.network.listeners["s0:1"] = lambda stream: rig.nursery.start_soon(troubled, stream)
-        await rig.servers["s0"].link.cut()
+        await rig.servers["s0"].link.close()
         caller, other = await rig.caller(), rig.servers["s1"].link
         assert isinstance(other.session, SetupSession)
         for at in range(40):
@@ -665,7 +665,7 @@
         assert times <= 60  # in 33 s; the wait doubles up to 2 s, drawn in full
         if how in ("resets-at-legs", "half-a-frame"):  # may have run: the release time lies between
             again = [
-                at - reset[m.dialog] for at, m in other.heard if isinstance(m, Setup) and m.dialog in reset
+                at - reset[m.dialog] for at, m in other.received if isinstance(m, Setup) and m.dialog in reset
             ]
             assert again
             assert min(again) >= 0.3 - 1e-6
@@ -674,7 +674,7 @@
 async def test_an_attempt_cancelled_on_a_link_that_is_down_already_ends_once(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(2) as rig:
+    async with running_edge(2) as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=2 * SECOND))
         await rig.servers["s0"].link.next(Setup)
@@ -710,7 +710,7 @@
 
 
 async def test_tables_hold_what_is_open_whatever_callers_and_servers_say(autojump_clock: MockClock) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         caller, server = await rig.caller(), rig.servers["s0"]
         for at in range(3_000):
             kind = "plain" if at % 2 else f"unknown-{at}"
@@ -735,7 +735,7 @@
 ) -> None:
     ini = REGIONS.replace("127.0.0.1:1", "edge:1", 1).replace("127.0.0.1:2", "list:1")
     with capture_logs() as logs:
-        async with rigged(1, ini.replace("[fleet]", "accounts = books\n[fleet]", 1)) as rig:
+        async with running_edge(1, ini.replace("[fleet]", "accounts = books\n[fleet]", 1)) as rig:
 
             async def keep(path: str, data: bytes) -> None:
                 if how == "hangs":
@@ -756,7 +756,7 @@
 async def test_many_callers_at_once_do_not_fill_the_event_queue_past_its_bound(
     autojump_clock: MockClock,
 ) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         most = 0
         whole = EventQueue.put
 
@@ -806,7 +806,7 @@
 
 
 async def test_a_list_service_that_went_silent_is_told_from_a_calm_one(autojump_clock: MockClock) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         assert rig.list is not None
         rig.list.reads = False
         await trio.sleep(600)
@@ -815,11 +815,11 @@
 
 
 async def test_a_calm_list_service_is_asked_and_keeps_its_connection(autojump_clock: MockClock) -> None:
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         assert rig.list is not None
         first = rig.list
         await trio.sleep(600)
         assert rig.edge.source.is_up
         assert rig.list is first
-        asked = [at for at, message in first.heard if isinstance(message, Watch)]
+        asked = [at for at, message in first.received if isinstance(message, Watch)]
         assert 10 <= len(asked) <= 21, "once for each half minute in which nothing was told"
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -17,7 +17,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.edge_harness import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
+from tests.edge_harness import MS, SECOND, EdgeHarness, Peer, dial, running_edge, running_harness
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
@@ -55,13 +55,13 @@
 # A scripted edge proxy that is killed and started again
 
 
-class Kept(Rig):
+class Kept(EdgeHarness):
     """The rig with an edge proxy on a store."""
 
     def make_edge(self) -> EdgeProxy:
         # The store outlives each edge proxy: made with the first, before the rig is whole.
         self.store: MemoryLedgerStore = getattr(self, "store", None) or MemoryLedgerStore()
-        return ResumableProxy(self.terms, self.runtime, self.store)
+        return ResumableProxy(self.config, self.runtime, self.store)
 
     async def again(self, moved: int = 0, boot: str = "memory") -> None:
         """Kills the edge proxy and starts another on its store; `moved`: the wall clock in between."""
@@ -81,7 +81,7 @@
 
 @asynccontextmanager
 async def kept(servers: int = 2, version: int = 2) -> AsyncIterator[Kept]:
-    async with rigged_as(Kept, servers, version=version) as rig:
+    async with running_harness(Kept, servers, version=version) as rig:
         yield rig
 
 
@@ -90,7 +90,7 @@
     with trio.fail_after(within):
         while True:
             for server in rig.servers.values():
-                for _, message in server.link.heard[server.link._taken :]:
+                for _, message in server.link.received[server.link._next_index :]:
                     if isinstance(message, kind):
                         return server.link, await server.link.next(kind)
             await trio.sleep(0.01)
@@ -277,14 +277,14 @@
         caller = await rig.caller()
         await caller.send(dial())
         link, leg = await leg_at(rig)
-        await caller.cut()
+        await caller.close()
         await trio.sleep(0.05)
         await link.send(setup.Established("d1", leg.leg))
         await trio.sleep(0.05)
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
         await back.next(setup.Established)
-        await back.cut()
+        await back.close()
         await trio.sleep(6)
         assert link.all(setup.Release) == [setup.Release("d1", leg.leg)], "it did not come back in time"
 
@@ -295,9 +295,9 @@
         caller, link, leg = await stood(rig)
         server, began = rig.servers["s0"], trio.current_time()
         if how == "gone from the list":
-            await rig.tell(server.row("gone"))
+            await rig.publish(server.row("gone"))
         if how in ("held", "unknown"):
-            await link.cut()
+            await link.close()
             await trio.sleep(0.5)
             assert await server.link.next(setup.Resume) == setup.Resume("d1", leg.leg)
             assert not caller.all(setup.Ended)
@@ -347,7 +347,7 @@
 ) -> None:
     async with kept() as rig:
         caller, link, leg = await stood(rig)
-        await caller.cut()
+        await caller.close()
         await trio.sleep(0.05)
         await link.send(setup.Ended("d1", leg.leg, reason))
         await trio.sleep(0.05)
@@ -449,7 +449,7 @@
 ) -> None:
     # Found by a kill under load: the closing word was read and waited, more than a batch behind; the cancel
     # that the time-out wished for raised in the session, and no answer ever followed.
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=SECOND))
         link = rig.servers["s0"].link
