--- a/tests/test_attempt_policy_reload.py
+++ b/tests/test_attempt_policy_reload.py
@@ -10,7 +10,7 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini
-from tests.edge_harness import dial, rigged, terms
+from tests.edge_harness import dial, parse_config, running_edge
 from valverouter.config.ini import END_MARKER
 from valverouter.signalling import setup
 
@@ -36,7 +36,7 @@
     `changes`: sections to reload, by ms since the start. Returns the attempts with their times, the final
     answers, and the last configuration generation.
     """
-    async with rigged(SERVERS, ini("[attempts a]\nlegs = 3")) as rig:
+    async with running_edge(SERVERS, ini("[attempts a]\nlegs = 3")) as rig:
         caller = await rig.caller()
         for server in rig.servers.values():
             rig.nursery.start_soon(reject_first_attempts, server.link, SECOND)
@@ -44,7 +44,7 @@
         async def reload_repeatedly() -> None:
             for at, sections in changes.items():
                 await trio.sleep_until(began + at / 1000)
-                rig.edge.reload(terms(ini(sections)))
+                rig.edge.reload(parse_config(ini(sections)))
 
         began = trio.current_time()
         rig.nursery.start_soon(reload_repeatedly)
@@ -55,12 +55,12 @@
         attempts = [
             (when, m.dialog, m.leg)
             for server in rig.servers.values()
-            for when, m in server.link.heard
+            for when, m in server.link.received
             if isinstance(m, setup.Setup)
         ]
         return (
             sorted(attempts),
-            [m for _, m in caller.heard if isinstance(m, FINAL_ANSWERS)],
+            [m for _, m in caller.received if isinstance(m, FINAL_ANSWERS)],
             rig.edge.generation,
         )
 
@@ -95,18 +95,18 @@
 ) -> None:
     old = "[attempts a]\ntype = plain\nprefix = 21\nleg_time_out = 700ms\n[attempts b]\nleg_time_out = 2s"
     new = "[attempts b]\nprefix = 21\nleg_time_out = 1400ms"
-    async with rigged(2, ini(old)) as rig:
+    async with running_edge(2, ini(old)) as rig:
         caller = await rig.caller()
         link = rig.servers["s0"].link
         for name, number in (("moves", 211), ("gone", 3)):
             await caller.send(msgspec.structs.replace(dial(name), called_number=number))
         await trio.sleep(0.3)
-        rig.edge.reload(terms(ini(new)))
+        rig.edge.reload(parse_config(ini(new)))
         await trio.sleep(0.1)
         await caller.send(msgspec.structs.replace(dial("after"), called_number=211))
         await trio.sleep(4)
-        sent_at = {m.dialog: at for at, m in link.heard if isinstance(m, setup.Setup) and not m.leg}
-        cancelled_at = {m.dialog: at for at, m in link.heard if isinstance(m, setup.Cancel) and not m.leg}
+        sent_at = {m.dialog: at for at, m in link.received if isinstance(m, setup.Setup) and not m.leg}
+        cancelled_at = {m.dialog: at for at, m in link.received if isinstance(m, setup.Cancel) and not m.leg}
         durations = {name: round(cancelled_at[name] - sent_at[name], 2) for name in cancelled_at}
         assert durations == {"moves": 0.7, "gone": 2.0, "after": 1.4}
 
@@ -114,12 +114,12 @@
 async def test_truncated_file_is_rejected_after_one_with_an_end_marker(autojump_clock: MockClock) -> None:
     full_file = ini("[attempts a]\nlegs = 2", "[attempts b]\nprefix = 2\nlegs = 1", END_MARKER)
     with capture_logs() as logged:
-        async with rigged(1, full_file) as rig:
-            rig.edge.reload(terms(full_file[: full_file.index("[attempts b]")]))  # valid by itself
+        async with running_edge(1, full_file) as rig:
+            rig.edge.reload(parse_config(full_file[: full_file.index("[attempts b]")]))  # valid by itself
             await trio.sleep(0.1)
             assert rig.edge.generation == 1
             assert len(rig.edge.config.attempts.sections) == 2
-            rig.edge.reload(terms(full_file.replace("legs = 2", "legs = 3")))
+            rig.edge.reload(parse_config(full_file.replace("legs = 2", "legs = 3")))
             await trio.sleep(0.1)
             assert rig.edge.generation == 2
     (rejected,) = [e for e in logged if e["event"] == "configuration-rejected"]
