--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -195,7 +195,7 @@
 PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
-def member(step: operations.StepStatus = operations.StepStatus.OUT) -> operations.Participant:
+def member(step: operations.StepStatus = operations.StepStatus.IN_PROGRESS) -> operations.Participant:
     return operations.Participant(step, 269, 3, "v9", "slow")
 
 
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -31,7 +31,7 @@
 processes = pytest.mark.processes
 
 
-def course_day(length: int = 15, edges: int = 6, troubles: str = "") -> ScenarioConfig:
+def operations_scenario(length: int = 15, edges: int = 6, troubles: str = "") -> ScenarioConfig:
     text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("length = 18s", f"length = {length}s")
     return scenario_config(IniFile(text + troubles, "orders"), "orders")
@@ -40,7 +40,7 @@
 def run_script(tmp_path: Path, script: Script, length: int = 15, **options: object) -> OperationsReport:
     """Run the script on a day; the rules and those of operations are kept, whatever it did."""
     troubles = str(options.pop("troubles", ""))
-    rows = run_operations(course_day(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
+    rows = run_operations(operations_scenario(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
     verdict, rules = check_operations(rows), audit(rows)
     assert verdict is not None, verdict
     assert verdict.violations == (), verdict
@@ -52,7 +52,7 @@
     return next(each.result for each in status.operations if each.id == operation)
 
 
-async def until_out(rig: OperationRig, operation: str) -> FleetStatus:
+async def wait_until_unavailable(rig: OperationRig, operation: str) -> FleetStatus:
     """Return once an instance is out by the operation."""
     with trio.fail_after(20):
         while True:
@@ -69,13 +69,13 @@
         return status.node
 
 
-def test_a_course_of_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
+def test_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
     """A restart of all while the leader and a supervisor are killed, then a release that ends by itself."""
 
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
-            await until_out(rig, "all")
+            await wait_until_unavailable(rig, "all")
             node = await leader(rig)
             rig.kill(node)
             rig.kill("k2")
@@ -126,8 +126,8 @@
 @processes
 def test_the_client_killed_at_each_step(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
-        for within in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
-            await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=within)
+        for client_timeout_s in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
+            await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=client_timeout_s)
         code, _ = await rig.run_client("restart", "e0", "e1", "--id", "one")
         assert code == 0
         assert result_of(await rig.wait_until_settled(30), "one") == "done"
@@ -162,7 +162,7 @@
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
-            await until_out(rig, "all")
+            await wait_until_unavailable(rig, "all")
             nursery.start_soon(rig.pause, await leader(rig), 10.0)
             await trio.sleep(5)
             node = await leader(rig)
@@ -244,7 +244,7 @@
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "release", "--all", "--to", "v2", "--id", "r")
-            await until_out(rig, "r")
+            await wait_until_unavailable(rig, "r")
             now = rig.fakes.now()
             cut = frozenset({"c1", "k0", "k2", "k4"})
             rest = frozenset({"c0", "c2", "k1", "k3", "k5"})
@@ -337,12 +337,12 @@
 
 
 @processes
-def test_servers_go_out_one_by_one_under_permits(tmp_path: Path) -> None:
+def test_servers_become_unavailable_one_at_a_time_under_permits(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
         code, output = await rig.run_client("restart", "s0", "s1", "--servers", "--id", "s", timeout_s=90)
         assert code == 0, output
 
-    rows = run_operations(msgspec.structs.replace(course_day(60)), tmp_path, script, servers=True)
+    rows = run_operations(msgspec.structs.replace(operations_scenario(60)), tmp_path, script, servers=True)
     verdict, rules = check_operations(rows), audit(rows)
     assert verdict is not None, verdict
     assert verdict.passed, verdict
@@ -353,7 +353,7 @@
 
 
 @processes
-def test_a_sigterm_is_obeyed_and_the_instance_counted_as_out_without_a_permit(tmp_path: Path) -> None:
+def test_a_sigterm_is_obeyed_and_the_instance_counted_as_lost_without_a_permit(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
         rig.record_fault("leave-k1", "k1", 10)
         for _ in range(3):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -57,7 +57,7 @@
     assert operation.wave_index == 1, "told again"
 
 
-def test_evaluations_come_once_three_times_as_many_are_released() -> None:
+def test_evaluations_follow_each_threefold_growth_of_the_released_group() -> None:
     assert evaluation_waves([["a"]] * 14) == [0, 3, 12]
     assert evaluation_waves([["a"], ["b", "c", "d"], ["e"] * 9, ["f"] * 9]) == [0, 1, 2]
     assert evaluation_waves([["a"]]) == [], "there is nobody left to hold back"
@@ -114,7 +114,7 @@
     assert rig.log.active_operation is None
 
 
-def test_a_cancel_brings_instances_in_and_released_ones_back() -> None:
+def test_a_cancel_returns_unavailable_instances_and_rolls_back_released_ones() -> None:
     rig = OperationLogRig()
     names = [f"e{index}" for index in range(6)]
     waves = rig.submit("r", OperationKind.RELEASE, *names, version="v2").waves
@@ -146,7 +146,7 @@
     }
 
 
-def test_a_released_instance_that_ends_over_and_over_is_rolled_back() -> None:
+def test_a_released_instance_in_a_crash_loop_is_rolled_back() -> None:
     """Refused as out without leave, it could never have gone back to what it ran before."""
     rig = OperationLogRig()
     waves = rig.submit("r", OperationKind.RELEASE, "e0", "e1", "e2", version="v2").waves
@@ -159,7 +159,7 @@
     assert rig.log.permits.unavailable[first] is not None
 
 
-def test_a_drained_instance_stays_out_whatever_its_program_does() -> None:
+def test_a_drained_instance_stays_unavailable_even_if_its_program_runs() -> None:
     rig = OperationLogRig()
     rig.submit("d", OperationKind.DRAIN, "e0")
     number = rig.request_permit("d", "e0")
@@ -181,19 +181,22 @@
     rig.apply(StepReported("a", waves[0][0], 0, StepStatus.UNREACHABLE, "silent"))
     number = rig.request_permit("a", waves[1][0])
     rig.apply(StepReported("a", waves[1][0], number, StepStatus.UNREACHABLE))
-    assert rig.status("a", waves[1][0]) is StepStatus.OUT, "with leave it may have gone out: unknown"
+    assert rig.status("a", waves[1][0]) is StepStatus.IN_PROGRESS, "with leave it may have gone out: unknown"
     rig.apply(Retire(waves[1][0]))
     assert rig.log.operations["a"].result == "in part"
     assert waves[1][0] not in rig.log.permits.instances
 
 
-def test_a_new_control_plane_gives_no_permit_number_again_and_keeps_drains() -> None:
+def test_a_rebuilt_control_plane_reuses_no_permit_number_and_keeps_drains() -> None:
     rig = OperationLogRig()
     rig.number = 3  # it is young, and keepers have seen higher numbers
     rig.apply(Retire("e0"))
     rig.apply(Retire("e1"))
-    units = (Instance("e0", InstanceKind.EDGE, "north", 100), Instance("e1", InstanceKind.EDGE, "south", 100))
-    rig.apply(EnrollInstances(units))
+    instances = (
+        Instance("e0", InstanceKind.EDGE, "north", 100),
+        Instance("e1", InstanceKind.EDGE, "south", 100),
+    )
+    rig.apply(EnrollInstances(instances))
     rig.apply(InstanceReported("e0", "v2", ("v1", "v2"), 900, 0, True))
     rig.apply(InstanceReported("e1", "v1", ("v1", "v2"), 950, 0, False))
     assert rig.log.desired["e0"] == DesiredState("v2", True, 900, 0)
@@ -205,7 +208,7 @@
     assert rig.request_permit("a", "e0") > 950
 
 
-def test_a_halted_fleet_takes_no_operations() -> None:
+def test_a_halted_fleet_rejects_operations() -> None:
     rig = OperationLogRig()
     rig.apply(HaltDisruptions("by hand"))
     assert rig.submit("a", OperationKind.RESTART, "e0").rejection == "halted: by hand"
@@ -222,10 +225,12 @@
 
 
 NAMES = [f"e{index}" for index in range(6)]
-names = st.lists(st.sampled_from(NAMES), min_size=1, max_size=6, unique=True).map(tuple)
+instance_names = st.lists(st.sampled_from(NAMES), min_size=1, max_size=6, unique=True).map(tuple)
 operation_ids = st.sampled_from(["a", "b", "c", "d"])
 commands_strategy = st.one_of(
-    st.builds(Submit, operation_ids, st.sampled_from(OperationKind), names, st.sampled_from(["v1", "v2"])),
+    st.builds(
+        Submit, operation_ids, st.sampled_from(OperationKind), instance_names, st.sampled_from(["v1", "v2"])
+    ),
     st.builds(
         lambda operation, name, back, index: RequestPermit(
             f"{operation}/{name}{back}/{index}", name, operation
@@ -257,63 +262,63 @@
 
 @given(st.lists(commands_strategy, max_size=80))
 @settings(max_examples=300, deadline=None)
-def test_the_operation_log_keeps_its_invariants_whatever_commands_come(commands: list[Any]) -> None:
+def test_the_operation_log_keeps_its_invariants_under_any_commands(commands: list[Any]) -> None:
     rig = OperationLogRig()
-    book = rig.log
-    turns = {name: (0, 0) for name in NAMES}
+    log = rig.log
+    latest_steps = {name: (0, 0) for name in NAMES}
     for command in commands:
         if isinstance(command, tuple):
             name = command[-1] if command[0] == "back" else command[2]
-            permit = book.permits.unavailable.get(name)
+            permit = log.permits.unavailable.get(name)
             number = permit.number if permit else 0
             command = (
                 InstanceReturned(name, number)
                 if command[0] == "back"
                 else StepReported(command[1], name, number, command[3])
             )
-        before = set(book.permits.unavailable)
+        before = set(log.permits.unavailable)
         rig.apply(command)
-        permits = [name for name, permit in book.permits.unavailable.items() if permit is not None]
-        units = {name: unit for name, unit in book.permits.instances.items() if name in permits}
-        added = len(set(book.permits.unavailable) - before)
+        permits = [name for name, permit in log.permits.unavailable.items() if permit is not None]
+        instances = {name: instance for name, instance in log.permits.instances.items() if name in permits}
+        added = len(set(log.permits.unavailable) - before)
         if isinstance(command, RequestPermit) and added:
-            assert len(book.permits.unavailable) <= LIMITS.max_unavailable, (
+            assert len(log.permits.unavailable) <= LIMITS.max_unavailable, (
                 "leave was given past what may be out"
             )
             for region in ("north", "south"):
-                away = [n for n in book.permits.unavailable if book.permits.instances[n].region == region]
-                with_permit = [n for n in away if units.get(n) and n == command.name]
-                assert not with_permit or len(away) <= LIMITS.max_unavailable_per_region
-        for name, desired in book.desired.items():
-            assert desired.step_id >= turns[name], "what is wanted goes back to a former turn"
-            turns[name] = desired.step_id
+                unavailable = [
+                    n for n in log.permits.unavailable if log.permits.instances[n].region == region
+                ]
+                with_permit = [n for n in unavailable if instances.get(n) and n == command.name]
+                assert not with_permit or len(unavailable) <= LIMITS.max_unavailable_per_region
+        for name, desired in log.desired.items():
+            assert desired.step_id >= latest_steps[name], "what is wanted goes back to a former turn"
+            latest_steps[name] = desired.step_id
         active = [
-            first_number
-            for first_number in book.operations.values()
-            if first_number.phase in ACTIVE_PHASES and first_number.kind is not OperationKind.UNDRAIN
+            candidate
+            for candidate in log.operations.values()
+            if candidate.phase in ACTIVE_PHASES and candidate.kind is not OperationKind.UNDRAIN
         ]
         assert len(active) <= 1, "two orders take out at once"
-        waiting = any(
-            first_number.phase is OperationPhase.QUEUED for first_number in book.operations.values()
-        )
-        assert active or not waiting, "one waits and none goes"
-        for operation in book.operations.values():
+        has_queued = any(candidate.phase is OperationPhase.QUEUED for candidate in log.operations.values())
+        assert active or not has_queued, "one waits and none goes"
+        for operation in log.operations.values():
             for name, participant in operation.participants.items():
-                permit = book.permits.unavailable.get(name)
+                permit = log.permits.unavailable.get(name)
                 if operation.phase is not OperationPhase.ENDED and participant.status in (
-                    StepStatus.OUT,
+                    StepStatus.IN_PROGRESS,
                     StepStatus.FAILED,
                 ):
                     assert permit is not None, (operation.id, name, participant)
                     assert permit.number == participant.permit_number, (operation.id, name, participant)
             if operation.phase is OperationPhase.ENDED:
                 assert operation.result in ("done", "in part", "halted")
-                assert not {m.status for m in operation.participants.values()} & {
-                    StepStatus.OUT,
+                assert not {final.status for final in operation.participants.values()} & {
+                    StepStatus.IN_PROGRESS,
                     StepStatus.ROLLBACK_PENDING,
                     StepStatus.PENDING,
                 }
-        assert msgspec.msgpack.decode(msgspec.msgpack.encode(book), type=OperationLog) == book
+        assert msgspec.msgpack.decode(msgspec.msgpack.encode(log), type=OperationLog) == log
 
 
 def test_an_undrain_is_not_queued() -> None:
@@ -332,7 +337,7 @@
     rig.request_permit("a", "e2", 1)
 
 
-def test_limits_that_no_operation_could_meet_reject_all() -> None:
+def test_unsatisfiable_limits_reject_every_operation() -> None:
     rig = OperationLogRig(limits=DisruptionLimits(6, 3))
     assert (
         rig.submit("a", OperationKind.RESTART, "e0").rejection
--- a/tests/test_orchestrator.py
+++ b/tests/test_orchestrator.py
@@ -25,7 +25,7 @@
     for name, instance in rig.log.permits.instances.items():
         desired = rig.log.desired[name]
         counters = InstanceCounters(
-            incarnation=1, serving=True, ready=True, view_health=counter_fields.get("trust", "settled")
+            incarnation=1, serving=True, ready=True, view_health=counter_fields.get("view_health", "settled")
         )
         info = InstanceInfo(name, instance.kind, instance.region, instance.capacity, 0.0, ("v1", "v2"))
         done = "done" if desired.permit_number else ""
@@ -56,28 +56,28 @@
     assert orchestrator.next_commands(5 * SECOND, rig.log) == [InstanceReturned("e3", 0)]
 
 
-def test_an_unsettled_view_takes_nothing_out_and_halts_in_the_end() -> None:
+def test_an_unsettled_view_delays_permits_and_then_cancels_the_operation() -> None:
     rig = OperationLogRig()
     orchestrator = new_orchestrator(rig, max_unsettled=5 * SECOND)
     rig.submit("a", OperationKind.RESTART, "e0", "e1")
-    report_all(orchestrator, rig, SECOND, trust="unsettled")
+    report_all(orchestrator, rig, SECOND, view_health="unsettled")
     assert orchestrator.next_commands(SECOND, rig.log) == []
     report_all(orchestrator, rig, 4 * SECOND)
     assert [type(command) for command in orchestrator.next_commands(4 * SECOND, rig.log)] == [RequestPermit]
-    report_all(orchestrator, rig, 5 * SECOND, trust="unsettled")
+    report_all(orchestrator, rig, 5 * SECOND, view_health="unsettled")
     orchestrator.next_commands(5 * SECOND, rig.log)
-    report_all(orchestrator, rig, 11 * SECOND, trust="unsettled")
+    report_all(orchestrator, rig, 11 * SECOND, view_health="unsettled")
     assert any(isinstance(command, Cancel) for command in orchestrator.next_commands(11 * SECOND, rig.log))
 
 
-def test_most_of_the_fleet_cut_off_halts_at_once() -> None:
+def test_a_mostly_cut_off_fleet_cancels_the_operation_at_once() -> None:
     rig = OperationLogRig()
     orchestrator = new_orchestrator(rig)
     rig.submit("a", OperationKind.RESTART, "e0", "e1")
-    report_all(orchestrator, rig, SECOND, trust="cut off")
-    (stop,) = orchestrator.next_commands(SECOND, rig.log)
-    assert isinstance(stop, Cancel)
-    assert "cut off" in stop.reason
+    report_all(orchestrator, rig, SECOND, view_health="cut off")
+    (cancel,) = orchestrator.next_commands(SECOND, rig.log)
+    assert isinstance(cancel, Cancel)
+    assert "cut off" in cancel.reason
 
 
 def test_too_few_dialogs_do_not_advance_a_release() -> None:
@@ -90,19 +90,19 @@
         assert orchestrator.next_commands(second * SECOND, rig.log) == []
 
 
-def test_a_release_that_holds_far_more_memory_is_halted() -> None:
+def test_a_release_that_uses_far_more_memory_is_halted() -> None:
     rig = OperationLogRig()
     orchestrator = new_orchestrator(rig)
     waves = rig.submit("r", OperationKind.RELEASE, *rig.log.permits.instances, version="v2").waves
     rig.apply(InstanceReturned(waves[0][0], rig.request_permit("r", waves[0][0])))
     for excess, halts in ((0, False), (40, False), (200, True)):
         report_all(orchestrator, rig, SECOND)
-        for name, seen in orchestrator.readiness.observations.items():
+        for name, observation in orchestrator.readiness.observations.items():
             memory_bytes = (100 + (excess if name == waves[0][0] else 0)) * 2**20
-            counter_fields = msgspec.structs.replace(seen.report.counters, memory_bytes=memory_bytes)
-            seen.report = msgspec.structs.replace(seen.report, counters=counter_fields)
-        stops = [
+            counters = msgspec.structs.replace(observation.report.counters, memory_bytes=memory_bytes)
+            observation.report = msgspec.structs.replace(observation.report, counters=counters)
+        cancels = [
             command for command in orchestrator.next_commands(SECOND, rig.log) if isinstance(command, Cancel)
         ]
-        assert bool(stops) is halts, excess
-        assert not stops or stops[0].reason == "released ones hold 300 MiB in the median, the others 100"
+        assert bool(cancels) is halts, excess
+        assert not cancels or cancels[0].reason == "released ones hold 300 MiB in the median, the others 100"
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -12,34 +12,34 @@
 
 
 def report(name: str, accepted: int = 0, incarnation: int = 1, **fields: Any) -> SupervisorReport:
-    facts = InstanceInfo(name, region="north", capacity=100, available_versions=("v1",))
+    info = InstanceInfo(name, region="north", capacity=100, available_versions=("v1",))
     return SupervisorReport(
-        facts, "v1", True, counters=InstanceCounters(incarnation, True, True, accepted), **fields
+        info, "v1", True, counters=InstanceCounters(incarnation, True, True, accepted), **fields
     )
 
 
-def test_readiness_needs_serving_and_a_share_of_traffic_and_no_time() -> None:
+def test_readiness_requires_serving_and_a_share_of_traffic_but_no_minimum_time() -> None:
     tracker, desired = ReadinessTracker(0), DesiredState("v1")
 
-    def is_in(now: int) -> bool:
+    def is_ready(now: int) -> bool:
         return tracker.is_ready("e0", desired, now, lambda name: False)
 
     tracker.record_report(SECOND, report("e1", 100), SECOND)
     tracker.record_report(SECOND, report("e0", 0, incarnation=5), SECOND)
-    assert is_in(SECOND), "nobody beside it has taken any since"
+    assert is_ready(SECOND), "nobody beside it has taken any since"
     tracker.record_report(2 * SECOND, report("e1", 200), 2 * SECOND)
     tracker.record_report(2 * SECOND, report("e0", 0, incarnation=5), 2 * SECOND)
-    assert not is_in(2 * SECOND), "those beside it take dialogs and it takes none"
+    assert not is_ready(2 * SECOND), "those beside it take dialogs and it takes none"
     tracker.record_report(3 * SECOND, report("e0", 12, incarnation=5), 3 * SECOND)
-    assert is_in(3 * SECOND)
+    assert is_ready(3 * SECOND)
     tracker.record_report(3 * SECOND, report("e0", 0, incarnation=6), 3 * SECOND)
     tracker.record_report(4 * SECOND, report("e1", 300), 4 * SECOND)
-    assert not is_in(4 * SECOND), "another process begins anew"
+    assert not is_ready(4 * SECOND), "another process begins anew"
     tracker.record_report(60 * SECOND, report("e0", 90, incarnation=6), 5 * SECOND)
-    assert not is_in(60 * SECOND), "a report that was long under way is no news"
+    assert not is_ready(60 * SECOND), "a report that was long under way is no news"
 
 
-def test_readiness_needs_the_desired_step_to_be_done() -> None:
+def test_readiness_requires_the_desired_step_to_be_done() -> None:
     tracker = ReadinessTracker(0)
     desired = DesiredState("v1", True, 7, 0)
     for case, expected in ((("", (7, 0)), False), (("done", (6, 0)), False), (("done", (7, 0)), True)):
--- a/tests/test_rollout_config.py
+++ b/tests/test_rollout_config.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "old", "new", "said"),
+    ("text", "old", "new", "expected_error"),
     [
         (RAFT_SERVER, "in_region = 2", "in_region = 5", "5 in a region are more than the 4 in all"),
         (RAFT_SERVER, "most = 4", "most = 0", "most"),
@@ -45,11 +45,11 @@
     ],
 )
 def test_an_invalid_file_is_rejected_with_its_line(
-    tmp_path: Path, text: str, old: str, new: str, said: str
+    tmp_path: Path, text: str, old: str, new: str, expected_error: str
 ) -> None:
     assert old in text
     file = write_settings(tmp_path, text.replace(old, new))
     with pytest.raises(InvalidConfigError) as caught:
         (load_raft_server if text is RAFT_SERVER else load_supervisor)(file)
-    (line,) = [line for line in str(caught.value).splitlines() if said in line]
+    (line,) = [line for line in str(caught.value).splitlines() if expected_error in line]
     assert line.startswith(f"{file}:")
--- a/tests/test_server_supervision.py
+++ b/tests/test_server_supervision.py
@@ -37,11 +37,11 @@
 
 def test_a_server_is_stopped_once_the_list_has_granted_its_leave() -> None:
     supervisor = supervisor_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.LEAVE_LIST, "asked once, and waited for"
+    assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN, "asked once, and waited for"
     assert supervisor.next_action(0) is None, "asked once, and waited for"
     supervisor.on_counters(InstanceCounters(1, True, True))
     assert supervisor.report().outcome == "", "it serves until it goes, and that is not the turn done"
-    supervisor.on_list_answer(True)
+    supervisor.on_drain_answer(True)
     assert supervisor.next_action(0) is SupervisorAction.STOP
     supervisor.on_stop_requested()
     supervisor.on_exited(0)
@@ -51,14 +51,14 @@
     supervisor.on_counters(InstanceCounters(2, True, True))
     supervisor.on_saved()
     assert supervisor.report().outcome == "done"
-    assert supervisor.next_action(0) is SupervisorAction.REJOIN_LIST
+    assert supervisor.next_action(0) is SupervisorAction.END_DRAIN
     assert supervisor.next_action(0) is None
 
 
 def test_a_server_whose_leave_is_rejected_serves_on_and_its_step_fails() -> None:
     supervisor = supervisor_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.LEAVE_LIST
-    supervisor.on_list_answer(False, "permit 7 is over")
+    assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN
+    supervisor.on_drain_answer(False, "permit 7 is over")
     assert supervisor.next_action(0) is SupervisorAction.SAVE
     supervisor.on_saved()
     supervisor.on_counters(InstanceCounters(1, True, True))
@@ -77,6 +77,6 @@
 
 def test_a_shutdown_by_the_machine_waits_for_no_list() -> None:
     supervisor = supervisor_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.LEAVE_LIST
+    assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN
     supervisor.shut_down()
     assert supervisor.next_action(0) is SupervisorAction.STOP
--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -36,11 +36,12 @@
 class PermitHolder:
     """An instance that wants to go out now and then.
 
-    `is_out`: really, whatever the group believes. `request_id` is of the request under way; empty: none is.
+    `is_unavailable`: really, whatever the group believes. `request_id` is of the request under way; empty:
+    none is.
     """
 
     instance: Instance
-    is_out: bool = False
+    is_unavailable: bool = False
     permit: Permit | None = None
     request_id: str = ""
     request_count: int = 0
@@ -163,7 +164,7 @@
         if permit is None:
             return
         holder = self.holders[permit.name]
-        if not holder.is_dead and not holder.is_out and self._accepts(permit):
+        if not holder.is_dead and not holder.is_unavailable and self._accepts(permit):
             holder.request_id = ""
             self._become_unavailable(holder, permit)
 
@@ -174,7 +175,7 @@
         return False
 
     def _become_unavailable(self, holder: PermitHolder, permit: Permit) -> None:
-        holder.permit, holder.is_out = permit, True
+        holder.permit, holder.is_unavailable = permit, True
         self._check_limits()
 
     # Holders
@@ -183,7 +184,7 @@
         self.events.after(self._drawn_duration(0.2, 3), self._on_holder_due, holder)
         if holder.is_dead:
             return
-        if holder.is_out:
+        if holder.is_unavailable:
             if holder.permit is not None and self.draws.random() < 0.5:
                 self._become_available(holder)
         elif holder.permit is not None:
@@ -200,7 +201,7 @@
 
     def _become_available(self, holder: PermitHolder) -> None:
         assert holder.permit is not None
-        holder.is_out = False
+        holder.is_unavailable = False
         self.fence.end(holder.permit)
         self._report_return(holder)
 
@@ -228,7 +229,7 @@
         self.events.after(self._drawn_duration(2, 8), self._revive_holder, holder)
 
     def _report_loss(self, holder: PermitHolder) -> None:
-        if holder.is_dead and not holder.is_out:
+        if holder.is_dead and not holder.is_unavailable:
             holder.is_loss_reported = True
             self.group.propose(InstanceLost(holder.name))
 
@@ -262,7 +263,7 @@
 
     def _check_limits(self) -> None:
         """Who is really out is never more than the limits allow."""
-        regions = [holder.instance.region for holder in self.holders.values() if holder.is_out]
+        regions = [holder.instance.region for holder in self.holders.values() if holder.is_unavailable]
         if len(regions) > self.limits.max_unavailable:
             raise InvariantViolationError(
                 f"{len(regions)} are out at {self.events.now / SECOND:.1f}, "
--- a/valverouter/emulator/rollout_simulation.py
+++ b/valverouter/emulator/rollout_simulation.py
@@ -48,7 +48,7 @@
 UNDRAIN_AFTER_FAULTS = 8 * SECOND
 
 COMPLETED = (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
-NOT_ROLLED_BACK = (StepStatus.DONE, StepStatus.OUT, StepStatus.FAILED)
+NOT_ROLLED_BACK = (StepStatus.DONE, StepStatus.IN_PROGRESS, StepStatus.FAILED)
 
 
 @dataclass(slots=True)
--- a/valverouter/fleet/orchestrator_config.py
+++ b/valverouter/fleet/orchestrator_config.py
@@ -18,7 +18,7 @@
             InstanceKind.EDGE if section == EDGE_PROXIES else InstanceKind.SERVER: _limits(limits)
             for section, limits in terms.limits.items()
         },
-        away_after=terms.silent,
+        lost_after=terms.silent,
         unreachable_after=terms.not_reached,
         max_unsettled=terms.unsettled,
         min_evaluation=terms.evidence.watch,
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -183,9 +183,9 @@
                 self.supervisor.on_saved()
             case SupervisorAction.STOP:
                 self._stop_process()
-            case SupervisorAction.LEAVE_LIST:
+            case SupervisorAction.REQUEST_DRAIN:
                 self._start_task(self._leave_list, self._permit_number())
-            case SupervisorAction.REJOIN_LIST:
+            case SupervisorAction.END_DRAIN:
                 self._start_task(self._return_to_list, self._permit_number())
             case SupervisorAction.START:
                 self._start_process()
@@ -280,7 +280,7 @@
         self._log_list_answer(True, number, answer.granted, answer.refusal)
         if answer.granted:
             await trio.sleep(self._terms.drain_within / NS_PER_S)
-        self.supervisor.on_list_answer(answer.granted, answer.refusal)
+        self.supervisor.on_drain_answer(answer.granted, answer.refusal)
 
     async def _return_to_list(self, number: int) -> None:
         answer = await self._list_client.request_until_answered(DrainEnded(self._terms.name, number))
--- a/valverouter/rollout/halt_conditions.py
+++ b/valverouter/rollout/halt_conditions.py
@@ -74,7 +74,7 @@
         released = [
             name
             for name, participant in operation.participants.items()
-            if participant.status in (StepStatus.OUT, StepStatus.DONE)
+            if participant.status in (StepStatus.IN_PROGRESS, StepStatus.DONE)
         ]
         exits = self._exits_since_step(operation, released)
         if exits < min(self.config.max_unexpected_exits, max(1, len(released))):
--- a/valverouter/rollout/operation_transitions.py
+++ b/valverouter/rollout/operation_transitions.py
@@ -45,7 +45,7 @@
 # Ended operations that are kept for the history; the oldest are dropped.
 MAX_ENDED_OPERATIONS = 64
 # An operation that is rolled back has not ended while an instance has one of these.
-UNFINISHED_ROLLBACK = (StepStatus.OUT, StepStatus.FAILED, StepStatus.ROLLBACK_PENDING)
+UNFINISHED_ROLLBACK = (StepStatus.IN_PROGRESS, StepStatus.FAILED, StepStatus.ROLLBACK_PENDING)
 
 
 def apply(log: OperationLog, index: int, command: Command) -> PermitDecision | SubmitResult | None:
@@ -182,7 +182,7 @@
 def _begin_outbound_step(
     log: OperationLog, operation: Operation, name: str, participant: Participant
 ) -> None:
-    participant.status = StepStatus.OUT
+    participant.status = StepStatus.IN_PROGRESS
     is_release = operation.kind is OperationKind.RELEASE
     log.desired[name] = DesiredState(
         operation.version if is_release else participant.previous_version,
@@ -195,7 +195,7 @@
 
 def _begin_return_step(log: OperationLog, operation: Operation, name: str, participant: Participant) -> None:
     """The instance comes up as before the operation, by the second step of its permit."""
-    participant.status = StepStatus.OUT
+    participant.status = StepStatus.IN_PROGRESS
     log.desired[name] = DesiredState(
         participant.previous_version, True, participant.permit_number, RETURN_STEP, operation.id
     )
@@ -217,7 +217,7 @@
 def _on_participant_returned(
     log: OperationLog, operation: Operation, name: str, participant: Participant
 ) -> None:
-    if participant.status not in (StepStatus.OUT, StepStatus.FAILED):
+    if participant.status not in (StepStatus.IN_PROGRESS, StepStatus.FAILED):
         return
     if operation.phase is not OperationPhase.ROLLING_BACK:
         participant.status, participant.reason = StepStatus.DONE, ""
@@ -236,13 +236,13 @@
     if operation is None or participant is None or operation.has_ended:
         return
     has_permit = report.permit_number != 0 and participant.permit_number == report.permit_number
-    is_out = has_permit and participant.status in (StepStatus.OUT, StepStatus.FAILED)
+    is_unavailable = has_permit and participant.status in (StepStatus.IN_PROGRESS, StepStatus.FAILED)
     if report.status is StepStatus.UNREACHABLE:
         if participant.status is StepStatus.PENDING:
             participant.status, participant.reason = StepStatus.UNREACHABLE, report.reason
-    elif is_out and report.status is StepStatus.FAILED:
+    elif is_unavailable and report.status is StepStatus.FAILED:
         participant.status, participant.reason = StepStatus.FAILED, report.reason
-    elif is_out and report.status is StepStatus.DRAINED and not log.desired[report.name].up:
+    elif is_unavailable and report.status is StepStatus.DRAINED and not log.desired[report.name].up:
         participant.status = StepStatus.DRAINED
     _progress(log, operation)
 
@@ -307,13 +307,13 @@
     else:
         operation.halt_reason, operation.roll_back = cancel.reason, cancel.roll_back
     operation.phase = OperationPhase.ROLLING_BACK
-    returns_released = operation.kind is OperationKind.RELEASE and operation.roll_back
+    rolls_back_released = operation.kind is OperationKind.RELEASE and operation.roll_back
     for name, participant in operation.participants.items():
-        if participant.status in (StepStatus.OUT, StepStatus.FAILED, StepStatus.DRAINED):
+        if participant.status in (StepStatus.IN_PROGRESS, StepStatus.FAILED, StepStatus.DRAINED):
             _begin_return_step_if_due(log, operation, name, participant)
         elif participant.status is StepStatus.PENDING:
             participant.status = StepStatus.SKIPPED
-        elif participant.status is StepStatus.DONE and returns_released:
+        elif participant.status is StepStatus.DONE and rolls_back_released:
             participant.status = StepStatus.ROLLBACK_PENDING
     _progress(log, operation)
 
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -62,7 +62,7 @@
 
     PENDING = "waiting"
     # It has a permit. What it did under it is known only once its supervisor has reported.
-    OUT = "out"
+    IN_PROGRESS = "out"
     # Its program does not come up as wanted, and it is out of service.
     FAILED = "failed"
     DRAINED = "drained"
@@ -75,7 +75,7 @@
     SKIPPED = "left"
 
 
-UNFINISHED = (StepStatus.PENDING, StepStatus.OUT, StepStatus.FAILED)
+UNFINISHED = (StepStatus.PENDING, StepStatus.IN_PROGRESS, StepStatus.FAILED)
 ACTIVE_PHASES = (OperationPhase.RUNNING, OperationPhase.EVALUATING, OperationPhase.ROLLING_BACK)
 
 
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -104,7 +104,7 @@
                 yield InstanceReturned(name, log.permit_number(name))
 
     def _is_lost(self, name: str, now: int) -> bool:
-        if self.readiness.time_since_report(name, now) > self.config.away_after:
+        if self.readiness.time_since_report(name, now) > self.config.lost_after:
             return True
         if not self.readiness.has_fresh_report(name, now):
             return False
@@ -145,14 +145,14 @@
 
         The limits decide who may go; whoever is rejected asks again.
         """
-        out = _with_status(operation, (StepStatus.OUT, StepStatus.FAILED))
+        unavailable = _with_status(operation, (StepStatus.IN_PROGRESS, StepStatus.FAILED))
         pending = _with_status(operation, (StepStatus.ROLLBACK_PENDING,))
-        for name in out:
+        for name in unavailable:
             yield from self._step_outcome(log, operation, name)
         # Those whose program does not run go first: they have nothing to lose.
         pending.sort(key=lambda name: (name not in log.permits.unavailable, name))
         group_size = max(1, len(operation.participants) // ROLLBACK_FRACTION)
-        for name in pending[: max(0, group_size - len(out))]:
+        for name in pending[: max(0, group_size - len(unavailable))]:
             if self.readiness.has_fresh_report(name, now):
                 yield from self._request_permit(now, operation, name)
 
@@ -171,7 +171,7 @@
         participant = operation.participants[name]
         observation = self.readiness.observations.get(name)
         desired = log.desired.get(name, DesiredState(""))
-        if participant.status is not StepStatus.OUT or observation is None:
+        if participant.status is not StepStatus.IN_PROGRESS or observation is None:
             return
         report = observation.report
         if report.step_id != desired.step_id:
--- a/valverouter/rollout/orchestrator_config.py
+++ b/valverouter/rollout/orchestrator_config.py
@@ -16,7 +16,7 @@
 class OrchestratorConfig:
     """All times in ns.
 
-    - `away_after`: an instance without a report for so long is lost.
+    - `lost_after`: an instance without a report for so long is lost.
     - `unreachable_after`: a pending instance without a report for so long is left out of its operation.
     - `permit_retry_interval`: between a rejected request for a permit and the next.
     - `max_unsettled`: the fleet's view may be unsettled for so long before the operation is cancelled.
@@ -29,7 +29,7 @@
     """
 
     limits: Mapping[InstanceKind, DisruptionLimits]
-    away_after: int = 4 * SECOND
+    lost_after: int = 4 * SECOND
     unreachable_after: int = 15 * SECOND
     permit_retry_interval: int = SECOND
     max_unsettled: int = 30 * SECOND
--- a/valverouter/rollout/readiness.py
+++ b/valverouter/rollout/readiness.py
@@ -92,9 +92,9 @@
         if observation is None or not observation.is_fresh(now):
             return False
         report = observation.report
-        if not desired.up or not _is_serving(report) or not _is_as_desired(report, desired):
+        if not desired.up or not _is_serving(report) or not _matches_desired_state(report, desired):
             return False
-        return report.info.capacity == 0 or self._takes_share(observation, is_unavailable)
+        return report.info.capacity == 0 or self._takes_traffic_share(observation, is_unavailable)
 
     def forget(self, names: Iterable[str]) -> None:
         """Drops what is known of instances."""
@@ -108,16 +108,16 @@
             if name != report.info.name and _are_peers(observation.report, report)
         }
 
-    def _takes_share(self, observation: Observation, is_unavailable: Callable[[str], bool]) -> bool:
-        by_peers = []
+    def _takes_traffic_share(self, observation: Observation, is_unavailable: Callable[[str], bool]) -> bool:
+        peer_counts = []
         for name, baseline in (observation.peer_baselines or {}).items():
             peer = self.observations.get(name)
             if peer is not None and peer.incarnation == baseline.incarnation and not is_unavailable(name):
-                by_peers.append(_accepted_since(peer.report.counters, baseline.accepted))
-        if not by_peers:
+                peer_counts.append(_accepted_since(peer.report.counters, baseline.accepted))
+        if not peer_counts:
             return True
         own = _accepted_since(observation.report.counters, observation.initial_accepted)
-        return own >= MIN_TRAFFIC_FRACTION * sum(by_peers) / len(by_peers)
+        return own >= MIN_TRAFFIC_FRACTION * sum(peer_counts) / len(peer_counts)
 
 
 def _is_serving(report: SupervisorReport) -> bool:
@@ -125,7 +125,7 @@
     return report.is_running and counters.serving and counters.ready and not report.is_leaving
 
 
-def _is_as_desired(report: SupervisorReport, desired: DesiredState) -> bool:
+def _matches_desired_state(report: SupervisorReport, desired: DesiredState) -> bool:
     """A step that failed is not done, even if the instance serves: the desired program did not come up."""
     is_done = report.outcome == StepOutcome.DONE or desired.step_id == NO_STEP
     return is_done and report.step_id == desired.step_id and report.version == desired.version
--- a/valverouter/rollout/reports.py
+++ b/valverouter/rollout/reports.py
@@ -16,7 +16,7 @@
 class StepOutcome(StrEnum):
     """What became of a step, as it is written into reports and stores."""
 
-    UNDER_WAY = ""
+    IN_PROGRESS = ""
     DONE = "done"
     FAILED = "failed"
 
@@ -101,7 +101,7 @@
     is_running: bool
     permit_number: int = 0
     step_index: int = 0
-    outcome: str = StepOutcome.UNDER_WAY
+    outcome: str = StepOutcome.IN_PROGRESS
     reason: str = ""
     unexpected_exits: int = 0
     is_leaving: bool = False
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -38,9 +38,9 @@
     # Start the program of the state's version.
     START = "start"
     # Ask the list service for the server's drain, under the latest step's permit, and let it empty.
-    LEAVE_LIST = "leave"
+    REQUEST_DRAIN = "leave"
     # Tell the list service that the permit has ended.
-    REJOIN_LIST = "return"
+    END_DRAIN = "return"
     # Ask the program to stop, as SIGTERM does.
     STOP = "stop"
     # Write the state to disk, before anything else.
@@ -65,10 +65,10 @@
     # The step under way wants the program stopped first.
     _must_stop: bool = False
     # The list service's answer to a server's drain: awaited, granted or refused.
-    _list_awaited: bool = False
-    _list_granted: bool = False
-    _list_refused: bool = False
-    _must_rejoin_list: bool = False
+    _drain_requested: bool = False
+    _drain_granted: bool = False
+    _drain_refused: bool = False
+    _must_end_drain: bool = False
     _start_failures: int = 0
     _started_at: int = 0
     _exits_in_a_row: int = 0
@@ -85,18 +85,20 @@
         if self.is_leaving or desired.step_id <= self.state.latest_step_id:
             return False
         if is_open and desired.version not in self.info.available_versions:
-            self._begin_step(Step.toward(desired, StepOutcome.FAILED, f"no version {desired.version!r}"))
+            self._begin_step(
+                Step.from_desired_state(desired, StepOutcome.FAILED, f"no version {desired.version!r}")
+            )
             return True
         self.state.version, self.state.up = desired.version, desired.up
         if not is_open:
-            self._begin_step(Step.toward(desired, StepOutcome.DONE, STATE_LOST))
+            self._begin_step(Step.from_desired_state(desired, StepOutcome.DONE, STATE_LOST))
             return False
-        self._begin_step(Step.toward(desired))
+        self._begin_step(Step.from_desired_state(desired))
         # Returning needs no stop of a program that runs as it should: a step that was cancelled or refused
         # before the program went leaves it running.
         is_outbound = desired.step_index == OUTBOUND_STEP
         self._must_stop = self.is_running and (is_outbound or self.running_version != desired.version)
-        self._list_awaited = self._list_granted = self._list_refused = False
+        self._drain_requested = self._drain_granted = self._drain_refused = False
         self._start_failures = self._exits_in_a_row = self.unexpected_exits = 0
         self.next_start_at = now
         return True
@@ -108,7 +110,7 @@
         """
         self.is_running = is_running
         self.running_version = self.state.running_version
-        self._must_stop = is_running and self._step_is_open
+        self._must_stop = is_running and self._step_is_unfinished
 
     def on_started(self, now: int, version: str, process: str = "") -> None:
         """The program was started; `process` identifies it for a later `SupervisorState`."""
@@ -127,7 +129,7 @@
             self.next_start_at = now
             return
         has_started = now - self._started_at >= MIN_HEALTHY_UPTIME
-        if self._step_is_open and not has_started:
+        if self._step_is_unfinished and not has_started:
             self._on_failed_start()
         else:
             self.unexpected_exits += 1
@@ -140,17 +142,17 @@
         self._started_at = now
         self.on_exited(now)
 
-    def on_list_answer(self, granted: bool, reason: str = "") -> None:
+    def on_drain_answer(self, granted: bool, reason: str = "") -> None:
         """The list service's answer to a server's drain. Refused, the step has failed and the server serves
         on.
         """
-        self._list_awaited = False
-        if not self._step_is_open:
+        self._drain_requested = False
+        if not self._step_is_unfinished:
             return
         if granted:
-            self._list_granted = True
+            self._drain_granted = True
             return
-        self._must_stop, self._list_refused = False, True
+        self._must_stop, self._drain_refused = False, True
         self.state.up = True
         self._finish_step(StepOutcome.FAILED, f"the list refuses: {reason}")
 
@@ -160,9 +162,9 @@
             return
         self.counters = counters
         is_serving = counters.serving and counters.ready
-        if self._step_is_open and self.state.up and is_serving and not self._list_refused:
+        if self._step_is_unfinished and self.state.up and is_serving and not self._drain_refused:
             self._finish_step(StepOutcome.DONE)
-            self._must_rejoin_list = self.info.kind is InstanceKind.SERVER
+            self._must_end_drain = self.info.kind is InstanceKind.SERVER
 
     def on_saved(self) -> None:
         """The state is on disk."""
@@ -187,26 +189,26 @@
         if self.is_leaving:
             return None
         if not self.state.up:
-            if self._step_is_open:
+            if self._step_is_unfinished:
                 self._finish_step(StepOutcome.DONE)
                 return SupervisorAction.SAVE
             return None
         return SupervisorAction.START if now >= self.next_start_at else None
 
     def _next_action_while_running(self) -> SupervisorAction | None:
-        must_end = self._must_stop or not self.state.up or self.is_leaving
-        if self._stop_requested or not must_end:
-            if self._must_rejoin_list:
-                self._must_rejoin_list = False
-                return SupervisorAction.REJOIN_LIST
+        should_stop = self._must_stop or not self.state.up or self.is_leaving
+        if self._stop_requested or not should_stop:
+            if self._must_end_drain:
+                self._must_end_drain = False
+                return SupervisorAction.END_DRAIN
             return None
-        needs_list = self.info.kind is InstanceKind.SERVER and not self.is_leaving
-        if not needs_list or self._list_granted:
+        needs_drain = self.info.kind is InstanceKind.SERVER and not self.is_leaving
+        if not needs_drain or self._drain_granted:
             return SupervisorAction.STOP
-        if self._list_awaited:
+        if self._drain_requested:
             return None
-        self._list_awaited = True
-        return SupervisorAction.LEAVE_LIST
+        self._drain_requested = True
+        return SupervisorAction.REQUEST_DRAIN
 
     def report(self) -> SupervisorReport:
         """The report to send. It holds no outcome of a step that is not on disk yet."""
@@ -217,7 +219,7 @@
             is_running=self.is_running and not self._must_stop,
             permit_number=step.permit_number,
             step_index=step.index,
-            outcome=StepOutcome.UNDER_WAY if self._is_unsaved else step.outcome,
+            outcome=StepOutcome.IN_PROGRESS if self._is_unsaved else step.outcome,
             reason="" if self._is_unsaved else step.reason,
             unexpected_exits=self.unexpected_exits,
             is_leaving=self.is_leaving,
@@ -228,10 +230,10 @@
     # Steps
 
     @property
-    def _step_is_open(self) -> bool:
+    def _step_is_unfinished(self) -> bool:
         """The latest step is under way, or has failed and is still attempted."""
         step = self.state.latest_step
-        return step is not None and step.outcome in (StepOutcome.UNDER_WAY, StepOutcome.FAILED)
+        return step is not None and step.outcome in (StepOutcome.IN_PROGRESS, StepOutcome.FAILED)
 
     def _begin_step(self, step: Step) -> None:
         self.state.add_step(step)
--- a/valverouter/rollout/supervisor_state.py
+++ b/valverouter/rollout/supervisor_state.py
@@ -24,12 +24,12 @@
     permit_number: int
     index: int
     operation: str
-    outcome: str = StepOutcome.UNDER_WAY
+    outcome: str = StepOutcome.IN_PROGRESS
     reason: str = ""
 
     @classmethod
-    def toward(
-        cls, desired: DesiredState, outcome: StepOutcome = StepOutcome.UNDER_WAY, reason: str = ""
+    def from_desired_state(
+        cls, desired: DesiredState, outcome: StepOutcome = StepOutcome.IN_PROGRESS, reason: str = ""
     ) -> Step:
         """The step by which an instance gets to a desired state."""
         return cls(desired.permit_number, desired.step_index, desired.operation, outcome, reason)
