--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -12,18 +12,18 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini, policies_of
+from tests.edge_harness import INI, dial, rigged, terms
 from tests.helpers import Rig
-from tests.rig import INI, dial, rigged, terms
-from tests.test_days import valverouter
+from tests.test_scenarios import valverouter
 from tests.test_worst_case import TERMS
 from valverouter import interface
 from valverouter.attempts.matching import EffectiveSetting
 from valverouter.audit.attempts import attempt_statistics
 from valverouter.audit.rules import audit
-from valverouter.days.virtual import run_virtual
+from valverouter.config.scenario import load_scenario
 from valverouter.interface import Outcome, RetryBudgetConfig
+from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling import setup
-from valverouter.terms.day import load_scenario
 
 MS, SECOND = 10**6, 10**9
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -21,11 +21,12 @@
 from structlog.testing import capture_logs
 from trio.testing import MockClock
 
+from tests.edge_harness import INI, SECOND, Peer, dial, rigged, terms
 from tests.helpers import Rig as Quiet
-from tests.process_rig import Drill, drill
-from tests.rig import INI, SECOND, Peer, dial, rigged, terms
+from tests.process_harness import Drill, drill
 from tests.test_cross_region_config import GOOD as REGIONS
-from valverouter.days.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
+from valverouter.config.edge import load_edge_config
+from valverouter.config.ini import InvalidConfigError
 from valverouter.edge.clock import Clock
 from valverouter.edge.connections import send_farewell
 from valverouter.edge.discovery import DiscoveryClient
@@ -37,6 +38,7 @@
 from valverouter.interface import CancelAttempt, DialogAction, LoadReport, Outcome
 from valverouter.regions import cross_region_limiter
 from valverouter.regions.time_sliced_quota import TimeSlicedQuota
+from valverouter.scenarios.memory_network import STREAM_BUFFER_SIZE, WALL_CLOCK_START
 from valverouter.signalling.framing import ProtocolError, encode_frame
 from valverouter.signalling.greeting import Hello, Welcome
 from valverouter.signalling.serverlist import EndpointRow, ListSession, Snapshot, Watch
@@ -51,8 +53,6 @@
     Setup,
     SetupSession,
 )
-from valverouter.terms.edge import load_edge_config
-from valverouter.terms.ini import InvalidConfigError
 
 # Troubled connections
 
--- a/tests/test_relayedge_end.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -8,9 +8,9 @@
 import trio
 from trio.testing import MockClock
 
-from tests.relayrig import Client, Rig, relayed, set_up
-from valverouter.days.memory_network import MemoryRuntime
-from valverouter.terms import platform
+from tests.platform_harness import Client, Rig, relayed, set_up
+from valverouter.config import platform
+from valverouter.scenarios.memory_network import MemoryRuntime
 
 CALLERS = 8
 ASK_INTERVAL_S = 0.08
--- a/valverouter/relayedge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -8,19 +8,19 @@
 import structlog
 import trio
 
+from valverouter.config import platform
+from valverouter.config.edge import LinkConfig
 from valverouter.edge.connections import isolate_failure
 from valverouter.edge.events import LinkDown, ServerMessage
 from valverouter.edge.link import ReconnectDelay, ServerLink
 from valverouter.edge.queues import EventQueue, SendBatch, SendQueue, SendQueueFullError
 from valverouter.edge.runtime import READ_SIZE, Runtime
-from valverouter.relayedge import translation
-from valverouter.relayedge.server_connection import ServerConnection
-from valverouter.relayedge.unknown_ends import UnknownEnds
-from valverouter.relaywire import lines
+from valverouter.platform_edge import translation
+from valverouter.platform_edge.server_connection import ServerConnection
+from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_protocol import lines
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
-from valverouter.terms import platform
-from valverouter.terms.edge import LinkConfig
 
 log = structlog.get_logger()
 
--- a/valverouter/days/fault_targets.py
+++ b/valverouter/scenarios/fault_targets.py
@@ -5,10 +5,10 @@
 import random
 from collections.abc import Awaitable, Callable, Sequence
 
-from valverouter.days.scenario_fakes import ScenarioFakes
+from valverouter.config.scenario_sections import FaultConfig
 from valverouter.fakes.server import FakeServer
-from valverouter.signalling.tap import FaultRow
-from valverouter.terms.scenario_sections import FaultConfig
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.signalling.traffic_record import FaultRow
 
 CALLERS_TARGET = "callers"
 
--- a/valverouter/days/operation_rig.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -20,17 +20,17 @@
 import msgspec
 import trio
 
-from valverouter.days.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
-from valverouter.days.scenario_fakes import ScenarioFakes
-from valverouter.days.scenario_runner import play_script
-from valverouter.days.server_agents import ServerAgents
-from valverouter.days.supervisor_logs import append_log_rows
+from valverouter.config.scenario import ScenarioConfig
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.fakes.datagrams import FakeDatagramNetwork
 from valverouter.rollout.status import FleetStatus, OperationStatus
+from valverouter.scenarios.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
+from valverouter.scenarios.scenario_fakes import ScenarioFakes
+from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.server_agents import ServerAgents
+from valverouter.scenarios.supervisor_logs import append_log_rows
 from valverouter.servermodel.paths import NetworkPaths, PathFault
-from valverouter.signalling.tap import DisruptionLimitsRow, FaultRow, OperationRow, Row
-from valverouter.terms.day import ScenarioConfig
+from valverouter.signalling.traffic_record import DisruptionLimitsRow, FaultRow, OperationRow, Row
 
 NS_PER_S = 1e9
 START_TIMEOUT_S = 30
