--- a/tests/rollout_settings.py
+++ b/tests/rollout_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of a raft server and of a supervisor, for the tests of the control plane."""
+"""Configuration files of a raft server and of a supervisor, for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def write_settings(folder: Path, text: str) -> Path:
-    """A settings file with the key that it names beside it."""
+    """Writes a configuration file and the key file that it names, and returns the former's path."""
     key = folder / "key"
     key.write_bytes(b"s" * 40)
     key.chmod(0o600)
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -1,6 +1,6 @@
-"""Operations on real processes on loopback with faults between them; the check reads the supervisors' logs.
+"""Operations on real processes on loopback, with faults; the checks read the supervisors' logs.
 
-One course runs with the others; the hard cases one by one take minutes and run by
+One test runs by default. The other tests take minutes, and are run with
 
     python -m pytest -n 1 -m processes tests/test_operation_processes.py
 """
@@ -38,7 +38,7 @@
 
 
 def run_script(tmp_path: Path, script: Script, length: int = 15, **options: object) -> OperationsReport:
-    """Run the script on a day; the rules and those of operations are kept, whatever it did."""
+    """Runs the script in a scenario; the general rules and those of operations must not be violated."""
     troubles = str(options.pop("troubles", ""))
     rows = run_operations(operations_scenario(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
     verdict, rules = check_operations(rows), audit(rows)
@@ -53,7 +53,7 @@
 
 
 async def wait_until_unavailable(rig: OperationRig, operation: str) -> FleetStatus:
-    """Return once an instance is out by the operation."""
+    """Returns the status once an instance is unavailable under a permit of the operation."""
     with trio.fail_after(20):
         while True:
             status = await rig.status()
@@ -70,7 +70,7 @@
 
 
 def test_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
-    """A restart of all while the leader and a supervisor are killed, then a release that ends by itself."""
+    """Restarts all instances while the leader and a supervisor are killed; then releases a faulty version."""
 
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
@@ -182,7 +182,7 @@
         assert "least capacity of north" in output
         code, output = await rig.run_client("drain", "--region", "north", "--dry-run")
         assert code == 2
-        assert (await rig.status() or pytest.fail("nobody tells the status")).operations == ()
+        assert (await rig.status() or pytest.fail("no node reports the status")).operations == ()
 
     assert (
         run_script(
@@ -210,7 +210,8 @@
                 rig.start(name)
             await trio.sleep(4)
             assert (await rig.run_client("undrain", "--all"))[0] == 0
-        # The only one left says that it is cut off, which halts an operation as well as an exhausted limit.
+        # The operation may be halted by an exhausted limit or by the remaining instance, which reports that
+        # it is cut off.
         assert result_of(await rig.wait_until_settled(40), "one") == "halted"
 
     run_script(tmp_path, script, 40)
@@ -288,7 +289,7 @@
             with trio.fail_after(20):
                 while (status := await rig.status()) is None or set(status.members) != set(NODES):
                     await trio.sleep(0.2)
-            # Both halves of the change have to be committed before another disk may go.
+            # Both membership changes must be committed before another disk is removed.
             await trio.sleep(2)
         assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
 
@@ -304,7 +305,9 @@
         shutil.rmtree(rig.folder / "k1.store")
         rig.start("k1")
         await rig.wait_until_settled(20)
-        assert rig.find_pid("e1") == before is not None, "it went on running, and no second one was started"
+        assert rig.find_pid("e1") == before is not None, (
+            "the process kept running, and no second one was started"
+        )
         assert (await rig.run_client("restart", "e1", "--id", "two"))[0] == 0
         assert rig.find_pid("e1") != before
 
@@ -362,7 +365,7 @@
         with trio.fail_after(10):
             while (status := await rig.status()) is None or status.instances[1].state != "away":
                 await trio.sleep(0.1)
-        # The last of the signals may meet one that has done all and is on its way out.
+        # The last signal may arrive when the process has completed its shutdown and is about to exit.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
         assert rig.find_pid("e1") is None
         assert b'"process-exited"' in (rig.folder / "k1.log").read_bytes()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Operations: planning, permits, waves, cancelling, and laws that hold whatever commands come."""
+"""Operations: planning, permits, waves, cancellation, and invariants under any sequence of commands."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
     rig.apply(InstanceReturned(first, number))
     assert (operation.phase, rig.status("r", first)) == (OperationPhase.EVALUATING, StepStatus.DONE)
     rig.apply(Advance("r", 5))
-    assert operation.phase is OperationPhase.EVALUATING, "of another wave"
+    assert operation.phase is OperationPhase.EVALUATING, "an Advance of another wave is ignored"
     rig.apply(Advance("r", 0))
     assert (operation.phase, operation.wave_index) == (OperationPhase.RUNNING, 1)
     rig.apply(Advance("r", 0))
-    assert operation.wave_index == 1, "told again"
+    assert operation.wave_index == 1, "a repeated Advance is ignored"
 
 
 def test_evaluations_follow_each_threefold_growth_of_the_released_group() -> None:
     assert evaluation_waves([["a"]] * 14) == [0, 3, 12]
     assert evaluation_waves([["a"], ["b", "c", "d"], ["e"] * 9, ["f"] * 9]) == [0, 1, 2]
-    assert evaluation_waves([["a"]]) == [], "there is nobody left to hold back"
+    assert evaluation_waves([["a"]]) == [], "no unreleased instance is left after the last wave"
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
     before = rig.log.copy()
     result = rig.submit("o", kind, *names, version=version)
     assert expected in result.rejection
-    assert rig.log == before, "and nothing of it is left"
+    assert rig.log == before, "a rejected operation changes nothing"
 
 
 def test_overlapping_operations_are_rejected_and_others_are_queued() -> None:
@@ -96,7 +96,7 @@
     assert not rig.submit("c", OperationKind.RESTART, "e2").rejection
     assert rig.log.operations["c"].phase is OperationPhase.QUEUED
     decision = rig.apply(RequestPermit("c/e2/0", "e2", "c"))
-    assert decision.permit is None, "not its turn"
+    assert decision.permit is None, "a queued operation gets no permits"
     number = rig.request_permit("a", "e0")
     rig.apply(InstanceReturned("e0", number))
     assert rig.log.operations["a"].result == "done"
@@ -127,14 +127,14 @@
     operation = rig.log.operations["r"]
     assert operation.phase is OperationPhase.ROLLING_BACK
     assert rig.log.desired[second] == DesiredState("v1", True, second_number, 1, "r"), (
-        "by its permit's second step"
+        "the return step of the same permit"
     )
     assert rig.status("r", first) is StepStatus.ROLLBACK_PENDING
     late_request = rig.apply(RequestPermit("r/e5/0", "e5", "r"))
-    assert late_request.permit is None, "nothing further goes out"
+    assert late_request.permit is None, "no further permits after a cancel"
     repeated_request = rig.apply(RequestPermit(f"r/{first}/0", first, "r"))
-    assert repeated_request.permit.number == first_number, "told again"
-    assert rig.status("r", first) is StepStatus.ROLLBACK_PENDING, "told again"
+    assert repeated_request.permit.number == first_number, "a repeated request gets the first decision"
+    assert rig.status("r", first) is StepStatus.ROLLBACK_PENDING, "a repeated request begins no step"
     third_number = rig.request_permit("r", first, 1)
     assert rig.log.desired[first] == DesiredState("v1", True, third_number, 1, "r")
     rig.apply(InstanceReturned(second, second_number))
@@ -147,7 +147,7 @@
 
 
 def test_a_released_instance_in_a_crash_loop_is_rolled_back() -> None:
-    """Refused as out without leave, it could never have gone back to what it ran before."""
+    """Its request was rejected because it was unavailable without a permit, so it was never rolled back."""
     rig = OperationLogRig()
     waves = rig.submit("r", OperationKind.RELEASE, "e0", "e1", "e2", version="v2").waves
     first = waves[0][0]
@@ -181,7 +181,9 @@
     rig.apply(StepReported("a", waves[0][0], 0, StepStatus.UNREACHABLE, "silent"))
     number = rig.request_permit("a", waves[1][0])
     rig.apply(StepReported("a", waves[1][0], number, StepStatus.UNREACHABLE))
-    assert rig.status("a", waves[1][0]) is StepStatus.IN_PROGRESS, "with leave it may have gone out: unknown"
+    assert rig.status("a", waves[1][0]) is StepStatus.IN_PROGRESS, (
+        "an instance with a permit may already be unavailable"
+    )
     rig.apply(Retire(waves[1][0]))
     assert rig.log.operations["a"].result == "in part"
     assert waves[1][0] not in rig.log.permits.instances
@@ -189,7 +191,7 @@
 
 def test_a_rebuilt_control_plane_reuses_no_permit_number_and_keeps_drains() -> None:
     rig = OperationLogRig()
-    rig.number = 3  # it is young, and keepers have seen higher numbers
+    rig.number = 3  # the log is new, and supervisors have already seen higher permit numbers
     rig.apply(Retire("e0"))
     rig.apply(Retire("e1"))
     instances = (
@@ -241,7 +243,7 @@
         st.integers(0, 3),
     ),
     st.builds(InstanceReturned, st.sampled_from(NAMES), st.integers(0, 60)),
-    # Of whoever is out, as it would be told: drawn numbers alone rarely meet one.
+    # Commands with the number of the instance's current permit, as drawn numbers rarely match it.
     st.builds(lambda name: ("back", name), st.sampled_from(NAMES)),
     st.builds(
         lambda operation, name, step: ("went", operation, name, step),
@@ -283,7 +285,7 @@
         added = len(set(log.permits.unavailable) - before)
         if isinstance(command, RequestPermit) and added:
             assert len(log.permits.unavailable) <= LIMITS.max_unavailable, (
-                "leave was given past what may be out"
+                "a permit was granted beyond the limits"
             )
             for region in ("north", "south"):
                 unavailable = [
@@ -292,16 +294,16 @@
                 with_permit = [n for n in unavailable if instances.get(n) and n == command.name]
                 assert not with_permit or len(unavailable) <= LIMITS.max_unavailable_per_region
         for name, desired in log.desired.items():
-            assert desired.step_id >= latest_steps[name], "what is wanted goes back to a former turn"
+            assert desired.step_id >= latest_steps[name], "the desired state returned to an earlier step"
             latest_steps[name] = desired.step_id
         active = [
             candidate
             for candidate in log.operations.values()
             if candidate.phase in ACTIVE_PHASES and candidate.kind is not OperationKind.UNDRAIN
         ]
-        assert len(active) <= 1, "two orders take out at once"
+        assert len(active) <= 1, "more than one active operation makes instances unavailable"
         has_queued = any(candidate.phase is OperationPhase.QUEUED for candidate in log.operations.values())
-        assert active or not has_queued, "one waits and none goes"
+        assert active or not has_queued, "an operation is queued although none is active"
         for operation in log.operations.values():
             for name, participant in operation.participants.items():
                 permit = log.permits.unavailable.get(name)
--- a/tests/test_orchestrator.py
+++ b/tests/test_orchestrator.py
@@ -1,4 +1,4 @@
-"""What the orchestrator proposes by reports and the operation log."""
+"""The commands that the orchestrator proposes, given reports and the operation log."""
 
 from __future__ import annotations
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""Whether an instance counts as back in service."""
+"""Readiness: when an instance counts as back in service."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
     tracker.record_report(SECOND, report("e1", 100), SECOND)
     tracker.record_report(SECOND, report("e0", 0, incarnation=5), SECOND)
-    assert is_ready(SECOND), "nobody beside it has taken any since"
+    assert is_ready(SECOND), "no peer has accepted any dialogs since"
     tracker.record_report(2 * SECOND, report("e1", 200), 2 * SECOND)
     tracker.record_report(2 * SECOND, report("e0", 0, incarnation=5), 2 * SECOND)
-    assert not is_ready(2 * SECOND), "those beside it take dialogs and it takes none"
+    assert not is_ready(2 * SECOND), "its peer accepts dialogs and it accepts none"
     tracker.record_report(3 * SECOND, report("e0", 12, incarnation=5), 3 * SECOND)
     assert is_ready(3 * SECOND)
     tracker.record_report(3 * SECOND, report("e0", 0, incarnation=6), 3 * SECOND)
     tracker.record_report(4 * SECOND, report("e1", 300), 4 * SECOND)
-    assert not is_ready(4 * SECOND), "another process begins anew"
+    assert not is_ready(4 * SECOND), "a new process is measured from zero"
     tracker.record_report(60 * SECOND, report("e0", 90, incarnation=6), 5 * SECOND)
-    assert not is_ready(60 * SECOND), "a report that was long under way is no news"
+    assert not is_ready(60 * SECOND), "a delayed report is stale"
 
 
 def test_readiness_requires_the_desired_step_to_be_done() -> None:
--- a/tests/test_rollout_config.py
+++ b/tests/test_rollout_config.py
@@ -1,4 +1,4 @@
-"""The settings of raft servers, supervisors and clients, and how they are rejected."""
+"""Configuration files of raft servers, supervisors and clients, and the errors of invalid ones."""
 
 from __future__ import annotations
 
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""What a supervisor decides: steps, starts and restarts."""
+"""The supervisor's state machine: steps, starts and restarts."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def execute_actions(supervisor: Supervisor, now: int = 0) -> list[SupervisorAction]:
-    """All that it wants done now, done."""
+    """Carries out all actions that are due, and returns them in order."""
     executed = []
     while (action := supervisor.next_action(now)) is not None:
         executed.append(action)
@@ -39,7 +39,7 @@
     assert execute_actions(supervisor) == [SupervisorAction.START, SupervisorAction.SAVE]
     desired = DesiredState("v2", True, 7, 0, "r")
     assert supervisor.on_desired_state(0, desired, True)
-    assert not supervisor.on_desired_state(0, desired, True), "told again"
+    assert not supervisor.on_desired_state(0, desired, True), "a repeated step is ignored"
     assert execute_actions(supervisor) == [SupervisorAction.SAVE, SupervisorAction.STOP]
     assert (supervisor.report().step_id, supervisor.report().outcome, supervisor.report().is_running) == (
         (7, 0),
@@ -50,10 +50,10 @@
     assert execute_actions(supervisor, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE]
     assert supervisor.running_version == "v2"
     supervisor.on_counters(serving())
-    assert supervisor.report().outcome == "", "done is told once it is on disk"
+    assert supervisor.report().outcome == "", "the outcome is reported only once it is on disk"
     assert execute_actions(supervisor, SECOND) == [SupervisorAction.SAVE]
     assert supervisor.report().outcome == "done"
-    assert not supervisor.on_desired_state(0, DesiredState("v1", True, 6, 1), True), "a lower turn is void"
+    assert not supervisor.on_desired_state(0, DesiredState("v1", True, 6, 1), True), "a lower step is ignored"
 
 
 def test_a_supervisor_restarted_during_a_step_continues_it() -> None:
@@ -66,7 +66,7 @@
     )
     restarted.resume(is_running=True)
     assert execute_actions(restarted) == [SupervisorAction.STOP], (
-        "whether it was stopped already nobody knows"
+        "the program may not have been stopped before"
     )
     restarted.on_exited(SECOND)
     assert execute_actions(restarted, SECOND) == [SupervisorAction.START, SupervisorAction.SAVE]
@@ -78,9 +78,9 @@
     execute_actions(supervisor)
     assert not supervisor.on_desired_state(0, DesiredState("v2", True, 7, 0, "r"), is_open=False)
     assert execute_actions(supervisor) == [SupervisorAction.SAVE], (
-        "it goes on running: it has no leave to go out"
+        "no permit is valid for stopping the program"
     )
-    assert supervisor.is_running, "it goes on running: it has no leave to go out"
+    assert supervisor.is_running, "no permit is valid for stopping the program"
     assert supervisor.report().step_id == (7, 0)
 
 
@@ -102,7 +102,7 @@
     assert execute_actions(supervisor, supervisor.next_start_at) == [
         SupervisorAction.START,
         SupervisorAction.SAVE,
-    ], "its wait over, once more"
+    ], "started again after the backoff"
     supervisor.on_counters(serving())
     execute_actions(supervisor, supervisor.next_start_at)
     assert supervisor.report().outcome == "done"
@@ -141,7 +141,7 @@
     assert execute_actions(supervisor) == [SupervisorAction.SAVE]
     assert (supervisor.report().outcome, supervisor.report().is_running) == ("done", False)
     restarted = new_supervisor(supervisor.state)
-    assert execute_actions(restarted) == [], "a keeper's restart brings nobody in"
+    assert execute_actions(restarted) == [], "a restart of the supervisor does not start a drained instance"
     restarted.on_desired_state(0, DesiredState("v1", True, 7, 1, "u"), True)
     assert execute_actions(restarted) == [
         SupervisorAction.SAVE,
--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -1,7 +1,7 @@
-"""Instances that go out and come back by permits of a Raft group, in simulated time, under drawn faults.
+"""Simulates instances that become unavailable under permits of a Raft group, with random faults.
 
-Holders request permits, go out, die while they are out, and wake late. What is checked comes from the
-simulation itself and not from the group's state: who is really out, against the limits.
+Permit holders request permits, become unavailable, crash meanwhile, and resume late. The checks compare the
+holders that are unavailable in the simulation, and not those that the group's state lists, with the limits.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True)
 class PermitHolder:
-    """An instance that wants to go out now and then.
+    """An instance that requests permits to become unavailable at random times.
 
-    `is_unavailable`: really, whatever the group believes. `request_id` is of the request under way; empty:
-    none is.
+    `is_unavailable`: its real state, which may differ from the group's state. `request_id`: the id of the
+    pending request; empty: there is none.
     """
 
     instance: Instance
@@ -160,7 +160,7 @@
             self._become_unavailable(holder, decision.permit)
 
     def _on_late_copy(self, permit: Permit | None) -> None:
-        """Long after the decision, its holder may have gone out and come back by it."""
+        """Delivers a late copy of a decision; its holder may already have used the permit and returned."""
         if permit is None:
             return
         holder = self.holders[permit.name]
@@ -188,7 +188,7 @@
             if holder.permit is not None and self.draws.random() < 0.5:
                 self._become_available(holder)
         elif holder.permit is not None:
-            # It is back, and reports so until the group has applied it.
+            # It is available again, and repeats its report until the group has applied it.
             self._report_return(holder)
         else:
             self._request_permit(holder)
@@ -219,7 +219,7 @@
         )
 
     def _kill_holder(self, name: str) -> None:
-        """It is out without a permit until its supervisor starts it again."""
+        """Kills a holder, which is unavailable without a permit until its supervisor restarts it."""
         holder = self.holders[name]
         if holder.is_dead:
             return
@@ -262,7 +262,7 @@
             )
 
     def _check_limits(self) -> None:
-        """Who is really out is never more than the limits allow."""
+        """The number of instances that are really unavailable never exceeds the limits."""
         regions = [holder.instance.region for holder in self.holders.values() if holder.is_unavailable]
         if len(regions) > self.limits.max_unavailable:
             raise InvariantViolationError(
--- a/valverouter/ledger/supervisor_store.py
+++ b/valverouter/ledger/supervisor_store.py
@@ -1,7 +1,8 @@
-"""A supervisor's state in an embedded store (lmdb).
+"""The store of a supervisor's state, in lmdb.
 
-One value with a checksum; a save is one transaction, and on disk when it returns. A store that can't be read
-whole is set aside: the supervisor then knows no step, and the control plane tells it which ones have ended.
+The state is one value with a checksum. A save is one transaction, which is on disk when the call returns. A
+store that is damaged is renamed and replaced by an empty one: the supervisor then has no record of any step,
+and learns from the control plane which steps' permits have ended.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
 
 
 class SupervisorStore:
-    """An open store, held by one process at a time.
+    """An open store, which is locked by one process at a time.
 
-    Every method raises StoreError where the store fails or can't be trusted, StoreLockedError where another
-    process holds it.
+    All methods raise StoreError if lmdb fails or the store is damaged; opening raises StoreLockedError if
+    another process has locked the store.
     """
 
     def __init__(self, path: Path) -> None:
-        """Opens the store at `path`, which is made where it does not exist."""
+        """Opens the store at `path`, and creates it if it does not exist."""
         self.path = path
         self._environment = LockedEnvironment(path, map_size=MAP_SIZE, sync=True, metasync=True)
         self._env = self._environment.lmdb
 
     def close(self) -> None:
-        """Closes the store, for another process to open."""
+        """Closes the store and releases its lock."""
         self._environment.close()
 
     def load(self) -> SupervisorState | None:
-        """The state that was saved last; None where none was."""
+        """Returns the state that was saved last; None if none was saved."""
         try:
             with self._env.begin() as transaction:
                 stored_format, value = transaction.get(FORMAT_KEY), transaction.get(STATE_KEY)
@@ -52,7 +53,7 @@
                     return None
                 body = verified_body(bytes(value)) if value is not None else None
                 if bytes(stored_format) != FORMAT or body is None:
-                    raise StoreError(f"{self.path}: what a keeper kept is damaged")
+                    raise StoreError(f"{self.path}: the supervisor's state is damaged")
                 return msgspec.msgpack.decode(body, type=SupervisorState)
         except (lmdb.Error, msgspec.MsgspecError) as error:
             raise StoreError(f"{self.path}: {error}") from error
@@ -68,6 +69,10 @@
 
 
 def open_supervisor_store(path: Path) -> tuple[SupervisorStore, SupervisorState | None, str]:
-    """A store that can be used, the state in it, and why a former store was set aside (empty: none was)."""
+    """Opens the store at `path`, replacing one that can't be read.
+
+    Returns the store, the state in it, and the reason why the earlier store was renamed and replaced; empty:
+    it was not.
+    """
     opened = open_or_set_aside(path, lambda: SupervisorStore(path), SupervisorStore.load)
     return opened.store, opened.content, opened.problem
--- a/valverouter/rollout/operation_log.py
+++ b/valverouter/rollout/operation_log.py
@@ -1,7 +1,7 @@
 """The replicated state of the control plane: permits, each instance's desired state, and all operations.
 
 Only `operation_transitions.apply` changes it. The same commands in the same order give the same state on
-every node; nothing in it reads a clock or chance.
+every node; nothing in it depends on a clock or on random numbers.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 ):
     """The state. Operations are in the order in which they were submitted; instances are keyed by name.
 
-    A permit's number is the log index of its command plus `permit_number_offset`. A control plane that was
-    set up anew, its former log lost, raises the offset so that no number is given again that a supervisor
-    has seen.
+    A permit's number is the log index of its command plus `permit_number_offset`. If a control plane lost its
+    log and starts with an empty one, it raises the offset, so that no permit number is reused that a
+    supervisor has already seen.
     """
 
     permits: PermitRegister = field(default_factory=PermitRegister)
@@ -47,7 +47,7 @@
 
     @property
     def active_operation(self) -> Operation | None:
-        """The one operation that takes instances out, if any."""
+        """The active operation that makes instances unavailable; there is at most one."""
         for operation in self.operations.values():
             if operation.phase in ACTIVE_PHASES and operation.kind is not OperationKind.UNDRAIN:
                 return operation
@@ -55,7 +55,7 @@
 
     @property
     def active_undrains(self) -> list[Operation]:
-        """Undrains under way. They take nothing out, so they wait for no other operation."""
+        """The active undrains. They make no instance unavailable, so they are not queued."""
         return [
             operation
             for operation in self.operations.values()
@@ -69,15 +69,15 @@
 
     @property
     def drained_instances(self) -> list[str]:
-        """Names of the instances that are to stay down until an undrain."""
+        """Names of the instances that are to stay stopped until an undrain."""
         return [name for name, desired in self.desired.items() if not desired.up]
 
     def permit_number(self, name: str) -> int:
-        """The number of the permit by which an instance is unavailable; 0: it has none."""
+        """The number of the permit under which an instance is unavailable; 0: it has none."""
         permit = self.permits.unavailable.get(name)
         return permit.number if permit else 0
 
     def desired_version(self, name: str) -> str:
-        """The version that an instance should run; empty where the instance is not known."""
+        """The version that an instance should run; empty for an unknown instance."""
         desired = self.desired.get(name)
         return desired.version if desired else ""
--- a/valverouter/rollout/operation_planning.py
+++ b/valverouter/rollout/operation_planning.py
@@ -1,4 +1,4 @@
-"""Plans an operation: whether it is accepted, in which waves, and after which of them evidence is awaited."""
+"""Planning of an operation: its acceptance or rejection, its waves, and its evaluations."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from valverouter.rollout.operation_log import OperationLog
 from valverouter.rollout.operations import OperationKind, Submit, SubmitResult
 
-# Operations that may be queued or active at once.
+# Maximum number of queued and active operations.
 MAX_OPEN_OPERATIONS = 16
-# Names that a rejection lists at most.
+# Maximum number of instance names in a rejection.
 MAX_LISTED_NAMES = 3
-# The next evaluation comes once so many times as many instances are released.
+# Factor by which the number of released instances grows from one evaluation to the next.
 EVALUATION_GROWTH = 3
 
 
 def plan_operation(log: OperationLog, submit: Submit) -> SubmitResult:
-    """The waves of an operation if it were submitted now, or why all of it would be rejected."""
+    """Returns the waves of an operation if it were submitted now, or why it would be rejected as a whole."""
     rejection = _find_rejection(log, submit)
     if rejection:
         return SubmitResult(submit.id, rejection=rejection)
@@ -38,7 +38,7 @@
     if problems:
         return SubmitResult(submit.id, rejection=f"by these limits: {problems[0]}")
     try:
-        # Planned for a whole fleet: who is unavailable now delays a wave and does not change it.
+        # Planned as if all instances were available: an unavailable one delays a wave and does not change it.
         waves = plan_waves(limits, instances, (), list(submit.instances))
         if submit.kind is OperationKind.DRAIN:
             _check_drained_together(log, limits, submit)
@@ -48,11 +48,11 @@
 
 
 def evaluation_waves(waves: Sequence[Sequence[str]]) -> list[int]:
-    """Indices of the waves of a release after which evidence is awaited.
+    """Returns the indices of the waves of a release that are followed by an evaluation.
 
-    The first comes once one instance is released, each further one once about three times as many are. The
-    limits may make waves far smaller than that, and an evaluation after each would gather the same evidence
-    over and over.
+    The first evaluation follows the first wave, and each further one takes place when the number of released
+    instances has grown by more than `EVALUATION_GROWTH`. The limits may make waves far smaller than that, and
+    an evaluation after each of them would collect the same evidence repeatedly.
     """
     indices, released, next_evaluation = [], 0, 1
     for index, wave in enumerate(waves):
@@ -65,7 +65,7 @@
 
 
 def _find_rejection(log: OperationLog, submit: Submit) -> str:
-    """Why an operation is rejected before its waves are planned; empty: it is not."""
+    """The reason to reject an operation before its waves are planned; empty: there is none."""
     return (
         _reject_instances(log, submit)
         or _reject_in_present_state(log)
@@ -104,7 +104,7 @@
 
 
 def _reject_one(log: OperationLog, submit: Submit, name: str) -> str:
-    """Why one instance can't take part, by what is desired of it and which versions it has."""
+    """The reason why an instance can't take part, by its desired state and its available versions."""
     desired = log.desired.get(name)
     is_drained = desired is not None and not desired.up
     if submit.kind is OperationKind.RELEASE:
@@ -118,7 +118,10 @@
 
 
 def _check_drained_together(log: OperationLog, limits: DisruptionLimits, submit: Submit) -> None:
-    """Raises UnsatisfiableLimitsError unless all of them can be out at once, with those drained before."""
+    """Raises UnsatisfiableLimitsError unless all instances of the drain can be unavailable simultaneously.
+
+    Instances that were drained before count as unavailable as well.
+    """
     instances = list(log.permits.instances.values())
     unavailable = set(log.drained_instances)
     for name in submit.instances:
--- a/valverouter/rollout/operation_transitions.py
+++ b/valverouter/rollout/operation_transitions.py
@@ -1,11 +1,12 @@
-"""The state machine of operations: what each committed command changes in the `OperationLog`.
+"""The state machine of operations: applies committed commands to the `OperationLog`.
 
-One operation that takes instances out is active at a time; the others are queued in the order in which they
-were submitted. An operation that names an instance which another open operation has is rejected as a whole.
+At most one operation that makes instances unavailable is active; the others are queued in the order in which
+they were submitted. An operation that shares an instance with another open operation is rejected as a whole.
 
-An operation runs wave by wave: each instance of the wave asks for a permit, goes out under it, and the wave
-is over once all are back, drained or unreachable. After some waves of a release evidence is awaited
-(`Advance`). A `Cancel` rolls the operation back.
+An operation runs wave by wave. For each instance of the wave a permit is requested, and the instance is
+unavailable under it. The wave is complete when every instance is back in service, drained or unreachable.
+Some waves of a release are followed by an evaluation, which an `Advance` ends. A `Cancel` rolls the operation
+back.
 """
 
 from __future__ import annotations
@@ -42,14 +43,14 @@
     SubmitResult,
 )
 
-# Ended operations that are kept for the history; the oldest are dropped.
+# Number of ended operations kept for the history; the oldest are dropped.
 MAX_ENDED_OPERATIONS = 64
-# An operation that is rolled back has not ended while an instance has one of these.
+# Statuses of instances for which a rollback is not complete.
 UNFINISHED_ROLLBACK = (StepStatus.IN_PROGRESS, StepStatus.FAILED, StepStatus.ROLLBACK_PENDING)
 
 
 def apply(log: OperationLog, index: int, command: Command) -> PermitDecision | SubmitResult | None:
-    """Applies the committed command at a log index; the answer to a request for a permit or to a `Submit`."""
+    """Applies the committed command at a log index; returns the answer to a `RequestPermit` or `Submit`."""
     number = index + log.permit_number_offset
     match command:
         case Submit():
@@ -73,13 +74,13 @@
     return None
 
 
-# Submitting
+# Submission
 
 
 def _on_submit(log: OperationLog, submit: Submit) -> SubmitResult:
     known = log.operations.get(submit.id)
     if known is not None:
-        # Submitted again, maybe long after: the same operation, which is not carried out once more.
+        # A repeated submission, perhaps much later: the operation is not carried out again.
         return SubmitResult(submit.id, tuple(tuple(wave) for wave in known.waves))
     result = plan_operation(log, submit)
     if result.rejection:
@@ -112,8 +113,10 @@
 
 
 def _start_undrain(log: OperationLog, operation: Operation) -> None:
-    """At once: queued behind an operation that waits for the capacity it gives back, neither would ever
-    end.
+    """Starts an undrain without queueing it.
+
+    Queued behind an operation that waits for the capacity which the undrain restores, both would wait
+    forever.
     """
     operation.phase = OperationPhase.RUNNING
     for name, participant in operation.participants.items():
@@ -122,7 +125,7 @@
 
 
 def _start_next(log: OperationLog) -> None:
-    """The first operation in the queue becomes active if none is."""
+    """Starts the first queued operation if none is active."""
     if log.active_operation is not None:
         return
     for operation in log.operations.values():
@@ -131,7 +134,7 @@
             return
 
 
-# Going out and coming back
+# Permits and steps
 
 
 def _on_permit_request(log: OperationLog, number: int, request: RequestPermit) -> PermitDecision | None:
@@ -140,11 +143,11 @@
     if operation is None or participant is None:
         return log.permits.apply(number, request)
     if not _awaits_permit(operation, participant):
-        # Requested before the operation was cancelled, and committed after that.
+        # The request was proposed before the operation was cancelled and committed afterwards.
         return PermitDecision(request.id, None, f"order {operation.id} does not ask for it any more")
     decision = _decide_permit(log, number, request, operation)
     if decision.permit is not None and decision.permit.number != number:
-        return decision  # a repeated request: its permit was acted on, and has ended
+        return decision  # a repeated request, whose permit was already used
     participant.permit_requests += 1
     if decision.permit is None:
         participant.reason = decision.rejection
@@ -169,8 +172,8 @@
     unavailable = log.permits.unavailable
     is_lost = request.name in unavailable and unavailable[request.name] is None
     if operation.phase is OperationPhase.ROLLING_BACK and is_lost:
-        # It is out without a permit and uses up the limits already. Rejected for that, an instance whose new
-        # version ends by itself over and over could never go back to its previous one.
+        # The instance is unavailable without a permit and counts against the limits already. If its request
+        # were rejected for that, an instance whose new version keeps crashing could never be rolled back.
         permit = Permit(number, request.name, request.operation)
         unavailable[request.name] = permit
         return PermitDecision(request.id, permit)
@@ -194,7 +197,7 @@
 
 
 def _begin_return_step(log: OperationLog, operation: Operation, name: str, participant: Participant) -> None:
-    """The instance comes up as before the operation, by the second step of its permit."""
+    """Begins the permit's second step, which starts the instance at its previous version."""
     participant.status = StepStatus.IN_PROGRESS
     log.desired[name] = DesiredState(
         participant.previous_version, True, participant.permit_number, RETURN_STEP, operation.id
@@ -206,7 +209,7 @@
         return
     desired = log.desired.get(name)
     if desired is not None and not desired.up:
-        return  # it is drained: that its program runs is no reason to count it as available
+        return  # a drained instance stays unavailable even if its program runs
     log.permits.apply(number, InstanceReturned(name, permit_number))
     for operation in log.open_operations:
         participant = operation.participants.get(name)
@@ -247,11 +250,11 @@
     _progress(log, operation)
 
 
-# Progress of an operation
+# Progress
 
 
 def _progress(log: OperationLog, operation: Operation) -> None:
-    """What follows from a participant's change: the next wave, an evaluation, or the operation's end."""
+    """Starts the next wave or an evaluation, or ends the operation, if the participants' statuses allow."""
     if operation.phase is OperationPhase.RUNNING:
         _progress_waves(log, operation)
     elif operation.phase is OperationPhase.ROLLING_BACK:
@@ -261,7 +264,7 @@
 
 
 def _progress_waves(log: OperationLog, operation: Operation) -> None:
-    """Waves of which nothing is left to do are passed over."""
+    """Moves to the first wave with unfinished instances, unless an evaluation or the end comes before it."""
     while all(operation.participants[name].status not in UNFINISHED for name in operation.current_wave):
         if operation.wave_index + 1 >= len(operation.waves):
             _end(log, operation)
@@ -291,7 +294,7 @@
     _start_next(log)
 
 
-# Cancelling
+# Cancellation
 
 
 def _on_cancel(log: OperationLog, cancel: Cancel) -> None:
@@ -338,12 +341,12 @@
         report.version, report.up, report.permit_number, report.step_index
     )
     if not report.up and report.permit_number:
-        # Drained by a control plane whose log is lost: it stays so, and can be brought back.
+        # Drained by a control plane whose log was lost: it stays drained until an undrain.
         log.permits.unavailable[report.name] = Permit(report.permit_number, report.name, "")
 
 
 def _on_retire(log: OperationLog, name: str) -> None:
-    """The instance is gone for good; operations go on without it."""
+    """Removes an instance that no longer exists; operations continue without it."""
     log.permits.instances.pop(name, None)
     log.permits.unavailable.pop(name, None)
     log.desired.pop(name, None)
--- a/valverouter/rollout/operations.py
+++ b/valverouter/rollout/operations.py
@@ -1,12 +1,12 @@
-"""Operations on a fleet's instances: their types, and the commands that submit and progress them.
+"""Operations on a fleet's instances: their types, and the commands that submit and advance them.
 
-An operation drains, undrains, restarts or releases (brings to another version) a set of instances, wave by
+An operation drains, undrains, restarts or releases (moves to another version) a set of instances, wave by
 wave. Commands are replicated by Raft and applied by `operation_transitions.py` to the `OperationLog`, which
-holds every operation's plan and progress. A client that submitted an operation may vanish: nothing depends
-on it.
+contains the plan and progress of every operation. An operation does not depend on the client that submitted
+it: it continues if the client dies.
 
-All types here are stored, or sent between processes, under the field names and tags of former versions
-(`rename=`, `tag=`); values of the enumerations are written out as well.
+All types here are stored, or sent between processes, under the field names and tags of earlier versions
+(`rename=`, `tag=`). The values of the enumerations are stored and sent as well.
 """
 
 from __future__ import annotations
@@ -19,19 +19,20 @@
 
 from valverouter.rollout.disruption_permits import PermitCommand
 
-# Indices of the steps that are carried out under one permit: going out, and coming up as before.
+# Indices of the two steps of a permit. The outbound step takes the instance out of service, to restart,
+# release or drain it; the return step starts it again at its previous version.
 OUTBOUND_STEP = 0
 RETURN_STEP = 1
 
 
 class StepId(NamedTuple):
-    """Identifies a step. A supervisor begins no step that is lower than, or the same as, one it has begun."""
+    """Identifies a step. A supervisor begins a step only if its id is greater than all those it has begun."""
 
     permit_number: int
     step_index: int
 
 
-# Of an instance that no operation has changed yet.
+# The step id of an instance that no operation has changed yet.
 NO_STEP = StepId(0, 0)
 
 
@@ -45,33 +46,33 @@
 
 
 class OperationPhase(Enum):
-    """How far an operation has come."""
+    """The phase of an operation."""
 
-    # Another operation goes first.
+    # Waits for an earlier operation to end.
     QUEUED = "queued"
     RUNNING = "going"
-    # A wave is back in service, and evidence for or against the release is gathered.
+    # A wave is back in service, and evidence for or against the release is collected.
     EVALUATING = "watching"
-    # Instances that are out come up as before, and released ones go back to their previous version.
+    # Unavailable instances return at their previous version; released instances are moved back to it.
     ROLLING_BACK = "returning"
     ENDED = "ended"
 
 
 class StepStatus(Enum):
-    """How far one instance has come in one operation."""
+    """The status of one instance in one operation."""
 
     PENDING = "waiting"
-    # It has a permit. What it did under it is known only once its supervisor has reported.
+    # The instance has a permit. Its state under the permit is unknown until its supervisor reports.
     IN_PROGRESS = "out"
-    # Its program does not come up as wanted, and it is out of service.
+    # The step failed: the program does not start as desired. The instance counts as unavailable.
     FAILED = "failed"
     DRAINED = "drained"
     DONE = "done"
     UNREACHABLE = "not reached"
-    # The operation is rolled back; this instance was released and has still to go back.
+    # The operation is being rolled back, and this released instance is still at the new version.
     ROLLBACK_PENDING = "to return"
     ROLLED_BACK = "returned"
-    # The operation never took it out.
+    # The operation was cancelled while the instance was pending, or the instance was retired.
     SKIPPED = "left"
 
 
@@ -85,9 +86,9 @@
     tag="Place",
     rename={"instances": "names", "submitted_at_ms": "at", "submitted_by": "by"},
 ):
-    """Submits an operation. `id` is the operation's own: submitted again, it is the same operation.
+    """Submits an operation. A repeated submission with the same `id` has no effect.
 
-    `version`: the one to release, else empty. `submitted_at_ms`: wall clock, for display only.
+    `version`: the version to release; empty for other kinds. `submitted_at_ms`: wall clock, for display only.
     """
 
     id: str
@@ -104,7 +105,11 @@
     tag="Went",
     rename={"operation": "order", "permit_number": "number", "status": "step", "reason": "why"},
 ):
-    """What became of instance `name`, as its supervisor reported; `permit_number` 0: it has no permit yet."""
+    """The outcome of a step of instance `name`, as its supervisor reported it.
+
+    `permit_number` 0: the instance has no permit yet. The leader also uses this command for an instance whose
+    supervisor does not report (`StepStatus.UNREACHABLE`).
+    """
 
     operation: str
     name: str
@@ -114,7 +119,7 @@
 
 
 class Advance(Struct, frozen=True, tag="Next", rename={"operation": "order"}):
-    """The evidence lets a release go on to the wave after `wave`."""
+    """Continues a release with the wave after `wave`, as the evidence allows."""
 
     operation: str
     wave: int
@@ -126,9 +131,10 @@
     tag="Stop",
     rename={"operation": "order", "reason": "why", "roll_back": "back", "cancelled_at_ms": "at"},
 ):
-    """Ends an operation early (empty: all): no further instance goes out, and those out come in again.
+    """Cancels an operation; an empty `operation` cancels all of them.
 
-    `roll_back`: instances that were released go back to their previous version as well.
+    No further instance becomes unavailable, and unavailable instances return to service. `roll_back`:
+    instances that were already released are moved back to their previous version as well.
     """
 
     operation: str
@@ -143,10 +149,10 @@
     tag="Runs",
     rename={"available_versions": "versions", "permit_number": "number", "step_index": "step"},
 ):
-    """A supervisor reported which version its instance runs and which ones it can start.
+    """The version that an instance runs and those that its supervisor can start, as the supervisor reported.
 
-    `permit_number`, `step_index`: the latest step that it has begun; `up`: whether the instance is to run
-    by it.
+    `permit_number`, `step_index`: the latest step that the supervisor has begun. `up`: whether the instance
+    is to run after that step.
     """
 
     name: str
@@ -169,9 +175,9 @@
 class DesiredState(
     Struct, frozen=True, rename={"permit_number": "number", "step_index": "step", "operation": "order"}
 ):
-    """What an instance should be: its version, whether it runs, and the step that made it so.
+    """The desired state of an instance: its version, whether it runs, and the step that leads to this state.
 
-    A step is carried out at most once, since a supervisor keeps the latest one that it has begun.
+    A step is carried out at most once, since a supervisor stores the latest step that it has begun.
     """
 
     version: str
@@ -182,7 +188,7 @@
 
     @property
     def step_id(self) -> StepId:
-        """The step that made it so; `NO_STEP`: the instance is as it was found."""
+        """The step that leads to this state; `NO_STEP`: no operation has changed the instance."""
         return StepId(self.permit_number, self.step_index)
 
 
@@ -196,7 +202,7 @@
         "reason": "why",
     },
 ):
-    """An instance in an operation. `permit_requests` counts the decided requests for a permit."""
+    """An instance in an operation. `permit_requests` is the number of its permit requests decided so far."""
 
     status: StepStatus = StepStatus.PENDING
     permit_number: int = 0
@@ -219,8 +225,8 @@
 ):
     """One operation with its plan and progress.
 
-    `evaluated_waves`: indices of the waves after which evidence is awaited. `result`, once it has ended:
-    done, in part (some instances were unreachable) or halted.
+    `evaluated_waves`: indices of the waves that are followed by an evaluation. `result` of an ended
+    operation: done, in part (some instances were unreachable) or halted.
     """
 
     id: str
@@ -239,22 +245,22 @@
 
     @property
     def current_wave(self) -> list[str]:
-        """Names of the instances of the wave that is under way."""
+        """Names of the instances of the current wave."""
         return self.waves[self.wave_index] if self.wave_index < len(self.waves) else []
 
     @property
     def evaluation_stage(self) -> int:
-        """How many evaluations are over."""
+        """The number of completed evaluations."""
         return sum(wave < self.wave_index for wave in self.evaluated_waves)
 
     @property
     def has_ended(self) -> bool:
-        """Whether nothing more will be done by it."""
+        """Whether the operation has ended, with any result."""
         return self.phase is OperationPhase.ENDED
 
     @property
     def status_counts(self) -> dict[str, int]:
-        """How many instances have each status, by the status's value."""
+        """The number of instances by status; the keys are the values of `StepStatus`."""
         counts: dict[str, int] = {}
         for participant in self.participants.values():
             status = participant.status.value
@@ -272,7 +278,7 @@
 
 
 class SubmitResult(Struct, frozen=True, rename={"rejection": "why"}):
-    """The answer to a `Submit`: the operation's waves, or why it is rejected."""
+    """The answer to a `Submit`: the operation's waves, or the reason of its rejection."""
 
     id: str
     waves: tuple[tuple[str, ...], ...] = ()
--- a/valverouter/rollout/orchestrator.py
+++ b/valverouter/rollout/orchestrator.py
@@ -1,10 +1,10 @@
-"""What the control plane's leader proposes next: permits, who is lost or back, and whether a release goes
-on.
+"""The orchestrator: decides which commands the control plane's leader proposes.
 
-Without I/O: it is fed with supervisors' reports and the operation log, and gives commands to be committed.
-What it holds itself is soft state: the next leader hears the same reports and begins its evidence anew,
-which costs time and lets nothing through. It gives no permit: the operation log does, by its limits, when a
-command is applied.
+The commands request permits, record lost and returned instances, and advance or cancel a release. The
+orchestrator does no I/O: its inputs are supervisors' reports and the operation log, its outputs are commands
+to be committed. It has soft state only. After a change of leader, the new leader receives the same reports
+and collects the evidence from the beginning, which delays a release and never weakens its evaluation. The
+orchestrator grants no permits: the operation log does, within the limits, when a command is applied.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 from valverouter.rollout.readiness import ReadinessTracker
 from valverouter.rollout.reports import StepOutcome, SupervisorReport
 
-# An operation is rolled back in groups of at most this fraction of its instances.
+# A rollback moves at most one in this many of the operation's instances back at a time.
 ROLLBACK_FRACTION = 4
 
 
 class Orchestrator:
-    """Runs the operations for as long as its node leads."""
+    """Runs the operations while its node is the leader."""
 
-    # Simulations put other rules in its place to compare with.
+    # Simulations replace it to compare other rules.
     analysis_class: type[CanaryAnalysis] = CanaryAnalysis
 
     def __init__(self, config: OrchestratorConfig, draw: Callable[[], float], now: int) -> None:
-        """`draw` gives random numbers in [0, 1); `now` in ns."""
+        """`draw` returns random numbers in [0, 1). `now` in ns."""
         self.config = config
         self.readiness = ReadinessTracker(now)
         self.canary = self.analysis_class(config, self.readiness, draw)
@@ -54,11 +54,11 @@
         self._permit_requested_at: dict[str, int] = {}
 
     def record_report(self, now: int, report: SupervisorReport, made_after: int) -> None:
-        """Takes a report; it was certainly made after `made_after` (ns, this node's clock)."""
+        """Records a report, which was made no earlier than `made_after` (ns, this node's clock)."""
         self.readiness.record_report(now, report, made_after)
 
     def next_commands(self, now: int, log: OperationLog) -> list[Command]:
-        """Commands to propose, given everything that was proposed before is in the log."""
+        """Returns the commands to propose. The log must include all commands that were proposed before."""
         enrollment = [*self._enroll_limits(log), *self._enroll_instances(log)]
         if enrollment:
             return enrollment
@@ -91,7 +91,11 @@
                 )
 
     def _availability_changes(self, now: int, log: OperationLog) -> Iterator[Command]:
-        """Lost without a permit: not heard, or reported as down. Returned: by its reports alone."""
+        """Yields the instances that were lost without a permit, and those that returned to service.
+
+        An instance is lost if its reports stop, or say that it is not running or is shutting down. It has
+        returned only when its reports show that it is ready.
+        """
         for name in log.permits.instances:
             if name not in log.permits.unavailable:
                 if self._is_lost(name, now):
@@ -141,15 +145,15 @@
                 yield from self._request_permit(now, operation, name)
 
     def _continue_rollback(self, now: int, log: OperationLog, operation: Operation) -> Iterator[Command]:
-        """What is out comes in by itself; released instances ask for a permit to go back, some at a time.
+        """Requests permits to move released instances back to their previous version, a group at a time.
 
-        The limits decide who may go; whoever is rejected asks again.
+        Unavailable instances return under the permits that they have. A rejected request is repeated.
         """
         unavailable = _with_status(operation, (StepStatus.IN_PROGRESS, StepStatus.FAILED))
         pending = _with_status(operation, (StepStatus.ROLLBACK_PENDING,))
         for name in unavailable:
             yield from self._step_outcome(log, operation, name)
-        # Those whose program does not run go first: they have nothing to lose.
+        # Unavailable instances first: rolling them back takes no capacity away.
         pending.sort(key=lambda name: (name not in log.permits.unavailable, name))
         group_size = max(1, len(operation.participants) // ROLLBACK_FRACTION)
         for name in pending[: max(0, group_size - len(unavailable))]:
@@ -162,12 +166,15 @@
         if requests and since_last < self.config.permit_retry_interval:
             return
         self._permit_requested_at[name] = now
-        # The id is part of the replicated state, and the same for every repetition of this request.
+        # The id is part of the replicated state, and a repetition of this request has the same id.
         direction = "/back" if operation.phase is OperationPhase.ROLLING_BACK else ""
         yield RequestPermit(f"{operation.id}/{name}{direction}/{requests}", name, operation.id)
 
     def _step_outcome(self, log: OperationLog, operation: Operation, name: str) -> Iterator[Command]:
-        """What the supervisor reports of the step that is desired; nothing is concluded from silence."""
+        """Yields the outcome of the desired step if the supervisor reported it.
+
+        A missing report is not an outcome.
+        """
         participant = operation.participants[name]
         observation = self.readiness.observations.get(name)
         desired = log.desired.get(name, DesiredState(""))
--- a/valverouter/rollout/orchestrator_config.py
+++ b/valverouter/rollout/orchestrator_config.py
@@ -1,4 +1,4 @@
-"""The limits and times by which the orchestrator runs operations."""
+"""The configuration of the orchestrator: limits, timeouts and thresholds."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class OrchestratorConfig:
-    """All times in ns.
-
-    - `lost_after`: an instance without a report for so long is lost.
-    - `unreachable_after`: a pending instance without a report for so long is left out of its operation.
-    - `permit_retry_interval`: between a rejected request for a permit and the next.
-    - `max_unsettled`: the fleet's view may be unsettled for so long before the operation is cancelled.
-    - `sample_interval`: between two samples of a canary's counters.
-    - `min_evaluation`: the shortest evaluation after a wave.
-    - `max_unexpected_exits`: unexpected exits of released programs that halt a release, where the others have
-      clearly fewer.
-    - `max_memory_ratio`, `min_memory_excess` (bytes): a release is halted where the median of the released
-      instances is above the others' by both. The released ones are the younger, and so should hold less.
+    """All times are in ns.
+
+    - `lost_after`: time without a report after which an instance counts as lost.
+    - `unreachable_after`: time without a report after which a pending instance is excluded from its
+      operation.
+    - `permit_retry_interval`: minimum time between a rejected permit request and the next one.
+    - `max_unsettled`: time for which the membership view may be unsettled before the operation is cancelled.
+    - `sample_interval`: time between two samples of the counters that canary analysis compares.
+    - `min_evaluation`: minimum duration of the evaluation after a wave.
+    - `max_unexpected_exits`: number of unexpected exits of released programs that halts a release, unless
+      unreleased instances exit at a similar rate.
+    - `max_memory_ratio`, `min_memory_excess` (bytes): a release is halted if the median memory use of
+      released instances exceeds that of unreleased instances by both. Released instances were started later,
+      and should therefore use less.
     """
 
     limits: Mapping[InstanceKind, DisruptionLimits]
--- a/valverouter/rollout/readiness.py
+++ b/valverouter/rollout/readiness.py
@@ -1,8 +1,9 @@
-"""Whether an instance is back in service: by what it does, never by how long it has been back.
+"""Readiness: whether an instance is back in service, by its reported activity and not by a waiting time.
 
-It is where its program runs as desired, by the step that is desired; it serves, with the server list and a
-server; and it takes its share of the dialogs that its peers (same kind and region) take. Where no peer
-takes any, no share is asked for. A process other than the one observed before begins anew.
+An instance is ready if all of these hold: its program runs in the desired state, and the desired step is
+done; it is serving, and has the endpoint list and a server; and it accepts its share of dialogs compared with
+its peers (same kind and region). If no peer accepts any dialogs, no share is required. After a restart of the
+process, its share is measured from zero.
 """
 
 from __future__ import annotations
@@ -14,14 +15,18 @@
 from valverouter.rollout.operations import NO_STEP, DesiredState
 from valverouter.rollout.reports import InstanceCounters, StepOutcome, SupervisorReport
 
-# Of the mean that its peers accepted since it came back. Callers are not spread evenly.
+# Minimum number of dialogs that an instance must have accepted since its process was first seen, as a
+# fraction of the mean of its peers. Callers are not distributed evenly over instances.
 MIN_TRAFFIC_FRACTION = 0.1
-# An older report says nothing about the present, ns.
+# Maximum age of a report that describes the present state, ns.
 MAX_REPORT_AGE = 3 * 10**9
 
 
 class PeerBaseline(NamedTuple):
-    """A peer's process, and the dialogs that it had accepted when an instance came back."""
+    """A peer's process, and the dialogs it had accepted when an instance's process was first seen.
+
+    A peer with another incarnation has restarted since, and its counter can't be compared.
+    """
 
     incarnation: int
     accepted: int
@@ -29,10 +34,11 @@
 
 @dataclass(slots=True)
 class Observation:
-    """An instance's latest report, and what it and its peers had accepted when its process was first seen.
+    """An instance's latest report, and the dialog counts at the first report of its process.
 
-    `received_at`: ns. `made_after`: a moment of this clock after which the report was certainly made, since
-    it answers a message that left then: a report that was long under way must not count as news.
+    `initial_accepted`: its own count; `peer_baselines`: those of its peers, by name. `received_at`: ns.
+    `made_after`: the time, on the same clock, at which the message was sent that this report answers. The
+    report was made after it, so a delay on the way does not make the report look newer.
     """
 
     report: SupervisorReport
@@ -43,20 +49,20 @@
     peer_baselines: dict[str, PeerBaseline] | None = None
 
     def is_fresh(self, now: int) -> bool:
-        """Whether the report says something about the present."""
+        """Whether the report is recent enough to describe the present state."""
         return now - self.made_after <= MAX_REPORT_AGE
 
 
 class ReadinessTracker:
-    """The latest report of each instance, by name."""
+    """Tracks the latest report of each instance, by name."""
 
     def __init__(self, now: int) -> None:
-        """`now`: ns; nothing was heard before."""
+        """`now` in ns; starts without any reports."""
         self.started_at = now
         self.observations: dict[str, Observation] = {}
 
     def record_report(self, now: int, report: SupervisorReport, made_after: int) -> None:
-        """Takes a report; see `Observation` for `made_after`."""
+        """Records a report; see `Observation` for `made_after`."""
         name, counters = report.info.name, report.counters
         previous = self.observations.get(name)
         observation = self.observations[name] = Observation(report, now, made_after)
@@ -72,21 +78,21 @@
             observation.peer_baselines = self._peer_baselines(report)
 
     def has_fresh_report(self, name: str, now: int) -> bool:
-        """Whether the latest report of an instance says something about the present."""
+        """Whether an instance has a report that is recent enough to describe its present state."""
         observation = self.observations.get(name)
         return observation is not None and observation.is_fresh(now)
 
     def time_since_report(self, name: str, now: int) -> int:
-        """Since the latest report of an instance, or since this tracker was made if that is later; ns."""
+        """The time since an instance's latest report, or since the tracker was created if later; ns."""
         observation = self.observations.get(name)
         return now - max(self.started_at, observation.received_at if observation else 0)
 
     def is_ready(
         self, name: str, desired: DesiredState, now: int, is_unavailable: Callable[[str], bool]
     ) -> bool:
-        """Whether an instance's latest report shows it in service as desired.
+        """Whether an instance's latest report shows that it is in service and in its desired state.
 
-        Peers of which `is_unavailable` holds are no measure of a share.
+        Peers for which `is_unavailable` returns true are not compared with.
         """
         observation = self.observations.get(name)
         if observation is None or not observation.is_fresh(now):
@@ -97,7 +103,7 @@
         return report.info.capacity == 0 or self._takes_traffic_share(observation, is_unavailable)
 
     def forget(self, names: Iterable[str]) -> None:
-        """Drops what is known of instances."""
+        """Removes the reports of instances."""
         for name in names:
             self.observations.pop(name, None)
 
@@ -126,7 +132,10 @@
 
 
 def _matches_desired_state(report: SupervisorReport, desired: DesiredState) -> bool:
-    """A step that failed is not done, even if the instance serves: the desired program did not come up."""
+    """Whether the desired step is done and the desired version runs.
+
+    An instance whose step failed does not match, even if it is serving: the desired program did not start.
+    """
     is_done = report.outcome == StepOutcome.DONE or desired.step_id == NO_STEP
     return is_done and report.step_id == desired.step_id and report.version == desired.version
 
--- a/valverouter/rollout/reports.py
+++ b/valverouter/rollout/reports.py
@@ -1,6 +1,6 @@
-"""What a supervisor reports to the control plane about its instance.
+"""The reports that a supervisor sends to the control plane about its instance.
 
-Sent and stored under the field names of former versions (`rename=`).
+They are sent and stored under the field names of earlier versions (`rename=`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class StepOutcome(StrEnum):
-    """What became of a step, as it is written into reports and stores."""
+    """The outcome of a step, as written to reports and stores."""
 
     IN_PROGRESS = ""
     DONE = "done"
@@ -34,14 +34,14 @@
         "pid": "process",
     },
 ):
-    """An instance's state and its counters of dialogs since its process started.
-
-    - `incarnation`: of the process; 0: nothing is known of the instance.
-    - `ready`: it has the server list and a server.
-    - `view_health`: of its view of the fleet; empty: it keeps none.
-    - `memory_bytes`: held by its process, as its supervisor sees it; 0: not known.
-    - `version_label`, `pid`: the version that it was started as, and its process. By them a supervisor that
-      has lost its disk finds what it had started.
+    """An instance's state, and its dialog counters since its process started.
+
+    - `incarnation`: the incarnation of the process; 0: the state of the instance is unknown.
+    - `ready`: whether it has the endpoint list and a server.
+    - `view_health`: the health of its membership view; empty: it has no view.
+    - `memory_bytes`: memory used by its process, as measured by its supervisor; 0: unknown.
+    - `version_label`, `pid`: the version that it was started as, and its process id. A supervisor that has
+      lost its disk uses them to find the process that it had started.
     """
 
     incarnation: int = 0
@@ -58,10 +58,10 @@
 
 
 class InstanceInfo(Struct, frozen=True, rename={"kind": "sort", "available_versions": "versions"}):
-    """What an instance is, by its supervisor's configuration.
+    """The static properties of an instance, from its supervisor's configuration.
 
-    `capacity`: dialogs of an edge proxy, lines of a server; `processor`: a server's, in a unit that all
-    share.
+    `capacity`: the number of dialogs of an edge proxy or of lines of a server. `processor`: a server's
+    processor power, in the same unit for all servers.
     """
 
     name: str
@@ -86,14 +86,14 @@
         "counters": "counts",
     },
 ):
-    """A supervisor's report, sent at an interval.
-
-    - `version`: the one that runs, or that is to run.
-    - `permit_number`, `step_index`: the latest step begun; `outcome` (a `StepOutcome`) and `reason` are
-      that step's.
-    - `unexpected_exits`: of the program, since the latest step began.
-    - `is_leaving`: the machine has asked the supervisor to shut down.
-    - `up`: whether the program is to run by the latest step.
+    """A supervisor's report, sent periodically.
+
+    - `version`: the version that is running; if none is, the version to start.
+    - `permit_number`, `step_index`: identify the latest step begun; `outcome` (a `StepOutcome`) and `reason`
+      are the outcome of that step and its reason.
+    - `unexpected_exits`: number of unexpected exits of the program since the latest step began.
+    - `is_leaving`: whether the supervisor is shutting down at the request of its machine.
+    - `up`: whether the program is to run after the latest step.
     """
 
     info: InstanceInfo
@@ -110,5 +110,5 @@
 
     @property
     def step_id(self) -> StepId:
-        """The latest step begun; `NO_STEP`: none was."""
+        """Identifies the latest step begun; `NO_STEP`: none was begun."""
         return StepId(self.permit_number, self.step_index)
--- a/valverouter/rollout/status.py
+++ b/valverouter/rollout/status.py
@@ -1,7 +1,7 @@
-"""The fleet's status as it is shown to operators: who is unavailable and why, and the operations' progress.
+"""The fleet's status as shown to operators: instances with their permits, and the progress of operations.
 
-Sent to clients and printed as JSON under the field names of former versions (`rename=`); all values are
-plain.
+It is sent to clients and printed as JSON under the field names of earlier versions (`rename=`). All values
+are of built-in types.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from valverouter.rollout.operations import Operation, OperationPhase, Participant
 
 MILLISECOND = 1_000_000
-# The age of a report that this leader never got.
+# The report age of an instance from which this leader has received no report.
 NEVER_REPORTED = -1
-# Asks for the participants of all operations, the ended ones included.
+# Requests the participants of all operations, including ended ones.
 ALL_OPERATIONS = "*"
 
 
@@ -33,10 +33,11 @@
         "available_versions": "versions",
     },
 ):
-    """One instance. `state`: in, out, drained or away.
+    """The status of an instance.
 
-    `running_version` and `unexpected_exits` are by its latest report, `report_age_ms` ago; `permit_number`
-    and `operation` are of the permit by which it is unavailable.
+    `state`: "in" (available), "out" or "drained" (unavailable under a permit), or "away" (unavailable without
+    a permit). `running_version` and `unexpected_exits` are from its latest report, received `report_age_ms`
+    ago. `permit_number` and `operation` identify the permit under which it is unavailable.
     """
 
     name: str
@@ -57,7 +58,7 @@
     frozen=True,
     rename={"status": "step", "permit_number": "number", "previous_version": "former", "reason": "why"},
 ):
-    """One instance in an operation."""
+    """The status of an instance in an operation."""
 
     name: str
     status: str
@@ -78,9 +79,10 @@
         "participants": "members",
     },
 ):
-    """One operation. `status_counts`: participants by status.
+    """The status of an operation.
 
-    `participants` are listed where the operation has not ended, or where they were asked for.
+    `status_counts`: number of participants by status. `participants` are listed only if the operation has not
+    ended or if they were requested.
     """
 
     id: str
@@ -109,9 +111,10 @@
         "min_pairs": "least",
     },
 ):
-    """The status by node `node`, which leads in Raft term `term`; `members`: nodes of the control plane.
+    """The fleet's status, from node `node`, the leader in Raft term `term`.
 
-    `compared_pairs` of at least `min_pairs`: of a release's canary evidence under way.
+    `members`: the nodes of the control plane. `compared_pairs`: the number of pairs that the active release's
+    canary analysis has compared so far, of the required `min_pairs`; both are 0 if no evidence is collected.
     """
 
     node: str
@@ -125,9 +128,9 @@
 
 
 def fleet_status(log: OperationLog, node: ControlPlaneNode, now: int, about: str = "") -> FleetStatus:
-    """The status by a leader's operation log and reports. `now` in ns.
+    """Returns the status from a leader's operation log and reports. `now` in ns.
 
-    `about`: id of an ended operation whose participants are listed too, or `ALL_OPERATIONS`.
+    `about`: the id of an ended operation whose participants are listed as well, or `ALL_OPERATIONS`.
     """
     pairs, min_pairs = _evidence_progress(log, node)
     return FleetStatus(
@@ -200,7 +203,7 @@
 
 
 def _availability(log: OperationLog, name: str) -> str:
-    """in; out or drained, by a permit; away: unavailable without one."""
+    """The availability of an instance; see `InstanceStatus.state`."""
     if name not in log.permits.unavailable:
         return "in"
     if log.permits.unavailable[name] is None:
--- a/valverouter/rollout/supervisor.py
+++ b/valverouter/rollout/supervisor.py
@@ -1,12 +1,13 @@
-"""What a supervisor decides about the one instance whose program it starts and stops.
+"""The state machine of a supervisor, which starts and stops the program of one instance.
 
-The control plane tells what is desired (`DesiredState`), and the supervisor makes its instance so. Starting
-the program needs nobody's permission. Taking it out of service does: that is a step of a permit, begun at
-most once, and on disk before it begins. A message with a step not above the latest one is void, however
-late it arrives.
+The control plane sends the desired state (`DesiredState`), and the supervisor brings its instance to it.
+Starting the program needs no permit. Taking the instance out of service does: it is a step of a permit, which
+is begun at most once, and written to disk before it begins. A message whose step is not greater than the
+latest one is ignored, however late it arrives.
 
-Without I/O: the caller reports events to it, asks it for the next action, carries that out, and sends its
-reports. The machine's own wish (a SIGTERM to the supervisor) is always obeyed, and reported.
+The supervisor does no I/O: the caller reports events to it, asks it for the next action, carries that out,
+and sends its reports. A shutdown by the machine (SIGTERM to the supervisor) is always carried out, and
+reported.
 """
 
 from __future__ import annotations
@@ -20,30 +21,32 @@
 from valverouter.rollout.supervisor_state import Step, SupervisorState
 
 SECOND = 10**9
-# Starts in a row after which the step is reported as failed; starting goes on.
+# Number of consecutive failed starts after which the step is reported as failed; further starts are
+# attempted.
 MAX_START_FAILURES = 3
-# Before a program that ended is started again, ns; doubled with each exit in a row.
+# Backoff before a program that exited is restarted, ns; it doubles with each consecutive exit.
 RESTART_BACKOFF_BASE = SECOND // 4
 RESTART_BACKOFF_CAP = 15 * SECOND
 MAX_BACKOFF_DOUBLINGS = 10
-# A program that ran for so long (ns) did start: its end is an exit, and no failed start.
+# Uptime in ns from which a program counts as started: a later exit is not a failed start.
 MIN_HEALTHY_UPTIME = 5 * SECOND
-# The reason of a step that was carried out before the supervisor lost its disk.
+# The reason reported for a step that was carried out before the supervisor lost its disk.
 STATE_LOST = "of a former memory"
 
 
 class SupervisorAction(Enum):
-    """What the caller is to do next."""
+    """The next action that the caller has to carry out."""
 
     # Start the program of the state's version.
     START = "start"
-    # Ask the list service for the server's drain, under the latest step's permit, and let it empty.
+    # Request the server's drain from the list service, under the latest step's permit, and give the server
+    # time to drain.
     REQUEST_DRAIN = "leave"
-    # Tell the list service that the permit has ended.
+    # Notify the list service that the permit has ended.
     END_DRAIN = "return"
-    # Ask the program to stop, as SIGTERM does.
+    # Stop the program gracefully, as SIGTERM does.
     STOP = "stop"
-    # Write the state to disk, before anything else.
+    # Write the state to disk before any other action.
     SAVE = "save"
 
 
@@ -58,13 +61,13 @@
     unexpected_exits: int = 0
     is_leaving: bool = False
     counters: InstanceCounters = field(default_factory=InstanceCounters)
-    # The program is not started before this; also when to ask for the next action if nothing happens.
+    # The earliest time at which the program is started. Without events, the next action is due at this time.
     next_start_at: int = 0
     _stop_requested: bool = False
     _is_unsaved: bool = False
-    # The step under way wants the program stopped first.
+    # Whether the step in progress requires the program to be stopped first.
     _must_stop: bool = False
-    # The list service's answer to a server's drain: awaited, granted or refused.
+    # State of a server's drain at the list service: requested and not answered yet, granted, or refused.
     _drain_requested: bool = False
     _drain_granted: bool = False
     _drain_refused: bool = False
@@ -76,11 +79,11 @@
     # Events
 
     def on_desired_state(self, now: int, desired: DesiredState, is_open: bool) -> bool:
-        """Takes the control plane's answer to a report of this process; whether it begins a step.
+        """Processes the control plane's answer to a report of this process; returns whether it begins a step.
 
-        `is_open`: the step's permit has not ended. If it has, this supervisor has lost its disk: the step
-        was carried out before, and counts as done. The program that runs meanwhile goes on running, since
-        to take it out, if only for another version, needs a permit.
+        `is_open`: whether the step's permit is still valid. A new step whose permit has ended means that this
+        supervisor has lost its disk: the step was carried out before, and is recorded as done. A running
+        program then keeps running, since stopping it, even to change its version, requires a permit.
         """
         if self.is_leaving or desired.step_id <= self.state.latest_step_id:
             return False
@@ -94,8 +97,8 @@
             self._begin_step(Step.from_desired_state(desired, StepOutcome.DONE, STATE_LOST))
             return False
         self._begin_step(Step.from_desired_state(desired))
-        # Returning needs no stop of a program that runs as it should: a step that was cancelled or refused
-        # before the program went leaves it running.
+        # A return step does not stop a program that already runs the desired version: the outbound step may
+        # have been cancelled or refused before the program was stopped.
         is_outbound = desired.step_index == OUTBOUND_STEP
         self._must_stop = self.is_running and (is_outbound or self.running_version != desired.version)
         self._drain_requested = self._drain_granted = self._drain_refused = False
@@ -104,16 +107,17 @@
         return True
 
     def resume(self, is_running: bool) -> None:
-        """After the supervisor's own restart: a step that was under way begins anew.
+        """Resumes after a restart of the supervisor: a step that was in progress is carried out again.
 
-        Its program is stopped if it still runs. It stays the same step, and is reported as done only once.
+        Its program is stopped if it is still running. The step keeps its id and is reported as done only
+        once.
         """
         self.is_running = is_running
         self.running_version = self.state.running_version
         self._must_stop = is_running and self._step_is_unfinished
 
     def on_started(self, now: int, version: str, process: str = "") -> None:
-        """The program was started; `process` identifies it for a later `SupervisorState`."""
+        """Records that the program was started; `process` identifies it in the stored `SupervisorState`."""
         self.state.process, self.state.running_version = process, version
         self._is_unsaved = True
         self.is_running, self.running_version, self._started_at = True, version, now
@@ -121,7 +125,7 @@
         self.counters = InstanceCounters()
 
     def on_exited(self, now: int) -> None:
-        """The program has ended, whether it was asked to or not."""
+        """Records that the program has exited, on request or unexpectedly."""
         was_requested = self._stop_requested
         self.is_running = self._stop_requested = self._must_stop = False
         self.counters = InstanceCounters()
@@ -138,13 +142,14 @@
         self.next_start_at = now + min(RESTART_BACKOFF_CAP, RESTART_BACKOFF_BASE << doublings)
 
     def on_start_failed(self, now: int) -> None:
-        """The program could not be started at all."""
+        """Records that no process could be created for the program."""
         self._started_at = now
         self.on_exited(now)
 
     def on_drain_answer(self, granted: bool, reason: str = "") -> None:
-        """The list service's answer to a server's drain. Refused, the step has failed and the server serves
-        on.
+        """Processes the list service's answer to a drain request.
+
+        If the drain is refused, the step fails and the server continues to serve.
         """
         self._drain_requested = False
         if not self._step_is_unfinished:
@@ -157,7 +162,7 @@
         self._finish_step(StepOutcome.FAILED, f"the list refuses: {reason}")
 
     def on_counters(self, counters: InstanceCounters) -> None:
-        """The instance's answer about itself; by it a step that brings the instance up is done."""
+        """Records the instance's counters; a step that starts it is done once they show that it serves."""
         if not self.is_running or self._must_stop or self._stop_requested:
             return
         self.counters = counters
@@ -167,21 +172,21 @@
             self._must_end_drain = self.info.kind is InstanceKind.SERVER
 
     def on_saved(self) -> None:
-        """The state is on disk."""
+        """Records that the state was written to disk."""
         self._is_unsaved = False
 
     def on_stop_requested(self) -> None:
-        """The program was asked to stop."""
+        """Records that the program was signalled to stop."""
         self._stop_requested = True
 
     def shut_down(self) -> None:
-        """The machine asks this supervisor to go: obeyed, whatever the control plane desires."""
+        """Shuts down at the machine's request, regardless of the desired state."""
         self.is_leaving = True
 
     # Decisions
 
     def next_action(self, now: int) -> SupervisorAction | None:
-        """What to do next; None: nothing at the moment."""
+        """Returns the next action to carry out; None: there is nothing to do at the moment."""
         if self._is_unsaved:
             return SupervisorAction.SAVE
         if self.is_running:
@@ -211,7 +216,7 @@
         return SupervisorAction.REQUEST_DRAIN
 
     def report(self) -> SupervisorReport:
-        """The report to send. It holds no outcome of a step that is not on disk yet."""
+        """Returns the report to send. It does not include an outcome that is not on disk yet."""
         step = self.state.latest_step or Step(0, 0, "")
         return SupervisorReport(
             info=self.info,
@@ -231,7 +236,7 @@
 
     @property
     def _step_is_unfinished(self) -> bool:
-        """The latest step is under way, or has failed and is still attempted."""
+        """Whether the latest step is in progress, or has failed and is still attempted."""
         step = self.state.latest_step
         return step is not None and step.outcome in (StepOutcome.IN_PROGRESS, StepOutcome.FAILED)
 
--- a/valverouter/rollout/supervisor_state.py
+++ b/valverouter/rollout/supervisor_state.py
@@ -1,6 +1,6 @@
-"""What a supervisor keeps on disk: what its instance should be, and the steps that it has begun.
+"""The state that a supervisor stores on disk: its instance's desired state, and the steps that it has begun.
 
-Stored under the field names of former versions (`rename=`).
+It is stored under the field names of earlier versions (`rename=`).
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from valverouter.rollout.operations import NO_STEP, DesiredState, StepId
 from valverouter.rollout.reports import StepOutcome
 
-# Steps that are kept for whoever asks what became of one; the oldest are dropped.
+# Number of steps kept, so that the outcome of an earlier step can be looked up; the oldest are dropped.
 MAX_KEPT_STEPS = 64
 
 
@@ -31,7 +31,7 @@
     def from_desired_state(
         cls, desired: DesiredState, outcome: StepOutcome = StepOutcome.IN_PROGRESS, reason: str = ""
     ) -> Step:
-        """The step by which an instance gets to a desired state."""
+        """The step that brings an instance to a desired state."""
         return cls(desired.permit_number, desired.step_index, desired.operation, outcome, reason)
 
     @property
@@ -43,9 +43,9 @@
 class SupervisorState(Struct, rename={"running_version": "running", "steps": "turns"}):
     """The stored state.
 
-    `version`, `up`: what the instance should be. `process`: identifies the process that was last started,
-    as the caller sees fit, and `running_version` its version: a supervisor that was killed takes its
-    program over again.
+    `version`, `up`: the desired version, and whether the instance is to run. `process`: identifies the
+    process that was started last, in a form that the caller chooses; `running_version`: its version. With
+    these, a supervisor that was killed adopts its running program when it is restarted.
     """
 
     version: str
@@ -61,10 +61,10 @@
 
     @property
     def latest_step_id(self) -> StepId:
-        """Identifies the latest step begun; `NO_STEP`: none was."""
+        """Identifies the latest step begun; `NO_STEP`: none was begun."""
         return self.steps[-1].step_id if self.steps else NO_STEP
 
     def add_step(self, step: Step) -> None:
-        """Appends a step, dropping the oldest where there are too many."""
+        """Appends a step, and drops the oldest if there are more than `MAX_KEPT_STEPS`."""
         self.steps.append(step)
         del self.steps[:-MAX_KEPT_STEPS]
