--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -1,4 +1,8 @@
-"""Attempts on record, and those of a previous incarnation or a lost connection: their servers are asked."""
+"""Recording of attempts, and queries to servers about unresolved ones.
+
+An attempt is unresolved after a restart of this process or the loss of its connection, until its server has
+reported its status or has not responded in time.
+"""
 
 from __future__ import annotations
 
@@ -16,18 +20,18 @@
 
 
 class ResumableAttempts(AttemptHandler):
-    """Records each attempt before it leaves, and finds out what became of those in doubt."""
+    """Records each attempt before it is sent, and queries servers for the status of unresolved attempts."""
 
     def __init__(
         self, context: ProxyContext, dialogs: DialogTable, links: ServerLinks, state: RecoveryState
     ) -> None:
-        """`state` holds the records, and which attempts are in doubt."""
+        """`state` holds the records and the pending recovery actions."""
         super().__init__(context, dialogs, links)
         self._incarnations = links.incarnations
         self._state = state
         self._pending = state.pending
 
-    # On record, before it leaves
+    # Recording attempts
 
     def _on_attempt_sent(self, entry: DialogEntry, server: str) -> None:
         assert entry.attempt is not None
@@ -35,23 +39,23 @@
         self._state.log.on_attempt_sent(entry.setup.dialog, entry.attempt, server, incarnation)
 
     def decision_number(self, dialog_id: str, attempt: int) -> int:
-        """An attempt's number without those of the previous incarnation, which the decisions never saw."""
+        """Returns an attempt's number without those of the previous incarnation, unknown to the driver."""
         return attempt - self._state.attempt_offsets.get(dialog_id, 0)
 
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
-        """Records the cancel, also of an attempt that had not left: the event that it never ran follows."""
+        """Records the cancel and cancels; for an unsent attempt an event reports later that it never ran."""
         self._state.log.on_attempt_cancelled(entry.setup.dialog)
         super().cancel(entry, outcome)
 
     def _on_outcome(self, entry: DialogEntry, outcome: Outcome) -> None:
         if outcome is Outcome.ESTABLISHED:
             self._state.log.on_established(entry.setup.dialog)
-            self._confirm_record(entry)
+            self._send_persisted(entry)
         else:
             self._state.log.on_attempt_ended(entry.setup.dialog, outcome)
 
-    def _confirm_record(self, entry: DialogEntry) -> None:
-        """Tells the server that the dialog is on record: it need not cut it should this connection go."""
+    def _send_persisted(self, entry: DialogEntry) -> None:
+        """Notifies the server that the dialog is on record, so it keeps it if this connection is lost."""
         link = entry.link
         if link is None or entry.attempt is None or not link.can_resume:
             return
@@ -60,13 +64,13 @@
             link.send(setup.Persisted(*key))
 
     def abort_dialog(self, dialog_id: str, reason: str) -> None:
-        """Ends a dialog from outside the decisions; one in doubt is cancelled at its server either way."""
+        """Ends a dialog without the driver; an unresolved attempt is cancelled even if it is established."""
         if self._pending.pop(dialog_id, None) is RecoveryAction.QUERY_SERVER:
-            self.withdraw(self._entries[dialog_id])
+            self.cancel_unresolved(self._entries[dialog_id])
         super().abort_dialog(dialog_id, reason)
 
-    def withdraw(self, entry: DialogEntry) -> None:
-        """Cancels a previous incarnation's attempt, where its server was asked for it and may have it."""
+    def cancel_unresolved(self, entry: DialogEntry) -> None:
+        """Cancels an unresolved attempt, if its server was queried for it and may still have it."""
         link, attempt, entry.attempt = entry.link, entry.attempt, None
         if link is None or attempt is None:
             return
@@ -76,17 +80,21 @@
         link.attempts[key] = True
         link.send(setup.Cancel(*key))
 
-    # Asking servers for attempts in doubt
+    # Querying servers for unresolved attempts
+
+    def enqueue_queries(self, link: ServerLink, incarnation: int) -> None:
+        """Queues queries to a newly connected server for the unresolved attempts that were sent to it.
 
-    def query_link(self, link: ServerLink, incarnation: int) -> None:
-        """A server is there: it is asked for attempts in doubt, where it is the process that had them."""
-        for dialog_id in self._in_doubt():
+        `incarnation`: the server's. Attempts sent to another incarnation are resolved without a query.
+        """
+        for dialog_id in self._unresolved_dialogs():
             entry, record = self._entries[dialog_id], self._state.log.record(dialog_id)
             if record is None or record.server != link.server:
                 continue
             is_same_process = record.server_incarnation in (0, incarnation)
             if not is_same_process or not link.can_resume:
-                # Another process never had it; one of an older version dropped it with the connection.
+                # Another process never had the attempt; one with an older protocol version dropped it with
+                # the connection.
                 self.on_peer_status(entry, PeerStatus.UNKNOWN, is_same_process)
                 continue
             entry.link = link
@@ -94,28 +102,28 @@
             priority_weight = traffic_type.priority_weight if traffic_type is not None else 0
             time_left = entry.deadline - self._context.now
             self._state.pacing.enqueue(dialog_id, link.server, time_left, priority_weight)
-        self._query_next()
+        self._send_due_queries()
 
-    def _in_doubt(self) -> list[str]:
+    def _unresolved_dialogs(self) -> list[str]:
         return [
             dialog_id for dialog_id, action in self._pending.items() if action is RecoveryAction.QUERY_SERVER
         ]
 
-    def _query_next(self) -> None:
-        """Asks for as many as the pace allows."""
+    def _send_due_queries(self) -> None:
+        """Sends the queries that are due by the pacing."""
         for dialog_id, server in self._state.pacing.take_due(self._context.now):
             entry, link = self._entries.get(dialog_id), self._links.get(server)
-            if not self._query(entry, link):
+            if not self._send_query(entry, link):
                 self._state.pacing.on_reply(server)
 
-    def _query(self, entry: DialogEntry | None, link: ServerLink | None) -> bool:
-        """Whether a server was asked for an attempt; it is not where that is in doubt no more."""
+    def _send_query(self, entry: DialogEntry | None, link: ServerLink | None) -> bool:
+        """Queries a server for an attempt; returns False without sending if it is no longer unresolved."""
         if entry is None or entry.attempt is None or link is None:
             return False
-        is_in_doubt = (
+        is_unresolved = (
             self._pending.get(entry.setup.dialog) is RecoveryAction.QUERY_SERVER and entry.link is link
         )
-        if not is_in_doubt or not link.is_writable:
+        if not is_unresolved or not link.is_writable:
             return False
         key = entry.setup.dialog, entry.attempt
         link.attempts[key] = False
@@ -124,11 +132,11 @@
 
     def _on_answer(self, link: ServerLink, message: setup.LegMessage) -> None:
         entry, key = self._entries.get(message.dialog), (message.dialog, message.leg)
-        was_asked = (
+        was_queried = (
             self._pending.get(message.dialog) is RecoveryAction.QUERY_SERVER
             and link.attempts.get(key) is False
         )
-        if entry is None or not was_asked or entry.attempt != message.leg:
+        if entry is None or not was_queried or entry.attempt != message.leg:
             super()._on_answer(link, message)
             return
         is_established = isinstance(message, setup.Established)
@@ -136,13 +144,16 @@
             del link.attempts[key]
         self._state.pacing.on_reply(link.server)
         self.on_peer_status(entry, PeerStatus.ESTABLISHED if is_established else PeerStatus.UNKNOWN, True)
-        self._query_next()
+        self._send_due_queries()
 
     def on_peer_status(self, entry: DialogEntry, status: PeerStatus, is_same_process: bool) -> None:
-        """What a server says of an attempt in doubt, or its silence."""
+        """Resolves an attempt by its server's status or NO_RESPONSE, and carries out the resulting plan.
+
+        `is_same_process`: the status is of the server process that the attempt was sent to.
+        """
         dialog_id, link = entry.setup.dialog, entry.link
         record = self._state.log.record(dialog_id)
-        if record is None:  # the store failed meanwhile, and what it held of this attempt is void
+        if record is None:  # the store has failed meanwhile and was cleared
             self.abort_dialog(dialog_id, "internal")
             return
         del self._pending[dialog_id]
@@ -157,48 +168,51 @@
         self._apply(entry, plan)
 
     def _apply(self, entry: DialogEntry, plan: RecoveryPlan) -> None:
-        """Does what the record of a dialog needs, now that its server's status is known."""
+        """Carries out the plan for a dialog's record."""
         dialog_id, link = entry.setup.dialog, entry.link
         if plan.action is RecoveryAction.RESEND_ANSWER:
             if not entry.is_established:
                 self._state.log.on_established(dialog_id)
                 server = link.server if link is not None else ""
                 self._dialogs.answer(entry, setup.Established(dialog_id, 0, server))
-            self._confirm_record(entry)
+            self._send_persisted(entry)
         elif plan.action is RecoveryAction.RESEND_ANSWER_AND_END:
-            self.withdraw(entry)
+            self.cancel_unresolved(entry)
             self._dialogs.end(entry, "cut")
         elif plan.action is RecoveryAction.FORGET:
             self._dialogs.remove(entry)
         else:
-            self.withdraw(entry)
+            self.cancel_unresolved(entry)
             self._state.log.on_attempt_cancelled(dialog_id)
             self._pending[dialog_id] = RecoveryAction.AWAIT_RELEASE
             self._timers.schedule(
                 self._context.now + plan.delay, RecoveryTimer(dialog_id, RecoveryAction.AWAIT_RELEASE)
             )
 
-    # Links that are lost
+    # Lost links
 
     def on_link_down(self, event: LinkDown) -> None:
-        """What is established on record is asked for on the next connection, not cut at once.
+        """Makes recorded established dialogs unresolved, to be queried on the next connection, not ended.
 
-        A connection that does not come about is answer enough: a server that died has cut it, and a caller
-        who hears of it late dials again late.
+        If no connection can be made, they end at once without a query: a server that died has cut them, and
+        the sooner their callers are notified, the sooner they can dial again.
         """
         link = event.link
         if link.is_final or not event.sent:
-            for dialog_id in self._in_doubt():
+            for dialog_id in self._unresolved_dialogs():
                 record = self._state.log.record(dialog_id)
                 if record is not None and record.server == link.server:
                     self.on_peer_status(self._entries[dialog_id], PeerStatus.UNKNOWN, True)
-        in_doubt = (
-            set() if link.is_final else {key for key in event.sent if self._becomes_doubtful(link, key)}
+        keys_to_query = (
+            set() if link.is_final else {key for key in event.sent if self._make_unresolved(link, key)}
         )
-        super().on_link_down(LinkDown(link, event.reason, event.sent - in_doubt, event.unsent))
+        super().on_link_down(LinkDown(link, event.reason, event.sent - keys_to_query, event.unsent))
+
+    def _make_unresolved(self, link: ServerLink, key: tuple[str, int]) -> bool:
+        """Makes an established attempt on a lost connection unresolved and starts its timeout.
 
-    def _becomes_doubtful(self, link: ServerLink, key: tuple[str, int]) -> bool:
-        """Whether an attempt on a lost connection is asked for again."""
+        Returns whether the attempt is to be queried on the next connection.
+        """
         dialog_id, attempt = key
         entry = self._entries.get(dialog_id)
         if entry is None or entry.link is not link or entry.attempt != attempt:
