--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -1,6 +1,6 @@
-"""Operations on real processes on loopback with faults between them; the check reads the supervisors' logs.
+"""Operations on real processes on loopback, with faults; the checks read the supervisors' logs.
 
-One course runs with the others; the hard cases one by one take minutes and run by
+One test runs by default. The other tests take minutes, and are run with
 
     python -m pytest -n 1 -m processes tests/test_operation_processes.py
 """
@@ -31,16 +31,16 @@
 processes = pytest.mark.processes
 
 
-def course_day(length: int = 15, edges: int = 6, troubles: str = "") -> ScenarioConfig:
+def operations_scenario(length: int = 15, edges: int = 6, troubles: str = "") -> ScenarioConfig:
     text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("length = 18s", f"length = {length}s")
     return scenario_config(IniFile(text + troubles, "orders"), "orders")
 
 
 def run_script(tmp_path: Path, script: Script, length: int = 15, **options: object) -> OperationsReport:
-    """Run the script on a day; the rules and those of operations are kept, whatever it did."""
+    """Runs the script in a scenario; the general rules and those of operations must not be violated."""
     troubles = str(options.pop("troubles", ""))
-    rows = run_operations(course_day(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
+    rows = run_operations(operations_scenario(length, troubles=troubles), tmp_path, script, **options)  # type: ignore[arg-type]
     verdict, rules = check_operations(rows), audit(rows)
     assert verdict is not None, verdict
     assert verdict.violations == (), verdict
@@ -52,8 +52,8 @@
     return next(each.result for each in status.operations if each.id == operation)
 
 
-async def until_out(rig: OperationRig, operation: str) -> FleetStatus:
-    """Return once an instance is out by the operation."""
+async def wait_until_unavailable(rig: OperationRig, operation: str) -> FleetStatus:
+    """Returns the status once an instance is unavailable under a permit of the operation."""
     with trio.fail_after(20):
         while True:
             status = await rig.status()
@@ -69,13 +69,13 @@
         return status.node
 
 
-def test_a_course_of_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
-    """A restart of all while the leader and a supervisor are killed, then a release that ends by itself."""
+def test_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
+    """Restarts all instances while the leader and a supervisor are killed; then releases a faulty version."""
 
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
-            await until_out(rig, "all")
+            await wait_until_unavailable(rig, "all")
             node = await leader(rig)
             rig.kill(node)
             rig.kill("k2")
@@ -126,8 +126,8 @@
 @processes
 def test_the_client_killed_at_each_step(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
-        for within in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
-            await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=within)
+        for client_timeout_s in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
+            await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=client_timeout_s)
         code, _ = await rig.run_client("restart", "e0", "e1", "--id", "one")
         assert code == 0
         assert result_of(await rig.wait_until_settled(30), "one") == "done"
@@ -162,7 +162,7 @@
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
-            await until_out(rig, "all")
+            await wait_until_unavailable(rig, "all")
             nursery.start_soon(rig.pause, await leader(rig), 10.0)
             await trio.sleep(5)
             node = await leader(rig)
@@ -182,7 +182,7 @@
         assert "least capacity of north" in output
         code, output = await rig.run_client("drain", "--region", "north", "--dry-run")
         assert code == 2
-        assert (await rig.status() or pytest.fail("nobody tells the status")).operations == ()
+        assert (await rig.status() or pytest.fail("no node reports the status")).operations == ()
 
     assert (
         run_script(
@@ -210,7 +210,8 @@
                 rig.start(name)
             await trio.sleep(4)
             assert (await rig.run_client("undrain", "--all"))[0] == 0
-        # The only one left says that it is cut off, which halts an operation as well as an exhausted limit.
+        # The operation may be halted by an exhausted limit or by the remaining instance, which reports that
+        # it is cut off.
         assert result_of(await rig.wait_until_settled(40), "one") == "halted"
 
     run_script(tmp_path, script, 40)
@@ -244,7 +245,7 @@
     async def script(rig: OperationRig) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "release", "--all", "--to", "v2", "--id", "r")
-            await until_out(rig, "r")
+            await wait_until_unavailable(rig, "r")
             now = rig.fakes.now()
             cut = frozenset({"c1", "k0", "k2", "k4"})
             rest = frozenset({"c0", "c2", "k1", "k3", "k5"})
@@ -288,7 +289,7 @@
             with trio.fail_after(20):
                 while (status := await rig.status()) is None or set(status.members) != set(NODES):
                     await trio.sleep(0.2)
-            # Both halves of the change have to be committed before another disk may go.
+            # Both membership changes must be committed before another disk is removed.
             await trio.sleep(2)
         assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
 
@@ -304,7 +305,9 @@
         shutil.rmtree(rig.folder / "k1.store")
         rig.start("k1")
         await rig.wait_until_settled(20)
-        assert rig.find_pid("e1") == before is not None, "it went on running, and no second one was started"
+        assert rig.find_pid("e1") == before is not None, (
+            "the process kept running, and no second one was started"
+        )
         assert (await rig.run_client("restart", "e1", "--id", "two"))[0] == 0
         assert rig.find_pid("e1") != before
 
@@ -337,12 +340,12 @@
 
 
 @processes
-def test_servers_go_out_one_by_one_under_permits(tmp_path: Path) -> None:
+def test_servers_become_unavailable_one_at_a_time_under_permits(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
         code, output = await rig.run_client("restart", "s0", "s1", "--servers", "--id", "s", timeout_s=90)
         assert code == 0, output
 
-    rows = run_operations(msgspec.structs.replace(course_day(60)), tmp_path, script, servers=True)
+    rows = run_operations(msgspec.structs.replace(operations_scenario(60)), tmp_path, script, servers=True)
     verdict, rules = check_operations(rows), audit(rows)
     assert verdict is not None, verdict
     assert verdict.passed, verdict
@@ -353,7 +356,7 @@
 
 
 @processes
-def test_a_sigterm_is_obeyed_and_the_instance_counted_as_out_without_a_permit(tmp_path: Path) -> None:
+def test_a_sigterm_is_obeyed_and_the_instance_counted_as_lost_without_a_permit(tmp_path: Path) -> None:
     async def script(rig: OperationRig) -> None:
         rig.record_fault("leave-k1", "k1", 10)
         for _ in range(3):
@@ -362,7 +365,7 @@
         with trio.fail_after(10):
             while (status := await rig.status()) is None or status.instances[1].state != "away":
                 await trio.sleep(0.1)
-        # The last of the signals may meet one that has done all and is on its way out.
+        # The last signal may arrive when the process has completed its shutdown and is about to exit.
         assert rig.processes["k1"].wait() in (0, -signal.SIGTERM)
         assert rig.find_pid("e1") is None
         assert b'"process-exited"' in (rig.folder / "k1.log").read_bytes()
