--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -399,16 +399,16 @@
         self.first_at = -1
 
     def __call__(self, fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-        sound = fakes.tap.record
+        sound = fakes.recorder.record
 
         def stepped(row_type: type[Any], **fields: Any) -> None:
             sound(row_type, **fields)
             before = len(self.rules.violations)
-            self.row(fakes.tap.rows[-1])
+            self.row(fakes.recorder.rows[-1])
             if len(self.rules.violations) > before and self.first_at < 0:
-                self.first_at = fakes.tap.rows[-1].at
+                self.first_at = fakes.recorder.rows[-1].at
 
-        fakes.tap.record = stepped  # type: ignore[method-assign]
+        fakes.recorder.record = stepped  # type: ignore[method-assign]
 
     def step(self, at: int, kind: str, **fields: Any) -> None:
         self.rules.step(Step(at, kind, **fields))
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -545,7 +545,7 @@
     """Kills e0 when its peers record its n-th dialog message, and starts it again 50 ms later."""
 
     def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-        original_record_message: Any = fakes.tap.record_message
+        original_record_message: Any = fakes.recorder.record_message
         count = 0
 
         def counting_record_message(edge: str, peer: str, sent: bool, message: Any) -> None:
@@ -562,7 +562,7 @@
             await trio.sleep(0.05)
             await edges[0].start()
 
-        fakes.tap.record_message = counting_record_message  # type: ignore[method-assign]
+        fakes.recorder.record_message = counting_record_message  # type: ignore[method-assign]
 
     return prepare
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -365,7 +365,7 @@
 
 def stops_reading(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """s0 reads nothing for two seconds; what it reads late had left long before."""
-    fakes.tap.record(traffic_record.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
+    fakes.recorder.record(traffic_record.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
     for wire in fakes.servers["s0"].connections:
         wire.reading_allowed = trio.Event()
         fakes.scheduler.call_at(fakes.now() + 3 * SECOND, wire.reading_allowed.set)
--- a/tests/test_view_audit.py
+++ b/tests/test_view_audit.py
@@ -17,7 +17,7 @@
 
 
 def judge(*rows: tuple[type, dict[str, Any]]) -> ViewReport:
-    trace = traffic_record.Tap(lambda: 0)
+    trace = traffic_record.TrafficRecorder(lambda: 0)
     for second, (kind, fields) in enumerate(rows):
         trace.now = lambda second=second: second * SECOND  # type: ignore[misc]
         trace.record(kind, **fields)
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -11,7 +11,7 @@
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.servers import EndReason
 from valverouter.emulator.simulation import RandomStream, Simulation
-from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, Tap
+from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, TrafficRecorder
 
 # A lost connection is made again after so long, ns.
 RECONNECT_DELAY = 50_000_000
@@ -31,7 +31,12 @@
     """`attempts` holds what is unanswered or established; each leaves with its end."""
 
     def __init__(
-        self, edge: EmulatedEdge, behavior: CallerConfig, sim: Simulation, tap: Tap, random: RandomStream
+        self,
+        edge: EmulatedEdge,
+        behavior: CallerConfig,
+        sim: Simulation,
+        recorder: TrafficRecorder,
+        random: RandomStream,
     ) -> None:
         self.fleet_index = edge.plan.fleet_index
         self.name = f"c{self.fleet_index}"
@@ -41,7 +46,7 @@
         self._edge = edge
         self._behavior = behavior
         self._sim = sim
-        self._tap = tap
+        self._recorder = recorder
         self._random = random
         self._last_serial = 0
         self._reconnects_at = 0
@@ -53,7 +58,7 @@
         return any(not attempt.is_established for attempt in self.attempts.values())
 
     def _record(self, is_sent: bool, kind: str, dialog_id: str, duration: int = 0, details: str = "") -> None:
-        rows, now, edge = self._tap.rows, self._sim.now(), self._edge.name
+        rows, now, edge = self._recorder.rows, self._sim.now(), self._edge.name
         rows.append(
             MessageRow(len(rows), now, edge, self.name, is_sent, kind, dialog_id, 0, duration, details)
         )
@@ -122,14 +127,14 @@
 
     def on_connection_lost(self) -> None:
         """The edge proxy is gone: every dialog is lost, and may be redialled."""
-        self._tap.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
+        self._recorder.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
         self._reconnects_at = self._sim.now() + RECONNECT_DELAY
         for dialog_id in list(self.attempts):
             self._close(dialog_id, may_redial=True)
 
     def on_restart_expected(self) -> None:
         """The edge proxy is gone, and its next process has the dialogs: they are resumed there."""
-        self._tap.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
+        self._recorder.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
         self._reconnects_at = self._sim.now() + RECONNECT_DELAY
         self._sim.call_after(RECONNECT_DELAY, self._reconnect)
 
--- a/valverouter/emulator/endpoint_list.py
+++ b/valverouter/emulator/endpoint_list.py
@@ -10,7 +10,7 @@
 from valverouter.emulator.servers import EmulatedServer
 from valverouter.emulator.simulation import Simulation
 from valverouter.interface import Endpoint, EndpointUpdateKind
-from valverouter.signalling.traffic_record import EndpointUpdateRow, Tap
+from valverouter.signalling.traffic_record import EndpointUpdateRow, TrafficRecorder
 
 
 class ServicePhase(StrEnum):
@@ -25,10 +25,14 @@
     """The phase of each server by name; `servers` and `edges` are the fleet's own tables."""
 
     def __init__(
-        self, sim: Simulation, tap: Tap, servers: dict[str, EmulatedServer], edges: list[EmulatedEdge]
+        self,
+        sim: Simulation,
+        recorder: TrafficRecorder,
+        servers: dict[str, EmulatedServer],
+        edges: list[EmulatedEdge],
     ) -> None:
         self._sim = sim
-        self._tap = tap
+        self._recorder = recorder
         self._servers = servers
         self._edges = edges
         self._phases = dict.fromkeys(servers, ServicePhase.IN_SERVICE)
@@ -52,7 +56,7 @@
         for edge in self._edges:
             if edge.is_running:
                 for name in names:
-                    self._tap.record(EndpointUpdateRow, edge=edge.name, server=name, phase=phase.value)
+                    self._recorder.record(EndpointUpdateRow, edge=edge.name, server=name, phase=phase.value)
                 edge.update_endpoints(EndpointUpdateKind.INCREMENTAL, entries)
 
     def announce_down(self, servers: Sequence[EmulatedServer]) -> None:
--- a/valverouter/emulator/fault_targets.py
+++ b/valverouter/emulator/fault_targets.py
@@ -55,7 +55,7 @@
     def record(self, fault: FaultConfig, target: str, duration: int | None = None) -> None:
         """Records the fault for a target, by default for the fault's duration, ns."""
         until = self._fleet.sim.now() + (fault.length if duration is None else duration)
-        self._fleet.tap.record(FaultRow, until=until, kind=fault.kind, target=target)
+        self._fleet.recorder.record(FaultRow, until=until, kind=fault.kind, target=target)
 
     def wait(self, duration: int) -> Any:
         """The event that a process yields to wait, ns."""
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -15,7 +15,7 @@
 from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
-from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, Tap
+from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, TrafficRecorder
 
 # Load reports leave a server at their interval, varied by up to this fraction either way.
 MIN_REPORT_FRACTION, REPORT_FRACTION_RANGE = 0.9, 0.2
@@ -27,7 +27,7 @@
     def __init__(self, day: ScenarioConfig, plans: Sequence[EdgePlan]) -> None:
         self.day = day
         self.sim = Simulation()
-        self.tap = Tap(self.sim.now)
+        self.recorder = TrafficRecorder(self.sim.now)
         self.servers: dict[str, EmulatedServer] = {}
         self.edges: list[EmulatedEdge] = []
         self.callers: list[EmulatedCallers] = []
@@ -35,7 +35,7 @@
         self._reports: ReportLog = []
         self._network = self.random_stream("network")
         self._profile = server_profile(day)
-        self.tap.record(
+        self.recorder.record(
             AuditConfigRow,
             release_wait=day.fleet.release_wait,
             slack=0,
@@ -44,7 +44,7 @@
         )
         for number in range(day.server_count):
             self.add_server(f"s{number}", number)
-        self.endpoint_list = EmulatedEndpointList(self.sim, self.tap, self.servers, self.edges)
+        self.endpoint_list = EmulatedEndpointList(self.sim, self.recorder, self.servers, self.edges)
         for plan in plans:
             self._add_edge(plan)
 
@@ -63,12 +63,12 @@
             region,
             model,
             self.sim,
-            self.tap,
+            self.recorder,
             self.random_stream(f"length {name}"),
             lambda traffic_type: day.traffic[traffic_type].length if traffic_type in day.traffic else 0,
             day.servers.tells_lines,
         )
-        self.tap.record(PlacementRow, name=name, region=region)
+        self.recorder.record(PlacementRow, name=name, region=region)
         if day.servers.report_every:
             self._report_load(server, self.random_stream(f"report {name}"))
         return server
@@ -82,10 +82,10 @@
             return int(base * (1 + day.delays.jitter * (2 * network.random() - 1)))
 
         edge = EmulatedEdge(plan, self.sim, self.servers.__getitem__, delay, self._reports)
-        self.tap.record(PlacementRow, name=edge.name, region=plan.region)
+        self.recorder.record(PlacementRow, name=edge.name, region=plan.region)
         random = self.random_stream(f"caller {plan.fleet_index}")
         self.edges.append(edge)
-        self.callers.append(EmulatedCallers(edge, day.callers, self.sim, self.tap, random))
+        self.callers.append(EmulatedCallers(edge, day.callers, self.sim, self.recorder, random))
 
     def _report_load(self, server: EmulatedServer, random: RandomStream) -> None:
         # Reports go to one log for all edge proxies, which read it on their own: no event for each of them.
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -12,7 +12,12 @@
 from valverouter.interface import LoadReport, Outcome
 from valverouter.servermodel.events import LegKey, ServerEvent, ServerEventKind
 from valverouter.servermodel.server import SetupServer
-from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, ServerStartedRow, Tap
+from valverouter.signalling.traffic_record import (
+    ConnectionLostRow,
+    MessageRow,
+    ServerStartedRow,
+    TrafficRecorder,
+)
 
 # How long a leg without a connection, and the end of such a leg, is retained, ns.
 RETENTION = 10_000_000_000
@@ -134,7 +139,7 @@
         self.is_open = False
         server = self.server
         server.connections.pop(self.peer, None)
-        server.tap.record(ConnectionLostRow, edge=self.owner.name, peer=server.name)
+        server.recorder.record(ConnectionLostRow, edge=self.owner.name, peer=server.name)
         server.retain(retained_legs)
         server.model.on_connection_lost(server.sim.now(), self.peer, server.retained_legs)
         server.deliver_events()
@@ -155,7 +160,7 @@
         region: str,
         model: SetupServer,
         sim: Simulation,
-        tap: Tap,
+        recorder: TrafficRecorder,
         durations: RandomStream,
         mean_duration: Callable[[str], int],
         reports_lines: bool,
@@ -165,7 +170,7 @@
         self.region = region
         self.model = model
         self.sim = sim
-        self.tap = tap
+        self.recorder = recorder
         self.incarnation = 1
         self.is_silent = False
         self.refused_edges: set[str] = set()
@@ -191,7 +196,7 @@
         retry_after: int = 0,
     ) -> None:
         """Records a message at an edge proxy; `is_sent`: by this server."""
-        rows = self.tap.rows
+        rows = self.recorder.rows
         rows.append(
             MessageRow(
                 len(rows), at, edge, self.name, is_sent, kind, dialog_id, attempt, retry_after, details
@@ -292,4 +297,4 @@
 
     def record_start(self) -> None:
         """Records the start of a process with its slow-start parameters."""
-        self.tap.record(ServerStartedRow, server=self.name, **self.model.profile.slow_start_parameters())
+        self.recorder.record(ServerStartedRow, server=self.name, **self.model.profile.slow_start_parameters())
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -69,11 +69,11 @@
         self._begin(ends_at)
         sim.run(ends_at)
         self._wait_for_answers(ends_at)
-        return DayResult(fleet.tap.rows, fleet.servers, self._load.dialled, self._samples)
+        return DayResult(fleet.recorder.rows, fleet.servers, self._load.dialled, self._samples)
 
     def _begin(self, ends_at: int) -> None:
         fleet = self._fleet
-        fleet.tap.record(CallersStartedRow)
+        fleet.recorder.record(CallersStartedRow)
         for name, fault in fleet.day.faults.items():
             fleet.sim.env.process(self._fault(name, fault))
         for callers in fleet.callers:
--- a/valverouter/fakes/connection.py
+++ b/valverouter/fakes/connection.py
@@ -47,7 +47,7 @@
         self.error: ProtocolError | None = None
         self._scope = trio.CancelScope()
         self._stream = stream
-        self._tap = environment.tap
+        self._recorder = environment.recorder
         self._scheduler = environment.scheduler
         self._peer_name = peer_name
         self._on_message = on_message
@@ -81,7 +81,7 @@
                     pass
         finally:
             # Also when the whole run is cancelled: the edge proxy sees its connection break at once.
-            self._tap.record(ConnectionLostRow, edge=self.edge_name, peer=self._peer_name)
+            self._recorder.record(ConnectionLostRow, edge=self.edge_name, peer=self._peer_name)
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(self._stream)
 
@@ -107,7 +107,7 @@
     def _receive(self, message: Any) -> bool:
         """Takes a message in; returns whether the connection stays."""
         self.edge_name = self.session.peer or self.edge_name
-        self._tap.record_message(self.edge_name, self._peer_name, False, message)
+        self._recorder.record_message(self.edge_name, self._peer_name, False, message)
         if self.drop_on(False, message):
             self.close()
             return False
@@ -128,7 +128,7 @@
                 data = self.session.send(message)
             except ProtocolError:
                 continue  # It crossed a message that closed the leg.
-            self._tap.record_message(self.edge_name, self._peer_name, True, message)
+            self._recorder.record_message(self.edge_name, self._peer_name, True, message)
             await self._send_bytes(data)
 
     async def _send_bytes(self, data: bytes) -> None:
--- a/valverouter/fakes/endpoint_list.py
+++ b/valverouter/fakes/endpoint_list.py
@@ -100,7 +100,7 @@
         rows = [self._with_age(row, now) for row in update.rows]
         if not is_stale:
             for row in rows:
-                self._environment.tap.record(
+                self._environment.recorder.record(
                     EndpointUpdateRow, edge=connection.edge_name, server=row.server, phase=row.phase
                 )
         connection.send(msgspec.structs.replace(update, rows=rows))
--- a/valverouter/fakes/environment.py
+++ b/valverouter/fakes/environment.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from valverouter.signalling.traffic_record import Tap
+from valverouter.signalling.traffic_record import TrafficRecorder
 
 StreamHandler = Callable[[trio.abc.Stream], Awaitable[object]]
 
@@ -59,5 +59,5 @@
     """What every fake of one run is given."""
 
     network: Network
-    tap: Tap
+    recorder: TrafficRecorder
     scheduler: Scheduler
--- a/valverouter/fakes/server.py
+++ b/valverouter/fakes/server.py
@@ -292,4 +292,4 @@
     def record_start(self) -> None:
         """Records that a process has started."""
         parameters = self.model.profile.slow_start_parameters()
-        self._environment.tap.record(ServerStartedRow, server=self.name, **parameters)
+        self._environment.recorder.record(ServerStartedRow, server=self.name, **parameters)
--- a/valverouter/scenarios/fault_targets.py
+++ b/valverouter/scenarios/fault_targets.py
@@ -46,4 +46,4 @@
     def record_kind(self, kind: str, target: str, duration: int) -> None:
         """Records a fault of that kind for a target, for `duration` ns."""
         until = self._fakes.now() + duration + self._fakes.fault_slack
-        self._fakes.tap.record(FaultRow, until=until, kind=kind, target=target)
+        self._fakes.recorder.record(FaultRow, until=until, kind=kind, target=target)
--- a/valverouter/scenarios/membership_recorder.py
+++ b/valverouter/scenarios/membership_recorder.py
@@ -57,19 +57,19 @@
     def record_start(self, name: str, incarnation: str, address: str) -> None:
         """Records that an edge proxy runs; it is polled at the address from now on."""
         self._incarnations[name], self._addresses[name] = incarnation, address
-        self._fakes.tap.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=True)
+        self._fakes.recorder.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=True)
 
     def record_end(self, name: str) -> None:
         """Records that an edge proxy has ended."""
         if name in self._incarnations and not self._closed:
             self._addresses.pop(name, None)
             incarnation = self._incarnations.pop(name)
-            self._fakes.tap.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=False)
+            self._fakes.recorder.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=False)
 
     def record_event(self, name: str, kind: str, member: str, member_incarnation: str) -> None:
         """Records what an edge proxy reports of a member."""
         if name in self._incarnations and not self._closed:
-            self._fakes.tap.record(
+            self._fakes.recorder.record(
                 MembershipEventRow,
                 edge=name,
                 incarnation=self._incarnations[name],
@@ -80,7 +80,7 @@
 
     def start_faults(self) -> None:
         """Marks the time from which the scenario's times count."""
-        self._fakes.tap.record(
+        self._fakes.recorder.record(
             ConvergenceDeadlineRow, max_duration=self.max_convergence_time, poll_interval=self.poll_interval
         )
 
@@ -105,7 +105,7 @@
     def _record_view(self, answer: ViewAnswer) -> None:
         if answer.missing_page is not None or self._closed:
             return
-        self._fakes.tap.record(
+        self._fakes.recorder.record(
             MembershipViewRow,
             edge=answer.name,
             incarnation=f"{answer.incarnation:016x}",
--- a/valverouter/scenarios/operation_harness.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -120,7 +120,7 @@
         }
         files.write(server_control, regions)
         max_unavailable, max_per_region = self._limits
-        self.fakes.tap.record(
+        self.fakes.recorder.record(
             DisruptionLimitsRow, max_unavailable=max_unavailable, max_per_region=max_per_region
         )
 
@@ -221,7 +221,7 @@
         """Adds a fault of the network, with times of the scenario's clock."""
         self.faults = [earlier for earlier in self.faults if earlier.until > self.fakes.now()] + [fault]
         self._network.paths = NetworkPaths(self.faults, self._draw)
-        self.fakes.tap.record(
+        self.fakes.recorder.record(
             FaultRow, until=fault.until + FAULT_SLACK, kind=f"path-{fault.kind}", target="paths"
         )
 
@@ -229,7 +229,7 @@
         """Records a fault of a process for the audit."""
         until = self.fakes.now() + round(seconds * NS_PER_S) + FAULT_SLACK
         target = supervised_by(name) if name[0] == "k" else name
-        self.fakes.tap.record(FaultRow, until=until, kind=kind, target=target)
+        self.fakes.recorder.record(FaultRow, until=until, kind=kind, target=target)
 
     # Clients
 
@@ -288,7 +288,7 @@
                 os.kill(pid, signal.SIGKILL)
         for name in (*self.edges, *self.servers):
             log = self.folder / f"{supervisor_of(name)}.log"
-            append_log_rows(self.fakes.tap.rows, log, name, self.fakes.now())
+            append_log_rows(self.fakes.recorder.rows, log, name, self.fakes.now())
         for operation in operations:
             self._record_operation(operation)
 
@@ -297,7 +297,7 @@
             participant.name: (participant.status, participant.permit_number, participant.previous_version)
             for participant in operation.participants
         }
-        self.fakes.tap.record(
+        self.fakes.recorder.record(
             OperationRow,
             operation=operation.id,
             kind=operation.kind,
@@ -363,7 +363,7 @@
                     with trio.CancelScope(shield=True):
                         await rig.stop_all()
                 scope.cancel()
-        return fakes.tap.rows
+        return fakes.recorder.rows
 
     return trio.run(main)
 
--- a/valverouter/scenarios/scenario_fakes.py
+++ b/valverouter/scenarios/scenario_fakes.py
@@ -21,7 +21,7 @@
 from valverouter.servermodel.lines import CalledNumbers
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.serverlist import EndpointRow, ServerPhase
-from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, Tap
+from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, TrafficRecorder
 
 NS_PER_S = 10**9
 # The clock of the record begins a day before the run, so that no time in it is negative.
@@ -29,7 +29,7 @@
 
 
 class ScenarioFakes:
-    """All peers of the edge proxies under test, and the record of the run in `tap`.
+    """All peers of the edge proxies under test, and the record of the run in `recorder`.
 
     `slack`, `fault_slack`: ns that the audit and the rows of faults allow for the machine's own delays.
     `addresses` gives the address at which the fake of a name listens. `servers` and `server_numbers` are by
@@ -46,7 +46,7 @@
     ) -> None:
         self.scenario = scenario
         self.started_at = trio.current_time()
-        self.tap = Tap(self.now)
+        self.recorder = TrafficRecorder(self.now)
         self.scheduler = Scheduler(self.now)
         self.called_numbers = CalledNumbers()
         self.servers: dict[str, FakeServer] = {}
@@ -56,9 +56,9 @@
         self.fault_slack = fault_slack
         self.nursery: trio.Nursery | None = None
         self._addresses = addresses
-        self._environment = Environment(network, self.tap, self.scheduler)
+        self._environment = Environment(network, self.recorder, self.scheduler)
         self.endpoint_list = FakeEndpointList(addresses("list"), self._environment)
-        self.tap.record(
+        self.recorder.record(
             AuditConfigRow,
             release_wait=scenario.fleet.release_wait,
             slack=slack,
@@ -106,7 +106,7 @@
         """Starts the callers of an edge proxy; they dial once the scenario's calls are generated."""
         assert self.nursery is not None
         region = self.scenario.region_of_edge(fleet_index)
-        self.tap.record(PlacementRow, name=f"e{fleet_index}", region=region)
+        self.recorder.record(PlacementRow, name=f"e{fleet_index}", region=region)
         config = self.scenario.callers
         caller = FakeCallers(
             f"c{fleet_index}",
@@ -141,5 +141,5 @@
         server = FakeServer(name, self._addresses(name), model, self._environment, duration_rng, options)
         self.servers[name] = server
         self.server_numbers[name] = number
-        self.tap.record(PlacementRow, name=name, region=region)
+        self.recorder.record(PlacementRow, name=name, region=region)
         return server
--- a/valverouter/scenarios/scenario_runner.py
+++ b/valverouter/scenarios/scenario_runner.py
@@ -63,12 +63,12 @@
                 await fleet.membership.settle()
             await fleet.stop()
             scope.cancel()
-    return fakes.tap.rows
+    return fakes.recorder.rows
 
 
 async def play_script(fakes: ScenarioFakes, on_progress: ProgressCallback = lambda fraction: None) -> None:
     """Plays the scenario's calls and faults, then waits until every call has its answer."""
-    fakes.tap.record(CallersStartedRow)
+    fakes.recorder.record(CallersStartedRow)
     targets, load = FaultTargets(fakes), CallLoad(fakes)
     faults = ServerFaults(fakes, targets).by_kind() | EdgeFaults(fakes, targets, load).by_kind()
     async with trio.open_nursery() as nursery:
--- a/valverouter/signalling/traffic_record.py
+++ b/valverouter/signalling/traffic_record.py
@@ -271,7 +271,7 @@
 DETAIL_ATTRIBUTES = ("traffic_type", "reason", "server")
 
 
-class Tap:
+class TrafficRecorder:
     """Collects the rows of a record in order; `now` gives the time in nanoseconds."""
 
     def __init__(self, now: Callable[[], int]) -> None:
--- a/valverouter/soak/core_servers.py
+++ b/valverouter/soak/core_servers.py
@@ -14,7 +14,7 @@
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_protocol.lines import Line, LineReader
 from valverouter.signalling.framing import ProtocolError
-from valverouter.signalling.traffic_record import EndpointUpdateRow, MessageRow, Tap
+from valverouter.signalling.traffic_record import EndpointUpdateRow, MessageRow, TrafficRecorder
 from valverouter.soak.plan import ServerBehavior
 
 ANY_PORT = "127.0.0.1:0"
@@ -33,16 +33,18 @@
 
 
 class CoreServer:
-    """One core server, which records what passes its sockets in `tap` under `name`."""
+    """One core server, which records what passes its sockets in `recorder` under `name`."""
 
-    def __init__(self, name: str, behavior: ServerBehavior, edge: str, rng: random.Random, tap: Tap) -> None:
+    def __init__(
+        self, name: str, behavior: ServerBehavior, edge: str, rng: random.Random, recorder: TrafficRecorder
+    ) -> None:
         self.name = name
         self.behavior = behavior
         self.address = ""
         self.is_hanging = False
         self._edge = edge
         self._rng = rng
-        self._tap = tap
+        self._recorder = recorder
         self._attempt_counts: dict[str, int] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
@@ -67,7 +69,7 @@
 
     def record(self, kind: str, dialog: str, attempt: int, sent: bool) -> None:
         """Records a message of an attempt."""
-        self._tap.record(
+        self._recorder.record(
             MessageRow, edge=self._edge, peer=self.name, sent=sent, kind=kind, dialog=dialog, leg=attempt
         )
 
@@ -173,9 +175,9 @@
 class EventBus:
     """The event bus, which may listen at several addresses; `asked` calls back with the address asked."""
 
-    def __init__(self, tap: Tap, edge: str, on_asked: Callable[[str], None]) -> None:
+    def __init__(self, recorder: TrafficRecorder, edge: str, on_asked: Callable[[str], None]) -> None:
         self.events: list[dict[str, Any]] = []
-        self._tap = tap
+        self._recorder = recorder
         self._edge = edge
         self._on_asked = on_asked
         self._changed = trio.Event()
@@ -189,7 +191,7 @@
 
     def record_draining(self, server: str) -> None:
         """Records that the edge proxy has been told that a server drains."""
-        self._tap.record(EndpointUpdateRow, edge=self._edge, server=server, phase="draining")
+        self._recorder.record(EndpointUpdateRow, edge=self._edge, server=server, phase="draining")
 
     async def listen(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves one more address until cancelled."""
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -176,14 +176,14 @@
 
     def _record_fault(self, fakes: ScenarioFakes, kind: str, length_s: float) -> None:
         until = fakes.now() + round(length_s * NS_PER_S) + FAULT_SLACK
-        fakes.tap.record(FaultRow, until=until, kind=kind, target="e0")
+        fakes.recorder.record(FaultRow, until=until, kind=kind, target="e0")
 
     def _check_exit(self, edge: LoopbackEdge) -> None:
         if edge.returncode != 0:
             self._violations.append(f"a process ended with {edge.returncode}")
 
     def _judge(self, fakes: ScenarioFakes, edge: LoopbackEdge) -> CourseVerdict:
-        rows = fakes.tap.rows
+        rows = fakes.recorder.rows
         found = [f"rule {item.rule}: {item.subject} {item.text}" for item in audit(rows).violations]
         lines = edge.log_file.read_bytes().splitlines()
         found += [problem for line in lines if (problem := log_problem(line))]
--- a/valverouter/soak/platform_run.py
+++ b/valverouter/soak/platform_run.py
@@ -17,7 +17,7 @@
 from valverouter.audit.records import in_order
 from valverouter.audit.verdict import Verdict
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.signalling.traffic_record import AuditConfigRow, Tap
+from valverouter.signalling.traffic_record import AuditConfigRow, TrafficRecorder
 from valverouter.soak.core_servers import CoreServer, EventBus
 from valverouter.soak.event_loop_lag import watch_lag
 from valverouter.soak.judge import SLACK, CourseVerdict, judge_course
@@ -52,18 +52,18 @@
         self._folder = folder
         self._command = command
         self._rng = random.Random(f"soak/{course.seed}/run")
-        self._tap = Tap(time.monotonic_ns)
-        self._tap.record(
+        self._recorder = TrafficRecorder(time.monotonic_ns)
+        self._recorder.record(
             AuditConfigRow,
             release_wait=RELEASE_GUARD_US * 1_000,
             slack=SLACK,
             latency_objectives={},
             priority_weights={},
         )
-        self._bus = EventBus(self._tap, EDGE, self._on_bus_asked)
+        self._bus = EventBus(self._recorder, EDGE, self._on_bus_asked)
         self._servers = [
             CoreServer(
-                f"s{number}", behavior, EDGE, random.Random(f"soak/{course.seed}/s{number}"), self._tap
+                f"s{number}", behavior, EDGE, random.Random(f"soak/{course.seed}/s{number}"), self._recorder
             )
             for number, behavior in enumerate(course.servers)
         ]
@@ -239,7 +239,7 @@
 
     def _audit_servers(self) -> list[str]:
         """Rules 2, 3 and 5, from what passed the core servers' sockets."""
-        rows = in_order(self._tap.rows)
+        rows = in_order(self._recorder.rows)
         config = next(row for row in rows if isinstance(row, AuditConfigRow))
         verdict = Verdict()
         check_attempts(rows, config, verdict)
