--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -17,7 +17,7 @@
 from valverouter.config.platform import PlatformConfig, platform_config
 from valverouter.edge.runtime import Handler
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.platform_edge.proxy import RelayProxy
+from valverouter.platform_edge.proxy import PlatformProxy
 from valverouter.platform_protocol import isup
 from valverouter.platform_protocol.lines import Line, LineReader
 from valverouter.scenarios.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
@@ -268,7 +268,7 @@
             if isinstance(self.network, Loopback)
             else MemoryRuntime(self.network)
         )
-        self.edge = RelayProxy(self.platform(), self.place)
+        self.edge = PlatformProxy(self.platform(), self.place)
 
     def platform(self) -> PlatformConfig:
         return platform_config(json.dumps(self.told).encode())
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -442,7 +442,7 @@
 
 # The platform's
 
-ASKED = platform_translation.RelaySetup(
+ASKED = platform_translation.PlatformSetup(
     *LEG,
     traffic_type="booking",
     time_left=739,
@@ -704,7 +704,7 @@
     traffic_record.StepRow: "turned",
     traffic_record.ProgramVersionRow: "runs",
     traffic_record.OperationRow: "ordered",
-    platform_translation.RelaySetup: "setup",
+    platform_translation.PlatformSetup: "setup",
     platform_translation.EstablishedWithDescription: "stands",
 }
 
--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -14,7 +14,7 @@
 
 from tests.platform_harness import Client, Loopback, Rig, relayed, release
 from valverouter.platform_edge.callers import MAX_PENDING_SETUPS
-from valverouter.platform_edge.link import CONNECTIONS
+from valverouter.platform_edge.link import CONNECTIONS_PER_SERVER
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
 LEAVING = ["closes", "cancels"]
@@ -162,7 +162,7 @@
         place.dials["s0:1"] = trio.Event()
         await server.reset()
         link = rig.edge.links.by_server["s0"]
-        await rig.until(lambda: getattr(link, "_connecting") == CONNECTIONS)  # noqa: B009
+        await rig.until(lambda: getattr(link, "_connecting") == CONNECTIONS_PER_SERVER)  # noqa: B009
         await client.ask(A)
         await rig.until(lambda: A in rig.edge.dialogs.entries and rig.edge.dialogs.entries[A].attempt == 0)
         await leave(client, A, how)
--- a/tests/test_platform_edge_races.py
+++ b/tests/test_platform_edge_races.py
@@ -39,8 +39,8 @@
 from tests.process_harness import Drill, drill
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.platform_edge import dialogs as relaydialogs
-from valverouter.platform_edge.link import RelayLink
+from valverouter.platform_edge import dialogs as platform_dialogs
+from valverouter.platform_edge.link import PlatformLink
 from valverouter.platform_protocol import isup
 from valverouter.signalling import setup
 
@@ -134,7 +134,7 @@
         client, (s0, s1) = await rig.client(), rig.servers.values()
         s0.answers = False
         link = rig.edge.links.by_server["s0"]
-        assert isinstance(link, RelayLink)
+        assert isinstance(link, PlatformLink)
         first, second = ends_of(link, s0)
         rig.place.hold()
         rig.edge.context.events._capacity = 1
@@ -159,7 +159,7 @@
         assert waited >= 0.3
 
 
-def ends_of(link: RelayLink, server: Server) -> list[Any]:
+def ends_of(link: PlatformLink, server: Server) -> list[Any]:
     """The server's ends of a link's connections, in the link's order."""
     ours = [getattr(line.send_queue._stream, "_socket").getsockname() for line in link._connections]  # noqa: B009
     theirs = {getattr(stream, "_socket").getpeername(): stream for stream in server.streams}  # noqa: B009
@@ -203,9 +203,9 @@
         await client.stream.aclose()
         await rig.until(lambda: caller.is_closed)
         for at in range(50):
-            rig.edge.end_notifier.notify(caller, setup.Ended(f"{at:016x}", 0, "over"))
+            rig.edge.release_notifier.notify(caller, setup.Ended(f"{at:016x}", 0, "over"))
             await trio.sleep(1)
-        assert len(rig.edge.end_notifier._pending) <= relaydialogs.PENDING_END_LIFETIME_S + 1
+        assert len(rig.edge.release_notifier._pending) <= platform_dialogs.PENDING_RELEASE_LIFETIME_S + 1
 
 
 # Customers
--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -145,14 +145,14 @@
 }
 
 
-def asked(id_: str = ID, **changes: bytes) -> translation.RelaySetup | translation.EstablishedDialog:
+def asked(id_: str = ID, **changes: bytes) -> translation.PlatformSetup | translation.EstablishedDialog:
     told = SOUND | {int(code[1:]): value for code, value in changes.items()}
     return translation.parse_setup(isup.Message(isup.IAM, id_, told), DEPLOYMENT, {"only-1": 1})
 
 
 def test_a_setup_in_our_words() -> None:
     made = asked(p139=b"dest:1;width:1;via:-1;again:1")
-    assert isinstance(made, translation.RelaySetup)
+    assert isinstance(made, translation.PlatformSetup)
     assert (made.dialog, made.preferred_server_number, made.was_interrupted, made.time_left) == (
         ID,
         1,
--- a/valverouter/platform_edge/__main__.py
+++ b/valverouter/platform_edge/__main__.py
@@ -26,7 +26,7 @@
 from valverouter.edge.garbage_collection import tune_garbage_collector
 from valverouter.edge.signals import receive_signals
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.platform_edge.proxy import RelayProxy
+from valverouter.platform_edge.proxy import PlatformProxy
 from valverouter.platform_protocol import bus
 from valverouter.signalling.framing import ProtocolError
 
@@ -45,7 +45,7 @@
 
     `early_signals`: SIGHUPs from before the signal receiver was open, perhaps after `path` was read.
     """
-    proxy = RelayProxy(config, SocketRuntime(silence=PEER_SILENCE, max_descriptors=config.limits.sockets))
+    proxy = PlatformProxy(config, SocketRuntime(silence=PEER_SILENCE, max_descriptors=config.limits.sockets))
     with receive_signals(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             await nursery.start(proxy.run)
@@ -65,13 +65,13 @@
             nursery.cancel_scope.cancel()
 
 
-async def stop_after_accept_period(proxy: RelayProxy) -> None:
+async def stop_after_accept_period(proxy: PlatformProxy) -> None:
     """Stops once the platform sends no more connections and requests here, a while after the signal."""
     await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
     proxy.stop()
 
 
-async def reload(proxy: RelayProxy, path: Path) -> None:
+async def reload(proxy: PlatformProxy, path: Path) -> None:
     """On SIGHUP: applies the file; one that is invalid is read again, and changes nothing meanwhile."""
     for _ in range(RELOAD_ATTEMPTS):
         try:
--- a/valverouter/platform_edge/caller_listener.py
+++ b/valverouter/platform_edge/caller_listener.py
@@ -9,11 +9,11 @@
 from valverouter.edge.caller_listener import CallerListener
 from valverouter.edge.context import ProxyContext
 from valverouter.edge.server_links import ServerLinks
-from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, RateLimitedLog, RelayCaller
-from valverouter.platform_edge.dialogs import EndNotifier
+from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, PlatformCaller, RateLimitedLog
+from valverouter.platform_edge.dialogs import ReleaseNotifier
 
 
-class RelayListener(CallerListener):
+class PlatformListener(CallerListener):
     """Admits callers' connections on the platform."""
 
     def __init__(
@@ -23,7 +23,7 @@
         incarnation: int,
         widths: Mapping[str, int],
         connected: ConnectedCallers,
-        notifier: EndNotifier,
+        notifier: ReleaseNotifier,
         answered_ids: AnsweredIds,
     ) -> None:
         """`widths` by traffic type, as the platform's set-ups tell them."""
@@ -37,7 +37,7 @@
     async def run_connection(self, stream: trio.abc.Stream) -> None:
         """Serves an admitted connection; it is first sent the ends that no connection was there for."""
         context = self._context
-        caller = RelayCaller(
+        caller = PlatformCaller(
             stream,
             context.config.links,
             context.events,
@@ -63,7 +63,7 @@
         Who comes may be a good caller that asks at once: closed in its stead, its set-up would be lost.
         """
         self._rejection_log.warn("no-room", f"{self.open_connections} connections")
-        caller = self._connected.least_useful_idle()
+        caller = self._connected.eviction_candidate()
         if caller is None:
             return False
         caller.close()
--- a/valverouter/platform_edge/callers.py
+++ b/valverouter/platform_edge/callers.py
@@ -80,15 +80,15 @@
     """
 
     def __init__(self) -> None:
-        self._unproven: dict[RelayCaller, None] = {}
-        self._useful: dict[RelayCaller, None] = {}
+        self._unproven: dict[PlatformCaller, None] = {}
+        self._useful: dict[PlatformCaller, None] = {}
 
-    def on_received(self, caller: RelayCaller) -> None:
+    def on_received(self, caller: PlatformCaller) -> None:
         """A caller has sent something: it moves to the end of its group."""
         self.remove(caller)
         (self._useful if caller.is_useful else self._unproven)[caller] = None
 
-    def remove(self, caller: RelayCaller) -> None:
+    def remove(self, caller: PlatformCaller) -> None:
         """A connection is closed."""
         self._unproven.pop(caller, None)
         self._useful.pop(caller, None)
@@ -98,7 +98,7 @@
         """How many are not closed."""
         return sum(not caller.is_closed for caller in self._in_order())
 
-    def least_useful_idle(self) -> RelayCaller | None:
+    def eviction_candidate(self) -> PlatformCaller | None:
         """The least useful one that can be closed without loss."""
         return next((caller for caller in self._in_order() if caller.is_idle), None)
 
@@ -112,16 +112,16 @@
             if caller not in owed and not caller.is_closed and caller.is_quiet:
                 caller.close()
 
-    def most_recent(self) -> RelayCaller | None:
+    def most_recent(self) -> PlatformCaller | None:
         """The one with the latest message, of those that are not closed."""
         latest_first = chain(reversed(self._useful), reversed(self._unproven))
         return next((caller for caller in latest_first if not caller.is_closed), None)
 
-    def _in_order(self) -> Iterator[RelayCaller]:
+    def _in_order(self) -> Iterator[PlatformCaller]:
         return chain(self._unproven, self._useful)
 
 
-class RelayCaller(CallerConnection):
+class PlatformCaller(CallerConnection):
     """One caller's connection on the platform.
 
     `dialogs` are the open ones; established ones belong to no connection. `is_useful` once it has asked for
@@ -260,7 +260,7 @@
             self._rejection_log.warn(error.code, str(error))
             self.write(isup.encode_release(message.id, translation.CAUSE_INVALID_REQUEST))
             return
-        if isinstance(request, translation.RelaySetup):
+        if isinstance(request, translation.PlatformSetup):
             self.is_useful = True
             self.enqueue(request, received_at)
         else:
@@ -271,5 +271,5 @@
 class EstablishedReported:
     """A caller reports a dialog that is established already."""
 
-    caller: RelayCaller
+    caller: PlatformCaller
     dialog: translation.EstablishedDialog
--- a/valverouter/platform_edge/dialogs.py
+++ b/valverouter/platform_edge/dialogs.py
@@ -13,16 +13,21 @@
 from valverouter.edge.events import CallerDisconnected
 from valverouter.edge.reload import ConfigReloader
 from valverouter.edge.server_links import ServerLinks
-from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, EstablishedReported, RelayCaller
-from valverouter.platform_edge.link import RelayLink
-from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_edge.callers import (
+    AnsweredIds,
+    ConnectedCallers,
+    EstablishedReported,
+    PlatformCaller,
+)
+from valverouter.platform_edge.link import PlatformLink
+from valverouter.platform_edge.unknown_releases import UnknownReleases
 from valverouter.signalling import setup
 
 # How long an end is stored for the next connection where no caller is connected, in seconds.
-PENDING_END_LIFETIME_S = 8.0
+PENDING_RELEASE_LIFETIME_S = 8.0
 
 
-class EndNotifier:
+class ReleaseNotifier:
     """Sends callers the ends of established dialogs, on whichever connection is open."""
 
     def __init__(self, connected: ConnectedCallers) -> None:
@@ -34,12 +39,12 @@
 
     def notify(self, caller: CallerConnection, ended: setup.Ended) -> None:
         """Sends to `caller`, or to the most recently active one where its connection is gone."""
-        assert isinstance(caller, RelayCaller)
+        assert isinstance(caller, PlatformCaller)
         if caller.is_closed:
             latest = self._connected.most_recent()
             if latest is None:
                 now = trio.current_time()
-                oldest = now - PENDING_END_LIFETIME_S
+                oldest = now - PENDING_RELEASE_LIFETIME_S
                 self._pending = [(at, pending) for at, pending in self._pending if at >= oldest]
                 self._pending.append((now, ended))
                 return
@@ -51,20 +56,20 @@
         if not self._pending:
             return
         pending, self._pending = self._pending, []
-        oldest = trio.current_time() - PENDING_END_LIFETIME_S
+        oldest = trio.current_time() - PENDING_RELEASE_LIFETIME_S
         for at, ended in pending:
             if at >= oldest:
                 caller.send(ended)
 
 
-class RelayDialogs(DialogTable):
+class PlatformDialogs(DialogTable):
     """The dialogs of a proxy on the platform."""
 
     def __init__(
         self,
         context: ProxyContext,
         reloader: ConfigReloader,
-        notifier: EndNotifier,
+        notifier: ReleaseNotifier,
         answered_ids: AnsweredIds,
     ) -> None:
         """`answered_ids` gets each dialog that leaves."""
@@ -84,7 +89,7 @@
         self._answered_ids.add(entry.setup.dialog)
 
 
-class RelayAttempts(AttemptHandler):
+class PlatformAttempts(AttemptHandler):
     """Attempts on the platform."""
 
     def abort_dialog(self, dialog_id: str, reason: str) -> None:
@@ -99,7 +104,7 @@
         super().abort_dialog(dialog_id, reason)
 
 
-class RelayRequests(CallerRequests):
+class PlatformRequests(CallerRequests):
     """What callers ask for on the platform."""
 
     def __init__(
@@ -108,12 +113,12 @@
         dialogs: DialogTable,
         attempts: AttemptHandler,
         links: ServerLinks,
-        unknown_ends: UnknownEnds,
+        unknown_releases: UnknownReleases,
     ) -> None:
-        """`unknown_ends` are those that came before their dialogs were reported."""
+        """`unknown_releases` are those that came before their dialogs were reported."""
         super().__init__(context, dialogs, attempts)
         self._links = links.by_server
-        self._unknown_ends = unknown_ends
+        self._unknown_releases = unknown_releases
 
     def on_caller_disconnected(self, event: CallerDisconnected) -> None:
         """A caller's connection is gone, and its open dialogs with it; the established ones go on."""
@@ -138,8 +143,8 @@
         if request.dialog in self._entries:
             return
         link = self._links.get(server)
-        was_cut = self._unknown_ends.take(request.dialog)
-        if was_cut is not None or not isinstance(link, RelayLink) or link.has_ended:
+        was_cut = self._unknown_releases.take(request.dialog)
+        if was_cut is not None or not isinstance(link, PlatformLink) or link.has_ended:
             # It has ended while no edge proxy ran, or its server is gone and has cut it.
             reason = "over" if was_cut is False else "cut"
             event.caller.send(setup.Ended(request.dialog, 0, reason))
--- a/valverouter/platform_edge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -17,7 +17,7 @@
 from valverouter.edge.runtime import READ_SIZE, Runtime
 from valverouter.platform_edge import translation
 from valverouter.platform_edge.server_connection import ServerConnection
-from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_edge.unknown_releases import UnknownReleases
 from valverouter.platform_protocol import lines
 from valverouter.signalling import setup
 from valverouter.signalling.framing import ProtocolError
@@ -25,10 +25,10 @@
 log = structlog.get_logger()
 
 # Connections to each server: one that breaks takes the attempts on it along, the others go on.
-CONNECTIONS = 2
+CONNECTIONS_PER_SERVER = 2
 
 
-class RelayLink(ServerLink):
+class PlatformLink(ServerLink):
     """One server's link on the platform.
 
     A set-up belongs to the connection that it left on and ends with it, a reset. An established dialog is
@@ -45,10 +45,10 @@
         events: EventQueue,
         reconnect_delay: ReconnectDelay,
         batch: SendBatch,
-        unknown_ends: UnknownEnds,
+        unknown_releases: UnknownReleases,
     ) -> None:
         super().__init__(server, address, "", config, runtime, events, reconnect_delay, batch)
-        self._unknown_ends = unknown_ends
+        self._unknown_releases = unknown_releases
         self._connections: list[ServerConnection] = []
         self._connecting = 0
         # Established dialogs, by id; each leaves with its end. Follows `attempts`.
@@ -198,7 +198,7 @@
         """Keeps the connections up; ends once the server is not listed and nothing is left there."""
         with self._scope:
             async with trio.open_nursery() as nursery:
-                for _ in range(CONNECTIONS):
+                for _ in range(CONNECTIONS_PER_SERVER):
                     nursery.start_soon(self._keep_connected)
         attempts, self.attempts = self.attempts, {}
         unsent = frozenset(self._early_attempts)
@@ -306,7 +306,7 @@
 
     def _cut_if_unreachable(self, reason: str) -> None:
         """With no connection left, cuts what is established where the server must have cut it by now."""
-        gone = self._refused_connects >= 2 * CONNECTIONS
+        gone = self._refused_connects >= 2 * CONNECTIONS_PER_SERVER
         gone = gone or trio.current_time() - self._reached_at > platform.UNREACHABLE_TIMEOUT / 1e9
         if gone and self._established and not self._connections:
             # Should it only have been out of reach, it is told that no dialog is left on this side.
@@ -375,7 +375,7 @@
             reason = "over" if message.cause == translation.CAUSE_ENDED else "cut"
             self._events.put(ServerMessage(self, setup.Ended(*key, reason, translation.parse_load(message))))
         else:
-            self._unknown_ends.add(id_, message.cause != translation.CAUSE_ENDED)
+            self._unknown_releases.add(id_, message.cause != translation.CAUSE_ENDED)
 
 
 def _all_attempts_refused(error: BaseException) -> bool:
--- a/valverouter/platform_edge/proxy.py
+++ b/valverouter/platform_edge/proxy.py
@@ -16,27 +16,32 @@
 from valverouter.edge.runtime import Runtime
 from valverouter.edge.server_links import ServerLinks
 from valverouter.platform_edge.bus_client import BusClient
-from valverouter.platform_edge.caller_listener import RelayListener
+from valverouter.platform_edge.caller_listener import PlatformListener
 from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, EstablishedReported
-from valverouter.platform_edge.dialogs import EndNotifier, RelayAttempts, RelayDialogs, RelayRequests
-from valverouter.platform_edge.server_links import RelayLinks
-from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_edge.dialogs import (
+    PlatformAttempts,
+    PlatformDialogs,
+    PlatformRequests,
+    ReleaseNotifier,
+)
+from valverouter.platform_edge.server_links import PlatformLinks
+from valverouter.platform_edge.unknown_releases import UnknownReleases
 
 
-class RelayProxy(EdgeProxy):
+class PlatformProxy(EdgeProxy):
     """An instance on the platform."""
 
     closing_period = CLOSING_PERIOD
     source: BusClient
-    requests: RelayRequests
-    listener: RelayListener
+    requests: PlatformRequests
+    listener: PlatformListener
 
     def __init__(self, platform: PlatformConfig, runtime: Runtime) -> None:
         """`platform`: the configuration, whole and checked."""
         self.connected = ConnectedCallers()
-        self.end_notifier = EndNotifier(self.connected)
+        self.release_notifier = ReleaseNotifier(self.connected)
         self._platform = platform
-        self._unknown_ends = UnknownEnds()
+        self._unknown_releases = UnknownReleases()
         self._answered_ids = AnsweredIds()
         super().__init__(platform.config, runtime)
         self._handlers[EstablishedReported] = self.requests.on_established_reported
@@ -61,25 +66,25 @@
         return BusClient(context.config.list_service, self._platform.known, context.runtime, context.events)
 
     def _make_links(self) -> ServerLinks:
-        return RelayLinks(self.context, self.source, self._unknown_ends)
+        return PlatformLinks(self.context, self.source, self._unknown_releases)
 
     def _make_dialogs(self) -> DialogTable:
-        return RelayDialogs(self.context, self.reloader, self.end_notifier, self._answered_ids)
+        return PlatformDialogs(self.context, self.reloader, self.release_notifier, self._answered_ids)
 
     def _make_attempts(self) -> AttemptHandler:
-        return RelayAttempts(self.context, self.dialogs, self.links)
+        return PlatformAttempts(self.context, self.dialogs, self.links)
 
-    def _make_requests(self) -> RelayRequests:
-        return RelayRequests(self.context, self.dialogs, self.attempts, self.links, self._unknown_ends)
+    def _make_requests(self) -> PlatformRequests:
+        return PlatformRequests(self.context, self.dialogs, self.attempts, self.links, self._unknown_releases)
 
-    def _make_listener(self) -> RelayListener:
-        return RelayListener(
+    def _make_listener(self) -> PlatformListener:
+        return PlatformListener(
             self.context,
             self.links,
             self.incarnation,
             self._platform.widths,
             self.connected,
-            self.end_notifier,
+            self.release_notifier,
             self._answered_ids,
         )
 
--- a/valverouter/platform_edge/server_links.py
+++ b/valverouter/platform_edge/server_links.py
@@ -7,25 +7,27 @@
 from valverouter.edge.events import EndpointUpdate
 from valverouter.edge.link import ServerLink
 from valverouter.edge.server_links import ServerLinks
-from valverouter.platform_edge.link import RelayLink
-from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_edge.link import PlatformLink
+from valverouter.platform_edge.unknown_releases import UnknownReleases
 
 # Incarnations are moments of their start in milliseconds.
 NS_PER_MS = 10**6
 
 
-class RelayLinks(ServerLinks):
+class PlatformLinks(ServerLinks):
     """Links on the platform; a server that is gone has cut what was established there."""
 
-    def __init__(self, context: ProxyContext, source: EndpointSource, unknown_ends: UnknownEnds) -> None:
-        """`unknown_ends` gets the ends of dialogs that are not known here."""
+    def __init__(
+        self, context: ProxyContext, source: EndpointSource, unknown_releases: UnknownReleases
+    ) -> None:
+        """`unknown_releases` gets the ends of dialogs that are not known here."""
         super().__init__(context, source)
-        self._unknown_ends = unknown_ends
+        self._unknown_releases = unknown_releases
 
     def make_link(self, server: str, address: str) -> ServerLink:
         """A link that is not yet connected."""
         context = self._context
-        return RelayLink(
+        return PlatformLink(
             server,
             address,
             context.config.links,
@@ -33,7 +35,7 @@
             context.events,
             context.reconnect_delay,
             context.send_batch,
-            self._unknown_ends,
+            self._unknown_releases,
         )
 
     def on_endpoint_update(self, update: EndpointUpdate) -> None:
@@ -41,7 +43,7 @@
         for row in update.rows:
             before = self.incarnations.current(row.server)
             link = self.by_server.get(row.server)
-            if isinstance(link, RelayLink) and before is not None and before < row.incarnation:
+            if isinstance(link, PlatformLink) and before is not None and before < row.incarnation:
                 # Another process under that name: it knows nothing of what was established at the one before.
                 link.on_server_restarted(row.incarnation * NS_PER_MS)
         super().on_endpoint_update(update)
--- a/valverouter/platform_edge/translation.py
+++ b/valverouter/platform_edge/translation.py
@@ -24,7 +24,7 @@
 NO_DIALOG = "0" * 16
 
 
-class RelaySetup(setup.Setup, frozen=True, kw_only=True):
+class PlatformSetup(setup.Setup, frozen=True, kw_only=True):
     """A set-up with what is forwarded unchanged: the called number as written, and the description."""
 
     key: str
@@ -42,13 +42,13 @@
 class EstablishedDialog(msgspec.Struct, frozen=True, rename={"setup": "asked"}):
     """A dialog that is established at a server, as its caller reports to an edge proxy that may not know."""
 
-    setup: RelaySetup
+    setup: PlatformSetup
     server: str
 
 
 def parse_setup(
     message: isup.Message, deployment: Deployment, widths: Mapping[str, int]
-) -> RelaySetup | EstablishedDialog:
+) -> PlatformSetup | EstablishedDialog:
     """Parses and validates a caller's set-up; ProtocolError where it is invalid.
 
     A server closes its connection, with all attempts on it, on an invalid message, so none is forwarded.
@@ -70,7 +70,7 @@
     if width != widths.get(traffic_type, width) or width < 1:
         raise ProtocolError("malformed", f"{traffic_type} with width {width}")
     _parse_integer(figures, "via", -1)
-    request = RelaySetup(
+    request = PlatformSetup(
         dialog=message.id,
         traffic_type=traffic_type,
         time_left=int(time_left) * NS_PER_MS,
@@ -148,7 +148,7 @@
     return b""
 
 
-def encode_for_server(message: RelaySetup) -> bytes:
+def encode_for_server(message: PlatformSetup) -> bytes:
     """A set-up as bytes for a server's connection."""
     time_left_ms = max(1, message.time_left // NS_PER_MS)
     return lines.encode_setup(
--- a/valverouter/platform_edge/unknown_releases.py
+++ b/valverouter/platform_edge/unknown_releases.py
@@ -5,11 +5,11 @@
 import trio
 
 # How long the end of an unknown dialog is stored, for a caller that has yet to report the dialog.
-UNKNOWN_END_LIFETIME_S = 15.0
-MAX_UNKNOWN_ENDS = 1_000
+UNKNOWN_RELEASE_LIFETIME_S = 15.0
+MAX_UNKNOWN_RELEASES = 1_000
 
 
-class UnknownEnds:
+class UnknownReleases:
     """Releases that came for dialogs not known here; emptied by time, and held to a count.
 
     After our own restart a server may tell of an end before the caller reports the dialog.
@@ -24,7 +24,10 @@
         self._ends[id_] = now, was_cut
         while self._ends:
             first = next(iter(self._ends))
-            if self._ends[first][0] > now - UNKNOWN_END_LIFETIME_S and len(self._ends) <= MAX_UNKNOWN_ENDS:
+            if (
+                self._ends[first][0] > now - UNKNOWN_RELEASE_LIFETIME_S
+                and len(self._ends) <= MAX_UNKNOWN_RELEASES
+            ):
                 return
             del self._ends[first]
 
--- a/valverouter/soak/injected_faults.py
+++ b/valverouter/soak/injected_faults.py
@@ -21,8 +21,8 @@
 
 from valverouter.config import platform
 from valverouter.platform_edge import __main__ as program
-from valverouter.platform_edge.callers import RelayCaller
-from valverouter.platform_edge.proxy import RelayProxy
+from valverouter.platform_edge.callers import PlatformCaller
+from valverouter.platform_edge.proxy import PlatformProxy
 
 EARLY_BY_S = 0.3
 DROP_EVERY = 50
@@ -31,7 +31,7 @@
 def _exit_early() -> None:
     """Ends before the time in which set-ups are served is over."""
 
-    async def stop(proxy: RelayProxy) -> None:
+    async def stop(proxy: PlatformProxy) -> None:
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9 - EARLY_BY_S)
         os._exit(0)
 
@@ -40,14 +40,14 @@
 
 def _drop_answers() -> None:
     """Loses some messages to callers."""
-    send = RelayCaller.send
+    send = PlatformCaller.send
     counter = itertools.count(1)
 
-    def send_most(self: RelayCaller, message: Any) -> None:
+    def send_most(self: PlatformCaller, message: Any) -> None:
         if next(counter) % DROP_EVERY:
             send(self, message)
 
-    RelayCaller.send = send_most  # type: ignore[method-assign]
+    PlatformCaller.send = send_most  # type: ignore[method-assign]
 
 
 def _cut_short_by_second_stop() -> None:
@@ -55,7 +55,7 @@
     stop = program.stop_after_accept_period
     counter = itertools.count(1)
 
-    async def stop_once(proxy: RelayProxy) -> None:
+    async def stop_once(proxy: PlatformProxy) -> None:
         if next(counter) > 1:
             os._exit(0)
         await stop(proxy)
@@ -66,7 +66,7 @@
 def _lose_hangups() -> None:
     """Reads no new configuration."""
 
-    async def ignore(proxy: RelayProxy, path: Path) -> None:
+    async def ignore(proxy: PlatformProxy, path: Path) -> None:
         """Does nothing."""
 
     program.reload = ignore
