--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -35,15 +35,15 @@
     "limits": {"sendCap": 6, "mayCancel": True, "retryAfter": True, "maxRetryAfterUs": 2_000_000},
     "rules": {"startCapacity": 0.35, "tipMultiple": 2.5, "fallUs": 10**6, "warmWithinUs": 15 * 10**6},
 }
-# Wall time of the rig at its start, in the milliseconds of the event bus.
+# Wall time of the harness at its start, in the milliseconds of the event bus.
 WALL_MS = WALL_CLOCK_START // 10**6
 
 
-def host(name: str, number: int, health: str = "Ready", born_ms: int = 0) -> dict[str, Any]:
+def host_row(name: str, number: int, health: str = "Ready", born_ms: int = 0) -> dict[str, Any]:
     return {"host": name, "dial": f"{name}:1", "block": number, "health": health, "born_ms": born_ms}
 
 
-def event(number: int, hosts: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
+def bus_event(number: int, hosts: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
     return {"offset": number, "topology": {"seq": number, "whole": whole, "hosts": hosts}}
 
 
@@ -59,7 +59,7 @@
     }
 
 
-def set_up(id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice") -> bytes:
+def encode_setup(id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice") -> bytes:
     told = {
         isup.TRAFFIC_TYPE: traffic_type.encode(),
         isup.TIME_LEFT: b"%d" % left,
@@ -71,7 +71,7 @@
 
 
 class Loopback(SocketRuntime):
-    """Loopback sockets under the rig's names: what serves at `s0:1` has some free port of this machine.
+    """Loopback sockets under the harness's names: what serves at `s0:1` has some free port of this machine.
 
     As an edge proxy's runtime: no turn begins while `turns` is not set, no dial to a name in `dials`
     ends before its event is.
@@ -80,15 +80,15 @@
     def __init__(self, ports: dict[str, str] | None = None) -> None:
         super().__init__()
         self.ports = {} if ports is None else ports
-        self.turns = trio.Event()
-        self.turns.set()
-        self.dials: dict[str, trio.Event] = {}
+        self.turn_gate = trio.Event()
+        self.turn_gate.set()
+        self.connect_gates: dict[str, trio.Event] = {}
         # Once, where a turn begins, with nothing else of this process run before the turn's first event.
-        self.at_turn: Callable[[], None] | None = None
+        self.on_turn_start: Callable[[], None] | None = None
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        if address in self.dials:
-            await self.dials[address].wait()
+        if address in self.connect_gates:
+            await self.connect_gates[address].wait()
         if address not in self.ports:
             raise ConnectionRefusedError(f"nobody serves at {address}")
         return await super().connect(self.ports[address])
@@ -106,65 +106,65 @@
 
     async def checkpoint(self) -> None:
         await super().checkpoint()
-        await self.turns.wait()
-        at_turn, self.at_turn = self.at_turn, None
-        if at_turn is not None:
-            at_turn()
+        await self.turn_gate.wait()
+        on_turn_start, self.on_turn_start = self.on_turn_start, None
+        if on_turn_start is not None:
+            on_turn_start()
 
-    def hold(self) -> None:
-        """No turn begins until `go`; whatever else the instance does goes on."""
-        self.turns = trio.Event()
+    def pause_turns(self) -> None:
+        """No turn begins until `resume_turns`; whatever else the instance does goes on."""
+        self.turn_gate = trio.Event()
 
-    def go(self) -> None:
-        self.turns.set()
+    def resume_turns(self) -> None:
+        self.turn_gate.set()
 
 
 class Client:
-    """One caller's connection; `heard` keeps its messages with their moments."""
+    """One caller's connection; `received` keeps its messages with their moments."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
-        self.heard: list[tuple[float, isup.Message]] = []
-        self.ended: float | None = None
+        self.received: list[tuple[float, isup.Message]] = []
+        self.closed_at: float | None = None
 
     async def read(self) -> None:
         reader = isup.MessageReader()
         try:
             while data := await self.stream.receive_some():
-                self.heard += [(trio.current_time(), message) for message in reader.feed(data)]
+                self.received += [(trio.current_time(), message) for message in reader.feed(data)]
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        self.ended = trio.current_time()
+        self.closed_at = trio.current_time()
 
-    async def ask(
+    async def send_setup(
         self, id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice"
     ) -> None:
-        await self.stream.send_all(set_up(id_, figures, left, traffic_type))
+        await self.stream.send_all(encode_setup(id_, figures, left, traffic_type))
 
     async def release(self, id_: str) -> None:
         await self.stream.send_all(isup.encode_release(id_, 16))
 
     @property
-    def said(self) -> list[tuple[int, str, int]]:
-        return [(message.type, message.id, message.cause) for _, message in self.heard]
+    def responses(self) -> list[tuple[int, str, int]]:
+        return [(message.type, message.id, message.cause) for _, message in self.received]
 
 
 class Server:
-    """A core server: keeps what it hears, answers where `answers`, else says what the test says."""
+    """A core server: keeps what it hears, answers where `answers_setups`, else says what the test says."""
 
-    def __init__(self, rig: Rig, name: str) -> None:
-        self.rig = rig
+    def __init__(self, harness: PlatformHarness, name: str) -> None:
+        self.harness = harness
         self.name = name
-        self.answers = True
+        self.answers_setups = True
         self.streams: list[trio.abc.Stream] = []
-        self.heard: list[Line] = []
+        self.received: list[Line] = []
         # The connection that each set-up came on.
-        self.at: dict[str, trio.abc.Stream] = {}
+        self.setup_streams: dict[str, trio.abc.Stream] = {}
         self.scope = trio.CancelScope()
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         with trio.CancelScope() as self.scope:
-            await self.rig.network.serve(f"{self.name}:1", self._serve, task_status)
+            await self.harness.network.serve(f"{self.name}:1", self._serve, task_status)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         self.streams.append(stream)
@@ -173,13 +173,13 @@
             while data := await stream.receive_some():
                 for line in reader.feed(data):
                     if line.type == "ping":
-                        await self.say(stream, {"type": "pong", "id": line.id, "fields": {}, "cause": 1})
+                        await self.send(stream, {"type": "pong", "id": line.id, "fields": {}, "cause": 1})
                         continue
-                    self.heard.append(line)
+                    self.received.append(line)
                     if line.type == "setup":
-                        self.at[line.id] = stream
-                    if line.type == "setup" and self.answers:
-                        await self.say(stream, answer(line.id))
+                        self.setup_streams[line.id] = stream
+                    if line.type == "setup" and self.answers_setups:
+                        await self.send(stream, answer_line(line.id))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
@@ -188,39 +188,39 @@
             with trio.CancelScope(shield=True):
                 await stream.aclose()
 
-    async def say(self, stream: trio.abc.Stream, *messages: dict[str, Any]) -> None:
+    async def send(self, stream: trio.abc.Stream, *messages: dict[str, Any]) -> None:
         await stream.send_all(b"".join(json.dumps(one).encode() + b"\n" for one in messages))
 
     async def reset(self) -> None:
         for stream in list(self.streams):
             await stream.aclose()
 
-    def of(self, kind: str) -> list[str]:
-        return [line.id for line in self.heard if line.type == kind]
+    def received_ids(self, kind: str) -> list[str]:
+        return [line.id for line in self.received if line.type == kind]
 
 
-def answer(id_: str) -> dict[str, Any]:
+def answer_line(id_: str) -> dict[str, Any]:
     return {"type": "answer", "id": id_, "fields": {"load": "x0:90;x1:100"}, "sdp": DESCRIPTION + id_}
 
 
-def release(id_: str, cause: int, **fields: str) -> dict[str, Any]:
+def release_line(id_: str, cause: int, **fields: str) -> dict[str, Any]:
     return {"type": "release", "id": id_, "fields": fields, "cause": cause}
 
 
 class Bus:
-    """The event bus. `silent`: takes polls and says nothing more; `hurried`: answers each at once, whether it
-    has news or none; `asked` keeps the numbers asked from.
+    """The event bus. `silent`: takes polls and says nothing more; `answers_immediately`: answers each at
+    once, whether it has news or none; `polls` keeps the numbers asked from.
     """
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.asked: list[tuple[float, int]] = []
+        self.polls: list[tuple[float, int]] = []
         self.silent = False
-        self.hurried = False
+        self.answers_immediately = False
         self._news = trio.Event()
 
-    def tell(self, *hosts: dict[str, Any]) -> None:
-        self.events.append(event(len(self.events) + 1, list(hosts)))
+    def publish(self, *hosts: dict[str, Any]) -> None:
+        self.events.append(bus_event(len(self.events) + 1, list(hosts)))
         self._news.set()
         self._news = trio.Event()
 
@@ -233,11 +233,11 @@
                 assert isinstance(request, h11.Request)
                 query = dict(pair.split("=") for pair in request.target.decode().partition("?")[2].split("&"))
                 after = int(query["from"])
-                self.asked.append((trio.current_time(), after))
+                self.polls.append((trio.current_time(), after))
                 connection.next_event()
                 if self.silent:
                     await trio.sleep_forever()
-                if len(self.events) <= after and not self.hurried:
+                if len(self.events) <= after and not self.answers_immediately:
                     with trio.move_on_after(int(query["hold"]) / 1e3):
                         await self._news.wait()
                 body = json.dumps({"offset": len(self.events), "batch": self.events[after:]}).encode()
@@ -249,7 +249,7 @@
             pass
 
 
-class Rig:
+class PlatformHarness:
     def __init__(
         self,
         nursery: trio.Nursery,
@@ -261,52 +261,54 @@
         self.network = network or MemoryNetwork()
         self.bus = Bus()
         self.servers = {name: Server(self, name) for name in names}
-        self.bus.events.append(event(1, [host(name, at) for at, name in enumerate(names)], whole=True))
-        self.told = configuration(list(self.bus.events)) | {"settings": settings or SETTINGS}
-        self.place = (
+        self.bus.events.append(
+            bus_event(1, [host_row(name, at) for at, name in enumerate(names)], whole=True)
+        )
+        self.config = configuration(list(self.bus.events)) | {"settings": settings or SETTINGS}
+        self.runtime = (
             Loopback(self.network.ports)
             if isinstance(self.network, Loopback)
             else MemoryRuntime(self.network)
         )
-        self.edge = PlatformProxy(self.platform(), self.place)
+        self.edge = PlatformProxy(self.platform(), self.runtime)
 
     def platform(self) -> PlatformConfig:
-        return platform_config(json.dumps(self.told).encode())
+        return platform_config(json.dumps(self.config).encode())
 
     async def client(self) -> Client:
         client = Client(await self.network.connect("edge:1"))
         self.nursery.start_soon(client.read)
         return client
 
-    async def until(self, there: Any, within: float = 20.0) -> None:
-        """Looks every millisecond of the rig's clock; fails when it does not come true in time."""
+    async def wait_until(self, there: Any, within: float = 20.0) -> None:
+        """Looks every millisecond of the harness's clock; fails when it does not come true in time."""
         with trio.fail_after(within):
             while not there():
                 await trio.sleep(0.001)
 
 
 @asynccontextmanager
-async def relayed(
+async def running_platform_edge(
     *names: str, network: Loopback | None = None, settings: dict[str, Any] | None = None
-) -> AsyncIterator[Rig]:
-    """A rig that is up: in memory, or on loopback sockets where it is given a network of these."""
+) -> AsyncIterator[PlatformHarness]:
+    """A harness that is up: in memory, or on loopback sockets where it is given a network of these."""
     async with trio.open_nursery() as nursery:
-        rig = Rig(nursery, list(names) or ["s0", "s1"], network, settings)
-        await nursery.start(rig.network.serve, "bus:1", rig.bus.serve)
-        for server in rig.servers.values():
+        harness = PlatformHarness(nursery, list(names) or ["s0", "s1"], network, settings)
+        await nursery.start(harness.network.serve, "bus:1", harness.bus.serve)
+        for server in harness.servers.values():
             await nursery.start(server.run)
-        await nursery.start(rig.edge.run)
+        await nursery.start(harness.edge.run)
         if network is None:
             await trio.sleep(0.1)
         else:
-            await rig.until(
+            await harness.wait_until(
                 lambda: (
-                    len(rig.edge.links.by_server) == len(rig.servers)
+                    len(harness.edge.links.by_server) == len(harness.servers)
                     and all(
                         link.is_writable and not getattr(link, "_connecting", 0)
-                        for link in rig.edge.links.by_server.values()
+                        for link in harness.edge.links.by_server.values()
                     )
                 )
             )
-        yield rig
+        yield harness
         nursery.cancel_scope.cancel()
--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -121,7 +121,7 @@
             self.address = (await self.event("edge-listening"))["address"]
             await self.event("link-up", many=len(self.servers))
 
-    async def relay(self, told: dict[str, Any]) -> None:
+    async def start_platform_edge(self, told: dict[str, Any]) -> None:
         """Starts the edge proxy behind the platform's protocol, told so; waits until it listens."""
         self.file = self.folder / "config.json"
         self.file.write_bytes(msgspec.json.encode(told))
--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_edge.py
@@ -17,7 +17,15 @@
 import trio
 from trio.testing import MockClock
 
-from tests.platform_harness import DESCRIPTION, WALL_MS, answer, configuration, host, relayed, release
+from tests.platform_harness import (
+    DESCRIPTION,
+    WALL_MS,
+    answer_line,
+    configuration,
+    host_row,
+    release_line,
+    running_platform_edge,
+)
 from valverouter.config.options import MalformedInputError
 from valverouter.config.platform import platform_config
 from valverouter.platform_protocol import isup
@@ -28,232 +36,234 @@
 
 
 async def test_a_dialog_there_and_back(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
-        asked = server.heard[0]
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
+        asked = server.received[0]
         assert (asked.sdp, asked.fields["class"], asked.fields["key"]) == (
             DESCRIPTION,
             "voice",
             "7f3a9c21e0b4d655",
         )
         assert 4_900 <= int(asked.fields["left"]) <= 5_000
-        assert client.heard[0][1].parameters[isup.DESCRIPTION] == (DESCRIPTION + A).encode()
-        await server.say(server.streams[0], release(A, 16), release(A, 16))
-        await rig.until(lambda: client.said == [ANSWERED, OVER])
+        assert client.received[0][1].parameters[isup.DESCRIPTION] == (DESCRIPTION + A).encode()
+        await server.send(server.streams[0], release_line(A, 16), release_line(A, 16))
+        await harness.wait_until(lambda: client.responses == [ANSWERED, OVER])
         await trio.sleep(10)
-        assert client.said == [ANSWERED, OVER]
-        assert not rig.edge.dialogs.entries
-        assert client.ended is None
+        assert client.responses == [ANSWERED, OVER]
+        assert not harness.edge.dialogs.entries
+        assert client.closed_at is None
 
 
 @pytest.mark.parametrize("others", [True, False])
 async def test_an_established_dialog_outlives_its_caller_s_connection(
     autojump_clock: MockClock, others: bool
 ) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
-        other = await rig.client() if others else None
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
+        other = await harness.client() if others else None
         await client.stream.aclose()
         await trio.sleep(0.5)
-        await server.say(server.streams[0], release(A, 16))
+        await server.send(server.streams[0], release_line(A, 16))
         if other is None:
             await trio.sleep(1)
-            other = await rig.client()
+            other = await harness.client()
         ended = other
-        await rig.until(lambda: ended.said == [OVER], 1)
-        assert not server.of("release")
+        await harness.wait_until(lambda: ended.responses == [OVER], 1)
+        assert not server.received_ids("release")
 
 
 async def test_a_caller_ends_an_established_dialog_from_any_connection(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
-        other = await rig.client()
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
+        other = await harness.client()
         await other.release(A)
-        await rig.until(lambda: server.of("release") == [A], 1)
-        assert client.said == [ANSWERED]
-        assert not rig.edge.dialogs.entries
+        await harness.wait_until(lambda: server.received_ids("release") == [A], 1)
+        assert client.responses == [ANSWERED]
+        assert not harness.edge.dialogs.entries
 
 
 async def test_an_established_dialog_outlives_a_reset_and_ends_on_the_next_connection(
     autojump_clock: MockClock,
 ) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
         await server.reset()
-        await rig.until(lambda: len(server.streams) == 2)
+        await harness.wait_until(lambda: len(server.streams) == 2)
         await trio.sleep(6)
-        assert client.said == [ANSWERED]
-        await server.say(server.streams[1], release(A, 16))
-        await rig.until(lambda: client.said == [ANSWERED, OVER], 1)
+        assert client.responses == [ANSWERED]
+        await server.send(server.streams[1], release_line(A, 16))
+        await harness.wait_until(lambda: client.responses == [ANSWERED, OVER], 1)
 
 
 async def test_a_server_that_refuses_connections_has_cut_its_dialogs(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
         server.scope.cancel()
-        await rig.until(lambda: client.said == [ANSWERED, CUT], 8)
+        await harness.wait_until(lambda: client.responses == [ANSWERED, CUT], 8)
 
 
 async def test_a_silent_server_has_cut_its_dialogs_in_time(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
-        assert isinstance(rig.network, MemoryNetwork)
-        rig.network.listeners["s0:1"] = lambda stream: None
-        server.say = lambda *_: trio.lowlevel.checkpoint()  # type: ignore[method-assign]
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
+        assert isinstance(harness.network, MemoryNetwork)
+        harness.network.listeners["s0:1"] = lambda stream: None
+        server.send = lambda *_: trio.lowlevel.checkpoint()  # type: ignore[method-assign]
         gone = trio.current_time()
-        await rig.until(lambda: client.said == [ANSWERED, CUT], 20)
+        await harness.wait_until(lambda: client.responses == [ANSWERED, CUT], 20)
         assert trio.current_time() - gone <= 8
 
 
 async def test_another_start_cuts_only_what_stood_before_it(autojump_clock: MockClock) -> None:
     # The new process takes calls before the list tells of it; 24 of them were once cut by our own word.
-    async with relayed("s0") as rig:
-        client = await rig.client()
-        await client.ask(A)
-        await rig.until(lambda: len(client.said) == 1)
+    async with running_platform_edge("s0") as harness:
+        client = await harness.client()
+        await client.send_setup(A)
+        await harness.wait_until(lambda: len(client.responses) == 1)
         await trio.sleep(2)
         born = WALL_MS + round(trio.current_time() * 1_000)
         await trio.sleep(2)
-        await client.ask(B)
-        await rig.until(lambda: len(client.said) == 2)
-        rig.bus.tell(host("s0", 0, born_ms=born))
-        await rig.until(lambda: len(client.said) == 3, 2)
+        await client.send_setup(B)
+        await harness.wait_until(lambda: len(client.responses) == 2)
+        harness.bus.publish(host_row("s0", 0, born_ms=born))
+        await harness.wait_until(lambda: len(client.responses) == 3, 2)
         await trio.sleep(3)
-        assert client.said == [ANSWERED, (isup.ANM, B, -1), CUT]
+        assert client.responses == [ANSWERED, (isup.ANM, B, -1), CUT]
 
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
 async def test_a_draining_server_gets_nothing_new_and_keeps_an_established_dialog(
     autojump_clock: MockClock, health: str
 ) -> None:
-    async with relayed() as rig:
-        client, (s0, s1) = await rig.client(), rig.servers.values()
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED])
-        rig.bus.tell(host("s0", 0, health))
+    async with running_platform_edge() as harness:
+        client, (s0, s1) = await harness.client(), harness.servers.values()
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED])
+        harness.bus.publish(host_row("s0", 0, health))
         await trio.sleep(0.5)
-        await client.ask(B)
-        await rig.until(lambda: (isup.ANM, B, -1) in client.said)
-        assert s0.of("setup") == [A]
-        assert s1.of("setup") == [B]
-        assert (CUT in client.said) is (health == "Gone")
+        await client.send_setup(B)
+        await harness.wait_until(lambda: (isup.ANM, B, -1) in client.responses)
+        assert s0.received_ids("setup") == [A]
+        assert s1.received_ids("setup") == [B]
+        assert (CUT in client.responses) is (health == "Gone")
         assert bool(s0.streams) is (health != "Gone")
 
 
 async def test_a_set_up_that_is_given_up_is_owed_nothing(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        server.answers = False
-        await client.ask(A)
-        await rig.until(lambda: server.of("setup") == [A])
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        server.answers_setups = False
+        await client.send_setup(A)
+        await harness.wait_until(lambda: server.received_ids("setup") == [A])
         await client.release(A)
-        await rig.until(lambda: server.of("release") == [A], 1)
-        await server.say(server.at[A], answer(A))
+        await harness.wait_until(lambda: server.received_ids("release") == [A], 1)
+        await server.send(server.setup_streams[A], answer_line(A))
         await trio.sleep(10)
-        assert not client.said
-        assert not rig.edge.dialogs.entries
-        assert not any(link.attempts for link in rig.edge.links.by_server.values())
+        assert not client.responses
+        assert not harness.edge.dialogs.entries
+        assert not any(link.attempts for link in harness.edge.links.by_server.values())
 
 
 async def test_a_dialog_with_no_answer_is_given_up_in_its_time(autojump_clock: MockClock) -> None:
-    async with relayed("s0") as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        server.answers = False
+    async with running_platform_edge("s0") as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        server.answers_setups = False
         began = trio.current_time()
-        await client.ask(A, left=1_000)
-        await rig.until(lambda: bool(client.said))
-        assert client.said == [CUT]
-        assert 0.9 < client.heard[0][0] - began <= 1.0
-        assert server.of("release") == [A]
+        await client.send_setup(A, left=1_000)
+        await harness.wait_until(lambda: bool(client.responses))
+        assert client.responses == [CUT]
+        assert 0.9 < client.received[0][0] - began <= 1.0
+        assert server.received_ids("release") == [A]
 
 
 @pytest.mark.parametrize(
     "spoilt", [b"\xff\xfe\x00\n", b'{"type":"answer","id":"' + b"9" * 20_000, b"[1]\n", b""]
 )
 async def test_a_spoilt_answer_is_an_attempt_that_ran(autojump_clock: MockClock, spoilt: bytes) -> None:
-    async with relayed() as rig:
-        client, (s0, s1) = await rig.client(), rig.servers.values()
-        s0.answers = False
-        await client.ask(A)
-        await rig.until(lambda: s0.of("setup") == [A])
+    async with running_platform_edge() as harness:
+        client, (s0, s1) = await harness.client(), harness.servers.values()
+        s0.answers_setups = False
+        await client.send_setup(A)
+        await harness.wait_until(lambda: s0.received_ids("setup") == [A])
         broke = trio.current_time()
-        stream = s0.at[A]
+        stream = s0.setup_streams[A]
         await (stream.send_all(spoilt) if spoilt else stream.aclose())
-        await rig.until(lambda: ANSWERED in client.said)
+        await harness.wait_until(lambda: ANSWERED in client.responses)
         # The release time holds, and should the spoilt answer have been a good one, nothing stands unowned.
         assert trio.current_time() - broke >= 0.3
-        assert s1.of("setup") == [A]
-        assert s0.of("release") == [A]
+        assert s1.received_ids("setup") == [A]
+        assert s0.received_ids("release") == [A]
 
 
 async def test_more_than_belongs_to_an_answer_is_ignored(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        server.answers = False
-        await client.ask(A)
-        await rig.until(lambda: server.of("setup") == [A])
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        server.answers_setups = False
+        await client.send_setup(A)
+        await harness.wait_until(lambda: server.received_ids("setup") == [A])
         lines = len(server.streams)
-        await server.say(server.at[A], answer(B), answer(A), answer(A), {"type": "news", "id": A})
+        await server.send(
+            server.setup_streams[A], answer_line(B), answer_line(A), answer_line(A), {"type": "news", "id": A}
+        )
         await trio.sleep(3)
-        assert client.said == [ANSWERED]
+        assert client.responses == [ANSWERED]
         assert len(server.streams) == lines
 
 
 async def test_an_id_that_is_open_elsewhere_leaves_the_first_alone(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        server.answers = False
-        await client.ask(A)
-        await rig.until(lambda: server.of("setup") == [A])
-        bad = await rig.client()
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        server.answers_setups = False
+        await client.send_setup(A)
+        await harness.wait_until(lambda: server.received_ids("setup") == [A])
+        bad = await harness.client()
         await bad.release(A)
-        await bad.ask(A)
-        await rig.until(lambda: bad.ended is not None, 3)
-        await server.say(server.at[A], answer(A))
-        await rig.until(lambda: client.said == [ANSWERED], 1)
-        assert server.of("setup") == [A]
-        assert not bad.said
+        await bad.send_setup(A)
+        await harness.wait_until(lambda: bad.closed_at is not None, 3)
+        await server.send(server.setup_streams[A], answer_line(A))
+        await harness.wait_until(lambda: client.responses == [ANSWERED], 1)
+        assert server.received_ids("setup") == [A]
+        assert not bad.responses
 
 
 async def test_an_id_that_had_its_answer_is_no_new_dialog(autojump_clock: MockClock) -> None:
     # One caller sent the same set-up four hundred times, again after each refusal; each was a dialog.
-    async with relayed() as rig:
-        server = rig.servers["s0"]
-        server.answers = False
+    async with running_platform_edge() as harness:
+        server = harness.servers["s0"]
+        server.answers_setups = False
         for _ in range(3):
-            bad = await rig.client()
+            bad = await harness.client()
             with suppress(trio.BrokenResourceError):
                 for _ in range(50):
-                    await bad.ask(A, left=200)
-            await rig.until(lambda: bad.ended is not None, 3)  # noqa: B023
-        assert server.of("setup") == [A]
+                    await bad.send_setup(A, left=200)
+            await harness.wait_until(lambda: bad.closed_at is not None, 3)  # noqa: B023
+        assert server.received_ids("setup") == [A]
 
 
 async def test_what_is_taken_back_at_once_shuts_no_server_out(autojump_clock: MockClock) -> None:
-    async with relayed("s0") as rig:
-        bad, server = await rig.client(), rig.servers["s0"]
+    async with running_platform_edge("s0") as harness:
+        bad, server = await harness.client(), harness.servers["s0"]
         told = {129: b"voice", 131: b"900", 137: b"0" * 16, 139: b"dest:0", 159: b"v=0"}
         for at in range(1, 30):
             id_ = f"{at:016x}"
             await bad.stream.send_all(isup.encode(isup.IAM, id_, told) + isup.encode_release(id_, 16))
         await trio.sleep(0.05)
-        client = await rig.client()
-        await client.ask(A)
-        await rig.until(lambda: client.said == [ANSWERED], 1)
-        assert set(server.of("setup")) == {A}
-        assert not rig.edge.context.driver.policy.table.servers["s0"].consecutive_failures
+        client = await harness.client()
+        await client.send_setup(A)
+        await harness.wait_until(lambda: client.responses == [ANSWERED], 1)
+        assert set(server.received_ids("setup")) == {A}
+        assert not harness.edge.context.driver.policy.table.servers["s0"].consecutive_failures
 
 
 @pytest.mark.parametrize(
@@ -271,87 +281,87 @@
 async def test_who_says_nothing_of_use_is_refused_or_closed_in_three_seconds(
     autojump_clock: MockClock, sent: bytes
 ) -> None:
-    async with relayed() as rig:
-        client, good = await rig.client(), await rig.client()
-        await good.ask(A)
+    async with running_platform_edge() as harness:
+        client, good = await harness.client(), await harness.client()
+        await good.send_setup(A)
         if sent:
             await client.stream.send_all(sent)
-        await rig.until(lambda: client.ended is not None or bool(client.said), 3)
+        await harness.wait_until(lambda: client.closed_at is not None or bool(client.responses), 3)
         await trio.sleep(60)
-        assert good.ended is None
-        assert client.ended is not None
+        assert good.closed_at is None
+        assert client.closed_at is not None
 
 
 async def test_room_is_made_by_no_connection_whose_set_up_waits(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        idle, asking = await rig.client(), await rig.client()
+    async with running_platform_edge() as harness:
+        idle, asking = await harness.client(), await harness.client()
         for client, id_ in ((idle, A), (asking, B)):
-            await client.ask(id_)
-            await rig.until(lambda: bool(client.said))  # noqa: B023
+            await client.send_setup(id_)
+            await harness.wait_until(lambda: bool(client.responses))  # noqa: B023
             await client.release(id_)
-        await idle.ask("c" * 16, left=300)
+        await idle.send_setup("c" * 16, left=300)
         await idle.release("c" * 16)
         await trio.sleep(0.1)
-        rig.nursery.start_soon(rig.edge.context.runtime.stall, 10**8)  # type: ignore[attr-defined]
-        await asking.ask("d" * 16)
+        harness.nursery.start_soon(harness.edge.context.runtime.stall, 10**8)  # type: ignore[attr-defined]
+        await asking.send_setup("d" * 16)
         await trio.sleep(0.05)
         for _ in range(3):  # its own turn has not come yet
-            await rig.edge.listener.refuse(await rig.network.connect("s1:1"))
-        await rig.until(lambda: (isup.ANM, "d" * 16, -1) in asking.said, 2)
-        assert idle.ended is not None
-        assert asking.ended is None
+            await harness.edge.listener.refuse(await harness.network.connect("s1:1"))
+        await harness.wait_until(lambda: (isup.ANM, "d" * 16, -1) in asking.responses, 2)
+        assert idle.closed_at is not None
+        assert asking.closed_at is None
 
 
 async def test_tests_pass_until_it_stops(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client = await rig.client()
+    async with running_platform_edge() as harness:
+        client = await harness.client()
         await client.stream.send_all(isup.encode(isup.TEST, A, {isup.CAUSE: b"\0"}))
-        await rig.until(lambda: client.said == [(isup.TESTED, A, 1)], 1)
+        await harness.wait_until(lambda: client.responses == [(isup.TESTED, A, 1)], 1)
 
 
 async def test_a_dialog_that_stood_before_our_start(autojump_clock: MockClock) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
-        await client.ask(A, "dest:0;width:1;at:s0")
-        await client.ask(A, "dest:0;width:1;at:s0")
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
+        await client.send_setup(A, "dest:0;width:1;at:s0")
+        await client.send_setup(A, "dest:0;width:1;at:s0")
         await trio.sleep(0.5)
-        assert not client.said
-        assert not server.of("setup")
-        await server.say(server.streams[0], release(A, 16))
-        await rig.until(lambda: client.said == [OVER], 1)
+        assert not client.responses
+        assert not server.received_ids("setup")
+        await server.send(server.streams[0], release_line(A, 16))
+        await harness.wait_until(lambda: client.responses == [OVER], 1)
 
 
 @pytest.mark.parametrize(("at", "early", "said"), [("s0", True, OVER), ("s9", False, CUT)])
 async def test_a_dialog_that_ended_before_its_caller_told_of_it(
     autojump_clock: MockClock, at: str, early: bool, said: Any
 ) -> None:
-    async with relayed() as rig:
-        client, server = await rig.client(), rig.servers["s0"]
+    async with running_platform_edge() as harness:
+        client, server = await harness.client(), harness.servers["s0"]
         if early:
-            await server.say(server.streams[0], release(A, 16))
+            await server.send(server.streams[0], release_line(A, 16))
             await trio.sleep(1)
-        await client.ask(A, f"dest:0;width:1;at:{at}")
-        await rig.until(lambda: client.said == [said], 1)
+        await client.send_setup(A, f"dest:0;width:1;at:{at}")
+        await harness.wait_until(lambda: client.responses == [said], 1)
 
 
 async def test_a_silent_bus_is_asked_again_and_a_new_one_goes_on_with_the_numbers(
     autojump_clock: MockClock,
 ) -> None:
-    async with relayed() as rig:
-        rig.bus.tell(host("s1", 1, "Terminating"))
+    async with running_platform_edge() as harness:
+        harness.bus.publish(host_row("s1", 1, "Terminating"))
         await trio.sleep(0.5)
-        rig.bus.silent = True
+        harness.bus.silent = True
         await trio.sleep(10)
-        asked = rig.bus.asked
+        asked = harness.bus.polls
         assert max(b[0] - a[0] for a, b in pairwise(asked)) <= 3
         assert asked[-1][1] == 2
-        rig.bus.silent = False
-        await rig.nursery.start(rig.network.serve, "bus:2", rig.bus.serve)
+        harness.bus.silent = False
+        await harness.nursery.start(harness.network.serve, "bus:2", harness.bus.serve)
         before = len(asked)
-        rig.told["bus"] = "bus:2"
-        rig.edge.reconfigure(rig.platform())
-        rig.bus.tell(host("s1", 1, "Gone"))
-        await rig.until(lambda: "s1" not in rig.edge.links.by_server, 2)
+        harness.config["bus"] = "bus:2"
+        harness.edge.reconfigure(harness.platform())
+        harness.bus.publish(host_row("s1", 1, "Gone"))
+        await harness.wait_until(lambda: "s1" not in harness.edge.links.by_server, 2)
         assert [number for _, number in asked[before:]][:1] == [2]
 
 
--- a/tests/test_platform_edge_shutdown.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -8,7 +8,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.platform_harness import Client, Rig, relayed, set_up
+from tests.platform_harness import Client, PlatformHarness, encode_setup, running_platform_edge
 from valverouter.config import platform
 from valverouter.scenarios.memory_network import MemoryRuntime
 
@@ -33,8 +33,8 @@
         """Those sent since then with neither an answer nor, while they crossed it, their connection's end."""
         lost = []
         for id_, (at, client) in self.sent.items():
-            answered = any(message.id == id_ for _, message in client.heard)
-            ended = until if client.ended is None else client.ended
+            answered = any(message.id == id_ for _, message in client.received)
+            ended = until if client.closed_at is None else client.closed_at
             if at > since and not answered and ended - at > CROSSING_S:
                 lost.append(id_)
         return lost
@@ -46,22 +46,22 @@
         asked.count += 1
         id_ = f"{asked.count:016x}"
         try:
-            await client.stream.send_all(set_up(id_))
+            await client.stream.send_all(encode_setup(id_))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
         asked.sent[id_] = trio.current_time(), client
 
 
-def slow_down(rig: Rig) -> None:
+def slow_down(harness: PlatformHarness) -> None:
     """Each turn waits for the processor first, as beside many busy processes."""
-    assert isinstance(rig.place, MemoryRuntime)
-    checkpoint = rig.place.checkpoint
+    assert isinstance(harness.runtime, MemoryRuntime)
+    checkpoint = harness.runtime.checkpoint
 
     async def slow_checkpoint() -> None:
         await trio.sleep(TURN_S)
         await checkpoint()
 
-    rig.place.checkpoint = slow_checkpoint  # type: ignore[method-assign]
+    harness.runtime.checkpoint = slow_checkpoint  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("open_to_the_last", [False, True])
@@ -73,24 +73,24 @@
     Callers that went on asking over their open connections kept it from ever being quiet, so it stayed to
     `stop_within` and FINAL_READ_LIMIT behind it, 50 ms before SIGKILL, where a turn alone takes longer.
     """
-    async with relayed("s0") as rig:
-        clients = [await rig.client() for _ in range(CALLERS)]
+    async with running_platform_edge("s0") as harness:
+        clients = [await harness.client() for _ in range(CALLERS)]
         for number, client in enumerate(clients):
-            await client.ask(f"{number + 1:x}" * 16)
-        await rig.until(lambda: all(client.heard for client in clients))
+            await client.send_setup(f"{number + 1:x}" * 16)
+        await harness.wait_until(lambda: all(client.received for client in clients))
         asked = Asked()
         if open_to_the_last:
-            rig.servers["s0"].answers = False
-            await clients[0].ask("f" * 16, left=9_000)
-        slow_down(rig)
+            harness.servers["s0"].answers_setups = False
+            await clients[0].send_setup("f" * 16, left=9_000)
+        slow_down(harness)
         signalled = trio.current_time()
         for client in clients:
-            rig.nursery.start_soon(go_on_asking, asked, client)
+            harness.nursery.start_soon(go_on_asking, asked, client)
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
-        rig.edge.stop()
+        harness.edge.stop()
         killed = signalled + KILL_AFTER_S
         with trio.move_on_at(killed):
-            await rig.edge.ended.wait()
+            await harness.edge.ended.wait()
         ended = trio.current_time()
         assert asked.lost_after(signalled + platform.KILL_DELAY / 1e9, ended) == []
         assert killed - ended >= platform.EXIT_MARGIN / 1e9 / 2
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -10,9 +10,9 @@
 import pytest
 import trio
 
-from tests.platform_harness import configuration, set_up
+from tests.platform_harness import configuration, encode_setup
 from tests.process_harness import Drill, drill
-from tests.test_platform_edge_races import Far, free_port, passed
+from tests.test_platform_edge_races import PlatformPeers, connect_and_test, free_port
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_protocol import isup
@@ -28,15 +28,15 @@
 async def platform_process(folder: Path, answers: bool = True) -> AsyncIterator[Drill]:
     """Starts the platform's edge proxy with two core servers and all connections up."""
     async with drill(folder, servers=0) as harness:
-        far = Far(harness.nursery)
-        bus_at = await harness.nursery.start(far.network.serve, "127.0.0.1:0", far.bus.serve)
-        servers = [await far.server(name) for name in ("s0", "s1")]
+        peers = PlatformPeers(harness.nursery)
+        bus_at = await harness.nursery.start(peers.network.serve, "127.0.0.1:0", peers.bus.serve)
+        servers = [await peers.server(name) for name in ("s0", "s1")]
         for server in servers:
-            server.answers = answers
-        rows = [far.row(name, number) for number, name in enumerate(("s0", "s1"))]
+            server.answers_setups = answers
+        rows = [peers.row(name, number) for number, name in enumerate(("s0", "s1"))]
         bus_events = [{"offset": 1, "topology": {"seq": 1, "whole": True, "hosts": rows}}]
-        far.bus.events += bus_events
-        await harness.relay(configuration(bus_events, free_port(), bus_at))
+        peers.bus.events += bus_events
+        await harness.start_platform_edge(configuration(bus_events, free_port(), bus_at))
         with trio.fail_after(20):
             while not all(len(server.streams) == 2 for server in servers):
                 await trio.sleep(0.01)
@@ -65,7 +65,7 @@
         stream = await SocketRuntime().connect(harness.address)
         await trio.sleep(0.1)
         async with stopped(harness, STOP_S):
-            await stream.send_all(set_up(DIALOG_ID))
+            await stream.send_all(encode_setup(DIALOG_ID))
         with trio.fail_after(10):
             (answer,) = isup.MessageReader().feed(await stream.receive_some())
         assert (answer.type, answer.id) == (isup.ANM, DIALOG_ID)
@@ -92,7 +92,7 @@
             pass
         with trio.fail_after(10):
             assert await silent.receive_some() == b""
-        await (await passed(harness.address)).aclose()
+        await (await connect_and_test(harness.address)).aclose()
 
 
 async def test_a_set_up_unread_during_a_stop_is_answered_by_its_callers_deadline(tmp_path: Path) -> None:
@@ -103,10 +103,10 @@
     """
     time_left_s = 2.0
     async with platform_process(tmp_path, answers=False) as harness:
-        stream = await passed(harness.address)
+        stream = await connect_and_test(harness.address)
         await trio.sleep(0.3)
         async with stopped(harness, 1.5):
-            await stream.send_all(set_up(DIALOG_ID, left=round(time_left_s * 1e3)))
+            await stream.send_all(encode_setup(DIALOG_ID, left=round(time_left_s * 1e3)))
             sent_at = trio.current_time()
         with trio.fail_after(10):
             (answer,) = isup.MessageReader().feed(await stream.receive_some())
