--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -23,7 +23,7 @@
 from valverouter.scenarios.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
 
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0 \u00e4\r\n"
-FIGURES = "dest:0;width:1;via:-1"
+ROUTING_FIELDS = "dest:0;width:1;via:-1"
 SETTINGS: dict[str, Any] = {
     "categories": [
         {"name": "voice", "objectiveUs": 1_500_000, "deadlineUs": 9_000_000},
@@ -59,15 +59,17 @@
     }
 
 
-def encode_setup(id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice") -> bytes:
-    told = {
+def encode_setup(
+    id_: str, routing_fields: str = ROUTING_FIELDS, time_left_ms: int = 5_000, traffic_type: str = "voice"
+) -> bytes:
+    parameters = {
         isup.TRAFFIC_TYPE: traffic_type.encode(),
-        isup.TIME_LEFT: b"%d" % left,
+        isup.TIME_LEFT: b"%d" % time_left_ms,
         isup.CALLED: b"7f3a9c21e0b4d655",
-        isup.FIGURES: figures.encode(),
+        isup.ROUTING_FIELDS: routing_fields.encode(),
         isup.DESCRIPTION: DESCRIPTION.encode(),
     }
-    return isup.encode(isup.IAM, id_, told)
+    return isup.encode(isup.IAM, id_, parameters)
 
 
 class Loopback(SocketRuntime):
@@ -137,9 +139,13 @@
         self.closed_at = trio.current_time()
 
     async def send_setup(
-        self, id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice"
+        self,
+        id_: str,
+        routing_fields: str = ROUTING_FIELDS,
+        time_left_ms: int = 5_000,
+        traffic_type: str = "voice",
     ) -> None:
-        await self.stream.send_all(encode_setup(id_, figures, left, traffic_type))
+        await self.stream.send_all(encode_setup(id_, routing_fields, time_left_ms, traffic_type))
 
     async def release(self, id_: str) -> None:
         await self.stream.send_all(isup.encode_release(id_, 16))
@@ -280,10 +286,10 @@
         self.nursery.start_soon(client.read)
         return client
 
-    async def wait_until(self, there: Any, within: float = 20.0) -> None:
+    async def wait_until(self, condition: Any, within: float = 20.0) -> None:
         """Looks every millisecond of the harness's clock; fails when it does not come true in time."""
         with trio.fail_after(within):
-            while not there():
+            while not condition():
                 await trio.sleep(0.001)
 
 
--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_edge.py
@@ -180,7 +180,7 @@
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
         began = trio.current_time()
-        await client.send_setup(A, left=1_000)
+        await client.send_setup(A, time_left_ms=1_000)
         await harness.wait_until(lambda: bool(client.responses))
         assert client.responses == [CUT]
         assert 0.9 < client.received[0][0] - began <= 1.0
@@ -246,7 +246,7 @@
             bad = await harness.client()
             with suppress(trio.BrokenResourceError):
                 for _ in range(50):
-                    await bad.send_setup(A, left=200)
+                    await bad.send_setup(A, time_left_ms=200)
             await harness.wait_until(lambda: bad.closed_at is not None, 3)  # noqa: B023
         assert server.received_ids("setup") == [A]
 
@@ -299,7 +299,7 @@
             await client.send_setup(id_)
             await harness.wait_until(lambda: bool(client.responses))  # noqa: B023
             await client.release(id_)
-        await idle.send_setup("c" * 16, left=300)
+        await idle.send_setup("c" * 16, time_left_ms=300)
         await idle.release("c" * 16)
         await trio.sleep(0.1)
         harness.nursery.start_soon(harness.edge.context.runtime.stall, 10**8)  # type: ignore[attr-defined]
--- a/tests/test_platform_edge_races.py
+++ b/tests/test_platform_edge_races.py
@@ -88,7 +88,7 @@
     async with running_platform_edge("s0") as harness:
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
-        await client.send_setup(A, left=9_000)
+        await client.send_setup(A, time_left_ms=9_000)
         await harness.wait_until(lambda: server.received_ids("setup") == [A])
         signalled = trio.current_time()
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
--- a/tests/test_platform_edge_shutdown.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -81,7 +81,7 @@
         asked = Asked()
         if open_to_the_last:
             harness.servers["s0"].answers_setups = False
-            await clients[0].send_setup("f" * 16, left=9_000)
+            await clients[0].send_setup("f" * 16, time_left_ms=9_000)
         slow_down(harness)
         signalled = trio.current_time()
         for client in clients:
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -106,7 +106,7 @@
         stream = await connect_and_test(harness.address)
         await trio.sleep(0.3)
         async with stopped(harness, 1.5):
-            await stream.send_all(encode_setup(DIALOG_ID, left=round(time_left_s * 1e3)))
+            await stream.send_all(encode_setup(DIALOG_ID, time_left_ms=round(time_left_s * 1e3)))
             sent_at = trio.current_time()
         with trio.fail_after(10):
             (answer,) = isup.MessageReader().feed(await stream.receive_some())
--- a/valverouter/platform_edge/__main__.py
+++ b/valverouter/platform_edge/__main__.py
@@ -35,7 +35,7 @@
 # A file that is being replaced is read again after this delay, this many times.
 RELOAD_RETRY_DELAY_S, RELOAD_ATTEMPTS = 0.1, 20
 # A peer that is silent for so long is probed, in nanoseconds.
-PEER_SILENCE = 60 * 10**9
+KEEPALIVE_IDLE = 60 * 10**9
 
 log = structlog.get_logger()
 
@@ -45,7 +45,9 @@
 
     `early_signals`: SIGHUPs from before the signal receiver was open, perhaps after `path` was read.
     """
-    proxy = PlatformProxy(config, SocketRuntime(silence=PEER_SILENCE, max_descriptors=config.limits.sockets))
+    proxy = PlatformProxy(
+        config, SocketRuntime(silence=KEEPALIVE_IDLE, max_descriptors=config.limits.sockets)
+    )
     with receive_signals(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             await nursery.start(proxy.run)
--- a/valverouter/platform_edge/bus_client.py
+++ b/valverouter/platform_edge/bus_client.py
@@ -20,7 +20,7 @@
 
 NS_PER_MS = 10**6
 # The reason of an end where the bus has another address.
-MOVED = "moved"
+ADDRESS_CHANGED = "moved"
 
 
 class BusClient:
@@ -63,7 +63,7 @@
         """Polls again and again, until cancelled."""
         previous_reason = ""
         while True:
-            reason, address = MOVED, self._address
+            reason, address = ADDRESS_CHANGED, self._address
             with isolate_failure("bus", lambda: self._address), trio.CancelScope() as self._attempt:
                 reason = await self._poll(address)
             self.is_up = False
@@ -71,7 +71,7 @@
             if reason != previous_reason:
                 log.warning("bus-down", bus=address, why=reason, number=self.offset)
             previous_reason = reason
-            if reason != MOVED:
+            if reason != ADDRESS_CHANGED:
                 await trio.sleep(platform.BUS_RETRY_DELAY / 1e9)
 
     async def _poll(self, address: str) -> str:
@@ -85,18 +85,18 @@
         async with stream:
             try:
                 while True:
-                    polled_at, after = trio.current_time(), self.offset
+                    polled_at, offset_before = trio.current_time(), self.offset
                     batch = await self._poll_once(stream, session)
                     self._on_batch(batch)
                     self.is_up, self.tries = True, 0
-                    if batch.offset < after:
+                    if batch.offset < offset_before:
                         # Its numbers go on, says the platform. Taken up from there, earlier events would come
                         # again, and a server that is draining be in service for as long as that takes.
-                        log.warning("bus-behind", bus=self._address, number=after, told=batch.offset)
+                        log.warning("bus-behind", bus=self._address, number=offset_before, told=batch.offset)
                     if not session.is_reusable:
                         return "closed"
                     if (
-                        self.offset == after
+                        self.offset == offset_before
                         and trio.current_time() - polled_at < platform.BUS_POLL_TIMEOUT / 2e9
                     ):
                         # Nothing, and at once: without a pause it would be polled all the time.
--- a/valverouter/platform_edge/callers.py
+++ b/valverouter/platform_edge/callers.py
@@ -214,7 +214,7 @@
 
     async def _read(self, stream: trio.abc.Stream) -> None:
         limit = self._config.hello_within / 1e9
-        is_half = False
+        has_partial = False
         deadline = trio.current_time() + limit
         while data := await receive_by(stream, CALLER_READ_SIZE, deadline):
             # A dialog's time runs from its last byte, not from when it is handled.
@@ -224,10 +224,10 @@
                     return
                 self._on_message(message, received_at)
             self._connected.on_received(self)
-            was_half, is_half = is_half, self._reader.has_partial_message
-            if is_half and not was_half and self.is_useful:
+            had_partial, has_partial = has_partial, self._reader.has_partial_message
+            if has_partial and not had_partial and self.is_useful:
                 deadline = trio.current_time() + limit
-            elif self.is_useful and not is_half:
+            elif self.is_useful and not has_partial:
                 deadline = float("inf")
             if len(self.pending_setups) >= MAX_PENDING_SETUPS:
                 # One with few pending set-ups is read on, however full the queue is: its next message may be
--- a/valverouter/platform_edge/dialogs.py
+++ b/valverouter/platform_edge/dialogs.py
@@ -41,14 +41,14 @@
         """Sends to `caller`, or to the most recently active one where its connection is gone."""
         assert isinstance(caller, PlatformCaller)
         if caller.is_closed:
-            latest = self._connected.most_recent()
-            if latest is None:
+            most_recent = self._connected.most_recent()
+            if most_recent is None:
                 now = trio.current_time()
                 oldest = now - PENDING_RELEASE_LIFETIME_S
                 self._pending = [(at, pending) for at, pending in self._pending if at >= oldest]
                 self._pending.append((now, ended))
                 return
-            caller = latest
+            caller = most_recent
         caller.send(ended)
 
     def send_pending(self, caller: CallerConnection) -> None:
@@ -143,7 +143,7 @@
         if request.dialog in self._entries:
             return
         link = self._links.get(server)
-        was_cut = self._unknown_releases.take(request.dialog)
+        was_cut = self._unknown_releases.pop(request.dialog)
         if was_cut is not None or not isinstance(link, PlatformLink) or link.has_ended:
             # It has ended while no edge proxy ran, or its server is gone and has cut it.
             reason = "over" if was_cut is False else "cut"
--- a/valverouter/platform_edge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -57,8 +57,8 @@
         self._established_at: dict[str, int] = {}
         # Releases that found no connection; emptied by the next one, and with the link.
         self._pending_releases: dict[str, int] = {}
-        self._refused_connects = 0
-        self._reached_at = trio.current_time()
+        self._refused_connect_count = 0
+        self._last_received_at = trio.current_time()
         self._scope = trio.CancelScope()
 
     @property
@@ -95,12 +95,12 @@
         self._established_at.pop(dialog_id, None)
         return self._established.pop(dialog_id, None)
 
-    def on_server_restarted(self, born: int) -> None:
+    def on_server_restarted(self, started_at: int) -> None:
         """The list reports a restart: what was established before it is cut.
 
         What is established since belongs to the new process, which took set-ups before the list had it.
         """
-        cut = [self._established[id_] for id_, since in self._established_at.items() if since < born]
+        cut = [self._established[id_] for id_, since in self._established_at.items() if since < started_at]
         if cut:
             self._cut_dialogs(frozenset(cut), "another start")
 
@@ -115,13 +115,15 @@
         """Queues a set-up on the connection with the fewest open ones, or for the next connection."""
         self.attempts[key] = False
         if self._connections:
-            able = [connection for connection in self._connections if connection.can_start(key[0])]
-            self._write_setup(min(able, key=lambda connection: len(connection.open)), key, message)
+            available = [connection for connection in self._connections if connection.can_start(key[0])]
+            self._write_setup(
+                min(available, key=lambda connection: len(connection.open_setups)), key, message
+            )
         else:
             self._early_attempts[key] = message
 
     def _write_setup(self, connection: ServerConnection, key: tuple[str, int], message: Any) -> None:
-        connection.open[key[0]] = key
+        connection.open_setups[key[0]] = key
         self._put(connection, translation.encode_for_server(message), key)
 
     def _put(
@@ -144,11 +146,15 @@
         self.attempts.pop(key, None)
         self._remove_established(message.dialog)
         connection = next(
-            (connection for connection in self._connections if connection.open.get(message.dialog) == key),
+            (
+                connection
+                for connection in self._connections
+                if connection.open_setups.get(message.dialog) == key
+            ),
             None,
         )
         if connection is not None:
-            del connection.open[message.dialog]
+            del connection.open_setups[message.dialog]
             connection.on_attempt_closed(message.dialog)
             connection.on_release_sent(message.dialog)
             self._put(
@@ -174,11 +180,12 @@
         """Takes back a set-up that has not left; whether it could be."""
         if self._early_attempts.pop(key, None) is None:
             connection = next(
-                (connection for connection in self._connections if connection.open.get(key[0]) == key), None
+                (connection for connection in self._connections if connection.open_setups.get(key[0]) == key),
+                None,
             )
             if connection is None or not connection.send_queue.withdraw(key):
                 return False
-            del connection.open[key[0]]
+            del connection.open_setups[key[0]]
         del self.attempts[key]
         return True
 
@@ -216,10 +223,10 @@
         """One of the connections, made again while the server is in service or has attempts."""
         tries = 0
         while self.in_service or self.attempts:
-            began = trio.current_time()
+            started_at = trio.current_time()
             with isolate_failure("link", lambda: self.server):
                 await self._run_connection()
-            tries = tries + 1 if trio.current_time() - began < 1 else 0
+            tries = tries + 1 if trio.current_time() - started_at < 1 else 0
             # The first time at once: a connection that broke says little of its server.
             await trio.sleep(self._reconnect_delay(tries) / 1e9 if tries else 0)
 
@@ -236,7 +243,7 @@
             self._connecting -= 1
             raise
         self._connecting -= 1
-        self._refused_connects = 0
+        self._refused_connect_count = 0
         connection = ServerConnection(SendQueue(self._config.waiting_bytes, self._batch))
         reason = "closed"
         with connection.scope:
@@ -269,19 +276,21 @@
         """A connection is gone: the set-ups open on it are reset, established dialogs go on."""
         if connection in self._connections:
             self._connections.remove(connection)
-        unsent = frozenset(key for key in connection.open.values() if connection.send_queue.is_queued(key))
-        sent = frozenset(connection.open.values()) - unsent
-        for key in connection.open.values():
+        unsent = frozenset(
+            key for key in connection.open_setups.values() if connection.send_queue.is_queued(key)
+        )
+        sent = frozenset(connection.open_setups.values()) - unsent
+        for key in connection.open_setups.values():
             self.attempts.pop(key, None)
         # Its answer may have been what was lost: then it is established there, and nobody would ever end it.
         # What was released on this connection shortly before may never have been read: with both connections
         # closed at once, the first one's releases went to the second, and were lost with that one.
-        unread = [dialog_id for dialog_id in connection.released if not self._has_dialog(dialog_id)]
+        unread = [dialog_id for dialog_id in connection.sent_releases if not self._has_dialog(dialog_id)]
         for dialog_id in sorted({dialog_id for dialog_id, _ in sent}.union(unread)):
             self._release(dialog_id)
         if not self._close_reason:
-            log.info("connection-lost", server=self.server, why=reason, legs=len(connection.open))
-        if connection.open:
+            log.info("connection-lost", server=self.server, why=reason, legs=len(connection.open_setups))
+        if connection.open_setups:
             self._events.put(LinkDown(self, reason, sent, unsent))
         self._cut_if_unreachable(reason)
 
@@ -294,7 +303,7 @@
         if self._connections:
             return
         if isinstance(error, ConnectionRefusedError) or _all_attempts_refused(error):
-            self._refused_connects += 1
+            self._refused_connect_count += 1
         unsent = frozenset(self._early_attempts) if not self._connecting else frozenset()
         reason = f"no connection: {error or type(error).__name__}"
         if unsent:
@@ -306,13 +315,16 @@
 
     def _cut_if_unreachable(self, reason: str) -> None:
         """With no connection left, cuts what is established where the server must have cut it by now."""
-        gone = self._refused_connects >= 2 * CONNECTIONS_PER_SERVER
-        gone = gone or trio.current_time() - self._reached_at > platform.UNREACHABLE_TIMEOUT / 1e9
-        if gone and self._established and not self._connections:
+        is_unreachable = self._refused_connect_count >= 2 * CONNECTIONS_PER_SERVER
+        is_unreachable = (
+            is_unreachable
+            or trio.current_time() - self._last_received_at > platform.UNREACHABLE_TIMEOUT / 1e9
+        )
+        if is_unreachable and self._established and not self._connections:
             # Should it only have been out of reach, it is told that no dialog is left on this side.
             self._pending_releases |= dict.fromkeys(self._established, translation.CAUSE_ENDED)
             self._cut_dialogs(
-                frozenset(self._established.values()), f"{reason}, {self._refused_connects} refused"
+                frozenset(self._established.values()), f"{reason}, {self._refused_connect_count} refused"
             )
 
     async def _write_connection(self, connection: ServerConnection, stream: trio.abc.Stream) -> None:
@@ -325,19 +337,19 @@
         """Closes a connection that stays silent: its machine may be cut off, with the connection open."""
         limit = self._config.silence / 1e9
         while True:
-            asked_at = trio.current_time()
-            self._put(connection, lines.encode_ping(translation.NO_DIALOG))
+            probed_at = trio.current_time()
+            self._put(connection, lines.encode_ping(translation.NO_DIALOG_ID))
             await trio.sleep(limit)
-            if connection.received_at < asked_at:
+            if connection.received_at < probed_at:
                 # After a stall of our own what came meanwhile is read first.
                 await trio.sleep(limit / 10)
-                if connection.received_at < asked_at:
+                if connection.received_at < probed_at:
                     connection.close("silent")
 
     async def _read_connection(self, connection: ServerConnection, stream: trio.abc.Stream) -> None:
         reader = lines.LineReader()
         while data := await stream.receive_some(READ_SIZE):
-            connection.received_at = self._reached_at = trio.current_time()
+            connection.received_at = self._last_received_at = trio.current_time()
             await self._events.wait_for_space()
             for message in reader.feed(data):
                 self._on_message(connection, message)
@@ -346,10 +358,10 @@
         """Tables follow each message as it is read: should the rest of the connection be lost, it holds."""
         id_ = message.id
         if message.type == "answer":
-            key = connection.open.get(id_)
+            key = connection.open_setups.get(id_)
             # Without a key it is a duplicate, or of no attempt here.
             if key is not None and message.sdp is not None:
-                del connection.open[id_]
+                del connection.open_setups[id_]
                 self._record_established(key)
                 load = translation.parse_load(message)
                 answer = translation.EstablishedWithDescription(*key, report=load, description=message.sdp)
@@ -357,13 +369,13 @@
         elif message.type == "release":
             self._on_release(connection, message)
         elif message.type == "released":
-            connection.released.pop(id_, None)
+            connection.sent_releases.pop(id_, None)
         elif message.type == "state" and (report := translation.parse_load(message)) is not None:
             self._events.put(ServerMessage(self, setup.LoadReported(report)))
 
     def _on_release(self, connection: ServerConnection, message: lines.Line) -> None:
         id_ = message.id
-        if (key := connection.open.pop(id_, None)) is not None:
+        if (key := connection.open_setups.pop(id_, None)) is not None:
             connection.on_attempt_closed(id_)
             answer = translation.parse_rejection(message, key[1])
             if answer is not None:
--- a/valverouter/platform_edge/server_connection.py
+++ b/valverouter/platform_edge/server_connection.py
@@ -12,13 +12,13 @@
 UNREAD_RELEASE_WINDOW_S = 5.0
 
 
-def _remember(moments: dict[str, float], id_: str, lifetime_s: float) -> None:
+def _record_time(times: dict[str, float], id_: str, lifetime_s: float) -> None:
     """Notes the present moment for an id, and drops those older than so many seconds."""
     now = trio.current_time()
-    moments.pop(id_, None)
-    moments[id_] = now
-    while (oldest := next(iter(moments))) != id_ and moments[oldest] <= now - lifetime_s:
-        del moments[oldest]
+    times.pop(id_, None)
+    times[id_] = now
+    while (oldest := next(iter(times))) != id_ and times[oldest] <= now - lifetime_s:
+        del times[oldest]
 
 
 class ServerConnection:
@@ -32,9 +32,9 @@
 
     def __init__(self, send_queue: SendQueue) -> None:
         self.send_queue = send_queue
-        self.open: dict[str, tuple[str, int]] = {}
-        self.closed: dict[str, float] = {}
-        self.released: dict[str, float] = {}
+        self.open_setups: dict[str, tuple[str, int]] = {}
+        self.closed_attempts: dict[str, float] = {}
+        self.sent_releases: dict[str, float] = {}
         self.scope = trio.CancelScope()
         self.close_reason = ""
         self.received_at = trio.current_time()
@@ -46,15 +46,15 @@
 
     def on_attempt_closed(self, id_: str) -> None:
         """The attempt of a dialog was rejected or cancelled on this connection."""
-        _remember(self.closed, id_, DUPLICATE_WINDOW_S)
+        _record_time(self.closed_attempts, id_, DUPLICATE_WINDOW_S)
 
     def on_release_sent(self, id_: str) -> None:
         """A dialog was released on this connection."""
-        _remember(self.released, id_, UNREAD_RELEASE_WINDOW_S)
+        _record_time(self.sent_releases, id_, UNREAD_RELEASE_WINDOW_S)
 
     def can_start(self, id_: str) -> bool:
         """Whether no message about a dialog's last attempt can be mistaken here for one about its next."""
         return (
-            id_ not in self.open
-            and self.closed.get(id_, -DUPLICATE_WINDOW_S) <= trio.current_time() - DUPLICATE_WINDOW_S
+            id_ not in self.open_setups
+            and self.closed_attempts.get(id_, -DUPLICATE_WINDOW_S) <= trio.current_time() - DUPLICATE_WINDOW_S
         )
--- a/valverouter/platform_edge/translation.py
+++ b/valverouter/platform_edge/translation.py
@@ -20,8 +20,8 @@
 CAUSE_ENDED, CAUSE_BUSY, CAUSE_NO_CIRCUIT, CAUSE_INTERRUPTED, CAUSE_CONGESTION = 16, 17, 34, 41, 42
 CAUSE_FAULT, CAUSE_INVALID_REQUEST = 47, 100
 PHASES: dict[str, ServerPhase] = {"Ready": "in-service", "Gone": "gone"}
-MAX_DESCRIPTION = 12 * 1024
-NO_DIALOG = "0" * 16
+MAX_DESCRIPTION_LENGTH = 12 * 1024
+NO_DIALOG_ID = "0" * 16
 
 
 class PlatformSetup(setup.Setup, frozen=True, kw_only=True):
@@ -53,34 +53,34 @@
 
     A server closes its connection, with all attempts on it, on an invalid message, so none is forwarded.
     """
-    if message.id == NO_DIALOG:
+    if message.id == NO_DIALOG_ID:
         # Servers close the connection on it: in a run with faulty callers 45 did, each a reset of the
         # attempts there, which counted as the server's failure.
         raise ProtocolError("malformed", "a set-up without an id")
     parameters = message.parameters
-    figures = isup.parse_figures(parameters.get(isup.FIGURES, b""))
+    routing_fields = isup.parse_routing_fields(parameters.get(isup.ROUTING_FIELDS, b""))
     traffic_type = _ascii_parameter(parameters, isup.TRAFFIC_TYPE)
     time_left, key = _ascii_parameter(parameters, isup.TIME_LEFT), _ascii_parameter(parameters, isup.CALLED)
     description = _description(parameters)
     if traffic_type not in deployment.traffic_types:
         raise ProtocolError("unknown-class", f"class {traffic_type[:40]!r}")
     _check_values(time_left, key, description)
-    preferred = _preferred_server(figures, traffic_type, deployment)
-    width = _parse_integer(figures, "width", 1)
+    preferred = _preferred_server(routing_fields, traffic_type, deployment)
+    width = _parse_integer(routing_fields, "width", 1)
     if width != widths.get(traffic_type, width) or width < 1:
         raise ProtocolError("malformed", f"{traffic_type} with width {width}")
-    _parse_integer(figures, "via", -1)
+    _parse_integer(routing_fields, "via", -1)
     request = PlatformSetup(
         dialog=message.id,
         traffic_type=traffic_type,
         time_left=int(time_left) * NS_PER_MS,
         preferred_server_number=preferred,
         called_number=int(key, 16),
-        was_interrupted=_parse_integer(figures, "again", 0) == 1,
+        was_interrupted=_parse_integer(routing_fields, "again", 0) == 1,
         key=key,
         description=description,
     )
-    return EstablishedDialog(request, figures["at"]) if "at" in figures else request
+    return EstablishedDialog(request, routing_fields["at"]) if "at" in routing_fields else request
 
 
 def _description(parameters: dict[int, bytes]) -> str:
@@ -96,16 +96,16 @@
         raise ProtocolError("malformed", f"time {time_left[:40]!r}")
     if len(key) != 16 or not set(key) <= set("0123456789abcdef"):
         raise ProtocolError("malformed", f"number {key[:40]!r}")
-    if not 0 < len(description) <= MAX_DESCRIPTION:
+    if not 0 < len(description) <= MAX_DESCRIPTION_LENGTH:
         raise ProtocolError("malformed", f"a description of {len(description)} characters")
 
 
-def _preferred_server(figures: dict[str, str], traffic_type: str, deployment: Deployment) -> int:
+def _preferred_server(routing_fields: dict[str, str], traffic_type: str, deployment: Deployment) -> int:
     """The number of the server to try first; -1: any.
 
     Servers answer 'error' to one that the traffic type can't have, which would use up retry tokens.
     """
-    preferred = _parse_integer(figures, "dest", -1)
+    preferred = _parse_integer(routing_fields, "dest", -1)
     numbers = deployment.traffic_types[traffic_type].server_numbers
     if preferred >= 0 and numbers is not None and preferred not in numbers:
         raise ProtocolError("malformed", f"{traffic_type} with first choice {preferred}")
@@ -119,8 +119,8 @@
         raise ProtocolError("malformed", f"parameter {code} is no ASCII") from None
 
 
-def _parse_integer(figures: dict[str, str], name: str, default: int) -> int:
-    text = figures.get(name)
+def _parse_integer(routing_fields: dict[str, str], name: str, default: int) -> int:
+    text = routing_fields.get(name)
     if text is None:
         return default
     digits = text.removeprefix("-")
@@ -187,19 +187,19 @@
     text = line.fields.get("load")
     if not isinstance(text, str):
         return None
-    figures = lines.parse_load(text)
+    values = lines.parse_load(text)
 
-    def figure(names: tuple[str, str]) -> float | None:
-        return next((figures[name] for name in names if name in figures), None)
+    def value(names: tuple[str, str]) -> float | None:
+        return next((values[name] for name in names if name in values), None)
 
     free, total, wait, queue = (
-        figure(_FREE_LINES_KEYS),
-        figure(_LINES_KEYS),
-        figure(_QUEUE_DELAY_KEYS),
-        figure(_QUEUE_LENGTH_KEYS),
+        value(_FREE_LINES_KEYS),
+        value(_LINES_KEYS),
+        value(_QUEUE_DELAY_KEYS),
+        value(_QUEUE_LENGTH_KEYS),
     )
     return setup.Load(
-        utilization=figure(_UTILIZATION_KEYS),
+        utilization=value(_UTILIZATION_KEYS),
         queue_length=None if queue is None else int(queue),
         free_lines=None if free is None else int(free),
         lines=None if total is None else int(total),
--- a/valverouter/platform_edge/unknown_releases.py
+++ b/valverouter/platform_edge/unknown_releases.py
@@ -16,22 +16,22 @@
     """
 
     def __init__(self) -> None:
-        self._ends: dict[str, tuple[float, bool]] = {}
+        self._releases: dict[str, tuple[float, bool]] = {}
 
     def add(self, id_: str, was_cut: bool) -> None:
         """A dialog that is not known here has ended."""
         now = trio.current_time()
-        self._ends[id_] = now, was_cut
-        while self._ends:
-            first = next(iter(self._ends))
+        self._releases[id_] = now, was_cut
+        while self._releases:
+            first = next(iter(self._releases))
             if (
-                self._ends[first][0] > now - UNKNOWN_RELEASE_LIFETIME_S
-                and len(self._ends) <= MAX_UNKNOWN_RELEASES
+                self._releases[first][0] > now - UNKNOWN_RELEASE_LIFETIME_S
+                and len(self._releases) <= MAX_UNKNOWN_RELEASES
             ):
                 return
-            del self._ends[first]
+            del self._releases[first]
 
-    def take(self, id_: str) -> bool | None:
+    def pop(self, id_: str) -> bool | None:
         """Whether a dialog was cut; None where no end of it is known."""
-        found = self._ends.pop(id_, None)
-        return found[1] if found else None
+        known = self._releases.pop(id_, None)
+        return known[1] if known else None
--- a/valverouter/platform_protocol/bus.py
+++ b/valverouter/platform_protocol/bus.py
@@ -7,7 +7,7 @@
 
 from valverouter.signalling.framing import ProtocolError
 
-MAX_ANSWER_SIZE = 4 * 1024 * 1024
+MAX_RESPONSE_SIZE = 4 * 1024 * 1024
 
 
 class Host(msgspec.Struct, frozen=True):
@@ -62,16 +62,16 @@
         self._body = bytearray()
         self._status = 0
 
-    def poll_request(self, offset: int, hold_ms: int) -> bytes:
+    def poll_request(self, offset: int, timeout_ms: int) -> bytes:
         """Encodes a poll for the events after `offset`; the previous answer must be complete."""
         if self._connection.our_state is h11.DONE:
             self._connection.start_next_cycle()
         self._body.clear()
-        target = f"/bus/read?from={offset}&hold={hold_ms}"
+        target = f"/bus/read?from={offset}&hold={timeout_ms}"
         request = h11.Request(method="GET", target=target, headers=[("Host", self._address)])
-        sent = self._connection.send(request)
-        ended = self._connection.send(h11.EndOfMessage())
-        return (sent or b"") + (ended or b"")
+        head = self._connection.send(request)
+        end = self._connection.send(h11.EndOfMessage())
+        return (head or b"") + (end or b"")
 
     @property
     def is_reusable(self) -> bool:
@@ -93,8 +93,8 @@
                     self._status = event.status_code
                 elif isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > MAX_ANSWER_SIZE:
-                        raise ProtocolError("too-large", f"an answer of over {MAX_ANSWER_SIZE} bytes")
+                    if len(self._body) > MAX_RESPONSE_SIZE:
+                        raise ProtocolError("too-large", f"an answer of over {MAX_RESPONSE_SIZE} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     if self._status != 200:
                         raise ProtocolError("refused", f"status {self._status}")
--- a/valverouter/platform_protocol/isup.py
+++ b/valverouter/platform_protocol/isup.py
@@ -28,7 +28,7 @@
 )
 
 # Parameter codes.
-TRAFFIC_TYPE, TIME_LEFT, RETRY, CALLED, FIGURES, RETRY_AFTER, CAUSE, DESCRIPTION = (
+TRAFFIC_TYPE, TIME_LEFT, RETRY, CALLED, ROUTING_FIELDS, RETRY_AFTER, CAUSE, DESCRIPTION = (
     129,
     131,
     135,
@@ -130,7 +130,7 @@
     return encode(REL, id_, parameters)
 
 
-def parse_figures(text: bytes) -> dict[str, str]:
+def parse_routing_fields(text: bytes) -> dict[str, str]:
     """Parses `dest:2;width:1` into names and values; ProtocolError where the text has another form."""
     values: dict[str, str] = {}
     try:
--- a/valverouter/signalling/serverlist.py
+++ b/valverouter/signalling/serverlist.py
@@ -101,10 +101,10 @@
 
     def check(self, request: DrainRequest) -> str:
         """Why a request is refused; empty where its permit is valid, which voids lower numbers."""
-        highest, over = self._highest.get(request.server, 0), self._ended.get(request.server, 0)
+        highest, highest_ended = self._highest.get(request.server, 0), self._ended.get(request.server, 0)
         if not request.number:
             return "no permit's number was given"
-        if request.number <= over:
+        if request.number <= highest_ended:
             return f"permit {request.number} is over"
         if request.number < highest:
             return f"permit {request.number} is older than {highest}, which was seen"
--- a/valverouter/soak/platform_callers.py
+++ b/valverouter/soak/platform_callers.py
@@ -98,7 +98,7 @@
             isup.TRAFFIC_TYPE: b"class%d" % traffic_type,
             isup.TIME_LEFT: b"%d" % time_left_ms,
             isup.CALLED: CALLED_NUMBER,
-            isup.FIGURES: b"dest:%d;width:1;via:-1" % server,
+            isup.ROUTING_FIELDS: b"dest:%d;width:1;via:-1" % server,
             isup.DESCRIPTION: DESCRIPTION.encode(),
         }
         request = RequestRecord(id_, self.process, time.monotonic_ns(), time_left_ms * MS)
