--- a/valverouter/platform_edge/__init__.py
+++ b/valverouter/platform_edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge proxy behind the operators' platform: its start, callers, links, event bus and signals."""
+"""The edge proxy on the operators' platform: process start, callers, links to servers, event bus, signals."""
--- a/valverouter/platform_edge/__main__.py
+++ b/valverouter/platform_edge/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m valverouter.platform_edge`: one edge proxy on the operators' platform, set up by RELAY_CONFIG.
+"""`python -m valverouter.platform_edge`: one edge proxy on the platform, configured by the file RELAY_CONFIG.
 
-Exit codes: 0 stopped; 2 the configuration is invalid; 3 the start failed. Imports are kept to what the
-platform's memory limit allows: no command line, no numerical libraries.
+Exit codes: 0 stopped; 2 the configuration is invalid; 3 the start failed. To stay within the platform's
+memory limit, neither the command line nor numerical libraries are imported.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 if __name__ == "__main__":
-    # Before the other imports: without a handler SIGHUP ends the process.
+    # Installed before the other imports: without a handler SIGHUP terminates the process.
     EARLY_SIGNALS: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, frame: EARLY_SIGNALS.append(number))
 
@@ -32,9 +32,10 @@
 
 EXIT_INVALID_CONFIG, EXIT_START_FAILED = 2, 3
 CONFIG_VARIABLE = "RELAY_CONFIG"
-# A file that is being replaced is read again after this delay, this many times.
+# The file may be read while it is being replaced: an invalid one is read again after this delay, in this many
+# attempts at most.
 RELOAD_RETRY_DELAY_S, RELOAD_ATTEMPTS = 0.1, 20
-# A peer that is silent for so long is probed, in nanoseconds.
+# How long a connection is idle before the kernel sends keepalive probes, in nanoseconds.
 KEEPALIVE_IDLE = 60 * 10**9
 
 log = structlog.get_logger()
@@ -43,7 +44,8 @@
 async def serve(path: Path, config: platform.PlatformConfig, early_signals: list[int]) -> None:
     """Runs the proxy until it is stopped.
 
-    `early_signals`: SIGHUPs from before the signal receiver was open, perhaps after `path` was read.
+    `early_signals`: SIGHUPs received before the signal receiver was open. The file at `path` may have been
+    read before them, so it is read again.
     """
     proxy = PlatformProxy(
         config, SocketRuntime(silence=KEEPALIVE_IDLE, max_descriptors=config.limits.sockets)
@@ -68,13 +70,13 @@
 
 
 async def stop_after_accept_period(proxy: PlatformProxy) -> None:
-    """Stops once the platform sends no more connections and requests here, a while after the signal."""
+    """Waits until the platform no longer sends connections and requests to this process, then stops it."""
     await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
     proxy.stop()
 
 
 async def reload(proxy: PlatformProxy, path: Path) -> None:
-    """On SIGHUP: applies the file; one that is invalid is read again, and changes nothing meanwhile."""
+    """Handles SIGHUP: applies the configuration file; while it is invalid, retries and changes nothing."""
     for _ in range(RELOAD_ATTEMPTS):
         try:
             proxy.reconfigure(read_config(path))
@@ -86,7 +88,7 @@
 
 
 def read_config(path: Path) -> platform.PlatformConfig:
-    """Reads and validates the configuration and the events in it; raises OSError, MalformedInputError."""
+    """Reads and validates the configuration and its events; raises OSError or MalformedInputError."""
     config = platform.platform_config(path.read_bytes())
     try:
         bus.decode_batch(config.known)
@@ -96,7 +98,7 @@
 
 
 def main(early_signals: list[int]) -> int:
-    """Runs the process; returns its exit code. `early_signals`: SIGHUPs received during the imports."""
+    """Runs the process and returns its exit code; `early_signals`: SIGHUPs received during the imports."""
     path = os.environ.get(CONFIG_VARIABLE, "")
     try:
         config = read_config(Path(path))
--- a/valverouter/platform_edge/bus_client.py
+++ b/valverouter/platform_edge/bus_client.py
@@ -1,4 +1,4 @@
-"""The event bus client: what was known at the start, then long polls, begun again at once."""
+"""The event bus client: applies the events of the configuration, then those of consecutive long polls."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 log = structlog.get_logger()
 
 NS_PER_MS = 10**6
-# The reason of an end where the bus has another address.
+# The reason for which a connection ends when the address of the bus has changed.
 ADDRESS_CHANGED = "moved"
 
 
 class BusClient:
-    """The endpoint source on the platform. `offset`: that of the last event applied; each is applied once."""
+    """The endpoint source on the platform; applies each event once. `offset` is that of the last one."""
 
     def __init__(self, address: str, known: bytes, runtime: Runtime, events: EventQueue) -> None:
         self.replica = Replica()
@@ -38,29 +38,29 @@
         self._attempt = trio.CancelScope()
 
     def request_list(self) -> None:
-        """Nothing to do: the bus is polled all the time."""
+        """Does nothing: the bus is polled continuously."""
 
     async def load_cached(self) -> list[EndpointRow]:
-        """Applies the events of the configuration; no rows are cached."""
+        """Applies the events of the configuration; returns no rows, as there is no cache."""
         self.apply_events(self._known)
         self._known = b""
         return []
 
     def apply_events(self, known: bytes) -> None:
-        """Applies the events of a configuration, all of them."""
+        """Applies those events of a configuration that are new."""
         self._on_batch(decode_batch(known))
 
     def set_address(self, address: str) -> None:
-        """The event bus has another address now; its numbers go on."""
+        """Changes the address of the event bus; offsets continue across addresses."""
         if address != self._address:
             self._address = address
             self._attempt.cancel()
 
     async def persist(self) -> None:
-        """No disk outlives this process."""
+        """Does nothing: on the platform no disk outlives this process."""
 
     async def run(self) -> None:
-        """Polls again and again, until cancelled."""
+        """Polls continuously until cancelled; reconnects after each lost connection."""
         previous_reason = ""
         while True:
             reason, address = ADDRESS_CHANGED, self._address
@@ -75,7 +75,7 @@
                 await trio.sleep(platform.BUS_RETRY_DELAY / 1e9)
 
     async def _poll(self, address: str) -> str:
-        """Polls on one connection until it is of no further use; the reason of its end."""
+        """Polls on one connection until it ends; returns the reason."""
         try:
             with trio.fail_after(platform.BUS_ANSWER_MARGIN / 1e9):
                 stream = await self._runtime.connect(address)
@@ -90,8 +90,9 @@
                     self._on_batch(batch)
                     self.is_up, self.tries = True, 0
                     if batch.offset < offset_before:
-                        # Its numbers go on, says the platform. Taken up from there, earlier events would come
-                        # again, and a server that is draining be in service for as long as that takes.
+                        # The platform guarantees that offsets never decrease, so polling continues from the
+                        # last offset here. From the lower one, earlier events would be applied again, and a
+                        # draining server would be in service until the later ones had arrived.
                         log.warning("bus-behind", bus=self._address, number=offset_before, told=batch.offset)
                     if not session.is_reusable:
                         return "closed"
@@ -99,7 +100,7 @@
                         self.offset == offset_before
                         and trio.current_time() - polled_at < platform.BUS_POLL_TIMEOUT / 2e9
                     ):
-                        # Nothing, and at once: without a pause it would be polled all the time.
+                        # The bus responded early without new events: without a delay, polls would spin.
                         await trio.sleep(platform.BUS_RETRY_DELAY / 1e9)
             except ProtocolError as error:
                 return f"{error.code}: {error}"
@@ -109,7 +110,7 @@
                 return "silent"
 
     async def _poll_once(self, stream: trio.abc.Stream, session: BusSession) -> Batch:
-        """Asks for the events after the last number; TooSlowError where the answer does not come."""
+        """Polls for the events after the last offset; raises TooSlowError if no response arrives in time."""
         with trio.fail_after((platform.BUS_POLL_TIMEOUT + platform.BUS_ANSWER_MARGIN) / 1e9):
             await stream.send_all(session.poll_request(self.offset, platform.BUS_POLL_TIMEOUT // NS_PER_MS))
             while (batch := session.receive(await stream.receive_some(READ_SIZE))) is None:
@@ -117,7 +118,7 @@
             return batch
 
     def _on_batch(self, batch: Batch) -> None:
-        """Applies the events that are new."""
+        """Applies the new events of a batch."""
         for event in batch.batch:
             if event.offset <= self.offset:
                 continue
--- a/valverouter/platform_edge/caller_listener.py
+++ b/valverouter/platform_edge/caller_listener.py
@@ -1,4 +1,4 @@
-"""Callers' connections on the platform: the least useful make way for those that come."""
+"""The listener for callers on the platform: evicts the least useful idle connection for a new one."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         notifier: ReleaseNotifier,
         answered_ids: AnsweredIds,
     ) -> None:
-        """`widths` by traffic type, as the platform's set-ups tell them."""
+        """`widths`: the circuits that a dialog occupies, by traffic type; set-ups must state the same."""
         super().__init__(context, links, incarnation)
         self._widths = widths
         self._connected = connected
@@ -35,7 +35,7 @@
         self._rejection_log = RateLimitedLog()
 
     async def run_connection(self, stream: trio.abc.Stream) -> None:
-        """Serves an admitted connection; it is first sent the ends that no connection was there for."""
+        """Serves an admitted connection; first sends it the releases that had no connection to be sent on."""
         context = self._context
         caller = PlatformCaller(
             stream,
@@ -58,9 +58,9 @@
             self._connected.remove(caller)
 
     def make_space(self) -> bool:
-        """Closes one that has said nothing of use, else the one idle for longest.
+        """Closes an idle connection: one without a valid request if there is one, else the longest idle.
 
-        Who comes may be a good caller that asks at once: closed in its stead, its set-up would be lost.
+        The new connection is preferred, since it may carry a set-up already, which closing it would lose.
         """
         self._rejection_log.warn("no-room", f"{self.open_connections} connections")
         caller = self._connected.eviction_candidate()
@@ -70,13 +70,13 @@
         return True
 
     def free_descriptors(self) -> None:
-        """Closes idle connections where the links to servers need their descriptors."""
+        """Closes idle connections whose file descriptors the links to servers need."""
         for _ in range(self._connected.open_count - self.max_connections):
             if not self.make_space():
                 break
 
     async def refuse(self, stream: trio.abc.Stream) -> None:
-        """Closes a connection that there is no descriptor for, and makes space for the next."""
+        """Closes a connection above the limit, and an idle one to make space for the next."""
         self._refused += 1
         self.make_space()
         await trio.aclose_forcefully(stream)
--- a/valverouter/platform_edge/callers.py
+++ b/valverouter/platform_edge/callers.py
@@ -1,4 +1,4 @@
-"""Callers' connections on the platform: set-ups received, answers and releases sent."""
+"""Callers' connections on the platform: receive set-ups and releases, send answers and releases."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 log = structlog.get_logger()
 
-# So many set-ups of one connection may be pending before its reader waits for space among all events; what is
-# read of it at a time, in bytes, which is how far that can be passed.
+# With this many pending set-ups, a connection's reader waits for space in the event queue.
 MAX_PENDING_SETUPS = 8
+# The size of one read in bytes. It bounds by how much a connection can exceed MAX_PENDING_SETUPS.
 CALLER_READ_SIZE = 16 * 1024
-# Events of one kind are logged once in so many seconds.
+# Events of one kind are logged at most once per interval of this length, in seconds.
 LOG_INTERVAL_S = 10.0
 
 
 class RateLimitedLog:
-    """Logs the first of many events of a kind, and how many were suppressed since."""
+    """Logs one event of each kind per interval, with the number suppressed since the previous one."""
 
     def __init__(self) -> None:
         self._suppressed: dict[str, tuple[float, int]] = {}
 
     def warn(self, kind: str, reason: str) -> None:
-        """Logs the refusal of a caller, unless one of its kind was logged lately."""
+        """Logs that a caller was refused, unless this kind was logged within LOG_INTERVAL_S seconds."""
         now = trio.current_time()
         logged_at, suppressed = self._suppressed.get(kind, (-LOG_INTERVAL_S, 0))
         if now - logged_at < LOG_INTERVAL_S:
@@ -50,10 +50,10 @@
 
 
 class AnsweredIds:
-    """Ids of dialogs that had their final answer or were cancelled, the last so many.
+    """The last `capacity` ids of dialogs that were given their final answer or cancelled.
 
-    Every set-up has a new id, so who comes with one of these again is a faulty caller, and each would be a
-    dialog more for the decisions.
+    Every set-up has a new id, so a caller that repeats one of these is faulty. Without this check, each
+    repetition would start another dialog in the driver.
     """
 
     def __init__(self, capacity: int = 2_048) -> None:
@@ -61,22 +61,22 @@
         self._ids: dict[str, None] = {}
 
     def add(self, id_: str) -> None:
-        """Adds an id; the oldest leaves where there are too many."""
+        """Adds an id; removes the oldest if there are more than the capacity."""
         self._ids[id_] = None
         if len(self._ids) > self._capacity:
             del self._ids[next(iter(self._ids))]
 
     def __contains__(self, id_: str) -> bool:
-        """Whether an id had its answer lately."""
+        """Whether the dialog of this id was recently answered or cancelled."""
         return id_ in self._ids
 
 
 class ConnectedCallers:
-    """Callers' connections, the least useful first; each leaves when it closes.
+    """Callers' open connections, the least useful first.
 
-    Those that asked for nothing sound come first, then the rest, both in the order of their last message.
-    Kept in order as messages come: sorted for each new connection, many of them cost more than the
-    connection.
+    Connections without a valid request come first, then the others, both in the order of their last message.
+    The order is maintained as messages arrive: sorting many connections for each new one cost more than the
+    new connection itself.
     """
 
     def __init__(self) -> None:
@@ -84,36 +84,36 @@
         self._useful: dict[PlatformCaller, None] = {}
 
     def on_received(self, caller: PlatformCaller) -> None:
-        """A caller has sent something: it moves to the end of its group."""
+        """Adds a connection, or moves it to the end of its group after a message."""
         self.remove(caller)
         (self._useful if caller.is_useful else self._unproven)[caller] = None
 
     def remove(self, caller: PlatformCaller) -> None:
-        """A connection is closed."""
+        """Removes a closed connection."""
         self._unproven.pop(caller, None)
         self._useful.pop(caller, None)
 
     @property
     def open_count(self) -> int:
-        """How many are not closed."""
+        """The number of connections that are not closed."""
         return sum(not caller.is_closed for caller in self._in_order())
 
     def eviction_candidate(self) -> PlatformCaller | None:
-        """The least useful one that can be closed without loss."""
+        """The least useful connection that can be closed without loss; None if there is none."""
         return next((caller for caller in self._in_order() if caller.is_idle), None)
 
     def all_quiet(self) -> bool:
-        """Whether each has had what it is owed, and nothing of any lies unread."""
+        """Whether on every connection all input is handled and all output is sent."""
         return all(caller.is_quiet for caller in self._in_order())
 
     def close_quiet(self, owed: Set[CallerConnection]) -> None:
-        """Closes those that have had what they are owed, and on which nothing lies unread, except `owed`."""
+        """Closes the connections with no unhandled input or unsent output, except those in `owed`."""
         for caller in list(self._in_order()):
             if caller not in owed and not caller.is_closed and caller.is_quiet:
                 caller.close()
 
     def most_recent(self) -> PlatformCaller | None:
-        """The one with the latest message, of those that are not closed."""
+        """The open connection with the most recent message; None if all are closed."""
         latest_first = chain(reversed(self._useful), reversed(self._unproven))
         return next((caller for caller in latest_first if not caller.is_closed), None)
 
@@ -124,9 +124,9 @@
 class PlatformCaller(CallerConnection):
     """One caller's connection on the platform.
 
-    `dialogs` are the open ones; established ones belong to no connection. `is_useful` once it has asked for
-    something sound: until then, and while a message is half received, it is closed when `hello_within` has
-    passed.
+    `dialogs` holds the open ones only; established ones belong to no connection. `is_useful` is set by the
+    first valid request. Until then, and while a message is incomplete, the connection is closed once
+    `hello_within` has passed.
     """
 
     def __init__(
@@ -156,10 +156,10 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether closing it loses nothing.
+        """Whether closing the connection loses nothing.
 
-        A set-up that is pending or unread is in no table yet: among many connections some were lost with
-        those that were closed to make space.
+        Pending and unread set-ups count, although no table has them yet: without this check, some were lost
+        when connections were closed to make space.
         """
         if self.is_closed or self.dialogs or self._reader.has_partial_message:
             return False
@@ -167,16 +167,16 @@
 
     @property
     def is_quiet(self) -> bool:
-        """Whether all that it sent was read and handled, and all that it was sent has left."""
+        """Whether all its input was read and handled, and all output to it was sent."""
         if self.is_closed:
             return True
         unread = getattr(self._stream, "has_unread_data", False)
         return not (self.pending_setups or unread) and self._send_queue.is_empty
 
     def close(self) -> None:
-        """Closes the connection at once.
+        """Closes the socket at once.
 
-        A busy loop comes to its task some time later, and what arrives meanwhile would be lost.
+        In a busy event loop the connection's task runs later, and what arrived until then would be lost.
         """
         close_now = getattr(self._stream, "close_now", None)
         if close_now is not None:
@@ -184,12 +184,12 @@
         self._scope.cancel()
 
     def send(self, message: Any) -> None:
-        """Queues an answer or an end, where the platform has a message for it."""
+        """Queues an answer or a release, if the platform's protocol has a message for it."""
         if data := translation.encode_for_caller(message):
             self.write(data)
 
     def write(self, data: bytes) -> None:
-        """Queues bytes; a caller that reads too slowly to take them loses its connection."""
+        """Queues bytes; closes the connection if the caller reads too slowly and the queue is full."""
         if self._scope.cancel_called:
             return
         try:
@@ -199,15 +199,18 @@
             self._scope.cancel()
 
     def expire(self, dialog_id: str, leg: int) -> None:
-        """The platform's sessions keep no state of a dialog."""
+        """Does nothing: the platform's protocol has no session state for dialogs."""
 
     def refuse(self, error: ProtocolError) -> None:
-        """Closes the connection: a message under an open set-up's id would pass for its answer."""
+        """Closes the connection without a message.
+
+        The caller would take a message with the id of an open set-up for the answer to that set-up.
+        """
         self._rejection_log.warn(error.code, str(error))
         self._scope.cancel()
 
     def _on_read_timeout(self) -> None:
-        self._rejection_log.warn("silent", "nothing of use in time")
+        self._rejection_log.warn("silent", "no valid request in time")
 
     async def _on_protocol_error(self, stream: trio.abc.Stream, error: ProtocolError) -> None:
         self._rejection_log.warn(error.code, str(error))
@@ -217,7 +220,7 @@
         has_partial = False
         deadline = trio.current_time() + limit
         while data := await receive_by(stream, CALLER_READ_SIZE, deadline):
-            # A dialog's time runs from its last byte, not from when it is handled.
+            # A set-up's time limit counts from the arrival of its last byte, not from its handling.
             received_at = self._clock.now()
             for message in self._reader.feed(data):
                 if self._scope.cancel_called:
@@ -230,8 +233,8 @@
             elif self.is_useful and not has_partial:
                 deadline = float("inf")
             if len(self.pending_setups) >= MAX_PENDING_SETUPS:
-                # One with few pending set-ups is read on, however full the queue is: its next message may be
-                # a cancel, and its end would go unseen.
+                # A connection with fewer pending set-ups is read even if the queue is full: otherwise a
+                # cancel, or the end of the connection, would go unnoticed.
                 await self._events.wait_for_space()
 
     def _on_message(self, message: isup.Message, received_at: int) -> None:
@@ -246,13 +249,13 @@
         elif message.type == isup.IAM:
             self._on_setup(message, received_at)
         elif message.type not in (isup.RLC, isup.ACM):
-            raise ProtocolError("out-of-state", f"type {message.type} from a caller")
+            raise ProtocolError("out-of-state", f"message type {message.type} is not sent by callers")
 
     def _on_setup(self, message: isup.Message, received_at: int) -> None:
         if message.id in self._answered_ids:
-            # It may have come hundreds of times at once: the connection is closed, not one answer sent for
-            # each.
-            self.refuse(ProtocolError("out-of-state", f"{message.id} has had its answer"))
+            # Closes the connection instead of answering each repetition: a faulty caller may send hundreds at
+            # once.
+            self.refuse(ProtocolError("out-of-state", f"dialog {message.id} was already answered"))
             return
         try:
             request = translation.parse_setup(message, self._deployment, self._widths)
@@ -269,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EstablishedReported:
-    """A caller reports a dialog that is established already."""
+    """A caller's report of an established dialog that this process may not know."""
 
     caller: PlatformCaller
     dialog: translation.EstablishedDialog
--- a/valverouter/platform_edge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -1,4 +1,4 @@
-"""Links to core servers: a few connections each, and established dialogs, which belong to none of them."""
+"""Links to core servers: each has several connections; established dialogs belong to the link itself."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 log = structlog.get_logger()
 
-# Connections to each server: one that breaks takes the attempts on it along, the others go on.
+# More than one, so that a broken connection resets only the attempts on it.
 CONNECTIONS_PER_SERVER = 2
 
 
 class PlatformLink(ServerLink):
     """One server's link on the platform.
 
-    A set-up belongs to the connection that it left on and ends with it, a reset. An established dialog is
-    ended by the server's release alone, or by a server that is gone: refusing connections, out of reach for
-    long, listed as gone or with another start.
+    A set-up belongs to the connection that it was sent on; if that connection is lost, the attempt is reset.
+    An established dialog ends only if the server releases it or has cut it. A server has cut its dialogs if
+    it refuses connections, was unreachable for UNREACHABLE_TIMEOUT, has restarted or is listed as gone.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         self._unknown_releases = unknown_releases
         self._connections: list[ServerConnection] = []
         self._connecting = 0
-        # Established dialogs, by id; each leaves with its end. Follows `attempts`.
+        # The attempt key of each established dialog, by dialog id. Updated together with `attempts`.
         self._established: dict[str, tuple[str, int]] = {}
-        # Since when, by the system's clock; follows `_established`.
+        # When each was established, Unix time in nanoseconds. Updated together with `_established`.
         self._established_at: dict[str, int] = {}
-        # Releases that found no connection; emptied by the next one, and with the link.
+        # Releases to send on the next connection, with their causes, by dialog id.
         self._pending_releases: dict[str, int] = {}
         self._refused_connect_count = 0
         self._last_received_at = trio.current_time()
@@ -63,12 +63,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether no connection follows after a LinkDown."""
+        """Whether the link does not reconnect after a LinkDown."""
         return self.has_ended
 
     @property
     def is_writable(self) -> bool:
-        """Whether a connection is up or being made."""
+        """Whether a connection is up or being made and the link is not closing."""
         return (
             not self.has_ended
             and not self._close_reason
@@ -76,14 +76,14 @@
         )
 
     def has_attempt(self, key: tuple[str, int]) -> bool:
-        """Whether an attempt is open here, or messages about its dialog's last one may still come."""
+        """Whether this attempt is open, or messages about the dialog's previous attempt may still arrive."""
         return key in self.attempts or (
             bool(self._connections)
             and not any(connection.can_start(key[0]) for connection in self._connections)
         )
 
     def add_established(self, key: tuple[str, int]) -> None:
-        """Adds a dialog that its caller reports as established here."""
+        """Adds a dialog that its caller reports as established at this server."""
         self.attempts[key] = False
         self._record_established(key)
 
@@ -96,13 +96,14 @@
         return self._established.pop(dialog_id, None)
 
     def on_server_restarted(self, started_at: int) -> None:
-        """The list reports a restart: what was established before it is cut.
+        """Cuts the dialogs established before the restart that the endpoint list reports.
 
-        What is established since belongs to the new process, which took set-ups before the list had it.
+        `started_at`: the Unix time of the restart in nanoseconds. Later dialogs belong to the new process,
+        which may accept set-ups before the list shows it.
         """
         cut = [self._established[id_] for id_, since in self._established_at.items() if since < started_at]
         if cut:
-            self._cut_dialogs(frozenset(cut), "another start")
+            self._cut_dialogs(frozenset(cut), "server restarted")
 
     def _cut_dialogs(self, cut: frozenset[tuple[str, int]], reason: str) -> None:
         for key in cut:
@@ -112,7 +113,7 @@
         self._events.put(LinkDown(self, reason, cut, frozenset()))
 
     def start_attempt(self, key: tuple[str, int], message: Any) -> None:
-        """Queues a set-up on the connection with the fewest open ones, or for the next connection."""
+        """Queues a set-up on the connection with the fewest open ones; without a connection, for the next."""
         self.attempts[key] = False
         if self._connections:
             available = [connection for connection in self._connections if connection.can_start(key[0])]
@@ -141,7 +142,7 @@
     def send(
         self, message: Any, key: Hashable | None = None, on_sent: Callable[[], None] | None = None
     ) -> None:
-        """Cancels an open attempt or releases an established dialog; nothing follows from the server."""
+        """Cancels an open attempt or releases an established dialog; the server sends no closing message."""
         key = message.dialog, message.leg
         self.attempts.pop(key, None)
         self._remove_established(message.dialog)
@@ -173,11 +174,11 @@
             self._pending_releases[dialog_id] = translation.CAUSE_ENDED
 
     def _has_dialog(self, dialog_id: str) -> bool:
-        """Whether an attempt of that dialog is in flight or established here."""
+        """Whether an attempt of this dialog is in flight or established at this server."""
         return dialog_id in self._established or any(key[0] == dialog_id for key in self.attempts)
 
     def withdraw(self, key: tuple[str, int]) -> bool:
-        """Takes back a set-up that has not left; whether it could be."""
+        """Withdraws an unsent set-up and removes its attempt; returns False if it may have been sent."""
         if self._early_attempts.pop(key, None) is None:
             connection = next(
                 (connection for connection in self._connections if connection.open_setups.get(key[0]) == key),
@@ -190,19 +191,19 @@
         return True
 
     def is_partly_sent(self, key: tuple[str, int]) -> bool:
-        """Whether a stream has been handed this set-up and not yet taken it."""
+        """Whether this set-up was passed to a stream, which has not yet accepted all of it."""
         return any(key in connection.send_queue.in_flight for connection in self._connections)
 
     def send_early_attempts(self) -> None:
-        """Nothing waits for a welcome on the platform."""
+        """Does nothing: the platform's protocol has no welcome to wait for."""
 
     def close(self, reason: str) -> None:
-        """The server is gone: its connections end, and its established dialogs are cut."""
+        """Closes all connections to a server that is gone; `run` then ends its dialogs as cut."""
         self._close_reason = self._close_reason or reason
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Keeps the connections up; ends once the server is not listed and nothing is left there."""
+        """Keeps the connections up until the server is out of service and has no attempts or dialogs."""
         with self._scope:
             async with trio.open_nursery() as nursery:
                 for _ in range(CONNECTIONS_PER_SERVER):
@@ -216,18 +217,18 @@
         self._connections.clear()
         self.has_ended = True
         self._events.put(
-            LinkDown(self, self._close_reason or "nothing left here", frozenset(attempts) - unsent, unsent)
+            LinkDown(self, self._close_reason or "no attempts left", frozenset(attempts) - unsent, unsent)
         )
 
     async def _keep_connected(self) -> None:
-        """One of the connections, made again while the server is in service or has attempts."""
+        """Runs one connection; reconnects while the server is in service or has attempts."""
         tries = 0
         while self.in_service or self.attempts:
             started_at = trio.current_time()
             with isolate_failure("link", lambda: self.server):
                 await self._run_connection()
             tries = tries + 1 if trio.current_time() - started_at < 1 else 0
-            # The first time at once: a connection that broke says little of its server.
+            # The first reconnect is immediate: one broken connection does not mean that the server failed.
             await trio.sleep(self._reconnect_delay(tries) / 1e9 if tries else 0)
 
     async def _run_connection(self) -> str:
@@ -263,7 +264,7 @@
 
     def _on_connected(self, connection: ServerConnection) -> None:
         self._connections.append(connection)
-        # Pending releases first: a set-up that waits may be the same dialog's next attempt.
+        # Releases are sent first: a queued set-up may be the next attempt of the same dialog.
         releases, self._pending_releases = self._pending_releases, {}
         for dialog_id, cause in releases.items():
             connection.on_release_sent(dialog_id)
@@ -273,7 +274,7 @@
             self._write_setup(connection, key, message)
 
     def _on_connection_lost(self, connection: ServerConnection, reason: str) -> None:
-        """A connection is gone: the set-ups open on it are reset, established dialogs go on."""
+        """Resets the set-ups open on a lost connection; established dialogs continue."""
         if connection in self._connections:
             self._connections.remove(connection)
         unsent = frozenset(
@@ -282,9 +283,10 @@
         sent = frozenset(connection.open_setups.values()) - unsent
         for key in connection.open_setups.values():
             self.attempts.pop(key, None)
-        # Its answer may have been what was lost: then it is established there, and nobody would ever end it.
-        # What was released on this connection shortly before may never have been read: with both connections
-        # closed at once, the first one's releases went to the second, and were lost with that one.
+        # The lost input may have included the answer to a set-up. That dialog would then be established at
+        # the server and never released, so it is released on another connection.
+        # A release sent on this connection shortly before may not have been read, and is sent again: when
+        # both connections were closed at once, releases for the first went to the second and were lost too.
         unread = [dialog_id for dialog_id in connection.sent_releases if not self._has_dialog(dialog_id)]
         for dialog_id in sorted({dialog_id for dialog_id, _ in sent}.union(unread)):
             self._release(dialog_id)
@@ -295,10 +297,10 @@
         self._cut_if_unreachable(reason)
 
     def _on_connect_failed(self, error: BaseException) -> None:
-        """No connection: nothing that waited for it ran.
+        """Ends the attempts that were queued for a connection as unsent, if none is up or being made.
 
-        A server that refuses all connections twice, or is out of reach for long, has cut what was
-        established.
+        A server that refuses every connection twice, or is unreachable for UNREACHABLE_TIMEOUT, has cut its
+        established dialogs.
         """
         if self._connections:
             return
@@ -314,17 +316,18 @@
         self._cut_if_unreachable(reason)
 
     def _cut_if_unreachable(self, reason: str) -> None:
-        """With no connection left, cuts what is established where the server must have cut it by now."""
+        """Ends the established dialogs as cut if the server must have cut them and no connection is left."""
         is_unreachable = self._refused_connect_count >= 2 * CONNECTIONS_PER_SERVER
         is_unreachable = (
             is_unreachable
             or trio.current_time() - self._last_received_at > platform.UNREACHABLE_TIMEOUT / 1e9
         )
         if is_unreachable and self._established and not self._connections:
-            # Should it only have been out of reach, it is told that no dialog is left on this side.
+            # If the server was only unreachable, its dialogs are released once it is connected again.
             self._pending_releases |= dict.fromkeys(self._established, translation.CAUSE_ENDED)
             self._cut_dialogs(
-                frozenset(self._established.values()), f"{reason}, {self._refused_connect_count} refused"
+                frozenset(self._established.values()),
+                f"{reason}, {self._refused_connect_count} connects refused",
             )
 
     async def _write_connection(self, connection: ServerConnection, stream: trio.abc.Stream) -> None:
@@ -334,14 +337,17 @@
             connection.close("reset")
 
     async def _probe(self, connection: ServerConnection) -> None:
-        """Closes a connection that stays silent: its machine may be cut off, with the connection open."""
+        """Sends probes, and closes the connection if none is answered.
+
+        The server's host may be disconnected while the connection stays open.
+        """
         limit = self._config.silence / 1e9
         while True:
             probed_at = trio.current_time()
             self._put(connection, lines.encode_ping(translation.NO_DIALOG_ID))
             await trio.sleep(limit)
             if connection.received_at < probed_at:
-                # After a stall of our own what came meanwhile is read first.
+                # After a stall of this process, input that arrived meanwhile is read first.
                 await trio.sleep(limit / 10)
                 if connection.received_at < probed_at:
                     connection.close("silent")
@@ -355,11 +361,11 @@
                 self._on_message(connection, message)
 
     def _on_message(self, connection: ServerConnection, message: lines.Line) -> None:
-        """Tables follow each message as it is read: should the rest of the connection be lost, it holds."""
+        """Updates the tables as each message is read, so that losing the connection later can't undo it."""
         id_ = message.id
         if message.type == "answer":
             key = connection.open_setups.get(id_)
-            # Without a key it is a duplicate, or of no attempt here.
+            # Without a key it is a duplicate, or does not belong to an open attempt.
             if key is not None and message.sdp is not None:
                 del connection.open_setups[id_]
                 self._record_established(key)
@@ -391,7 +397,7 @@
 
 
 def _all_attempts_refused(error: BaseException) -> bool:
-    """Whether each address was refused; trio reports those that it tried, here one."""
+    """Whether the connection was refused at every address; trio wraps one error per address that it tried."""
     causes = error.__cause__
     if isinstance(causes, BaseExceptionGroup):
         return all(isinstance(cause, ConnectionRefusedError) for cause in causes.exceptions)
--- a/valverouter/platform_edge/proxy.py
+++ b/valverouter/platform_edge/proxy.py
@@ -1,6 +1,6 @@
-"""The edge proxy behind the platform's protocol.
+"""The edge proxy on the operators' platform.
 
-What differs from `EdgeProxy` is who an established dialog belongs to, and where messages come from and go to.
+It differs from `EdgeProxy` in its protocols, and in that established dialogs belong to no connection.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class PlatformProxy(EdgeProxy):
-    """An instance on the platform."""
+    """An edge proxy instance on the platform."""
 
     closing_period = CLOSING_PERIOD
     source: BusClient
@@ -37,7 +37,7 @@
     listener: PlatformListener
 
     def __init__(self, platform: PlatformConfig, runtime: Runtime) -> None:
-        """`platform`: the configuration, whole and checked."""
+        """`platform`: the complete, validated configuration."""
         self.connected = ConnectedCallers()
         self.release_notifier = ReleaseNotifier(self.connected)
         self._platform = platform
@@ -49,17 +49,19 @@
         self._log.info("edge-started", limits=limits, seed=platform.config.seed)
 
     def reconfigure(self, platform: PlatformConfig) -> None:
-        """A new configuration: the event bus's address and events act, all else waits for a new start.
+        """Applies the event bus's address and events; other settings take effect with the next start.
 
-        MalformedInputError, and nothing of it acts, where it is another edge proxy's.
+        Raises MalformedInputError, and applies nothing, if the configuration is for another edge proxy.
         """
         if platform.config.name != self.config.name:
-            raise MalformedInputError(f"name: {platform.config.name!r}, this is {self.config.name!r}")
+            raise MalformedInputError(
+                f"name: {platform.config.name!r}, but this edge proxy is {self.config.name!r}"
+            )
         self.source.apply_events(platform.known)
         self.source.set_address(platform.config.list_service)
         self._log.info("configuration-reloaded", bus=platform.config.list_service)
 
-    # The parts
+    # Factories for the components
 
     def _make_source(self) -> BusClient:
         context = self.context
@@ -92,23 +94,23 @@
 
     @property
     def _is_done(self) -> bool:
-        # Ends are passed on as long as there is a connection for them.
+        # Until closing starts, established dialogs count too, so that their releases are passed on.
         if self.context.shutdown.is_closing(self.context.now):
             return not self.dialogs.open_count
         return not self.dialogs.entries
 
     @property
     def _is_quiet(self) -> bool:
-        # A request that the kernel has accepted for us is accepted: ended with it unread, it would be lost.
+        # A request that the kernel has received must be answered; it would be lost if the process ended.
         return super()._is_quiet and self.connected.all_quiet()
 
     def _close_idle_callers(self) -> None:
-        # Callers that go on asking would keep the process from being quiet up to the last moment before
-        # SIGKILL, where a busy host may give it no turn any more. What crosses the close is sent again.
+        # Callers that keep sending set-ups would keep the process busy until shortly before SIGKILL, when a
+        # busy host may not schedule it any more. Callers repeat a set-up that crosses the close.
         owed = {entry.caller for entry in self.dialogs.entries.values() if not entry.is_established}
         self.connected.close_quiet(owed)
 
     def _on_endpoint_update(self, update: EndpointUpdate) -> None:
         super()._on_endpoint_update(update)
-        # While the list was away callers may have taken the descriptors that its servers need now.
+        # While the bus was unreachable, callers may have taken the file descriptors that servers need now.
         self.listener.free_descriptors()
--- a/valverouter/platform_edge/server_connection.py
+++ b/valverouter/platform_edge/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a core server, and what may still be in doubt on it."""
+"""One connection to a core server, with the set-ups and releases whose outcome is still uncertain."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from valverouter.edge.queues import SendQueue
 
-# For so long after the message that closed an attempt a duplicate of it may come.
+# How long after the closing message of an attempt a duplicate of it may arrive.
 DUPLICATE_WINDOW_S = 0.25
-# For so long a release may lie unread on a dead connection: longer than it takes to find that out.
+# How long a release may be unread on a dead connection: longer than it takes to detect such a connection.
 UNREAD_RELEASE_WINDOW_S = 5.0
 
 
 def _record_time(times: dict[str, float], id_: str, lifetime_s: float) -> None:
-    """Notes the present moment for an id, and drops those older than so many seconds."""
+    """Records the current time for an id and removes entries older than `lifetime_s` seconds."""
     now = trio.current_time()
     times.pop(id_, None)
     times[id_] = now
@@ -22,12 +22,12 @@
 
 
 class ServerConnection:
-    """One connection. `open` are the set-ups on it that have no answer, by id.
+    """One connection. `open_setups`: the attempt keys of unanswered set-ups, by dialog id.
 
-    `closed`: dialogs whose attempt here was rejected or cancelled lately, with the moment; a duplicate of
-    that message may still come, and would pass for the answer to the same dialog's next attempt. `released`:
-    what was released here lately, which is lost with this connection where nobody read it. Both are emptied
-    by time.
+    `closed_attempts`: when an attempt was rejected or cancelled on this connection, by dialog id; a duplicate
+    of that message may still arrive and would be taken for the answer to the dialog's next attempt.
+    `sent_releases`: when a dialog was released on this connection, by id; the release is lost if the
+    connection breaks before the server reads it. Old entries of both are removed.
     """
 
     def __init__(self, send_queue: SendQueue) -> None:
@@ -40,20 +40,23 @@
         self.received_at = trio.current_time()
 
     def close(self, reason: str) -> None:
-        """Ends this connection."""
+        """Closes this connection; the first reason is kept."""
         self.close_reason = self.close_reason or reason
         self.scope.cancel()
 
     def on_attempt_closed(self, id_: str) -> None:
-        """The attempt of a dialog was rejected or cancelled on this connection."""
+        """Records that the attempt of a dialog was rejected or cancelled on this connection."""
         _record_time(self.closed_attempts, id_, DUPLICATE_WINDOW_S)
 
     def on_release_sent(self, id_: str) -> None:
-        """A dialog was released on this connection."""
+        """Records that a dialog was released on this connection."""
         _record_time(self.sent_releases, id_, UNREAD_RELEASE_WINDOW_S)
 
     def can_start(self, id_: str) -> bool:
-        """Whether no message about a dialog's last attempt can be mistaken here for one about its next."""
+        """Whether the next attempt of a dialog can be started on this connection.
+
+        It can't while a message about the previous attempt could be mistaken for one about the next.
+        """
         return (
             id_ not in self.open_setups
             and self.closed_attempts.get(id_, -DUPLICATE_WINDOW_S) <= trio.current_time() - DUPLICATE_WINDOW_S
--- a/valverouter/platform_edge/server_links.py
+++ b/valverouter/platform_edge/server_links.py
@@ -10,22 +10,22 @@
 from valverouter.platform_edge.link import PlatformLink
 from valverouter.platform_edge.unknown_releases import UnknownReleases
 
-# Incarnations are moments of their start in milliseconds.
+# Incarnations are start times in Unix milliseconds.
 NS_PER_MS = 10**6
 
 
 class PlatformLinks(ServerLinks):
-    """Links on the platform; a server that is gone has cut what was established there."""
+    """Links on the platform; a server that is gone or restarted has cut its established dialogs."""
 
     def __init__(
         self, context: ProxyContext, source: EndpointSource, unknown_releases: UnknownReleases
     ) -> None:
-        """`unknown_releases` gets the ends of dialogs that are not known here."""
+        """Releases of unknown dialogs are added to `unknown_releases`."""
         super().__init__(context, source)
         self._unknown_releases = unknown_releases
 
     def make_link(self, server: str, address: str) -> ServerLink:
-        """A link that is not yet connected."""
+        """Creates a link that is not yet connected."""
         context = self._context
         return PlatformLink(
             server,
@@ -39,17 +39,17 @@
         )
 
     def on_endpoint_update(self, update: EndpointUpdate) -> None:
-        """The endpoint list, or a change of it, was received."""
+        """Applies a complete endpoint list or an incremental update."""
         for row in update.rows:
             before = self.incarnations.current(row.server)
             link = self.by_server.get(row.server)
             if isinstance(link, PlatformLink) and before is not None and before < row.incarnation:
-                # Another process under that name: it knows nothing of what was established at the one before.
+                # The new process does not know the dialogs that were established at the previous one.
                 link.on_server_restarted(row.incarnation * NS_PER_MS)
         super().on_endpoint_update(update)
 
     def take_out_of_service(self, server: str, is_gone: bool) -> None:
-        """Draining or gone: nothing new; one that is gone is closed at once."""
+        """Stops sending attempts to a draining server; closes the link to one that is gone."""
         super().take_out_of_service(server, is_gone)
         if is_gone and (link := self.by_server.get(server)) is not None:
             link.close("gone")
--- a/valverouter/platform_edge/translation.py
+++ b/valverouter/platform_edge/translation.py
@@ -1,4 +1,4 @@
-"""Conversion between the platform's messages and ours, without I/O."""
+"""Conversion between the platform's messages and those of valverouter.signalling, without I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 NS_PER_MS = 10**6
 
-# Causes after ITU-T Q.850. A rejected attempt may safely be retried, a failed one may not.
+# Release causes as in ITU-T Q.850. A rejected attempt may safely be retried, a failed one may not.
 CAUSE_ENDED, CAUSE_BUSY, CAUSE_NO_CIRCUIT, CAUSE_INTERRUPTED, CAUSE_CONGESTION = 16, 17, 34, 41, 42
 CAUSE_FAULT, CAUSE_INVALID_REQUEST = 47, 100
 PHASES: dict[str, ServerPhase] = {"Ready": "in-service", "Gone": "gone"}
@@ -25,14 +25,14 @@
 
 
 class PlatformSetup(setup.Setup, frozen=True, kw_only=True):
-    """A set-up with what is forwarded unchanged: the called number as written, and the description."""
+    """A set-up with the fields forwarded unchanged: the called number and the session description."""
 
     key: str
     description: str
 
 
 class EstablishedWithDescription(setup.Established, frozen=True, kw_only=True):
-    """A server's answer with its description, which is forwarded to the caller unchanged."""
+    """A server's answer with its session description, which is forwarded to the caller unchanged."""
 
     answer_name: ClassVar[str] = "answered"
 
@@ -40,7 +40,7 @@
 
 
 class EstablishedDialog(msgspec.Struct, frozen=True, rename={"setup": "asked"}):
-    """A dialog that is established at a server, as its caller reports to an edge proxy that may not know."""
+    """A dialog established at a server, as reported by its caller to an edge proxy that may not know it."""
 
     setup: PlatformSetup
     server: str
@@ -49,13 +49,13 @@
 def parse_setup(
     message: isup.Message, deployment: Deployment, widths: Mapping[str, int]
 ) -> PlatformSetup | EstablishedDialog:
-    """Parses and validates a caller's set-up; ProtocolError where it is invalid.
+    """Parses and validates a caller's set-up or report; raises ProtocolError if it is invalid.
 
-    A server closes its connection, with all attempts on it, on an invalid message, so none is forwarded.
+    Invalid set-ups must not be forwarded: a server closes the connection, with all attempts on it.
     """
     if message.id == NO_DIALOG_ID:
-        # Servers close the connection on it: in a run with faulty callers 45 did, each a reset of the
-        # attempts there, which counted as the server's failure.
+        # Servers close the connection on such a set-up. In a run with faulty callers this happened 45 times,
+        # each a reset of all attempts on the connection, which counted as failures of the server.
         raise ProtocolError("malformed", "a set-up without an id")
     parameters = message.parameters
     routing_fields = isup.parse_routing_fields(parameters.get(isup.ROUTING_FIELDS, b""))
@@ -63,12 +63,12 @@
     time_left, key = _ascii_parameter(parameters, isup.TIME_LEFT), _ascii_parameter(parameters, isup.CALLED)
     description = _description(parameters)
     if traffic_type not in deployment.traffic_types:
-        raise ProtocolError("unknown-class", f"class {traffic_type[:40]!r}")
+        raise ProtocolError("unknown-class", f"unknown class {traffic_type[:40]!r}")
     _check_values(time_left, key, description)
     preferred = _preferred_server(routing_fields, traffic_type, deployment)
     width = _parse_integer(routing_fields, "width", 1)
     if width != widths.get(traffic_type, width) or width < 1:
-        raise ProtocolError("malformed", f"{traffic_type} with width {width}")
+        raise ProtocolError("malformed", f"class {traffic_type} with invalid width {width}")
     _parse_integer(routing_fields, "via", -1)
     request = PlatformSetup(
         dialog=message.id,
@@ -87,28 +87,29 @@
     try:
         return parameters.get(isup.DESCRIPTION, b"").decode()
     except UnicodeDecodeError:
-        raise ProtocolError("malformed", "a description that is no text") from None
+        raise ProtocolError("malformed", "the session description is not UTF-8") from None
 
 
 def _check_values(time_left: str, key: str, description: str) -> None:
     is_number = time_left.isascii() and time_left.isdigit() and len(time_left) < 8
     if not (is_number and 0 < int(time_left) * NS_PER_MS <= setup.MAX_DURATION):
-        raise ProtocolError("malformed", f"time {time_left[:40]!r}")
+        raise ProtocolError("malformed", f"invalid time left {time_left[:40]!r}")
     if len(key) != 16 or not set(key) <= set("0123456789abcdef"):
-        raise ProtocolError("malformed", f"number {key[:40]!r}")
+        raise ProtocolError("malformed", f"invalid called number {key[:40]!r}")
     if not 0 < len(description) <= MAX_DESCRIPTION_LENGTH:
-        raise ProtocolError("malformed", f"a description of {len(description)} characters")
+        raise ProtocolError("malformed", f"session description of {len(description)} characters")
 
 
 def _preferred_server(routing_fields: dict[str, str], traffic_type: str, deployment: Deployment) -> int:
-    """The number of the server to try first; -1: any.
+    """Returns the number of the preferred server, -1 for any.
 
-    Servers answer 'error' to one that the traffic type can't have, which would use up retry tokens.
+    A server that does not serve the traffic type answers 'error', and the retries would use up tokens. So
+    such a preference is an error here.
     """
     preferred = _parse_integer(routing_fields, "dest", -1)
     numbers = deployment.traffic_types[traffic_type].server_numbers
     if preferred >= 0 and numbers is not None and preferred not in numbers:
-        raise ProtocolError("malformed", f"{traffic_type} with first choice {preferred}")
+        raise ProtocolError("malformed", f"class {traffic_type} is not served by server {preferred}")
     return preferred
 
 
@@ -116,7 +117,7 @@
     try:
         return parameters.get(code, b"").decode("ascii")
     except UnicodeDecodeError:
-        raise ProtocolError("malformed", f"parameter {code} is no ASCII") from None
+        raise ProtocolError("malformed", f"parameter {code} is not ASCII") from None
 
 
 def _parse_integer(routing_fields: dict[str, str], name: str, default: int) -> int:
@@ -125,12 +126,12 @@
         return default
     digits = text.removeprefix("-")
     if not (digits.isdigit() and len(digits) < 10) or int(text) < -1:
-        raise ProtocolError("malformed", f"figure {name}:{text[:40]}")
+        raise ProtocolError("malformed", f"invalid routing field {name}:{text[:40]}")
     return int(text)
 
 
 def encode_for_caller(message: setup.LegMessage) -> bytes:
-    """An answer or an end as bytes for the caller's connection; empty: there is no such message there."""
+    """Encodes an answer or a release for a caller; empty if the platform's protocol has no such message."""
     id_ = message.dialog
     match message:
         case EstablishedWithDescription(description=description):
@@ -149,7 +150,7 @@
 
 
 def encode_for_server(message: PlatformSetup) -> bytes:
-    """A set-up as bytes for a server's connection."""
+    """Encodes a set-up for a server."""
     time_left_ms = max(1, message.time_left // NS_PER_MS)
     return lines.encode_setup(
         message.dialog, message.traffic_type, message.key, time_left_ms, message.description
@@ -157,7 +158,7 @@
 
 
 def parse_rejection(line: lines.Line, leg: int) -> setup.LegMessage | None:
-    """A server's release before its answer; None where the set-up was lost on its way: a reset."""
+    """Converts a server's release of an unanswered set-up; None if the attempt counts as a reset."""
     note = line.fields.get("note")
     if line.cause == CAUSE_NO_CIRCUIT:
         report = parse_load(line)
@@ -172,7 +173,7 @@
     return None
 
 
-# The names of a load report's values, either of two.
+# The two alternative names of each value in a load report.
 _FREE_LINES_KEYS, _LINES_KEYS, _QUEUE_DELAY_KEYS, _UTILIZATION_KEYS, _QUEUE_LENGTH_KEYS = (
     ("x0", "idle"),
     ("x1", "circuits"),
@@ -183,7 +184,7 @@
 
 
 def parse_load(line: lines.Line) -> setup.Load | None:
-    """The load report that came with a message; None: none came. A figure of -1 is not known."""
+    """Returns the load report of a message, None if it has none; negative values count as not reported."""
     text = line.fields.get("load")
     if not isinstance(text, str):
         return None
@@ -208,7 +209,7 @@
 
 
 def endpoint_row(host: Host, now: int) -> EndpointRow:
-    """A server of the list; `now`: Unix time in ns."""
+    """Converts a server of the event bus; `now`: Unix time in nanoseconds."""
     return EndpointRow(
         server=host.host,
         number=host.block,
--- a/valverouter/platform_edge/unknown_releases.py
+++ b/valverouter/platform_edge/unknown_releases.py
@@ -1,25 +1,25 @@
-"""Ends of dialogs that are not known here, stored for callers that have yet to report them."""
+"""Releases of unknown dialogs, stored until their callers report the dialogs."""
 
 from __future__ import annotations
 
 import trio
 
-# How long the end of an unknown dialog is stored, for a caller that has yet to report the dialog.
+# How long the release of an unknown dialog is stored, in seconds.
 UNKNOWN_RELEASE_LIFETIME_S = 15.0
 MAX_UNKNOWN_RELEASES = 1_000
 
 
 class UnknownReleases:
-    """Releases that came for dialogs not known here; emptied by time, and held to a count.
+    """Releases received for unknown dialogs, limited in age and number.
 
-    After our own restart a server may tell of an end before the caller reports the dialog.
+    After a restart of this edge proxy, a server may release a dialog before its caller has reported it.
     """
 
     def __init__(self) -> None:
         self._releases: dict[str, tuple[float, bool]] = {}
 
     def add(self, id_: str, was_cut: bool) -> None:
-        """A dialog that is not known here has ended."""
+        """Stores the release of an unknown dialog; `was_cut`: the server cut it."""
         now = trio.current_time()
         self._releases[id_] = now, was_cut
         while self._releases:
@@ -32,6 +32,6 @@
             del self._releases[first]
 
     def pop(self, id_: str) -> bool | None:
-        """Whether a dialog was cut; None where no end of it is known."""
+        """Removes a dialog's release and returns whether the dialog was cut; None if no release is stored."""
         known = self._releases.pop(id_, None)
         return known[1] if known else None
--- a/valverouter/platform_protocol/__init__.py
+++ b/valverouter/platform_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of the operators' platform, without I/O: callers' binary messages, servers' lines, the event bus."""
+"""Codecs of the operators' platform, without I/O: callers' messages, servers' lines, the event bus."""
--- a/valverouter/platform_protocol/bus.py
+++ b/valverouter/platform_protocol/bus.py
@@ -1,4 +1,4 @@
-"""The event bus: the endpoint list as numbered events, by long polls over HTTP/1.1 (h11)."""
+"""The event bus: the endpoint list as numbered events, fetched by long polls over HTTP/1.1 (h11)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class Host(msgspec.Struct, frozen=True):
-    """One core server, by the wire's names. `born_ms`: the Unix time of its start in ms, 0: long ago."""
+    """One core server; the field names are those on the wire.
+
+    `born_ms`: the Unix time of its start in milliseconds, 0 for a start long ago.
+    """
 
     host: str
     health: str
@@ -22,21 +25,21 @@
 
 
 class Topology(msgspec.Struct, frozen=True):
-    """Core servers: all of them (`whole`), or those that changed."""
+    """Core servers: the complete list (`whole`) or the servers that changed."""
 
     hosts: list[Host]
     whole: bool = False
 
 
 class BusEvent(msgspec.Struct, frozen=True):
-    """One event; those without a topology are of no interest here."""
+    """One event; events without a topology are ignored."""
 
     offset: int
     topology: Topology | None = None
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """The events after the requested offset; `offset` is that of the last one."""
+    """The events after the requested offset; `offset` is that of the last event."""
 
     offset: int
     batch: list[BusEvent] = []
@@ -46,7 +49,7 @@
 
 
 def decode_batch(data: bytes | bytearray) -> Batch:
-    """Decodes events from a configuration or an answer; ProtocolError where they are malformed."""
+    """Decodes events from a configuration or a response; raises ProtocolError if they are malformed."""
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -54,7 +57,7 @@
 
 
 class BusSession:
-    """One connection to the event bus; only complete answers are returned."""
+    """One connection to the event bus; returns complete responses only."""
 
     def __init__(self, address: str) -> None:
         self._address = address
@@ -63,7 +66,10 @@
         self._status = 0
 
     def poll_request(self, offset: int, timeout_ms: int) -> bytes:
-        """Encodes a poll for the events after `offset`; the previous answer must be complete."""
+        """Encodes a poll for the events after `offset`; the previous response must be complete.
+
+        The bus waits up to `timeout_ms` milliseconds for an event before it responds.
+        """
         if self._connection.our_state is h11.DONE:
             self._connection.start_next_cycle()
         self._body.clear()
@@ -75,13 +81,13 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the server keeps this connection open for another poll."""
+        """Whether another poll can be sent on this connection."""
         return self._connection.our_state is h11.DONE and self._connection.their_state is h11.DONE
 
     def receive(self, data: bytes | bytearray) -> Batch | None:
-        """The answer once it is complete, else None; ProtocolError where none can follow.
+        """Returns the response once it is complete, else None; empty `data` is the end of the stream.
 
-        Empty `data` is the end of the stream.
+        Raises ProtocolError if the response is invalid, too large, an HTTP error or incomplete.
         """
         try:
             self._connection.receive_data(bytes(data))
@@ -94,12 +100,14 @@
                 elif isinstance(event, h11.Data):
                     self._body += event.data
                     if len(self._body) > MAX_RESPONSE_SIZE:
-                        raise ProtocolError("too-large", f"an answer of over {MAX_RESPONSE_SIZE} bytes")
+                        raise ProtocolError("too-large", f"the response exceeds {MAX_RESPONSE_SIZE} bytes")
                 elif isinstance(event, h11.EndOfMessage):
                     if self._status != 200:
-                        raise ProtocolError("refused", f"status {self._status}")
+                        raise ProtocolError("refused", f"HTTP status {self._status}")
                     return decode_batch(self._body)
                 elif isinstance(event, h11.ConnectionClosed):
-                    raise ProtocolError("half-sent", "the event bus closed the connection")
+                    raise ProtocolError(
+                        "half-sent", "the event bus closed the connection before the response was complete"
+                    )
         except h11.RemoteProtocolError as error:
             raise ProtocolError("malformed", str(error)) from None
--- a/valverouter/platform_protocol/lines.py
+++ b/valverouter/platform_protocol/lines.py
@@ -1,4 +1,4 @@
-"""Servers' messages on the platform: one JSON object a line."""
+"""Servers' messages on the platform: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Line(msgspec.Struct, omit_defaults=True):
-    """A received message; `cause` and `sdp` (the session description) are absent in most types."""
+    """A received message; most types have no `cause` and no `sdp` (the session description)."""
 
     type: str
     id: str = ""
@@ -23,7 +23,7 @@
 
 
 class _OutgoingLine(msgspec.Struct):
-    """A sent message: `fields` is always present, even where it is empty."""
+    """A message to send; `fields` is written even if it is empty."""
 
     type: str
     id: str
@@ -37,27 +37,27 @@
 
 
 class LineReader:
-    """Splits a byte stream into messages; buffers one incomplete line up to the platform's limit."""
+    """Splits a byte stream into messages; buffers one incomplete line of less than MAX_LINE_SIZE bytes."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes | bytearray) -> Iterator[Line]:
-        """Yields the messages that are complete; ProtocolError where a line is malformed or too long."""
+        """Yields the complete messages; raises ProtocolError if a line is malformed or too long."""
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             if len(line) >= MAX_LINE_SIZE:
-                raise ProtocolError("too-large", f"a line of {len(line)} bytes")
+                raise ProtocolError("too-large", f"line of {len(line)} bytes exceeds the size limit")
             try:
                 yield _decoder.decode(line)
             except (msgspec.DecodeError, UnicodeDecodeError) as error:
                 raise ProtocolError("malformed", str(error)) from None
         if len(self._buffer) >= MAX_LINE_SIZE:
-            raise ProtocolError("too-large", "a line that does not end")
+            raise ProtocolError("too-large", "incomplete line exceeds the size limit")
 
 
 def encode_setup(id_: str, traffic_type: str, key: str, time_left_ms: int, description: str) -> bytes:
-    """Encodes a set-up; `key`: the called number as written, `description`: the session description."""
+    """Encodes a set-up; `key`: the called number as received, `description`: the session description."""
     fields: dict[str, str | int | float] = {"class": traffic_type, "key": key, "left": str(time_left_ms)}
     return _encoder.encode(_OutgoingLine("setup", id_, fields, sdp=description)) + b"\n"
 
@@ -68,12 +68,12 @@
 
 
 def encode_ping(id_: str) -> bytes:
-    """Encodes a probe, which the server answers."""
+    """Encodes a probe, which the server answers with a pong."""
     return _encoder.encode(_OutgoingLine("ping", id_, {}, 0)) + b"\n"
 
 
 def parse_load(text: str) -> dict[str, float]:
-    """Parses `x0:12;queue:3` into names and values; malformed and negative ones are left out."""
+    """Parses text such as `x0:12;queue:3`; omits values that are not finite non-negative numbers."""
     values: dict[str, float] = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
--- a/valverouter/signalling/__init__.py
+++ b/valverouter/signalling/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols between peers: codecs and session state without I/O (no sockets, no clock)."""
+"""Protocols between peers: codecs and session state, without sockets and clocks."""
--- a/valverouter/signalling/framing.py
+++ b/valverouter/signalling/framing.py
@@ -1,6 +1,6 @@
 """Frames on a byte stream: a big-endian length of four bytes, then that many bytes of MessagePack.
 
-Without I/O, as h11, so that edge proxies, fake peers and tests share it.
+The module does no I/O, like h11, so that edge proxies, fake peers and tests can share it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ProtocolError(Exception):
-    """A peer violated the protocol, ending its connection; `code` is for programs, the text for humans."""
+    """A peer violated the protocol, which ends its connection; `code` is machine-readable."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -29,9 +29,9 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes | bytearray) -> Iterator[bytes]:
-        """Yields the frames that are complete; ProtocolError("too-large") where a header exceeds the limit.
+        """Yields the bodies of the complete frames; raises ProtocolError("too-large") above the size limit.
 
-        The header is checked before any byte of the body is buffered: a peer can't make us buffer more.
+        The length is checked before the body is awaited, which limits how much a peer can make us buffer.
         """
         self._buffer += data
         at, end = 0, len(self._buffer)
@@ -50,7 +50,7 @@
             del self._buffer[:at]
 
     def end(self) -> None:
-        """Handles the end of the stream; raises ProtocolError("half-sent") inside a frame."""
+        """Handles the end of the stream; raises ProtocolError("half-sent") if a frame is incomplete."""
         if self._buffer:
             raise ProtocolError("half-sent", f"the stream ended {len(self._buffer)} bytes into a frame")
 
@@ -59,11 +59,11 @@
 
 
 def encode_frame(message: msgspec.Struct) -> bytes:
-    """Encodes one message as a frame; ValueError where it would exceed the limit."""
+    """Encodes one message as a frame; raises ValueError if it exceeds MAX_FRAME_SIZE."""
     out = bytearray(HEADER_SIZE)
     _encoder.encode_into(message, out, HEADER_SIZE)
     size = len(out) - HEADER_SIZE
     if size > MAX_FRAME_SIZE:
-        raise ValueError(f"a message of {size} bytes, at most {MAX_FRAME_SIZE} may be sent")
+        raise ValueError(f"message of {size} bytes exceeds the limit of {MAX_FRAME_SIZE}")
     out[:HEADER_SIZE] = size.to_bytes(HEADER_SIZE, "big")
     return bytes(out)
--- a/valverouter/signalling/greeting.py
+++ b/valverouter/signalling/greeting.py
@@ -1,4 +1,4 @@
-"""The handshake that all of our protocols share: Hello, Welcome, Error and NotUnderstood.
+"""The handshake shared by all protocols of this package: Hello, Welcome, Error and NotUnderstood.
 
 Each side supports a range of versions; the highest common one is used. Unknown fields are ignored and
 messages of an unknown type are answered with NotUnderstood, so that newer peers can connect.
@@ -27,7 +27,7 @@
 ):
     """The client's first message. `versions`: the oldest and the newest supported. `role`: caller or edge.
 
-    `epoch` (version 2): increases with each start of an edge proxy that has a ledger; 0 without one.
+    `epoch` (version 2): increases with each start of an edge proxy that has a dialog store; 0 without one.
     """
 
     versions: tuple[int, int]
@@ -39,8 +39,8 @@
 class Welcome(Struct, tag_field="t", tag="welcome", frozen=True, omit_defaults=True):
     """The reply to a Hello.
 
-    `incarnation` increases with each start of the process; `age`: ns since that start. `epoch` (version 2):
-    positive where legs may be resumed after the connection is lost.
+    `incarnation` increases with each start of the process; `age`: nanoseconds since that start. `epoch`
+    (version 2): positive if legs may be resumed after the connection is lost.
     """
 
     version: int
@@ -72,7 +72,7 @@
 
 @cache
 def _decoder(message_types: tuple[type[Struct], ...]) -> msgspec.msgpack.Decoder[Any]:
-    """The decoder of a protocol, cached: built for each connection, it dominated the cost of a new one."""
+    """The decoder of a protocol. Cached: building one per connection dominated the cost of a connection."""
     union: Any = message_types[0]
     for kind in message_types[1:]:
         union = union | kind
@@ -83,15 +83,16 @@
 
 
 def message_name(message_type: type[Struct]) -> str:
-    """The name of a message type in error texts, which the peer sees: its tag in camel case."""
+    """The name of a message type in error texts sent to the peer: its tag in camel case."""
     return "".join(word.capitalize() for word in str(message_type.__struct_config__.tag).split("-"))
 
 
 class Session:
     """One side of one connection: decodes and encodes messages and checks their order.
 
-    `message_types` are those of the protocol besides the handshake's; `hello` is None on the server side. A
-    subclass implements `_check_received` and `_check_sent`, which raise ProtocolError("out-of-state").
+    `message_types`: the message types of the protocol without those of the handshake; `hello` is None on the
+    server side. Subclasses implement `_check_received` and `_check_sent`, which raise
+    ProtocolError("out-of-state").
     """
 
     def __init__(self, message_types: Iterable[type[Struct]], hello: Hello | None, max_size: int) -> None:
@@ -108,12 +109,12 @@
         self.is_finished = False
 
     def hello_frame(self) -> bytes:
-        """The encoded Hello, which the client sends first."""
+        """Encodes the Hello, the client's first message."""
         assert self._hello is not None
         return encode_frame(self._hello)
 
     def receive(self, data: bytes | bytearray) -> Iterable[Any]:
-        """Yields the messages that these bytes complete; empty bytes are the end of the stream.
+        """Yields the messages completed by these bytes; empty bytes mean the end of the stream.
 
         Raises ProtocolError: malformed, too-large, half-sent, version, out-of-state, or "peer:CODE" for the
         peer's Error. Only `error_frame` may be called afterwards. A message of an unknown type is yielded as
@@ -126,7 +127,7 @@
             yield self._decode(body)
 
     def end(self) -> None:
-        """Handles the end of the stream; raises ProtocolError("half-sent") inside a frame."""
+        """Handles the end of the stream; raises ProtocolError("half-sent") if a frame is incomplete."""
         self._frames.end()
 
     def _decode(self, body: bytes) -> Any:
@@ -175,7 +176,7 @@
         self.peer = message.name
 
     def send(self, message: Any) -> bytes:
-        """Encodes a message; ProtocolError("out-of-state") where the state forbids it."""
+        """Encodes a message; raises ProtocolError("out-of-state") if the state does not allow it."""
         if type(message) in self._protocol_types:
             if not self.version:
                 raise ProtocolError("out-of-state", f"{message_name(type(message))} before the hello")
@@ -183,7 +184,7 @@
         return encode_frame(message)
 
     def error_frame(self, error: ProtocolError) -> bytes:
-        """The encoded Error that ends this connection; empty after the first, or where the peer closed it."""
+        """Encodes the Error that ends this connection; empty after the first, or if the peer ended it."""
         first, self.is_finished = not self.is_finished, True
         if not first or error.code.startswith("peer:") or error.code == "half-sent":
             return b""
--- a/valverouter/signalling/serverlist.py
+++ b/valverouter/signalling/serverlist.py
@@ -20,7 +20,7 @@
 
 
 class EndpointRow(Struct, frozen=True, omit_defaults=True):
-    """One server. `incarnation` increases with each start; `age`: ns since that start, None: long ago."""
+    """One server. `incarnation` increases with each start; `age`: ns since the start, None for long ago."""
 
     server: Name
     number: int
@@ -34,7 +34,7 @@
 class Watch(
     Struct, tag_field="t", tag="watch", frozen=True, omit_defaults=True, rename={"last_number": "have"}
 ):
-    """Requests the changes after `last_number` of `epoch`, or a snapshot where they are not available."""
+    """Requests the changes after `last_number` of `epoch`, or a snapshot if they are not available."""
 
     epoch: str = ""
     last_number: Count = 0
@@ -59,7 +59,8 @@
 class DrainRequest(Struct, tag_field="t", tag="leave", frozen=True):
     """Requests that `server` be listed as draining, under the disruption permit `number`.
 
-    Idempotent for one number; one that has ended or is lower than another seen before is refused.
+    Repeating a request has no further effect. A permit that has ended, or that is older than another one seen
+    for the server, is refused.
     """
 
     server: Name
@@ -81,7 +82,7 @@
     omit_defaults=True,
     rename={"granted": "given", "refusal": "why"},
 ):
-    """The reply to a DrainRequest or DrainEnded; `refusal` is the reason where it was not granted."""
+    """The reply to a DrainRequest or DrainEnded; `refusal` is the reason if it was not granted."""
 
     server: Name
     number: Count
@@ -93,14 +94,14 @@
 
 
 class DrainPermits:
-    """The disruption permits seen by the service: by server the highest number and the highest ended."""
+    """The disruption permits seen by the service: per server, the highest number and the highest ended."""
 
     def __init__(self) -> None:
         self._highest: dict[str, int] = {}
         self._ended: dict[str, int] = {}
 
     def check(self, request: DrainRequest) -> str:
-        """Why a request is refused; empty where its permit is valid, which voids lower numbers."""
+        """Returns the reason for refusal; empty if the permit is valid, which voids older permits."""
         highest, highest_ended = self._highest.get(request.server, 0), self._ended.get(request.server, 0)
         if not request.number:
             return "no permit's number was given"
@@ -148,17 +149,17 @@
         return Watch(self.epoch, self.number)
 
     def probe(self) -> Watch:
-        """A request that a live service must answer although nothing has changed.
+        """A request that a live service must answer even if nothing has changed.
 
-        It asks for the last change again, or for a snapshot where there was none.
+        It requests the last change again, or a snapshot if there was no change.
         """
         return Watch(self.epoch, self.number - 1) if self.number else Watch()
 
     def on_message(self, message: Snapshot | Change) -> tuple[list[EndpointRow] | None, Watch | None]:
         """Returns the rows to apply (None: nothing new) and the request to send, if any.
 
-        Of a change after a gap only the rows that take servers out of service are applied: late or out of
-        order, they are valid as soon as they are received.
+        After a gap, only the rows that take servers out of service are applied: these are valid even late or
+        out of order.
         """
         if isinstance(message, Snapshot):
             self._snapshot_requested = False
@@ -189,7 +190,7 @@
 
 
 class EndpointRegistry:
-    """The service's list: rows, the last change's number, and HISTORY_LENGTH changes for reconnects."""
+    """The service's list: its rows, the number of the last change, and the last HISTORY_LENGTH changes."""
 
     def __init__(self, epoch: str) -> None:
         self.epoch = epoch
@@ -198,7 +199,7 @@
         self._changes: deque[Change] = deque(maxlen=HISTORY_LENGTH)
 
     def change(self, rows: list[EndpointRow]) -> Change:
-        """Applies rows as the next change."""
+        """Applies rows as the next change and returns the change."""
         self.number += 1
         for row in rows:
             if row.phase == "gone":
@@ -209,7 +210,7 @@
         return self._changes[-1]
 
     def answer(self, watch: Watch) -> list[Snapshot | Change]:
-        """The changes that a client has missed, or a snapshot where they are not available."""
+        """Returns the changes that a client has missed, or a snapshot if they are not available."""
         missed = [change for change in self._changes if change.number > watch.last_number]
         known = watch.epoch == self.epoch and watch.last_number <= self.number
         if known and watch.last_number + len(missed) == self.number:
--- a/valverouter/signalling/setup.py
+++ b/valverouter/signalling/setup.py
@@ -2,8 +2,8 @@
 
 On each hop one side is the client (a caller of an edge proxy, an edge proxy of a server) and the other the
 server. A leg is opened by Setup or Resume and closed by exactly one closing message of the server. Durations
-are whole nanoseconds. Tags, and the names of fields given by `rename`, are those on the wire; `answer_name`
-of a final answer to a caller is its name in counters and records.
+are integers in nanoseconds. Tags, and field names given by `rename`, are those on the wire; `answer_name` is
+the name of a caller's final answer in counters and records.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
     omit_defaults=True,
     rename={"utilization": "util", "queue_length": "queue", "queue_delay": "wait"},
 ):
-    """A server's load report; None: not reported.
+    """A server's load report; a value of None is not reported.
 
-    `utilization` of its processor from 0 to 1; `queue_length`: waiting set-ups; `queue_delay` in ns.
+    `utilization`: of the processor, from 0 to 1; `queue_length`: queued set-ups; `queue_delay`: nanoseconds.
     """
 
     utilization: float | None = None
@@ -43,7 +43,7 @@
 
 
 class LegMessage(Struct, frozen=True, omit_defaults=True):
-    """A message on a leg: `dialog` is the id that the caller chose, `leg` the number of the attempt."""
+    """A message on a leg: `dialog` is the id chosen by the caller, `leg` the number of the attempt."""
 
     dialog: Name
     leg: LegNumber = 0
@@ -61,10 +61,10 @@
         "was_interrupted": "was_cut",
     },
 ):
-    """Opens a leg. `time_left`: ns from sending until the caller gives up.
+    """Opens a leg. `time_left`: nanoseconds from sending until the caller's no-answer time has passed.
 
-    `preferred_server_number`: the server to try first, -1: any. `was_interrupted`: it replaces an established
-    dialog that was lost.
+    `preferred_server_number`: the preferred server, -1 for any. `was_interrupted`: the dialog replaces an
+    established one that was lost.
     """
 
     traffic_type: Name
@@ -75,33 +75,33 @@
 
 
 class Cancel(LegMessage, tag_field="t", tag="cancel", frozen=True):
-    """The client gives up. It may cross any answer; a leg that is established by then is released."""
+    """Cancels a leg. It may cross any answer; a leg that is established by then is released."""
 
 
 class Release(LegMessage, tag_field="t", tag="release", frozen=True):
-    """The client ends an established dialog; answered with Ended."""
+    """Releases an established dialog; answered with Ended."""
 
 
 class Resume(LegMessage, tag_field="t", tag="resume", frozen=True):
-    """Version 2. Asks for the state of a leg that was open or established on a connection that was lost.
+    """Version 2. Requests the state of a leg that was open or established on a lost connection.
 
-    Answered with its present state (Provisional, Established), its final answer again, or Unknown.
+    Answered with the current state (Provisional, Established), a repetition of the final answer, or Unknown.
     """
 
 
 class Persisted(LegMessage, tag_field="t", tag="kept", frozen=True):
-    """Version 2, to a server. The client has stored that this leg is established.
+    """Version 2, to a server: the client has stored that this leg is established.
 
-    The leg outlives the connection for a while, so that it can be resumed.
+    The server then keeps the leg for some time after the connection is lost, so that it can be resumed.
     """
 
 
 class Provisional(LegMessage, tag_field="t", tag="provisional", frozen=True):
-    """The set-up was accepted and is in progress; an edge proxy now owes its caller a final answer."""
+    """The set-up was accepted and is in progress; an edge proxy that sent it must send a final answer."""
 
 
 class Established(LegMessage, tag_field="t", tag="stands", frozen=True):
-    """The dialog is established; to a caller `server` names the server."""
+    """The dialog is established; `server` is its server's name, given to callers only."""
 
     answer_name: ClassVar[str] = "stands"
 
@@ -110,46 +110,46 @@
 
 
 class Ended(LegMessage, tag_field="t", tag="ended", frozen=True):
-    """Closes a leg that was established: `reason` is over, released or cut."""
+    """Closes an established leg; `reason` is over, released or cut."""
 
     reason: Name = "over"
     report: Load | None = None
 
 
 class LineBusy(LegMessage, tag_field="t", tag="line-busy", frozen=True):
-    """Closes: every line of the called number is busy; final for the dialog."""
+    """Closes a leg: every line of the called number is busy; final for the dialog."""
 
     report: Load | None = None
 
 
 class Full(LegMessage, tag_field="t", tag="full", frozen=True, rename={"retry_after": "asked_wait"}):
-    """Closes: the processor is overloaded; `retry_after`: the minimum time before this dialog's retry."""
+    """Closes a leg: the server is overloaded; `retry_after`: the minimum delay before this dialog's retry."""
 
     retry_after: Duration = 0
     report: Load | None = None
 
 
 class NoAgent(LegMessage, tag_field="t", tag="no-agent", frozen=True):
-    """Closes: no line is free at this server."""
+    """Closes a leg: no line is free at this server."""
 
     report: Load | None = None
 
 
 class Fault(LegMessage, tag_field="t", tag="fault", frozen=True):
-    """Closes: the server failed during this attempt."""
+    """Closes a leg: the server failed during this attempt."""
 
     text: Text = ""
     report: Load | None = None
 
 
 class Cancelled(LegMessage, tag_field="t", tag="cancelled", frozen=True):
-    """Closes a leg that was cancelled before it had another answer."""
+    """Closes a leg that was cancelled before it was answered."""
 
     report: Load | None = None
 
 
 class Rejected(LegMessage, tag_field="t", tag="declined", frozen=True, rename={"retry_after": "come_back"}):
-    """Closes, to a caller: rejected; `retry_after` is the advised delay of a retry (0: none)."""
+    """Closes a caller's leg: rejected; `retry_after` is the advised delay before a retry, 0 for none."""
 
     answer_name: ClassVar[str] = "declined"
 
@@ -157,7 +157,7 @@
 
 
 class Failed(LegMessage, tag_field="t", tag="aborted", frozen=True):
-    """Closes, to a caller: the dialog failed; `reason` is one of the specification's table."""
+    """Closes a caller's leg: the dialog failed; `reason` is one of those in the specification."""
 
     answer_name: ClassVar[str] = "aborted"
 
@@ -165,7 +165,7 @@
 
 
 class Unknown(LegMessage, tag_field="t", tag="unknown", frozen=True):
-    """Version 2. Closes a leg that was to be resumed: it is not known here."""
+    """Version 2. Closes a leg that was to be resumed: the server does not know it."""
 
 
 class LoadReported(Struct, tag_field="t", tag="reported", frozen=True):
@@ -175,7 +175,7 @@
 
 
 class LegPhase(Enum):
-    """The phase of a leg as one side has seen it; CLOSING: the client has sent Cancel or Release."""
+    """The phase of a leg as seen by one side; CLOSING: the client has sent Cancel or Release."""
 
     OPEN = auto()
     RESUMED = auto()
@@ -186,7 +186,7 @@
 CLIENT_MESSAGES = frozenset((Setup, Cancel, Release, Resume, Persisted))
 SERVER_CLOSING_MESSAGES = frozenset((Ended, LineBusy, Full, NoAgent, Fault, Cancelled, Unknown))
 EDGE_CLOSING_MESSAGES = frozenset((Ended, Rejected, Failed, Unknown))
-# The messages that version 1 doesn't have.
+# Messages that version 1 does not have.
 SINCE_VERSION_2 = frozenset((Resume, Persisted, Unknown))
 MESSAGE_TYPES = (
     *(Setup, Cancel, Release, Provisional, Established, Ended, LineBusy, Full, NoAgent, Fault, Cancelled),
@@ -195,11 +195,11 @@
 
 
 class SetupSession(Session):
-    """One connection of the set-up protocol and `legs`, the phases of those open on it by (dialog, leg).
+    """One connection of the set-up protocol; `legs` has the phase of each open leg by (dialog, leg).
 
-    A leg is removed with its closing message. A Cancel or Release that crosses the closing message finds no
-    leg at the server and is ignored there: the client has its answer already. An answer for a leg that is not
-    open, however, is an error of the server.
+    A leg is removed by its closing message. A Cancel or Release that crosses the closing message finds no leg
+    at the server and is ignored there, as the client is being answered. An answer for a leg that is not open,
+    however, is a protocol violation by the server.
     """
 
     def __init__(
@@ -228,7 +228,7 @@
         self.legs.pop(key, None)
 
     def _track(self, message: Any, from_client: bool, is_sent: bool) -> None:
-        """Checks a message against the state of its leg and moves the leg to its next phase."""
+        """Checks a message against the state of its leg and updates the leg's phase."""
         kind = type(message)
         if (kind in CLIENT_MESSAGES) != from_client:
             raise _out_of_state(f"{message_name(kind)} comes from the other side only")
@@ -252,7 +252,7 @@
             self._close(kind, key, phase)
 
     def _open(self, kind: type[Struct], key: LegKey, phase: LegPhase | None) -> None:
-        """Setup or Resume."""
+        """Handles Setup and Resume, which open a leg."""
         if phase is not None:
             raise _out_of_state(f"leg {key} is open already")
         if len(self.legs) >= self.max_open_legs:
@@ -260,21 +260,21 @@
         self.legs[key] = LegPhase.OPEN if kind is Setup else LegPhase.RESUMED
 
     def _on_request(self, kind: type[Struct], key: LegKey, phase: LegPhase | None, is_sent: bool) -> None:
-        """Cancel, Release or Persisted: a client's message on a leg that was opened before."""
+        """Handles Cancel, Release and Persisted: a client's messages on a leg that it has opened."""
         if phase is None:
-            # A received one may have crossed the closing message.
+            # A received message may have crossed the closing message.
             if is_sent:
                 raise _out_of_state(f"{message_name(kind)} for {key}, which is not open")
         elif kind is not Cancel and phase is not LegPhase.ESTABLISHED:
-            # CLOSING does not mean established: behind a Cancel the server may still have the leg open. A
-            # Release is out of state there, which ends the connection and every other dialog on it.
+            # CLOSING does not imply established: after a Cancel, the leg may still be open at the server. A
+            # Release would be out of state there and end the connection, with every other dialog on it.
             raise _out_of_state(f"{message_name(kind)} for {key}, which does not stand")
         elif self.is_client and kind is not Persisted:
-            # The server retains the phase: it decides between Ended and Cancelled.
+            # The server keeps the phase, which determines whether Ended or Cancelled closes the leg.
             self.legs[key] = LegPhase.CLOSING
 
     def _on_progress(self, kind: type[Struct], key: LegKey, phase: LegPhase) -> None:
-        """Provisional or Established."""
+        """Handles Provisional and Established."""
         if kind is Provisional:
             if phase is LegPhase.ESTABLISHED:
                 raise _out_of_state(f"Provisional for {key}, which stands")
@@ -287,7 +287,7 @@
             self.legs[key] = LegPhase.ESTABLISHED
 
     def _close(self, kind: type[Struct], key: LegKey, phase: LegPhase) -> None:
-        """A closing message: the leg leaves the table."""
+        """Handles a closing message: removes the leg."""
         allowed = EDGE_CLOSING_MESSAGES if self._client_is_caller else SERVER_CLOSING_MESSAGES
         if kind not in allowed:
             raise _out_of_state(f"{message_name(kind)} is not used on this hop")
--- a/valverouter/signalling/traffic_record.py
+++ b/valverouter/signalling/traffic_record.py
@@ -1,9 +1,9 @@
 """The rows of a traffic record, written at the callers' and servers' ends of streams and read by the audit.
 
-A row states when bytes left or reached the socket at that end, never what either side intended. In every row
-`at` is the time in whole nanoseconds of one clock for the whole record, and `seq` is the row's position in
-it. A record is a file of JSON lines. The tags and the field names in it are fixed, older files stay readable:
-where a class or a field is named otherwise here, the stored name is given by `tag` and `rename`.
+A row states when bytes were written to or read from the socket at that end, not what either side intended.
+In every row `at` is a time in nanoseconds, on one clock for the whole record, and `seq` is the row's position
+in the record. A record is a file of JSON lines. Its tags and field names are fixed so that older files stay
+readable; if a class or a field has another name here, `tag` and `rename` give the stored one.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 ):
     """A message between an edge proxy and a caller or server (`peer`).
 
-    `sent`: the peer sent it, otherwise the peer received it. `duration`: the time limit or retry delay that
-    the message carries, ns. `detail`: its traffic type, reason or server.
+    `sent`: whether the peer sent it; otherwise the peer received it. `duration`: the message's time limit or
+    retry delay in nanoseconds. `detail`: its traffic type, reason or server.
     """
 
     seq: int
@@ -43,7 +43,7 @@
 
 
 class EndpointUpdateRow(Struct, tag_field="row", tag="told", frozen=True):
-    """The endpoint-list service sent an edge proxy the phase of a server."""
+    """The endpoint-list service sent the phase of a server to an edge proxy."""
 
     seq: int
     at: int
@@ -73,7 +73,7 @@
         "overload_window": "tip_span",
     },
 ):
-    """A server process started, with its slow-start parameters (see servermodel/profile.py); times in ns."""
+    """A server process started; its slow-start parameters as in servermodel/profile.py, durations in ns."""
 
     seq: int
     at: int
@@ -105,7 +105,7 @@
 
 
 class CallersStartedRow(Struct, tag_field="row", tag="opened", frozen=True):
-    """The callers start: times of a replayed call record count from here."""
+    """The callers start; the times in a replayed call record are relative to this row."""
 
     seq: int
     at: int
@@ -118,10 +118,10 @@
     frozen=True,
     rename={"latency_objectives": "objectives", "priority_weights": "importance"},
 ):
-    """The limits that the audit checks against; times in ns.
+    """The limits that the audit checks; durations in nanoseconds.
 
     `release_wait`: the minimum time between the cancellation of an attempt and the next attempt. `slack`: the
-    tolerance between clock readings of two processes, 0 in virtual time. The maps are keyed by traffic type.
+    tolerance between clock readings of two processes, 0 in virtual time. The dicts are keyed by traffic type.
     """
 
     seq: int
@@ -135,7 +135,7 @@
 class EdgeProcessRow(
     Struct, tag_field="row", tag="ran", frozen=True, rename={"incarnation": "life", "is_start": "begins"}
 ):
-    """A process of an edge proxy that is a member of the fleet started (`is_start`) or ended."""
+    """A process of an edge proxy started (`is_start`) or ended; only for members of the fleet."""
 
     seq: int
     at: int
@@ -151,7 +151,7 @@
     frozen=True,
     rename={"incarnation": "life", "kind": "what", "member_incarnation": "member_life"},
 ):
-    """A membership event about `member` (itself or another), reported by one incarnation of an edge proxy."""
+    """A membership event about `member`, reported by one incarnation of an edge proxy."""
 
     seq: int
     at: int
@@ -165,7 +165,7 @@
 class MembershipViewRow(
     Struct, tag_field="row", tag="viewed", frozen=True, rename={"incarnation": "life", "view_health": "trust"}
 ):
-    """An edge proxy's view when it was polled: `members` maps names of live members to incarnations."""
+    """An edge proxy's membership view when polled; `members` maps live members to their incarnations."""
 
     seq: int
     at: int
@@ -183,7 +183,7 @@
     frozen=True,
     rename={"max_duration": "within", "poll_interval": "every"},
 ):
-    """All views must be equal `max_duration` ns after the last fault; polled every `poll_interval` ns."""
+    """All views must be equal `max_duration` ns after the last fault; polls are `poll_interval` ns apart."""
 
     seq: int
     at: int
@@ -198,7 +198,7 @@
     frozen=True,
     rename={"max_unavailable": "most", "max_per_region": "in_region"},
 ):
-    """How many edge proxies operations may take out of service at once, in total and in one region."""
+    """How many edge proxies operations may make unavailable at once, in total and in one region."""
 
     seq: int
     at: int
@@ -209,7 +209,7 @@
 class StepRow(Struct, tag_field="row", tag="turned", frozen=True, rename={"runs_after": "up"}):
     """From a supervisor's log: a step started (`outcome` is empty) or ended.
 
-    `number`: that of the disruption permit. `runs_after`: the instance is to run once the step has ended.
+    `number`: the number of the disruption permit. `runs_after`: whether the instance runs after the step.
     """
 
     seq: int
@@ -222,7 +222,7 @@
 
 
 class ProgramVersionRow(Struct, tag_field="row", tag="runs", frozen=True):
-    """From a supervisor's log: its program started in a version, or ended (`version` is empty)."""
+    """From a supervisor's log: its program started with `version`, or ended (`version` is empty)."""
 
     seq: int
     at: int
@@ -233,7 +233,7 @@
 class OperationRow(Struct, tag_field="row", tag="ordered", frozen=True, rename={"operation": "order"}):
     """The state of an operation at the end of a run.
 
-    `members` maps each instance to its step, the number of its permit and the version that it ran before.
+    `members` maps each instance to its step, the number of its permit and its previous version.
     """
 
     seq: int
@@ -272,18 +272,18 @@
 
 
 class TrafficRecorder:
-    """Collects the rows of a record in order; `now` gives the time in nanoseconds."""
+    """Collects the rows of a record in order; `now` returns the time in nanoseconds."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         self.now = now
         self.rows: list[Row] = []
 
     def record(self, row_type: type[Any], **fields: Any) -> None:
-        """Appends a row of that type, at the current time."""
+        """Appends a row of this type with the current time."""
         self.rows.append(row_type(seq=len(self.rows), at=self.now(), **fields))
 
     def record_message(self, edge: str, peer: str, sent: bool, message: Any) -> None:
-        """Appends a row for a protocol message; `sent` is true for one that `peer` sends."""
+        """Appends a row for a protocol message; `sent`: whether `peer` sends it."""
         self.record(
             MessageRow,
             edge=edge,
@@ -310,7 +310,7 @@
 
 
 def read_rows(path: Path) -> list[Row]:
-    """Reads rows that `write_rows` wrote; raises ValueError with the line number of an invalid one."""
+    """Reads rows written by `write_rows`; raises ValueError with the line number of an invalid one."""
     decoder = msgspec.json.Decoder(Row)
     rows: list[Row] = []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
--- a/valverouter/simulator_adapter/__init__.py
+++ b/valverouter/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: one process hosts the policies of many edge proxies, which share nothing."""
+"""The adapter for the simulator: one process hosts the policies of many independent edge proxies."""
--- a/valverouter/simulator_adapter/__main__.py
+++ b/valverouter/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m valverouter.simulator_adapter`: reads batches from standard input, writes one reply for each."""
+"""`python -m valverouter.simulator_adapter`: reads batches from standard input and replies to each."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ProxyHost:
-    """The edge proxies of this process by id, and the pages of the endpoint list that it has received."""
+    """The edge proxies of this process by id, and the pages of the endpoint list received so far."""
 
     def __init__(self) -> None:
         self._proxies: dict[str, tuple[Driver, list[str]]] = {}
         self._pages: dict[int, list[Endpoint]] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Handles one batch and returns the encoded reply; MalformedInputError where it can't be decoded."""
+        """Handles one batch and returns the encoded reply; raises MalformedInputError if it is invalid."""
         now, messages = codec.read_batch(line)
         steps: list[dict[str, Any]] = []
         for name, message in messages:
@@ -31,7 +31,7 @@
                 commands = known[0].take_commands() if known else []
             except codec.MalformedInputError:
                 raise
-            except Exception as error:  # the wire reports any failure of the policies by name
+            except Exception as error:  # the simulator expects any failure of the policies as a step
                 steps.append(codec.encode_fatal(message.proxyId, f"{name}: {type(error).__name__}: {error}"))
                 break
             steps += [codec.encode_command(message.proxyId, command) for command in commands]
@@ -59,12 +59,12 @@
         kind = codec.update_kind(message)
         has_page = message.scope != "X"
         if has_page and message.page not in self._pages:
-            raise codec.MalformedInputError(f"sync: page {message.page} was never sent")
+            raise codec.MalformedInputError(f"sync: page {message.page} was not received")
         driver.update_endpoints(kind, self._pages[message.page] if has_page else [])
 
 
 def _handle_event(driver: Driver, message: codec.Message, fields: list[str]) -> None:
-    """Passes an event to the policies of its edge proxy; `fields` names the values of load reports."""
+    """Passes an event to the driver of its edge proxy; `fields` names the values in load reports."""
     match message:
         case codec.Knock():
             driver.start_dialog(codec.dialog(message))
--- a/valverouter/simulator_adapter/codec.py
+++ b/valverouter/simulator_adapter/codec.py
@@ -1,6 +1,6 @@
-"""The simulator's wire format, with its field names and microseconds, and the conversion to our types.
+"""The simulator's wire format and its conversion to the types of valverouter.interface.
 
-Times are nanoseconds in our types.
+Field names are those on the wire. Times are in microseconds on the wire and in nanoseconds in our types.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 class Page(Struct):
-    """A numbered page of the endpoint list, which `Sync` refers to."""
+    """A numbered page of the endpoint list, referred to by `Sync`."""
 
     page: int
     rows: list[Row]
@@ -78,7 +78,7 @@
 
 
 class ProxyOnly(Struct):
-    """A message without content to one edge proxy."""
+    """A message to one edge proxy with no other field."""
 
     proxyId: str
 
@@ -114,9 +114,9 @@
 
 
 class AttemptEnd(Struct):
-    """Attempt `n` of a dialog has ended; `result` is an index of OUTCOMES.
+    """Attempt `n` of a dialog has ended; `result` is an index into OUTCOMES.
 
-    `why`: a note in the low four bits, above them a retry delay in ms.
+    `why`: a NOTE_ constant in the low four bits, a retry delay in milliseconds in the bits above.
     """
 
     proxyId: str
@@ -171,7 +171,7 @@
 
 
 class Batch(Struct):
-    """The messages of one moment."""
+    """Simultaneous messages."""
 
     tsUs: int
     input: list[Envelope]
@@ -184,7 +184,7 @@
 
 
 def read_batch(line: bytes) -> tuple[int, Iterator[tuple[str, Message]]]:
-    """A batch's time in ns and its messages with their names; MalformedInputError where it is invalid."""
+    """Returns a batch's time in ns and its named messages; raises MalformedInputError if it is invalid."""
     try:
         batch = _batches.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -201,26 +201,26 @@
         ]
         if len(present) != 1:
             raise MalformedInputError(
-                f"input[{index}]: a message holds exactly one known name, this one {len(present)}"
+                f"input[{index}]: expected exactly one known message name, found {len(present)}"
             )
         yield present[0]
 
 
 def update_kind(message: Sync) -> EndpointUpdateKind:
-    """The kind of an update; MalformedInputError where it is unknown."""
+    """Returns the kind of an update; raises MalformedInputError if it is unknown."""
     try:
         return UPDATE_KINDS[message.scope]
     except KeyError:
-        raise MalformedInputError(f"sync: scope is {message.scope!r}") from None
+        raise MalformedInputError(f"sync: unknown scope {message.scope!r}") from None
 
 
 def endpoints(rows: list[Row]) -> list[Endpoint]:
-    """The servers of a page."""
+    """Converts the rows of a page."""
     return [Endpoint(r.server, r.number, r.phase == "in_service", r.readyAtUs * NS_PER_US) for r in rows]
 
 
 def dialog(message: Knock) -> Dialog:
-    """The requested dialog."""
+    """Converts a dialog request."""
     return Dialog(
         id=message.msgId,
         traffic_type=message.priority,
@@ -233,16 +233,16 @@
 
 
 def attempt_established(message: Accepted) -> AttemptResult:
-    """The result of an attempt that is established."""
+    """Converts the result of an attempt that is established."""
     return AttemptResult(
         message.msgId, message.n, message.server, Outcome.ESTABLISHED, message.durationUs * NS_PER_US
     )
 
 
 def attempt_result(message: AttemptEnd, fields: list[str]) -> AttemptResult:
-    """The result of an attempt that has ended; `fields` names the values of its load report."""
+    """Converts the result of an attempt that has ended; `fields` names the values in its load report."""
     if not 0 <= message.result < len(OUTCOMES):
-        raise MalformedInputError(f"attemptEnd: result is {message.result}")
+        raise MalformedInputError(f"attemptEnd: unknown result {message.result}")
     outcome = OUTCOMES[message.result]
     retry_after_ms, note = divmod(message.why, 16)
     if outcome is Outcome.FAULT and note == NOTE_LINE_BUSY:
@@ -263,7 +263,7 @@
 
 
 def load_report(row: list[float], fields: list[str]) -> LoadReport:
-    """A load report from the values that `fields` names; negative ones were not reported."""
+    """Converts a load report with the values named by `fields`; negative values are not reported."""
     values = {name: value for name, value in zip(fields, row, strict=False) if value >= 0}
     wait = values.get("recent_ms")
     return LoadReport(
@@ -274,7 +274,7 @@
 
 
 def encode_command(proxy: str, command: Command) -> dict[str, Any]:
-    """Encodes a command as a step of the reply; microseconds are rounded so that no delay gets shorter."""
+    """Encodes a command as a step of the reply; a timer's duration is rounded up to microseconds."""
     match command:
         case DialogAction(dialog_id=id_, action=StartAttempt(server=server, deadline=deadline)):
             body = {"proxyId": proxy, "msgId": id_, "server": server, "untilUs": deadline // NS_PER_US}
@@ -293,7 +293,7 @@
 
 
 def encode_fatal(proxy: str, text: str) -> dict[str, Any]:
-    """Encodes the failure of an edge proxy."""
+    """Encodes the failure of an edge proxy as a step of the reply."""
     return {"fatal": {"proxyId": proxy, "message": text}}
 
 
