--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -1,7 +1,7 @@
-"""An edge proxy on the platform: callers, core servers and the event bus do as the test says.
+"""A harness for the edge proxy on the platform, with scripted callers, core servers and event bus.
 
-In memory and virtual time, or on loopback sockets, where the instance's turns and each dial wait for the
-test: what comes between two turns then comes there every time.
+It runs in memory and virtual time, or on loopback sockets. On sockets a test can hold the event loop between
+two turns, and connects, so that what happens between two turns happens there in every run.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     "limits": {"sendCap": 6, "mayCancel": True, "retryAfter": True, "maxRetryAfterUs": 2_000_000},
     "rules": {"startCapacity": 0.35, "tipMultiple": 2.5, "fallUs": 10**6, "warmWithinUs": 15 * 10**6},
 }
-# Wall time of the harness at its start, in the milliseconds of the event bus.
+# The harness starts at this wall time, in Unix milliseconds as on the event bus.
 WALL_MS = WALL_CLOCK_START // 10**6
 
 
@@ -73,10 +73,10 @@
 
 
 class Loopback(SocketRuntime):
-    """Loopback sockets under the harness's names: what serves at `s0:1` has some free port of this machine.
+    """A runtime on loopback sockets that maps addresses of the harness, such as `s0:1`, to free ports.
 
-    As an edge proxy's runtime: no turn begins while `turns` is not set, no dial to a name in `dials`
-    ends before its event is.
+    As the runtime of an edge proxy, it starts no turn until `turn_gate` is set, and does not connect to an
+    address in `connect_gates` until the event there is set.
     """
 
     def __init__(self, ports: dict[str, str] | None = None) -> None:
@@ -85,14 +85,14 @@
         self.turn_gate = trio.Event()
         self.turn_gate.set()
         self.connect_gates: dict[str, trio.Event] = {}
-        # Once, where a turn begins, with nothing else of this process run before the turn's first event.
+        # Called once at the start of the next turn; no other task runs between it and the turn's first event.
         self.on_turn_start: Callable[[], None] | None = None
 
     async def connect(self, address: str) -> trio.abc.Stream:
         if address in self.connect_gates:
             await self.connect_gates[address].wait()
         if address not in self.ports:
-            raise ConnectionRefusedError(f"nobody serves at {address}")
+            raise ConnectionRefusedError(f"no listener at {address}")
         return await super().connect(self.ports[address])
 
     async def serve(
@@ -114,7 +114,7 @@
             on_turn_start()
 
     def pause_turns(self) -> None:
-        """No turn begins until `resume_turns`; whatever else the instance does goes on."""
+        """Holds the event loop before its next turn until `resume_turns`; other tasks continue."""
         self.turn_gate = trio.Event()
 
     def resume_turns(self) -> None:
@@ -122,7 +122,7 @@
 
 
 class Client:
-    """One caller's connection; `received` keeps its messages with their moments."""
+    """One caller's connection; `received` has the messages to it with their times of arrival."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
@@ -156,7 +156,7 @@
 
 
 class Server:
-    """A core server: keeps what it hears, answers where `answers_setups`, else says what the test says."""
+    """A core server: records received lines; answers set-ups if `answers_setups`, otherwise the test does."""
 
     def __init__(self, harness: PlatformHarness, name: str) -> None:
         self.harness = harness
@@ -164,7 +164,7 @@
         self.answers_setups = True
         self.streams: list[trio.abc.Stream] = []
         self.received: list[Line] = []
-        # The connection that each set-up came on.
+        # The connection on which each set-up was last received, by dialog id.
         self.setup_streams: dict[str, trio.abc.Stream] = {}
         self.scope = trio.CancelScope()
 
@@ -214,8 +214,8 @@
 
 
 class Bus:
-    """The event bus. `silent`: takes polls and says nothing more; `answers_immediately`: answers each at
-    once, whether it has news or none; `polls` keeps the numbers asked from.
+    """The event bus. `silent`: accepts polls and never responds; `answers_immediately`: responds to each poll
+    at once, even without new events; `polls` has the time and the offset of each poll.
     """
 
     def __init__(self) -> None:
@@ -287,7 +287,7 @@
         return client
 
     async def wait_until(self, condition: Any, within: float = 20.0) -> None:
-        """Looks every millisecond of the harness's clock; fails when it does not come true in time."""
+        """Checks the condition every millisecond; raises TooSlowError if it isn't met `within` seconds."""
         with trio.fail_after(within):
             while not condition():
                 await trio.sleep(0.001)
@@ -297,7 +297,7 @@
 async def running_platform_edge(
     *names: str, network: Loopback | None = None, settings: dict[str, Any] | None = None
 ) -> AsyncIterator[PlatformHarness]:
-    """A harness that is up: in memory, or on loopback sockets where it is given a network of these."""
+    """Starts a harness whose links are up: in memory, or on loopback sockets if `network` is given."""
     async with trio.open_nursery() as nursery:
         harness = PlatformHarness(nursery, list(names) or ["s0", "s1"], network, settings)
         await nursery.start(harness.network.serve, "bus:1", harness.bus.serve)
--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_edge.py
@@ -1,4 +1,4 @@
-"""The edge proxy behind the platform's protocol: who owns what stands, what a break means."""
+"""The edge proxy on the platform: established dialogs, lost connections, invalid input, the event bus."""
 
 from __future__ import annotations
 
@@ -126,7 +126,8 @@
 
 
 async def test_another_start_cuts_only_what_stood_before_it(autojump_clock: MockClock) -> None:
-    # The new process takes calls before the list tells of it; 24 of them were once cut by our own word.
+    # The new process accepts calls before the endpoint list shows the restart. The edge proxy once cut 24 of
+    # these calls itself.
     async with running_platform_edge("s0") as harness:
         client = await harness.client()
         await client.send_setup(A)
@@ -200,7 +201,8 @@
         stream = s0.setup_streams[A]
         await (stream.send_all(spoilt) if spoilt else stream.aclose())
         await harness.wait_until(lambda: ANSWERED in client.responses)
-        # The release time holds, and should the spoilt answer have been a good one, nothing stands unowned.
+        # The next attempt waits for the release delay. The first server gets a release, since its answer may
+        # have established the dialog there.
         assert trio.current_time() - broke >= 0.3
         assert s1.received_ids("setup") == [A]
         assert s0.received_ids("release") == [A]
@@ -238,7 +240,7 @@
 
 
 async def test_an_id_that_had_its_answer_is_no_new_dialog(autojump_clock: MockClock) -> None:
-    # One caller sent the same set-up four hundred times, again after each refusal; each was a dialog.
+    # A caller repeated a set-up four hundred times, once after each rejection, and each started a dialog.
     async with running_platform_edge() as harness:
         server = harness.servers["s0"]
         server.answers_setups = False
@@ -305,7 +307,7 @@
         harness.nursery.start_soon(harness.edge.context.runtime.stall, 10**8)  # type: ignore[attr-defined]
         await asking.send_setup("d" * 16)
         await trio.sleep(0.05)
-        for _ in range(3):  # its own turn has not come yet
+        for _ in range(3):  # the event loop has not handled the set-up yet
             await harness.edge.listener.refuse(await harness.network.connect("s1:1"))
         await harness.wait_until(lambda: (isup.ANM, "d" * 16, -1) in asking.responses, 2)
         assert idle.closed_at is not None
@@ -411,7 +413,7 @@
                 caller.sendall(isup.encode(isup.TEST, A, {isup.CAUSE: b"\0"}))
                 assert caller.recv(100) == isup.encode(isup.TESTED, A, {isup.CAUSE: b"\1"})
                 process.send_signal(signal.SIGTERM)
-                # Requests go on coming for a while: with no server this one is refused, not lost.
+                # Requests are accepted for some time after SIGTERM: this one is rejected, not lost.
                 caller.sendall(
                     isup.encode(
                         isup.IAM, B, {129: b"voice", 131: b"900", 137: b"0" * 16, 139: b"dest:0", 159: b"v=0"}
--- a/tests/test_platform_edge_races.py
+++ b/tests/test_platform_edge_races.py
@@ -1,8 +1,8 @@
-"""Races of the platform's edge proxy: at shutdown, at a signal, on a quiet bus, without descriptors.
+"""Races of the platform's edge proxy: at shutdown, at signals, with an idle bus, without free descriptors.
 
-On loopback sockets. Where one process plays both sides, no turn of the instance begins before the test lets
-it; where `python -m valverouter.platform_edge` runs, its own events are waited for. No clock judges the
-order.
+The tests use loopback sockets. In one process, they hold the event loop between turns; with
+`python -m valverouter.platform_edge`, they wait for its log events. So the order of events does not depend on
+timing.
 """
 
 from __future__ import annotations
@@ -47,11 +47,11 @@
 A, B = "a" * 16, "b" * 16
 
 
-# The end
+# Shutdown
 
 
 async def responses_at_exit(harness: PlatformHarness, raw: socket.socket) -> list[tuple[int, str, int]]:
-    """Ends the instance; what a caller heard by then, read to the connection's end."""
+    """Waits until the edge proxy has ended; returns the messages that the caller received by then."""
     await harness.wait_until(harness.edge.ended.is_set)
     raw.setblocking(False)
     data = b""
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("connected", [True, False])
 async def test_what_the_kernel_has_taken_at_the_end_is_answered(connected: bool) -> None:
-    # Nothing is open when it is to stop; the set-up lies unread, on a connection accepted or not.
+    # At the stop request no dialog is open, and the set-up is unread, on a connection accepted or not.
     async with running_platform_edge(network=Loopback()) as harness:
         assert isinstance(harness.runtime, Loopback)
         host_, port = harness.runtime.ports["edge:1"].split(":")
@@ -94,17 +94,17 @@
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
         harness.edge.stop()
         await harness.wait_until(harness.edge.ended.is_set)
-        # SIGKILL: the longest no-answer time, counted as 3 s where it is longer, and 0.7 s.
+        # SIGKILL comes 0.7 s after the longest no-answer time, of which at most 3 s count.
         assert client.responses == [(isup.REL, A, 41)]
         assert trio.current_time() - signalled < 3.7
         assert platform.ACCEPT_PERIOD < platform.KILL_DELAY
 
 
-# A second copy of a server's word
+# Duplicate messages and lost connections of a server
 
 
 async def test_a_second_copy_of_a_refusal_is_no_word_on_the_next_attempt() -> None:
-    # Dialogs so short that a server without a free agent is asked again soon.
+    # Dialogs are so short that a server without a free agent is retried soon.
     quick = SETTINGS | {"extra": SETTINGS["extra"] | {"callLengthUs": [20_000, 20_000]}}
     async with running_platform_edge(network=Loopback(), settings=quick) as harness:
         client, s0, s1 = await harness.client(), *harness.servers.values()
@@ -116,7 +116,9 @@
         await harness.wait_until(lambda: s1.received_ids("setup") == [A])
         await s1.send(s1.setup_streams[A], release_line(A, 34))
         await harness.wait_until(lambda: s0.received_ids("setup") == [A, A])
-        assert s0.setup_streams[A] is not first, "the other connection, where a copy can't come"
+        assert s0.setup_streams[A] is not first, (
+            "the retry must use the other connection, on which no duplicate can arrive"
+        )
         await s0.send(first, release_line(A, 34, note="no_path"))
         await s0.send(first, {"type": "ping", "id": B, "fields": {}, "cause": 0}, {"type": "state", "id": B})
         await trio.sleep(0.05)
@@ -127,8 +129,8 @@
 
 
 async def test_a_server_s_close_that_crosses_a_set_up_is_an_attempt_that_may_have_run() -> None:
-    # Both connections are closed as the set-up leaves on the first. Of the second that is read later, so that
-    # what the first one's end gives to release goes there, and is read by nobody.
+    # Both connections are closed while the set-up is sent on the first. The close of the second is read
+    # later, so that the release that follows the loss of the first is sent there and never read.
     async with running_platform_edge(network=Loopback()) as harness:
         assert isinstance(harness.runtime, Loopback)
         client, (s0, s1) = await harness.client(), harness.servers.values()
@@ -142,7 +144,9 @@
         await harness.wait_until(lambda: len(harness.edge.context.events) == 1)
         received_at = link._connections[1].received_at
         await s0.send(second, {"type": "state", "id": B})
-        await harness.wait_until(lambda: link._connections[1].received_at > received_at)  # and waits for room
+        await harness.wait_until(
+            lambda: link._connections[1].received_at > received_at
+        )  # and its reader waits for space
 
         def closes() -> None:
             first.close_now()
@@ -160,13 +164,13 @@
 
 
 def server_streams(link: PlatformLink, server: Server) -> list[Any]:
-    """The server's ends of a link's connections, in the link's order."""
+    """Returns the server's streams for a link's connections, in the order of the link."""
     ours = [getattr(line.send_queue._stream, "_socket").getsockname() for line in link._connections]  # noqa: B009
     theirs = {getattr(stream, "_socket").getpeername(): stream for stream in server.streams}  # noqa: B009
     return [theirs[name] for name in ours]
 
 
-# The list
+# The event bus
 
 
 async def test_a_bus_that_says_nothing_at_once_is_not_asked_all_the_time() -> None:
@@ -211,7 +215,7 @@
         assert len(harness.edge.release_notifier._pending) <= platform_dialogs.PENDING_RELEASE_LIFETIME_S + 1
 
 
-# Customers
+# Customers with different traffic types
 
 
 OTHERS = SETTINGS | {
@@ -249,7 +253,7 @@
 
 
 class PlatformPeers:
-    """A bus and core servers for a process: their addresses are told as they are."""
+    """An event bus and core servers for an edge proxy in another process, on their real addresses."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.nursery, self.network, self.bus = nursery, SocketRuntime(), Bus()
@@ -265,7 +269,7 @@
 
 
 async def connect_and_test(address: str) -> trio.abc.Stream:
-    """A caller's connection that has passed a test."""
+    """Connects as a caller and waits until a test request is answered."""
     stream = await SocketRuntime().connect(address)
     await stream.send_all(isup.encode(isup.TEST, A, {isup.CAUSE: b"\0"}))
     with trio.fail_after(20):
@@ -291,7 +295,7 @@
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError, AssertionError):
                 idle.append(await connect_and_test(harness.address))
         assert len(idle) > sockets // 4
-        # Discovery is back, and tells of servers that need the descriptors which callers hold.
+        # The bus is available again and lists servers that need the descriptors used by callers.
         names = [f"s{number}" for number in range(servers)]
         found = [await peers.server(name) for name in names]
         peers.bus.events.append(
@@ -313,7 +317,7 @@
 
 
 async def open_pipe_and_write(path: Path, data: bytes) -> int:
-    """Opens a pipe that the process reads, once it does, and writes to it; the descriptor, still open."""
+    """Writes to a pipe once the process reads it; returns the descriptor, still open."""
     with trio.fail_after(20):
         while True:
             try:
@@ -328,7 +332,7 @@
 
 
 async def test_a_hangup_while_the_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
-    # A pipe in the file's place: the read ends when the test says so, after the signal.
+    # The file is a pipe, so that the test can end the read after the signal.
     async with drill(tmp_path, servers=0) as harness:
         path = tmp_path / "config.json"
         os.mkfifo(path)
@@ -337,7 +341,7 @@
         there = await open_pipe_and_write(path, msgspec.json.encode(configuration([], listen, "127.0.0.1:1")))
         harness.process.send_signal(signal.SIGHUP)
         os.close(there)
-        # The first read has ended by then: a second writer who comes before would add to what it reads.
+        # The first read has ended by now; a second writer before that would have appended to its input.
         await harness.event("edge-listening")
         os.close(
             await open_pipe_and_write(path, msgspec.json.encode(configuration([], listen, "127.0.0.1:2")))
@@ -368,7 +372,7 @@
 
 
 async def reload_rejected(harness: Drill, contents: list[bytes]) -> None:
-    """Each is told and refused at a hangup, and the process serves on."""
+    """Checks that each content is rejected at SIGHUP and that the process continues to serve."""
     for many, content in enumerate(contents, start=1):
         harness.file.write_bytes(content)
         harness.process.send_signal(signal.SIGHUP)
@@ -394,22 +398,23 @@
         assert await harness.ended() == 0
 
 
-# Ready again
+# Start-up
 
-# Ten seconds of the least share of a core that an edge proxy is given, a quarter.
+# Ten seconds at a quarter of a core, the smallest share that an edge proxy is given.
 READY_CPU_S = 2.5
-# Rich is read by structlog where it is installed, which it is not beside the edge proxy.
+# rich is not listed: structlog imports it if it is installed, which it is not where the edge proxy runs.
 HEAVY = ("click", "hdrh", "jinja2", "lark", "lmdb", "numpy", "scipy", "simpy", "valverouter.cli")
 
 
 def processor_s(pid: int) -> float:
-    """Of a process, all its threads, since it was started."""
+    """The processor time that all threads of a process have used, in seconds."""
     told = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(told[11]) + int(told[12])) / os.sysconf("SC_CLK_TCK")
 
 
 async def test_a_restarted_process_is_ready_within_its_time(tmp_path: Path) -> None:
-    # By the processor's time, which what else runs changes little; a long list is read on the way.
+    # Measured in processor time, which depends little on other processes. The start includes reading a long
+    # endpoint list.
     rows = [host_row(f"s{at}", at) | {"dial": f"127.0.0.1:{at + 1}"} for at in range(300)]
     whole = {"offset": 1, "topology": {"whole": True, "hosts": rows}}
     took = []
--- a/tests/test_platform_edge_shutdown.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the platform's edge proxy, beside callers that go on asking until their connection ends."""
+"""Shutdown of the platform's edge proxy while callers send set-ups until their connections are closed."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 CALLERS = 8
 ASK_INTERVAL_S = 0.08
-# What a turn of the event loop takes on a host that gives this process a quarter of a core.
+# The duration of a turn of the event loop on a host that gives this process a quarter of a core.
 TURN_S = 0.06
-# From the platform's page: a set-up that crosses the end of its connection is sent again.
+# The platform's specification: a set-up sent this shortly before its connection is closed is sent again.
 CROSSING_S = 0.05
-# The longest no-answer time of SETTINGS is over 3 s, and counts as 3 s.
+# The longest no-answer time of SETTINGS is over 3 s and therefore counts as 3 s, MAX_KILL_BASE.
 KILL_AFTER_S = (platform.MAX_KILL_BASE + platform.KILL_DELAY) / 1e9
 
 
 @dataclass
 class Asked:
-    """The set-ups of all callers by id, with the moment and the connection of each."""
+    """The set-ups of all callers by id, with the time and the connection of each."""
 
     count: int = 0
     sent: dict[str, tuple[float, Client]] = field(default_factory=dict)
 
     def lost_after(self, since: float, until: float) -> list[str]:
-        """Those sent since then with neither an answer nor, while they crossed it, their connection's end."""
+        """Returns the set-ups sent after `since` that were neither answered nor crossed by a close."""
         lost = []
         for id_, (at, client) in self.sent.items():
             answered = any(message.id == id_ for _, message in client.received)
@@ -53,7 +53,7 @@
 
 
 def slow_down(harness: PlatformHarness) -> None:
-    """Each turn waits for the processor first, as beside many busy processes."""
+    """Delays each turn, as on a host with many busy processes."""
     assert isinstance(harness.runtime, MemoryRuntime)
     checkpoint = harness.runtime.checkpoint
 
@@ -68,10 +68,11 @@
 async def test_callers_that_go_on_asking_lose_nothing_at_the_end_on_a_busy_host(
     autojump_clock: MockClock, open_to_the_last: bool
 ) -> None:
-    """Beside 24 busy processes SIGKILL found the process still there, and set-ups in it without an answer.
+    """Guards against SIGKILL ending a process that still has unanswered set-ups.
 
-    Callers that went on asking over their open connections kept it from ever being quiet, so it stayed to
-    `stop_within` and FINAL_READ_LIMIT behind it, 50 ms before SIGKILL, where a turn alone takes longer.
+    That happened beside 24 busy processes. Callers that kept sending set-ups on open connections prevented
+    the process from ever being quiet, so it ran until `stop_within` plus FINAL_READ_LIMIT had passed, 50 ms
+    before SIGKILL, while a single turn took longer than that.
     """
     async with running_platform_edge("s0") as harness:
         clients = [await harness.client() for _ in range(CALLERS)]
--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: what is written is read back, and what can't be read is refused, no more."""
+"""The platform's codecs: messages survive a round trip, and malformed input raises ProtocolError only."""
 
 from __future__ import annotations
 
@@ -194,7 +194,7 @@
     ],
 )
 def test_what_a_server_could_not_use_goes_no_further(change: dict[str, bytes]) -> None:
-    # Servers close their connection on a set-up without an id, and answer 'error' to figures out of range.
+    # Servers close the connection on a set-up without an id, and answer 'error' to invalid routing fields.
     with pytest.raises(ProtocolError):
         asked(**change)  # type: ignore[arg-type]
 
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -1,4 +1,4 @@
-"""Codecs and session state: what bytes give which messages, and what each malformed input is called."""
+"""Codecs and session state: messages decoded from bytes, and the error code for each malformed input."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def pair(role: str = "edge", version: int = 1) -> tuple[SetupSession, SetupSession]:
-    """An asking and a serving side that have greeted each other."""
+    """Returns a client's and a server's session after the handshake."""
     asks, serves = SetupSession(Hello((1, version), role, "e0")), SetupSession()
     assert list(serves.receive(asks.hello_frame()))
     assert list(asks.receive(serves.send(Welcome(version, "s0"))))
@@ -91,12 +91,12 @@
     error = first_error(session, parts)
     if error is not None:
         farewell = session.error_frame(error)
-        assert not session.error_frame(error), "one error, no more"
+        assert not session.error_frame(error), "at most one Error is sent"
         assert farewell or error.code.startswith("peer:")
 
 
 def first_error(session: SetupSession, parts: list[bytes]) -> ProtocolError | None:
-    """The error at which the session ends, None: every part gave messages or nothing."""
+    """Returns the error that ends the session; None if every part was accepted."""
     try:
         for part in parts:
             if part:
@@ -153,7 +153,8 @@
     assert list(session.receive(len(body).to_bytes(4, "big") + body)) == [NotUnderstood("weather")]
 
 
-# Each: the hop, what passed before (who sends: "a" asks, "s" serves), and the message that may not come now.
+# Each case: the client's role, the messages sent before, and a message that is out of state. The sender is
+# "c", the client, or "s", the server.
 D = ("d", 0)
 OPEN = ("a", setup.Setup(*D, traffic_type="plain", time_left=5))
 STANDS = ("s", setup.Established(*D))
@@ -230,12 +231,12 @@
 )
 @example(["setup", "cancel", "release"])
 def test_both_ends_agree_on_every_leg_whatever_is_tried(steps: list[str]) -> None:
-    """A caller that cancelled a set-up and then released it lost every other dialog on its connection.
+    """Guards against a Release after a Cancel that ends the connection, with every other dialog on it.
 
-    Its own session took the Release, since it kept one phase for all that was cancelled or released; the edge
-    proxy's session still had the leg open, answered `out-of-state: Release for ('d', 0), which does not
-    stand` and ended the connection. 200,000 drawn courses with crossing messages showed one more of the kind,
-    Persisted behind Cancel in version 2, and no third.
+    The caller's session allowed the Release, since it had a single phase for cancelled and released legs. The
+    edge proxy's session still had the leg open, answered `out-of-state: Release for ('d', 0), which does not
+    stand` and closed the connection. 200,000 random sequences with crossing messages showed one more such
+    case, Persisted after Cancel in version 2, and no third.
     """
     asks, serves = pair()
     kinds: dict[Any, Any] = {kind.__struct_config__.tag: kind for kind in setup.MESSAGE_TYPES}
@@ -265,7 +266,7 @@
 
 
 class CrossingPair:
-    """Two sides whose messages wait on their way until the course delivers them."""
+    """A client and a server whose messages are delivered on request, so that they can cross."""
 
     def __init__(self, role: str, version: int) -> None:
         self.asks, self.serves = pair(role, version)
@@ -273,7 +274,7 @@
         self.to_asks: deque[bytes] = deque()
 
     def put(self, kind: Any) -> None:
-        """Sends a message if its side's session lets it pass."""
+        """Sends a message if its sender's session allows it."""
         message = OPEN[1] if kind is setup.Setup else kind(*D)
         is_request = kind in setup.CLIENT_MESSAGES
         sender, path = (self.asks, self.to_serves) if is_request else (self.serves, self.to_asks)
@@ -316,7 +317,7 @@
     assert all(phase in (serving[key], LegPhase.CLOSING) for key, phase in asking.items())
 
 
-# The server list
+# The endpoint list
 
 
 def rows(*names: str, phase: Any = "in-service") -> list[EndpointRow]:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: a round trip on the wire, and plain words on what is malformed."""
+"""The simulator's adapter: events and replies on the wire, and errors that name the malformed field."""
 # fmt: off
 
 
