--- a/tests/test_platform_edge.py
+++ b/tests/test_platform_edge.py
@@ -32,32 +32,32 @@
 from valverouter.scenarios.memory_network import MemoryNetwork
 
 A, B = "a" * 16, "b" * 16
-ANSWERED, OVER, CUT = (isup.ANM, A, -1), (isup.REL, A, 16), (isup.REL, A, 41)
+ANSWERED, RELEASED, CUT = (isup.ANM, A, -1), (isup.REL, A, 16), (isup.REL, A, 41)
 
 
-async def test_a_dialog_there_and_back(autojump_clock: MockClock) -> None:
+async def test_a_dialog_is_established_and_released(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         await client.send_setup(A)
         await harness.wait_until(lambda: client.responses == [ANSWERED])
-        asked = server.received[0]
-        assert (asked.sdp, asked.fields["class"], asked.fields["key"]) == (
+        setup_line = server.received[0]
+        assert (setup_line.sdp, setup_line.fields["class"], setup_line.fields["key"]) == (
             DESCRIPTION,
             "voice",
             "7f3a9c21e0b4d655",
         )
-        assert 4_900 <= int(asked.fields["left"]) <= 5_000
+        assert 4_900 <= int(setup_line.fields["left"]) <= 5_000
         assert client.received[0][1].parameters[isup.DESCRIPTION] == (DESCRIPTION + A).encode()
         await server.send(server.streams[0], release_line(A, 16), release_line(A, 16))
-        await harness.wait_until(lambda: client.responses == [ANSWERED, OVER])
+        await harness.wait_until(lambda: client.responses == [ANSWERED, RELEASED])
         await trio.sleep(10)
-        assert client.responses == [ANSWERED, OVER]
+        assert client.responses == [ANSWERED, RELEASED]
         assert not harness.edge.dialogs.entries
         assert client.closed_at is None
 
 
 @pytest.mark.parametrize("others", [True, False])
-async def test_an_established_dialog_outlives_its_caller_s_connection(
+async def test_an_established_dialog_outlives_its_callers_connection(
     autojump_clock: MockClock, others: bool
 ) -> None:
     async with running_platform_edge() as harness:
@@ -72,11 +72,11 @@
             await trio.sleep(1)
             other = await harness.client()
         ended = other
-        await harness.wait_until(lambda: ended.responses == [OVER], 1)
+        await harness.wait_until(lambda: ended.responses == [RELEASED], 1)
         assert not server.received_ids("release")
 
 
-async def test_a_caller_ends_an_established_dialog_from_any_connection(autojump_clock: MockClock) -> None:
+async def test_an_established_dialog_can_be_released_from_any_connection(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         await client.send_setup(A)
@@ -88,7 +88,7 @@
         assert not harness.edge.dialogs.entries
 
 
-async def test_an_established_dialog_outlives_a_reset_and_ends_on_the_next_connection(
+async def test_an_established_dialog_outlives_a_reset_and_is_released_on_the_next_connection(
     autojump_clock: MockClock,
 ) -> None:
     async with running_platform_edge() as harness:
@@ -100,7 +100,7 @@
         await trio.sleep(6)
         assert client.responses == [ANSWERED]
         await server.send(server.streams[1], release_line(A, 16))
-        await harness.wait_until(lambda: client.responses == [ANSWERED, OVER], 1)
+        await harness.wait_until(lambda: client.responses == [ANSWERED, RELEASED], 1)
 
 
 async def test_a_server_that_refuses_connections_has_cut_its_dialogs(autojump_clock: MockClock) -> None:
@@ -112,7 +112,7 @@
         await harness.wait_until(lambda: client.responses == [ANSWERED, CUT], 8)
 
 
-async def test_a_silent_server_has_cut_its_dialogs_in_time(autojump_clock: MockClock) -> None:
+async def test_dialogs_of_a_silent_server_are_cut_within_the_limit(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         await client.send_setup(A)
@@ -120,12 +120,12 @@
         assert isinstance(harness.network, MemoryNetwork)
         harness.network.listeners["s0:1"] = lambda stream: None
         server.send = lambda *_: trio.lowlevel.checkpoint()  # type: ignore[method-assign]
-        gone = trio.current_time()
+        gone_at = trio.current_time()
         await harness.wait_until(lambda: client.responses == [ANSWERED, CUT], 20)
-        assert trio.current_time() - gone <= 8
+        assert trio.current_time() - gone_at <= 8
 
 
-async def test_another_start_cuts_only_what_stood_before_it(autojump_clock: MockClock) -> None:
+async def test_a_server_restart_cuts_only_earlier_dialogs(autojump_clock: MockClock) -> None:
     # The new process accepts calls before the endpoint list shows the restart. The edge proxy once cut 24 of
     # these calls itself.
     async with running_platform_edge("s0") as harness:
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("health", ["Terminating", "Gone"])
-async def test_a_draining_server_gets_nothing_new_and_keeps_an_established_dialog(
+async def test_a_draining_server_gets_no_attempt_and_keeps_an_established_dialog(
     autojump_clock: MockClock, health: str
 ) -> None:
     async with running_platform_edge() as harness:
@@ -161,7 +161,7 @@
         assert bool(s0.streams) is (health != "Gone")
 
 
-async def test_a_set_up_that_is_given_up_is_owed_nothing(autojump_clock: MockClock) -> None:
+async def test_a_cancelled_set_up_gets_no_answer(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
@@ -176,54 +176,56 @@
         assert not any(link.attempts for link in harness.edge.links.by_server.values())
 
 
-async def test_a_dialog_with_no_answer_is_given_up_in_its_time(autojump_clock: MockClock) -> None:
+async def test_an_unanswered_dialog_fails_within_its_time_limit(autojump_clock: MockClock) -> None:
     async with running_platform_edge("s0") as harness:
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
-        began = trio.current_time()
+        started_at = trio.current_time()
         await client.send_setup(A, time_left_ms=1_000)
         await harness.wait_until(lambda: bool(client.responses))
         assert client.responses == [CUT]
-        assert 0.9 < client.received[0][0] - began <= 1.0
+        assert 0.9 < client.received[0][0] - started_at <= 1.0
         assert server.received_ids("release") == [A]
 
 
 @pytest.mark.parametrize(
-    "spoilt", [b"\xff\xfe\x00\n", b'{"type":"answer","id":"' + b"9" * 20_000, b"[1]\n", b""]
+    "malformed", [b"\xff\xfe\x00\n", b'{"type":"answer","id":"' + b"9" * 20_000, b"[1]\n", b""]
 )
-async def test_a_spoilt_answer_is_an_attempt_that_ran(autojump_clock: MockClock, spoilt: bytes) -> None:
+async def test_a_malformed_answer_counts_as_an_attempt_that_ran(
+    autojump_clock: MockClock, malformed: bytes
+) -> None:
     async with running_platform_edge() as harness:
         client, (s0, s1) = await harness.client(), harness.servers.values()
         s0.answers_setups = False
         await client.send_setup(A)
         await harness.wait_until(lambda: s0.received_ids("setup") == [A])
-        broke = trio.current_time()
+        broken_at = trio.current_time()
         stream = s0.setup_streams[A]
-        await (stream.send_all(spoilt) if spoilt else stream.aclose())
+        await (stream.send_all(malformed) if malformed else stream.aclose())
         await harness.wait_until(lambda: ANSWERED in client.responses)
         # The next attempt waits for the release delay. The first server gets a release, since its answer may
         # have established the dialog there.
-        assert trio.current_time() - broke >= 0.3
+        assert trio.current_time() - broken_at >= 0.3
         assert s1.received_ids("setup") == [A]
         assert s0.received_ids("release") == [A]
 
 
-async def test_more_than_belongs_to_an_answer_is_ignored(autojump_clock: MockClock) -> None:
+async def test_duplicate_and_unrelated_lines_are_ignored(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
         await client.send_setup(A)
         await harness.wait_until(lambda: server.received_ids("setup") == [A])
-        lines = len(server.streams)
+        connection_count = len(server.streams)
         await server.send(
             server.setup_streams[A], answer_line(B), answer_line(A), answer_line(A), {"type": "news", "id": A}
         )
         await trio.sleep(3)
         assert client.responses == [ANSWERED]
-        assert len(server.streams) == lines
+        assert len(server.streams) == connection_count
 
 
-async def test_an_id_that_is_open_elsewhere_leaves_the_first_alone(autojump_clock: MockClock) -> None:
+async def test_reusing_an_open_id_does_not_affect_the_first_dialog(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
@@ -239,7 +241,7 @@
         assert not bad.responses
 
 
-async def test_an_id_that_had_its_answer_is_no_new_dialog(autojump_clock: MockClock) -> None:
+async def test_an_answered_id_starts_no_new_dialog(autojump_clock: MockClock) -> None:
     # A caller repeated a set-up four hundred times, once after each rejection, and each started a dialog.
     async with running_platform_edge() as harness:
         server = harness.servers["s0"]
@@ -253,13 +255,13 @@
         assert server.received_ids("setup") == [A]
 
 
-async def test_what_is_taken_back_at_once_shuts_no_server_out(autojump_clock: MockClock) -> None:
+async def test_set_ups_cancelled_at_once_do_not_eject_a_server(autojump_clock: MockClock) -> None:
     async with running_platform_edge("s0") as harness:
         bad, server = await harness.client(), harness.servers["s0"]
-        told = {129: b"voice", 131: b"900", 137: b"0" * 16, 139: b"dest:0", 159: b"v=0"}
+        parameters = {129: b"voice", 131: b"900", 137: b"0" * 16, 139: b"dest:0", 159: b"v=0"}
         for at in range(1, 30):
             id_ = f"{at:016x}"
-            await bad.stream.send_all(isup.encode(isup.IAM, id_, told) + isup.encode_release(id_, 16))
+            await bad.stream.send_all(isup.encode(isup.IAM, id_, parameters) + isup.encode_release(id_, 16))
         await trio.sleep(0.05)
         client = await harness.client()
         await client.send_setup(A)
@@ -280,7 +282,7 @@
         b"GET / HTTP/1.1\r\n\r\n",
     ],
 )
-async def test_who_says_nothing_of_use_is_refused_or_closed_in_three_seconds(
+async def test_without_a_valid_request_a_connection_is_rejected_or_closed_within_three_seconds(
     autojump_clock: MockClock, sent: bytes
 ) -> None:
     async with running_platform_edge() as harness:
@@ -294,7 +296,7 @@
         assert client.closed_at is not None
 
 
-async def test_room_is_made_by_no_connection_whose_set_up_waits(autojump_clock: MockClock) -> None:
+async def test_a_connection_with_an_unread_set_up_is_not_evicted(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         idle, asking = await harness.client(), await harness.client()
         for client, id_ in ((idle, A), (asking, B)):
@@ -314,14 +316,16 @@
         assert asking.closed_at is None
 
 
-async def test_tests_pass_until_it_stops(autojump_clock: MockClock) -> None:
+async def test_a_test_request_is_answered(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client = await harness.client()
         await client.stream.send_all(isup.encode(isup.TEST, A, {isup.CAUSE: b"\0"}))
         await harness.wait_until(lambda: client.responses == [(isup.TESTED, A, 1)], 1)
 
 
-async def test_a_dialog_that_stood_before_our_start(autojump_clock: MockClock) -> None:
+async def test_a_dialog_established_before_the_start_can_be_reported_and_released(
+    autojump_clock: MockClock,
+) -> None:
     async with running_platform_edge() as harness:
         client, server = await harness.client(), harness.servers["s0"]
         await client.send_setup(A, "dest:0;width:1;at:s0")
@@ -330,23 +334,25 @@
         assert not client.responses
         assert not server.received_ids("setup")
         await server.send(server.streams[0], release_line(A, 16))
-        await harness.wait_until(lambda: client.responses == [OVER], 1)
+        await harness.wait_until(lambda: client.responses == [RELEASED], 1)
 
 
-@pytest.mark.parametrize(("at", "early", "said"), [("s0", True, OVER), ("s9", False, CUT)])
-async def test_a_dialog_that_ended_before_its_caller_told_of_it(
-    autojump_clock: MockClock, at: str, early: bool, said: Any
+@pytest.mark.parametrize(
+    ("server", "is_released_early", "expected"), [("s0", True, RELEASED), ("s9", False, CUT)]
+)
+async def test_a_dialog_that_ended_before_its_report_is_released_at_once(
+    autojump_clock: MockClock, server: str, is_released_early: bool, expected: Any
 ) -> None:
     async with running_platform_edge() as harness:
-        client, server = await harness.client(), harness.servers["s0"]
-        if early:
-            await server.send(server.streams[0], release_line(A, 16))
+        client, s0 = await harness.client(), harness.servers["s0"]
+        if is_released_early:
+            await s0.send(s0.streams[0], release_line(A, 16))
             await trio.sleep(1)
-        await client.send_setup(A, f"dest:0;width:1;at:{at}")
-        await harness.wait_until(lambda: client.responses == [said], 1)
+        await client.send_setup(A, f"dest:0;width:1;at:{server}")
+        await harness.wait_until(lambda: client.responses == [expected], 1)
 
 
-async def test_a_silent_bus_is_asked_again_and_a_new_one_goes_on_with_the_numbers(
+async def test_a_silent_bus_is_polled_again_and_offsets_continue_at_a_new_address(
     autojump_clock: MockClock,
 ) -> None:
     async with running_platform_edge() as harness:
@@ -354,17 +360,17 @@
         await trio.sleep(0.5)
         harness.bus.silent = True
         await trio.sleep(10)
-        asked = harness.bus.polls
-        assert max(b[0] - a[0] for a, b in pairwise(asked)) <= 3
-        assert asked[-1][1] == 2
+        polls = harness.bus.polls
+        assert max(b[0] - a[0] for a, b in pairwise(polls)) <= 3
+        assert polls[-1][1] == 2
         harness.bus.silent = False
         await harness.nursery.start(harness.network.serve, "bus:2", harness.bus.serve)
-        before = len(asked)
+        before = len(polls)
         harness.config["bus"] = "bus:2"
         harness.edge.reconfigure(harness.platform())
         harness.bus.publish(host_row("s1", 1, "Gone"))
         await harness.wait_until(lambda: "s1" not in harness.edge.links.by_server, 2)
-        assert [number for _, number in asked[before:]][:1] == [2]
+        assert [number for _, number in polls[before:]][:1] == [2]
 
 
 @pytest.mark.parametrize(
@@ -378,14 +384,16 @@
         ({"name": None}, "name"),
     ],
 )
-def test_a_configuration_that_can_not_be_used_names_the_field(change: dict[str, Any], named: str) -> None:
-    told = {key: value for key, value in (configuration([]) | change).items() if value is not None}
+def test_an_unusable_configuration_is_rejected_with_the_name_of_the_field(
+    change: dict[str, Any], named: str
+) -> None:
+    config = {key: value for key, value in (configuration([]) | change).items() if value is not None}
     with pytest.raises(MalformedInputError, match=named):
-        platform_config(json.dumps(told).encode())
+        platform_config(json.dumps(config).encode())
 
 
 @pytest.mark.parametrize("module", ["valverouter.platform_edge", "valverouter.relayedge"])
-def test_the_run_command_on_loopback(tmp_path: Path, module: str) -> None:
+def test_the_process_on_loopback(tmp_path: Path, module: str) -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         listen = f"127.0.0.1:{free.getsockname()[1]}"
@@ -419,9 +427,9 @@
                         isup.IAM, B, {129: b"voice", 131: b"900", 137: b"0" * 16, 139: b"dest:0", 159: b"v=0"}
                     )
                 )
-                (said,) = isup.MessageReader().feed(caller.recv(100))
-                assert (said.type, said.id, said.cause) == (isup.REL, B, 42)
-                assert int(said.parameters[isup.RETRY_AFTER]) > 0
+                (release,) = isup.MessageReader().feed(caller.recv(100))
+                assert (release.type, release.id, release.cause) == (isup.REL, B, 42)
+                assert int(release.parameters[isup.RETRY_AFTER]) > 0
             assert process.wait(20) == 0
         finally:
             if process.poll() is None:
--- a/tests/test_platform_edge_races.py
+++ b/tests/test_platform_edge_races.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("connected", [True, False])
-async def test_what_the_kernel_has_taken_at_the_end_is_answered(connected: bool) -> None:
+async def test_a_set_up_unread_at_shutdown_is_answered(connected: bool) -> None:
     # At the stop request no dialog is open, and the set-up is unread, on a connection accepted or not.
     async with running_platform_edge(network=Loopback()) as harness:
         assert isinstance(harness.runtime, Loopback)
@@ -72,38 +72,36 @@
                 raw.connect((host_, int(port)))
                 await harness.wait_until(lambda: harness.edge.listener.open_connections == 1)
 
-            def comes() -> None:
+            def send_set_up() -> None:
                 if not connected:
                     raw.connect((host_, int(port)))
                 raw.sendall(encode_setup(A))
 
-            harness.runtime.on_turn_start = comes
+            harness.runtime.on_turn_start = send_set_up
             harness.edge.stop()
             assert await responses_at_exit(harness, raw) == [(isup.REL, A, 42)]
 
 
-async def test_the_last_dialogs_have_their_answer_before_the_process_is_killed(
-    autojump_clock: MockClock,
-) -> None:
+async def test_open_dialogs_are_answered_before_sigkill(autojump_clock: MockClock) -> None:
     async with running_platform_edge("s0") as harness:
         client, server = await harness.client(), harness.servers["s0"]
         server.answers_setups = False
         await client.send_setup(A, time_left_ms=9_000)
         await harness.wait_until(lambda: server.received_ids("setup") == [A])
-        signalled = trio.current_time()
+        signalled_at = trio.current_time()
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
         harness.edge.stop()
         await harness.wait_until(harness.edge.ended.is_set)
         # SIGKILL comes 0.7 s after the longest no-answer time, of which at most 3 s count.
         assert client.responses == [(isup.REL, A, 41)]
-        assert trio.current_time() - signalled < 3.7
+        assert trio.current_time() - signalled_at < 3.7
         assert platform.ACCEPT_PERIOD < platform.KILL_DELAY
 
 
 # Duplicate messages and lost connections of a server
 
 
-async def test_a_second_copy_of_a_refusal_is_no_word_on_the_next_attempt() -> None:
+async def test_a_duplicate_rejection_does_not_affect_the_next_attempt() -> None:
     # Dialogs are so short that a server without a free agent is retried soon.
     quick = SETTINGS | {"extra": SETTINGS["extra"] | {"callLengthUs": [20_000, 20_000]}}
     async with running_platform_edge(network=Loopback(), settings=quick) as harness:
@@ -128,7 +126,7 @@
         await harness.wait_until(lambda: client.responses == [(isup.ANM, A, -1)])
 
 
-async def test_a_server_s_close_that_crosses_a_set_up_is_an_attempt_that_may_have_run() -> None:
+async def test_a_set_up_that_crosses_a_servers_close_counts_as_one_that_may_have_run() -> None:
     # Both connections are closed while the set-up is sent on the first. The close of the second is read
     # later, so that the release that follows the loss of the first is sent there and never read.
     async with running_platform_edge(network=Loopback()) as harness:
@@ -144,23 +142,22 @@
         await harness.wait_until(lambda: len(harness.edge.context.events) == 1)
         received_at = link._connections[1].received_at
         await s0.send(second, {"type": "state", "id": B})
-        await harness.wait_until(
-            lambda: link._connections[1].received_at > received_at
-        )  # and its reader waits for space
+        # From then on the reader of the second connection waits for space in the event queue.
+        await harness.wait_until(lambda: link._connections[1].received_at > received_at)
 
-        def closes() -> None:
+        def close_both() -> None:
             first.close_now()
             second.close_now()
 
-        harness.runtime.on_turn_start = closes
-        began = time.monotonic()
+        harness.runtime.on_turn_start = close_both
+        started_at = time.monotonic()
         harness.runtime.resume_turns()
         await harness.wait_until(lambda: client.responses == [(isup.ANM, A, -1)])
-        waited = time.monotonic() - began
+        elapsed = time.monotonic() - started_at
         await harness.wait_until(lambda: s0.received_ids("release") == [A])
         assert s1.received_ids("setup") == [A]
         assert s0.received_ids("setup") == []
-        assert waited >= 0.3
+        assert elapsed >= 0.3
 
 
 def server_streams(link: PlatformLink, server: Server) -> list[Any]:
@@ -173,23 +170,23 @@
 # The event bus
 
 
-async def test_a_bus_that_says_nothing_at_once_is_not_asked_all_the_time() -> None:
+async def test_a_bus_that_responds_at_once_without_events_is_polled_with_a_delay() -> None:
     async with running_platform_edge("s0", network=Loopback()) as harness:
         harness.bus.answers_immediately = True
         harness.bus.publish(host_row("s0", 0))
         before = len(harness.bus.polls)
-        began = time.monotonic()
+        started_at = time.monotonic()
         await trio.sleep(0.5)
-        asked, most = (
+        polls, max_polls = (
             len(harness.bus.polls) - before,
-            (time.monotonic() - began) * 1e9 / platform.BUS_RETRY_DELAY,
+            (time.monotonic() - started_at) * 1e9 / platform.BUS_RETRY_DELAY,
         )
-        assert 1 < asked <= most + 2
+        assert 1 < polls <= max_polls + 2
         harness.bus.publish(host_row("s0", 0, "Gone"))
         await harness.wait_until(lambda: not harness.edge.links.by_server)
 
 
-async def test_a_bus_that_lost_events_takes_nothing_back(autojump_clock: MockClock) -> None:
+async def test_a_bus_that_lost_events_does_not_undo_applied_ones(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         harness.bus.publish(host_row("s1", 1, "Terminating"))
         await trio.sleep(0.5)
@@ -202,7 +199,7 @@
         assert harness.edge.source.offset == 2
 
 
-async def test_ends_that_find_nobody_are_kept_for_a_while_only(autojump_clock: MockClock) -> None:
+async def test_releases_without_a_connected_caller_expire(autojump_clock: MockClock) -> None:
     async with running_platform_edge() as harness:
         client = await harness.client()
         await harness.wait_until(lambda: harness.edge.listener.open_connections == 1)
@@ -218,7 +215,7 @@
 # Customers with different traffic types
 
 
-OTHERS = SETTINGS | {
+OTHER_CUSTOMER = SETTINGS | {
     "categories": [
         {"name": "ward-round", "objectiveUs": 400_000, "deadlineUs": 2_000_000, "importance": 2.0},
         {"name": "blood", "objectiveUs": 200_000, "deadlineUs": 900_000, "semantics": "non_idempotent"},
@@ -229,18 +226,19 @@
 
 
 @pytest.mark.parametrize(
-    ("settings", "its", "others"), [(SETTINGS, "urgent", "blood"), (OTHERS, "blood", "urgent")]
+    ("settings", "own_class", "foreign_class"),
+    [(SETTINGS, "urgent", "blood"), (OTHER_CUSTOMER, "blood", "urgent")],
 )
-async def test_customers_in_turn_each_with_its_own_classes(
-    settings: dict[str, Any], its: str, others: str
+async def test_traffic_types_are_those_of_the_customers_configuration(
+    settings: dict[str, Any], own_class: str, foreign_class: str
 ) -> None:
     async with running_platform_edge(network=Loopback(), settings=settings) as harness:
         client = await harness.client()
-        await client.send_setup(B, "dest:1", 800, others)
+        await client.send_setup(B, "dest:1", 800, foreign_class)
         await harness.wait_until(lambda: client.responses == [(isup.REL, B, 100)])
-        await client.send_setup(A, "dest:1", 800, its)
+        await client.send_setup(A, "dest:1", 800, own_class)
         await harness.wait_until(lambda: client.responses[1:] == [(isup.ANM, A, -1)])
-        assert harness.servers["s1"].received[-1].fields["class"] == its
+        assert harness.servers["s1"].received[-1].fields["class"] == own_class
 
 
 # The process
@@ -277,17 +275,17 @@
     return stream
 
 
-async def test_callers_that_fill_the_descriptors_keep_neither_bus_nor_servers_away(tmp_path: Path) -> None:
+async def test_callers_that_use_all_descriptors_do_not_block_the_bus_or_servers(tmp_path: Path) -> None:
     sockets, servers = 96, 20
     async with drill(tmp_path, servers=0) as harness:
         peers = PlatformPeers(harness.nursery)
         bus_at = free_port()
-        told = configuration([], free_port(), bus_at)
-        told["limits"]["sockets"] = sockets
-        told["settings"] = SETTINGS | {
+        config = configuration([], free_port(), bus_at)
+        config["limits"]["sockets"] = sockets
+        config["settings"] = SETTINGS | {
             "extra": SETTINGS["extra"] | {"classCells": [list(range(servers))] * 2}
         }
-        await harness.start_platform_edge(told)
+        await harness.start_platform_edge(config)
         harness.limit(resource.RLIMIT_NOFILE, sockets)
         await harness.event("bus-down")
         idle = []
@@ -297,7 +295,7 @@
         assert len(idle) > sockets // 4
         # The bus is available again and lists servers that need the descriptors used by callers.
         names = [f"s{number}" for number in range(servers)]
-        found = [await peers.server(name) for name in names]
+        listed = [await peers.server(name) for name in names]
         peers.bus.events.append(
             {
                 "offset": 1,
@@ -306,7 +304,7 @@
         )
         await harness.nursery.start(peers.network.serve, bus_at, peers.bus.serve)
         with trio.fail_after(20):
-            while not all(len(server.streams) == 2 for server in found):
+            while not all(len(server.streams) == 2 for server in listed):
                 await trio.sleep(0.01)
         good = await connect_and_test(harness.address)
         await good.send_all(encode_setup(B))
@@ -321,26 +319,28 @@
     with trio.fail_after(20):
         while True:
             try:
-                there = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
+                descriptor = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                 break
             except OSError as error:
                 if error.errno != errno.ENXIO:
                     raise
                 await trio.sleep(0.005)
-    os.write(there, data)
-    return there
+    os.write(descriptor, data)
+    return descriptor
 
 
-async def test_a_hangup_while_the_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
+async def test_sighup_while_the_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
     # The file is a pipe, so that the test can end the read after the signal.
     async with drill(tmp_path, servers=0) as harness:
         path = tmp_path / "config.json"
         os.mkfifo(path)
         listen = free_port()
         harness.spawn(["valverouter.platform_edge"], {"RELAY_CONFIG": str(path)})
-        there = await open_pipe_and_write(path, msgspec.json.encode(configuration([], listen, "127.0.0.1:1")))
+        descriptor = await open_pipe_and_write(
+            path, msgspec.json.encode(configuration([], listen, "127.0.0.1:1"))
+        )
         harness.process.send_signal(signal.SIGHUP)
-        os.close(there)
+        os.close(descriptor)
         # The first read has ended by now; a second writer before that would have appended to its input.
         await harness.event("edge-listening")
         os.close(
@@ -349,14 +349,14 @@
         assert (await harness.event("configuration-reloaded"))["bus"] == "127.0.0.1:2"
 
 
-UNUSABLE: list[tuple[str, dict[str, Any]]] = [
+INVALID_EVENTS: list[tuple[str, dict[str, Any]]] = [
     ("known", {"known": {"offset": 1, "batch": [{"offset": "one"}]}}),
     ("known", {"known": {"offset": 1, "batch": [{"offset": 1, "topology": {"hosts": [{"host": 7}]}}]}}),
 ]
 
 
-@pytest.mark.parametrize(("named", "change"), UNUSABLE)
-async def test_events_that_can_not_be_read_end_the_start_with_one_line(
+@pytest.mark.parametrize(("named", "change"), INVALID_EVENTS)
+async def test_invalid_events_end_the_start_with_one_line(
     tmp_path: Path, named: str, change: dict[str, Any]
 ) -> None:
     async with drill(tmp_path, servers=0) as harness:
@@ -373,23 +373,25 @@
 
 async def reload_rejected(harness: Drill, contents: list[bytes]) -> None:
     """Checks that each content is rejected at SIGHUP and that the process continues to serve."""
-    for many, content in enumerate(contents, start=1):
+    for count, content in enumerate(contents, start=1):
         harness.file.write_bytes(content)
         harness.process.send_signal(signal.SIGHUP)
-        await harness.event("configuration-rejected", many=many)
+        await harness.event("configuration-rejected", many=count)
         await (await connect_and_test(harness.address)).aclose()
 
 
-async def test_a_configuration_that_can_not_be_used_changes_nothing_at_a_hangup(tmp_path: Path) -> None:
+async def test_an_unusable_configuration_changes_nothing_at_sighup(tmp_path: Path) -> None:
     async with drill(tmp_path, servers=0) as harness:
-        told = configuration([], free_port(), "127.0.0.1:1")
-        await harness.start_platform_edge(told)
-        whole = msgspec.json.encode(told | {"bus": "127.0.0.1:2"})
-        spoilt = [msgspec.json.encode(told | {"bus": "127.0.0.1:2"} | change) for _, change in UNUSABLE[:1]]
-        another = msgspec.json.encode(told | {"bus": "127.0.0.1:2", "name": "n1"})
-        await reload_rejected(harness, [whole[: len(whole) // 2], *spoilt, another])
+        config = configuration([], free_port(), "127.0.0.1:1")
+        await harness.start_platform_edge(config)
+        complete = msgspec.json.encode(config | {"bus": "127.0.0.1:2"})
+        invalid = [
+            msgspec.json.encode(config | {"bus": "127.0.0.1:2"} | change) for _, change in INVALID_EVENTS[:1]
+        ]
+        other_edge = msgspec.json.encode(config | {"bus": "127.0.0.1:2", "name": "n1"})
+        await reload_rejected(harness, [complete[: len(complete) // 2], *invalid, other_edge])
         assert not harness.events("configuration-reloaded")
-        harness.file.write_bytes(whole)
+        harness.file.write_bytes(complete)
         harness.process.send_signal(signal.SIGHUP)
         await harness.event("configuration-reloaded")
         harness.process.send_signal(signal.SIGTERM)
@@ -403,33 +405,33 @@
 # Ten seconds at a quarter of a core, the smallest share that an edge proxy is given.
 READY_CPU_S = 2.5
 # rich is not listed: structlog imports it if it is installed, which it is not where the edge proxy runs.
-HEAVY = ("click", "hdrh", "jinja2", "lark", "lmdb", "numpy", "scipy", "simpy", "valverouter.cli")
+HEAVY_MODULES = ("click", "hdrh", "jinja2", "lark", "lmdb", "numpy", "scipy", "simpy", "valverouter.cli")
 
 
-def processor_s(pid: int) -> float:
+def processor_time_s(pid: int) -> float:
     """The processor time that all threads of a process have used, in seconds."""
-    told = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(told[11]) + int(told[12])) / os.sysconf("SC_CLK_TCK")
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def test_a_restarted_process_is_ready_within_its_time(tmp_path: Path) -> None:
+async def test_a_restarted_process_is_ready_within_its_time_limit(tmp_path: Path) -> None:
     # Measured in processor time, which depends little on other processes. The start includes reading a long
     # endpoint list.
     rows = [host_row(f"s{at}", at) | {"dial": f"127.0.0.1:{at + 1}"} for at in range(300)]
     whole = {"offset": 1, "topology": {"whole": True, "hosts": rows}}
-    took = []
+    durations = []
     for at in range(10):
         (folder := tmp_path / str(at)).mkdir()
         async with drill(folder, servers=0) as harness:
-            told = configuration([whole], free_port(), "127.0.0.1:1")
-            told["settings"] = SETTINGS | {
+            config = configuration([whole], free_port(), "127.0.0.1:1")
+            config["settings"] = SETTINGS | {
                 "extra": SETTINGS["extra"] | {"classCells": [list(range(len(rows)))] * 2}
             }
-            told["limits"]["sockets"] = 1_024
-            await harness.start_platform_edge(told)
+            config["limits"]["sockets"] = 1_024
+            await harness.start_platform_edge(config)
             await (await connect_and_test(harness.address)).aclose()
-            took.append(processor_s(harness.process.pid))
-    assert sorted(took)[8] < READY_CPU_S, took
+            durations.append(processor_time_s(harness.process.pid))
+    assert sorted(durations)[8] < READY_CPU_S, durations
 
 
 PLATFORM_EDGE = ["valverouter.platform_edge", "valverouter.relayedge"]
@@ -453,26 +455,26 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [*([module] for module in PLATFORM_EDGE), *([module, "lost-hangup"] for module in INJECTED_FAULTS)],
 )
-def test_a_hangup_is_handled_before_libraries_are_imported(words: list[str], tmp_path: Path) -> None:
-    ran = subprocess.run(
-        [sys.executable, "-c", SIGHUP_PROBE, *words],
+def test_sighup_is_handled_before_libraries_are_imported(arguments: list[str], tmp_path: Path) -> None:
+    result = subprocess.run(
+        [sys.executable, "-c", SIGHUP_PROBE, *arguments],
         env=os.environ | {"RELAY_CONFIG": str(tmp_path / "none")},
         capture_output=True, text=True, timeout=60, check=False,
     )  # fmt: skip
-    assert ran.returncode == 2, ran.stderr
-    assert "valverouter: RELAY_CONFIG=" in ran.stderr
-    assert sorted(ran.stdout.splitlines()) == ["msgspec True", "structlog True", "trio True"]
+    assert result.returncode == 2, result.stderr
+    assert "valverouter: RELAY_CONFIG=" in result.stderr
+    assert sorted(result.stdout.splitlines()) == ["msgspec True", "structlog True", "trio True"]
 
 
 @pytest.mark.parametrize("module", PLATFORM_EDGE)
-def test_nothing_heavy_is_read_before_it_listens(module: str) -> None:
-    told = subprocess.run(
+def test_no_heavy_module_is_imported_at_the_start(module: str) -> None:
+    result = subprocess.run(
         [sys.executable, "-c", f"import {module}.__main__, sys; print(*sorted(sys.modules))"],
         capture_output=True, text=True, timeout=60, check=True,
     )  # fmt: skip
-    loaded = set(told.stdout.split())
+    loaded = set(result.stdout.split())
     assert "valverouter.platform_edge.proxy" in loaded
-    assert not loaded & set(HEAVY)
+    assert not loaded & set(HEAVY_MODULES)
--- a/tests/test_platform_edge_shutdown.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -13,7 +13,7 @@
 from valverouter.scenarios.memory_network import MemoryRuntime
 
 CALLERS = 8
-ASK_INTERVAL_S = 0.08
+SETUP_INTERVAL_S = 0.08
 # The duration of a turn of the event loop on a host that gives this process a quarter of a core.
 TURN_S = 0.06
 # The platform's specification: a set-up sent this shortly before its connection is closed is sent again.
@@ -23,33 +23,33 @@
 
 
 @dataclass
-class Asked:
+class SentSetups:
     """The set-ups of all callers by id, with the time and the connection of each."""
 
     count: int = 0
     sent: dict[str, tuple[float, Client]] = field(default_factory=dict)
 
-    def lost_after(self, since: float, until: float) -> list[str]:
+    def unanswered_after(self, since: float, until: float) -> list[str]:
         """Returns the set-ups sent after `since` that were neither answered nor crossed by a close."""
-        lost = []
+        unanswered = []
         for id_, (at, client) in self.sent.items():
             answered = any(message.id == id_ for _, message in client.received)
-            ended = until if client.closed_at is None else client.closed_at
-            if at > since and not answered and ended - at > CROSSING_S:
-                lost.append(id_)
-        return lost
+            ended_at = until if client.closed_at is None else client.closed_at
+            if at > since and not answered and ended_at - at > CROSSING_S:
+                unanswered.append(id_)
+        return unanswered
 
 
-async def go_on_asking(asked: Asked, client: Client) -> None:
+async def send_setups_until_closed(setups: SentSetups, client: Client) -> None:
     while True:
-        await trio.sleep(ASK_INTERVAL_S)
-        asked.count += 1
-        id_ = f"{asked.count:016x}"
+        await trio.sleep(SETUP_INTERVAL_S)
+        setups.count += 1
+        id_ = f"{setups.count:016x}"
         try:
             await client.stream.send_all(encode_setup(id_))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
-        asked.sent[id_] = trio.current_time(), client
+        setups.sent[id_] = trio.current_time(), client
 
 
 def slow_down(harness: PlatformHarness) -> None:
@@ -64,9 +64,9 @@
     harness.runtime.checkpoint = slow_checkpoint  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize("open_to_the_last", [False, True])
-async def test_callers_that_go_on_asking_lose_nothing_at_the_end_on_a_busy_host(
-    autojump_clock: MockClock, open_to_the_last: bool
+@pytest.mark.parametrize("has_open_dialog", [False, True])
+async def test_shutdown_on_a_busy_host_loses_no_set_up_of_persistent_callers(
+    autojump_clock: MockClock, has_open_dialog: bool
 ) -> None:
     """Guards against SIGKILL ending a process that still has unanswered set-ups.
 
@@ -79,19 +79,19 @@
         for number, client in enumerate(clients):
             await client.send_setup(f"{number + 1:x}" * 16)
         await harness.wait_until(lambda: all(client.received for client in clients))
-        asked = Asked()
-        if open_to_the_last:
+        setups = SentSetups()
+        if has_open_dialog:
             harness.servers["s0"].answers_setups = False
             await clients[0].send_setup("f" * 16, time_left_ms=9_000)
         slow_down(harness)
-        signalled = trio.current_time()
+        signalled_at = trio.current_time()
         for client in clients:
-            harness.nursery.start_soon(go_on_asking, asked, client)
+            harness.nursery.start_soon(send_setups_until_closed, setups, client)
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
         harness.edge.stop()
-        killed = signalled + KILL_AFTER_S
-        with trio.move_on_at(killed):
+        killed_at = signalled_at + KILL_AFTER_S
+        with trio.move_on_at(killed_at):
             await harness.edge.ended.wait()
-        ended = trio.current_time()
-        assert asked.lost_after(signalled + platform.KILL_DELAY / 1e9, ended) == []
-        assert killed - ended >= platform.EXIT_MARGIN / 1e9 / 2
+        ended_at = trio.current_time()
+        assert setups.unanswered_after(signalled_at + platform.KILL_DELAY / 1e9, ended_at) == []
+        assert killed_at - ended_at >= platform.EXIT_MARGIN / 1e9 / 2
--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -27,18 +27,20 @@
     st.lists(st.tuples(st.sampled_from(sorted(isup.KNOWN_TYPES)), IDS, PARAMETERS), max_size=5),
     st.integers(1, 9),
 )
-def test_messages_come_back_however_they_are_cut(
-    sent: list[tuple[int, str, dict[int, bytes]]], cut: int
+def test_messages_survive_any_splitting_of_the_stream(
+    sent: list[tuple[int, str, dict[int, bytes]]], chunk_size: int
 ) -> None:
     data = b"".join(isup.encode(*message) for message in sent)
     reader = isup.MessageReader()
-    heard = [one for at in range(0, len(data), cut) for one in reader.feed(data[at : at + cut])]
-    assert [(one.type, one.id, one.parameters) for one in heard] == sent
+    received = [
+        one for at in range(0, len(data), chunk_size) for one in reader.feed(data[at : at + chunk_size])
+    ]
+    assert [(one.type, one.id, one.parameters) for one in received] == sent
     assert not reader.has_partial_message
 
 
 @given(st.binary(max_size=400))
-def test_any_bytes_are_messages_or_one_error(data: bytes) -> None:
+def test_any_bytes_are_messages_or_a_protocol_error(data: bytes) -> None:
     reader = isup.MessageReader()
     try:
         for message in reader.feed(data):
@@ -61,24 +63,24 @@
         b"\x00\x0a\x01" + bytes(8) + b"\x81",
     ],
 )
-def test_lengths_and_types_that_cannot_be_are_told_at_once(data: bytes) -> None:
+def test_invalid_lengths_and_types_are_refused_immediately(data: bytes) -> None:
     with pytest.raises(ProtocolError):
         list(isup.MessageReader().feed(data))
 
 
 @given(IDS, st.text(max_size=200), st.integers(1, 10**6))
 def test_a_setup_to_a_server_is_one_line_with_its_description_unchanged(
-    id_: str, text: str, left: int
+    id_: str, text: str, time_left_ms: int
 ) -> None:
-    data = lines.encode_setup(id_, "booking", "0" * 16, left, text)
+    data = lines.encode_setup(id_, "booking", "0" * 16, time_left_ms, text)
     (line,) = lines.LineReader().feed(data)
     assert data.count(b"\n") == 1
     assert (line.type, line.id, line.sdp) == ("setup", id_, text)
-    assert line.fields == {"class": "booking", "key": "0" * 16, "left": str(left)}
+    assert line.fields == {"class": "booking", "key": "0" * 16, "left": str(time_left_ms)}
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_lines_or_one_error(data: bytes) -> None:
+def test_any_bytes_are_lines_or_a_protocol_error(data: bytes) -> None:
     try:
         for line in lines.LineReader().feed(data):
             assert isinstance(line.type, str)
@@ -88,7 +90,7 @@
         pass
 
 
-def test_a_line_that_does_not_end_is_given_up() -> None:
+def test_an_overlong_incomplete_line_is_refused() -> None:
     reader = lines.LineReader()
 
     def feed_all() -> None:
@@ -100,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         ("x0:12;x1:40;queue:3", (12, 40, 3)),
         ("idle:0;circuits:7", (0, 7, None)),
@@ -109,14 +111,14 @@
         ("x0:1e400;queue:2.5", (None, None, 2)),
     ],
 )
-def test_reports_are_read_by_either_name(text: str, told: tuple[int | None, ...]) -> None:
+def test_load_reports_are_read_with_either_set_of_names(text: str, expected: tuple[int | None, ...]) -> None:
     load = translation.parse_load(lines.Line("state", fields={"load": text}))
     assert load is not None
-    assert (load.free_lines, load.lines, load.queue_length) == told
+    assert (load.free_lines, load.lines, load.queue_length) == expected
 
 
 @pytest.mark.parametrize(
-    ("cause", "note", "said"),
+    ("cause", "note", "expected_type"),
     [
         (34, "no_path", setup.NoAgent),
         (34, "queue_long", setup.Full),
@@ -131,12 +133,16 @@
         (None, "", None),
     ],
 )
-def test_a_server_s_refusal_in_our_words(cause: int | None, note: str, said: type | None) -> None:
-    made = translation.parse_rejection(lines.Line("release", ID, {"note": note}, cause), 2)
-    assert made is None if said is None else (type(made) is said and made is not None and made.leg == 2)
+def test_a_servers_release_is_converted(cause: int | None, note: str, expected_type: type | None) -> None:
+    converted = translation.parse_rejection(lines.Line("release", ID, {"note": note}, cause), 2)
+    assert (
+        converted is None
+        if expected_type is None
+        else (type(converted) is expected_type and converted is not None and converted.leg == 2)
+    )
 
 
-SOUND = {
+VALID_PARAMETERS = {
     129: b"only-1",
     131: b"1500",
     137: b"7f3a9c21e0b4d655",
@@ -145,25 +151,27 @@
 }
 
 
-def asked(id_: str = ID, **changes: bytes) -> translation.PlatformSetup | translation.EstablishedDialog:
-    told = SOUND | {int(code[1:]): value for code, value in changes.items()}
-    return translation.parse_setup(isup.Message(isup.IAM, id_, told), DEPLOYMENT, {"only-1": 1})
+def parse_setup_with(
+    id_: str = ID, **changes: bytes
+) -> translation.PlatformSetup | translation.EstablishedDialog:
+    parameters = VALID_PARAMETERS | {int(code[1:]): value for code, value in changes.items()}
+    return translation.parse_setup(isup.Message(isup.IAM, id_, parameters), DEPLOYMENT, {"only-1": 1})
 
 
-def test_a_setup_in_our_words() -> None:
-    made = asked(p139=b"dest:1;width:1;via:-1;again:1")
-    assert isinstance(made, translation.PlatformSetup)
-    assert (made.dialog, made.preferred_server_number, made.was_interrupted, made.time_left) == (
-        ID,
-        1,
-        True,
-        1500 * 10**6,
-    )
-    assert made.called_number == int("7f3a9c21e0b4d655", 16)
-    assert b"7f3a9c21e0b4d655" in translation.encode_for_server(made)
-    stood = asked(p139=b"dest:1;width:1;at:s-00c41f7a")
-    assert isinstance(stood, translation.EstablishedDialog)
-    assert stood.server == "s-00c41f7a"
+def test_a_set_up_is_converted() -> None:
+    converted = parse_setup_with(p139=b"dest:1;width:1;via:-1;again:1")
+    assert isinstance(converted, translation.PlatformSetup)
+    assert (
+        converted.dialog,
+        converted.preferred_server_number,
+        converted.was_interrupted,
+        converted.time_left,
+    ) == (ID, 1, True, 1500 * 10**6)
+    assert converted.called_number == int("7f3a9c21e0b4d655", 16)
+    assert b"7f3a9c21e0b4d655" in translation.encode_for_server(converted)
+    report = parse_setup_with(p139=b"dest:1;width:1;at:s-00c41f7a")
+    assert isinstance(report, translation.EstablishedDialog)
+    assert report.server == "s-00c41f7a"
 
 
 @pytest.mark.parametrize(
@@ -193,10 +201,10 @@
         {"id_": "0" * 16},
     ],
 )
-def test_what_a_server_could_not_use_goes_no_further(change: dict[str, bytes]) -> None:
+def test_an_invalid_set_up_is_refused(change: dict[str, bytes]) -> None:
     # Servers close the connection on a set-up without an id, and answer 'error' to invalid routing fields.
     with pytest.raises(ProtocolError):
-        asked(**change)  # type: ignore[arg-type]
+        parse_setup_with(**change)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -209,17 +217,17 @@
         (translation.EstablishedWithDescription(ID, description="v=0\r\n"), isup.ANM, -1),
     ],
 )
-def test_answers_on_the_wire(message: setup.LegMessage, kind: int, cause: int) -> None:
-    (heard,) = isup.MessageReader().feed(translation.encode_for_caller(message))
-    assert (heard.type, heard.id, heard.cause) == (kind, ID, cause)
+def test_answers_are_encoded_for_callers(message: setup.LegMessage, kind: int, cause: int) -> None:
+    (received,) = isup.MessageReader().feed(translation.encode_for_caller(message))
+    assert (received.type, received.id, received.cause) == (kind, ID, cause)
     if isinstance(message, setup.Rejected):
-        assert heard.parameters[isup.RETRY_AFTER] == b"150"
+        assert received.parameters[isup.RETRY_AFTER] == b"150"
     if isinstance(message, translation.EstablishedWithDescription):
-        assert heard.parameters[isup.DESCRIPTION] == b"v=0\r\n"
+        assert received.parameters[isup.DESCRIPTION] == b"v=0\r\n"
 
 
 @pytest.mark.parametrize("reason", ["cancelled", "caller-gone"])
-def test_a_caller_that_gave_up_is_owed_nothing(reason: str) -> None:
+def test_a_caller_that_cancelled_or_left_is_sent_nothing(reason: str) -> None:
     assert translation.encode_for_caller(setup.Failed(ID, 0, reason)) == b""
 
 
@@ -227,20 +235,20 @@
     b'{"offset":41,"batch":[{"offset":41,"topology":{"seq":7,"whole":false,"hosts":[{"host":"s-1","dial":"h:1",'
     b'"site":"east","class":"std","block":2,"health":"Terminating","share":4,"born_ms":0}]}}]}'
 )
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
 
 
-@given(st.integers(1, len(ANSWER)))
-def test_an_event_is_handed_on_whole_or_not_at_all(cut: int) -> None:
+@given(st.integers(1, len(RESPONSE)))
+def test_only_complete_responses_are_returned(split_at: int) -> None:
     session = BusSession("bus:1")
     assert b"/bus/read?from=40&hold=2000 HTTP/1.1" in session.poll_request(40, 2000)
-    early = session.receive(ANSWER[:cut])
-    if cut < len(ANSWER):
-        assert early is None
+    first = session.receive(RESPONSE[:split_at])
+    if split_at < len(RESPONSE):
+        assert first is None
         with pytest.raises(ProtocolError):
             session.receive(b"")
     else:
-        assert early == msgspec.json.decode(BODY, type=Batch)
+        assert first == msgspec.json.decode(BODY, type=Batch)
         assert session.is_reusable
         session.poll_request(41, 2000)
 
@@ -249,15 +257,15 @@
 
 
 @given(st.binary(min_size=1, max_size=300))
-def test_any_bytes_from_the_bus_are_no_batch_or_one_error(data: bytes) -> None:
+def test_any_bytes_from_the_bus_are_a_batch_or_a_protocol_error(data: bytes) -> None:
     session = BusSession("bus:1")
     session.poll_request(0, 2000)
     with suppress(ProtocolError):
-        whole = session.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n" + data)
-        assert whole is None or len(data) == 300
+        batch = session.receive(b"HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n" + data)
+        assert batch is None or len(data) == 300
 
 
-def test_a_host_as_a_row() -> None:
+def test_a_host_is_converted_to_an_endpoint_row() -> None:
     hosts = msgspec.json.decode(BODY, type=Batch).batch[0].topology
     assert hosts is not None
     assert translation.endpoint_row(hosts.hosts[0], 10**18).phase == "draining"
--- a/tests/test_signalling.py
+++ b/tests/test_signalling.py
@@ -33,13 +33,13 @@
 
 def pair(role: str = "edge", version: int = 1) -> tuple[SetupSession, SetupSession]:
     """Returns a client's and a server's session after the handshake."""
-    asks, serves = SetupSession(Hello((1, version), role, "e0")), SetupSession()
-    assert list(serves.receive(asks.hello_frame()))
-    assert list(asks.receive(serves.send(Welcome(version, "s0"))))
-    return asks, serves
+    client, server = SetupSession(Hello((1, version), role, "e0")), SetupSession()
+    assert list(server.receive(client.hello_frame()))
+    assert list(client.receive(server.send(Welcome(version, "s0"))))
+    return client, server
 
 
-def passes(sender: SetupSession, receiver: SetupSession, message: Any) -> Any:
+def transfer(sender: SetupSession, receiver: SetupSession, message: Any) -> Any:
     (got,) = receiver.receive(sender.send(message))
     return got
 
@@ -69,11 +69,11 @@
 
 
 @given(st.lists(messages, max_size=6), st.randoms(use_true_random=False))
-def test_frames_survive_any_cutting(sent: list[Any], chance: random.Random) -> None:
+def test_frames_survive_any_splitting_of_the_stream(sent: list[Any], rng: random.Random) -> None:
     data = b"".join(encode_frame(message) for message in sent)
     reader, got = FrameReader(), []
     while data:
-        size = chance.randint(1, len(data))
+        size = rng.randint(1, len(data))
         got += list(reader.feed(data[:size]))
         data = data[size:]
     reader.end()
@@ -85,17 +85,17 @@
 
 @settings(max_examples=300)
 @given(st.lists(st.one_of(st.binary(max_size=60), messages.map(encode_frame)), max_size=8))
-def test_fuzzed_bytes_give_messages_or_one_clear_error(parts: list[bytes]) -> None:
+def test_fuzzed_bytes_give_messages_or_one_error(parts: list[bytes]) -> None:
     session = SetupSession()
     list(session.receive(encode_frame(HELLO)))
-    error = first_error(session, parts)
+    error = error_of(session, parts)
     if error is not None:
-        farewell = session.error_frame(error)
+        error_message = session.error_frame(error)
         assert not session.error_frame(error), "at most one Error is sent"
-        assert farewell or error.code.startswith("peer:")
+        assert error_message or error.code.startswith("peer:")
 
 
-def first_error(session: SetupSession, parts: list[bytes]) -> ProtocolError | None:
+def error_of(session: SetupSession, parts: list[bytes]) -> ProtocolError | None:
     """Returns the error that ends the session; None if every part was accepted."""
     try:
         for part in parts:
@@ -107,7 +107,7 @@
     return None
 
 
-def test_a_frame_over_the_cap_is_refused_by_its_head() -> None:
+def test_an_oversized_frame_is_refused_by_its_header() -> None:
     reader = FrameReader(max_size=10)
     assert list(reader.feed(b"\0\0\0\x0a" + bytes(10))) == [bytes(10)]
     with pytest.raises(ProtocolError, match="11 bytes"):
@@ -124,14 +124,14 @@
 
 
 @pytest.mark.parametrize(
-    ("speaks", "version"),
+    ("offered", "version"),
     [((1, 1), 1), ((1, 9), 2), ((0, 1), 1), ((2, 9), 2), ((3, 9), None), ((0, 0), None), ((5, 1), None)],
 )
-def test_versions(speaks: tuple[int, int], version: int | None) -> None:
+def test_version_negotiation(offered: tuple[int, int], version: int | None) -> None:
     session = SetupSession()
     if version is None:
         with pytest.raises(ProtocolError) as caught:
-            list(session.receive(encode_frame(Hello(speaks, "edge", "e0"))))
+            list(session.receive(encode_frame(Hello(offered, "edge", "e0"))))
         assert caught.value.code == "version"
         (error,) = (
             msgspec.msgpack.decode(body, type=Error)
@@ -140,11 +140,11 @@
         assert error.code == "version"
         assert "1 to 2" in error.text
     else:
-        list(session.receive(encode_frame(Hello(speaks, "edge", "e0"))))
+        list(session.receive(encode_frame(Hello(offered, "edge", "e0"))))
         assert session.version == version
 
 
-def test_unknown_kinds_are_named_and_unknown_fields_ignored() -> None:
+def test_unknown_message_types_are_reported_and_unknown_fields_ignored() -> None:
     session = SetupSession()
     newer = {"t": "hello", "speaks": [1, 4], "role": "edge", "name": "e0", "mood": "fine"}
     body = msgspec.msgpack.encode(newer)
@@ -156,71 +156,73 @@
 # Each case: the client's role, the messages sent before, and a message that is out of state. The sender is
 # "c", the client, or "s", the server.
 D = ("d", 0)
-OPEN = ("a", setup.Setup(*D, traffic_type="plain", time_left=5))
-STANDS = ("s", setup.Established(*D))
+OPEN = ("c", setup.Setup(*D, traffic_type="plain", time_left=5))
+ESTABLISHED = ("s", setup.Established(*D))
 ENDED = ("s", setup.Ended(*D))
-CANCEL = ("a", setup.Cancel(*D))
+CANCEL = ("c", setup.Cancel(*D))
 OUT_OF_STATE = [
     ("edge", [], ("s", setup.Established(*D))),
     ("edge", [], ("s", setup.Full(*D))),
-    ("edge", [], ("a", setup.Established(*D))),
+    ("edge", [], ("c", setup.Established(*D))),
     ("edge", [], ("s", setup.Cancel(*D))),
     ("edge", [OPEN], OPEN),
     ("edge", [OPEN], ENDED),
     ("edge", [OPEN], ("s", setup.Rejected(*D))),
-    ("edge", [OPEN, STANDS], STANDS),
-    ("edge", [OPEN, STANDS], ("s", setup.Provisional(*D))),
-    ("edge", [OPEN, STANDS], ("s", setup.Full(*D))),
-    ("edge", [OPEN, STANDS, ENDED], ENDED),
-    ("edge", [OPEN, ("s", setup.Full(*D))], STANDS),
+    ("edge", [OPEN, ESTABLISHED], ESTABLISHED),
+    ("edge", [OPEN, ESTABLISHED], ("s", setup.Provisional(*D))),
+    ("edge", [OPEN, ESTABLISHED], ("s", setup.Full(*D))),
+    ("edge", [OPEN, ESTABLISHED, ENDED], ENDED),
+    ("edge", [OPEN, ("s", setup.Full(*D))], ESTABLISHED),
     ("caller", [OPEN], ("s", setup.Full(*D))),
     ("caller", [OPEN], ("s", setup.LoadReported(setup.Load()))),
-    ("edge", [OPEN], ("a", setup.Release(*D))),
-    ("edge", [OPEN, CANCEL], ("a", setup.Release(*D))),
-    ("caller", [OPEN, CANCEL, CANCEL], ("a", setup.Release(*D))),
+    ("edge", [OPEN], ("c", setup.Release(*D))),
+    ("edge", [OPEN, CANCEL], ("c", setup.Release(*D))),
+    ("caller", [OPEN, CANCEL, CANCEL], ("c", setup.Release(*D))),
 ]
 
 
-@pytest.mark.parametrize(("role", "before", "late"), OUT_OF_STATE)
-def test_out_of_state_is_refused_at_both_ends(role: str, before: list[Any], late: tuple[str, Any]) -> None:
-    sides = dict(zip("as", pair(role), strict=True))
-    other = {"a": "s", "s": "a"}
-    for who, message in before:
-        passes(sides[who], sides[other[who]], message)
-    who, message = late
-    with pytest.raises(ProtocolError) as ours:
-        sides[who].send(message)
-    with pytest.raises(ProtocolError) as theirs:
-        list(sides[other[who]].receive(encode_frame(message)))
-    assert ours.value.code == theirs.value.code == "out-of-state"
+@pytest.mark.parametrize(("role", "before", "forbidden"), OUT_OF_STATE)
+def test_an_out_of_state_message_is_refused_at_both_sides(
+    role: str, before: list[Any], forbidden: tuple[str, Any]
+) -> None:
+    sides = dict(zip("cs", pair(role), strict=True))
+    other = {"c": "s", "s": "c"}
+    for sender, message in before:
+        transfer(sides[sender], sides[other[sender]], message)
+    sender, message = forbidden
+    with pytest.raises(ProtocolError) as send_error:
+        sides[sender].send(message)
+    with pytest.raises(ProtocolError) as receive_error:
+        list(sides[other[sender]].receive(encode_frame(message)))
+    assert send_error.value.code == receive_error.value.code == "out-of-state"
 
 
 @pytest.mark.parametrize(
     "answer", [setup.Established(*D), setup.Full(*D), setup.LineBusy(*D), setup.Provisional(*D)]
 )
 def test_a_cancel_may_cross_any_answer(answer: Any) -> None:
-    asks, serves = pair()
-    passes(asks, serves, OPEN[1])
-    cancel = asks.send(setup.Cancel(*D))
-    crossing = serves.send(answer)
-    assert list(asks.receive(crossing)) == [answer]
-    assert list(serves.receive(cancel)) == [setup.Cancel(*D)]
+    client, server = pair()
+    transfer(client, server, OPEN[1])
+    cancel = client.send(setup.Cancel(*D))
+    crossing = server.send(answer)
+    assert list(client.receive(crossing)) == [answer]
+    assert list(server.receive(cancel)) == [setup.Cancel(*D)]
     if isinstance(answer, setup.Established | setup.Provisional):
         closing = setup.Ended(*D) if isinstance(answer, setup.Established) else setup.Cancelled(*D)
-        passes(serves, asks, closing)
-    assert not asks.legs
-    assert not serves.legs
+        transfer(server, client, closing)
+    assert not client.legs
+    assert not server.legs
 
 
-def test_legs_open_on_one_connection_are_bounded() -> None:
-    asks = SetupSession(HELLO)
-    serves = SetupSession(max_open_legs=2)
-    list(serves.receive(asks.hello_frame()))
-    list(asks.receive(serves.send(Welcome(1, "s0"))))
+def test_open_legs_per_connection_are_limited() -> None:
+    client = SetupSession(HELLO)
+    server = SetupSession(max_open_legs=2)
+    list(server.receive(client.hello_frame()))
+    list(client.receive(server.send(Welcome(1, "s0"))))
     for number in range(2):
-        passes(asks, serves, setup.Setup(f"d{number}", traffic_type="plain", time_left=5))
+        transfer(client, server, setup.Setup(f"d{number}", traffic_type="plain", time_left=5))
     with pytest.raises(ProtocolError) as caught:
-        passes(asks, serves, setup.Setup("d2", traffic_type="plain", time_left=5))
+        transfer(client, server, setup.Setup("d2", traffic_type="plain", time_left=5))
     assert caught.value.code == "too-many"
 
 
@@ -230,7 +232,7 @@
     )
 )
 @example(["setup", "cancel", "release"])
-def test_both_ends_agree_on_every_leg_whatever_is_tried(steps: list[str]) -> None:
+def test_both_sides_agree_on_every_leg_after_any_messages(steps: list[str]) -> None:
     """Guards against a Release after a Cancel that ends the connection, with every other dialog on it.
 
     The caller's session allowed the Release, since it had a single phase for cancelled and released legs. The
@@ -238,57 +240,57 @@
     stand` and closed the connection. 200,000 random sequences with crossing messages showed one more such
     case, Persisted after Cancel in version 2, and no third.
     """
-    asks, serves = pair()
+    client, server = pair()
     kinds: dict[Any, Any] = {kind.__struct_config__.tag: kind for kind in setup.MESSAGE_TYPES}
     for step in steps:
         kind = kinds[step]
         message = OPEN[1] if step == "setup" else kind(*D)
-        sender, receiver = (asks, serves) if kind in setup.CLIENT_MESSAGES else (serves, asks)
+        sender, receiver = (client, server) if kind in setup.CLIENT_MESSAGES else (server, client)
         try:
             data = sender.send(message)
         except ProtocolError:
             continue
         list(receiver.receive(data))
-        assert set(asks.legs) == set(serves.legs)
-        assert all(phase in (serves.legs[key], LegPhase.CLOSING) for key, phase in asks.legs.items())
+        assert set(client.legs) == set(server.legs)
+        assert all(phase in (server.legs[key], LegPhase.CLOSING) for key, phase in client.legs.items())
 
 
 @pytest.mark.parametrize("opening", [OPEN[1], setup.Resume(*D)])
-def test_what_needs_an_established_leg_is_refused_behind_a_cancel_at_both_ends(opening: Any) -> None:
+def test_release_and_persisted_after_a_cancel_are_refused_at_both_sides(opening: Any) -> None:
     for message in (setup.Release(*D), setup.Persisted(*D)):
-        asks, serves = pair(version=2)
-        passes(asks, serves, opening)
-        passes(asks, serves, setup.Cancel(*D))
+        client, server = pair(version=2)
+        transfer(client, server, opening)
+        transfer(client, server, setup.Cancel(*D))
         with pytest.raises(ProtocolError, match="does not stand"):
-            asks.send(message)
+            client.send(message)
         with pytest.raises(ProtocolError, match="does not stand"):
-            list(serves.receive(encode_frame(message)))
+            list(server.receive(encode_frame(message)))
 
 
 class CrossingPair:
     """A client and a server whose messages are delivered on request, so that they can cross."""
 
     def __init__(self, role: str, version: int) -> None:
-        self.asks, self.serves = pair(role, version)
-        self.to_serves: deque[bytes] = deque()
-        self.to_asks: deque[bytes] = deque()
+        self.client, self.server = pair(role, version)
+        self.to_server: deque[bytes] = deque()
+        self.to_client: deque[bytes] = deque()
 
-    def put(self, kind: Any) -> None:
+    def send(self, kind: Any) -> None:
         """Sends a message if its sender's session allows it."""
         message = OPEN[1] if kind is setup.Setup else kind(*D)
         is_request = kind in setup.CLIENT_MESSAGES
-        sender, path = (self.asks, self.to_serves) if is_request else (self.serves, self.to_asks)
+        sender, path = (self.client, self.to_server) if is_request else (self.server, self.to_client)
         with suppress(ProtocolError):
             path.append(sender.send(message))
 
     def deliver(self, path: deque[bytes]) -> None:
         if path:
-            list((self.serves if path is self.to_serves else self.asks).receive(path.popleft()))
+            list((self.server if path is self.to_server else self.client).receive(path.popleft()))
 
     def deliver_all(self) -> None:
-        while self.to_serves or self.to_asks:
-            self.deliver(self.to_serves)
-            self.deliver(self.to_asks)
+        while self.to_server or self.to_client:
+            self.deliver(self.to_server)
+            self.deliver(self.to_client)
 
 
 CROSSING_KINDS = [kind for kind in setup.MESSAGE_TYPES if kind is not setup.LoadReported]
@@ -298,11 +300,11 @@
 @given(
     st.sampled_from(["edge", "caller"]),
     st.sampled_from([1, 2]),
-    st.lists(st.sampled_from([*CROSSING_KINDS, "to_serves", "to_asks"]), max_size=20),
+    st.lists(st.sampled_from([*CROSSING_KINDS, "to_server", "to_client"]), max_size=20),
 )
-@example("edge", 1, [setup.Setup, setup.Cancel, setup.Release, "to_serves", "to_serves", "to_serves"])
-@example("edge", 2, [setup.Setup, setup.Cancel, "to_serves", "to_serves", setup.Persisted])
-def test_what_one_side_may_send_the_other_takes_also_where_messages_cross(
+@example("edge", 1, [setup.Setup, setup.Cancel, setup.Release, "to_server", "to_server", "to_server"])
+@example("edge", 2, [setup.Setup, setup.Cancel, "to_server", "to_server", setup.Persisted])
+def test_a_message_allowed_by_its_sender_is_accepted_even_if_messages_cross(
     role: str, version: int, course: list[Any]
 ) -> None:
     both = CrossingPair(role, version)
@@ -310,11 +312,11 @@
         if isinstance(step, str):
             both.deliver(getattr(both, step))
         else:
-            both.put(step)
+            both.send(step)
     both.deliver_all()
-    asking, serving = both.asks.legs, both.serves.legs
-    assert set(asking) == set(serving)
-    assert all(phase in (serving[key], LegPhase.CLOSING) for key, phase in asking.items())
+    client_legs, server_legs = both.client.legs, both.server.legs
+    assert set(client_legs) == set(server_legs)
+    assert all(phase in (server_legs[key], LegPhase.CLOSING) for key, phase in client_legs.items())
 
 
 # The endpoint list
@@ -324,72 +326,72 @@
     return [EndpointRow(name, int(name[1:]), phase) for name in names]
 
 
-def test_changes_in_order_are_acted_on_and_doubles_are_not() -> None:
-    replica, register = Replica(), EndpointRegistry("e")
-    first = register.change(rows("s1", "s2"))
-    (snapshot,) = register.answer(replica.watch())
+def test_consecutive_changes_are_applied_and_duplicates_are_not() -> None:
+    replica, registry = Replica(), EndpointRegistry("e")
+    first = registry.change(rows("s1", "s2"))
+    (snapshot,) = registry.answer(replica.watch())
     assert replica.on_message(snapshot) == (rows("s1", "s2"), None)
     assert replica.on_message(first) == (None, None)
-    change = register.change(rows("s2", phase="gone"))
+    change = registry.change(rows("s2", phase="gone"))
     assert replica.on_message(change) == (rows("s2", phase="gone"), None)
     assert replica.on_message(change) == (None, None)
     assert set(replica.rows) == {"s1"}
 
 
-def test_a_gap_asks_once_and_heeds_only_what_leaves() -> None:
-    replica, register = Replica(), EndpointRegistry("e")
+def test_a_gap_requests_one_snapshot_and_applies_only_drains_and_removals() -> None:
+    replica, registry = Replica(), EndpointRegistry("e")
     replica.on_message(Snapshot("e", 0, []))
-    register.change(rows("s1"))
+    registry.change(rows("s1"))
     for at in range(3):
-        told, answer = replica.on_message(
-            register.change([*rows(f"s{at + 5}"), *rows("s2", phase="draining")])
+        applied, request = replica.on_message(
+            registry.change([*rows(f"s{at + 5}"), *rows("s2", phase="draining")])
         )
-        assert told == rows("s2", phase="draining")
-        assert (answer == Watch()) == (at == 0)
-    (snapshot,) = register.answer(Watch())
+        assert applied == rows("s2", phase="draining")
+        assert (request == Watch()) == (at == 0)
+    (snapshot,) = registry.answer(Watch())
     replica.on_message(snapshot)
-    assert replica.rows == register.rows
+    assert replica.rows == registry.rows
     assert replica.gap_count == 1
 
 
-def test_who_comes_back_gets_what_was_missed_or_all() -> None:
-    register = EndpointRegistry("e")
+def test_a_reconnecting_client_gets_the_missed_changes_or_a_snapshot() -> None:
+    registry = EndpointRegistry("e")
     for number in range(HISTORY_LENGTH + 10):
-        register.change(rows(f"s{number % 7}"))
-    assert len(register.answer(Watch("e", register.number - 5))) == 5
-    for stale in (Watch("e", 3), Watch("former", register.number), Watch("e", register.number + 1), Watch()):
-        (answer,) = register.answer(stale)
+        registry.change(rows(f"s{number % 7}"))
+    assert len(registry.answer(Watch("e", registry.number - 5))) == 5
+    for stale in (Watch("e", 3), Watch("former", registry.number), Watch("e", registry.number + 1), Watch()):
+        (answer,) = registry.answer(stale)
         assert isinstance(answer, Snapshot)
-        assert answer.number == register.number
+        assert answer.number == registry.number
 
 
 @given(
     st.lists(st.tuples(st.integers(0, 4), st.sampled_from(["in-service", "draining", "gone"])), max_size=40),
     st.randoms(use_true_random=False),
 )
-def test_a_replica_comes_to_the_registers_rows_whatever_is_lost(
-    course: list[tuple[int, Any]], chance: random.Random
+def test_a_replica_converges_to_the_registry_despite_lost_changes(
+    course: list[tuple[int, Any]], rng: random.Random
 ) -> None:
-    register, replica = EndpointRegistry("e"), Replica()
-    due: list[Any] = list(register.answer(replica.watch()))
+    registry, replica = EndpointRegistry("e"), Replica()
+    pending: list[Any] = list(registry.answer(replica.watch()))
     for server, phase in course:
-        change = register.change(rows(f"s{server}", phase=phase))
-        if chance.random() < 0.7:
-            due.insert(chance.randint(max(0, len(due) - 2), len(due)), change)
-        while due and chance.random() < 0.6:
-            _, answer = replica.on_message(due.pop(0))
-            due += register.answer(answer) if answer else []
-    due += register.answer(replica.watch())
-    for word in due:
-        _, answer = replica.on_message(word)
-        if answer:
-            replica.on_message(register.answer(answer)[0])
-    if replica.number != register.number:
-        replica.on_message(register.answer(Watch())[0])
-    assert replica.rows == register.rows
-
-
-def test_the_list_sides_keep_to_their_parts() -> None:
+        change = registry.change(rows(f"s{server}", phase=phase))
+        if rng.random() < 0.7:
+            pending.insert(rng.randint(max(0, len(pending) - 2), len(pending)), change)
+        while pending and rng.random() < 0.6:
+            _, request = replica.on_message(pending.pop(0))
+            pending += registry.answer(request) if request else []
+    pending += registry.answer(replica.watch())
+    for message in pending:
+        _, request = replica.on_message(message)
+        if request:
+            replica.on_message(registry.answer(request)[0])
+    if replica.number != registry.number:
+        replica.on_message(registry.answer(Watch())[0])
+    assert replica.rows == registry.rows
+
+
+def test_the_service_refuses_messages_that_only_it_may_send() -> None:
     session = ListSession()
     list(session.receive(encode_frame(HELLO)))
     with pytest.raises(ProtocolError):
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -37,11 +37,11 @@
 
 
 def steps(host: ProxyHost, *messages: Any) -> list[Any]:
-    said = json.loads(host.reply(line(list(messages))))["steps"]
-    return [s for s in said if s.get("setAlarm", {}).get("spanUs") != HEARTBEAT_INTERVAL // 1_000]
+    reply_steps = json.loads(host.reply(line(list(messages))))["steps"]
+    return [s for s in reply_steps if s.get("setAlarm", {}).get("spanUs") != HEARTBEAT_INTERVAL // 1_000]
 
 
-SENT = {"forward": {"proxyId": "p/0", "msgId": "id-1", "server": "s.a", "untilUs": 3_000_000}}
+FORWARD_STEP = {"forward": {"proxyId": "p/0", "msgId": "id-1", "server": "s.a", "untilUs": 3_000_000}}
 
 
 @pytest.mark.parametrize(("event", "action"), [
@@ -59,16 +59,16 @@
 ])
 def test_events_and_actions(event: dict[str, Any], action: str | None) -> None:
     host = ProxyHost()
-    assert steps(host, *START, {"knock": KNOCK}) == [SENT]
+    assert steps(host, *START, {"knock": KNOCK}) == [FORWARD_STEP]
     assert [next(iter(s)) for s in steps(host, event)] == ([action] if action else [])
 
 
-def test_restart_in_one_batch_forgets_and_pages_are_reused() -> None:
+def test_restart_in_one_batch_clears_state_and_a_page_can_be_replaced() -> None:
     host = ProxyHost()
     steps(host, *START, {"knock": KNOCK})
     again = {"snapshotRows": {"page": 0, "rows": [{**ROW, "server": "s.b"}]}}
-    said = steps(host, {"destroy": {"proxyId": "p/0"}}, START[0], again, START[2], {"knock": KNOCK})
-    assert said[0]["forward"]["server"] == "s.b"
+    reply_steps = steps(host, {"destroy": {"proxyId": "p/0"}}, START[0], again, START[2], {"knock": KNOCK})
+    assert reply_steps[0]["forward"]["server"] == "s.b"
 
 
 BAD_OPTIONS: dict[str, dict[str, Any]] = {
@@ -78,7 +78,7 @@
 }
 
 
-@pytest.mark.parametrize(("bad", "words"), [
+@pytest.mark.parametrize(("malformed", "expected_words"), [
         (b"not json", ("malformed",)), (b'{"tsUs":1}', ("input",)), (line([], now="x"), ("tsUs",)),
         (line([{"knock": {**KNOCK, "msgId": 4}}]), ("knock", "msgId")),
         (line([{"attemptEnd": {**END}}]), ("attemptEnd", "result")),
@@ -91,10 +91,10 @@
             for name, part in BAD_OPTIONS.items()
         ),
 ])
-def test_malformed_input_is_named(bad: bytes, words: tuple[str, ...]) -> None:
+def test_an_error_names_the_malformed_field(malformed: bytes, expected_words: tuple[str, ...]) -> None:
     with pytest.raises(MalformedInputError) as caught:
-        ProxyHost().reply(bad)
-    assert all(word in str(caught.value) for word in words)
+        ProxyHost().reply(malformed)
+    assert all(word in str(caught.value) for word in expected_words)
 
 
 MODULES = ["valverouter.simulator_adapter", "valverouter.wirehost"]
@@ -104,21 +104,21 @@
 def test_process_answers_a_batch(module: str) -> None:
     batch = line([*START, {"knock": KNOCK}])
     command = [sys.executable, "-m", module]
-    done = subprocess.run(command, input=batch + b"\n", capture_output=True, check=False)
-    assert (done.returncode, done.stderr) == (0, b"")
-    assert done.stdout == ProxyHost().reply(batch)
+    result = subprocess.run(command, input=batch + b"\n", capture_output=True, check=False)
+    assert (result.returncode, result.stderr) == (0, b"")
+    assert result.stdout == ProxyHost().reply(batch)
 
 
 @pytest.mark.parametrize("module", MODULES)
-def test_process_ends_plainly_on_malformed_input(module: str) -> None:
-    done = subprocess.run(
+def test_process_exits_with_one_line_on_malformed_input(module: str) -> None:
+    result = subprocess.run(
         [sys.executable, "-m", module], input=b"{}\n", capture_output=True, check=False
     )
-    assert (done.returncode, done.stdout) == (2, b"")
-    assert done.stderr.count(b"\n") == 1
+    assert (result.returncode, result.stdout) == (2, b"")
+    assert result.stderr.count(b"\n") == 1
 
 
-def test_unexpected_exception_becomes_fatal(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unexpected_exception_becomes_a_fatal_step(monkeypatch: pytest.MonkeyPatch) -> None:
     host = ProxyHost()
     steps(host, *START)
     monkeypatch.setattr("valverouter.policy.routing.RoutingPolicy.dialog_flow", lambda *_: 1 / 0)
