--- a/tests/test_fleet_authentication.py
+++ b/tests/test_fleet_authentication.py
@@ -28,7 +28,7 @@
 from valverouter.membership.records import MemberRecord, MemberState
 
 
-def test_only_holders_of_a_key_are_read_and_of_the_previous_key_during_a_change() -> None:
+def test_datagrams_under_the_current_or_the_previous_key_are_accepted() -> None:
     datagram = Authenticator((OTHER_KEY,)).sign(ping())
     reader = DatagramReader(Authenticator((KEY, OTHER_KEY)))
     assert reader.read(datagram) == ping()
@@ -70,7 +70,7 @@
     assert sum(reader.dropped.values()) == 2
 
 
-def test_another_version_is_dropped_and_reported_once() -> None:
+def test_datagrams_of_another_protocol_version_are_dropped_and_reported_once() -> None:
     authenticator, reader = Authenticator((KEY,)), DatagramReader(Authenticator((KEY,)))
     body = msgspec.msgpack.encode(Envelope(1, ping()))
     prefix = bytes((PROTOCOL_VERSION + 1,)) + authenticator._key_id
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(("former", "name"), ALIASES.items())
-def test_a_former_name_runs_the_same_command(former: str, name: str) -> None:
+def test_a_deprecated_name_runs_the_same_command(former: str, name: str) -> None:
     alias, command = fleet.commands[former], fleet.commands[name]
     assert alias.callback is command.callback
     assert alias.params == command.params
@@ -21,7 +21,7 @@
     assert result.output.startswith(f"Usage: main fleet {former} [OPTIONS] FILE")
 
 
-def test_the_help_lists_the_present_names_alone() -> None:
+def test_the_help_lists_only_the_current_names() -> None:
     listed = [
         line.split()[0] for line in CliRunner().invoke(main, ["fleet"]).output.splitlines() if line.strip()
     ]
@@ -30,6 +30,6 @@
         assert former not in listed
 
 
-def test_the_former_option_bootstraps_a_raft_group_too() -> None:
+def test_the_deprecated_option_also_bootstraps_a_raft_group() -> None:
     (option,) = [param for param in fleet.commands["raft-server"].params if param.name == "bootstrap"]
     assert option.opts == ["--bootstrap", "--found"]
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -53,15 +53,15 @@
 
 @given(st.binary(max_size=5 * FRAGMENT_BYTES), st.randoms())
 @settings(max_examples=50, deadline=None)
-def test_fragments_in_any_order_make_the_message(body: bytes, chance: Any) -> None:
+def test_fragments_in_any_order_make_the_message(body: bytes, rng: Any) -> None:
     reassembler = Reassembler()
     fragments = Fragmenter("a", 1).split("x:1", body)
-    chance.shuffle(fragments)
+    rng.shuffle(fragments)
     messages = [message for fragment in fragments if (message := reassembler.add(fragment)) is not None]
     assert messages == [body]
 
 
-def test_a_long_message_is_sent_in_bursts_and_fills_its_gaps() -> None:
+def test_a_long_message_is_sent_in_bursts_and_retransmissions_fill_gaps() -> None:
     fragmenter, reassembler = Fragmenter("a", 1), Reassembler()
     body = os.urandom(3 * BURST_FRAGMENTS * FRAGMENT_BYTES)
     message, transmissions = None, 0
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize(("instances", "operations"), [(220, 0), (220, 64), (900, 64)])
-def test_a_raft_snapshot_of_the_largest_fleet_comes_over_a_path_that_loses(
+def test_a_raft_snapshot_of_the_largest_fleet_arrives_over_a_lossy_path(
     instances: int, operations: int
 ) -> None:
     """At 900 instances and the 64 ended operations that are kept, a snapshot is 3.5 MB, 2,959 fragments.
@@ -107,15 +107,15 @@
     """
     configuration = Configuration((("c0", 1), ("c1", 2)))
     snapshot = Snapshot(5_000, 3, configuration, operation_log(instances, operations))
-    sent, late = (
+    sent, outdated = (
         encoder.encode(RaftEnvelope("c1", to_wire(InstallSnapshot(term, leader, snapshot, 7))))
         for term, leader in ((4, "c0"), (3, "c2"))
     )
-    fragmenter, other, reassembler = Fragmenter("c0", 1), Fragmenter("c2", 2), Reassembler()
-    chance = random.Random(1)
+    fragmenter, other_leader, reassembler = Fragmenter("c0", 1), Fragmenter("c2", 2), Reassembler()
+    rng = random.Random(1)
     for _ in range(1_000):
-        fragments = [*other.split("x:1", late)[:2], *fragmenter.split("x:1", sent)]
-        received = [reassembler.add(fragment) for fragment in fragments if chance.random() < 0.8]
+        fragments = [*other_leader.split("x:1", outdated)[:2], *fragmenter.split("x:1", sent)]
+        received = [reassembler.add(fragment) for fragment in fragments if rng.random() < 0.8]
         if sent in received:
             break
     else:
@@ -138,11 +138,11 @@
         Fragmenter("b", 2).split("x:1", bytes(10**7))
 
 
-async def test_only_holders_of_the_key_are_heard_on_the_control_plane() -> None:
+async def test_control_messages_under_another_key_are_dropped_without_a_reply() -> None:
     sockets = SocketRuntime()
     first, second, stranger = (sockets.bind_datagrams("127.0.0.1:0") for _ in range(3))
-    ours, theirs = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
-    theirs.send(first.address, NodeAnnouncement("c1", 7))
+    receiver, sender = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
+    sender.send(first.address, NodeAnnouncement("c1", 7))
     Transport(stranger, (b"x" * 32,), "c1", 3).send(first.address, NodeAnnouncement("c1", 8))
     stranger.send(b"rubbish", first.address)
     # Membership messages are under the same key, and are not messages of the control plane.
@@ -151,13 +151,13 @@
     with trio.move_on_after(0.3):
         while True:
             await first.wait_readable()
-            while (message := ours.receive()) is not None:
+            while (message := receiver.receive()) is not None:
                 received.append(message)
     assert [message for message, _ in received] == [NodeAnnouncement("c1", 7)]
     assert second.receive() is None, "and nobody is answered"
     assert stranger.receive() is None, "and nobody is answered"
-    for each in (first, second, stranger):
-        each.close()
+    for socket in (first, second, stranger):
+        socket.close()
 
 
 def test_the_longest_fragment_fits_a_datagram_and_a_replay_is_dropped() -> None:
--- a/tests/test_server_supervision.py
+++ b/tests/test_server_supervision.py
@@ -10,7 +10,7 @@
 from valverouter.signalling.serverlist import DrainEnded, DrainPermits, DrainRequest
 
 
-def test_the_list_rejects_a_leave_without_a_current_number() -> None:
+def test_the_list_service_refuses_a_drain_without_a_valid_permit() -> None:
     permits = DrainPermits()
     assert permits.check(DrainRequest("s0", 0)) == "no permit's number was given"
     assert permits.check(DrainRequest("s0", 7)) == "" == permits.check(DrainRequest("s0", 7))
@@ -35,7 +35,7 @@
     return supervisor
 
 
-def test_a_server_is_stopped_once_the_list_has_granted_its_leave() -> None:
+def test_a_server_is_stopped_once_its_drain_is_granted() -> None:
     supervisor = supervisor_with_step()
     assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN, "asked once, and waited for"
     assert supervisor.next_action(0) is None, "asked once, and waited for"
@@ -55,7 +55,7 @@
     assert supervisor.next_action(0) is None
 
 
-def test_a_server_whose_leave_is_rejected_serves_on_and_its_step_fails() -> None:
+def test_a_server_whose_drain_is_refused_continues_to_serve_and_its_step_fails() -> None:
     supervisor = supervisor_with_step()
     assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN
     supervisor.on_drain_answer(False, "permit 7 is over")
@@ -75,7 +75,7 @@
     assert supervisor.report().outcome == "done", "brought back, it had never gone"
 
 
-def test_a_shutdown_by_the_machine_waits_for_no_list() -> None:
+def test_a_shutdown_by_the_machine_does_not_wait_for_the_list_service() -> None:
     supervisor = supervisor_with_step()
     assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN
     supervisor.shut_down()
--- a/tests/test_supervisor_service.py
+++ b/tests/test_supervisor_service.py
@@ -20,37 +20,37 @@
     state = SupervisorState(
         "v2", False, process="12 34", running_version="v2", steps=[Step(7, 0, "r", "done")]
     )
-    store, found, aside = open_supervisor_store(path)
-    assert (found, aside) == (None, "")
+    store, loaded, problem = open_supervisor_store(path)
+    assert (loaded, problem) == (None, "")
     store.save(state)
     with pytest.raises(StoreLockedError):
         SupervisorStore(path)
     store.close()
-    store, found, aside = open_supervisor_store(path)
-    assert found == state
-    assert not aside
+    store, loaded, problem = open_supervisor_store(path)
+    assert loaded == state
+    assert not problem
     store.close()
     data = (path / "data.mdb").read_bytes()
     (path / "data.mdb").write_bytes(data.replace(b"12 34", b"12 35"))
-    store, found, aside = open_supervisor_store(path)
-    assert found is None
-    assert "damaged" in aside
+    store, loaded, problem = open_supervisor_store(path)
+    assert loaded is None
+    assert "damaged" in problem
     store.close()
 
 
-async def test_a_process_is_reattached_by_its_number_and_its_start_time() -> None:
+async def test_a_process_is_reattached_by_its_process_id_and_start_time() -> None:
     child = subprocess.Popen([sys.executable, "-c", "import time; time.sleep(60)"])
     first = ManagedProcess(child.pid)
-    again = ManagedProcess.reattach(first.identity)
-    assert again is not None
-    assert again.pid == child.pid
+    reattached = ManagedProcess.reattach(first.identity)
+    assert reattached is not None
+    assert reattached.pid == child.pid
     assert ManagedProcess.reattach(f"{child.pid} 1") is None, "another process with its number"
     assert ManagedProcess.reattach("") is None
     assert ManagedProcess.reattach("x y") is None
     child.kill()
     with trio.fail_after(5):
-        await again.wait()
+        await reattached.wait()
     assert ManagedProcess.reattach(first.identity) is None, "ended, though nobody has waited for it yet"
     child.wait()
     first.close()
-    again.close()
+    reattached.close()
--- a/valverouter/fleet/authentication.py
+++ b/valverouter/fleet/authentication.py
@@ -140,7 +140,7 @@
         if len(datagram) <= HEADER_BYTES or not self._authenticator.verify(datagram):
             return self._drop("stranger")
         if datagram[0] != PROTOCOL_VERSION:
-            self._note_version(datagram[0])
+            self._record_unknown_version(datagram[0])
             return self._drop("version")
         try:
             envelope = self._decoder.decode(datagram[HEADER_BYTES:])
@@ -156,7 +156,7 @@
     def _drop(self, reason: str) -> None:
         self.dropped[reason] += 1
 
-    def _note_version(self, version: int) -> None:
+    def _record_unknown_version(self, version: int) -> None:
         if version not in self._reported_versions and len(self._reported_versions) < MAX_REPORTED_VERSIONS:
             self._reported_versions.add(version)
             self.unknown_versions.append(version)
--- a/valverouter/fleet/client.py
+++ b/valverouter/fleet/client.py
@@ -21,13 +21,13 @@
 class FleetClient:
     """Queries instances for their views; holds the fleet's key and is not a member."""
 
-    def __init__(self, keys: tuple[bytes, ...], socket: DatagramSocket, chance: random.Random) -> None:
-        """`chance` draws the client's incarnation and its first nonce."""
+    def __init__(self, keys: tuple[bytes, ...], socket: DatagramSocket, rng: random.Random) -> None:
+        """`rng` draws the client's incarnation and its first nonce."""
         self._authenticator = Authenticator(keys)
         self._reader = DatagramReader(self._authenticator)
         self._socket = socket
-        self._incarnation = chance.getrandbits(64)
-        self._last_nonce = chance.getrandbits(32)
+        self._incarnation = rng.getrandbits(64)
+        self._last_nonce = rng.getrandbits(32)
 
     async def query_views(self, addresses: Iterable[str]) -> list[ViewAnswer]:
         """Return one answer per address; those that did not arrive whole have a missing page."""
--- a/valverouter/fleet/control_plane_link.py
+++ b/valverouter/fleet/control_plane_link.py
@@ -26,7 +26,7 @@
         self._stamps: dict[str, tuple[int, int]] = {}
         self._reported_at = float("-inf")
 
-    async def readable(self) -> None:
+    async def wait_readable(self) -> None:
         """Return when a message may have arrived."""
         await self._transport.socket.wait_readable()
 
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -61,8 +61,8 @@
 
     def __init__(
         self,
-        terms: EdgeConfig,
-        between: GossipConfig,
+        config: EdgeConfig,
+        gossip: GossipConfig,
         runtime: Runtime,
         incarnation: int,
         facts: Callable[[], tuple[Phase, str]],
@@ -78,26 +78,26 @@
         self.counts: Counter[str] = Counter()
         self.membership: Membership | None = None
         self.ended = trio.Event()
-        self._terms = terms
-        self._between = between
+        self._config = config
+        self._gossip = gossip
         self._runtime = runtime
         self._incarnation = incarnation
         self._facts = facts
         self._version = version
         self._on_event = on_event
         self._counters = counters
-        self._authenticator = Authenticator(between.keys)
+        self._authenticator = Authenticator(gossip.keys)
         self._reader = DatagramReader(self._authenticator)
-        self._log = log.bind(edge=terms.name)
+        self._log = log.bind(edge=config.name)
         self._drop_logger = DropLogger(self._reader, self._log)
         self._leaving = False
-        self._sleep = trio.CancelScope()
+        self._sleep_scope = trio.CancelScope()
         # The size of the fleet that was compared with the configuration last.
-        self._checked_size = terms.deployment.edge_proxies
+        self._checked_size = config.deployment.edge_proxies
 
     async def run(self, task_status: trio.TaskStatus[MembershipService] = trio.TASK_STATUS_IGNORED) -> None:
         """Serve until `leave` or cancellation; OSError if the address can't be bound."""
-        socket = self._runtime.bind_datagrams(self._between.listen)
+        socket = self._runtime.bind_datagrams(self._gossip.listen)
         try:
             self.membership = membership = self._join(socket.address)
             own_record = membership.own_record
@@ -114,22 +114,22 @@
             self.ended.set()
 
     def _join(self, bound_address: str) -> Membership:
-        between, terms = self._between, self._terms
+        gossip, config = self._gossip, self._config
         phase, config_digest = self._facts()
         own_record = MemberRecord(
-            name=terms.name,
-            region=terms.region,
-            place=terms.place,
-            address=between.advertise or bound_address,
+            name=config.name,
+            region=config.region,
+            place=config.place,
+            address=gossip.advertise or bound_address,
             generation=self._runtime.wall_time() // NS_PER_MS,
             incarnation=self._incarnation,
             version=self._version,
             config_digest=config_digest,
             phase=phase,
         )
-        config = MembershipConfig(probe_period=between.period, gone_retention=between.remembers)
+        membership_config = MembershipConfig(probe_period=gossip.period, gone_retention=gossip.remembers)
         draw = CounterRandom(self._incarnation).draw
-        return Membership(own_record, config, draw, monotonic_ns(), between.seeds)
+        return Membership(own_record, membership_config, draw, monotonic_ns(), gossip.seeds)
 
     async def _serve(self, socket: DatagramSocket, membership: Membership) -> None:
         while not self._leaving:
@@ -150,14 +150,14 @@
     async def _wait(self, socket: DatagramSocket, membership: Membership) -> None:
         """Sleep until a datagram arrives, a timer is due or `leave` is called, MAX_SLEEP_S at most."""
         until_due = (membership.next_timer - monotonic_ns()) / 1e9
-        with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep:
+        with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep_scope:
             await socket.wait_readable()
         await self._runtime.checkpoint()
 
     def leave(self) -> None:
         """Announce to the others that this instance leaves, and end `run`."""
         self._leaving = True
-        self._sleep.cancel()
+        self._sleep_scope.cancel()
 
     # Incoming datagrams
 
@@ -251,7 +251,7 @@
         if membership.view_health is not ViewHealth.SETTLED or members == self._checked_size:
             return
         self._checked_size = members
-        configured = self._terms.deployment.edge_proxies
+        configured = self._config.deployment.edge_proxies
         if members != configured:
             self.counts["size-differs"] += 1
             self._log.warning("fleet-size-differs", members=members, edge_proxies=configured)
--- a/valverouter/fleet/operations_client.py
+++ b/valverouter/fleet/operations_client.py
@@ -27,11 +27,11 @@
     any moment; another one can take an operation up by its id.
     """
 
-    def __init__(self, terms: FleetClientConfig, socket: DatagramSocket, chance: random.Random) -> None:
-        """`chance` draws the client's incarnation and its first nonce."""
-        self._terms = terms
-        self._transport = Transport(socket, terms.keys, "", chance.getrandbits(63))
-        self._nonce = chance.getrandbits(62)
+    def __init__(self, config: FleetClientConfig, socket: DatagramSocket, rng: random.Random) -> None:
+        """`rng` draws the client's incarnation and its first nonce."""
+        self._config = config
+        self._transport = Transport(socket, config.keys, "", rng.getrandbits(63))
+        self._nonce = rng.getrandbits(62)
 
     async def request(
         self,
@@ -56,7 +56,7 @@
         return None
 
     def _send(self, request: ClientRequest) -> None:
-        for address in self._terms.council.values():
+        for address in self._config.council.values():
             self._transport.send(address, request)
 
     async def _leader_response(self, nonce: int) -> msgspec.Raw:
--- a/valverouter/fleet/orchestrator_config.py
+++ b/valverouter/fleet/orchestrator_config.py
@@ -11,19 +11,19 @@
 EDGE_PROXIES = "edge proxies"
 
 
-def orchestrator_config(terms: RaftServerConfig) -> OrchestratorConfig:
+def orchestrator_config(config: RaftServerConfig) -> OrchestratorConfig:
     """Translate the file's settings, whose durations are in ns as the orchestrator's are."""
     return OrchestratorConfig(
         {
             InstanceKind.EDGE if section == EDGE_PROXIES else InstanceKind.SERVER: _limits(limits)
-            for section, limits in terms.limits.items()
+            for section, limits in config.limits.items()
         },
-        lost_after=terms.silent,
-        unreachable_after=terms.not_reached,
-        max_unsettled=terms.unsettled,
-        min_evaluation=terms.evidence.watch,
-        max_unexpected_exits=terms.evidence.ends,
-        sequential_test=_sequential_test(terms.evidence),
+        lost_after=config.silent,
+        unreachable_after=config.not_reached,
+        max_unsettled=config.unsettled,
+        min_evaluation=config.evidence.watch,
+        max_unexpected_exits=config.evidence.ends,
+        sequential_test=_sequential_test(config.evidence),
     )
 
 
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -52,28 +52,30 @@
 class RaftServer:
     """One node of the control plane, on a socket and a disk."""
 
-    def __init__(self, terms: RaftServerConfig, runtime: Runtime, store: RaftStore, bootstrap: bool) -> None:
+    def __init__(self, config: RaftServerConfig, runtime: Runtime, store: RaftStore, bootstrap: bool) -> None:
         """Load the node's state from `store`.
 
         `bootstrap`: this is the first node of a new group, which admits the others;
         AlreadyBootstrappedError if the store is not empty.
         """
-        self._terms = terms
+        self._config = config
         self._runtime = runtime
         self._store = store
         self._incarnation = secrets.randbits(INCARNATION_BITS)
         self._announced_at = float("-inf")
         self._was_leader = False
-        self._log = log.bind(seat=terms.name)
+        self._log = log.bind(seat=config.name)
         persistent = store.load()
         if bootstrap:
-            _bootstrap(terms.name, persistent, store)
+            _bootstrap(config.name, persistent, store)
         draw = CounterRandom(self._incarnation).draw
-        self.node = ControlPlaneNode(terms.name, persistent, orchestrator_config(terms), draw, monotonic_ns())
+        self.node = ControlPlaneNode(
+            config.name, persistent, orchestrator_config(config), draw, monotonic_ns()
+        )
         # Replies that must not leave before what they rest on is on disk.
         self._replies: list[tuple[str, ControlMessage]] = []
         self._client_requests = ClientRequestHandler(self.node, self._reply)
-        self._reconciler = RaftMembershipReconciler(self.node, frozenset(terms.council), self._log)
+        self._reconciler = RaftMembershipReconciler(self.node, frozenset(config.council), self._log)
         self._operation_events = OperationEventLogger(self._log)
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
@@ -82,9 +84,9 @@
         OSError if the address can't be bound, StoreError if the disk fails: a node that can't keep what it
         promises must not go on.
         """
-        socket = self._runtime.bind_datagrams(self._terms.listen)
+        socket = self._runtime.bind_datagrams(self._config.listen)
         try:
-            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
+            transport = Transport(socket, self._config.keys, self._config.name, self._incarnation)
             self._log.info("raft-server-listening", address=transport.address, disk=f"{self._disk_id:016x}")
             task_status.started(transport.address)
             while True:
@@ -115,7 +117,7 @@
     def _on_message(self, message: ControlMessage, source: str) -> None:
         match message:
             case RaftEnvelope(recipient, content):
-                if recipient == self._terms.name:
+                if recipient == self._config.name:
                     self.node.on_message(monotonic_ns(), from_wire(content))
             case NodeAnnouncement(name, disk_id):
                 self._reconciler.on_announcement(name, disk_id)
@@ -136,7 +138,7 @@
 
     def _desired_state_message(self, reply: DesiredStateReply) -> DesiredStateMessage:
         return DesiredStateMessage(
-            self._terms.name, reply.instance, self._incarnation, reply.stamp, reply.desired, reply.is_open
+            self._config.name, reply.instance, self._incarnation, reply.stamp, reply.desired, reply.is_open
         )
 
     def _reply(self, address: str, message: ControlMessage) -> None:
@@ -150,7 +152,7 @@
         outgoing = list(self.node.outgoing)
         self.node.outgoing.clear()
         for name, message in outgoing:
-            address = self._terms.council.get(name)
+            address = self._config.council.get(name)
             if address is not None:
                 transport.send(address, RaftEnvelope(name, to_wire(message)))
         replies, self._replies = self._replies, []
@@ -162,9 +164,9 @@
         if now - self._announced_at < ANNOUNCEMENT_INTERVAL_S:
             return
         self._announced_at = now
-        announcement = NodeAnnouncement(self._terms.name, self._disk_id)
-        for name, address in self._terms.council.items():
-            if name != self._terms.name:
+        announcement = NodeAnnouncement(self._config.name, self._disk_id)
+        for name, address in self._config.council.items():
+            if name != self._config.name:
                 transport.send(address, announcement)
 
     def _log_changes(self) -> None:
--- a/valverouter/fleet/replay_window.py
+++ b/valverouter/fleet/replay_window.py
@@ -25,7 +25,7 @@
             return True
         highest, seen = window
         if counter > highest:
-            self._windows[incarnation] = counter, _advanced(seen, counter - highest)
+            self._windows[incarnation] = counter, _shift_window(seen, counter - highest)
             return True
         age = highest - counter
         is_new = age < WINDOW_SIZE and not seen >> age & 1
@@ -33,7 +33,7 @@
         return is_new
 
 
-def _advanced(seen: int, steps: int) -> int:
+def _shift_window(seen: int, steps: int) -> int:
     """The bit set after the highest counter grew by `steps`, the new one marked as seen."""
     if steps >= WINDOW_SIZE:
         return 1
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -49,17 +49,21 @@
     """Supervises one instance."""
 
     def __init__(
-        self, terms: SupervisorConfig, runtime: Runtime, store: SupervisorStore, state: SupervisorState | None
+        self,
+        config: SupervisorConfig,
+        runtime: Runtime,
+        store: SupervisorStore,
+        state: SupervisorState | None,
     ) -> None:
         """`state` is what the store held at the start; None where it is new or was lost."""
-        self.supervisor = Supervisor(_instance_info(terms), state or SupervisorState(terms.version))
-        self._terms = terms
+        self.supervisor = Supervisor(_instance_info(config), state or SupervisorState(config.version))
+        self._config = config
         self._runtime = runtime
         self._store = store
-        self._is_new = state is None
+        self._starts_without_state = state is None
         self._incarnation = secrets.randbits(INCARNATION_BITS)
-        self._list_client = ListClient(runtime, terms.list_service, terms.name)
-        self._log = log.bind(keeper=terms.name)
+        self._list_client = ListClient(runtime, config.list_service, config.name)
+        self._log = log.bind(keeper=config.name)
         self._process: ManagedProcess | None = None
         # The processes that this supervisor started itself and has to reap, by number.
         self._children: dict[int, subprocess.Popen[bytes]] = {}
@@ -69,18 +73,18 @@
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         """Supervise until `shut_down` and then until the program has ended; OSError for a socket."""
         with ExitStack() as sockets:
-            socket = self._runtime.bind_datagrams(self._terms.listen)
+            socket = self._runtime.bind_datagrams(self._config.listen)
             sockets.callback(socket.close)
             probe = self._open_probe()
             if probe is not None:
                 sockets.callback(probe.close)
-            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
-            link = ControlPlaneLink(transport, self._terms.name, self._terms.council)
+            transport = Transport(socket, self._config.keys, self._config.name, self._incarnation)
+            link = ControlPlaneLink(transport, self._config.name, self._config.council)
             self._log.info("supervisor-listening", address=transport.address)
             task_status.started(transport.address)
-            if self._is_new:
+            if self._starts_without_state:
                 await self._await_desired_state(link)
-                await self._find_process(probe)
+                await self._find_running_process(probe)
             async with trio.open_nursery() as self._nursery:
                 self._resume_process()
                 await self._supervise(link, probe)
@@ -91,16 +95,16 @@
         self.supervisor.shut_down()
 
     def _open_probe(self) -> InstanceProbe | None:
-        address = self._terms.asks
+        address = self._config.asks
         if not address:
             return None
-        socket = self._runtime.bind_datagrams(_any_port_like(address))
-        return InstanceProbe(socket, address, self._terms.keys, self._incarnation)
+        socket = self._runtime.bind_datagrams(_wildcard_address(address))
+        return InstanceProbe(socket, address, self._config.keys, self._incarnation)
 
     async def _supervise(self, link: ControlPlaneLink, probe: InstanceProbe | None) -> None:
         while True:
             with trio.move_on_after(MAX_SLEEP_S):
-                await link.readable()
+                await link.wait_readable()
             await self._runtime.checkpoint()
             self._receive(link)
             if probe is not None:
@@ -119,14 +123,14 @@
         The version in the configuration may have been rolled back since. A control plane that does not answer
         delays the start by `hears_within` and no more.
         """
-        with trio.move_on_after(self._terms.hears_within / NS_PER_S):
+        with trio.move_on_after(self._config.hears_within / NS_PER_S):
             while not link.has_received:
                 link.report_if_due(self.supervisor.report)
                 with trio.move_on_after(MAX_SLEEP_S):
-                    await link.readable()
+                    await link.wait_readable()
                 self._receive(link)
 
-    async def _find_process(self, probe: InstanceProbe | None) -> None:
+    async def _find_running_process(self, probe: InstanceProbe | None) -> None:
         """Find what a previous incarnation started before it lost its disk.
 
         The instance replies where it is queried; a second one would find its addresses in use.
@@ -184,9 +188,9 @@
             case SupervisorAction.STOP:
                 self._stop_process()
             case SupervisorAction.REQUEST_DRAIN:
-                self._start_task(self._leave_list, self._permit_number())
+                self._start_task(self._request_drain, self._permit_number())
             case SupervisorAction.END_DRAIN:
-                self._start_task(self._return_to_list, self._permit_number())
+                self._start_task(self._end_drain, self._permit_number())
             case SupervisorAction.START:
                 self._start_process()
 
@@ -240,12 +244,12 @@
 
     def _spawn(self, version: str) -> subprocess.Popen[bytes]:
         """Start the version's command; OSError where there is none, or it can't be started."""
-        command = self._terms.commands.get(version, ())
+        command = self._config.commands.get(version, ())
         if not command:
             raise OSError(f"no command for version {version!r}")
-        if not self._terms.output:
+        if not self._config.output:
             return _popen(command, version, subprocess.DEVNULL)
-        with Path(self._terms.output).open("ab") as output:
+        with Path(self._config.output).open("ab") as output:
             return _popen(command, version, output)
 
     async def _await_exit(self, process: ManagedProcess) -> None:
@@ -267,27 +271,27 @@
 
     async def _kill_after_timeout(self, process: ManagedProcess) -> None:
         """Kill a process that is still there `stop_within` after it was asked to stop."""
-        await trio.sleep(self._terms.stop_within / NS_PER_S)
+        await trio.sleep(self._config.stop_within / NS_PER_S)
         if self._process is process:
             self._log.warning("process-killed", process=process.pid)
             process.signal(signal.SIGKILL)
 
     # The list service
 
-    async def _leave_list(self, number: int) -> None:
+    async def _request_drain(self, number: int) -> None:
         """Ask for the server's drain; once it is granted, let the server empty before it is stopped."""
-        answer = await self._list_client.request_until_answered(DrainRequest(self._terms.name, number))
-        self._log_list_answer(True, number, answer.granted, answer.refusal)
+        answer = await self._list_client.request_until_answered(DrainRequest(self._config.name, number))
+        self._log_drain_answer(True, number, answer.granted, answer.refusal)
         if answer.granted:
-            await trio.sleep(self._terms.drain_within / NS_PER_S)
+            await trio.sleep(self._config.drain_within / NS_PER_S)
         self.supervisor.on_drain_answer(answer.granted, answer.refusal)
 
-    async def _return_to_list(self, number: int) -> None:
-        answer = await self._list_client.request_until_answered(DrainEnded(self._terms.name, number))
-        self._log_list_answer(False, number, answer.granted, answer.refusal)
+    async def _end_drain(self, number: int) -> None:
+        answer = await self._list_client.request_until_answered(DrainEnded(self._config.name, number))
+        self._log_drain_answer(False, number, answer.granted, answer.refusal)
 
-    def _log_list_answer(self, leaves: bool, number: int, given: bool, reason: str) -> None:
-        self._log.info("list-answer-received", leaves=leaves, number=number, given=given, why=reason)
+    def _log_drain_answer(self, is_request: bool, number: int, granted: bool, reason: str) -> None:
+        self._log.info("list-answer-received", leaves=is_request, number=number, given=granted, why=reason)
 
     def _start_task(self, function: Callable[..., Awaitable[object]], *arguments: object) -> None:
         assert self._nursery is not None
@@ -306,17 +310,17 @@
     )
 
 
-def _instance_info(terms: SupervisorConfig) -> InstanceInfo:
+def _instance_info(config: SupervisorConfig) -> InstanceInfo:
     return InstanceInfo(
-        terms.name,
-        InstanceKind.SERVER if terms.is_server else InstanceKind.EDGE,
-        terms.region,
-        terms.capacity,
-        terms.processor,
-        tuple(sorted(terms.commands)),
+        config.name,
+        InstanceKind.SERVER if config.is_server else InstanceKind.EDGE,
+        config.region,
+        config.capacity,
+        config.processor,
+        tuple(sorted(config.commands)),
     )
 
 
-def _any_port_like(address: str) -> str:
+def _wildcard_address(address: str) -> str:
     """Any port, in the same family of addresses."""
     return "[::]:0" if address.startswith("[") else "0.0.0.0:0"
--- a/valverouter/fleet/view_comparison.py
+++ b/valverouter/fleet/view_comparison.py
@@ -50,19 +50,19 @@
 
 
 def find_differences(answers: Iterable[ViewAnswer]) -> dict[str, dict[str, list[str]]]:
-    """Members on which complete answers disagree: by name, each belief with the names of its holders."""
+    """Members on which complete answers disagree: by name, each state with the names of its holders."""
     complete = [answer for answer in answers if answer.missing_page is None]
     members = {row.name for answer in complete for row in answer.rows if row.name}
-    beliefs: dict[str, dict[str, list[str]]] = {}
+    states: dict[str, dict[str, list[str]]] = {}
     for answer in complete:
         rows = {row.name: row for row in answer.rows if row.name}
         for member in members:
-            belief = _belief(rows.get(member))
-            beliefs.setdefault(member, {}).setdefault(belief, []).append(answer.name)
-    return {member: held for member, held in sorted(beliefs.items()) if len(held) > 1}
+            state = _reported_state(rows.get(member))
+            states.setdefault(member, {}).setdefault(state, []).append(answer.name)
+    return {member: reporters for member, reporters in sorted(states.items()) if len(reporters) > 1}
 
 
-def _belief(row: MemberRow | None) -> str:
+def _reported_state(row: MemberRow | None) -> str:
     if row is None:
         return NOT_KNOWN
     return f"{row.state.name.lower()} at {row.address}, life {row.incarnation:016x}"
