--- a/valverouter/fleet/view_comparison.py
+++ b/valverouter/fleet/view_comparison.py
@@ -53,13 +53,13 @@
     """Members on which complete answers disagree: by name, each state with the names of its holders."""
     complete = [answer for answer in answers if answer.missing_page is None]
     members = {row.name for answer in complete for row in answer.rows if row.name}
-    states: dict[str, dict[str, list[str]]] = {}
+    states_by_member: dict[str, dict[str, list[str]]] = {}
     for answer in complete:
         rows = {row.name: row for row in answer.rows if row.name}
         for member in members:
             state = _reported_state(rows.get(member))
-            states.setdefault(member, {}).setdefault(state, []).append(answer.name)
-    return {member: reporters for member, reporters in sorted(states.items()) if len(reporters) > 1}
+            states_by_member.setdefault(member, {}).setdefault(state, []).append(answer.name)
+    return {member: states for member, states in sorted(states_by_member.items()) if len(states) > 1}
 
 
 def _reported_state(row: MemberRow | None) -> str:
