--- a/tests/test_fleet_authentication.py
+++ b/tests/test_fleet_authentication.py
@@ -1,4 +1,4 @@
-"""Authenticated datagrams: keys, replays, versions, malformed bodies, and the longest messages."""
+"""Authenticated datagrams: keys, replays, protocol versions, malformed bodies and maximum sizes."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
     reader, authenticator = DatagramReader(Authenticator((KEY,))), Authenticator((KEY,))
     assert reader.read(data) is None
     prefix = bytes((PROTOCOL_VERSION,)) + authenticator._key_id
-    assert reader.read(prefix + _digest(KEY, prefix, data) + data) is None, "also under our own key"
+    assert reader.read(prefix + _digest(KEY, prefix, data) + data) is None, "also with a valid digest"
     assert sum(reader.dropped.values()) == 2
 
 
--- a/tests/test_fleet_commands.py
+++ b/tests/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The names of the fleet's commands: the former ones go on as aliases that the help does not list."""
+"""Names of the fleet's commands: deprecated ones remain as aliases that the help does not list."""
 
 from __future__ import annotations
 
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -1,4 +1,4 @@
-"""Control messages over datagrams: fragmentation, reassembly, authentication."""
+"""Control plane messages over datagrams: fragmentation, reassembly, authentication."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 def operation_log(instances: int, operations: int) -> OperationLog:
-    """The state of a control plane: so many instances, and ended operations that named all of them."""
+    """The state of a control plane with `instances` instances and `operations` ended operations on all."""
     log = OperationLog()
     names = tuple(f"edge-{number}" for number in range(instances))
     enrolled = tuple(Instance(name, InstanceKind.EDGE, "north", 100) for name in names)
@@ -89,7 +89,7 @@
     ]
     for index, command in enumerate(commands, 1):
         operation_transitions.apply(log, index, command)
-    # Planned once: each plan of 900 instances takes a quarter of a second.
+    # Planned only once, since planning for 900 instances takes a quarter of a second.
     ended = log.operations["op-0"]
     log.operations = {f"op-{number}": ended.copy() for number in range(operations)}
     return log
@@ -99,11 +99,11 @@
 def test_a_raft_snapshot_of_the_largest_fleet_arrives_over_a_lossy_path(
     instances: int, operations: int
 ) -> None:
-    """At 900 instances and the 64 ended operations that are kept, a snapshot is 3.5 MB, 2,959 fragments.
+    """With 900 instances and the 64 ended operations that are kept, a snapshot has 3.5 MB (2,959 fragments).
 
-    That was over the limit of a message: an empty member never got it, and the leader logged
-    `message-too-long` at each heartbeat. Sent again, as a heartbeat does, it fills the gaps; another leader's
-    that comes between is a message of its own.
+    Guards against a snapshot above the maximum message size: an empty member never received it, and the
+    leader logged `message-too-long` at each heartbeat. Retransmissions, one per heartbeat, fill the gaps, and
+    are not mixed up with fragments of a snapshot from another leader.
     """
     configuration = Configuration((("c0", 1), ("c1", 2)))
     snapshot = Snapshot(5_000, 3, configuration, operation_log(instances, operations))
@@ -119,7 +119,7 @@
         if sent in received:
             break
     else:
-        raise AssertionError("the snapshot never came")
+        raise AssertionError("the snapshot never arrived")
     message = decoder.decode(sent)
     assert isinstance(message, RaftEnvelope)
     installed = from_wire(message.message)
@@ -145,7 +145,7 @@
     sender.send(first.address, NodeAnnouncement("c1", 7))
     Transport(stranger, (b"x" * 32,), "c1", 3).send(first.address, NodeAnnouncement("c1", 8))
     stranger.send(b"rubbish", first.address)
-    # Membership messages are under the same key, and are not messages of the control plane.
+    # A membership message is authenticated by the same key but is not a control plane message.
     stranger.send(Authenticator(KEY).sign(CountersQuery("", 9, 0, 1)), first.address)
     received: list[tuple[ControlMessage, str]] = []
     with trio.move_on_after(0.3):
@@ -154,8 +154,8 @@
             while (message := receiver.receive()) is not None:
                 received.append(message)
     assert [message for message, _ in received] == [NodeAnnouncement("c1", 7)]
-    assert second.receive() is None, "and nobody is answered"
-    assert stranger.receive() is None, "and nobody is answered"
+    assert second.receive() is None, "no datagram is answered"
+    assert stranger.receive() is None, "no datagram is answered"
     for socket in (first, second, stranger):
         socket.close()
 
--- a/tests/test_server_supervision.py
+++ b/tests/test_server_supervision.py
@@ -1,4 +1,4 @@
-"""How a server goes out under a permit: the list service's check of permits, and its supervisor."""
+"""Drain and stop of a server under a permit: the list service's check of permits, and its supervisor."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     assert permits.check(DrainRequest("s0", 0)) == "no permit's number was given"
     assert permits.check(DrainRequest("s0", 7)) == "" == permits.check(DrainRequest("s0", 7))
     assert "older than 7" in permits.check(DrainRequest("s0", 6))
-    assert permits.check(DrainRequest("s1", 6)) == "", "each server has its own"
+    assert permits.check(DrainRequest("s1", 6)) == "", "each server has its own permit numbers"
     permits.end(DrainEnded("s0", 7))
     assert permits.check(DrainRequest("s0", 7)) == "permit 7 is over"
     permits.end(DrainEnded("s0", 3))
@@ -37,10 +37,10 @@
 
 def test_a_server_is_stopped_once_its_drain_is_granted() -> None:
     supervisor = supervisor_with_step()
-    assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN, "asked once, and waited for"
-    assert supervisor.next_action(0) is None, "asked once, and waited for"
+    assert supervisor.next_action(0) is SupervisorAction.REQUEST_DRAIN, "requested once"
+    assert supervisor.next_action(0) is None, "waits for the answer"
     supervisor.on_counters(InstanceCounters(1, True, True))
-    assert supervisor.report().outcome == "", "it serves until it goes, and that is not the turn done"
+    assert supervisor.report().outcome == "", "serving before its stop does not complete the step"
     supervisor.on_drain_answer(True)
     assert supervisor.next_action(0) is SupervisorAction.STOP
     supervisor.on_stop_requested()
@@ -72,7 +72,7 @@
     supervisor.on_saved()
     supervisor.on_counters(InstanceCounters(1, True, True))
     supervisor.on_saved()
-    assert supervisor.report().outcome == "done", "brought back, it had never gone"
+    assert supervisor.report().outcome == "done", "needs no restart, as it never stopped"
 
 
 def test_a_shutdown_by_the_machine_does_not_wait_for_the_list_service() -> None:
--- a/tests/test_supervisor_service.py
+++ b/tests/test_supervisor_service.py
@@ -1,4 +1,4 @@
-"""What a supervisor keeps over its own restart: its state on disk, and the process that it started."""
+"""What survives a restart of a supervisor: its state on disk, and the process that it started."""
 
 from __future__ import annotations
 
@@ -44,13 +44,13 @@
     reattached = ManagedProcess.reattach(first.identity)
     assert reattached is not None
     assert reattached.pid == child.pid
-    assert ManagedProcess.reattach(f"{child.pid} 1") is None, "another process with its number"
+    assert ManagedProcess.reattach(f"{child.pid} 1") is None, "another process with the same id"
     assert ManagedProcess.reattach("") is None
     assert ManagedProcess.reattach("x y") is None
     child.kill()
     with trio.fail_after(5):
         await reattached.wait()
-    assert ManagedProcess.reattach(first.identity) is None, "ended, though nobody has waited for it yet"
+    assert ManagedProcess.reattach(first.identity) is None, "a zombie that has not been reaped"
     child.wait()
     first.close()
     reattached.close()
--- a/valverouter/fleet/authentication.py
+++ b/valverouter/fleet/authentication.py
@@ -1,13 +1,13 @@
-"""Authenticated datagrams: a version, a key id, a keyed digest, then a counter and a message as MessagePack.
+"""Authenticated datagrams: version, key id and keyed digest, then a counter and a message as MessagePack.
 
     1 byte    protocol version
     4 bytes   key id
-    16 bytes  BLAKE2b, keyed, over version, key id and everything that follows
-    rest      [counter, message]
+    16 bytes  keyed BLAKE2b digest of version, key id and body
+    rest      body: [counter, message]
 
-Nothing of a datagram is decoded unless its digest is right. The counter grows with each datagram of an
-incarnation (one run of a process); a counter that came before or lies behind the replay window is rejected.
-This layer never answers, so unauthenticated senders get no reply, however much they send.
+The body is decoded only after the digest has been verified. The counter increases with each datagram of an
+incarnation (one run of a process); a counter that was already received, or is older than the replay window,
+is rejected. This layer never sends replies, so an unauthenticated sender can't provoke any traffic.
 """
 
 from __future__ import annotations
@@ -41,13 +41,13 @@
 VERSION_BYTES = 1
 KEY_ID_BYTES = 4
 DIGEST_BYTES = 16
-# Version and key id, over which the digest goes as well.
+# Version and key id, which the digest covers as well.
 PREFIX_BYTES = VERSION_BYTES + KEY_ID_BYTES
 HEADER_BYTES = PREFIX_BYTES + DIGEST_BYTES
 MAX_NAME_LENGTH = 128
-# Each unknown protocol version is reported once, and no more than so many of them.
+# Maximum number of distinct unknown protocol versions that are reported, once each.
 MAX_REPORTED_VERSIONS = 16
-# A counter as large as a long run makes it, for estimating the size of datagrams.
+# A counter typical of a long-running process, for estimating the size of datagrams.
 TYPICAL_COUNTER = 1 << 20
 
 MembershipMessage = Ping | Ack | PingReq | Nack | Gossip | SyncDigests | SyncRecords
@@ -56,31 +56,31 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """What a datagram on a membership socket carries."""
+    """The body of a datagram on a membership socket."""
 
     counter: int
     message: MembershipDatagram
 
 
 class FragmentEnvelope(Struct, frozen=True, array_like=True):
-    """What a datagram between raft servers, supervisors and operators' clients carries."""
+    """The body of a datagram between raft servers, supervisors and operators' clients."""
 
     counter: int
     message: Fragment
 
 
 class MessageTooLongError(ValueError):
-    """The message does not fit into one datagram."""
+    """Raised when a message does not fit into one datagram."""
 
 
 class Authenticator:
-    """The fleet's keys and the counter of one incarnation.
+    """Signs and verifies datagrams with the fleet's keys; holds the datagram counter of one incarnation.
 
-    `keys[0]` signs; any of the keys verifies, so that a key can be changed while the fleet runs.
+    `keys[0]` signs; any of the keys verifies, so that a key can be rotated while the fleet runs.
     """
 
     def __init__(self, keys: tuple[bytes, ...]) -> None:
-        """Start counting datagrams from 1."""
+        """Starts the datagram counter at 1."""
         self._keys = {key_id(key): key for key in reversed(keys)}
         self._signing_key = keys[0]
         self._key_id = key_id(keys[0])
@@ -88,17 +88,17 @@
         self._counter = 0
 
     def sign(self, message: MembershipDatagram | Fragment) -> bytes:
-        """Return the datagram; MessageTooLongError above MAX_DATAGRAM_BYTES."""
+        """Returns the signed datagram; raises MessageTooLongError above MAX_DATAGRAM_BYTES."""
         self._counter += 1
         body = self._encoder.encode((self._counter, message))
         size = len(body) + HEADER_BYTES
         if size > MAX_DATAGRAM_BYTES:
-            raise MessageTooLongError(f"{size} bytes of {type(message).__name__}")
+            raise MessageTooLongError(f"datagram with {type(message).__name__} would have {size} bytes")
         prefix = bytes((PROTOCOL_VERSION,)) + self._key_id
         return prefix + _digest(self._signing_key, prefix, body) + body
 
     def verify(self, datagram: bytes) -> bool:
-        """Whether a holder of one of the keys made the datagram."""
+        """Returns whether the datagram was signed with one of the keys."""
         prefix = datagram[:PREFIX_BYTES]
         key = self._keys.get(prefix[VERSION_BYTES:])
         if key is None:
@@ -108,7 +108,7 @@
 
 
 def key_id(key: bytes) -> bytes:
-    """The id under which datagrams name a key without disclosing it."""
+    """Returns the id that identifies a key in datagrams without disclosing it."""
     return blake2b(key, digest_size=KEY_ID_BYTES, person=b"valverouter-mark").digest()
 
 
@@ -119,14 +119,14 @@
 
 
 class DatagramReader:
-    """Verifies and decodes incoming datagrams, and counts those that it drops by their reason."""
+    """Verifies and decodes incoming datagrams, and counts dropped ones by reason."""
 
     def __init__(
         self, authenticator: Authenticator, envelope: type[Envelope] | type[FragmentEnvelope] = Envelope
     ) -> None:
-        """`envelope` is the type that the datagrams' bodies are decoded as."""
+        """`envelope` is the type as which datagram bodies are decoded."""
         self.dropped: Counter[str] = Counter()
-        # Unknown protocol versions under our key that have not been logged yet; the owner empties it.
+        # Unknown versions in datagrams with a valid digest, not logged yet; the owner clears the list.
         self.unknown_versions: list[int] = []
         self._reported_versions: set[int] = set()
         self._authenticator = authenticator
@@ -134,7 +134,7 @@
         self._decoder: msgspec.msgpack.Decoder[Any] = msgspec.msgpack.Decoder(envelope)
 
     def read(self, datagram: bytes) -> Any:
-        """Return the message, or None with the reason counted in `dropped`."""
+        """Returns the message, or None after counting the reason in `dropped`."""
         if len(datagram) > MAX_DATAGRAM_BYTES:
             return self._drop("oversize")
         if len(datagram) <= HEADER_BYTES or not self._authenticator.verify(datagram):
@@ -163,7 +163,7 @@
 
 
 def _is_well_formed(message: MembershipDatagram | Fragment) -> bool:
-    """Whether names are within their limits and records are such as a member may send."""
+    """Returns whether names are within their length limit and records are valid in a message."""
     if len(message.name) > MAX_NAME_LENGTH:
         return False
     return all(
@@ -173,5 +173,5 @@
 
 
 def datagram_size(message: Message) -> int:
-    """Bytes of the datagram that carries a membership message, for estimates."""
+    """Returns the estimated size in bytes of the datagram with a membership message."""
     return HEADER_BYTES + len(msgspec.msgpack.encode(Envelope(TYPICAL_COUNTER, message)))
--- a/valverouter/fleet/client.py
+++ b/valverouter/fleet/client.py
@@ -1,4 +1,4 @@
-"""The client for membership views: queries several instances over one socket and retries missing pages."""
+"""Client for membership views: queries several instances over one socket and retries missing pages."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from valverouter.fleet.transport import received_messages
 from valverouter.fleet.view_comparison import ViewAnswer
 
+# Maximum number of rounds in which missing pages are queried.
 MAX_TRIES = 3
-# Seconds to wait for replies before the queries are sent again.
+# Time to wait for replies before the queries are sent again.
 TRY_TIMEOUT_S = 0.4
 
 
 class FleetClient:
-    """Queries instances for their views; holds the fleet's key and is not a member."""
+    """Queries instances for their membership views; has the fleet's key without being a member."""
 
     def __init__(self, keys: tuple[bytes, ...], socket: DatagramSocket, rng: random.Random) -> None:
-        """`rng` draws the client's incarnation and its first nonce."""
+        """`rng` generates the client's incarnation and its first nonce."""
         self._authenticator = Authenticator(keys)
         self._reader = DatagramReader(self._authenticator)
         self._socket = socket
@@ -30,7 +31,7 @@
         self._last_nonce = rng.getrandbits(32)
 
     async def query_views(self, addresses: Iterable[str]) -> list[ViewAnswer]:
-        """Return one answer per address; those that did not arrive whole have a missing page."""
+        """Returns one answer per distinct address; `missing_page` tells which answers are incomplete."""
         answers: dict[int, ViewAnswer] = {}
         for address in dict.fromkeys(addresses):
             self._last_nonce += 1
--- a/valverouter/fleet/client_requests.py
+++ b/valverouter/fleet/client_requests.py
@@ -1,7 +1,7 @@
-"""A raft server's replies to operators' clients.
+"""Handling of operators' client requests by a raft server.
 
-Only the leader answers, and only once a majority has confirmed that it led after the request came in; any
-other node says whom it takes for the leader.
+Only the leader answers, and only after a majority has confirmed that it was still the leader when the
+request arrived; any other node replies with the leader that it knows of.
 """
 
 from __future__ import annotations
@@ -23,32 +23,32 @@
 
 MAX_REMEMBERED_PROPOSALS = 1_024
 MAX_REMEMBERED_STATUSES = 16
-# The commands that clients may have executed; the others are the orchestrator's.
+# Commands that clients may submit; all others are reserved for the orchestrator.
 CLIENT_COMMANDS = (Submit, Cancel, HaltDisruptions, Retire)
-# The answer to a command that yields nothing of its own.
+# The answer to a command without a result.
 DONE = {"done": True}
 
 Reply = Callable[[str, ClientResponse], None]
 
 
 class ClientRequestHandler:
-    """Answers requests from the node's state; responses may come later, through the `reply` callback."""
+    """Handles requests with the node's state; responses are sent, possibly later, through `reply`."""
 
     def __init__(self, node: ControlPlaneNode, reply: Reply) -> None:
         """`reply` sends a response to an address."""
         self._node = node
         self._reply = reply
-        # The log index of each command proposed in this term of office, by the request's nonce.
+        # The log index of each command proposed during this leadership, by the request's nonce.
         self._proposals: BoundedDict[int, int] = BoundedDict(MAX_REMEMBERED_PROPOSALS)
-        # Encoded statuses that were sent, by the request's nonce.
+        # Encoded statuses sent in response, by the request's nonce.
         self._statuses: BoundedDict[int, bytes] = BoundedDict(MAX_REMEMBERED_STATUSES)
 
     def on_leadership_changed(self) -> None:
-        """Forget the proposals: whether they get committed is not known any more."""
+        """Clears the proposals, since another leader may overwrite them before they are committed."""
         self._proposals.clear()
 
     def on_request(self, source: str, request: ClientRequest) -> None:
-        """Handle a request from the address `source`; a retry of it has the same nonce."""
+        """Handles a request from the address `source`; a retry of a request has the same nonce."""
         node, command = self._node, request.command
         if not node.is_leader:
             self._reply(source, ClientResponse(request.nonce, node.name, False, node.leader_id))
@@ -65,10 +65,10 @@
         )
 
     def _execute(self, source: str, request: ClientRequest, command: Command) -> None:
-        """Propose the command once per nonce, and answer retries once it is applied.
+        """Proposes the command once per nonce, and answers retries after it has been applied.
 
-        A new request is proposed again although it may repeat an operation: what rejected it the first time
-        may be over.
+        A request with a new nonce is proposed even if it repeats an operation, since the reason for which
+        the operation was rejected may no longer apply.
         """
         index = self._proposals.get(request.nonce)
         if index is None:
@@ -85,10 +85,10 @@
         return DONE
 
     def _show(self, source: str, request: ClientRequest, log: OperationLog) -> None:
-        """Answer every retry with the same bytes.
+        """Answers every retry with the same bytes.
 
-        A large fleet's status goes in many fragments; those that were lost could not be replaced by
-        fragments of another status.
+        The status of a large fleet takes many fragments, and lost ones can't be replaced by fragments of a
+        different status.
         """
         if request.nonce not in self._statuses:
             status = fleet_status(log, self._node, monotonic_ns(), request.operation)
--- a/valverouter/fleet/clock.py
+++ b/valverouter/fleet/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the fleet's processes."""
+"""The monotonic clock of the fleet's processes."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def monotonic_ns() -> int:
-    """Trio's clock in whole nanoseconds; in tests that is a virtual clock."""
+    """Returns the time of trio's clock in whole nanoseconds; the clock is virtual in tests."""
     return round(trio.current_time() * 1e9)
--- a/valverouter/fleet/control_plane_link.py
+++ b/valverouter/fleet/control_plane_link.py
@@ -1,4 +1,4 @@
-"""A supervisor's side of the control plane: reports to all raft servers, desired states from the leader."""
+"""A supervisor's connection to the control plane: sends reports, and receives desired states."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ControlPlaneLink:
-    """Reports for one instance, and takes its desired state from the messages of known raft servers."""
+    """Sends the reports on one instance to all raft servers, and receives its desired state from them."""
 
     def __init__(self, transport: Transport, instance: str, servers: dict[str, str]) -> None:
         """`servers` are the raft servers' addresses by name."""
@@ -22,16 +22,16 @@
         self._transport = transport
         self._instance = instance
         self._servers = servers
-        # By raft server: the incarnation and the stamp of its last message.
+        # The incarnation and the stamp of each raft server's last message, by server name.
         self._stamps: dict[str, tuple[int, int]] = {}
         self._reported_at = float("-inf")
 
     async def wait_readable(self) -> None:
-        """Return when a message may have arrived."""
+        """Waits until a message may have arrived."""
         await self._transport.socket.wait_readable()
 
     def receive(self) -> Iterator[DesiredStateMessage]:
-        """Yield the messages for the instance, without those that a later one of the same server overtook."""
+        """Yields the messages for the instance; drops one that is older than the same server's last one."""
         while (received := self._transport.receive()) is not None:
             message = received[0]
             if isinstance(message, DesiredStateMessage) and self._accept(message):
@@ -48,12 +48,12 @@
         return True
 
     def report_if_due(self, make_report: Callable[[], SupervisorReport]) -> None:
-        """Report, once per REPORT_INTERVAL_S at most."""
+        """Sends a report if REPORT_INTERVAL_S has passed since the last one."""
         if trio.current_time() - self._reported_at >= REPORT_INTERVAL_S:
             self.report(make_report())
 
     def report(self, report: SupervisorReport) -> None:
-        """Send the report to every raft server: any of them may be the leader."""
+        """Sends the report to every raft server, since any of them may be the leader."""
         self._reported_at = trio.current_time()
         for name, address in self._servers.items():
             incarnation, stamp = self._stamps.get(name, (0, 0))
--- a/valverouter/fleet/fragmentation.py
+++ b/valverouter/fleet/fragmentation.py
@@ -1,9 +1,9 @@
-"""Messages of any length over datagrams: split into fragments, reassembled by the receiver.
+"""Fragmentation of messages that are longer than a datagram, and their reassembly by the receiver.
 
 A message is identified by a digest of its content, so that a retransmission of the same bytes fills the gaps
-that an earlier transmission left: a long message gets through although the path loses many of its fragments.
-Nothing is acknowledged here; a sender that needs to know whether a message arrived waits for a reply and
-sends again. The memory for partial messages is bounded.
+of earlier ones: a long message arrives even over a path that loses many fragments. There are no
+acknowledgements; a sender that must know whether a message has arrived waits for a reply and retransmits.
+The memory for partial messages is bounded.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 
 from valverouter.fleet.bounded_dict import BoundedDict
 
-# Bytes of the message in each fragment: the datagram has to stay below authentication.MAX_DATAGRAM_BYTES.
+# Message bytes per fragment. With its headers a fragment must fit authentication.MAX_DATAGRAM_BYTES.
 FRAGMENT_BYTES = 1_200
-# Enough for a raft snapshot of 900 instances with all the ended operations that are kept.
+# Fragments per message: enough for a raft snapshot of 900 instances with all ended operations that are kept.
 MAX_FRAGMENTS = 4_096
-# Fragments of one message that leave at once; each retransmission of a longer one continues after these.
+# Fragments per transmission; the next transmission of a longer message continues with those that follow.
 BURST_FRAGMENTS = 48
-# Incomplete incoming messages, and long outgoing ones whose position is remembered; the oldest are evicted.
+# Limit for incomplete incoming messages, and for long outgoing ones whose position is kept; the oldest are
+# evicted.
 MAX_PARTIAL_MESSAGES = 64
 
 
@@ -36,11 +37,11 @@
 
 
 class TooManyFragmentsError(ValueError):
-    """The message is longer than MAX_FRAGMENTS fragments."""
+    """Raised when a message is longer than MAX_FRAGMENTS fragments."""
 
 
 class Fragmenter:
-    """Splits the outgoing messages of one process; remembers how far the long ones have been sent."""
+    """Splits the outgoing messages of one process; keeps the position up to which long ones were sent."""
 
     def __init__(self, name: str, incarnation: int) -> None:
         """`name` and `incarnation` identify the sender in each fragment."""
@@ -49,17 +50,17 @@
         self._next_index: BoundedDict[tuple[str, int], int] = BoundedDict(MAX_PARTIAL_MESSAGES)
 
     def split(self, address: str, body: bytes) -> list[Fragment]:
-        """Return the fragments to send to `address` now; TooManyFragmentsError if there would be too many."""
+        """Returns the fragments to send to `address` now; raises TooManyFragmentsError for a long message."""
         count = max(1, -(-len(body) // FRAGMENT_BYTES))
         if count > MAX_FRAGMENTS:
-            raise TooManyFragmentsError(f"{len(body)} bytes")
+            raise TooManyFragmentsError(f"{len(body)} bytes need more than {MAX_FRAGMENTS} fragments")
         message_id = int.from_bytes(blake2b(body, digest_size=8).digest(), "big")
         first = self._first_index(address, message_id, count)
         burst = min(count, BURST_FRAGMENTS)
         return [self._fragment(message_id, (first + offset) % count, count, body) for offset in range(burst)]
 
     def _first_index(self, address: str, message_id: int, count: int) -> int:
-        """Where this transmission begins: after the last burst of the same message to the same address."""
+        """Returns the index after the last burst of the same message to the same address."""
         if count <= BURST_FRAGMENTS:
             return 0
         first = self._next_index.pop((address, message_id), 0)
@@ -73,14 +74,14 @@
 
 
 class Reassembler:
-    """Puts incoming messages together from their fragments, which may come in any order and repeatedly."""
+    """Reassembles incoming messages from fragments, which may be reordered and duplicated."""
 
     def __init__(self) -> None:
-        """Start without partial messages."""
+        """Creates a reassembler without partial messages."""
         self._partial: BoundedDict[tuple[int, int], dict[int, bytes]] = BoundedDict(MAX_PARTIAL_MESSAGES)
 
     def add(self, fragment: Fragment) -> bytes | None:
-        """Return the message that this fragment completes, else None."""
+        """Returns the message if this fragment completes it, otherwise None."""
         if not 0 <= fragment.index < fragment.count <= MAX_FRAGMENTS:
             return None
         if fragment.count == 1:
--- a/valverouter/fleet/instance_probe.py
+++ b/valverouter/fleet/instance_probe.py
@@ -1,4 +1,4 @@
-"""A supervisor's queries for its instance's counters, to the instance's membership socket."""
+"""Queries of a supervisor to its instance's membership socket, for the instance's counters."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from valverouter.rollout.reports import InstanceCounters
 
 QUERY_INTERVAL_S = 0.25
-# An instance that has not replied for so long counts as serving nobody.
+# After this time without a reply, an instance counts as not serving.
 REPLY_TIMEOUT_S = 2.0
 
 
 class InstanceProbe:
-    """Queries one instance over a socket of its own; a reply counts only for the latest query."""
+    """Queries one instance over a separate socket; replies to any but the latest query are ignored."""
 
     def __init__(
         self, socket: DatagramSocket, address: str, keys: tuple[bytes, ...], incarnation: int
     ) -> None:
-        """`address` is the instance's, `incarnation` the supervisor's."""
+        """`address` is the instance's membership address, `incarnation` identifies the supervisor process."""
         self._socket = socket
         self._address = address
         self._authenticator = Authenticator(keys)
@@ -34,11 +34,11 @@
         self._replied_at = float("-inf")
 
     def close(self) -> None:
-        """Close the socket."""
+        """Closes the socket."""
         self._socket.close()
 
     async def find_running(self) -> InstanceCounters | None:
-        """Return what a running instance tells that names its process; None where none does in time."""
+        """Returns the counters of an instance that replies with its process id; None after a timeout."""
         self._send_query()
         with trio.move_on_after(QUERY_INTERVAL_S):
             while True:
@@ -49,7 +49,7 @@
         return None
 
     def receive(self) -> Iterator[InstanceCounters]:
-        """Yield the counters from replies that have arrived."""
+        """Yields the counters from replies that have arrived."""
         for message in received_messages(self._socket, self._reader):
             if isinstance(message, CountersReply) and message.nonce == self._nonce:
                 self._replied_at = trio.current_time()
@@ -57,11 +57,11 @@
 
     @property
     def is_timed_out(self) -> bool:
-        """Whether the last reply is older than REPLY_TIMEOUT_S."""
+        """Returns whether the last reply is older than REPLY_TIMEOUT_S."""
         return trio.current_time() - self._replied_at > REPLY_TIMEOUT_S
 
     def query_if_due(self) -> None:
-        """Send the next query, once per QUERY_INTERVAL_S at most."""
+        """Sends a query if QUERY_INTERVAL_S has passed since the last one."""
         now = trio.current_time()
         if now - self._queried_at >= QUERY_INTERVAL_S:
             self._queried_at = now
--- a/valverouter/fleet/instance_status.py
+++ b/valverouter/fleet/instance_status.py
@@ -1,4 +1,4 @@
-"""What an edge proxy says of itself: to the other members of its fleet, and to its supervisor."""
+"""The status that an edge proxy reports to the other members of its fleet and to its supervisor."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from valverouter.membership.records import Phase
 from valverouter.rollout.reports import InstanceCounters
 
-# The environment variable that holds the version label as which a supervisor started the process.
+# Environment variable with the version label under which a supervisor started the process.
 VERSION_VARIABLE = "VALVEROUTER_VERSION"
 
 
 def membership_facts(proxy: EdgeProxy) -> tuple[Phase, str]:
-    """Return the phase and the digest of the configuration that go into the instance's member record."""
+    """Returns the phase and the configuration digest for the instance's member record."""
     return Phase.DRAINING if proxy.is_draining else Phase.SERVING, proxy.config.digest
 
 
 def instance_counters(proxy: EdgeProxy) -> InstanceCounters:
-    """Return the counters since the process's start; incarnation and view health are left to be filled in."""
+    """Returns the counters since the process started; the caller sets incarnation and view health."""
     answers = proxy.counters.answers
     declined = answers["declined"] + answers["declined-here"]
     lost = answers["aborted"] + proxy.counters.withheld
--- a/valverouter/fleet/list_client.py
+++ b/valverouter/fleet/list_client.py
@@ -1,4 +1,4 @@
-"""A server's supervisor at the list service: it asks for the server's drain and announces its return."""
+"""A server supervisor's client of the list service, for starting and ending the server's drain."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 ANSWER_TIMEOUT_S = 2.0
 RETRY_INTERVAL_S = 0.5
-# As what the supervisor introduces itself in the protocol.
+# The supervisor's role in the protocol's Hello message.
 ROLE = "keeper"
 
 
 class ListClient:
-    """Sends requests to the list service, one connection each."""
+    """Sends requests to the list service, each over a new connection."""
 
     def __init__(self, runtime: Runtime, address: str, name: str) -> None:
-        """`address` is the list service's, `name` the server's."""
+        """`address` is the address of the list service, `name` the name of the server."""
         self._runtime = runtime
         self._address = address
         self._name = name
 
     async def request_until_answered(self, request: DrainRequest | DrainEnded) -> DrainReply:
-        """Retry until the list service has answered: while it is away, no server may leave."""
+        """Retries until the list service has answered: no server may drain while it is unavailable."""
         while (answer := await self._request(request)) is None:
             await trio.sleep(RETRY_INTERVAL_S)
         return answer
 
     async def _request(self, request: DrainRequest | DrainEnded) -> DrainReply | None:
-        """The answer; None where the connection failed or the answer took longer than ANSWER_TIMEOUT_S."""
+        """Returns the answer; None if the connection failed or no answer came within ANSWER_TIMEOUT_S."""
         session = ListSession(Hello((OLDEST_VERSION, NEWEST_VERSION), ROLE, self._name))
         failures = (OSError, ProtocolError, trio.BrokenResourceError)
         with trio.move_on_after(ANSWER_TIMEOUT_S), suppress(*failures):
--- a/valverouter/fleet/membership_service.py
+++ b/valverouter/fleet/membership_service.py
@@ -1,8 +1,8 @@
-"""The task beside an edge proxy that takes part in its fleet's membership: one socket, one `Membership`.
+"""A task beside an edge proxy that runs the fleet's membership protocol on one socket.
 
-Datagrams are taken in small batches with a checkpoint between them, so that a flood costs the instance the
-reading of it and delays no other task. What has arrived is read before timers are run: after a pause of the
-process the others' messages must count before their silence does.
+Datagrams are read in small batches with a checkpoint between them, so that a flood of datagrams does not
+starve the instance's other tasks. Datagrams that have arrived are processed before timers: after a pause of
+the process, messages that arrived meanwhile must be processed before a timer finds their senders silent.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
 from valverouter.randomness import CounterRandom
 from valverouter.rollout.reports import InstanceCounters
 
-# Datagrams that are read before the other tasks of the instance get their turn.
+# Maximum number of datagrams that are read between two checkpoints.
 BATCH_SIZE = 16
-# The longest sleep in seconds, and so how often the instance's own facts are looked at.
+# Maximum sleep; also the interval at which `facts` is checked for changes.
 MAX_SLEEP_S = 0.25
 NS_PER_MS = 1_000_000
-# Log levels of membership events; the others are logged as info.
+# Log levels of membership events; all others are logged at info level.
 EVENT_LEVELS = {
     EventKind.CONFLICT: "error",
     EventKind.CUT_OFF: "warning",
@@ -53,11 +53,11 @@
 
 
 def _ignore_event(event: MembershipEvent) -> None:
-    """Stand in for a subscriber where there is none."""
+    """Ignores an event; the default for `on_event`."""
 
 
 class MembershipService:
-    """Runs an instance's part in the membership protocol and answers queries about its view."""
+    """Runs the membership protocol for one instance and answers queries for its view and counters."""
 
     def __init__(
         self,
@@ -70,10 +70,10 @@
         on_event: Callable[[MembershipEvent], None] = _ignore_event,
         counters: Callable[[], InstanceCounters] = InstanceCounters,
     ) -> None:
-        """Prepare the service; `run` opens the socket.
+        """Creates the service; `run` opens the socket.
 
-        `incarnation` is 64 random bits, drawn for this process alone. `facts` tells the instance's phase and
-        the digest of its configuration, `counters` what it has counted; both are asked repeatedly.
+        `incarnation` is 64 random bits, generated once per process. `facts` returns the instance's phase and
+        configuration digest, `counters` its counters; both are called repeatedly.
         """
         self.counts: Counter[str] = Counter()
         self.membership: Membership | None = None
@@ -92,11 +92,11 @@
         self._drop_logger = DropLogger(self._reader, self._log)
         self._leaving = False
         self._sleep_scope = trio.CancelScope()
-        # The size of the fleet that was compared with the configuration last.
+        # The fleet size that was last compared with the configuration.
         self._checked_size = config.deployment.edge_proxies
 
     async def run(self, task_status: trio.TaskStatus[MembershipService] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until `leave` or cancellation; OSError if the address can't be bound."""
+        """Runs until `leave` is called or it is cancelled; raises OSError if the address can't be bound."""
         socket = self._runtime.bind_datagrams(self._gossip.listen)
         try:
             self.membership = membership = self._join(socket.address)
@@ -138,8 +138,8 @@
             now = monotonic_ns()
             phase, config_digest = self._facts()
             membership.update_facts(now, phase, config_digest)
-            # A flood must not keep timers from running, nor a pause make them look due: datagrams are read
-            # first, and only then the clock.
+            # `now` is read after at most one batch of datagrams: a flood does not keep timers from running,
+            # and after a pause received messages are processed before a timer expires.
             if membership.next_timer <= now:
                 membership.tick(now)
                 self._check_fleet_size(membership)
@@ -148,14 +148,14 @@
         self._flush(socket, membership)
 
     async def _wait(self, socket: DatagramSocket, membership: Membership) -> None:
-        """Sleep until a datagram arrives, a timer is due or `leave` is called, MAX_SLEEP_S at most."""
+        """Waits for a datagram, the next timer or a call of `leave`, at most MAX_SLEEP_S."""
         until_due = (membership.next_timer - monotonic_ns()) / 1e9
         with trio.move_on_after(min(max(0.0, until_due), MAX_SLEEP_S)) as self._sleep_scope:
             await socket.wait_readable()
         await self._runtime.checkpoint()
 
     def leave(self) -> None:
-        """Announce to the others that this instance leaves, and end `run`."""
+        """Announces to the other members that this instance leaves, and ends `run`."""
         self._leaving = True
         self._sleep_scope.cancel()
 
@@ -208,7 +208,7 @@
     # Outgoing datagrams and events
 
     def _flush(self, socket: DatagramSocket, membership: Membership) -> None:
-        """Log the events and send the messages that the membership has queued."""
+        """Logs the events and sends the messages that the membership has queued."""
         for event in membership.take_events():
             self._log_event(membership, event)
         for address, message in membership.take_outbox():
@@ -246,7 +246,7 @@
         )
 
     def _check_fleet_size(self, membership: Membership) -> None:
-        """Warn once about each size on which the view settles and which the configuration does not say."""
+        """Logs a warning, once per count, when the view settles on a member count other than configured."""
         members = membership.view.live_count
         if membership.view_health is not ViewHealth.SETTLED or members == self._checked_size:
             return
--- a/valverouter/fleet/messages.py
+++ b/valverouter/fleet/messages.py
@@ -1,6 +1,6 @@
 """Messages between raft servers, supervisors and operators' clients, sent as fragmented MessagePack.
 
-All are arrays on the wire: the tags and the order of the fields are part of the protocol.
+All are arrays on the wire; tags and field order are part of the protocol.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class RaftEnvelope(Struct, frozen=True, array_like=True, tag="v"):
-    """A raft message to the node named `recipient`."""
+    """A raft message for the node named `recipient`."""
 
     recipient: str
     message: WireMessage
 
 
 class NodeAnnouncement(Struct, frozen=True, array_like=True, tag="h"):
-    """A raft server tells the others its name and the id of its disk."""
+    """The name and the disk id of a raft server, sent to the other raft servers."""
 
     name: str
     disk_id: int
@@ -34,8 +34,8 @@
 class ReportMessage(Struct, frozen=True, array_like=True, tag="r"):
     """A supervisor's report to one raft server.
 
-    `stamp` and `incarnation` are those of the last DesiredStateMessage from that server; both are 0 where
-    there was none.
+    `incarnation` and `stamp` are copied from the last DesiredStateMessage of that server; both are 0 if none
+    has been received.
     """
 
     report: SupervisorReport
@@ -44,10 +44,10 @@
 
 
 class DesiredStateMessage(Struct, frozen=True, array_like=True, tag="w"):
-    """To a supervisor: the desired state of its instance `name`, from the raft server `node`.
+    """The desired state of the instance `name`, sent to its supervisor by the raft server `node`.
 
-    `incarnation` and `stamp` (the server's clock, ns) order the messages of one server; `is_open`: the permit
-    of that step is still held.
+    `incarnation` and `stamp` (the server's clock, ns) order the messages of one server. `is_open`: whether
+    the permit of that step is still valid.
     """
 
     node: str
@@ -59,7 +59,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a client asks for; the values are sent."""
+    """The kinds of client requests; the values are sent."""
 
     PLAN = "plan"
     EXECUTE = "do"
@@ -67,9 +67,9 @@
 
 
 class ClientRequest(Struct, frozen=True, array_like=True, tag="q"):
-    """An operators' client to the control plane. `kind` is a RequestKind.
+    """A request of an operators' client to the control plane. `kind` is a RequestKind.
 
-    `command` is None for SHOW; `operation` then names the operation of which details are wanted.
+    `command` is None for SHOW; `operation` is then the id of the operation to show in detail.
     """
 
     nonce: int
@@ -79,10 +79,10 @@
 
 
 class ClientResponse(Struct, frozen=True, array_like=True, tag="t"):
-    """The reply to the ClientRequest of the same nonce.
+    """The response to the ClientRequest with the same nonce.
 
-    Only the leader's `body` holds an answer, as MessagePack; any other node names the one that it takes for
-    the `leader`.
+    Only the leader sends an answer, as MessagePack in `body`; any other node sets `leader` to the leader
+    that it knows of.
     """
 
     nonce: int
--- a/valverouter/fleet/operation_events.py
+++ b/valverouter/fleet/operation_events.py
@@ -1,4 +1,4 @@
-"""Log events on the progress of operations, as one raft server has applied them."""
+"""Log events for the progress of operations, as applied by one raft server."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class OperationEventLogger:
-    """Logs each operation when its phase, wave, result or halt reason has changed."""
+    """Logs an operation whenever its phase, wave, result or halt reason changes."""
 
     def __init__(self, logger: Any) -> None:
-        """`logger` is a structlog logger, bound to the server's name."""
+        """`logger` is a structlog logger that is bound to the server's name."""
         self._log = logger
         self._logged: dict[str, tuple[str, int, str, str]] = {}
 
     def log_changes(self, operations: dict[str, Operation]) -> None:
-        """Compare the operations, by id, with those of the last call."""
+        """Logs the operations, given by id, that have changed since the last call."""
         for removed in self._logged.keys() - operations.keys():
             del self._logged[removed]
         for operation in operations.values():
--- a/valverouter/fleet/operations_client.py
+++ b/valverouter/fleet/operations_client.py
@@ -1,4 +1,4 @@
-"""The operators' client of the control plane: asks all raft servers until the leader has answered."""
+"""Operators' client of the control plane: sends requests to all raft servers until the leader answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from valverouter.fleet.transport import Transport
 from valverouter.rollout.operations import Command
 
-# Seconds to wait for the leader's reply before the request is sent again.
+# Time to wait for the leader's response before the request is sent again.
 TRY_TIMEOUT_S = 0.4
 
 Answer = TypeVar("Answer")
@@ -23,12 +23,12 @@
 class OperationsClient:
     """Sends requests to the control plane.
 
-    A request is identified by its nonce, so that a retry executes nothing twice. The client may be killed at
-    any moment; another one can take an operation up by its id.
+    A request is identified by its nonce, so that a retry does not execute a command twice. The client may be
+    killed at any time; another client can follow an operation by its id.
     """
 
     def __init__(self, config: FleetClientConfig, socket: DatagramSocket, rng: random.Random) -> None:
-        """`rng` draws the client's incarnation and its first nonce."""
+        """`rng` generates the client's incarnation and its first nonce."""
         self._config = config
         self._transport = Transport(socket, config.keys, "", rng.getrandbits(63))
         self._nonce = rng.getrandbits(62)
@@ -41,9 +41,10 @@
         timeout_s: float,
         operation: str = "",
     ) -> Answer | None:
-        """Return the leader's answer, decoded as `answer_type`; None on a timeout.
+        """Returns the leader's answer, decoded as `answer_type`; None after a timeout.
 
-        After a timeout it is unknown whether the command was executed; asking again by the id tells.
+        After a timeout it is unknown whether the command was executed; repeating the request with the same
+        operation id shows it.
         """
         self._nonce += 1
         request = ClientRequest(self._nonce, kind, command, operation)
@@ -60,7 +61,7 @@
             self._transport.send(address, request)
 
     async def _leader_response(self, nonce: int) -> msgspec.Raw:
-        """The body of the leader's response; waits for it without limit."""
+        """Waits, without a timeout, for the leader's response, and returns its body."""
         while True:
             await self._transport.socket.wait_readable()
             while (received := self._transport.receive()) is not None:
--- a/valverouter/fleet/orchestrator_config.py
+++ b/valverouter/fleet/orchestrator_config.py
@@ -1,4 +1,4 @@
-"""From a raft server's configuration file to the configuration of the orchestrator."""
+"""Conversion of a raft server's configuration to the orchestrator's configuration."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from valverouter.rollout.orchestrator_config import OrchestratorConfig
 from valverouter.rollout.sequential_test import SequentialTestConfig
 
-# The part of a [limits ...] section's name that stands for edge proxies; the other one is for servers.
+# Name of the [limits ...] section for edge proxies; the other one is for servers.
 EDGE_PROXIES = "edge proxies"
 
 
 def orchestrator_config(config: RaftServerConfig) -> OrchestratorConfig:
-    """Translate the file's settings, whose durations are in ns as the orchestrator's are."""
+    """Returns the orchestrator's configuration; durations are ns in both configurations."""
     return OrchestratorConfig(
         {
             InstanceKind.EDGE if section == EDGE_PROXIES else InstanceKind.SERVER: _limits(limits)
--- a/valverouter/fleet/queries.py
+++ b/valverouter/fleet/queries.py
@@ -1,7 +1,7 @@
-"""Messages by which an instance is queried: clients ask for its membership view, its supervisor for counters.
+"""Query messages to an instance: clients query its membership view, its supervisor queries its counters.
 
-A client holds the fleet's key without being a member: its messages have an empty name, and nothing that it
-sends enters any view.
+Clients and supervisors have the fleet's key without being members: their messages have an empty name and
+don't affect any view.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 from valverouter.membership.records import MemberState
 from valverouter.rollout.reports import InstanceCounters
 
-# Bytes of a row's fields other than its texts, at most.
+# Maximum encoded size of a row's fields other than its texts.
 FIXED_ROW_BYTES = 64
 
 
 class ViewQuery(FleetMessage, frozen=True, array_like=True, tag="?"):
-    """Asks for page `page` of the receiver's membership view."""
+    """Requests page `page` of the receiver's membership view."""
 
     nonce: int = 0
     page: int = 0
 
 
 class CountersQuery(FleetMessage, frozen=True, array_like=True, tag="c"):
-    """Asks for what the receiver has counted since its start; sent by an instance's supervisor."""
+    """Requests the receiver's counters since its start; sent by an instance's supervisor."""
 
     nonce: int = 0
 
 
 class CountersReply(FleetMessage, frozen=True, array_like=True, tag="C"):
-    """The reply to the CountersQuery of the same nonce."""
+    """The reply to the CountersQuery with the same nonce."""
 
     nonce: int = 0
     counters: InstanceCounters = InstanceCounters()
 
 
 class MemberRow(Struct, frozen=True, array_like=True):
-    """A member as the answering instance sees it; it has been in `state` for `since_ms` milliseconds."""
+    """A member in the replying instance's view; it has been in `state` for `since_ms` milliseconds."""
 
     name: str
     region: str
@@ -55,15 +55,15 @@
 
     @property
     def size(self) -> int:
-        """Bytes that the row takes in a message at most."""
+        """Returns the maximum encoded size of the row in bytes."""
         texts = (self.name, self.region, self.address, self.version)
         return FIXED_ROW_BYTES + sum(len(text.encode()) for text in texts)
 
 
 class ViewPage(FleetMessage, frozen=True, array_like=True, tag="!"):
-    """One page of a view, the reply to the ViewQuery of the same nonce.
+    """One page of a membership view; the reply to the ViewQuery with the same nonce.
 
-    `counts`, on the first page alone: events and dropped datagrams since the instance's start, by kind.
+    `counts`, only on the first page: events and dropped datagrams since the instance's start, by kind.
     """
 
     nonce: int = 0
--- a/valverouter/fleet/raft_membership.py
+++ b/valverouter/fleet/raft_membership.py
@@ -1,7 +1,7 @@
-"""Who is a member of the raft group: nodes announce their disks, and the leader admits and replaces them.
+"""Membership of the raft group: nodes announce their disk ids, and the leader adds and replaces members.
 
-A node that lost its disk comes back with a new disk id. It may have forgotten votes, so it must not go on as
-the same member: the former disk is removed first, then the new one is admitted.
+A node that lost its disk restarts with a new disk id. It may have lost votes that it cast, so it must not
+continue as the same member: the member with the former disk id is removed before the new one is added.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 
 
 class RaftMembershipReconciler:
-    """Brings the group's members in line with the nodes in the configuration, one change at a time."""
+    """Reconciles the group's members with the announcements of configured nodes, one change at a time."""
 
     def __init__(self, node: ControlPlaneNode, configured: frozenset[str], logger: Any) -> None:
-        """`configured` are the names of all nodes; `logger` is a bound structlog logger."""
+        """`configured`: the names of all configured nodes; `logger`: a bound structlog logger."""
         self._node = node
         self._configured = configured
         self._log = logger
-        # The disk id that each node announced last.
+        # The last announced disk id of each node.
         self._announced: dict[str, int] = {}
 
     def on_announcement(self, name: str, disk_id: int) -> None:
-        """Record which disk a node runs on."""
+        """Records the disk id of a node; ignores nodes that are not configured."""
         if name in self._configured:
             self._announced[name] = disk_id
 
     def reconcile(self, now: int) -> None:
-        """As the leader, propose the first change that is needed, if any. `now` in ns."""
+        """Proposes the first change that is needed, if this node is the leader. `now` in ns."""
         if not self._node.is_leader:
             return
         members = dict(self._node.raft.configuration.members)
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -1,7 +1,7 @@
-"""The raft server process: carries the messages and the disk writes of one `rollout` control plane node.
+"""The raft server process: performs the network and disk I/O of one control plane node of `rollout`.
 
-What a node promises is on its disk before any message leaves that rests on it. A node that is not a member
-yet, or has lost its disk, announces itself to the others, and the leader admits it.
+A node's state is written to disk before any message is sent that depends on it. Nodes announce their disk
+ids to each other, so that the leader can add a node that is not a member yet or has lost its disk.
 """
 
 from __future__ import annotations
@@ -33,30 +33,31 @@
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.serialization import from_wire, to_wire
 
-# The longest sleep in seconds.
+# Maximum time to wait for a datagram before timers are checked.
 MAX_SLEEP_S = 0.05
-# Messages that are handled before the timers are looked at again.
+# Maximum number of messages that are handled before timers are checked again.
 BATCH_SIZE = 64
 ANNOUNCEMENT_INTERVAL_S = 1.0
 INCARNATION_BITS = 63
-# The stamp of a report that answers no message of this incarnation: long before the clock's zero.
+# Stamp, in ns, assumed for a report that acknowledges no message of this incarnation: lower than any stamp
+# of the monotonic clock.
 NO_STAMP = -(10**18)
 
 log = structlog.get_logger()
 
 
 class AlreadyBootstrappedError(RuntimeError):
-    """A raft group is to be bootstrapped from a store that already holds something."""
+    """Raised when a raft group is bootstrapped from a store that is not empty."""
 
 
 class RaftServer:
-    """One node of the control plane, on a socket and a disk."""
+    """Runs one node of the control plane with a socket and a store."""
 
     def __init__(self, config: RaftServerConfig, runtime: Runtime, store: RaftStore, bootstrap: bool) -> None:
-        """Load the node's state from `store`.
+        """Loads the node's state from `store`.
 
-        `bootstrap`: this is the first node of a new group, which admits the others;
-        AlreadyBootstrappedError if the store is not empty.
+        `bootstrap`: this is the first node of a new group, which adds the others. Raises
+        AlreadyBootstrappedError if the store is not empty then.
         """
         self._config = config
         self._runtime = runtime
@@ -72,17 +73,17 @@
         self.node = ControlPlaneNode(
             config.name, persistent, orchestrator_config(config), draw, monotonic_ns()
         )
-        # Replies that must not leave before what they rest on is on disk.
+        # Replies to send after the state that they depend on has been written to disk.
         self._replies: list[tuple[str, ControlMessage]] = []
         self._client_requests = ClientRequestHandler(self.node, self._reply)
         self._reconciler = RaftMembershipReconciler(self.node, frozenset(config.council), self._log)
         self._operation_events = OperationEventLogger(self._log)
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled.
+        """Runs until cancelled.
 
-        OSError if the address can't be bound, StoreError if the disk fails: a node that can't keep what it
-        promises must not go on.
+        Raises OSError if the address can't be bound, and StoreError if a write to disk fails: a node that
+        can't persist its state must not continue.
         """
         socket = self._runtime.bind_datagrams(self._config.listen)
         try:
@@ -145,7 +146,7 @@
         self._replies.append((address, message))
 
     def _flush(self, transport: Transport) -> None:
-        """Write to disk first, then send."""
+        """Writes pending changes to disk, then sends the outgoing messages and replies."""
         if self.node.pending_saves:
             self._store.commit(self.node.pending_saves)
             self.node.pending_saves.clear()
@@ -179,9 +180,9 @@
 
 
 def _bootstrap(name: str, persistent: PersistentState, store: RaftStore) -> None:
-    """Write the first log entry of a new group, which names this node as its only member."""
+    """Writes the first log entry of a new group: a configuration with this node as the only member."""
     if persistent.entries or persistent.snapshot or persistent.current_term:
-        raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
+        raise AlreadyBootstrappedError(f"{store.path} is not empty: the raft group was already bootstrapped")
     only_member = Configuration(((name, persistent.disk_id),))
     save = SaveEntries(1, (LogEntry(1, only_member),))
     persistent.apply(save)
--- a/valverouter/fleet/replay_window.py
+++ b/valverouter/fleet/replay_window.py
@@ -1,24 +1,25 @@
-"""Replay protection: which datagram counters of each sender were seen already."""
+"""Replay protection by the datagram counters received from each sender."""
 
 from __future__ import annotations
 
 from valverouter.fleet.bounded_dict import BoundedDict
 
-# Counters behind the highest one of an incarnation that are told apart; those further back are rejected.
+# Number of counters up to an incarnation's highest one that are tracked; older ones are rejected.
 WINDOW_SIZE = 1_024
+# Number of incarnations that are tracked; the least recently active ones are evicted.
 MAX_INCARNATIONS = 8_192
 
 
 class ReplayWindow:
-    """A sliding window of counters for each incarnation; the least recently active ones are evicted."""
+    """Keeps a sliding window of received counters for each incarnation."""
 
     def __init__(self) -> None:
-        """Start without any known sender."""
-        # The highest counter, and a bit set of those seen: bit n is the counter n below the highest.
+        """Creates a window without known senders."""
+        # The highest counter, and a bit set of received counters: bit n is the counter n below the highest.
         self._windows: BoundedDict[int, tuple[int, int]] = BoundedDict(MAX_INCARNATIONS)
 
     def accept(self, incarnation: int, counter: int) -> bool:
-        """Record the counter; False for one that was seen before or lies behind the window."""
+        """Records the counter; returns False if it was already received or is older than the window."""
         window = self._windows.pop(incarnation, None)
         if window is None:
             self._windows[incarnation] = counter, 1
@@ -34,7 +35,7 @@
 
 
 def _shift_window(seen: int, steps: int) -> int:
-    """The bit set after the highest counter grew by `steps`, the new one marked as seen."""
+    """Returns the bit set after the highest counter has increased by `steps`, with the new one set."""
     if steps >= WINDOW_SIZE:
         return 1
     return (seen << steps | 1) & ((1 << WINDOW_SIZE) - 1)
--- a/valverouter/fleet/supervisor_service.py
+++ b/valverouter/fleet/supervisor_service.py
@@ -1,8 +1,8 @@
-"""The supervisor process: carries out what `rollout` decides about one instance.
+"""The supervisor process: performs the actions that `rollout`'s Supervisor chooses for one instance.
 
-It starts the instance's program by version, queries it for its counters, reports to the control plane's raft
-servers, and brings the instance to the state that the leader tells. It needs no privileges, and knows nothing
-of the program but its command.
+It starts the instance's program in the desired version, queries its counters, reports to the control plane's
+raft servers, and brings the instance to the desired state sent by the leader. It needs no privileges, and
+depends on nothing of the program but the command that starts it.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from valverouter.rollout.supervisor_state import SupervisorState
 from valverouter.signalling.serverlist import DrainEnded, DrainRequest
 
-# The longest sleep in seconds.
+# Maximum time to wait for a datagram before the next action and reports are checked.
 MAX_SLEEP_S = 0.05
 NS_PER_S = 1e9
 INCARNATION_BITS = 63
@@ -46,7 +46,7 @@
 
 
 class SupervisorService:
-    """Supervises one instance."""
+    """Supervises one instance: its process, its counters, and its drain if it is a server."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         store: SupervisorStore,
         state: SupervisorState | None,
     ) -> None:
-        """`state` is what the store held at the start; None where it is new or was lost."""
+        """`state` is the state loaded from the store; None if the store is new or was lost."""
         self.supervisor = Supervisor(_instance_info(config), state or SupervisorState(config.version))
         self._config = config
         self._runtime = runtime
@@ -65,13 +65,13 @@
         self._list_client = ListClient(runtime, config.list_service, config.name)
         self._log = log.bind(keeper=config.name)
         self._process: ManagedProcess | None = None
-        # The processes that this supervisor started itself and has to reap, by number.
+        # Processes that this supervisor started and has to reap, by process id.
         self._children: dict[int, subprocess.Popen[bytes]] = {}
         self._nursery: trio.Nursery | None = None
         self._logged_outcome: tuple[int, int, str] | None = None
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Supervise until `shut_down` and then until the program has ended; OSError for a socket."""
+        """Runs until the program has ended after `shut_down`; raises OSError if a socket can't be bound."""
         with ExitStack() as sockets:
             socket = self._runtime.bind_datagrams(self._config.listen)
             sockets.callback(socket.close)
@@ -91,7 +91,7 @@
                 self._nursery.cancel_scope.cancel()
 
     def shut_down(self) -> None:
-        """On the machine's request: stop the program, tell the control plane, and end `run`."""
+        """Stops the program on the machine's request, reports it to the control plane and ends `run`."""
         self.supervisor.shut_down()
 
     def _open_probe(self) -> InstanceProbe | None:
@@ -115,13 +115,13 @@
                 link.report(self.supervisor.report())
                 return
 
-    # The start without a stored state
+    # Start without a stored state
 
     async def _await_desired_state(self, link: ControlPlaneLink) -> None:
-        """Wait for the control plane before anything is started.
+        """Waits for a desired state from the control plane before a process is started.
 
-        The version in the configuration may have been rolled back since. A control plane that does not answer
-        delays the start by `hears_within` and no more.
+        The version in the configuration file may have been rolled back since it was written. A control plane
+        that does not answer delays the start by at most `hears_within`.
         """
         with trio.move_on_after(self._config.hears_within / NS_PER_S):
             while not link.has_received:
@@ -131,9 +131,10 @@
                 self._receive(link)
 
     async def _find_running_process(self, probe: InstanceProbe | None) -> None:
-        """Find what a previous incarnation started before it lost its disk.
+        """Finds a process that a previous incarnation of this supervisor started before it lost its disk.
 
-        The instance replies where it is queried; a second one would find its addresses in use.
+        A running instance replies to a query with its process id. A second instance could not bind the
+        addresses that the first one uses.
         """
         counters = await probe.find_running() if probe is not None else None
         if counters is None:
@@ -182,7 +183,8 @@
     def _carry_out(self, action: SupervisorAction) -> None:
         match action:
             case SupervisorAction.SAVE:
-                # Not in a thread: a step that is not on disk must not begin, and nothing else waits here.
+                # Not in a thread: a step must not begin before it is on disk, and no other task needs the
+                # event loop meanwhile.
                 self._store.save(self.supervisor.state)
                 self.supervisor.on_saved()
             case SupervisorAction.STOP:
@@ -199,7 +201,7 @@
         return steps[-1].permit_number if steps else 0
 
     def _log_outcome(self) -> None:
-        """Log the outcome of the latest step once."""
+        """Logs the outcome of the latest step once."""
         steps = self.supervisor.state.steps
         if not steps or not steps[-1].outcome:
             return
@@ -215,10 +217,10 @@
                 why=step.reason,
             )
 
-    # The process
+    # Process
 
     def _resume_process(self) -> None:
-        """Take over the process that a previous incarnation left running."""
+        """Reattaches to a process that a previous incarnation left running."""
         state = self.supervisor.state
         process = ManagedProcess.reattach(state.process)
         if process is not None:
@@ -243,10 +245,10 @@
         self._start_task(self._await_exit, process)
 
     def _spawn(self, version: str) -> subprocess.Popen[bytes]:
-        """Start the version's command; OSError where there is none, or it can't be started."""
+        """Starts the version's command; raises OSError if none is configured or it can't be started."""
         command = self._config.commands.get(version, ())
         if not command:
-            raise OSError(f"no command for version {version!r}")
+            raise OSError(f"no command is configured for version {version!r}")
         if not self._config.output:
             return _popen(command, version, subprocess.DEVNULL)
         with Path(self._config.output).open("ab") as output:
@@ -270,16 +272,16 @@
             self._start_task(self._kill_after_timeout, process)
 
     async def _kill_after_timeout(self, process: ManagedProcess) -> None:
-        """Kill a process that is still there `stop_within` after it was asked to stop."""
+        """Kills a process that still runs `stop_within` after its SIGTERM."""
         await trio.sleep(self._config.stop_within / NS_PER_S)
         if self._process is process:
             self._log.warning("process-killed", process=process.pid)
             process.signal(signal.SIGKILL)
 
-    # The list service
+    # List service
 
     async def _request_drain(self, number: int) -> None:
-        """Ask for the server's drain; once it is granted, let the server empty before it is stopped."""
+        """Requests the server's drain; once granted, waits `drain_within` before the server is stopped."""
         answer = await self._list_client.request_until_answered(DrainRequest(self._config.name, number))
         self._log_drain_answer(True, number, answer.granted, answer.refusal)
         if answer.granted:
@@ -299,7 +301,7 @@
 
 
 def _popen(command: tuple[str, ...], version: str, output: IO[bytes] | int) -> subprocess.Popen[bytes]:
-    # In a session of its own: what ends this supervisor's terminal must not end its instance.
+    # In a new session, so that signals to the supervisor's terminal session don't stop the instance.
     return subprocess.Popen(
         command,
         stdin=subprocess.DEVNULL,
@@ -322,5 +324,5 @@
 
 
 def _wildcard_address(address: str) -> str:
-    """Any port, in the same family of addresses."""
+    """Returns the wildcard address with any port, in the address family of `address`."""
     return "[::]:0" if address.startswith("[") else "0.0.0.0:0"
--- a/valverouter/fleet/transport.py
+++ b/valverouter/fleet/transport.py
@@ -1,4 +1,4 @@
-"""Transport of control messages: encoded, fragmented and authenticated, over one datagram socket."""
+"""Transport of control plane messages, fragmented and authenticated, over one datagram socket."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from valverouter.fleet.fragmentation import Fragmenter, Reassembler, TooManyFragmentsError
 from valverouter.fleet.messages import ControlMessage, decoder, encoder
 
-# Seconds between two log entries on dropped datagrams, at least.
+# Minimum time between two log entries on dropped datagrams.
 DROP_LOG_INTERVAL_S = 60.0
 
 log = structlog.get_logger()
 
 
 class DropLogger:
-    """Logs a reader's counts of dropped datagrams, once per DROP_LOG_INTERVAL_S at most."""
+    """Logs a reader's counts of dropped datagrams, at most once per DROP_LOG_INTERVAL_S."""
 
     def __init__(self, reader: DatagramReader, logger: Any) -> None:
-        """`logger` is a structlog logger, bound to whatever names its owner."""
+        """`logger` is a structlog logger that is bound to the owner's name."""
         self._reader = reader
         self._log = logger
         self._logged_at = float("-inf")
 
     def on_dropped(self) -> None:
-        """Call after each dropped datagram."""
+        """Logs the counts if due; to be called after each dropped datagram."""
         now = trio.current_time()
         if now - self._logged_at >= DROP_LOG_INTERVAL_S:
             self._logged_at = now
@@ -39,7 +39,7 @@
 
 
 def received_messages(socket: DatagramSocket, reader: DatagramReader) -> Iterator[Any]:
-    """Read the authentic messages that wait at the socket; others are dropped, counted by the reader."""
+    """Yields the authentic messages that have arrived; the reader drops and counts other datagrams."""
     while (datagram := socket.receive()) is not None:
         message = reader.read(datagram[0])
         if message is not None:
@@ -47,7 +47,10 @@
 
 
 class Transport:
-    """One process's end of the control plane; unauthentic datagrams are dropped, counted, never answered."""
+    """Sends and receives the control plane messages of one process.
+
+    Unauthentic datagrams are dropped and counted, and never answered.
+    """
 
     def __init__(self, socket: DatagramSocket, keys: tuple[bytes, ...], name: str, incarnation: int) -> None:
         """`name` (empty for a client) and `incarnation` identify this process to its peers."""
@@ -61,11 +64,11 @@
 
     @property
     def address(self) -> str:
-        """Where the socket is bound, as IP:PORT."""
+        """Returns the bound address of the socket, as IP:PORT."""
         return self.socket.address
 
     def send(self, address: str, message: ControlMessage) -> None:
-        """Send without any guarantee; a sender that needs a reply sends again until it comes."""
+        """Sends a message, unreliably; a sender that needs a reply retransmits until it arrives."""
         try:
             fragments = self._fragmenter.split(address, encoder.encode(message))
         except TooManyFragmentsError as error:
@@ -77,7 +80,7 @@
             self.socket.send(self._authenticator.sign(fragment), address)
 
     def receive(self) -> tuple[ControlMessage, str] | None:
-        """Return the next complete message and its sender's address; None where there is none now."""
+        """Returns the next complete message and its sender's address; None if there is none."""
         while (datagram := self.socket.receive()) is not None:
             data, source = datagram
             fragment = self._reader.read(data)
@@ -91,6 +94,6 @@
             try:
                 return decoder.decode(body), source
             except msgspec.MsgspecError:
-                # Authentic, but not decodable: from another version of the program.
+                # Authentic but not decodable: sent by another version of the program.
                 self.counts["not-understood"] += 1
         return None
--- a/valverouter/fleet/view_comparison.py
+++ b/valverouter/fleet/view_comparison.py
@@ -1,4 +1,4 @@
-"""The asking side of view queries: an instance's answer put together from its pages, and answers compared."""
+"""The client side of view queries: assembles answers from their pages, and compares answers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from valverouter.membership.convergence import ViewHealth
 from valverouter.membership.records import LIVE_STATES
 
-# What is believed of a member that does not occur in a view.
+# Reported state of a member that is missing from a view.
 NOT_KNOWN = "not known"
 
 
 @dataclass(slots=True)
 class ViewAnswer:
-    """One instance's view, page by page; complete once `missing_page` is None."""
+    """One instance's view, assembled from pages; complete once `missing_page` is None."""
 
     address: str
     name: str = ""
@@ -27,7 +27,7 @@
     page_count: int = 1
 
     def add_page(self, page: ViewPage) -> None:
-        """Take a page in; it drops the earlier ones if the view has changed since they were sent."""
+        """Adds a page; discards the earlier ones if the view has changed since they were sent."""
         if (page.incarnation, page.digest) != (self.incarnation, self.digest):
             self.pages.clear()
         self.name = page.name
@@ -40,17 +40,20 @@
 
     @property
     def missing_page(self) -> int | None:
-        """The first page that has not arrived yet; None where the answer is complete."""
+        """Returns the first page that has not arrived yet; None if the answer is complete."""
         return next((page for page in range(self.page_count) if page not in self.pages), None)
 
     @property
     def rows(self) -> list[MemberRow]:
-        """The rows of the pages that have arrived, in order."""
+        """Returns the rows of the pages that have arrived, in order."""
         return [row for page in sorted(self.pages) for row in self.pages[page]]
 
 
 def find_differences(answers: Iterable[ViewAnswer]) -> dict[str, dict[str, list[str]]]:
-    """Members on which complete answers disagree: by name, each state with the names of its holders."""
+    """Returns the members on which complete answers differ, by name.
+
+    For each, the reported states with the names of the instances that report them.
+    """
     complete = [answer for answer in answers if answer.missing_page is None]
     members = {row.name for answer in complete for row in answer.rows if row.name}
     states_by_member: dict[str, dict[str, list[str]]] = {}
@@ -69,7 +72,7 @@
 
 
 def is_converged(answers: list[ViewAnswer]) -> bool:
-    """Whether all answers are complete and settled on one digest, and all who answered are live members."""
+    """Returns whether all answers are complete, settled on one digest, and from live members."""
     complete = [answer for answer in answers if answer.missing_page is None]
     if not complete or len(complete) < len(answers):
         return False
--- a/valverouter/fleet/view_pages.py
+++ b/valverouter/fleet/view_pages.py
@@ -1,4 +1,4 @@
-"""The answering side of view queries: a membership view as rows, cut into pages that fit a datagram."""
+"""The server side of view queries: a membership view as rows, split into pages that fit a datagram."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from valverouter.membership.membership import Membership
 from valverouter.membership.records import MemberRecord, MemberState
 
-# Bytes for the rows of one page; each row's texts are bounded by the configuration.
+# Maximum encoded size of the rows of one page. Texts in rows are bounded by the configuration's limits.
 PAGE_BYTES = 1_000
 NS_PER_MS = 1_000_000
 
 
 def view_page(membership: Membership, now: int, query: ViewQuery, counts: dict[str, int]) -> ViewPage | None:
-    """Return the page that is asked for; None where the view has no such page. `now` in ns."""
+    """Returns the requested page; None if the view has no such page. `now` in ns."""
     pages = paginate(member_rows(membership, now))
     if not 0 <= query.page < len(pages):
         return None
@@ -30,7 +30,7 @@
 
 
 def member_rows(membership: Membership, now: int) -> list[MemberRow]:
-    """All members of the view by name, then the seeds at whose address no member is known. `now` in ns."""
+    """Returns all members of the view by name, then the seed addresses of unknown members. `now` in ns."""
     view = membership.view
     rows = [_member_row(view.records[name], now - view.state_since[name]) for name in sorted(view.records)]
     known_addresses = {row.address for row in rows}
@@ -73,9 +73,9 @@
 
 
 def paginate(rows: list[MemberRow]) -> list[tuple[MemberRow, ...]]:
-    """Distribute the rows to pages of PAGE_BYTES; there is at least one, if an empty one."""
+    """Splits the rows into pages of at most PAGE_BYTES; returns at least one page, which may be empty."""
     pages: list[list[MemberRow]] = [[]]
-    free_bytes = PAGE_BYTES // 2  # the counts go with the first page
+    free_bytes = PAGE_BYTES // 2  # the first page also has the counts
     for row in rows:
         if row.size > free_bytes and pages[-1]:
             pages.append([])
