--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.own_record, self.config = own_record, config
         self.view = MembershipView(0)
-        self.view.put(own_record, now)
+        self.view.set_record(own_record, now)
         self.outbox: list[tuple[str, Message]] = []
         self.events: list[MembershipEvent] = []
         self.next_timer = now + int(draw() * config.probe_period)
@@ -71,7 +71,7 @@
         self._last_heard[message.name] = now
         held = self.view.records.get(message.name)
         if held is not None and not held.is_live:
-            self.view.put(next_own_record(held), now)
+            self.view.set_record(next_own_record(held), now)
 
     def tick(self, now: int) -> None:
         """Sends heartbeats, and declares silent members gone, unless this process itself was late."""
@@ -88,7 +88,7 @@
                 self._last_heard[name] = now
             elif now - self._last_heard.setdefault(name, now) > SILENT_PERIODS * period:
                 gone = as_reported(held, MemberState.GONE, own_name)
-                self.view.put(gone, now)
+                self.view.set_record(gone, now)
                 self.events.append(MembershipEvent(now, EventKind.GONE, gone, own_name))
 
 
--- a/tests/membership_harness.py
+++ b/tests/membership_harness.py
@@ -15,7 +15,7 @@
 
 
 class SimulatedFleet:
-    """A fleet in simulated time; `found` counts events by observer, kind and member."""
+    """A fleet in simulated time; `event_counts` counts events by observer, kind and member."""
 
     def __init__(
         self,
@@ -25,10 +25,10 @@
         config: MembershipConfig | None = None,
     ) -> None:
         chance = random.Random("paths")
-        self.found: Counter[tuple[str, EventKind, str]] = Counter()
+        self.event_counts: Counter[tuple[str, EventKind, str]] = Counter()
 
         def watch(node: SimulatedNode, event: MembershipEvent) -> None:
-            self.found[node.name, event.kind, event.record.name] += 1
+            self.event_counts[node.name, event.kind, event.record.name] += 1
 
         def delay(sender: str, receiver: str) -> int:
             return 500_000 + int(chance.random() * 1_500_000)
@@ -37,12 +37,12 @@
         self.simulation = MembershipSimulation(config or MembershipConfig(), paths, 1, watch)
         self.simulation.start_converged(count, SEEDS)
 
-    def count(self, kind: EventKind, member: str = "") -> int:
+    def event_count(self, kind: EventKind, member: str = "") -> int:
         """How many events of a kind there were, about one member or about all."""
-        found = self.found.items()
+        found = self.event_counts.items()
         return sum(count for (_, of_kind, name), count in found if of_kind is kind and member in ("", name))
 
-    def settles(self, within_s: float, rest_s: float = 8.0) -> float:
+    def wait_for_convergence(self, within_s: float, rest_s: float = 8.0) -> float:
         """Seconds until all views agree; fails when that takes too long, or does not last for `rest_s`."""
         began = self.simulation.now
         at = self.simulation.run_until_converged(began + int(within_s * SECOND))
--- a/tests/membership_service_harness.py
+++ b/tests/membership_service_harness.py
@@ -18,12 +18,12 @@
 from valverouter.membership.messages import Ping
 from valverouter.membership.records import Phase
 
-DAY = Path("deploy/days/fleet-faults.ini")
+SCENARIO_FILE = Path("deploy/days/fleet-faults.ini")
 KEY, OTHER_KEY = derive_key(b"k" * 40), derive_key(b"o" * 40)
 MS, SECOND = 10**6, 10**9
 
-BETWEEN = "[between]\nlisten = 127.0.0.1:0\nkey = KEY\nseeds = 127.0.0.1:7001, [::1]:7002\n"
-EDGE = """
+GOSSIP_SECTION = "[between]\nlisten = 127.0.0.1:0\nkey = KEY\nseeds = 127.0.0.1:7001, [::1]:7002\n"
+EDGE_SECTIONS = """
 [edge]
 name = e0
 listen = 127.0.0.1:0
@@ -39,7 +39,7 @@
 
 
 def key_file(folder: Path, text: str = "k" * 40, mode: int = 0o600) -> Path:
-    """The key that BETWEEN names, in the folder of the settings."""
+    """The key that GOSSIP_SECTION names, in the folder of the settings."""
     file = folder / "key"
     file.write_text(text)
     file.chmod(mode)
@@ -74,7 +74,7 @@
     return service.membership.own_record.address
 
 
-async def until(condition: Callable[[], bool], within: float = 10.0) -> None:
+async def wait_until(condition: Callable[[], bool], within: float = 10.0) -> None:
     with trio.fail_after(within):
         while not condition():
             await trio.sleep(0.02)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -23,19 +23,19 @@
     fleet = SimulatedFleet(1)
     for at in range(1, 24):
         fleet.simulation.start(f"e{at}", SEEDS)
-    assert fleet.settles(10) < 5
+    assert fleet.wait_for_convergence(10) < 5
 
 
 def test_all_detect_a_death_and_learn_of_a_leave_at_once() -> None:
     fleet = SimulatedFleet(24)
     fleet.simulation.run_until(5 * SECOND)
     fleet.simulation.kill("e7")
-    assert fleet.settles(12) < 11
-    assert fleet.count(EventKind.GONE, "e7") == 23
-    assert fleet.count(EventKind.GONE) == 23
+    assert fleet.wait_for_convergence(12) < 11
+    assert fleet.event_count(EventKind.GONE, "e7") == 23
+    assert fleet.event_count(EventKind.GONE) == 23
     fleet.simulation.leave("e9")
-    assert fleet.settles(4) < 2
-    assert fleet.count(EventKind.LEFT, "e9") == 22
+    assert fleet.wait_for_convergence(4) < 2
+    assert fleet.event_count(EventKind.LEFT, "e9") == 22
 
 
 def test_all_members_restarted_at_once() -> None:
@@ -46,8 +46,8 @@
     fleet.simulation.run_until(6 * SECOND)
     for name in sorted(member_names(24)):
         fleet.simulation.start(name, SEEDS)
-    assert fleet.settles(15) < 10
-    assert fleet.count(EventKind.GONE) == 0, "nobody takes a restart for a death"
+    assert fleet.wait_for_convergence(15) < 10
+    assert fleet.event_count(EventKind.GONE) == 0, "nobody takes a restart for a death"
 
 
 def test_a_third_of_the_members_killed_at_once() -> None:
@@ -55,7 +55,7 @@
     fleet.simulation.run_until(5 * SECOND)
     for at in range(0, 24, 3):
         fleet.simulation.kill(f"e{at}")
-    fleet.settles(20)
+    fleet.wait_for_convergence(20)
     assert {node.membership.view_health for node in fleet.simulation.running_nodes()} == {ViewHealth.SETTLED}
 
 
@@ -64,12 +64,12 @@
     south = {f"e{at}" for at in range(12, 24)}
     fleet = SimulatedFleet(24, [partition(5, 60, member_names(24) - south, south)], config=config)
     fleet.simulation.run_until(50 * SECOND)
-    assert fleet.count(EventKind.FORGOTTEN), "both sides have forgotten each other"
+    assert fleet.event_count(EventKind.FORGOTTEN), "both sides have forgotten each other"
     for name in ("e4", "e15"):
         fleet.simulation.kill(name)
         fleet.simulation.start(name, SEEDS, address=f"{name}:2")
     fleet.simulation.run_until(65 * SECOND)
-    assert fleet.settles(30) < 25
+    assert fleet.wait_for_convergence(30) < 25
 
 
 def test_sides_without_seeds_find_each_other_by_forgotten_addresses() -> None:
@@ -79,21 +79,21 @@
     )
     fleet.simulation.start_converged(8)
     fleet.simulation.run_until(52 * SECOND)
-    assert fleet.count(EventKind.FORGOTTEN) >= 16
-    fleet.settles(40)
+    assert fleet.event_count(EventKind.FORGOTTEN) >= 16
+    fleet.wait_for_convergence(40)
 
 
 def test_a_member_that_receives_but_is_not_received_is_gone_and_comes_back() -> None:
     one_way = PathFault("cut", 5 * SECOND, 25 * SECOND, frozenset({"e5"}), frozenset())
     fleet = SimulatedFleet(12, [one_way])
     fleet.simulation.run_until(25 * SECOND)
-    assert fleet.count(EventKind.GONE, "e5") == 11
+    assert fleet.event_count(EventKind.GONE, "e5") == 11
     assert not any(
         observer != "e5" and member != "e5"
-        for observer, kind, member in fleet.found
+        for observer, kind, member in fleet.event_counts
         if kind is EventKind.GONE
     )
-    fleet.settles(20)
+    fleet.wait_for_convergence(20)
 
 
 def test_a_one_way_cut_between_two_members_is_bypassed_by_indirect_probes() -> None:
@@ -101,7 +101,7 @@
         12, [PathFault("cut", 5 * SECOND, 60 * SECOND, frozenset({"e5"}), frozenset({"e8"}))]
     )
     fleet.simulation.run_until(60 * SECOND)
-    assert fleet.count(EventKind.GONE) == 0, "others reach it, and say so"
+    assert fleet.event_count(EventKind.GONE) == 0, "others reach it, and say so"
 
 
 def test_a_member_stopped_for_8_s_ten_times_in_a_row_declares_nobody_gone() -> None:
@@ -110,8 +110,8 @@
         fleet.simulation.run_until((5 + 9 * at) * SECOND)
         fleet.simulation.stall("e5", 8 * SECOND)
     fleet.simulation.run_until(95 * SECOND)
-    fleet.settles(15)
-    deaths = {(observer, member) for observer, kind, member in fleet.found if kind is EventKind.GONE}
+    fleet.wait_for_convergence(15)
+    deaths = {(observer, member) for observer, kind, member in fleet.event_counts if kind is EventKind.GONE}
     assert not [member for observer, member in deaths if observer == "e5"], (
         "it wakes and declares nobody gone"
     )
@@ -122,16 +122,16 @@
     late = PathFault("late", 0, 120 * SECOND, frozenset({"e5"}), frozenset(), delay=300_000_000)
     fleet = SimulatedFleet(24, [late])
     fleet.simulation.run_until(120 * SECOND)
-    assert fleet.count(EventKind.GONE) == 0
-    assert fleet.count(EventKind.SUSPECT) == 0
+    assert fleet.event_count(EventKind.GONE) == 0
+    assert fleet.event_count(EventKind.SUSPECT) == 0
 
 
 def test_30_percent_loss_everywhere_causes_suspicions_and_no_death() -> None:
     fleet = SimulatedFleet(24, [PathFault("loss", 0, 60 * SECOND, probability=0.3)])
     fleet.simulation.run_until(60 * SECOND)
-    assert fleet.count(EventKind.GONE) == 0
-    assert fleet.count(EventKind.SUSPECT) > 0
-    fleet.settles(10)
+    assert fleet.event_count(EventKind.GONE) == 0
+    assert fleet.event_count(EventKind.SUSPECT) > 0
+    fleet.wait_for_convergence(10)
 
 
 def test_duplicated_and_reordered_messages_change_nothing() -> None:
@@ -141,7 +141,7 @@
     ]
     fleet = SimulatedFleet(24, mixed)
     fleet.simulation.run_until(40 * SECOND)
-    assert fleet.count(EventKind.GONE) == 0
+    assert fleet.event_count(EventKind.GONE) == 0
     fleet.simulation.kill("e3")
     fleet.simulation.run_until(60 * SECOND)
     assert fleet.simulation.is_converged()
@@ -151,14 +151,14 @@
     fleet = SimulatedFleet(12)
     for at in range(3):
         fleet.simulation.kill(f"e{at}")
-    fleet.settles(20)
+    fleet.wait_for_convergence(20)
     fleet.simulation.start("e12", SEEDS)
     fleet.simulation.run_until(fleet.simulation.now + 5 * SECOND)
     assert fleet.simulation.nodes["e12"].membership.view_health is ViewHealth.UNSETTLED, (
         "alone although seeds are configured: not a fleet of one"
     )
     fleet.simulation.start("e1", ("e5:1",))
-    fleet.settles(20)
+    fleet.wait_for_convergence(20)
 
 
 def test_a_restart_with_the_clock_set_back_an_hour() -> None:
@@ -180,7 +180,7 @@
                 (with_later_sequence(previous, 9),),
             )
             node.membership.receive(fleet.simulation.now, "e9:1", gossip)
-    fleet.settles(10)
+    fleet.wait_for_convergence(10)
     for node in fleet.simulation.running_nodes():
         assert (
             node.membership.view.records["e4"].incarnation
@@ -195,7 +195,7 @@
     fleet.simulation.kill("e3")
     previous = fleet.simulation.nodes["e3"].membership.own_record
     restarted = fleet.simulation.start("e3", (), wall_ms=WALL_CLOCK_START_MS - 3_600_000)
-    fleet.settles(10)
+    fleet.wait_for_convergence(10)
     assert previous.incarnation in restarted.membership.own_record.previous_incarnations, (
         "who probed the previous incarnation told it"
     )
@@ -214,7 +214,7 @@
     fleet.simulation.run_until(5 * SECOND)
     first, second = start_second_process(fleet)
     fleet.simulation.run_until(20 * SECOND)
-    assert fleet.found["e3", EventKind.CONFLICT, "e3"] == 2, "each of the two reports it once"
+    assert fleet.event_counts["e3", EventKind.CONFLICT, "e3"] == 2, "each of the two reports it once"
     assert first.membership.name_conflict.incarnation == second.membership.own_record.incarnation
     assert second.membership.name_conflict.incarnation == first.membership.own_record.incarnation
     held = {
@@ -228,10 +228,10 @@
         for node in fleet.simulation.running_nodes()
         if node.name != "e3"
     )
-    before = fleet.count(EventKind.RESTARTED)
+    before = fleet.event_count(EventKind.RESTARTED)
     fleet.simulation.run_until(120 * SECOND)
-    assert fleet.count(EventKind.RESTARTED) == before
-    assert fleet.count(EventKind.GONE) == 0
+    assert fleet.event_count(EventKind.RESTARTED) == before
+    assert fleet.event_count(EventKind.GONE) == 0
     # The process that the fleet holds ends: the other takes its place, and no conflict is left.
     ending = first if first.membership.own_record.incarnation in held else second
     remaining = second if ending is first else first
@@ -259,7 +259,7 @@
         Ping("e3", previous.incarnation, 0, 5, restarted.membership.own_record.incarnation),
     )
     fleet.simulation.run_until(20 * SECOND)
-    assert fleet.count(EventKind.CONFLICT) == 0
+    assert fleet.event_count(EventKind.CONFLICT) == 0
     assert not restarted.membership.own_record.name_conflict
 
 
@@ -279,7 +279,7 @@
             ViewHealth.CUT_OFF if node.name in minority else ViewHealth.SETTLED
         )
     fleet.simulation.run_until(65 * SECOND)
-    fleet.settles(20)
+    fleet.wait_for_convergence(20)
     fleet.simulation.run_until(fleet.simulation.now + 10 * SECOND)
     assert {node.membership.view_health for node in fleet.simulation.running_nodes()} == {ViewHealth.SETTLED}
 
@@ -288,7 +288,7 @@
     fleet = SimulatedFleet(12, [partition(5, 30, {"e0"}, member_names(12) - {"e0"})])
     fleet.simulation.run_until(13 * SECOND)
     assert fleet.simulation.nodes["e0"].membership.view_health is ViewHealth.CUT_OFF
-    assert not any(observer == "e0" and kind is EventKind.GONE for observer, kind, _ in fleet.found)
+    assert not any(observer == "e0" and kind is EventKind.GONE for observer, kind, _ in fleet.event_counts)
 
 
 def test_a_failed_probe_proves_nothing_once_its_target_has_refuted() -> None:
@@ -396,7 +396,7 @@
             back = chance.choice((0, 3_600_000))
             fleet.simulation.start(name, SEEDS, wall_ms=WALL_CLOCK_START_MS + at * 1000 - back)
     fleet.simulation.run_until(50 * SECOND)
-    fleet.settles(40)
+    fleet.wait_for_convergence(40)
     check_incarnations()
 
 
--- a/tests/test_membership_config.py
+++ b/tests/test_membership_config.py
@@ -9,7 +9,14 @@
 import pytest
 import trio
 
-from tests.membership_service_harness import BETWEEN, DAY, EDGE, KEY, SECOND, key_file
+from tests.membership_service_harness import (
+    EDGE_SECTIONS,
+    GOSSIP_SECTION,
+    KEY,
+    SCENARIO_FILE,
+    SECOND,
+    key_file,
+)
 from valverouter.config.edge import edge_config
 from valverouter.config.gossip import MIN_KEY_SIZE
 from valverouter.config.ini import IniFile, InvalidConfigError
@@ -18,13 +25,15 @@
 
 def test_a_valid_section(tmp_path: Path) -> None:
     key_file(tmp_path)
-    ini = IniFile(EDGE + BETWEEN.replace("KEY", "key"), "e.ini", tmp_path)
+    ini = IniFile(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"), "e.ini", tmp_path)
     between = edge_config(ini).between
     assert between is not None
     assert between.keys == (KEY,)
     assert between.seeds == ("127.0.0.1:7001", "[::1]:7002")
     assert between.period == SECOND
-    assert edge_config(IniFile(EDGE, "e.ini")).between is None, "without the section there is no view"
+    assert edge_config(IniFile(EDGE_SECTIONS, "e.ini")).between is None, (
+        "without the section there is no view"
+    )
 
 
 @pytest.mark.parametrize(
@@ -48,7 +57,7 @@
     (tmp_path / "open").chmod(0o644)
     (tmp_path / "short").write_text("k" * 9)
     (tmp_path / "short").chmod(0o600)
-    text = EDGE + BETWEEN.replace(old, new).replace("KEY", "key")
+    text = EDGE_SECTIONS + GOSSIP_SECTION.replace(old, new).replace("KEY", "key")
     with pytest.raises(InvalidConfigError) as error:
         edge_config(IniFile(text, "e.ini", tmp_path))
     problem = str(error.value)
@@ -73,14 +82,14 @@
 )
 def test_invalid_faults_between_edge_proxies_are_rejected(old: str, new: str, said: str) -> None:
     with pytest.raises(InvalidConfigError) as error:
-        scenario_config(IniFile(DAY.read_text().replace(old, new), "d.ini"), "d")
+        scenario_config(IniFile(SCENARIO_FILE.read_text().replace(old, new), "d.ini"), "d")
     assert said in str(error.value)
 
 
 async def test_the_program_reports_an_unusable_key_and_an_address_in_use(tmp_path: Path) -> None:
     key_file(tmp_path, mode=0o644)
     file = tmp_path / "e.ini"
-    file.write_text(EDGE + BETWEEN.replace("KEY", "key"))
+    file.write_text(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"))
     command = [sys.executable, "-m", "valverouter.cli", "edge", str(file)]
     ended = await trio.run_process(command, capture_stderr=True, check=False)
     assert ended.returncode == 2
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -18,7 +18,7 @@
 def test_every_order_of_starts_ends_accusations_and_deliveries_keeps_the_properties(
     model: Model, states: int
 ) -> None:
-    assert model.walk() == states, "as documented in docs/fleet.md"
+    assert model.explore() == states, "as documented in docs/fleet.md"
 
 
 @pytest.mark.parametrize("omitted", list(ProtocolRule))
@@ -26,4 +26,4 @@
     max_concurrent = 2 if omitted in (ProtocolRule.VERIFY, ProtocolRule.TIE_BREAK) else 1
     model = Model(max_processes=2, max_accusations=1, max_concurrent=max_concurrent, omitted=omitted)
     with pytest.raises(PropertyViolationError):
-        model.walk()
+        model.explore()
--- a/tests/test_membership_records.py
+++ b/tests/test_membership_records.py
@@ -73,7 +73,7 @@
         view = MembershipView(0)
         for record in order:
             if view.accepts(record):
-                view.put(record, 0)
+                view.set_record(record, 0)
         if "e1" in view.records:
             held = view.records["e1"]
             ends.add((held.sequence, held.state))
@@ -83,17 +83,17 @@
 def test_the_digest_covers_live_members_and_not_suspicions() -> None:
     view, other = MembershipView(4), MembershipView(4)
     for each in (view, other):
-        each.put(MemberRecord("e0", "", 0, "e0:1", 5, 50), 0)
-    view.put(make_record(3, 7), 1)
-    other.put(make_record(3, 7, sequence=4), 9)
+        each.set_record(MemberRecord("e0", "", 0, "e0:1", 5, 50), 0)
+    view.set_record(make_record(3, 7), 1)
+    other.set_record(make_record(3, 7, sequence=4), 9)
     assert view.digest == other.digest
-    view.put(as_reported(make_record(3, 7), MemberState.SUSPECT, "e0"), 2)
+    view.set_record(as_reported(make_record(3, 7), MemberState.SUSPECT, "e0"), 2)
     assert view.digest == other.digest
     assert view.suspect_count == 1
-    view.put(as_reported(make_record(3, 7), MemberState.GONE, "e0"), 3)
+    view.set_record(as_reported(make_record(3, 7), MemberState.GONE, "e0"), 3)
     assert view.digest != other.digest
     assert (view.live_count, view.gone_count, view.suspect_count) == (1, 1, 0)
-    other.put(as_reported(make_record(3, 7, sequence=4), MemberState.GONE, "e0"), 9)
+    other.set_record(as_reported(make_record(3, 7, sequence=4), MemberState.GONE, "e0"), 9)
     assert view.digest == other.digest
     assert view.bucket_digests == other.bucket_digests
 
@@ -101,8 +101,8 @@
 def test_the_end_of_an_unknown_member_is_not_accepted() -> None:
     view = MembershipView(4)
     assert not view.accepts(make_record(3, 7, state=MemberState.GONE))
-    view.put(make_record(3, 7), 0)
-    view.put(as_reported(make_record(3, 7), MemberState.GONE, "x"), 1)
+    view.set_record(make_record(3, 7), 0)
+    view.set_record(as_reported(make_record(3, 7), MemberState.GONE, "x"), 1)
     view.forget("e1")
     assert not view.records
     assert list(view.forgotten_addresses) == ["e1:1"]
--- a/tests/test_membership_scenarios.py
+++ b/tests/test_membership_scenarios.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.membership_service_harness import DAY, SECOND
+from tests.membership_service_harness import SCENARIO_FILE, SECOND
 from valverouter.audit.rules import audit
 from valverouter.audit.views import check_views
 from valverouter.cli.__main__ import main
@@ -23,12 +23,12 @@
 
 
 def changed_day(text: str = "", **terms_: Any) -> ScenarioConfig:
-    script = scenario_config(IniFile(DAY.read_text() + text, "d.ini"), "d")
+    script = scenario_config(IniFile(SCENARIO_FILE.read_text() + text, "d.ini"), "d")
     return msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, **terms_))
 
 
 def test_a_day_of_faults_in_virtual_time() -> None:
-    rows = run_virtual(load_scenario(DAY))
+    rows = run_virtual(load_scenario(SCENARIO_FILE))
     views = check_views(rows)
     assert views is not None, views
     assert views.passed, views
@@ -41,13 +41,13 @@
         "refuted",
         "cut-off",
     }
-    assert [repr(row) for row in run_virtual(load_scenario(DAY))] == [repr(row) for row in rows]
+    assert [repr(row) for row in run_virtual(load_scenario(SCENARIO_FILE))] == [repr(row) for row in rows]
 
 
 def test_a_day_of_faults_between_real_processes(tmp_path: Path) -> None:
     """Six processes of the program for 22 s: loss, delay, repeats, a region cut off, a one-way cut, a kill, a
     stop, a late join."""
-    rows = run_loopback(load_scenario(DAY), tmp_path)
+    rows = run_loopback(load_scenario(SCENARIO_FILE), tmp_path)
     views = check_views(rows)
     assert views is not None, views
     assert views.passed, views
@@ -58,12 +58,12 @@
 
 @pytest.mark.parametrize("members", ["6", "60"])
 def test_the_same_file_on_the_emulator(members: str) -> None:
-    result = CliRunner().invoke(main, ["fleet", "emulate", str(DAY), "--members", members])
+    result = CliRunner().invoke(main, ["fleet", "emulate", str(SCENARIO_FILE), "--members", members])
     assert result.exit_code == 0
     assert f"{members} members" in result.output
     assert "one view" in result.output
     if members == "6":
-        assert CliRunner().invoke(main, ["fleet", "emulate", str(DAY)]).output == result.output
+        assert CliRunner().invoke(main, ["fleet", "emulate", str(SCENARIO_FILE)]).output == result.output
 
 
 def test_membership_changes_no_message_to_callers_or_servers() -> None:
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -14,8 +14,8 @@
 from trio.testing import MockClock
 
 from tests.membership_service_harness import (
-    BETWEEN,
-    EDGE,
+    EDGE_SECTIONS,
+    GOSSIP_SECTION,
     KEY,
     OTHER_KEY,
     SECOND,
@@ -26,8 +26,8 @@
     new_service,
     ping,
     running,
-    until,
     view_health,
+    wait_until,
 )
 from valverouter.cli.__main__ import main
 from valverouter.config.gossip import GossipConfig
@@ -46,12 +46,12 @@
     async with running(first) as nursery:
         second = new_service("e1", (address_of(first),))
         await nursery.start(second.run)
-        await until(lambda: live_members(first) == live_members(second) == {"e0", "e1"})
-        await until(lambda: view_health(first) == "settled")
-        await until(lambda: first.counts["size-differs"] == 1)  # the rig's settings say 1
+        await wait_until(lambda: live_members(first) == live_members(second) == {"e0", "e1"})
+        await wait_until(lambda: view_health(first) == "settled")
+        await wait_until(lambda: first.counts["size-differs"] == 1)  # the rig's settings say 1
         second.leave()
         await second.ended.wait()
-        await until(lambda: live_members(first) == {"e0"})
+        await wait_until(lambda: live_members(first) == {"e0"})
         assert first.counts["left"] == 1
         assert first.counts["gone"] == 0
 
@@ -62,12 +62,12 @@
         earlier, later = new_service("e1", (address_of(first),)), new_service("e1", (address_of(first),))
         later._incarnation += 1
         await nursery.start(earlier.run)
-        await until(lambda: live_members(first) == {"e0", "e1"})
+        await wait_until(lambda: live_members(first) == {"e0", "e1"})
         await nursery.start(later.run)
-        await until(lambda: earlier.counts["conflict"] == later.counts["conflict"] == 1)
+        await wait_until(lambda: earlier.counts["conflict"] == later.counts["conflict"] == 1)
         membership = first.membership
         assert membership is not None
-        await until(lambda: membership.view.records["e1"].name_conflict)
+        await wait_until(lambda: membership.view.records["e1"].name_conflict)
         restarts = first.counts["restarted"]
         await trio.sleep(1.5)
         assert first.counts["restarted"] == restarts <= 1
@@ -79,12 +79,12 @@
     async with running(first) as nursery:
         old = new_service("e1", (address_of(first),), (OTHER_KEY,))
         await nursery.start(old.run)
-        await until(lambda: first._reader.dropped["stranger"] > 2)
+        await wait_until(lambda: first._reader.dropped["stranger"] > 2)
         assert live_members(first) == {"e0"}
         assert live_members(old) == {"e1"}
         both = new_service("e2", (address_of(first),), (KEY, OTHER_KEY))
         await nursery.start(both.run)
-        await until(lambda: live_members(first) == {"e0", "e2"})
+        await wait_until(lambda: live_members(first) == {"e0", "e2"})
 
 
 async def test_a_flood_of_forged_datagrams_is_never_answered_and_disconnects_nobody() -> None:
@@ -93,7 +93,7 @@
     async with running(first) as nursery:
         second = new_service("e1", (address_of(first),))
         await nursery.start(second.run)
-        await until(lambda: live_members(first) == {"e0", "e1"})
+        await wait_until(lambda: live_members(first) == {"e0", "e1"})
         flood = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         flood.bind(("127.0.0.1", 0))
         flood.setblocking(False)
@@ -123,7 +123,7 @@
         assert first.membership is not None
         for number in range(1, 60):
             record = MemberRecord(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
-            first.membership.view.put(record, 0)
+            first.membership.view.set_record(record, 0)
         client = FleetClient((KEY,), SocketRuntime().bind_datagrams("127.0.0.1:0"), random.Random(1))
         first.membership.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
         answer, silent = await client.query_views([address_of(first), "127.0.0.1:9"])
@@ -164,12 +164,12 @@
 
 def test_fleet_view_fails_without_the_section_and_where_nobody_answers(tmp_path: Path) -> None:
     file = tmp_path / "e.ini"
-    file.write_text(EDGE)
+    file.write_text(EDGE_SECTIONS)
     result = CliRunner().invoke(main, ["fleet", "view", str(file)])
     assert isinstance(result.exception, ValueError)
     assert "keeps no view" in str(result.exception)
     key_file(tmp_path)
-    file.write_text(EDGE + BETWEEN.replace("KEY", "key"))
+    file.write_text(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nobody:
         nobody.bind(("127.0.0.1", 0))
         result = CliRunner().invoke(
@@ -185,10 +185,11 @@
     async with running(first) as nursery:
         second = new_service("e1", (address_of(first),))
         await nursery.start(second.run)
-        await until(lambda: view_health(first) == view_health(second) == "settled")
+        await wait_until(lambda: view_health(first) == view_health(second) == "settled")
         file = tmp_path / "e.ini"
         file.write_text(
-            EDGE + BETWEEN.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", address_of(first))
+            EDGE_SECTIONS
+            + GOSSIP_SECTION.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", address_of(first))
         )
 
         def fleet_view(*options: str) -> Any:
--- a/valverouter/emulator/membership_simulation.py
+++ b/valverouter/emulator/membership_simulation.py
@@ -97,7 +97,7 @@
         membership = self._create_member(own_record, self._config, draws.random, self.now, seeds)
         for record in known_records or ():
             if record.name != name:
-                membership.view.put(record, self.now)
+                membership.view.set_record(record, self.now)
         node = SimulatedNode(name, address, membership)
         self.nodes[name] = node
         self._at_address[address] = node
@@ -118,7 +118,7 @@
         ]
         full_view = MembershipView(self._config.forgotten_address_limit)
         for node in nodes:
-            full_view.put(node.membership.own_record, self.now)
+            full_view.set_record(node.membership.own_record, self.now)
         for node in nodes:
             node.membership.view = full_view.copy()
 
--- a/valverouter/membership/dissemination.py
+++ b/valverouter/membership/dissemination.py
@@ -20,7 +20,7 @@
         """Replaces the own record, here and at the others."""
         node = self._node
         node.own_record = own_record
-        node.view.put(own_record, node.now)
+        node.view.set_record(own_record, node.now)
         self.broadcast(own_record)
 
     def broadcast(self, record: MemberRecord) -> None:
--- a/valverouter/membership/local_node.py
+++ b/valverouter/membership/local_node.py
@@ -28,7 +28,7 @@
         self.now = now
         self.timers = TimerQueue()
         self.view = MembershipView(config.forgotten_address_limit)
-        self.view.put(own_record, now)
+        self.view.set_record(own_record, now)
         self.outbox: list[tuple[str, Message]] = []
         self.events: list[MembershipEvent] = []
 
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -86,7 +86,7 @@
         name = current.name
         suspect = as_reported(current, MemberState.SUSPECT, accuser)
         if current.state == MemberState.ALIVE:
-            node.view.put(suspect, node.now)
+            node.view.set_record(suspect, node.now)
             node.emit(EventKind.SUSPECT, suspect, accuser)
             self.suspicions.clear(name)
         multiplier = self._detector.local_health.timeout_multiplier
@@ -120,7 +120,7 @@
         """Puts a later record into the view, reports the change and passes it on."""
         node = self._node
         previous = node.view.records.get(update.name)
-        node.view.put(update, node.now)
+        node.view.set_record(update, node.now)
         self.suspicions.clear(update.name)
         self._dissemination.broadcast(update)
         if update.state == MemberState.SUSPECT:
@@ -136,7 +136,7 @@
     def _accept_suspect(self, previous: MemberRecord | None, update: MemberRecord, source: str) -> None:
         """A later record that is suspect already: its time to refute runs from now."""
         alive = as_reported(update, MemberState.ALIVE, "")
-        self._node.view.put(alive, self._node.now)
+        self._node.view.set_record(alive, self._node.now)
         self._report_transition(previous, alive, source)
         self._suspect(alive, source)
 
--- a/valverouter/membership/model.py
+++ b/valverouter/membership/model.py
@@ -142,7 +142,7 @@
     can_forget: bool = True
     omitted: ProtocolRule | None = None
 
-    def walk(self, state_limit: int = 2_000_000) -> int:
+    def explore(self, state_limit: int = 2_000_000) -> int:
         """The number of states.
 
         Raises PropertyViolationError at the first violation, StateLimitError above `state_limit` states.
--- a/valverouter/membership/view.py
+++ b/valverouter/membership/view.py
@@ -91,7 +91,7 @@
             return candidate.is_live
         return supersedes(candidate, current)
 
-    def put(self, record: MemberRecord, now: int) -> None:
+    def set_record(self, record: MemberRecord, now: int) -> None:
         """Replaces the member's record by a later one."""
         name = record.name
         previous = self.records.get(name)
