--- a/tests/membership_harness.py
+++ b/tests/membership_harness.py
@@ -19,44 +19,48 @@
 
     def __init__(
         self,
-        count: int,
+        member_count: int,
         faults: list[PathFault] | None = None,
         loss: float = 0.0,
         config: MembershipConfig | None = None,
     ) -> None:
-        chance = random.Random("paths")
+        rng = random.Random("paths")
         self.event_counts: Counter[tuple[str, EventKind, str]] = Counter()
 
-        def watch(node: SimulatedNode, event: MembershipEvent) -> None:
+        def on_event(node: SimulatedNode, event: MembershipEvent) -> None:
             self.event_counts[node.name, event.kind, event.record.name] += 1
 
         def delay(sender: str, receiver: str) -> int:
-            return 500_000 + int(chance.random() * 1_500_000)
+            return 500_000 + int(rng.random() * 1_500_000)
 
-        paths = NetworkPaths(faults or [], chance.random, delay, loss)
-        self.simulation = MembershipSimulation(config or MembershipConfig(), paths, 1, watch)
-        self.simulation.start_converged(count, SEEDS)
+        paths = NetworkPaths(faults or [], rng.random, delay, loss)
+        self.simulation = MembershipSimulation(config or MembershipConfig(), paths, 1, on_event)
+        self.simulation.start_converged(member_count, SEEDS)
 
     def event_count(self, kind: EventKind, member: str = "") -> int:
         """How many events of a kind there were, about one member or about all."""
-        found = self.event_counts.items()
-        return sum(count for (_, of_kind, name), count in found if of_kind is kind and member in ("", name))
-
-    def wait_for_convergence(self, within_s: float, rest_s: float = 8.0) -> float:
-        """Seconds until all views agree; fails when that takes too long, or does not last for `rest_s`."""
-        began = self.simulation.now
-        at = self.simulation.run_until_converged(began + int(within_s * SECOND))
-        assert at is not None, "not settled in time"
-        self.simulation.run_until(self.simulation.now + int(rest_s * SECOND))
+        event_counts = self.event_counts.items()
+        return sum(
+            count
+            for (_, event_kind, name), count in event_counts
+            if event_kind is kind and member in ("", name)
+        )
+
+    def wait_for_convergence(self, timeout_s: float, stable_s: float = 8.0) -> float:
+        """Seconds until all views agree; fails when that takes too long, or does not last for `stable_s`."""
+        started_at = self.simulation.now
+        converged_at = self.simulation.run_until_converged(started_at + int(timeout_s * SECOND))
+        assert converged_at is not None, "not settled in time"
+        self.simulation.run_until(self.simulation.now + int(stable_s * SECOND))
         assert self.simulation.is_converged(), "settled, and then not any more"
-        return (at - began) / SECOND
+        return (converged_at - started_at) / SECOND
 
 
-def partition(start: float, length: float, *groups: set[str]) -> PathFault:
-    """A partition into groups, from `start` for `length` seconds."""
-    begins = int(start * SECOND)
-    until = begins + int(length * SECOND)
-    return PathFault("split", begins, until, groups=tuple(frozenset(group) for group in groups))
+def partition(start_s: float, duration_s: float, *groups: set[str]) -> PathFault:
+    """A partition into groups, from `start_s` for `duration_s` seconds."""
+    start = int(start_s * SECOND)
+    until = start + int(duration_s * SECOND)
+    return PathFault("split", start, until, groups=tuple(frozenset(group) for group in groups))
 
 
 def member_names(count: int) -> set[str]:
--- a/tests/membership_service_harness.py
+++ b/tests/membership_service_harness.py
@@ -38,7 +38,7 @@
 """
 
 
-def key_file(folder: Path, text: str = "k" * 40, mode: int = 0o600) -> Path:
+def write_key_file(folder: Path, text: str = "k" * 40, mode: int = 0o600) -> Path:
     """The key that GOSSIP_SECTION names, in the folder of the settings."""
     file = folder / "key"
     file.write_text(text)
@@ -50,9 +50,13 @@
     name: str, seeds: tuple[str, ...] = (), keys: tuple[bytes, ...] = (KEY,), listen: str = "127.0.0.1:0"
 ) -> MembershipService:
     config = edge_config(name)
-    between = GossipConfig(listen, keys, seeds, period=100 * MS)
+    gossip_config = GossipConfig(listen, keys, seeds, period=100 * MS)
     return MembershipService(
-        config, between, SocketRuntime(), random.Random(name).getrandbits(64), lambda: (Phase.SERVING, "")
+        config,
+        gossip_config,
+        SocketRuntime(),
+        random.Random(name).getrandbits(64),
+        lambda: (Phase.SERVING, ""),
     )
 
 
@@ -63,8 +67,8 @@
 @asynccontextmanager
 async def running(*services: MembershipService) -> AsyncIterator[trio.Nursery]:
     async with trio.open_nursery() as nursery:
-        for each in services:
-            await nursery.start(each.run)
+        for service in services:
+            await nursery.start(service.run)
         yield nursery
         nursery.cancel_scope.cancel()
 
@@ -74,8 +78,8 @@
     return service.membership.own_record.address
 
 
-async def wait_until(condition: Callable[[], bool], within: float = 10.0) -> None:
-    with trio.fail_after(within):
+async def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> None:
+    with trio.fail_after(timeout_s):
         while not condition():
             await trio.sleep(0.02)
 
@@ -91,5 +95,5 @@
     return service.membership.view_health.value
 
 
-def ping(life: int = 7, nonce: int = 1) -> Ping:
-    return Ping("e1", life, 5, nonce, 9)
+def ping(incarnation: int = 7, nonce: int = 1) -> Ping:
+    return Ping("e1", incarnation, 5, nonce, 9)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,8 +21,8 @@
 
 def test_a_fleet_that_knows_only_three_seeds_converges() -> None:
     fleet = SimulatedFleet(1)
-    for at in range(1, 24):
-        fleet.simulation.start(f"e{at}", SEEDS)
+    for index in range(1, 24):
+        fleet.simulation.start(f"e{index}", SEEDS)
     assert fleet.wait_for_convergence(10) < 5
 
 
@@ -53,15 +53,15 @@
 def test_a_third_of_the_members_killed_at_once() -> None:
     fleet = SimulatedFleet(24)
     fleet.simulation.run_until(5 * SECOND)
-    for at in range(0, 24, 3):
-        fleet.simulation.kill(f"e{at}")
+    for index in range(0, 24, 3):
+        fleet.simulation.kill(f"e{index}")
     fleet.wait_for_convergence(20)
     assert {node.membership.view_health for node in fleet.simulation.running_nodes()} == {ViewHealth.SETTLED}
 
 
 def test_a_partition_longer_than_the_retention_with_restarts_on_both_sides() -> None:
     config = dataclasses.replace(MembershipConfig(), gone_retention=20 * SECOND)
-    south = {f"e{at}" for at in range(12, 24)}
+    south = {f"e{index}" for index in range(12, 24)}
     fleet = SimulatedFleet(24, [partition(5, 60, member_names(24) - south, south)], config=config)
     fleet.simulation.run_until(50 * SECOND)
     assert fleet.event_count(EventKind.FORGOTTEN), "both sides have forgotten each other"
@@ -75,7 +75,9 @@
 def test_sides_without_seeds_find_each_other_by_forgotten_addresses() -> None:
     config = dataclasses.replace(MembershipConfig(), gone_retention=15 * SECOND)
     fleet = SimulatedFleet(
-        0, [partition(2, 50, {f"e{at}" for at in range(4)}, {f"e{at}" for at in range(4, 8)})], config=config
+        0,
+        [partition(2, 50, {f"e{index}" for index in range(4)}, {f"e{index}" for index in range(4, 8)})],
+        config=config,
     )
     fleet.simulation.start_converged(8)
     fleet.simulation.run_until(52 * SECOND)
@@ -106,8 +108,8 @@
 
 def test_a_member_stopped_for_8_s_ten_times_in_a_row_declares_nobody_gone() -> None:
     fleet = SimulatedFleet(24)
-    for at in range(10):
-        fleet.simulation.run_until((5 + 9 * at) * SECOND)
+    for index in range(10):
+        fleet.simulation.run_until((5 + 9 * index) * SECOND)
         fleet.simulation.stall("e5", 8 * SECOND)
     fleet.simulation.run_until(95 * SECOND)
     fleet.wait_for_convergence(15)
@@ -149,8 +151,8 @@
 
 def test_all_seeds_dead() -> None:
     fleet = SimulatedFleet(12)
-    for at in range(3):
-        fleet.simulation.kill(f"e{at}")
+    for index in range(3):
+        fleet.simulation.kill(f"e{index}")
     fleet.wait_for_convergence(20)
     fleet.simulation.start("e12", SEEDS)
     fleet.simulation.run_until(fleet.simulation.now + 5 * SECOND)
@@ -302,24 +304,24 @@
     (nonce,) = [nonce for nonce, probe in member.failure_detector.probes.pending.items() if probe.is_final]
     member.member_updates.apply(next_own_record(held))
     member.member_updates.apply(as_reported(next_own_record(held), MemberState.SUSPECT, "e2"))
-    member.failure_detector._conclude(nonce)
+    member.failure_detector._on_probe_deadline(nonce)
     assert member.view.records["e1"].state is MemberState.SUSPECT, "not gone: the suspicion is a second old"
 
 
 def test_a_member_that_missed_a_refutation_learns_of_it_by_indirect_probes() -> None:
     fleet = SimulatedFleet(6)
     fleet.simulation.run_until(3 * SECOND)
-    asker, helper = fleet.simulation.nodes["e0"].membership, fleet.simulation.nodes["e2"].membership
-    old = asker.view.records["e1"]
+    requester, helper = fleet.simulation.nodes["e0"].membership, fleet.simulation.nodes["e2"].membership
+    old = requester.view.records["e1"]
     helper.member_updates.apply(next_own_record(old))
-    asker.member_updates.apply(as_reported(old, MemberState.SUSPECT, "e3"))
-    asker.failure_detector.probe(asker.view.records["e1"], is_final=True)
-    (nonce,) = [nonce for nonce, probe in asker.failure_detector.probes.pending.items() if probe.is_final]
+    requester.member_updates.apply(as_reported(old, MemberState.SUSPECT, "e3"))
+    requester.failure_detector.probe(requester.view.records["e1"], is_final=True)
+    (nonce,) = [nonce for nonce, probe in requester.failure_detector.probes.pending.items() if probe.is_final]
     fleet.simulation.nodes["e1"].stalled_until = fleet.simulation.now + 2 * SECOND
-    asker.failure_detector._probe_indirectly(nonce)
+    requester.failure_detector._probe_indirectly(nonce)
     fleet.simulation._flush(fleet.simulation.nodes["e0"])
     fleet.simulation.run_until(fleet.simulation.now + 100_000_000)
-    assert asker.view.records["e1"].sequence > old.sequence
+    assert requester.view.records["e1"].sequence > old.sequence
 
 
 def test_anti_entropy_sends_pages_within_the_byte_limit() -> None:
@@ -353,13 +355,13 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_mixed_faults_converge_and_nobody_goes_back_to_a_previous_incarnation(seed: int) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     faults = []
     for _ in range(5):
-        kind = chance.choice(PATH_FAULT_KINDS)
-        start = int(chance.uniform(2, 30) * SECOND)
-        members = frozenset(chance.sample(sorted(member_names(16)), chance.randint(1, 8)))
-        until = start + int(chance.uniform(1, 15) * SECOND)
+        kind = rng.choice(PATH_FAULT_KINDS)
+        start = int(rng.uniform(2, 30) * SECOND)
+        members = frozenset(rng.sample(sorted(member_names(16)), rng.randint(1, 8)))
+        until = start + int(rng.uniform(1, 15) * SECOND)
         faults.append(
             PathFault(
                 kind,
@@ -383,18 +385,18 @@
                     assert held.incarnation not in incarnations, f"{node.name} went back to a previous {name}"
                     incarnations.append(held.incarnation)
 
-    for at in range(2, 46):
-        fleet.simulation.run_until(at * SECOND)
+    for second in range(2, 46):
+        fleet.simulation.run_until(second * SECOND)
         check_incarnations()
-        name = f"e{chance.randrange(16)}"
-        if chance.random() < 0.3 and fleet.simulation.nodes[name].alive:
-            if chance.random() < 0.5:
+        name = f"e{rng.randrange(16)}"
+        if rng.random() < 0.3 and fleet.simulation.nodes[name].alive:
+            if rng.random() < 0.5:
                 fleet.simulation.stall(name, 3 * SECOND)
             else:
                 fleet.simulation.kill(name)
         elif not fleet.simulation.nodes[name].alive:
-            back = chance.choice((0, 3_600_000))
-            fleet.simulation.start(name, SEEDS, wall_ms=WALL_CLOCK_START_MS + at * 1000 - back)
+            clock_offset_ms = rng.choice((0, 3_600_000))
+            fleet.simulation.start(name, SEEDS, wall_ms=WALL_CLOCK_START_MS + second * 1000 - clock_offset_ms)
     fleet.simulation.run_until(50 * SECOND)
     fleet.wait_for_convergence(40)
     check_incarnations()
@@ -413,10 +415,10 @@
             sender + receiver for sender, receiver in pairs if paths.delivery_delays(sender, receiver, time)
         }
 
-    every = {"ab", "ac", "ba", "bc", "ca", "cb"}
-    assert connected(5) == every
-    assert connected(15) == every - {"ab"}
-    assert connected(25) == every
-    assert connected(35) == every - {"ab", "ba"}
+    all_pairs = {"ab", "ac", "ba", "bc", "ca", "cb"}
+    assert connected(5) == all_pairs
+    assert connected(15) == all_pairs - {"ab"}
+    assert connected(25) == all_pairs
+    assert connected(35) == all_pairs - {"ab", "ba"}
     assert connected(55) == {"ab", "ba"}
-    assert connected(65) == every
+    assert connected(65) == all_pairs
--- a/tests/test_membership_config.py
+++ b/tests/test_membership_config.py
@@ -15,7 +15,7 @@
     KEY,
     SCENARIO_FILE,
     SECOND,
-    key_file,
+    write_key_file,
 )
 from valverouter.config.edge import edge_config
 from valverouter.config.gossip import MIN_KEY_SIZE
@@ -24,20 +24,20 @@
 
 
 def test_a_valid_section(tmp_path: Path) -> None:
-    key_file(tmp_path)
+    write_key_file(tmp_path)
     ini = IniFile(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"), "e.ini", tmp_path)
-    between = edge_config(ini).between
-    assert between is not None
-    assert between.keys == (KEY,)
-    assert between.seeds == ("127.0.0.1:7001", "[::1]:7002")
-    assert between.period == SECOND
+    gossip_config = edge_config(ini).between
+    assert gossip_config is not None
+    assert gossip_config.keys == (KEY,)
+    assert gossip_config.seeds == ("127.0.0.1:7001", "[::1]:7002")
+    assert gossip_config.period == SECOND
     assert edge_config(IniFile(EDGE_SECTIONS, "e.ini")).between is None, (
         "without the section there is no view"
     )
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ("key = KEY", "key = away", "[between] key: away: No such file"),
         ("key = KEY", "key = open", "may be used by all (mode 644); 600 or 640 is wanted"),
@@ -51,8 +51,10 @@
         ("seeds =", "sedes = 1\nseeds =", "unknown key; did you mean seeds?"),
     ],
 )
-def test_an_invalid_section_is_rejected_with_its_line(tmp_path: Path, old: str, new: str, said: str) -> None:
-    key_file(tmp_path)
+def test_an_invalid_section_is_rejected_with_its_line(
+    tmp_path: Path, old: str, new: str, expected: str
+) -> None:
+    write_key_file(tmp_path)
     (tmp_path / "open").write_text("k" * 40)
     (tmp_path / "open").chmod(0o644)
     (tmp_path / "short").write_text("k" * 9)
@@ -61,13 +63,13 @@
     with pytest.raises(InvalidConfigError) as error:
         edge_config(IniFile(text, "e.ini", tmp_path))
     problem = str(error.value)
-    assert said in problem
+    assert expected in problem
     assert problem.startswith("e.ini:1")
     assert "\n" not in problem
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ("kind = loss", "kind = los", "'los' is not known; known are loss, late"),
         ("groups = north, south", "groups = north", "a split needs two groups or more"),
@@ -80,29 +82,29 @@
         ),
     ],
 )
-def test_invalid_faults_between_edge_proxies_are_rejected(old: str, new: str, said: str) -> None:
+def test_invalid_faults_between_edge_proxies_are_rejected(old: str, new: str, expected: str) -> None:
     with pytest.raises(InvalidConfigError) as error:
         scenario_config(IniFile(SCENARIO_FILE.read_text().replace(old, new), "d.ini"), "d")
-    assert said in str(error.value)
+    assert expected in str(error.value)
 
 
 async def test_the_program_reports_an_unusable_key_and_an_address_in_use(tmp_path: Path) -> None:
-    key_file(tmp_path, mode=0o644)
+    write_key_file(tmp_path, mode=0o644)
     file = tmp_path / "e.ini"
     file.write_text(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"))
     command = [sys.executable, "-m", "valverouter.cli", "edge", str(file)]
-    ended = await trio.run_process(command, capture_stderr=True, check=False)
-    assert ended.returncode == 2
-    assert ended.stderr.count(b"\n") == 1
-    assert b"[between] key" in ended.stderr
-    key_file(tmp_path)
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
-        taken.bind(("127.0.0.1", 0))
+    result = await trio.run_process(command, capture_stderr=True, check=False)
+    assert result.returncode == 2
+    assert result.stderr.count(b"\n") == 1
+    assert b"[between] key" in result.stderr
+    write_key_file(tmp_path)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as occupied:
+        occupied.bind(("127.0.0.1", 0))
         file.write_text(
             file.read_text().replace(
-                "listen = 127.0.0.1:0\nkey", f"listen = 127.0.0.1:{taken.getsockname()[1]}\nkey"
+                "listen = 127.0.0.1:0\nkey", f"listen = 127.0.0.1:{occupied.getsockname()[1]}\nkey"
             )
         )
-        ended = await trio.run_process(command, capture_stderr=True, check=False)
-    assert ended.returncode == 3
-    assert b"could-not-run" in ended.stderr
+        result = await trio.run_process(command, capture_stderr=True, check=False)
+    assert result.returncode == 3
+    assert b"could-not-run" in result.stderr
--- a/tests/test_membership_records.py
+++ b/tests/test_membership_records.py
@@ -63,13 +63,13 @@
 @settings(max_examples=40, deadline=None)
 @given(st.lists(RECORDS, min_size=2, max_size=5), st.randoms(use_true_random=False))
 def test_the_order_of_an_incarnation_s_own_records_does_not_matter(
-    records: list[MemberRecord], chance: random.Random
+    records: list[MemberRecord], rng: random.Random
 ) -> None:
     incarnation = records[0].incarnation
     own = [record for record in records if record.incarnation == incarnation and record.is_live]
     own = own or records[:1]
     ends = set()
-    for order in (own, list(reversed(own)), sorted(own, key=lambda record: chance.random())):
+    for order in (own, list(reversed(own)), sorted(own, key=lambda record: rng.random())):
         view = MembershipView(0)
         for record in order:
             if view.accepts(record):
@@ -112,8 +112,8 @@
 def test_updates_leave_the_queue_at_the_transmit_limit_and_fit_the_byte_limit() -> None:
     queue = BroadcastQueue(max_bytes=400)
     for number in range(9):
-        queue.put(MemberRecord(f"e{number}", "", 0, f"e{number}:1", 1, number))
-    taken = [queue.take(3) for _ in range(12)]
+        queue.enqueue(MemberRecord(f"e{number}", "", 0, f"e{number}:1", 1, number))
+    taken = [queue.take_batch(3) for _ in range(12)]
     assert all(sum(record.size for record in page) <= 400 for page in taken)
     sent = Counter(record.name for page in taken for record in page)
     assert set(sent.values()) == {3}
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -21,13 +21,13 @@
     SECOND,
     address_of,
     edge_config,
-    key_file,
     live_members,
     new_service,
     ping,
     running,
     view_health,
     wait_until,
+    write_key_file,
 )
 from valverouter.cli.__main__ import main
 from valverouter.config.gossip import GossipConfig
@@ -99,14 +99,14 @@
         flood.setblocking(False)
         host, _, port = address_of(first).rpartition(":")
         forged = Authenticator((OTHER_KEY,)).sign(ping())
-        slowest, sent, began = 0.0, 0, trio.current_time()
+        longest_delay, sent, began = 0.0, 0, trio.current_time()
         while (now := trio.current_time()) - began < 1.5:
             for _ in range(max(0, int((now - began) * 10_000) - sent)):
                 flood.sendto(forged, (host, int(port)))
                 sent += 1
             before = trio.current_time()
             await trio.sleep(0)
-            slowest = max(slowest, trio.current_time() - before)
+            longest_delay = max(longest_delay, trio.current_time() - before)
         await trio.sleep(0.3)
         with pytest.raises(BlockingIOError):
             flood.recvfrom(100)
@@ -168,19 +168,19 @@
     result = CliRunner().invoke(main, ["fleet", "view", str(file)])
     assert isinstance(result.exception, ValueError)
     assert "keeps no view" in str(result.exception)
-    key_file(tmp_path)
+    write_key_file(tmp_path)
     file.write_text(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"))
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nobody:
-        nobody.bind(("127.0.0.1", 0))
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent_socket:
+        silent_socket.bind(("127.0.0.1", 0))
         result = CliRunner().invoke(
-            main, ["fleet", "view", str(file), "--at", f"127.0.0.1:{nobody.getsockname()[1]}"]
+            main, ["fleet", "view", str(file), "--at", f"127.0.0.1:{silent_socket.getsockname()[1]}"]
         )
     assert result.exit_code == 2
     assert "nobody was reached" in result.output
 
 
 async def test_fleet_view_queries_the_members_that_the_answers_name(tmp_path: Path) -> None:
-    key_file(tmp_path)
+    write_key_file(tmp_path)
     first = new_service("e0")
     async with running(first) as nursery:
         second = new_service("e1", (address_of(first),))
@@ -212,20 +212,22 @@
 
 async def test_after_a_pause_it_reads_first_and_accuses_nobody(autojump_clock: MockClock) -> None:
     network = MemoryNetwork()
-    held = MemoryRuntime(network)
-    places = [held, *(MemoryRuntime(network) for _ in range(3))]
+    stalled_runtime = MemoryRuntime(network)
+    runtimes = [stalled_runtime, *(MemoryRuntime(network) for _ in range(3))]
     services = []
     async with trio.open_nursery() as nursery:
         network.nursery = nursery
-        for number, place in enumerate(places):
+        for number, runtime in enumerate(runtimes):
             config = edge_config(f"e{number}")
-            between = GossipConfig(f"b{number}:1", (KEY,), ("b0:1",), period=SECOND)
-            service = MembershipService(config, between, place, 100 + number, lambda: (Phase.SERVING, ""))
+            gossip_config = GossipConfig(f"b{number}:1", (KEY,), ("b0:1",), period=SECOND)
+            service = MembershipService(
+                config, gossip_config, runtime, 100 + number, lambda: (Phase.SERVING, "")
+            )
             services.append(service)
             await nursery.start(service.run)
         await trio.sleep(5)
         for _ in range(4):
-            await held.stall(8 * SECOND)
+            await stalled_runtime.stall(8 * SECOND)
             await trio.sleep(2)
         await trio.sleep(10)
         assert services[0].counts["gone"] == 0
--- a/valverouter/membership/anti_entropy.py
+++ b/valverouter/membership/anti_entropy.py
@@ -67,7 +67,7 @@
         """Schedules the first join and the first exchange."""
         timers, now = self._node.timers, self._node.now
         timers.schedule(now, self._join)
-        timers.schedule(now + self._interval(), self._exchange)
+        timers.schedule(now + self._interval(), self._run_exchange)
 
     def _interval(self) -> int:
         config = self._node.config
@@ -79,27 +79,27 @@
         node = self._node
         if node.view.live_count == 1 and self._seeds:
             for _ in range(min(SEEDS_PER_JOIN, len(self._seeds))):
-                self.sync(self._draw_address(self._seeds))
+                self.sync(self._random_address(self._seeds))
             node.timers.schedule(node.now + node.config.probe_period, self._join)
 
-    def _exchange(self) -> None:
+    def _run_exchange(self) -> None:
         """Syncs with a live member, and with one that is not believed to be live.
 
         So two halves of a partition find each other, though each has declared the other gone.
         """
         node = self._node
-        node.timers.schedule(node.now + self._interval(), self._exchange)
+        node.timers.schedule(node.now + self._interval(), self._run_exchange)
         self._rate_limiter.clear()
         for name in node.random_peers(1):
             self.sync(node.view.records[name].address)
         candidates = node.view.reconnect_addresses(self._seeds)
         if candidates:
-            self.sync(self._draw_address(candidates))
+            self.sync(self._random_address(candidates))
         self._conflicts.recheck()
         if node.view.live_count == 1:
             self._join()
 
-    def _draw_address(self, addresses: list[str] | tuple[str, ...]) -> str:
+    def _random_address(self, addresses: list[str] | tuple[str, ...]) -> str:
         return addresses[int(self._node.draw() * len(addresses))]
 
     def sync(self, address: str) -> None:
@@ -107,7 +107,7 @@
         node = self._node
         node.send(address, SyncDigests(*node.header(), tuple(node.view.bucket_digests), (node.own_record,)))
 
-    def on_different_digest(self, address: str) -> None:
+    def on_digest_mismatch(self, address: str) -> None:
         """Begins an exchange with a member that has another digest, at most once a period.
 
         While an update spreads, all digests differ for a moment.
--- a/valverouter/membership/config.py
+++ b/valverouter/membership/config.py
@@ -21,13 +21,13 @@
     probes_per_period: int = 2
     # After this part of the period an unanswered probe is repeated, directly and through helpers. The probe
     # fails at the end of the period only, so that a late answer still counts.
-    indirect_probe_after: float = 0.3
+    indirect_probe_delay_factor: float = 0.3
     # How many helpers are asked to probe on our behalf.
     indirect_probe_count: int = 3
     # For how many periods a suspect may refute, once enough members have accused it.
     suspicion_periods: float = 4.0
     # How many accusers are enough.
-    confirmations: int = 2
+    required_accusers: int = 2
     # How much longer a suspicion lasts that nobody has confirmed.
     unconfirmed_multiplier: float = 2.0
     # About how many of those who hear of a suspect probe it at once, to confirm or to clear it.
--- a/valverouter/membership/convergence.py
+++ b/valverouter/membership/convergence.py
@@ -35,7 +35,7 @@
     """A digest, who sent it, and when it was received (ns)."""
 
     time: int
-    name: str
+    sender: str
     digest: int
 
 
@@ -47,7 +47,7 @@
     peer_count: int
     health: ViewHealth
 
-    def holds(self, now: int, digest: int, peer_count: int) -> bool:
+    def is_valid(self, now: int, digest: int, peer_count: int) -> bool:
         """Whether the comparison would give the same result again."""
         return now <= self.until and (digest, peer_count) == (self.digest, self.peer_count)
 
@@ -60,9 +60,9 @@
         self._lifetime = DIGEST_LIFETIME_PERIODS * config.probe_period
         self._cached: CachedResult | None = None
 
-    def record_digest(self, now: int, name: str, digest: int) -> None:
+    def record_digest(self, now: int, sender: str, digest: int) -> None:
         """Counts the digest that a live member sent."""
-        self._received.append(ReceivedDigest(now, name, digest))
+        self._received.append(ReceivedDigest(now, sender, digest))
         self._cached = None
 
     def health(
@@ -81,7 +81,7 @@
         if view.suspect_count:
             return ViewHealth.UNSETTLED
         cached = self._cached
-        if cached is None or not cached.holds(now, view.digest, peer_count):
+        if cached is None or not cached.is_valid(now, view.digest, peer_count):
             until, health = self._compare_digests(now, view.digest, peer_count)
             cached = self._cached = CachedResult(until, view.digest, peer_count, health)
         return cached.health
@@ -94,11 +94,11 @@
             if now - received.time > self._lifetime:
                 break
             until = received.time + self._lifetime
-            if received.name in agreeing:
+            if received.sender in agreeing:
                 continue  # a later digest of the same member counts
             if received.digest != own_digest:
                 return until, ViewHealth.UNSETTLED
-            agreeing.add(received.name)
+            agreeing.add(received.sender)
         needed = min(REQUIRED_AGREEING_MEMBERS, peer_count)
         return until, ViewHealth.SETTLED if len(agreeing) >= needed else ViewHealth.UNSETTLED
 
--- a/valverouter/membership/dissemination.py
+++ b/valverouter/membership/dissemination.py
@@ -25,7 +25,7 @@
 
     def broadcast(self, record: MemberRecord) -> None:
         """Queues an update for all members, and starts the gossip rounds where none are running."""
-        self._queue.put(record)
+        self._queue.enqueue(record)
         if not self._is_gossip_scheduled:
             self._is_gossip_scheduled = True
             self._schedule_gossip()
@@ -33,7 +33,7 @@
     def take_updates(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         """Updates to piggyback on one message; `first` goes in any case."""
         node = self._node
-        return self._queue.take(node.config.retransmit_limit(node.view.live_count), first)
+        return self._queue.take_batch(node.config.retransmit_limit(node.view.live_count), first)
 
     def _schedule_gossip(self) -> None:
         config = self._node.config
--- a/valverouter/membership/failure_detector.py
+++ b/valverouter/membership/failure_detector.py
@@ -64,9 +64,9 @@
         nonce = self.probes.add(probe)
         updates = self._dissemination.take_updates(_accusation(record))
         node.send(record.address, Ping(*node.header(), nonce, record.incarnation, updates))
-        indirect_at = node.now + int(config.indirect_probe_after * timeout)
+        indirect_at = node.now + int(config.indirect_probe_delay_factor * timeout)
         node.timers.schedule(indirect_at, self._probe_indirectly, nonce)
-        node.timers.schedule(deadline, self._conclude, nonce)
+        node.timers.schedule(deadline, self._on_probe_deadline, nonce)
 
     def _probe_indirectly(self, nonce: int) -> None:
         """No answer yet: repeats the ping, and asks helpers, whose own paths may work."""
@@ -85,7 +85,7 @@
             )
             node.send(node.view.records[name].address, request)
 
-    def _conclude(self, nonce: int) -> None:
+    def _on_probe_deadline(self, nonce: int) -> None:
         """The deadline of a probe: if it is still open, it has failed."""
         probe = self.probes.pop(nonce)
         if probe is None:
@@ -125,7 +125,7 @@
         self._correct_stale_accusation(address, request, accusation)
         updates = accusation or self._dissemination.take_updates()
         node.send(request.target_address, Ping(*node.header(), nonce, request.target_incarnation, updates))
-        nack_at = node.now + int(config.indirect_probe_after * config.probe_period)
+        nack_at = node.now + int(config.indirect_probe_delay_factor * config.probe_period)
         node.timers.schedule(nack_at, self._send_nack, nonce)
         node.timers.schedule(probe.deadline, self.probes.discard, nonce)
 
--- a/valverouter/membership/gossip.py
+++ b/valverouter/membership/gossip.py
@@ -23,19 +23,19 @@
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
-        # In the order in which they entered: the stable sort of `take` keeps it among equals.
+        # In the order in which they entered: the stable sort of `take_batch` keeps it among equals.
         self._updates: dict[str, QueuedUpdate] = {}
 
     def __len__(self) -> int:
         """How many updates are queued."""
         return len(self._updates)
 
-    def put(self, record: MemberRecord) -> None:
+    def enqueue(self, record: MemberRecord) -> None:
         """Queues an update, at the end of those transmitted as often."""
         self._updates.pop(record.name, None)
         self._updates[record.name] = QueuedUpdate(record, 0, record.size)
 
-    def take(self, transmit_limit: int, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
+    def take_batch(self, transmit_limit: int, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         """Records for one message, the least transmitted ones first, and counts them as transmitted.
 
         `first` goes in any case and comes first, queued or not.
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -93,9 +93,11 @@
         deadline = self.suspicions.accuse(name, accuser, node.now, node.view.live_count, multiplier)
         if deadline is not None:
             self._dissemination.broadcast(suspect)
-            node.timers.schedule(deadline, self._on_deadline, name, current.incarnation, current.sequence)
+            node.timers.schedule(
+                deadline, self._on_suspicion_deadline, name, current.incarnation, current.sequence
+            )
 
-    def _on_deadline(self, name: str, incarnation: int, sequence: int) -> None:
+    def _on_suspicion_deadline(self, name: str, incarnation: int, sequence: int) -> None:
         """The suspect's time is up; it gets a final probe before this member declares it gone."""
         node = self._node
         current = node.view.records.get(name)
@@ -105,7 +107,7 @@
             return
         if not self.suspicions.is_expired(name, node.now):
             deadline = self.suspicions.deadline(name)
-            node.timers.schedule(deadline, self._on_deadline, name, incarnation, sequence)
+            node.timers.schedule(deadline, self._on_suspicion_deadline, name, incarnation, sequence)
             return
         multiplier = self._detector.local_health.timeout_multiplier
         self.suspicions.begin_final_probe(name, node.now, multiplier)
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -218,7 +218,7 @@
             return
         self._convergence.record_digest(self._node.now, message.name, message.digest)
         if message.digest != view.digest:
-            self._anti_entropy.on_different_digest(current.address)
+            self._anti_entropy.on_digest_mismatch(current.address)
 
     def _correct_sender(self, address: str, current: MemberRecord | None) -> None:
         """Sends a sender that the view holds differently what is held: it answers with its own record."""
--- a/valverouter/membership/model.py
+++ b/valverouter/membership/model.py
@@ -114,19 +114,23 @@
         """The state once the observer holds the record."""
         seen = self.seen[observer] | {record.incarnation}
         return replace(
-            self, held=_replaced(self.held, observer, record), seen=_replaced(self.seen, observer, seen)
+            self,
+            held=_replace_item(self.held, observer, record),
+            seen=_replace_item(self.seen, observer, seen),
         )
 
     def with_forgotten(self, observer: int) -> ModelState:
         """The state once the observer has forgotten the name."""
         nothing_seen: frozenset[int] = frozenset()
         return replace(
-            self, held=_replaced(self.held, observer, None), seen=_replaced(self.seen, observer, nothing_seen)
+            self,
+            held=_replace_item(self.held, observer, None),
+            seen=_replace_item(self.seen, observer, nothing_seen),
         )
 
     def with_process(self, index: int, process: ModelProcess) -> ModelState:
         """The state with a process replaced."""
-        return replace(self, processes=_replaced(self.processes, index, process))
+        return replace(self, processes=_replace_item(self.processes, index, process))
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,19 +152,19 @@
         Raises PropertyViolationError at the first violation, StateLimitError above `state_limit` states.
         """
         start = ModelState()
-        known = {start}
-        waiting = deque([start])
-        while waiting:
-            state = waiting.popleft()
+        explored = {start}
+        frontier = deque([start])
+        while frontier:
+            state = frontier.popleft()
             self._check_convergence(state)
             for successor in self._successors(state):
-                if successor in known:
+                if successor in explored:
                     continue
-                known.add(successor)
-                waiting.append(successor)
-                if len(known) > state_limit:
+                explored.add(successor)
+                frontier.append(successor)
+                if len(explored) > state_limit:
                     raise StateLimitError(f"over {state_limit} states")
-        return len(known)
+        return len(explored)
 
     # The protocol, with a rule omitted where asked
 
@@ -175,10 +179,10 @@
         return supersedes(candidate, current)
 
     def _superseding_record(self, own: MemberRecord, other: MemberRecord) -> MemberRecord:
-        raised = superseding_record(own, other)
+        updated = superseding_record(own, other)
         if self.omitted is ProtocolRule.NAMING:
-            return msgspec.structs.replace(raised, previous_incarnations=own.previous_incarnations)
-        return raised
+            return msgspec.structs.replace(updated, previous_incarnations=own.previous_incarnations)
+        return updated
 
     def _conflict_action(self, process: ModelProcess, record: MemberRecord) -> ConflictAction:
         action = classify_own_name_record(process.own_record, record, process.conflicting)
@@ -194,7 +198,7 @@
 
     def _successors(self, state: ModelState) -> Iterator[ModelState]:
         yield from self._starts(state)
-        yield from self._ends(state)
+        yield from self._exits(state)
         for record in state.published:
             yield from self._deliveries(state, record)
         for observer, held in enumerate(state.held):
@@ -217,7 +221,7 @@
             started = replace(state, processes=processes, concurrent=state.concurrent | pairs)
             yield started.with_published(own)
 
-    def _ends(self, state: ModelState) -> Iterator[ModelState]:
+    def _exits(self, state: ModelState) -> Iterator[ModelState]:
         for index, process in enumerate(state.processes):
             if process.is_running:
                 yield state.with_process(index, replace(process, is_running=False))
@@ -235,7 +239,7 @@
         held = state.held[observer]
         accepts = record.state in LIVE_STATES if held is None else self._supersedes(record, held)
         if accepts:
-            _check_no_return(state, observer, record)
+            _check_no_reversion(state, observer, record)
             yield state.with_held(observer, record)
 
     def _delivered_to_process(
@@ -249,8 +253,8 @@
             case ConflictAction.REFUTE:
                 yield _published(state, index, process, refuting_record(process.own_record, record))
             case ConflictAction.SUPERSEDE:
-                raised = self._superseding_record(process.own_record, record)
-                yield _published(state, index, replace(process, conflicting=0), raised)
+                updated = self._superseding_record(process.own_record, record)
+                yield _published(state, index, replace(process, conflicting=0), updated)
             case ConflictAction.VERIFY:
                 yield from _verified(state, index, record.incarnation)
 
@@ -260,13 +264,13 @@
         running = {process.own_record.incarnation for process in state.running()}
         if not running:
             return
-        final = self._without_faults(state)
+        final = self._quiescent_state(state)
         held = {record.incarnation if record else 0 for record in final.held}
         all_alive = all(record is not None and record.state == MemberState.ALIVE for record in final.held)
         if len(held) > 1 or not held <= running or not all_alive:
             raise PropertyViolationError(f"no convergence: {final.held} while {sorted(running)} runs")
 
-    def _without_faults(self, state: ModelState) -> ModelState:
+    def _quiescent_state(self, state: ModelState) -> ModelState:
         """The state in which nothing changes any more once every record reaches everybody."""
         start = state
         for _ in range(MAX_DELIVERY_ROUNDS):
@@ -319,7 +323,7 @@
             yield proven.with_process(other_index, replace(other, conflicting=process.own_record.incarnation))
 
 
-def _check_no_return(state: ModelState, observer: int, record: MemberRecord) -> None:
+def _check_no_reversion(state: ModelState, observer: int, record: MemberRecord) -> None:
     if record.state not in LIVE_STATES:
         return
     for incarnation in state.seen[observer]:
@@ -339,5 +343,5 @@
     return record.incarnation, record.sequence, int(record.state), record.accuser
 
 
-def _replaced(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
+def _replace_item(items: tuple[Item, ...], index: int, item: Item) -> tuple[Item, ...]:
     return (*items[:index], item, *items[index + 1 :])
--- a/valverouter/membership/name_conflicts.py
+++ b/valverouter/membership/name_conflicts.py
@@ -31,7 +31,7 @@
 )
 
 # A conflict is over after the other process was silent for so many anti-entropy intervals.
-SILENT_ANTI_ENTROPY_INTERVALS = 3
+CONFLICT_TIMEOUT_INTERVALS = 3
 
 
 class ConflictAction(Enum):
@@ -77,7 +77,7 @@
 
     incarnation: int = 0
     address: str = ""
-    last_heard: int = 0
+    last_received: int = 0
 
     @property
     def is_active(self) -> bool:
@@ -87,16 +87,16 @@
     def update(self, incarnation: int, address: str, now: int) -> bool:
         """Notes a message of the other process; whether that one was not known before."""
         is_new = incarnation != self.incarnation
-        self.incarnation, self.address, self.last_heard = incarnation, address, now
+        self.incarnation, self.address, self.last_received = incarnation, address, now
         return is_new
 
     def is_expired(self, now: int, timeout: int) -> bool:
         """Whether the other process has been silent for longer than `timeout` ns."""
-        return self.is_active and now - self.last_heard > timeout
+        return self.is_active and now - self.last_received > timeout
 
     def clear(self) -> None:
         """No other process is known any more."""
-        self.incarnation, self.address, self.last_heard = 0, "", 0
+        self.incarnation, self.address, self.last_received = 0, "", 0
 
 
 class NameConflictResolver:
@@ -170,7 +170,7 @@
         if not conflict.is_active:
             return
         config = node.config
-        timeout = int(SILENT_ANTI_ENTROPY_INTERVALS * config.anti_entropy_periods * config.probe_period)
+        timeout = int(CONFLICT_TIMEOUT_INTERVALS * config.anti_entropy_periods * config.probe_period)
         if conflict.is_expired(node.now, timeout):
             self._end_conflict()
             cleared = msgspec.structs.replace(node.own_record, name_conflict=False)
--- a/valverouter/membership/records.py
+++ b/valverouter/membership/records.py
@@ -133,5 +133,5 @@
     earlier = (incarnation for incarnation in own.previous_incarnations if incarnation != other.incarnation)
     previous = (other.incarnation, *earlier)[:MAX_PREVIOUS_INCARNATIONS]
     generation = max(own.generation, other.generation + 1)
-    raised = msgspec.structs.replace(own, generation=generation, previous_incarnations=previous)
-    return next_own_record(raised)
+    updated = msgspec.structs.replace(own, generation=generation, previous_incarnations=previous)
+    return next_own_record(updated)
--- a/valverouter/membership/view.py
+++ b/valverouter/membership/view.py
@@ -19,12 +19,12 @@
 DIGEST_MASK = 2 ** (8 * DIGEST_BYTES) - 1
 
 
-def bucket_of(name: str) -> int:
+def bucket_index(name: str) -> int:
     """The index of the bucket that a member name belongs to."""
     return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
-def digest_of(record: MemberRecord) -> int:
+def member_digest(record: MemberRecord) -> int:
     """64 bits over what the digest of a view covers of a member."""
     parts = record.name, *_digested_facts(record)
     digest = blake2b(repr(parts).encode(), digest_size=DIGEST_BYTES).digest()
@@ -96,9 +96,9 @@
         name = record.name
         previous = self.records.get(name)
         if previous is not None:
-            self._count(previous, -1)
+            self._adjust_counts(previous, -1)
         self.records[name] = record
-        self._count(record, 1)
+        self._adjust_counts(record, 1)
         if previous is None or previous.state != record.state or previous.incarnation != record.incarnation:
             self.state_since[name] = now
             self._cached_live_names = None
@@ -109,14 +109,14 @@
         record = self.records.pop(name)
         self.state_since.pop(name, None)
         self._cached_live_names = None
-        self._count(record, -1)
+        self._adjust_counts(record, -1)
         self._replace_digest(name, self._digests.pop(name, 0), 0)
         if record.state == MemberState.GONE and record.address not in self.forgotten_addresses:
             self.forgotten_addresses.append(record.address)
 
     def records_in_buckets(self, buckets: set[int]) -> list[MemberRecord]:
         """The records of all members in the buckets."""
-        return [record for name, record in self.records.items() if bucket_of(name) in buckets]
+        return [record for name, record in self.records.items() if bucket_index(name) in buckets]
 
     def reconnect_addresses(self, seeds: tuple[str, ...]) -> list[str]:
         """Addresses that no live member has: of members gone, of seeds, and of some forgotten members."""
@@ -131,7 +131,7 @@
         if record.is_live:
             # Most changes are suspicions and their ends, which the digest does not cover: no hash for these.
             is_unchanged = previous is not None and _digested_facts(previous) == _digested_facts(record)
-            new_digest = old_digest if old_digest and is_unchanged else digest_of(record)
+            new_digest = old_digest if old_digest and is_unchanged else member_digest(record)
             self._digests[name] = new_digest
         self._replace_digest(name, old_digest, new_digest)
 
@@ -139,11 +139,11 @@
         if old_digest == new_digest:
             return
         change = new_digest - old_digest
-        index = bucket_of(name)
+        index = bucket_index(name)
         self.bucket_digests[index] = (self.bucket_digests[index] + change) & DIGEST_MASK
         self.digest = (self.digest + change) & DIGEST_MASK
 
-    def _count(self, record: MemberRecord, change: int) -> None:
+    def _adjust_counts(self, record: MemberRecord, change: int) -> None:
         if record.is_live:
             self.live_count += change
         if record.state == MemberState.SUSPECT:
