--- a/tests/membership_harness.py
+++ b/tests/membership_harness.py
@@ -1,4 +1,4 @@
-"""A fleet in simulated time, for the tests of membership."""
+"""A fleet in simulated time for the membership tests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.simulation.start_converged(member_count, SEEDS)
 
     def event_count(self, kind: EventKind, member: str = "") -> int:
-        """How many events of a kind there were, about one member or about all."""
+        """Returns the number of events of a kind, about one member or about all members."""
         event_counts = self.event_counts.items()
         return sum(
             count
@@ -47,28 +47,32 @@
         )
 
     def wait_for_convergence(self, timeout_s: float, stable_s: float = 8.0) -> float:
-        """Seconds until all views agree; fails when that takes too long, or does not last for `stable_s`."""
+        """Runs until all views agree and returns the simulated seconds that this took.
+
+        Fails if the views don't agree within `timeout_s`, or don't agree `stable_s` seconds later.
+        """
         started_at = self.simulation.now
         converged_at = self.simulation.run_until_converged(started_at + int(timeout_s * SECOND))
-        assert converged_at is not None, "not settled in time"
+        assert converged_at is not None, "the views did not converge in time"
         self.simulation.run_until(self.simulation.now + int(stable_s * SECOND))
-        assert self.simulation.is_converged(), "settled, and then not any more"
+        assert self.simulation.is_converged(), "the views converged but did not stay so"
         return (converged_at - started_at) / SECOND
 
 
 def partition(start_s: float, duration_s: float, *groups: set[str]) -> PathFault:
-    """A partition into groups, from `start_s` for `duration_s` seconds."""
+    """Returns a partition into groups from `start_s`, for `duration_s` seconds."""
     start = int(start_s * SECOND)
     until = start + int(duration_s * SECOND)
     return PathFault("split", start, until, groups=tuple(frozenset(group) for group in groups))
 
 
 def member_names(count: int) -> set[str]:
-    """The names of the first members."""
+    """Returns the names of the first `count` members."""
     return {f"e{number}" for number in range(count)}
 
 
 def with_later_sequence(record: MemberRecord, steps: int) -> MemberRecord:
+    """Returns the record with its sequence increased by `steps`."""
     for _ in range(steps):
         record = next_own_record(record)
     return record
--- a/tests/membership_service_harness.py
+++ b/tests/membership_service_harness.py
@@ -1,4 +1,4 @@
-"""Parts of the tests of the membership service: keys, settings, and services on sockets of this machine."""
+"""Helpers for the tests of the membership service: keys, settings, and services on loopback sockets."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def write_key_file(folder: Path, text: str = "k" * 40, mode: int = 0o600) -> Path:
-    """The key that GOSSIP_SECTION names, in the folder of the settings."""
+    """Writes the key file that GOSSIP_SECTION names into the folder of the settings; returns its path."""
     file = folder / "key"
     file.write_text(text)
     file.chmod(mode)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership protocol in simulated time: every fault is caused, and the views converge again."""
+"""Tests of the membership protocol in simulated time: faults are injected, then the views must converge."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     for name in sorted(member_names(24)):
         fleet.simulation.start(name, SEEDS)
     assert fleet.wait_for_convergence(15) < 10
-    assert fleet.event_count(EventKind.GONE) == 0, "nobody takes a restart for a death"
+    assert fleet.event_count(EventKind.GONE) == 0, "no member declares a restarted one gone"
 
 
 def test_a_third_of_the_members_killed_at_once() -> None:
@@ -103,7 +103,7 @@
         12, [PathFault("cut", 5 * SECOND, 60 * SECOND, frozenset({"e5"}), frozenset({"e8"}))]
     )
     fleet.simulation.run_until(60 * SECOND)
-    assert fleet.event_count(EventKind.GONE) == 0, "others reach it, and say so"
+    assert fleet.event_count(EventKind.GONE) == 0, "helpers reach it and forward its acks"
 
 
 def test_a_member_stopped_for_8_s_ten_times_in_a_row_declares_nobody_gone() -> None:
@@ -115,7 +115,7 @@
     fleet.wait_for_convergence(15)
     deaths = {(observer, member) for observer, kind, member in fleet.event_counts if kind is EventKind.GONE}
     assert not [member for observer, member in deaths if observer == "e5"], (
-        "it wakes and declares nobody gone"
+        "the stalled member declares no member gone"
     )
     assert all(member == "e5" for _, member in deaths)
 
@@ -157,7 +157,7 @@
     fleet.simulation.start("e12", SEEDS)
     fleet.simulation.run_until(fleet.simulation.now + 5 * SECOND)
     assert fleet.simulation.nodes["e12"].membership.view_health is ViewHealth.UNSETTLED, (
-        "alone although seeds are configured: not a fleet of one"
+        "no live peer although seeds are configured: not a fleet of one"
     )
     fleet.simulation.start("e1", ("e5:1",))
     fleet.wait_for_convergence(20)
@@ -173,7 +173,7 @@
         fleet.simulation.run_until(fleet.simulation.now + 3 * SECOND)
         assert restarted.membership.own_record.generation > previous.generation
         assert previous.incarnation in restarted.membership.own_record.previous_incarnations
-        # A late record of the previous incarnation.
+        # A delayed record of the previous incarnation.
         for node in fleet.simulation.running_nodes():
             gossip = Gossip(
                 "e9",
@@ -191,7 +191,10 @@
 
 
 def test_a_probe_of_a_previous_incarnation_tells_the_new_one_of_it() -> None:
-    """Nobody else tells the new incarnation of the previous one, whose generation is higher."""
+    """The new incarnation has no seeds and the lower generation, as its clock was set back.
+
+    It can learn of the previous incarnation only from members that probe its address.
+    """
     fleet = SimulatedFleet(4)
     fleet.simulation.run_until(5 * SECOND)
     fleet.simulation.kill("e3")
@@ -199,12 +202,12 @@
     restarted = fleet.simulation.start("e3", (), wall_ms=WALL_CLOCK_START_MS - 3_600_000)
     fleet.wait_for_convergence(10)
     assert previous.incarnation in restarted.membership.own_record.previous_incarnations, (
-        "who probed the previous incarnation told it"
+        "a member that probed the previous incarnation sent its record"
     )
 
 
 def start_second_process(fleet: SimulatedFleet) -> tuple[SimulatedNode, SimulatedNode]:
-    """Starts another process under the name of e3; both."""
+    """Starts another process under the name of e3; returns the first and the second process."""
     first = fleet.simulation.nodes["e3"]
     second = fleet.simulation.start("e3", SEEDS, address="e3:2")
     fleet.simulation.nodes["e3-first"] = first
@@ -234,7 +237,7 @@
     fleet.simulation.run_until(120 * SECOND)
     assert fleet.event_count(EventKind.RESTARTED) == before
     assert fleet.event_count(EventKind.GONE) == 0
-    # The process that the fleet holds ends: the other takes its place, and no conflict is left.
+    # The process in the views ends: the other one replaces it, and the conflict ends.
     ending = first if first.membership.own_record.incarnation in held else second
     remaining = second if ending is first else first
     ending.alive = False
@@ -294,8 +297,9 @@
 
 
 def test_a_failed_probe_proves_nothing_once_its_target_has_refuted() -> None:
-    """Found by simulated days with stalls: a probe begun before a refutation declared the member gone on its
-    next stall."""
+    """Guards against a failure that simulated scenarios with stalls had: a final probe that began before a
+    refutation declared the member gone on its next stall.
+    """
     fleet = SimulatedFleet(6)
     fleet.simulation.run_until(3 * SECOND)
     member = fleet.simulation.nodes["e0"].membership
@@ -305,7 +309,9 @@
     member.member_updates.apply(next_own_record(held))
     member.member_updates.apply(as_reported(next_own_record(held), MemberState.SUSPECT, "e2"))
     member.failure_detector._on_probe_deadline(nonce)
-    assert member.view.records["e1"].state is MemberState.SUSPECT, "not gone: the suspicion is a second old"
+    assert member.view.records["e1"].state is MemberState.SUSPECT, (
+        "not gone: the suspicion is newer than the probe"
+    )
 
 
 def test_a_member_that_missed_a_refutation_learns_of_it_by_indirect_probes() -> None:
@@ -382,7 +388,9 @@
             for name, held in node.membership.view.records.items():
                 incarnations = seen.setdefault((node.membership.own_record.incarnation, name), [])
                 if held.is_live and (not incarnations or incarnations[-1] != held.incarnation):
-                    assert held.incarnation not in incarnations, f"{node.name} went back to a previous {name}"
+                    assert held.incarnation not in incarnations, (
+                        f"{node.name} reverted to a previous incarnation of {name}"
+                    )
                     incarnations.append(held.incarnation)
 
     for second in range(2, 46):
--- a/tests/test_membership_config.py
+++ b/tests/test_membership_config.py
@@ -1,4 +1,4 @@
-"""The settings of an instance's membership and of the faults between instances, and how they are rejected."""
+"""Tests of the settings for membership and for faults between instances: valid values and rejections."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert gossip_config.seeds == ("127.0.0.1:7001", "[::1]:7002")
     assert gossip_config.period == SECOND
     assert edge_config(IniFile(EDGE_SECTIONS, "e.ini")).between is None, (
-        "without the section there is no view"
+        "without the section, membership is disabled"
     )
 
 
--- a/tests/test_membership_model.py
+++ b/tests/test_membership_model.py
@@ -1,4 +1,4 @@
-"""The explicit-state model of membership: its properties hold, and each rule of the protocol is needed."""
+"""Tests of the explicit-state model of membership: its properties hold, and each protocol rule is needed."""
 
 from __future__ import annotations
 
--- a/tests/test_membership_records.py
+++ b/tests/test_membership_records.py
@@ -1,4 +1,4 @@
-"""Records, the view's digest and the queue of updates, each alone."""
+"""Unit tests of member records, the view's digest and the broadcast queue."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     assert supersedes(raised, previous)
     assert not supersedes(previous, raised)
     later = as_reported(with_later_sequence(previous, 50), MemberState.GONE, "x")
-    assert not supersedes(later, raised), "no record of the previous incarnation counts any more"
+    assert not supersedes(later, raised), "a previous incarnation has no record that supersedes the new one"
 
 
 @settings(max_examples=40, deadline=None)
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""The membership service on sockets, in virtual time, and as `valverouter fleet view` shows it."""
+"""Tests of the membership service on sockets and in virtual time, and of `valverouter fleet view`."""
 
 from __future__ import annotations
 
@@ -48,7 +48,9 @@
         await nursery.start(second.run)
         await wait_until(lambda: live_members(first) == live_members(second) == {"e0", "e1"})
         await wait_until(lambda: view_health(first) == "settled")
-        await wait_until(lambda: first.counts["size-differs"] == 1)  # the rig's settings say 1
+        await wait_until(
+            lambda: first.counts["size-differs"] == 1
+        )  # the test's settings give a fleet size of 1
         second.leave()
         await second.ended.wait()
         await wait_until(lambda: live_members(first) == {"e0"})
@@ -88,7 +90,7 @@
 
 
 async def test_a_flood_of_forged_datagrams_is_never_answered_and_disconnects_nobody() -> None:
-    """10,000 a second for a second and a half; the two go on hearing each other."""
+    """10,000 datagrams per second for 1.5 s; the two members continue to receive each other's messages."""
     first = new_service("e0")
     async with running(first) as nursery:
         second = new_service("e1", (address_of(first),))
@@ -125,7 +127,7 @@
             record = MemberRecord(f"e{number}", "north", number, f"127.0.0.1:{20_000 + number}", 1, number)
             first.membership.view.set_record(record, 0)
         client = FleetClient((KEY,), SocketRuntime().bind_datagrams("127.0.0.1:0"), random.Random(1))
-        first.membership.tick = lambda now: None  # type: ignore[method-assign]  # those 59 are not there
+        first.membership.tick = lambda now: None  # type: ignore[method-assign]  # no probes: the 59 added members don't run
         answer, silent = await client.query_views([address_of(first), "127.0.0.1:9"])
         assert answer.missing_page is None
         assert answer.page_count > 3
--- a/valverouter/membership/anti_entropy.py
+++ b/valverouter/membership/anti_entropy.py
@@ -1,6 +1,7 @@
-"""Anti-entropy: whole views compared by the digests of their buckets, and the differing records exchanged.
+"""Anti-entropy: two members compare their views by bucket digests and exchange the records that differ.
 
-Exchanges are rare or limited to one a period: a member's steady traffic must not grow with its fleet.
+Exchanges run at long intervals or at most once per probe period, so that a member's steady traffic doesn't
+grow with the size of the fleet.
 """
 
 from __future__ import annotations
@@ -14,26 +15,29 @@
 from valverouter.membership.records import MemberRecord
 from valverouter.membership.view import BUCKET_COUNT, MembershipView
 
-# How many seeds a member without peers asks in each period.
+# The number of seeds that a member without peers contacts in each probe period.
 SEEDS_PER_JOIN = 3
-# The interval between two exchanges is drawn from these parts of `anti_entropy_periods`.
+# The interval between two exchanges is `anti_entropy_periods` times a random factor in [0.75, 1.25).
 MIN_INTERVAL_FACTOR, INTERVAL_FACTOR_RANGE = 0.75, 0.5
 
 
 def differing_buckets(own: list[int], received: tuple[int, ...]) -> list[int]:
-    """Indexes of the buckets whose digests differ; both sides have BUCKET_COUNT of them."""
+    """Returns the indexes of the buckets whose digests differ; both arguments have BUCKET_COUNT entries."""
     return [index for index in range(BUCKET_COUNT) if own[index] != received[index]]
 
 
 def valid_buckets(indexes: tuple[int, ...]) -> set[int]:
-    """Those of the requested bucket indexes that exist."""
+    """Returns the requested bucket indexes without those out of range."""
     return {index for index in indexes if 0 <= index < BUCKET_COUNT}
 
 
 def record_pages(
     view: MembershipView, own_record: MemberRecord, buckets: set[int], max_bytes: int
 ) -> Iterator[tuple[MemberRecord, ...]]:
-    """The records of the buckets in pages of at most `max_bytes`; the own record comes first in any case."""
+    """Yields the buckets' records in pages of at most `max_bytes`.
+
+    The first page always begins with the own record.
+    """
     page, free_bytes = [own_record], max_bytes - own_record.size
     for record in view.records_in_buckets(buckets):
         if record.name == own_record.name:
@@ -47,7 +51,7 @@
 
 
 class AntiEntropy:
-    """One member's exchanges: to join through seeds, periodically, and when digests differ."""
+    """Runs one member's exchanges: to join through seeds, periodically, and when digests differ."""
 
     def __init__(
         self,
@@ -56,7 +60,7 @@
         conflicts: NameConflictResolver,
         rate_limiter: AddressRateLimiter,
     ) -> None:
-        """Prepares the exchanges; `start` schedules them."""
+        """Creates the exchanges; `start` schedules them."""
         self._node = node
         self._seeds = seeds
         self._conflicts = conflicts
@@ -64,7 +68,7 @@
         self._last_digest_sync = node.now - node.config.probe_period
 
     def start(self) -> None:
-        """Schedules the first join and the first exchange."""
+        """Schedules the first join attempt and the first periodic exchange."""
         timers, now = self._node.timers, self._node.now
         timers.schedule(now, self._join)
         timers.schedule(now + self._interval(), self._run_exchange)
@@ -75,7 +79,10 @@
         return int(config.anti_entropy_periods * config.probe_period * factor)
 
     def _join(self) -> None:
-        """Until some member is known, asks a few seeds each period; later the exchanges go on trying them."""
+        """Syncs with a few random seeds each period until another live member is known.
+
+        After that, the periodic exchanges continue to try seeds that are not live members.
+        """
         node = self._node
         if node.view.live_count == 1 and self._seeds:
             for _ in range(min(SEEDS_PER_JOIN, len(self._seeds))):
@@ -83,9 +90,9 @@
             node.timers.schedule(node.now + node.config.probe_period, self._join)
 
     def _run_exchange(self) -> None:
-        """Syncs with a live member, and with one that is not believed to be live.
+        """Syncs with a random live member and with a random address that no live member has.
 
-        So two halves of a partition find each other, though each has declared the other gone.
+        The second sync lets the two sides of a partition merge after each has declared the other gone.
         """
         node = self._node
         node.timers.schedule(node.now + self._interval(), self._run_exchange)
@@ -103,14 +110,14 @@
         return addresses[int(self._node.draw() * len(addresses))]
 
     def sync(self, address: str) -> None:
-        """Begins an exchange with the member at the address."""
+        """Begins an exchange with the member at `address`."""
         node = self._node
         node.send(address, SyncDigests(*node.header(), tuple(node.view.bucket_digests), (node.own_record,)))
 
     def on_digest_mismatch(self, address: str) -> None:
-        """Begins an exchange with a member that has another digest, at most once a period.
+        """Begins an exchange with a member whose digest differs, at most once per probe period.
 
-        While an update spreads, all digests differ for a moment.
+        The limit is needed because digests differ temporarily while any update is being disseminated.
         """
         node = self._node
         if node.now - self._last_digest_sync >= node.config.probe_period:
@@ -118,7 +125,7 @@
             self.sync(address)
 
     def on_sync(self, address: str, request: SyncDigests) -> None:
-        """Answers with the records of the buckets that differ, and asks for the sender's."""
+        """Answers with the records of the differing buckets and requests the sender's records of them."""
         node = self._node
         if len(request.bucket_digests) != BUCKET_COUNT:
             return
@@ -126,17 +133,17 @@
         if differing:
             self._send_records(address, set(differing), tuple(differing))
         else:
-            # The views are equal: without an answer a member that has just joined would not know it was
-            # heard.
+            # The views are equal. Without an answer, a member that has just joined wouldn't know that its
+            # message was received.
             node.send(address, SyncRecords(*node.header(), (), (node.own_record,)))
 
     def on_records(self, address: str, message: SyncRecords) -> None:
-        """Sends the records that the other side asks for in turn."""
+        """Sends the records of the buckets that the other side requests."""
         if message.wanted_buckets:
             self._send_records(address, valid_buckets(message.wanted_buckets), ())
 
     def _send_records(self, address: str, buckets: set[int], wanted: tuple[int, ...]) -> None:
-        """Sends the buckets' records page by page; the first page asks for the `wanted` buckets."""
+        """Sends the buckets' records page by page; the first page requests the `wanted` buckets."""
         node = self._node
         for page in record_pages(node.view, node.own_record, buckets, node.config.max_update_bytes):
             node.send(address, SyncRecords(*node.header(), wanted, page))
--- a/valverouter/membership/convergence.py
+++ b/valverouter/membership/convergence.py
@@ -1,9 +1,9 @@
-"""How far a member trusts its own view: settled, unsettled or cut off.
+"""Estimates the health of a member's own view: settled, unsettled or cut off.
 
-The fleet has converged when all live members that reach each other have the same digest. A single member
-can't see that. It takes its view for settled when the digests last received from members drawn at random are
-all its own and it suspects nobody. It takes itself for cut off when it holds less than half of those it knew
-for live, or when nobody has answered for a while.
+The fleet has converged when all live members that can reach each other have the same digest. A single member
+can't observe that. It considers its view settled when the latest digests from randomly drawn members equal
+its own and it suspects no member. It considers itself cut off when fewer than half of the members in its view
+are live, or when several of its probes in a row got no answer from any member.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from valverouter.membership.config import MembershipConfig
 from valverouter.membership.view import MembershipView
 
-# The digests of so many different members have to agree, where there are so many.
+# The number of members whose digests must equal the own one; in a smaller fleet, all other live members.
 REQUIRED_AGREEING_MEMBERS = 5
-# After so many probes in a row that nobody answered, helpers included, the member is cut off.
+# The number of consecutive probes without an answer, from helpers either, after which the member is cut off.
 CUT_OFF_UNANSWERED_PROBES = 8
-# Digests count for so many probe periods.
+# How long a received digest is valid, in probe periods.
 DIGEST_LIFETIME_PERIODS = 5
 
 
 class ViewHealth(Enum):
-    """The health of a view. The values are sent to tools and printed."""
+    """The health of a view. Its values are sent to tools and printed."""
 
     SETTLED = "settled"
     UNSETTLED = "unsettled"
@@ -32,7 +32,7 @@
 
 
 class ReceivedDigest(NamedTuple):
-    """A digest, who sent it, and when it was received (ns)."""
+    """A view digest, the name of its sender, and when it was received (ns)."""
 
     time: int
     sender: str
@@ -40,7 +40,7 @@
 
 
 class CachedResult(NamedTuple):
-    """A comparison of digests: until when (ns) and for which own digest and number of peers it holds."""
+    """A comparison of digests, valid until a time (ns) for one own digest and one number of peers."""
 
     until: int
     digest: int
@@ -48,12 +48,12 @@
     health: ViewHealth
 
     def is_valid(self, now: int, digest: int, peer_count: int) -> bool:
-        """Whether the comparison would give the same result again."""
+        """Returns whether a new comparison would give the same result."""
         return now <= self.until and (digest, peer_count) == (self.digest, self.peer_count)
 
 
 class ConvergenceDetector:
-    """The digests received last, bounded in number, and what follows from them."""
+    """Derives the view's health from the most recently received digests, a bounded number."""
 
     def __init__(self, config: MembershipConfig) -> None:
         self._received: deque[ReceivedDigest] = deque(maxlen=4 * REQUIRED_AGREEING_MEMBERS)
@@ -61,17 +61,17 @@
         self._cached: CachedResult | None = None
 
     def record_digest(self, now: int, sender: str, digest: int) -> None:
-        """Counts the digest that a live member sent."""
+        """Stores the digest that a live member sent."""
         self._received.append(ReceivedDigest(now, sender, digest))
         self._cached = None
 
     def health(
         self, now: int, view: MembershipView, unanswered_probes: int, expects_peers: bool
     ) -> ViewHealth:
-        """The health of the view.
+        """Returns the health of the view.
 
-        `unanswered_probes`: in a row, by nobody. `expects_peers`: seeds are configured, so being alone is not
-        a fleet of one.
+        `unanswered_probes`: consecutive probes that neither the target nor a helper answered.
+        `expects_peers`: seeds are configured, so a view without other live members isn't settled.
         """
         if _is_cut_off(view, unanswered_probes):
             return ViewHealth.CUT_OFF
@@ -87,7 +87,7 @@
         return cached.health
 
     def _compare_digests(self, now: int, own_digest: int, peer_count: int) -> tuple[int, ViewHealth]:
-        """What the received digests show, and until when (ns) that holds if no other one is received."""
+        """Returns until when (ns) the result is valid unless another digest is received, and the result."""
         agreeing: set[str] = set()
         until = now
         for received in reversed(self._received):
@@ -95,7 +95,7 @@
                 break
             until = received.time + self._lifetime
             if received.sender in agreeing:
-                continue  # a later digest of the same member counts
+                continue  # superseded by a later digest of the same member
             if received.digest != own_digest:
                 return until, ViewHealth.UNSETTLED
             agreeing.add(received.sender)
--- a/valverouter/membership/dissemination.py
+++ b/valverouter/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination of updates: piggybacked on every message, and by gossip rounds while they are new."""
+"""Dissemination of updates: piggybacked on other messages, and in gossip rounds while they are new."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Dissemination:
-    """The updates of one member on their way to the others."""
+    """Disseminates the updates that one member publishes or passes on."""
 
     def __init__(self, node: LocalNode) -> None:
         self._node = node
@@ -17,21 +17,21 @@
         self._is_gossip_scheduled = False
 
     def publish(self, own_record: MemberRecord) -> None:
-        """Replaces the own record, here and at the others."""
+        """Replaces the own record in the view and disseminates it."""
         node = self._node
         node.own_record = own_record
         node.view.set_record(own_record, node.now)
         self.broadcast(own_record)
 
     def broadcast(self, record: MemberRecord) -> None:
-        """Queues an update for all members, and starts the gossip rounds where none are running."""
+        """Queues an update for all members and starts gossip rounds if none are scheduled."""
         self._queue.enqueue(record)
         if not self._is_gossip_scheduled:
             self._is_gossip_scheduled = True
             self._schedule_gossip()
 
     def take_updates(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
-        """Updates to piggyback on one message; `first` goes in any case."""
+        """Returns updates to piggyback on one message; `first` is always among them."""
         node = self._node
         return self._queue.take_batch(node.config.retransmit_limit(node.view.live_count), first)
 
@@ -41,7 +41,7 @@
         self._node.timers.schedule(self._node.now + interval, self._gossip)
 
     def _gossip(self) -> None:
-        """One gossip round: new updates do not wait for a probe to carry them."""
+        """Runs one gossip round, so that new updates don't wait for a probe to be piggybacked on."""
         node = self._node
         if not self._queue.has_eager_updates(node.config.eager_transmits):
             self._is_gossip_scheduled = False
--- a/valverouter/membership/events.py
+++ b/valverouter/membership/events.py
@@ -1,4 +1,4 @@
-"""What a member reports to its owner, for logs, counters and traces."""
+"""Events that a member reports to its owner, for logs, counters and traces."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EventKind(StrEnum):
-    """The kinds of events. Their values are written to logs, counters and traces."""
+    """The kind of an event. Its values are written to logs, counters and traces."""
 
     JOINED = "joined"
     CHANGED = "changed"
@@ -21,10 +21,10 @@
     RESTARTED = "restarted"
     # Another member reported this one as suspect or gone.
     ACCUSED = "accused"
-    # Another running process has this member's name.
+    # Another running process uses this member's name.
     CONFLICT = "conflict"
     CONFLICT_OVER = "conflict-over"
-    # This process did not run for a while.
+    # This process was not scheduled for a while.
     STALLED = "stalled"
     # The view's health changed.
     SETTLED = "settled"
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipEvent:
-    """Something that this member found out.
+    """A change that this member detected or learned of.
 
-    `time`: ns on this member's clock. `record`: the member that it is about. `source`: the name of the member
-    that reported it, or the other process's address in a name conflict; may be empty.
+    `time`: ns on this member's clock. `record`: the record of the member concerned. `source`: the name of the
+    member that reported the change, or in a name conflict the other process's address; may be empty.
     """
 
     time: int
--- a/valverouter/membership/failure_detector.py
+++ b/valverouter/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: direct probes, indirect probes through helpers, and probes on others' behalf."""
+"""SWIM's failure detector: direct probes, indirect probes through helpers, and probes for requesters."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 
 class FailureDetector:
-    """Probes other members in turn.
+    """Probes the other members in rotation.
 
-    `on_failed` receives the record of a member that did not answer, and whether that was its final probe.
+    `on_failed` is called with the record of a member that didn't answer its probe, and with whether that was
+    the final probe.
     """
 
     def __init__(
         self, node: LocalNode, dissemination: Dissemination, on_failed: Callable[[MemberRecord, bool], None]
     ) -> None:
-        """Prepares the detector; `start` schedules the first probe."""
+        """Creates the detector; `start` schedules the first probe."""
         self.probes = ProbeTable(node.draw)
         self.local_health = LocalHealth(node.config)
         self._rotation = ProbeRotation(node.draw)
@@ -31,16 +32,16 @@
         self._interval = node.config.probe_period // node.config.probes_per_period
 
     def start(self) -> None:
-        """Schedules the first probe at a random moment of the first interval."""
+        """Schedules the first probe at a random time within the first interval."""
         first = self._node.now + int(self._node.draw() * self._interval)
         self._node.timers.schedule(first, self._probe_next)
 
     def add_member(self, name: str) -> None:
-        """A new member, to be probed within the present round."""
+        """Adds a new member to the current round of probes."""
         self._rotation.add(name)
 
     def on_stall(self) -> None:
-        """This process did not run for a while: open probes prove nothing against their targets."""
+        """Discards open probes, whose targets may have answered during the stall; worsens local health."""
         self.probes.clear()
         self.local_health.degrade()
 
@@ -54,7 +55,7 @@
             self.probe(node.view.records[name])
 
     def probe(self, record: MemberRecord, is_final: bool = False) -> None:
-        """Probes a member; without an answer within one period (times the local health) it has failed."""
+        """Probes a member; the timeout is one period times the local health's multiplier."""
         node, config = self._node, self._node.config
         timeout = config.probe_period * self.local_health.timeout_multiplier
         deadline = node.now + timeout
@@ -69,7 +70,7 @@
         node.timers.schedule(deadline, self._on_probe_deadline, nonce)
 
     def _probe_indirectly(self, nonce: int) -> None:
-        """No answer yet: repeats the ping, and asks helpers, whose own paths may work."""
+        """Repeats an unanswered ping and requests indirect probes; helpers' paths to the target may work."""
         node = self._node
         probe = self.probes.get(nonce)
         record = node.view.records.get(probe.target) if probe is not None else None
@@ -86,15 +87,16 @@
             node.send(node.view.records[name].address, request)
 
     def _on_probe_deadline(self, nonce: int) -> None:
-        """The deadline of a probe: if it is still open, it has failed."""
+        """Fails the probe if it is still open at its deadline."""
         probe = self.probes.pop(nonce)
         if probe is None:
             return
         record = self._node.view.records.get(probe.target)
         self.local_health.on_probe_failed(probe.helper_answered)
         if record is None or (record.incarnation, record.sequence) != (probe.incarnation, probe.sequence):
-            # It has published a record since the probe began. Counted as a failure all the same, a refuted
-            # suspicion became a death when a member that stalls now and then stalled again.
+            # The target has published a record since the probe began, so the failure isn't evidence against
+            # it. When it was, a member with occasional stalls that had refuted a suspicion was declared gone
+            # on its next stall.
             return
         if record.is_live:
             self._on_failed(record, probe.is_final)
@@ -102,15 +104,15 @@
     # Answers
 
     def on_nack(self, nack: Nack) -> None:
-        """A helper runs, and has not reached the target."""
+        """Notes that a helper answered, though the target hasn't answered the helper yet."""
         probe = self.probes.get(nack.nonce)
         if probe is not None and probe.requester is None:
             probe.helper_answered = True
 
-    # Probes on others' behalf
+    # Probes for requesters
 
     def on_ping_req(self, address: str, request: PingReq) -> None:
-        """Probes a member on behalf of the one at `address`, who gets a nack if no answer comes soon."""
+        """Probes a member for the requester at `address`; sends a nack if there is no answer in time."""
         node, config = self._node, self._node.config
         probe = Probe(
             request.target,
@@ -132,10 +134,10 @@
     def _correct_stale_accusation(
         self, address: str, request: PingReq, accusation: tuple[MemberRecord, ...]
     ) -> None:
-        """The requester may have missed a refutation.
+        """Sends the requester the target's refutation if it accuses the target by an older record.
 
-        Otherwise a member that stalls just then would be declared gone on a suspicion that all others know to
-        be refuted.
+        Without this, a target that stalls at that time would be declared gone because of a suspicion that
+        all other members know to be refuted.
         """
         node = self._node
         record = node.view.records.get(request.target)
@@ -145,7 +147,7 @@
             node.send(address, Gossip(*node.header(), (record,)))
 
     def relay_ack(self, probe: Probe, ack: Ack) -> None:
-        """Passes the answer to a probe on to its requester."""
+        """Forwards an ack to the requester of the probe."""
         if probe.requester is not None:
             address, nonce = probe.requester
             relayed = Ack(*self._node.header(), nonce, ack.member, ack.member_incarnation, ack.updates)
@@ -159,5 +161,5 @@
 
 
 def _accusation(record: MemberRecord) -> MemberRecord | None:
-    """The record where it accuses its member, who must receive it to refute it."""
+    """Returns the record if it accuses its member, which must receive the accusation to refute it."""
     return record if record.state != MemberState.ALIVE else None
--- a/valverouter/membership/gossip.py
+++ b/valverouter/membership/gossip.py
@@ -1,4 +1,4 @@
-"""The queue of updates that are being disseminated, each transmitted a limited number of times."""
+"""The queue of updates to disseminate, each of which is transmitted a limited number of times."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class QueuedUpdate(NamedTuple):
-    """An update, how often it was transmitted from here, and its size in bytes."""
+    """An update, the number of its transmissions by this member, and its size in bytes."""
 
     record: MemberRecord
     transmits: int
@@ -16,29 +16,29 @@
 
 
 class BroadcastQueue:
-    """Updates still to be transmitted, one for each member name: a later update replaces an earlier one.
+    """The updates to transmit, one for each member name: a later update replaces an earlier one.
 
-    `max_bytes` bounds the records taken for one message. An update leaves after its last transmission.
+    `max_bytes` bounds the records of one message. An update is removed after its last transmission.
     """
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
-        # In the order in which they entered: the stable sort of `take_batch` keeps it among equals.
+        # In insertion order, which the stable sort by transmissions keeps among equals.
         self._updates: dict[str, QueuedUpdate] = {}
 
     def __len__(self) -> int:
-        """How many updates are queued."""
+        """Returns the number of queued updates."""
         return len(self._updates)
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Queues an update, at the end of those transmitted as often."""
+        """Queues an update behind the others that have not been transmitted yet."""
         self._updates.pop(record.name, None)
         self._updates[record.name] = QueuedUpdate(record, 0, record.size)
 
     def take_batch(self, transmit_limit: int, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
-        """Records for one message, the least transmitted ones first, and counts them as transmitted.
+        """Returns records for one message, the least transmitted first, and counts their transmission.
 
-        `first` goes in any case and comes first, queued or not.
+        `first`, if given, is always included as the first record, whether it is queued or not.
         """
         if not self._updates:
             return (first,) if first is not None else ()
@@ -67,7 +67,7 @@
             self._updates[name] = QueuedUpdate(update.record, transmits, update.size)
 
     def has_eager_updates(self, eager_transmits: int) -> bool:
-        """Whether some update was transmitted fewer than `eager_transmits` times, and should not wait."""
+        """Returns whether some update was transmitted fewer than `eager_transmits` times."""
         return any(update.transmits < eager_transmits for update in self._updates.values())
 
 
--- a/valverouter/membership/local_node.py
+++ b/valverouter/membership/local_node.py
@@ -1,4 +1,4 @@
-"""The state that all parts of the protocol share: own record, view, clock, timers, outbox and events."""
+"""State shared by all parts of the protocol: own record, view, clock, timers, outbox and events."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class LocalNode:
-    """One member's shared state.
+    """The shared state of one member.
 
-    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner takes
-    what is in `outbox` (addresses with messages) and in `events`, both oldest first.
+    `now` is the time of the call being handled, ns. `draw` returns random numbers in [0, 1). The owner drains
+    `outbox` (addresses with messages) and `events`; both are in order, oldest first.
     """
 
     def __init__(
@@ -33,23 +33,23 @@
         self.events: list[MembershipEvent] = []
 
     def header(self) -> tuple[str, int, int]:
-        """The first three fields of every message: own name, own incarnation, digest of the view."""
+        """Returns the first three fields of every message: own name, own incarnation, digest of the view."""
         return self.own_record.name, self.own_record.incarnation, self.view.digest
 
     def send(self, address: str, message: Message) -> None:
-        """Queues a message."""
+        """Adds a message to the outbox."""
         self.outbox.append((address, message))
 
     def emit(self, kind: EventKind, record: MemberRecord, source: str = "") -> None:
-        """Queues an event at the current time."""
+        """Adds an event with the current time."""
         self.events.append(MembershipEvent(self.now, kind, record, source))
 
     def live_peers(self) -> list[str]:
-        """Names of all live members but this one; a new list."""
+        """Returns the names of all live members except this one, as a new list."""
         return self.view.live_names(self.own_record.name)
 
     def random_peers(self, count: int, excluding: str = "") -> list[str]:
-        """Up to `count` different live members drawn at random, without this one and `excluding`."""
+        """Returns up to `count` distinct live members at random, except this one and `excluding`."""
         names = self.live_peers()
         if excluding in names:
             names.remove(excluding)
--- a/valverouter/membership/member_updates.py
+++ b/valverouter/membership/member_updates.py
@@ -1,4 +1,4 @@
-"""Applies updates about other members to the view: joins, suspicions, deaths, leaves and forgetting."""
+"""Applies updates about other members to the view: joins, suspicions, failures, leaves and removals."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class MemberUpdates:
-    """What this member believes of the others, and how that changes.
+    """Updates this member's view of the others.
 
-    `suspicions` is emptied by refutations and ends; gone and left members leave the view after
-    `gone_retention`.
+    A suspicion is removed from `suspicions` when its member refutes it, is declared gone or leaves. Members
+    that are gone or have left are removed from the view after `gone_retention`.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._rate_limiter = rate_limiter
 
     def apply(self, update: MemberRecord) -> None:
-        """Takes in a received record of another member."""
+        """Applies a received record of another member."""
         node = self._node
         current = node.view.records.get(update.name)
         if current is not None and _is_accusation_of(update, current):
@@ -50,10 +50,10 @@
             self._send_other_incarnation(update.address, current)
 
     def _send_other_incarnation(self, address: str, current: MemberRecord) -> None:
-        """Sends the incarnation at `address` the record held here; neither has named the other.
+        """Sends the current record to another incarnation of its member, at `address`.
 
-        If it runs, it names the other and so supersedes it at all members. If it does not run, whoever has
-        its address now learns nothing from it.
+        Neither incarnation has named the other. If the one at `address` is running, it names the current one
+        and so supersedes it in all views. If it isn't, the message is of no use to a new user of the address.
         """
         if self._rate_limiter.allow(address, self._node.now):
             self._node.send(address, Gossip(*self._node.header(), (current,)))
@@ -61,7 +61,7 @@
     # Suspicion
 
     def _on_accusation(self, current: MemberRecord, accuser: str) -> None:
-        """Another member accuses this one; some of those who hear it first probe it themselves."""
+        """Records an accusation by another member, and at random probes the new suspect to check it."""
         node = self._node
         if not current.is_live or accuser == node.own_record.name:
             return
@@ -71,14 +71,14 @@
             self._detector.probe(node.view.records[current.name])
 
     def on_probe_failed(self, record: MemberRecord, is_final: bool) -> None:
-        """An own probe of a live member failed."""
+        """Suspects a live member whose probe failed; after a failed final probe, declares it gone."""
         if is_final and record.state == MemberState.SUSPECT:
             self._declare_gone(record)
         else:
             self._suspect(record, self._node.own_record.name)
 
     def _suspect(self, current: MemberRecord, accuser: str) -> None:
-        """Counts an accusation, by an own failed probe or as reported."""
+        """Counts an accusation, based on an own failed probe or reported by another member."""
         node = self._node
         if not node.config.suspicion_enabled:
             self._declare_gone(current)
@@ -98,7 +98,7 @@
             )
 
     def _on_suspicion_deadline(self, name: str, incarnation: int, sequence: int) -> None:
-        """The suspect's time is up; it gets a final probe before this member declares it gone."""
+        """Sends an expired suspect the final probe, which precedes declaring it gone."""
         node = self._node
         current = node.view.records.get(name)
         if current is None or current.state != MemberState.SUSPECT:
@@ -119,7 +119,7 @@
     # State changes
 
     def _accept(self, update: MemberRecord, source: str) -> None:
-        """Puts a later record into the view, reports the change and passes it on."""
+        """Stores a later record in the view, emits the change as an event and disseminates the record."""
         node = self._node
         previous = node.view.records.get(update.name)
         node.view.set_record(update, node.now)
@@ -136,7 +136,7 @@
             self._detector.add_member(update.name)
 
     def _accept_suspect(self, previous: MemberRecord | None, update: MemberRecord, source: str) -> None:
-        """A later record that is suspect already: its time to refute runs from now."""
+        """Stores a later record that is already suspect; its suspicion timeout starts now."""
         alive = as_reported(update, MemberState.ALIVE, "")
         self._node.view.set_record(alive, self._node.now)
         self._report_transition(previous, alive, source)
@@ -148,7 +148,7 @@
             self._node.emit(kind, update, source)
 
     def _forget(self, name: str, incarnation: int, sequence: int) -> None:
-        """Removes a member that has been gone or left for long enough."""
+        """Removes a member that is gone or has left, unless its record has changed since the scheduling."""
         view = self._node.view
         current = view.records.get(name)
         if current is None or current.is_live:
@@ -159,13 +159,13 @@
 
 
 def _is_accusation_of(update: MemberRecord, current: MemberRecord) -> bool:
-    """Whether the update accuses exactly the record that is held."""
+    """Returns whether the update is a suspicion of exactly the current record."""
     is_same = (update.incarnation, update.sequence) == (current.incarnation, current.sequence)
     return is_same and update.state == MemberState.SUSPECT
 
 
 def _transition_kind(previous: MemberRecord | None, update: MemberRecord) -> EventKind | None:
-    """What a record that replaces the previous one means; None: nothing worth reporting."""
+    """Returns the event for a record that replaces the previous one; None if there is none to emit."""
     if update.state == MemberState.GONE:
         return EventKind.GONE
     if update.state == MemberState.LEFT:
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -1,10 +1,10 @@
 """One member of the fleet: the protocol's entry points, and the dispatch of messages to its parts.
 
-The owner calls `receive` with each message and `tick` once `next_timer` has come, sends what `take_outbox`
-returns, and reports what `take_events` returns. There is no I/O in here.
+The owner calls `receive` with each message and `tick` at the time `next_timer`, sends the messages that
+`take_outbox` returns and reports the events that `take_events` returns. This module does no I/O.
 
 The protocol is SWIM (Das, Gupta, Motivala 2002) with the local health and the suspicion of Lifeguard (Dadgar,
-Phillips, Currey 2018); docs/fleet.md tells where it departs from them, and why.
+Phillips, Currey 2018); docs/fleet.md lists the deviations from them and their reasons.
 """
 
 from __future__ import annotations
@@ -45,10 +45,10 @@
 
 
 class Membership:
-    """One member. Its tables are bounded by the size of the fleet.
+    """One member of the fleet. The size of its tables is bounded by the size of the fleet.
 
     `own_record`: the member's first record of itself. `draw` returns random numbers in [0, 1). `now`
-    and all other times are ns on the owner's clock. `seeds`: addresses to join the fleet through.
+    and all other times are ns on the owner's clock. `seeds`: addresses through which to join the fleet.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         now: int,
         seeds: tuple[str, ...] = (),
     ) -> None:
-        """Schedules the first probe, the first join and the first exchange."""
+        """Schedules the first probe, join attempt and anti-entropy exchange."""
         self.config = config
         self.seeds = tuple(seed for seed in seeds if seed != own_record.address)
         self.view_health = ViewHealth.UNSETTLED
@@ -83,12 +83,12 @@
 
     @property
     def own_record(self) -> MemberRecord:
-        """The latest record that this member published of itself."""
+        """The latest record that this member has published of itself."""
         return self._node.own_record
 
     @property
     def view(self) -> MembershipView:
-        """What this member believes of the fleet, itself included."""
+        """This member's view of the fleet, including itself."""
         return self._node.view
 
     @view.setter
@@ -97,32 +97,32 @@
 
     @property
     def name_conflict(self) -> NameConflict:
-        """The other process that runs under this member's name, if any."""
+        """The conflict with another process that runs under this member's name, if any."""
         return self._conflicts.conflict
 
     @property
     def next_timer(self) -> int:
-        """When `tick` is to be called next, ns."""
+        """The time at which `tick` must be called next, ns."""
         return self._node.timers.next_due
 
     @property
     def outbox(self) -> list[tuple[str, Message]]:
-        """Messages to be sent, each with its address."""
+        """The messages to send, each with its destination address."""
         return self._node.outbox
 
     @property
     def events(self) -> list[MembershipEvent]:
-        """Events to be reported."""
+        """The events to report, oldest first."""
         return self._node.events
 
     def take_outbox(self) -> list[tuple[str, Message]]:
-        """Empties the outbox; addresses with messages, in the order of sending."""
+        """Empties the outbox and returns its addresses with messages, in sending order."""
         node = self._node
         outbox, node.outbox = node.outbox, []
         return outbox
 
     def take_events(self) -> list[MembershipEvent]:
-        """Empties the events; oldest first."""
+        """Empties the list of events and returns them, oldest first."""
         node = self._node
         events, node.events = node.events, []
         return events
@@ -132,7 +132,7 @@
     def tick(self, now: int) -> None:
         """Runs the timers that are due.
 
-        When they are late by more than half a period, this process did not run in between.
+        Timers that are late by more than half a probe period show that this process has stalled.
         """
         node = self._node
         lateness = now - node.timers.next_due
@@ -143,7 +143,7 @@
         self._update_view_health()
 
     def _on_stall(self, duration: int) -> None:
-        """Open probes are void, and suspects get the time back in which nothing was received."""
+        """Discards open probes and extends all suspicions by the time in which nothing was received."""
         self._node.emit(EventKind.STALLED, self.own_record)
         self.failure_detector.on_stall()
         self.member_updates.suspicions.postpone_all(duration)
@@ -161,7 +161,7 @@
     # The own record
 
     def update_facts(self, now: int, phase: Phase | None = None, config_digest: str | None = None) -> None:
-        """Publishes changed facts of this member; None leaves a fact as it is."""
+        """Publishes changed facts about this member; None keeps the present value."""
         self._node.now = now
         own = self.own_record
         phase = own.phase if phase is None else phase
@@ -171,7 +171,7 @@
             self._dissemination.publish(next_own_record(changed))
 
     def leave(self, now: int) -> None:
-        """Announces that this member leaves, so that nobody has to detect it."""
+        """Announces that this member leaves, so that the others needn't detect it as failed."""
         node = self._node
         node.now = now
         self._dissemination.publish(next_own_record(self.own_record, MemberState.LEFT))
@@ -181,7 +181,7 @@
     # Messages
 
     def receive(self, now: int, address: str, message: Message) -> None:
-        """Handles an authenticated message from an address."""
+        """Handles an authenticated message that was received from `address`."""
         self._node.now = now
         for record in updates_of(message):
             self._apply_update(record)
@@ -207,7 +207,7 @@
             self.member_updates.apply(record)
 
     def _check_sender(self, address: str, message: Message) -> None:
-        """Compares the sender in the message's header with the view."""
+        """Compares the sender and the digest in the message's header with the view."""
         own, view = self._node.own_record, self._node.view
         if message.name == own.name and message.incarnation != own.incarnation:
             self._conflicts.on_message(address, message)
@@ -221,7 +221,10 @@
             self._anti_entropy.on_digest_mismatch(current.address)
 
     def _correct_sender(self, address: str, current: MemberRecord | None) -> None:
-        """Sends a sender that the view holds differently what is held: it answers with its own record."""
+        """Sends the view's record to a sender that differs from it, so that the sender answers with its own.
+
+        `current`: the view's record of the sender; None starts an exchange instead.
+        """
         if not self._rate_limiter.allow(address, self._node.now):
             return
         if current is None:
@@ -230,7 +233,7 @@
             self._node.send(address, Gossip(*self._node.header(), (current,)))
 
     def _on_ping(self, address: str, ping: Ping) -> None:
-        """Answers; with the own record if the ping was for another process or carried an accusation."""
+        """Sends an ack, with the own record if the ping was for another incarnation or had an accusation."""
         node, own = self._node, self.own_record
         is_accused = any(record.name == own.name for record in ping.updates)
         needs_record = ping.target_incarnation != own.incarnation or is_accused
@@ -238,7 +241,7 @@
         node.send(address, Ack(*node.header(), ping.nonce, own.name, own.incarnation, updates))
 
     def _on_ack(self, ack: Ack) -> None:
-        """An answer to an own probe, to one on another member's behalf, or to one of the own name."""
+        """Handles the answer to an own probe, to a probe for a requester, or to one of the own name."""
         probe = self.failure_detector.probes.pop(ack.nonce)
         if probe is None or probe.target != ack.member:
             return
@@ -259,7 +262,7 @@
             if current.state == MemberState.SUSPECT:
                 self.member_updates.suspicions.on_ack(current.name, node.now)
         elif ack.member_incarnation not in current.previous_incarnations:
-            # Another incarnation answers at the address: once it gets the record held here, it supersedes it.
+            # Another incarnation answered. It supersedes the current record when it receives it.
             node.send(current.address, Gossip(*node.header(), (current,)))
 
     def _on_probe_failed(self, record: MemberRecord, is_final: bool) -> None:
--- a/valverouter/membership/messages.py
+++ b/valverouter/membership/messages.py
@@ -1,9 +1,9 @@
 """The messages between members, as plain data; `fleet/` encodes them into datagrams and decodes them.
 
 Every message begins with its sender (`name`, `incarnation`) and the digest of the sender's view. Most
-piggyback `updates`: records of any members, the sender's own included where the receiver needs it.
+messages piggyback `updates`: records of any members, including the sender's own if the receiver needs it.
 
-These are wire data: the order of the fields and the tags are fixed.
+This is the wire format: the order of the fields and the tags must not change.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 class Ping(FleetMessage, frozen=True, array_like=True, tag="p"):
     """A direct probe.
 
-    `target_incarnation`: the process that is meant; another one answers with its own record.
+    `target_incarnation`: the incarnation to be probed; another incarnation answers with its own record.
     """
 
     nonce: int = 0
@@ -33,7 +33,7 @@
 
 
 class Ack(FleetMessage, frozen=True, array_like=True, tag="a"):
-    """The answer to a ping: who runs at the pinged address. A helper passes it on under its own header."""
+    """The answer to a ping: the member at the pinged address. A helper forwards it under its own header."""
 
     nonce: int = 0
     member: str = ""
@@ -42,7 +42,11 @@
 
 
 class PingReq(FleetMessage, frozen=True, array_like=True, tag="k"):
-    """Asks a helper to ping the target. It answers with the ack it gets, or with a nack that only it runs."""
+    """Requests that a helper ping the target.
+
+    The helper forwards the target's ack. Until it has one, it answers with a nack, which shows only that the
+    helper runs.
+    """
 
     nonce: int = 0
     target: str = ""
@@ -52,13 +56,13 @@
 
 
 class Nack(FleetMessage, frozen=True, array_like=True, tag="n"):
-    """A helper's answer that the target has not answered it yet."""
+    """A helper's answer that it has not received an ack from the target yet."""
 
     nonce: int = 0
 
 
 class Gossip(FleetMessage, frozen=True, array_like=True, tag="g"):
-    """Updates alone."""
+    """Updates without any other content."""
 
     updates: tuple[MemberRecord, ...] = ()
 
@@ -73,7 +77,7 @@
 class SyncRecords(FleetMessage, frozen=True, array_like=True, tag="v"):
     """Records of the buckets that differ.
 
-    `wanted_buckets`: indexes of the buckets whose records the sender asks for.
+    `wanted_buckets`: indexes of the buckets whose records the sender requests in return.
     """
 
     wanted_buckets: tuple[int, ...] = ()
@@ -85,5 +89,5 @@
 
 
 def updates_of(message: Struct) -> tuple[MemberRecord, ...]:
-    """The records that a message carries; none for messages of other kinds."""
+    """Returns the records that a message carries; empty for message types without updates."""
     return message.updates if isinstance(message, UpdateCarrier) else ()
--- a/valverouter/membership/model.py
+++ b/valverouter/membership/model.py
@@ -1,21 +1,21 @@
-"""An explicit-state model of one member name: its processes, in turn or at once, and two observers.
+"""An explicit-state model of one member name: its processes, sequential or concurrent, and two observers.
 
-All orders of starts, ends, accusations, deliveries and forgetting are walked breadth first. The decisions are
-the program's own functions: `supersedes`, `classify_own_name_record`, `superseding_record`,
-`refuting_record`, `as_reported`. A published record may reach anybody at any later time, any number of times,
-or never: that covers loss, delay, duplication and reordering. Clocks are wrong in both directions: a new
-process draws a generation below or above all previous ones.
+The model checker explores all interleavings of starts, exits, accusations, deliveries and removals breadth
+first. Decisions are made by the program's own functions: `supersedes`, `classify_own_name_record`,
+`superseding_record`, `refuting_record`, `as_reported`. A published record may reach any process or observer
+at any later time, any number of times, or never, which covers loss, delay, duplication and reordering. Clocks
+may be wrong in both directions: a new process draws a generation below or above all previous ones.
 
 Properties:
 
-- No return: an observer never goes back from a process to one that ended before it began, unless it forgot
-  the name in between.
-- No endless raise: two processes under one name do not supersede each other without end.
-- Convergence: from every state, once faults are over and records get through, all observers hold the same
+- No reversion: an observer never replaces a process by one that ended before that process started, unless it
+  has forgotten the name in between.
+- Bounded supersession: two processes under one name don't supersede each other without end.
+- Convergence: from every state, once faults have ended and records are delivered, all observers hold the same
   running process as alive.
 
-With one rule of the protocol omitted, the walk must end in `PropertyViolationError`: that shows that the rule
-is needed, and that the walk would notice its absence.
+With any single rule of the protocol omitted, the exploration must raise `PropertyViolationError`. This shows
+that the rule is necessary and that the model detects its absence.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
     superseding_record,
 )
 
-# The generations that a new process draws: a clock set back, and one that is right.
+# The generations that a new process draws: of a clock that was set back, and of a correct one.
 LOW_GENERATION, HIGH_GENERATION = 1, 5
-# A generation above this shows that processes supersede each other without end.
+# A greater generation shows that processes supersede each other without end.
 MAX_GENERATION = 12
-# After so many rounds of delivering everything to everybody nothing may change any more.
+# The maximum number of rounds, each delivering all records to all recipients, until the state is stable.
 MAX_DELIVERY_ROUNDS = 24
 OBSERVER_COUNT = 2
 
@@ -51,11 +51,11 @@
 
 
 class ProtocolRule(Enum):
-    """The rules that can be omitted from a walk."""
+    """The protocol rules that an exploration can omit."""
 
     # A superseding record names the incarnation that it supersedes.
     NAMING = "naming"
-    # Of two incarnations the one that names the other is the later, not the one of the higher generation.
+    # Of two incarnations, the one that names the other is later, not the one with the higher generation.
     ORDER = "order"
     # A process refutes accusations.
     REFUTE = "refute"
@@ -63,7 +63,7 @@
     SUPERSEDE = "supersede"
     # A process verifies that another one runs under its name before it supersedes it.
     VERIFY = "verify"
-    # Within an incarnation the sequence orders records.
+    # Within an incarnation, the sequence orders records.
     SEQUENCE = "sequence"
     # Two incarnations that name each other are ordered by generation.
     TIE_BREAK = "tie-break"
@@ -74,12 +74,12 @@
 
 
 class StateLimitError(Exception):
-    """A walk that reached more states than allowed."""
+    """An exploration that reached more states than allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModelProcess:
-    """A process of the name. `conflicting`: the incarnation that it has proven to run beside it; 0: none."""
+    """A process of the name. `conflicting`: the other incarnation proven to run concurrently; 0: none."""
 
     own_record: MemberRecord
     is_running: bool = True
@@ -90,9 +90,9 @@
 class ModelState:
     """A state of the model.
 
-    `held`: the record of each observer. `seen`: the incarnations that each observer has held since it last
+    `held`: each observer's current record. `seen`: the incarnations that each observer has held since it last
     forgot the name. `published`: all records ever published. `concurrent`: pairs of incarnations that ran at
-    the same time, so that neither is a previous one of the other.
+    the same time, so that neither precedes the other.
     """
 
     processes: tuple[ModelProcess, ...] = ()
@@ -103,15 +103,15 @@
     concurrent: frozenset[tuple[int, int]] = frozenset()
 
     def running(self) -> list[ModelProcess]:
-        """The processes that run, in the order of their starts."""
+        """Returns the running processes in the order of their starts."""
         return [process for process in self.processes if process.is_running]
 
     def with_published(self, *records: MemberRecord) -> ModelState:
-        """The state once the records are published."""
+        """Returns the state after the records are published."""
         return replace(self, published=self.published.union(records))
 
     def with_held(self, observer: int, record: MemberRecord) -> ModelState:
-        """The state once the observer holds the record."""
+        """Returns the state after the observer stores the record."""
         seen = self.seen[observer] | {record.incarnation}
         return replace(
             self,
@@ -120,7 +120,7 @@
         )
 
     def with_forgotten(self, observer: int) -> ModelState:
-        """The state once the observer has forgotten the name."""
+        """Returns the state after the observer forgets the name."""
         nothing_seen: frozenset[int] = frozenset()
         return replace(
             self,
@@ -129,15 +129,16 @@
         )
 
     def with_process(self, index: int, process: ModelProcess) -> ModelState:
-        """The state with a process replaced."""
+        """Returns the state with one process replaced."""
         return replace(self, processes=_replace_item(self.processes, index, process))
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A walk over all states of a bounded number of processes and accusations.
+    """A model with a bounded number of processes and accusations.
 
-    `max_concurrent`: how many processes may run at once. `omitted`: a rule that the protocol goes without.
+    `max_concurrent`: the maximum number of processes that run at the same time. `omitted`: the protocol rule
+    that isn't applied.
     """
 
     max_processes: int = 3
@@ -147,7 +148,7 @@
     omitted: ProtocolRule | None = None
 
     def explore(self, state_limit: int = 2_000_000) -> int:
-        """The number of states.
+        """Explores all reachable states and returns their number.
 
         Raises PropertyViolationError at the first violation, StateLimitError above `state_limit` states.
         """
@@ -163,10 +164,10 @@
                 explored.add(successor)
                 frontier.append(successor)
                 if len(explored) > state_limit:
-                    raise StateLimitError(f"over {state_limit} states")
+                    raise StateLimitError(f"more than {state_limit} states")
         return len(explored)
 
-    # The protocol, with a rule omitted where asked
+    # The protocol, without the omitted rule
 
     def _supersedes(self, candidate: MemberRecord, current: MemberRecord) -> bool:
         if candidate.incarnation == current.incarnation:
@@ -235,7 +236,7 @@
     def _delivered_to_observer(
         self, state: ModelState, observer: int, record: MemberRecord
     ) -> Iterator[ModelState]:
-        """The state after an observer received the record; nothing where that changes nothing."""
+        """Yields the state after an observer received the record, unless it is unchanged."""
         held = state.held[observer]
         accepts = record.state in LIVE_STATES if held is None else self._supersedes(record, held)
         if accepts:
@@ -245,7 +246,7 @@
     def _delivered_to_process(
         self, state: ModelState, index: int, record: MemberRecord
     ) -> Iterator[ModelState]:
-        """The state after a process of the name received the record; nothing where that changes nothing."""
+        """Yields the state after a process of the name received the record, unless it is unchanged."""
         process = state.processes[index]
         if not process.is_running:
             return
@@ -258,7 +259,7 @@
             case ConflictAction.VERIFY:
                 yield from _verified(state, index, record.incarnation)
 
-    # Convergence once all faults are over
+    # Convergence after all faults have ended
 
     def _check_convergence(self, state: ModelState) -> None:
         running = {process.own_record.incarnation for process in state.running()}
@@ -268,20 +269,20 @@
         held = {record.incarnation if record else 0 for record in final.held}
         all_alive = all(record is not None and record.state == MemberState.ALIVE for record in final.held)
         if len(held) > 1 or not held <= running or not all_alive:
-            raise PropertyViolationError(f"no convergence: {final.held} while {sorted(running)} runs")
+            raise PropertyViolationError(f"no convergence: {final.held}, running: {sorted(running)}")
 
     def _quiescent_state(self, state: ModelState) -> ModelState:
-        """The state in which nothing changes any more once every record reaches everybody."""
+        """Returns the stable state reached when every record is delivered to every recipient."""
         start = state
         for _ in range(MAX_DELIVERY_ROUNDS):
             before = state
             state = self._delivery_round(state)
             if state == before:
                 return state
-        raise PropertyViolationError(f"endless raise: records without end from {start}")
+        raise PropertyViolationError(f"unbounded supersession: no stable state is reached from {start}")
 
     def _delivery_round(self, state: ModelState) -> ModelState:
-        """Processes publish their records, ends are detected, and every record reaches everybody."""
+        """Processes publish their records, exits are detected, and every record is delivered to all."""
         own_records = [process.own_record for process in state.running()]
         running = {record.incarnation for record in own_records}
         state = state.with_published(*own_records)
@@ -298,7 +299,7 @@
 
 
 def _accused(state: ModelState, observer: int, held: MemberRecord) -> ModelState:
-    """The observer finds the process silent: an alive one becomes suspect, a suspect gone."""
+    """Returns the state after an accusation by the observer: alive becomes suspect, suspect gone."""
     worse = MemberState.SUSPECT if held.state == MemberState.ALIVE else MemberState.GONE
     accusation = as_reported(held, worse, _observer_name(observer))
     after = state.with_held(observer, accusation).with_published(accusation)
@@ -306,16 +307,16 @@
 
 
 def _published(state: ModelState, index: int, process: ModelProcess, own: MemberRecord) -> ModelState:
-    """The process publishes a new record of itself."""
+    """Returns the state after the process publishes a new record of itself."""
     if own.generation > MAX_GENERATION:
         raise PropertyViolationError(
-            f"endless raise: process {own.incarnation} has generation {own.generation}"
+            f"unbounded supersession: process {own.incarnation} has generation {own.generation}"
         )
     return state.with_process(index, replace(process, own_record=own)).with_published(own)
 
 
 def _verified(state: ModelState, index: int, incarnation: int) -> Iterator[ModelState]:
-    """The process probes another incarnation: the answer proves to both that both run."""
+    """Yields the state after the process probed another running incarnation: both know of each other."""
     process = state.processes[index]
     for other_index, other in enumerate(state.processes):
         if other.own_record.incarnation == incarnation and other.is_running:
@@ -331,7 +332,7 @@
         if record.incarnation < incarnation and not was_concurrent:
             name = _observer_name(observer)
             raise PropertyViolationError(
-                f"return: {name} went from process {incarnation} back to {record.incarnation}"
+                f"reversion: {name} replaced process {incarnation} by earlier {record.incarnation}"
             )
 
 
--- a/valverouter/membership/name_conflicts.py
+++ b/valverouter/membership/name_conflicts.py
@@ -1,10 +1,10 @@
-"""Records under the own name that are not this process's: a previous incarnation, or another running process.
+"""Handles records of other processes under the own name: previous incarnations and name conflicts.
 
 A previous incarnation is superseded once, by naming it. Two processes that run under one name are in
-conflict: neither supersedes the other again, so that the fleet's view stays with one of them, and both report
-the conflict. Another process counts as running only after it answered a nonce of ours, since a datagram of a
-previous incarnation may come late. When it has been silent for a while, or its end is known, the conflict is
-over.
+conflict: neither supersedes the other again, so that the fleet's views keep one of them, and both report the
+conflict. Another process counts as running only after it has answered a nonce of this process, since a
+datagram of a previous incarnation may be delayed. The conflict ends when the other process has been silent
+for a while or is known to have ended.
 """
 
 from __future__ import annotations
@@ -30,39 +30,40 @@
     superseding_record,
 )
 
-# A conflict is over after the other process was silent for so many anti-entropy intervals.
+# How long the other process must be silent for a conflict to end, in anti-entropy intervals.
 CONFLICT_TIMEOUT_INTERVALS = 3
 
 
 class ConflictAction(Enum):
-    """What to do about a record under the own name."""
+    """The action to take on a record under the own name."""
 
     NOTHING = "nothing"
-    # This process is reported as suspect or gone: say that it runs.
+    # This process is reported as suspect or gone: publish a later record.
     REFUTE = "refute"
-    # Another incarnation that was not named yet, and that others may hold in place of this one: supersede it.
+    # This process has not named the other incarnation yet, and views may hold that one instead: supersede it.
     SUPERSEDE = "supersede"
-    # The other incarnation may be running: probe its address.
+    # The other incarnation may be running: probe its address to find out.
     VERIFY = "verify"
 
 
 def classify_own_name_record(own: MemberRecord, received: MemberRecord, conflicting: int) -> ConflictAction:
-    """What to do about a received record under the own name.
+    """Returns the action to take on a received record under the own name.
 
-    `conflicting`: the incarnation known to run under the same name; 0: none.
+    `conflicting`: the other incarnation that is known to run under the name; 0 if there is none.
     """
     if received.incarnation == own.incarnation:
         is_accusation = received.state != MemberState.ALIVE and own.state != MemberState.LEFT
         is_current = received.sequence >= own.sequence
         return ConflictAction.REFUTE if is_accusation and is_current else ConflictAction.NOTHING
     if received.state > MemberState.SUSPECT:
-        # The end of another incarnation. Whoever holds it does not accept this one before it was named.
+        # Another incarnation has ended. Members that hold its record accept the own record only once the own
+        # record names that incarnation.
         return ConflictAction.NOTHING if supersedes(own, received) else ConflictAction.SUPERSEDE
     if received.incarnation == conflicting:
         return ConflictAction.NOTHING
     if own.incarnation in received.previous_incarnations:
-        # The other one has named this process as a previous incarnation, and this one runs: either both run,
-        # or the record is old and the other has ended. Its address can tell.
+        # The other incarnation has named this running one as a previous incarnation. Either both are running,
+        # or the record is old and the other one has ended. A probe of its address distinguishes the two.
         return ConflictAction.VERIFY
     return (
         ConflictAction.NOTHING
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class NameConflict:
-    """The other process that answered under the own name, and when it last did (ns); incarnation 0: none."""
+    """The other process under the own name and the time of its last message, ns; incarnation 0: none."""
 
     incarnation: int = 0
     address: str = ""
@@ -85,22 +86,22 @@
         return self.incarnation != 0
 
     def update(self, incarnation: int, address: str, now: int) -> bool:
-        """Notes a message of the other process; whether that one was not known before."""
+        """Records a message of the other process; returns whether that process is a new one."""
         is_new = incarnation != self.incarnation
         self.incarnation, self.address, self.last_received = incarnation, address, now
         return is_new
 
     def is_expired(self, now: int, timeout: int) -> bool:
-        """Whether the other process has been silent for longer than `timeout` ns."""
+        """Returns whether the other process has been silent for longer than `timeout` ns."""
         return self.is_active and now - self.last_received > timeout
 
     def clear(self) -> None:
-        """No other process is known any more."""
+        """Resets the conflict: no other process is known."""
         self.incarnation, self.address, self.last_received = 0, "", 0
 
 
 class NameConflictResolver:
-    """Defends the own name: refutes, supersedes previous incarnations, and reports conflicts."""
+    """Refutes accusations, supersedes previous incarnations, and reports name conflicts."""
 
     def __init__(
         self,
@@ -116,7 +117,7 @@
         self._rate_limiter = rate_limiter
 
     def on_own_name_record(self, record: MemberRecord) -> None:
-        """A record under the own name was received."""
+        """Handles a received record under the own name."""
         match classify_own_name_record(self._node.own_record, record, self.conflict.incarnation):
             case ConflictAction.REFUTE:
                 self._refute(record)
@@ -143,9 +144,9 @@
         self._dissemination.publish(superseding_record(own, other))
 
     def on_message(self, address: str, message: Message) -> None:
-        """Another incarnation of the own name sent a message.
+        """Handles a message from another incarnation of the own name.
 
-        The datagram may be old: only an answer to a nonce of ours proves that the other process runs.
+        The datagram may be old: only an answer to a nonce of this process proves that the other one runs.
         """
         is_known = message.incarnation == self.conflict.incarnation
         is_ack = isinstance(message, Ack)
@@ -155,7 +156,7 @@
             self.conflict.update(message.incarnation, address, self._node.now)
 
     def on_ack(self, probe: Probe, ack: Ack) -> None:
-        """A process answered a probe of the own name."""
+        """Handles the answer to a probe of the own name; another incarnation in it is a conflict."""
         node = self._node
         if ack.member_incarnation == node.own_record.incarnation:
             return
@@ -165,7 +166,7 @@
             self._dissemination.publish(next_own_record(marked))
 
     def recheck(self) -> None:
-        """Probes the other process of a conflict again, or ends the conflict after a long silence."""
+        """Probes the other process of a conflict again, or ends the conflict once that process is silent."""
         conflict, node = self.conflict, self._node
         if not conflict.is_active:
             return
@@ -179,7 +180,7 @@
             self._verify(conflict.address, conflict.incarnation)
 
     def _verify(self, address: str, incarnation: int) -> None:
-        """Probes another process of the own name."""
+        """Probes another incarnation of the own name."""
         node, probes = self._node, self._detector.probes
         own = node.own_record
         probe = Probe(own.name, incarnation, 0, address, node.now + node.config.probe_period)
--- a/valverouter/membership/probes.py
+++ b/valverouter/membership/probes.py
@@ -1,23 +1,23 @@
-"""Probes that wait for an answer, and the order in which members are probed."""
+"""Open probes, and the order in which members are probed."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# A nonce: random bits above a serial number, so that no two open probes share one.
+# A nonce has random bits above a serial number, so that open probes have distinct nonces.
 NONCE_RANDOM_BITS = 52
 NONCE_SERIAL_BITS = 12
 
 
 @dataclass(slots=True)
 class Probe:
-    """One process that was asked whether it runs.
+    """A probe of one process.
 
-    `incarnation`, `sequence`: of its record when the probe began. If its record has a later sequence by the
-    end, its silence proves nothing. `deadline`: ns. `helper_answered`: a helper answered, though not the
-    target. `is_final`: the last probe before the target is declared gone. `requester`: address and nonce of
-    the member on whose behalf this one probes.
+    `incarnation`, `sequence`: of the target's record when the probe began. If the record has a later sequence
+    at the deadline, a missing answer isn't evidence against the target. `deadline`: ns. `helper_answered`: a
+    helper has sent a nack. `is_final`: the last probe before the target is declared gone. `requester`: the
+    address and nonce of the member that requested an indirect probe; None for an own probe.
     """
 
     target: str
@@ -31,7 +31,7 @@
 
 
 class ProbeTable:
-    """Open probes by nonce. Answers and deadlines remove them."""
+    """The open probes by nonce. Answers and deadlines remove them."""
 
     def __init__(self, draw: Callable[[], float]) -> None:
         self.pending: dict[int, Probe] = {}
@@ -39,7 +39,7 @@
         self._serial = 0
 
     def add(self, probe: Probe) -> int:
-        """Opens a probe and returns its nonce: only who received the nonce can answer."""
+        """Adds a probe and returns its nonce; only a process that received the nonce can answer the probe."""
         serial = self._serial & ((1 << NONCE_SERIAL_BITS) - 1)
         nonce = int(self._draw() * 2**NONCE_RANDOM_BITS) << NONCE_SERIAL_BITS | serial
         self._serial += 1
@@ -47,35 +47,35 @@
         return nonce
 
     def get(self, nonce: int) -> Probe | None:
-        """The open probe of the nonce."""
+        """Returns the open probe with the nonce, if there is one."""
         return self.pending.get(nonce)
 
     def pop(self, nonce: int) -> Probe | None:
-        """Closes the probe of the nonce and returns it."""
+        """Removes the probe with the nonce and returns it, if it is still open."""
         return self.pending.pop(nonce, None)
 
     def discard(self, nonce: int) -> None:
-        """Closes the probe of the nonce, if it is still open."""
+        """Removes the probe with the nonce, if it is still open."""
         self.pending.pop(nonce, None)
 
     def clear(self) -> None:
-        """Closes all probes without a result."""
+        """Removes all probes without a result."""
         self.pending.clear()
 
 
 class ProbeRotation:
-    """The order in which members are probed: everyone once, then everyone again in a newly shuffled order.
+    """SWIM's round-robin order of probes: each round contains every live member once, newly shuffled.
 
-    So no member waits longer than two rounds.
+    This bounds the time between two probes of a member by two rounds.
     """
 
     def __init__(self, draw: Callable[[], float]) -> None:
-        """The first call of `next_target` begins the first round."""
+        """Creates the rotation; the first call of `next_target` begins its first round."""
         self._draw = draw
         self._round: list[str] = []
 
     def next_target(self, live_peers: Callable[[], list[str]], is_live: Callable[[str], bool]) -> str | None:
-        """Whom to probe next; None where there is no other member."""
+        """Returns the member to probe next; None if there is no other live member."""
         while self._round:
             name = self._round.pop()
             if is_live(name):
@@ -91,5 +91,5 @@
             names[index], names[other] = names[other], names[index]
 
     def add(self, name: str) -> None:
-        """Puts a new member at a random place of the present round."""
+        """Inserts a new member at a random position of the current round."""
         self._round.insert(int(self._draw() * (len(self._round) + 1)), name)
--- a/valverouter/membership/rate_limiter.py
+++ b/valverouter/membership/rate_limiter.py
@@ -1,12 +1,12 @@
-"""A rate limit for each address, for messages that others can cause."""
+"""A rate limit per address, for messages that other hosts can trigger."""
 
 from __future__ import annotations
 
 
 class AddressRateLimiter:
-    """Allows one message for each address in each `interval` (ns), however often it is asked.
+    """Allows at most one message per address and `interval` (ns).
 
-    Corrections and verifications pass through it: the traffic that others can cause stays bounded.
+    It applies to corrections and verifications, so that the traffic that other hosts can trigger is bounded.
     """
 
     def __init__(self, interval: int) -> None:
@@ -14,7 +14,7 @@
         self._last_allowed: dict[str, int] = {}
 
     def allow(self, address: str, now: int) -> bool:
-        """Whether a message to the address may go now; if so, it is counted."""
+        """Returns whether a message to the address may be sent now; if so, counts it as sent."""
         last = self._last_allowed.get(address)
         if last is not None and now - last < self._interval:
             return False
@@ -22,5 +22,5 @@
         return True
 
     def clear(self) -> None:
-        """Forgets all addresses; called now and then, so that the table stays small."""
+        """Removes all addresses; called periodically to bound the size of the table."""
         self._last_allowed.clear()
--- a/valverouter/membership/view.py
+++ b/valverouter/membership/view.py
@@ -1,9 +1,9 @@
-"""The view: a table of all members with a digest, by which two members compare their views.
+"""The membership view: a table of all members, with a digest by which two members compare their views.
 
-The digest covers the live members and what they publish of themselves, but not suspicions, which come and go:
-two members with the same digest would send to the same members at the same addresses. It is a sum of the
-records' own digests, kept for each bucket of names: a change costs one hash, and two members whose views
-differ find out where by comparing buckets.
+The digest covers the live members and the facts that they publish of themselves, but not suspicions, which
+are transient: two members with equal digests would send to the same members at the same addresses. The
+digest is the sum of the records' digests. Another sum is kept for each bucket of names, so that a change
+costs one hash, and two members locate the differences of their views by comparing buckets.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 
 
 def bucket_index(name: str) -> int:
-    """The index of the bucket that a member name belongs to."""
+    """Returns the index of the bucket that a member name belongs to."""
     return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
 def member_digest(record: MemberRecord) -> int:
-    """64 bits over what the digest of a view covers of a member."""
+    """Returns a 64-bit hash of the fields of a record that the view's digest covers."""
     parts = record.name, *_digested_facts(record)
     digest = blake2b(repr(parts).encode(), digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 class MembershipView:
-    """All known members by name.
+    """The records of all known members by name.
 
-    `state_since`: when the present state of each began, ns on this member's clock. `forget` removes members
-    that are gone or have left; of those gone, the last addresses stay in `forgotten_addresses`, to be tried
-    again.
+    `state_since`: the time at which each member entered its present state, ns on this member's clock.
+    `forget` removes a member that is gone or has left. The last addresses of removed members that were gone
+    are kept in `forgotten_addresses`, to be tried again.
     """
 
     def __init__(self, forgotten_address_limit: int) -> None:
@@ -49,11 +49,11 @@
         self.digest = 0
         self.forgotten_addresses: deque[str] = deque(maxlen=forgotten_address_limit)
         self._digests: dict[str, int] = {}
-        # Every transmission draws from it, and going through a whole fleet each time was the largest cost.
+        # Every transmission draws from it; iterating over the whole fleet each time was the largest cost.
         self._cached_live_names: list[str] | None = None
 
     def copy(self) -> MembershipView:
-        """An independent copy, for another member."""
+        """Returns an independent copy, for another member."""
         other = MembershipView(self.forgotten_addresses.maxlen or 0)
         other.records = self.records.copy()
         other.state_since = self.state_since.copy()
@@ -67,7 +67,7 @@
         return other
 
     def live_names(self, excluding: str) -> list[str]:
-        """Names of the live members without `excluding`; a new list."""
+        """Returns the names of the live members except `excluding`, as a new list."""
         if self._cached_live_names is None:
             self._cached_live_names = [name for name, record in self.records.items() if record.is_live]
         names = self._cached_live_names.copy()
@@ -76,15 +76,15 @@
         return names
 
     def is_live(self, name: str) -> bool:
-        """Whether the member is known and believed to run."""
+        """Returns whether the member is known and alive or suspect."""
         current = self.records.get(name)
         return current is not None and current.is_live
 
     def accepts(self, candidate: MemberRecord) -> bool:
-        """Whether the record is later than what the view holds.
+        """Returns whether the record is later than the view's record of the member.
 
-        The end of a member that is not known here is not accepted, or members long gone would be passed round
-        for ever.
+        A record of an unknown member that is gone or has left is not accepted; otherwise records of members
+        that ended long ago would circulate forever.
         """
         current = self.records.get(candidate.name)
         if current is None:
@@ -92,7 +92,7 @@
         return supersedes(candidate, current)
 
     def set_record(self, record: MemberRecord, now: int) -> None:
-        """Replaces the member's record by a later one."""
+        """Adds the member's first record or replaces its record by a later one."""
         name = record.name
         previous = self.records.get(name)
         if previous is not None:
@@ -105,7 +105,7 @@
         self._update_digest(previous, record)
 
     def forget(self, name: str) -> None:
-        """Removes a member."""
+        """Removes a member, and keeps its address if it was gone."""
         record = self.records.pop(name)
         self.state_since.pop(name, None)
         self._cached_live_names = None
@@ -115,11 +115,11 @@
             self.forgotten_addresses.append(record.address)
 
     def records_in_buckets(self, buckets: set[int]) -> list[MemberRecord]:
-        """The records of all members in the buckets."""
+        """Returns the records of all members in the buckets."""
         return [record for name, record in self.records.items() if bucket_index(name) in buckets]
 
     def reconnect_addresses(self, seeds: tuple[str, ...]) -> list[str]:
-        """Addresses that no live member has: of members gone, of seeds, and of some forgotten members."""
+        """Returns addresses that no live member has: of gone members, seeds and some forgotten members."""
         live = {record.address for record in self.records.values() if record.is_live}
         gone = [record.address for record in self.records.values() if record.state == MemberState.GONE]
         candidates = dict.fromkeys((*gone, *seeds, *self.forgotten_addresses))
@@ -129,7 +129,7 @@
         name = record.name
         old_digest, new_digest = self._digests.pop(name, 0), 0
         if record.is_live:
-            # Most changes are suspicions and their ends, which the digest does not cover: no hash for these.
+            # Most changes begin or end a suspicion, which the digest doesn't cover, so they need no hash.
             is_unchanged = previous is not None and _digested_facts(previous) == _digested_facts(record)
             new_digest = old_digest if old_digest and is_unchanged else member_digest(record)
             self._digests[name] = new_digest
