--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -4,8 +4,9 @@
 
 import random
 import socket
+import subprocess
+import sys
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import pytest
@@ -194,22 +195,30 @@
             + GOSSIP_SECTION.replace("KEY", "key").replace("127.0.0.1:7001, [::1]:7002", address_of(first))
         )
 
-        def fleet_view(*options: str) -> Any:
-            return CliRunner().invoke(main, ["fleet", "view", str(file), *options])
+        async def fleet_view(*options: str) -> tuple[int | None, str]:
+            """Runs the command in a process of its own, whose output can't contain the services' log lines.
 
-        result = await trio.to_thread.run_sync(fleet_view)
-        assert result.exit_code == 0
-        assert "settled: 2 asked, one view" in result.output
-        assert max(map(len, result.output.splitlines())) <= 80
-        result = await trio.to_thread.run_sync(fleet_view, "--json")
-        page = msgspec.json.decode(result.output)
+            Returns its exit code and its output, including standard error.
+            """
+            command = [sys.executable, "-m", "valverouter.cli", "fleet", "view", str(file), *options]
+            result = await trio.run_process(
+                command, capture_stdout=True, stderr=subprocess.STDOUT, check=False
+            )
+            return result.returncode, result.stdout.decode()
+
+        exit_code, output = await fleet_view()
+        assert exit_code == 0
+        assert "settled: 2 asked, one view" in output
+        assert max(map(len, output.splitlines())) <= 80
+        _, output = await fleet_view("--json")
+        page = msgspec.json.decode(output)
         assert page["settled"]
         assert {answer["name"] for answer in page["answers"]} == {"e0", "e1"}
-        result = await trio.to_thread.run_sync(fleet_view, "--metrics")
-        assert 'valverouter_fleet_members{instance="e0",state="alive"} 2' in result.output
+        _, output = await fleet_view("--metrics")
+        assert 'valverouter_fleet_members{instance="e0",state="alive"} 2' in output
         silent = f"{address_of(first).rpartition(':')[0]}:1"
-        result = await trio.to_thread.run_sync(fleet_view, "--at", address_of(first), "--at", silent)
-        assert f"no answer from {silent}" in result.output
+        _, output = await fleet_view("--at", address_of(first), "--at", silent)
+        assert f"no answer from {silent}" in output
 
 
 async def test_after_a_pause_it_reads_first_and_accuses_nobody(autojump_clock: MockClock) -> None:
