--- a/valverouter/membership/config.py
+++ b/valverouter/membership/config.py
@@ -28,7 +28,7 @@
     # The suspicion timeout once enough members have accused the suspect, in probe periods.
     suspicion_periods: float = 4.0
     # The number of accusers that confirms a suspicion.
-    required_accusers: int = 2
+    confirmations: int = 2
     # The factor by which the timeout of an unconfirmed suspicion is longer.
     unconfirmed_multiplier: float = 2.0
     # The expected number of members that probe a suspect at once when they receive the suspicion, either to
--- a/valverouter/membership/suspicion.py
+++ b/valverouter/membership/suspicion.py
@@ -47,11 +47,11 @@
         suspicion = self._open.get(name)
         if suspicion is None:
             suspicion = self._open[name] = Suspicion(now)
-        if accuser in suspicion.accusers or len(suspicion.accusers) > config.required_accusers:
+        if accuser in suspicion.accusers or len(suspicion.accusers) > config.confirmations:
             return None
         suspicion.accusers.add(accuser)
         # In a fleet of three, only one member besides this one and the suspect can accuse.
-        needed = min(config.required_accusers, max(1, live_count - 2))
+        needed = min(config.confirmations, max(1, live_count - 2))
         timeout = int(config.suspicion_periods * config.probe_period * timeout_multiplier)
         if len(suspicion.accusers) < needed:
             timeout = int(timeout * config.unconfirmed_multiplier)
