--- a/valverouter/membership/config.py
+++ b/valverouter/membership/config.py
@@ -27,7 +27,7 @@
     indirect_probe_count: int = 3
     # The suspicion timeout once enough members have accused the suspect, in probe periods.
     suspicion_periods: float = 4.0
-    # The number of accusers that confirms a suspicion.
+    # The number of accusers, including the first, that confirms a suspicion.
     confirmations: int = 2
     # The factor by which the timeout of an unconfirmed suspicion is longer.
     unconfirmed_multiplier: float = 2.0
