--- a/tests/test_membership_records.py
+++ b/tests/test_membership_records.py
@@ -1,4 +1,4 @@
-"""Records, the view's digest and the queue of updates, each alone."""
+"""Unit tests of member records, the view's digest and the broadcast queue."""
 
 from __future__ import annotations
 
@@ -57,23 +57,23 @@
     assert supersedes(raised, previous)
     assert not supersedes(previous, raised)
     later = as_reported(with_later_sequence(previous, 50), MemberState.GONE, "x")
-    assert not supersedes(later, raised), "no record of the previous incarnation counts any more"
+    assert not supersedes(later, raised), "a previous incarnation has no record that supersedes the new one"
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.lists(RECORDS, min_size=2, max_size=5), st.randoms(use_true_random=False))
 def test_the_order_of_an_incarnation_s_own_records_does_not_matter(
-    records: list[MemberRecord], chance: random.Random
+    records: list[MemberRecord], rng: random.Random
 ) -> None:
     incarnation = records[0].incarnation
     own = [record for record in records if record.incarnation == incarnation and record.is_live]
     own = own or records[:1]
     ends = set()
-    for order in (own, list(reversed(own)), sorted(own, key=lambda record: chance.random())):
+    for order in (own, list(reversed(own)), sorted(own, key=lambda record: rng.random())):
         view = MembershipView(0)
         for record in order:
             if view.accepts(record):
-                view.put(record, 0)
+                view.set_record(record, 0)
         if "e1" in view.records:
             held = view.records["e1"]
             ends.add((held.sequence, held.state))
@@ -83,17 +83,17 @@
 def test_the_digest_covers_live_members_and_not_suspicions() -> None:
     view, other = MembershipView(4), MembershipView(4)
     for each in (view, other):
-        each.put(MemberRecord("e0", "", 0, "e0:1", 5, 50), 0)
-    view.put(make_record(3, 7), 1)
-    other.put(make_record(3, 7, sequence=4), 9)
+        each.set_record(MemberRecord("e0", "", 0, "e0:1", 5, 50), 0)
+    view.set_record(make_record(3, 7), 1)
+    other.set_record(make_record(3, 7, sequence=4), 9)
     assert view.digest == other.digest
-    view.put(as_reported(make_record(3, 7), MemberState.SUSPECT, "e0"), 2)
+    view.set_record(as_reported(make_record(3, 7), MemberState.SUSPECT, "e0"), 2)
     assert view.digest == other.digest
     assert view.suspect_count == 1
-    view.put(as_reported(make_record(3, 7), MemberState.GONE, "e0"), 3)
+    view.set_record(as_reported(make_record(3, 7), MemberState.GONE, "e0"), 3)
     assert view.digest != other.digest
     assert (view.live_count, view.gone_count, view.suspect_count) == (1, 1, 0)
-    other.put(as_reported(make_record(3, 7, sequence=4), MemberState.GONE, "e0"), 9)
+    other.set_record(as_reported(make_record(3, 7, sequence=4), MemberState.GONE, "e0"), 9)
     assert view.digest == other.digest
     assert view.bucket_digests == other.bucket_digests
 
@@ -101,8 +101,8 @@
 def test_the_end_of_an_unknown_member_is_not_accepted() -> None:
     view = MembershipView(4)
     assert not view.accepts(make_record(3, 7, state=MemberState.GONE))
-    view.put(make_record(3, 7), 0)
-    view.put(as_reported(make_record(3, 7), MemberState.GONE, "x"), 1)
+    view.set_record(make_record(3, 7), 0)
+    view.set_record(as_reported(make_record(3, 7), MemberState.GONE, "x"), 1)
     view.forget("e1")
     assert not view.records
     assert list(view.forgotten_addresses) == ["e1:1"]
@@ -112,8 +112,8 @@
 def test_updates_leave_the_queue_at_the_transmit_limit_and_fit_the_byte_limit() -> None:
     queue = BroadcastQueue(max_bytes=400)
     for number in range(9):
-        queue.put(MemberRecord(f"e{number}", "", 0, f"e{number}:1", 1, number))
-    taken = [queue.take(3) for _ in range(12)]
+        queue.enqueue(MemberRecord(f"e{number}", "", 0, f"e{number}:1", 1, number))
+    taken = [queue.take_batch(3) for _ in range(12)]
     assert all(sum(record.size for record in page) <= 400 for page in taken)
     sent = Counter(record.name for page in taken for record in page)
     assert set(sent.values()) == {3}
