--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""INI files: every flaw with its line and reason, spans, and the samples."""
+"""INI files: every problem with its line and reason, spans, and the samples."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 objective = 1500ms
 """
 
-# Each: what is replaced, by what, and the flaws expected as (line, a part of what is said).
-FLAWS: list[tuple[str, str, list[tuple[int, str]]]] = [
+# Each: what is replaced, by what, and the problems expected as (line, a part of the message).
+INVALID_FILES: list[tuple[str, str, list[tuple[int, str]]]] = [
     ("name = e0\n", "", [(1, "name: missing")]),
     ("name = e0", "name = e0\nname = e1", [(3, "name is given twice")]),
     ("[fleet]", "[edge]", [(6, "[edge] is given twice")]),
@@ -59,33 +59,35 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "expected"), FLAWS)
-def test_flaws(old: str, new: str, expected: list[tuple[int, str]]) -> None:
+@pytest.mark.parametrize(("old", "new", "expected"), INVALID_FILES)
+def test_invalid_files_are_rejected_with_line_and_reason(
+    old: str, new: str, expected: list[tuple[int, str]]
+) -> None:
     assert old in GOOD
     with pytest.raises(InvalidConfigError) as caught:
         edge_config(IniFile(GOOD.replace(old, new, 1), "e.ini"))
-    flaws = caught.value.problems
-    assert [flaw.line for flaw in flaws] == [line for line, _ in expected], caught.value
-    for flaw, (_, text) in zip(flaws, expected, strict=True):
-        assert text in str(flaw)
-        assert str(flaw).startswith("e.ini")
+    reported = caught.value.problems
+    assert [problem.line for problem in reported] == [line for line, _ in expected], caught.value
+    for problem, (_, text) in zip(reported, expected, strict=True):
+        assert text in str(problem)
+        assert str(problem).startswith("e.ini")
 
 
-def test_a_sound_file_and_its_defaults() -> None:
-    terms = edge_config(IniFile(GOOD, "e.ini"))
-    assert (terms.name, terms.deployment.edge_proxies, terms.deployment.release_delay) == (
+def test_a_valid_file_and_its_defaults() -> None:
+    config = edge_config(IniFile(GOOD, "e.ini"))
+    assert (config.name, config.deployment.edge_proxies, config.deployment.release_delay) == (
         "e0",
         3,
         300_000_000,
     )
-    assert terms.deployment.traffic_types["plain"].latency_objective == 1_500_000_000
+    assert config.deployment.traffic_types["plain"].latency_objective == 1_500_000_000
 
 
-def test_a_file_that_can_not_be_read(tmp_path: Path) -> None:
-    for path, said in ((tmp_path / "none.ini", "No such file"), (tmp_path / "odd.ini", "not UTF-8")):
-        if said.startswith("not"):
+def test_an_unreadable_file_is_rejected(tmp_path: Path) -> None:
+    for path, message in ((tmp_path / "none.ini", "No such file"), (tmp_path / "odd.ini", "not UTF-8")):
+        if message.startswith("not"):
             path.write_bytes(b"\xff\xfe")
-        with pytest.raises(InvalidConfigError, match=said):
+        with pytest.raises(InvalidConfigError, match=message):
             load_edge_config(path)
 
 
@@ -100,17 +102,17 @@
         ("0.5us", 500),
     ],
 )
-def test_spans(text: str, ns: int) -> None:
+def test_durations_are_parsed(text: str, ns: int) -> None:
     assert parse_duration(text) == ns
 
 
 @given(st.integers(0, 10**15))
-def test_spans_are_shown_as_they_are_read(ns: int) -> None:
+def test_formatted_durations_are_parsed_back_exactly(ns: int) -> None:
     assert parse_duration(format_duration(ns)) == ns
 
 
 @given(st.text(max_size=200))
-def test_no_text_gives_anything_but_flaws(text: str) -> None:
+def test_arbitrary_text_is_rejected_as_invalid(text: str) -> None:
     with pytest.raises(InvalidConfigError):
         edge_config(IniFile(text, "fuzz"))
     with pytest.raises(InvalidConfigError):
@@ -118,25 +120,25 @@
 
 
 @pytest.mark.parametrize("path", sorted((DEPLOY / "samples").glob("*.ini")), ids=lambda path: path.stem)
-def test_samples_are_sound(path: Path) -> None:
-    terms = load_edge_config(path)
-    assert len(terms.deployment.traffic_types) >= 1
-    assert terms.deployment.slow_start_duration
+def test_samples_are_valid(path: Path) -> None:
+    config = load_edge_config(path)
+    assert len(config.deployment.traffic_types) >= 1
+    assert config.deployment.slow_start_duration
 
 
 @pytest.mark.parametrize("path", sorted((DEPLOY / "days").glob("*.ini")), ids=lambda path: path.stem)
-def test_days_are_sound(path: Path) -> None:
+def test_scenarios_are_valid(path: Path) -> None:
     assert load_scenario(path).mix
 
 
-def test_flaws_of_a_day() -> None:
+def test_problems_of_a_scenario() -> None:
     text = (DEPLOY / "days" / "bad-day.ini").read_text()
     text = text.replace("kind = crash", "kind = krash").replace("[mix booking]", "[mix bookings]")
     text = text.replace("edge_proxies = 3", "edge_proxies = 4")
     with pytest.raises(InvalidConfigError) as caught:
         scenario_config(IniFile(text, "day.ini"), "day")
-    said = str(caught.value)
-    assert "krash" in said
-    assert "no [traffic bookings]" in said
-    assert "sum of `edges`" in said
+    message = str(caught.value)
+    assert "krash" in message
+    assert "no [traffic bookings]" in message
+    assert "sum of `edges`" in message
     assert len(caught.value.problems) == 3
--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -44,14 +44,14 @@
     crossing = edge_config(IniFile(GOOD, "e.ini")).crossing
     assert crossing is not None
     assert crossing.reserve is not None
-    kind = crossing.policies["plain"]
-    assert kind.urgent
-    assert kind.budget == CrossRegionBudget(10, 10 * SECOND, 0, 3, 0)
-    assert kind.pairs == {("a", "b"): CrossRegionBudget(4, 10 * SECOND, 0, 2, 0)}
+    policy = crossing.policies["plain"]
+    assert policy.urgent
+    assert policy.budget == CrossRegionBudget(10, 10 * SECOND, 0, 3, 0)
+    assert policy.pairs == {("a", "b"): CrossRegionBudget(4, 10 * SECOND, 0, 2, 0)}
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "said"),
+    ("old", "new", "line", "message"),
     [
         ("region = a", "region = c", 5, "no [region c]"),
         ("region = a", "region = a\nregion_place = 2", 6, "less than the 2 edges"),
@@ -68,10 +68,12 @@
         ("reserve = 10", "reserve = 10\nclock_skew = 20s", 20, "skew"),
     ],
 )
-def test_problems_are_reported_with_line_and_reason(old: str, new: str, line: int, said: str) -> None:
+def test_problems_are_reported_with_line_and_reason(old: str, new: str, line: int, message: str) -> None:
     with pytest.raises(InvalidConfigError) as caught:
         edge_config(IniFile(GOOD.replace(old, new, 1), "e.ini"))
-    assert any(flaw.line == line and said in str(flaw) for flaw in caught.value.problems), caught.value
+    assert any(problem.line == line and message in str(problem) for problem in caught.value.problems), (
+        caught.value
+    )
 
 
 async def test_a_reload_changes_cross_region_budgets_and_reports_what_needs_a_restart(
@@ -89,5 +91,5 @@
             late = msgspec.structs.replace(more, answer_margin=1)
             rig.edge.reload(late)
             await trio.sleep(0.1)
-    told = [entry for entry in logged if entry["event"] == "configuration-reloaded"]
-    assert [entry["waits_for_a_start"] for entry in told] == [[], ["answer_margin"]]
+    reloads = [entry for entry in logged if entry["event"] == "configuration-reloaded"]
+    assert [entry["waits_for_a_start"] for entry in reloads] == [[], ["answer_margin"]]
--- a/tests/test_recorded_calls.py
+++ b/tests/test_recorded_calls.py
@@ -26,9 +26,9 @@
 from valverouter.signalling.traffic_record import MessageRow, Row
 
 SECOND = 10**9
-DAY = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
-DAY = DAY.replace("length = 30s", "length = 12s")
-REPLAY = DAY.replace("rate = 40\n", "record = calls.csv\n")
+SCENARIO = (Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini").read_text()
+SCENARIO = SCENARIO.replace("length = 30s", "length = 12s")
+REPLAY = SCENARIO.replace("rate = 40\n", "record = calls.csv\n")
 
 
 @pytest.fixture(autouse=True)
@@ -46,16 +46,16 @@
     return scenario_config(IniFile(text, "replay.ini", folder), "replay")
 
 
-def flaws(folder: Path, *changes: tuple[str, str]) -> list[str]:
+def problems_of(folder: Path, *changes: tuple[str, str]) -> list[str]:
     with pytest.raises(InvalidConfigError) as caught:
         replay(folder, *changes)
-    return [str(flaw).replace(f"{folder}/", "") for flaw in caught.value.problems]
+    return [str(problem).replace(f"{folder}/", "") for problem in caught.value.problems]
 
 
-def first_tries(rows: list[Row]) -> list[tuple[int, str, str, int]]:
-    began = next(row.at for row in rows if isinstance(row, traffic_record.CallersStartedRow))
+def first_calls(rows: list[Row]) -> list[tuple[int, str, str, int]]:
+    started_at = next(row.at for row in rows if isinstance(row, traffic_record.CallersStartedRow))
     return [
-        (row.at - began, row.edge, row.detail, row.duration)
+        (row.at - started_at, row.edge, row.detail, row.duration)
         for row in rows
         if isinstance(row, MessageRow) and row.sent and row.kind == "setup" and row.peer[0] == "c"
         if "." not in row.dialog
@@ -64,7 +64,7 @@
 
 # The file
 
-spans = st.integers(0, 10**17)
+times_ns = st.integers(0, 10**17)
 numbers = st.none() | st.integers(0, 10**18)
 
 
@@ -72,7 +72,7 @@
     st.lists(
         st.builds(
             RecordedCall,
-            at=spans,
+            at=times_ns,
             traffic_type=st.text(st.characters(categories=("L", "N", "P", "S"), codec="utf-8"), min_size=1),
             edge=numbers,
             no_answer=st.none() | st.integers(1, 10**17),
@@ -83,7 +83,7 @@
         max_size=8,
     )
 )
-def test_what_is_written_is_read_back_the_same(
+def test_written_calls_are_read_back_unchanged(
     tmp_path_factory: pytest.TempPathFactory, calls: list[RecordedCall]
 ) -> None:
     folder = tmp_path_factory.mktemp("calls")
@@ -94,7 +94,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_whatever_a_file_holds_it_is_read_or_has_flaws(
+def test_arbitrary_bytes_are_read_or_reported_as_problems(
     tmp_path_factory: pytest.TempPathFactory, data: bytes
 ) -> None:
     folder = tmp_path_factory.mktemp("calls")
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "messages"),
     [
         ("", ["calls.csv:1: the column 'at' is missing", "calls.csv:1: the column 'type' is missing"]),
         ("at,type,dge\n", ["calls.csv:1: 'dge' is no column; known are at, type, edge"]),
@@ -130,20 +130,20 @@
         ),
     ],
 )
-def test_a_flawed_record_is_refused_with_its_line(text: str, said: list[str], tmp_path: Path) -> None:
+def test_an_invalid_record_is_rejected_with_its_line(text: str, messages: list[str], tmp_path: Path) -> None:
     (tmp_path / "calls.csv").write_text(text)
-    found = flaws(tmp_path)
-    assert len(found) == len(said)
-    assert all(one.startswith(start) for one, start in zip(found, said, strict=True)), found
+    found = problems_of(tmp_path)
+    assert len(found) == len(messages)
+    assert all(problem.startswith(start) for problem, start in zip(found, messages, strict=True)), found
 
 
-def test_a_file_of_another_kind_is_not_told_line_by_line(tmp_path: Path) -> None:
+def test_the_number_of_reported_problems_is_limited(tmp_path: Path) -> None:
     (tmp_path / "calls.csv").write_text("at,type\n" + "x\n" * 10_000)
-    assert len(flaws(tmp_path)) == MAX_REPORTED_PROBLEMS
+    assert len(problems_of(tmp_path)) == MAX_REPORTED_PROBLEMS
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("record = calls.csv\n", "", "rate: missing"),
         ("record = calls.csv\n", "rate = 1\ntimes = 2\n", "times: says something of a `record`"),
@@ -152,69 +152,69 @@
         ("record = calls.csv\n", "record = gone.csv\n", "record: gone.csv: No such file"),
     ],
 )
-def test_a_record_and_a_rate_exclude_each_other(old: str, new: str, said: str, tmp_path: Path) -> None:
+def test_a_record_and_a_rate_exclude_each_other(old: str, new: str, message: str, tmp_path: Path) -> None:
     write_calls(tmp_path / "calls.csv", [RecordedCall(1, "booking")])
-    (found,) = flaws(tmp_path, (old, new))
-    assert f"[callers] {said}" in found
+    (found,) = problems_of(tmp_path, (old, new))
+    assert f"[callers] {message}" in found
 
 
 # Days that play one
 
 
-def test_an_emulated_days_record_with_its_seed_is_that_day_again(tmp_path: Path) -> None:
-    rows = run_emulated(scenario_config(IniFile(DAY, "day"), "day")).rows
+def test_replaying_an_emulated_scenario_with_its_seed_reproduces_it(tmp_path: Path) -> None:
+    rows = run_emulated(scenario_config(IniFile(SCENARIO, "day"), "day")).rows
     assert write_calls(tmp_path / "calls.csv", recorded_calls(rows)) > 400
-    again = run_emulated(replay(tmp_path)).rows
-    assert again == rows
-    assert audit(again).passed
+    replayed = run_emulated(replay(tmp_path)).rows
+    assert replayed == rows
+    assert audit(replayed).passed
     other = run_emulated(replay(tmp_path, ("seed = 7", "seed = 8"))).rows
-    assert first_tries(other) == first_tries(rows), "the moments stay, chance does not"
+    assert first_calls(other) == first_calls(rows), "the moments stay, chance does not"
     assert other != rows, "the moments stay, chance does not"
 
 
-def test_the_program_dials_a_record_at_its_moments(tmp_path: Path) -> None:
-    rows = run_emulated(scenario_config(IniFile(DAY, "day"), "day")).rows
+def test_real_edge_proxies_replay_a_record_at_its_times(tmp_path: Path) -> None:
+    rows = run_emulated(scenario_config(IniFile(SCENARIO, "day"), "day")).rows
     write_calls(tmp_path / "calls.csv", recorded_calls(rows))
-    played = run_virtual(replay(tmp_path))
-    assert audit(played).passed
-    # Ids number first tries at each edge proxy in their order, whatever came between.
-    wanted, found = sorted(first_tries(rows)), sorted(first_tries(played))
-    assert [one[1:] for one in found] == [one[1:] for one in wanted]
-    assert all(abs(a[0] - b[0]) < 1_000 for a, b in zip(found, wanted, strict=True)), "to the clock's float"
+    replayed = run_virtual(replay(tmp_path))
+    assert audit(replayed).passed
+    # Ids number first calls at each edge proxy in their order, whatever came between.
+    expected, found = sorted(first_calls(rows)), sorted(first_calls(replayed))
+    assert [call[1:] for call in found] == [call[1:] for call in expected]
+    assert all(abs(a[0] - b[0]) < 1_000 for a, b in zip(found, expected, strict=True)), "to the clock's float"
 
 
-def test_a_record_spread_over_another_fleet_and_from_later_on(tmp_path: Path) -> None:
+def test_a_record_is_spread_over_another_fleet_from_an_offset(tmp_path: Path) -> None:
     calls = [RecordedCall(at * SECOND // 50, "booking", 9, 7 * SECOND, 8, at) for at in range(500)]
     write_calls(tmp_path / "calls.csv", calls)
-    assert "names edge proxy 9 of 3" in flaws(tmp_path)[0]
+    assert "names edge proxy 9 of 3" in problems_of(tmp_path)[0]
     spread = replay(tmp_path, ("calls.csv", "calls.csv\nspread = yes\nrecord_from = 4s"))
     assert spread.recorded is not None
     counts = [len(spread.recorded[place]) for place in range(3)]
     assert sum(counts) == 300
     assert min(counts) > 70
     assert min(calls[0].at for calls in spread.recorded.values()) == 0
-    tries = first_tries(run_emulated(spread).rows)
-    assert len(tries) == 300
-    assert max(at for at, *_ in tries) < 6 * SECOND + 1
-    assert {span for *_, span in tries} == {7 * SECOND}
+    replayed = first_calls(run_emulated(spread).rows)
+    assert len(replayed) == 300
+    assert max(at for at, *_ in replayed) < 6 * SECOND + 1
+    assert {span for *_, span in replayed} == {7 * SECOND}
 
 
 @pytest.mark.parametrize("change", ["times = 2", "times = 0.5"])
-def test_each_call_is_dialled_so_many_times_and_a_burst_dials_more(change: str, tmp_path: Path) -> None:
+def test_times_and_bursts_multiply_the_calls_of_a_record(change: str, tmp_path: Path) -> None:
     write_calls(
         tmp_path / "calls.csv", [RecordedCall(at * SECOND // 50, "booking", at % 3) for at in range(500)]
     )
-    calm = REPLAY.index("[trouble ")
-    text = REPLAY[:calm].replace("calls.csv", f"calls.csv\n{change}")
+    first_fault = REPLAY.index("[trouble ")
+    text = REPLAY[:first_fault].replace("calls.csv", f"calls.csv\n{change}")
     text += "[trouble b]\nkind = burst\nstart = 5s\nlength = 5s\nsize = 2\n"
-    tries = first_tries(run_emulated(scenario_config(IniFile(text, "d", tmp_path), "d")).rows)
-    before, burst = (sum((at >= 5 * SECOND) is late for at, *_ in tries) for late in (False, True))
+    replayed = first_calls(run_emulated(scenario_config(IniFile(text, "d", tmp_path), "d")).rows)
+    before, burst = (sum((at >= 5 * SECOND) is late for at, *_ in replayed) for late in (False, True))
     times = float(change.split()[-1])
     assert before == pytest.approx(250 * times, rel=0.15)
     assert burst == pytest.approx(500 * times, rel=0.15)
 
 
-def test_another_record_is_another_run_of_an_experiment(tmp_path: Path) -> None:
+def test_a_changed_record_changes_the_key_of_a_run(tmp_path: Path) -> None:
     write_calls(tmp_path / "calls.csv", [RecordedCall(1, "booking")])
     write_calls(tmp_path / "later.csv", [RecordedCall(2, "booking")])
     write_calls(tmp_path / "same.csv", [RecordedCall(1, "booking")])
@@ -230,7 +230,7 @@
     assert len(set(keys)) == 3, "by what the file holds, not by its name alone"
 
 
-def test_a_search_takes_no_day_that_plays_a_record(tmp_path: Path) -> None:
+def test_a_search_rejects_a_scenario_that_replays_a_record(tmp_path: Path) -> None:
     write_calls(tmp_path / "calls.csv", [RecordedCall(1, "booking")])
     (tmp_path / "day.ini").write_text(REPLAY)
     (tmp_path / "search.ini").write_text("[search]\nday = day.ini\n")
@@ -238,14 +238,14 @@
         load_search(tmp_path / "search.ini")
 
 
-def test_from_kept_rows_to_a_day_that_plays_them(tmp_path: Path) -> None:
-    rows = run_emulated(scenario_config(IniFile(DAY, "day"), "day")).rows
+def test_calls_extracted_from_stored_rows_are_replayed(tmp_path: Path) -> None:
+    rows = run_emulated(scenario_config(IniFile(SCENARIO, "day"), "day")).rows
     traffic_record.write_rows(tmp_path / "rows.jsonl", rows)
-    words = ["calls", str(tmp_path / "rows.jsonl"), "--out", str(tmp_path / "calls.csv")]
-    ran = CliRunner().invoke(main, words)
-    assert ran.exit_code == 0
-    assert f"{len(first_tries(rows))} calls" in ran.output
+    arguments = ["calls", str(tmp_path / "rows.jsonl"), "--out", str(tmp_path / "calls.csv")]
+    result = CliRunner().invoke(main, arguments)
+    assert result.exit_code == 0
+    assert f"{len(first_calls(rows))} calls" in result.output
     (tmp_path / "replay.ini").write_text(REPLAY)
-    made = load_scenario(tmp_path / "replay.ini")
-    assert made.recorded is not None
-    assert sum(len(calls) for calls in made.recorded.values()) == len(first_tries(rows))
+    scenario = load_scenario(tmp_path / "replay.ini")
+    assert scenario.recorded is not None
+    assert sum(len(calls) for calls in scenario.recorded.values()) == len(first_calls(rows))
--- a/valverouter/config/attempts.py
+++ b/valverouter/config/attempts.py
@@ -128,8 +128,8 @@
     if len(names) > MAX_SECTIONS:
         reason = f"at most {MAX_SECTIONS} such sections are taken"
         ini.add_problem(f"attempts {names[MAX_SECTIONS]}", "", reason)
-    read = [_read_section(ini, name, known) for name in names]
-    sections = tuple(section for section in read if section is not None)
+    parsed = [_read_section(ini, name, known) for name in names]
+    sections = tuple(section for section in parsed if section is not None)
     if _has_too_many_prefixes(ini, sections):
         return AttemptConfig()
     return AttemptConfig(sections, groups, sets)
@@ -184,9 +184,9 @@
     ini: IniFile, kind: str, key: str, members: Mapping[str, tuple[str, ...] | tuple[int, ...]]
 ) -> None:
     """Adds a problem for each member that two sections of a kind claim."""
-    owner: dict[str | int, str] = {}
+    owners: dict[str | int, str] = {}
     for name, claimed in members.items():
         for member in claimed:
-            if member in owner:
-                ini.add_problem(f"{kind} {name}", key, f"{member} is in [{kind} {owner[member]}] already")
-            owner.setdefault(member, name)
+            if member in owners:
+                ini.add_problem(f"{kind} {name}", key, f"{member} is in [{kind} {owners[member]}] already")
+            owners.setdefault(member, name)
--- a/valverouter/config/cross_region.py
+++ b/valverouter/config/cross_region.py
@@ -39,7 +39,7 @@
     urgent: bool = False
 
 
-class _Sharers(NamedTuple):
+class _BudgetShare(NamedTuple):
     """How many edge proxies share a budget, and the index of this one among them."""
 
     edge_proxies: int
@@ -57,8 +57,8 @@
     home: str
     traffic_types: set[str]
     regions: list[str]
-    fleet: _Sharers
-    home_region: _Sharers
+    fleet_share: _BudgetShare
+    region_share: _BudgetShare
     clock_skew: int
     policies: dict[str, CrossRegionPolicy] = field(default_factory=dict)
     pairs: dict[str, dict[Pair, CrossRegionBudget]] = field(default_factory=dict)
@@ -83,15 +83,13 @@
             self._read_type(section, words[0], keys)
 
     def budget(
-        self, section: str, keys: BudgetSection | CommonSection, sharers: _Sharers
+        self, section: str, keys: BudgetSection | CommonSection, share: _BudgetShare
     ) -> CrossRegionBudget | None:
         """A budget as it is shared here; adds a problem for one that could never permit an attempt."""
         attempts = keys.reserve if isinstance(keys, CommonSection) else keys.legs
         if not attempts:
             return None
-        budget = CrossRegionBudget(
-            attempts, keys.window, keys.burst, sharers.edge_proxies, sharers.fleet_index
-        )
+        budget = CrossRegionBudget(attempts, keys.window, keys.burst, share.edge_proxies, share.fleet_index)
         burst = keys.burst or attempts
         if burst > attempts or burst < 2:
             self.ini.add_problem(
@@ -114,8 +112,8 @@
         return self.policies
 
     def _check_regions(self, section: str, pair: list[str]) -> None:
-        named = pair[:1] if pair[1:] == [ANY_REGION] else pair
-        for region in named:
+        named_regions = pair[:1] if pair[1:] == [ANY_REGION] else pair
+        for region in named_regions:
             if region not in self.regions:
                 known = ", ".join(self.regions)
                 self.ini.add_problem(section, "", f"unknown region {region!r}; known are {known}")
@@ -127,14 +125,14 @@
             self.ini.add_problem(section, "urgent", "belongs to [crossing TYPE], not to one of its pairs")
         if pair[0] != self.home:
             return
-        budget = self.budget(section, keys, self.home_region)
+        budget = self.budget(section, keys, self.region_share)
         if keys.legs is None:
             self.ini.add_problem(section, "legs", "missing: a pair is named to give it a budget of its own")
         elif budget is not None:
             self.pairs.setdefault(traffic_type, {})[pair] = budget
 
     def _read_type(self, section: str, traffic_type: str, keys: BudgetSection) -> None:
-        budget = self.budget(section, keys, self.fleet)
+        budget = self.budget(section, keys, self.fleet_share)
         if keys.legs == 0 and keys.urgent:
             self.ini.add_problem(section, "legs", "0 and urgent contradict each other")
         if keys.legs != 0:
@@ -142,12 +140,12 @@
 
 
 def cross_region_config(
-    ini: IniFile, home: str, place: int, edges: int, region_place: int, types: set[str]
+    ini: IniFile, home: str, fleet_index: int, edge_proxies: int, region_index: int, types: set[str]
 ) -> CrossRegionConfig | None:
     """What may leave the region `home`; None where the file has no regions. Adds its problems to the file.
 
-    `place` of `edges` is this instance's index in the fleet, `region_place` the one in its region; `types`
-    are the known traffic types.
+    `fleet_index` is this instance's index among the fleet's `edge_proxies`, `region_index` the one among
+    those of its region; `types` are the known traffic types.
     """
     regions = ini.read_sections("region", RegionSection)
     names = [name.split() for name in ini.names_of("crossing")]
@@ -158,13 +156,16 @@
     common = ini.read_section("crossing", CommonSection, required=False)
     at_home = regions.get(home)
     home_edges = at_home.edges if at_home else 0
-    if at_home and not region_place < max(1, home_edges):
+    if at_home and not region_index < max(1, home_edges):
         ini.add_problem(
-            "edge", "region_place", f"{region_place} must be less than the {home_edges} edges of {home}"
+            "edge", "region_place", f"{region_index} must be less than the {home_edges} edges of {home}"
         )
-    fleet, home_region = _Sharers(edges, place), _Sharers(max(1, home_edges), region_place)
+    fleet_share, region_share = (
+        _BudgetShare(edge_proxies, fleet_index),
+        _BudgetShare(max(1, home_edges), region_index),
+    )
     clock_skew = common.clock_skew if common else 0
-    sections = _BudgetSections(ini, home, types, list(regions), fleet, home_region, clock_skew)
+    sections = _BudgetSections(ini, home, types, list(regions), fleet_share, region_share, clock_skew)
     for words in names:
         sections.read(words)
     policies = sections.with_pairs()
@@ -180,4 +181,4 @@
     if urgent and not common.reserve:
         reason = f"{', '.join(urgent)} is urgent, and there is no reserve for it"
         sections.ini.add_problem("crossing", "reserve", reason)
-    return sections.budget("crossing", common, sections.fleet)
+    return sections.budget("crossing", common, sections.fleet_share)
--- a/valverouter/config/gossip.py
+++ b/valverouter/config/gossip.py
@@ -83,12 +83,12 @@
     """
     host, _, port = text.rpartition(":")
     try:
-        there = ipaddress.ip_address(host.strip("[]"))
+        ip = ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        there = None
-    if there is None or not is_host_and_port(text):
+        ip = None
+    if ip is None or not is_host_and_port(text):
         ini.add_problem(section, key, f"{text!r} is no IP:PORT")
-    elif is_reachable and (int(port) == 0 or there.is_unspecified):
+    elif is_reachable and (int(port) == 0 or ip.is_unspecified):
         ini.add_problem(section, key, f"{text!r} is nothing that others can send to")
 
 
--- a/valverouter/config/ini.py
+++ b/valverouter/config/ini.py
@@ -104,17 +104,19 @@
         try:
             parser.read_string(text, name)
         except configparser.Error as error:
-            line = getattr(error, "lineno", None) or next((at for at, _ in getattr(error, "errors", [])), 0)
+            line = getattr(error, "lineno", None) or next(
+                (number for number, _ in getattr(error, "errors", [])), 0
+            )
             self.add_problem("", "", _describe(error), line)
             return
         self.sections = {section: dict(parser[section]) for section in parser.sections()}
         section = ""
-        for at, row in enumerate(text.splitlines(), 1):
-            if found := re.match(r"\[(.+)\]", row):
-                section = found[1]
-                self._lines[section, ""] = at
-            elif found := re.match(r"([^\s#;=:][^=:]*?)\s*[=:]", row):
-                self._lines.setdefault((section, found[1]), at)
+        for number, row in enumerate(text.splitlines(), 1):
+            if line_match := re.match(r"\[(.+)\]", row):
+                section = line_match[1]
+                self._lines[section, ""] = number
+            elif line_match := re.match(r"([^\s#;=:][^=:]*?)\s*[=:]", row):
+                self._lines.setdefault((section, line_match[1]), number)
 
     @classmethod
     def load(cls, path: Path) -> IniFile:
@@ -168,13 +170,13 @@
             if required and not self.problems:
                 self.add_problem(section, "", "the section is missing", 0)
             return None if required else section_type()
-        before, values = len(self.problems), {}
+        previous_problems, values = len(self.problems), {}
         fields = {field.encode_name: field for field in msgspec.structs.fields(section_type)}
         for key, text in self.sections[section].items():
             field = fields.get(key)
             if field is None:
-                near = difflib.get_close_matches(key, fields, 1)
-                hint = f"did you mean {near[0]}?" if near else f"known are {', '.join(fields)}"
+                matches = difflib.get_close_matches(key, fields, 1)
+                hint = f"did you mean {matches[0]}?" if matches else f"known are {', '.join(fields)}"
                 self.add_problem(section, key, f"unknown key; {hint}")
                 continue
             try:
@@ -185,7 +187,7 @@
         for key, field in fields.items():
             if field.required and key not in self.sections[section]:
                 self.add_problem(section, key, "missing, and it has no default", self.line_of(section))
-        return section_type(**values) if len(self.problems) == before else None
+        return section_type(**values) if len(self.problems) == previous_problems else None
 
     def read_sections(self, kind: str, section_type: type[Section]) -> dict[str, Section | None]:
         """The sections [`kind` NAME] by name, in the file's order; None for one that has a problem."""
@@ -194,7 +196,7 @@
     def raise_problems(self) -> None:
         """Raises InvalidConfigError, sorted by line, where there is any problem."""
         if self.problems:
-            raise InvalidConfigError(sorted(self.problems, key=lambda flaw: flaw.line))
+            raise InvalidConfigError(sorted(self.problems, key=lambda problem: problem.line))
 
 
 def present(section: Section | None) -> Section:
@@ -215,20 +217,20 @@
     return has_both and int(port) < 65_536
 
 
-def _convert(text: str, kind: Any) -> Any:
+def _convert(text: str, field_type: Any) -> Any:
     # `X | None` holds its annotation in the first of its arguments: a key left out is None, one given is X.
-    given = typing.get_args(kind)[0] if type(None) in typing.get_args(kind) else kind
-    meant = next((m.extra["as"] for m in getattr(given, "__metadata__", ()) if m.extra), None)
+    annotation = typing.get_args(field_type)[0] if type(None) in typing.get_args(field_type) else field_type
+    syntax = next((m.extra["as"] for m in getattr(annotation, "__metadata__", ()) if m.extra), None)
     value: Any = text
-    if meant in _READERS:
-        value = _READERS[meant](text.strip())
-    elif meant == "words":
+    if syntax in _READERS:
+        value = _READERS[syntax](text.strip())
+    elif syntax == "words":
         value = tuple(word for word in (part.strip() for part in text.split(",")) if word)
-    elif kind is bool:
+    elif field_type is bool:
         if text.lower() not in TRUE_WORDS + FALSE_WORDS:
             raise ValueError(f"{text!r} is neither yes nor no")
         value = text.lower() in TRUE_WORDS
-    return msgspec.convert(value, kind, strict=False)
+    return msgspec.convert(value, field_type, strict=False)
 
 
 def _describe(error: configparser.Error) -> str:
--- a/valverouter/config/recorded_calls.py
+++ b/valverouter/config/recorded_calls.py
@@ -58,7 +58,7 @@
             ini.add_problem(section, key, f"{path}: {size} bytes, {MAX_FILE_SIZE} are allowed")
             return []
         with path.open(encoding="utf-8-sig", newline="") as file:
-            calls, problems = _read(file, str(path))
+            calls, problems = _parse_rows(file, str(path))
     except (OSError, UnicodeDecodeError, csv.Error) as error:
         ini.add_problem(section, key, f"{path}: {getattr(error, 'strerror', None) or error}")
         return []
@@ -68,7 +68,7 @@
     return sorted(calls, key=lambda call: call.at)
 
 
-def _read(lines: Iterable[str], name: str) -> tuple[list[RecordedCall], list[ConfigProblem]]:
+def _parse_rows(lines: Iterable[str], name: str) -> tuple[list[RecordedCall], list[ConfigProblem]]:
     rows = csv.reader(lines, strict=True)
     header = [word.strip() for word in next(rows, [])]
     reasons = [
@@ -84,9 +84,9 @@
 
 
 def _collect_calls(
-    rows: Iterable[list[str]], header: list[str], name: str, found: list[RecordedCall]
+    rows: Iterable[list[str]], header: list[str], name: str, calls: list[RecordedCall]
 ) -> Iterator[ConfigProblem]:
-    """Appends calls to `found`, and yields a problem for each line that is none."""
+    """Appends calls to `calls`, and yields a problem for each line that is none."""
     for line, row in enumerate(rows, 2):
         if not row:
             continue
@@ -94,31 +94,31 @@
             yield ConfigProblem(name, line, "", "", f"{len(row)} values under {len(header)} columns")
             continue
         try:
-            found.append(_call(dict(zip(header, (word.strip() for word in row), strict=True))))
+            calls.append(_parse_call(dict(zip(header, (word.strip() for word in row), strict=True))))
         except _InvalidValueError as error:
             yield ConfigProblem(name, line, "", error.column, str(error))
 
 
-def _call(row: dict[str, str]) -> RecordedCall:
-    at = _seconds(row, "at")
+def _parse_call(row: dict[str, str]) -> RecordedCall:
+    at = _parse_seconds(row, "at")
     if at is None:
         raise _InvalidValueError("at", "missing")
     if not row["type"]:
         raise _InvalidValueError("type", "missing")
-    no_answer = _seconds(row, "no_answer")
+    no_answer = _parse_seconds(row, "no_answer")
     if no_answer == 0:
         raise _InvalidValueError("no_answer", "nobody waits for no time")
     return RecordedCall(
         at,
         row["type"],
-        _integer(row, "edge"),
+        _parse_integer(row, "edge"),
         no_answer,
-        _integer(row, "first_choice"),
-        _integer(row, "number"),
+        _parse_integer(row, "first_choice"),
+        _parse_integer(row, "number"),
     )
 
 
-def _seconds(row: dict[str, str], column: str) -> int | None:
+def _parse_seconds(row: dict[str, str], column: str) -> int | None:
     text = row.get(column, "")
     if not text:
         return None
@@ -133,7 +133,7 @@
     return int(value * 10**9)
 
 
-def _integer(row: dict[str, str], column: str) -> int | None:
+def _parse_integer(row: dict[str, str], column: str) -> int | None:
     text = row.get(column, "")
     if not text:
         return None
@@ -150,6 +150,8 @@
         rows.writerow(COLUMNS)
         for call in calls:
             count += 1
-            spans = [None if ns is None else f"{Decimal(ns) / 10**9:f}" for ns in (call.at, call.no_answer)]
-            rows.writerow([spans[0], call.traffic_type, call.edge, spans[1], call.first_choice, call.number])
+            seconds = [None if ns is None else f"{Decimal(ns) / 10**9:f}" for ns in (call.at, call.no_answer)]
+            rows.writerow(
+                [seconds[0], call.traffic_type, call.edge, seconds[1], call.first_choice, call.number]
+            )
     return count
--- a/valverouter/config/rollout.py
+++ b/valverouter/config/rollout.py
@@ -231,7 +231,7 @@
     supervisor = ini.read_section("keeper", _SupervisorSection)
     log = ini.read_section("log", LogConfig, required=False)
     commands = _read_commands(ini)
-    keys, members = _supervised(ini, supervisor, commands) if supervisor else ((), {})
+    keys, members = _supervisor_group(ini, supervisor, commands) if supervisor else ((), {})
     ini.raise_problems()
     supervisor = present(supervisor)
     return SupervisorConfig(
@@ -260,10 +260,12 @@
 def _read_commands(ini: IniFile) -> dict[str, tuple[str, ...]]:
     """The commands of the [version NAME] sections by version."""
     versions = valid_sections(ini.read_sections("version", _VersionSection))
-    return {name: _command(ini, f"version {name}", version.command) for name, version in versions.items()}
+    return {
+        name: _parse_command(ini, f"version {name}", version.command) for name, version in versions.items()
+    }
 
 
-def _supervised(
+def _supervisor_group(
     ini: IniFile, supervisor: _SupervisorSection, commands: Mapping[str, tuple[str, ...]]
 ) -> tuple[Keys, Members]:
     """The keys and members to reach the control plane by; checks what concerns the instance too."""
@@ -280,7 +282,7 @@
     return keys, members
 
 
-def _command(ini: IniFile, section: str, text: str) -> tuple[str, ...]:
+def _parse_command(ini: IniFile, section: str, text: str) -> tuple[str, ...]:
     try:
         words = tuple(shlex.split(text))
     except ValueError as error:
--- a/valverouter/config/scenario.py
+++ b/valverouter/config/scenario.py
@@ -131,8 +131,8 @@
     @property
     def late_edges(self) -> frozenset[str]:
         """The edge proxies that start later than the scenario."""
-        late = [fault for fault in self.faults.values() if fault.kind == "balancer_late"]
-        return frozenset().union(*(self.edges_of(fault.on) for fault in late))
+        late_starts = [fault for fault in self.faults.values() if fault.kind == "balancer_late"]
+        return frozenset().union(*(self.edges_of(fault.on) for fault in late_starts))
 
     def index_in_region(self, place: int) -> int:
         """The index of edge proxy number `place` among those of its region."""
@@ -306,13 +306,13 @@
         reason = f"has calls of {traffic_type!r}, and there is no [mix {traffic_type}]"
         ini.add_problem("callers", "record", reason)
     edges, servers = fleet_size
-    dealt: dict[int, list[RecordedCall]] = {place: [] for place in range(edges)}
+    calls_by_edge: dict[int, list[RecordedCall]] = {place: [] for place in range(edges)}
     for index, call in enumerate(calls):
         if call.at < callers.record_from:
             continue
         # By a digest of the seed and the index in the record: the same in every way to play the scenario.
-        drawn = zlib.crc32(b"%d/%d" % (seed, index)) % edges
-        edge = drawn if callers.spread or call.edge is None else call.edge
+        drawn_edge = zlib.crc32(b"%d/%d" % (seed, index)) % edges
+        edge = drawn_edge if callers.spread or call.edge is None else call.edge
         preferred = None if callers.spread else call.first_choice
         if edge >= edges or (preferred is not None and preferred >= servers):
             name = (
@@ -322,8 +322,8 @@
             ini.add_problem("callers", "record", reason)
             break
         at = call.at - callers.record_from
-        dealt[edge].append(msgspec.structs.replace(call, at=at, edge=edge, first_choice=preferred))
-    return dealt
+        calls_by_edge[edge].append(msgspec.structs.replace(call, at=at, edge=edge, first_choice=preferred))
+    return calls_by_edge
 
 
 def _check_rate(ini: IniFile, callers: CallerConfig) -> None:
