--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""INI files: every problem with its line and reason, spans, and the samples."""
+"""INI files: each problem is reported with line and reason; durations; the sample files are valid."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 objective = 1500ms
 """
 
-# Each: what is replaced, by what, and the problems expected as (line, a part of the message).
+# Each: the text replaced in GOOD, its replacement, and the expected problems as (line, part of the message).
 INVALID_FILES: list[tuple[str, str, list[tuple[int, str]]]] = [
     ("name = e0\n", "", [(1, "name: missing")]),
     ("name = e0", "name = e0\nname = e1", [(3, "name is given twice")]),
@@ -42,15 +42,15 @@
     ),
     ("edge_proxies = 3", "edge_proxies = 3\nlegs_allowed = 7", [(8, "<= 6")]),
     ("edge_proxies = 3", "edge_proxies = 3\nlist_is_pushed = maybe", [(8, "neither yes nor no")]),
-    ("edge_proxies = 3", "edge_proxies = 3\nrelease_wait = -300ms", [(8, "no span")]),
-    ("edge_proxies = 3", "edge_proxies = 3\nrelease_wait = 300", [(8, "no span")]),
+    ("edge_proxies = 3", "edge_proxies = 3\nrelease_wait = -300ms", [(8, "not a duration")]),
+    ("edge_proxies = 3", "edge_proxies = 3\nrelease_wait = 300", [(8, "not a duration")]),
     ("edge_proxies = 3", "edge_proxies = 3\nrelease_wait = 300mss", [(8, "unknown unit 'mss'")]),
     ("edge_proxies = 3", "edge_proxies = 3\nrelease_wait = 0.3ns", [(8, "whole number of nanoseconds")]),
     ("edge_proxies = 3", "edge_proxies = 3\ncold_share = 1.5", [(8, "<= 1")]),
     ("edge_proxies = 3", "edge_proxies = 3\ncold_share = 0", [(8, "> 0")]),
     ("name = e0", "name = e0\nplace = 3", [(3, "must be less than edge_proxies")]),
-    ("listen = 127.0.0.1:7001", "listen = 7001", [(3, "no HOST:PORT")]),
-    ("listen = 127.0.0.1:7001", "listen = host:port", [(3, "no HOST:PORT")]),
+    ("listen = 127.0.0.1:7001", "listen = 7001", [(3, "not HOST:PORT")]),
+    ("listen = 127.0.0.1:7001", "listen = host:port", [(3, "not HOST:PORT")]),
     ("objective = 1500ms", "objective = 0", [(10, ">= 1")]),
     ("[traffic plain]", "[trafic plain]", [(9, "unknown section")]),
     ("objective = 1500ms", "objective = 1500ms\nservers = 1, two", [(11, "two")]),
--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -1,4 +1,4 @@
-"""Configuration of cross-region traffic: what a file gives, its problems, and a reload."""
+"""Configuration of cross-region traffic: the budgets read from a file, its problems, and reloads."""
 
 from __future__ import annotations
 
@@ -56,13 +56,13 @@
         ("region = a", "region = c", 5, "no [region c]"),
         ("region = a", "region = a\nregion_place = 2", 6, "less than the 2 edges"),
         ("[crossing plain a b]", "[crossing plain a c]", 19, "unknown region 'c'"),
-        ("[crossing plain a b]", "[crossing plain a a]", 19, "no crossing"),
+        ("[crossing plain a b]", "[crossing plain a a]", 19, "the same region"),
         ("[crossing plain a b]", "[crossing plain a]", 19, "[crossing TYPE FROM TO]"),
         ("[crossing plain a b]", "[crossing fancy a b]", 19, "no [traffic fancy]"),
         ("reserve = 10", "reserve = 0", 15, "no reserve for it"),
-        ("legs = 4", "legs = 4\nburst = 5", 21, "must lie from 2 to the 4 legs"),
-        ("legs = 4", "legs = 1", 19, "must lie from 2"),
-        ("legs = 4", "window = 1s", 19, "a pair is named"),
+        ("legs = 4", "legs = 4\nburst = 5", 21, "must be from 2 to the 4 legs"),
+        ("legs = 4", "legs = 1", 19, "must be from 2"),
+        ("legs = 4", "window = 1s", 19, "a section for a pair"),
         ("legs = 4", "legs = 4\nurgent = yes", 21, "not to one of its pairs"),
         ("legs = 10", "legs = 0", 17, "contradict"),
         ("reserve = 10", "reserve = 10\nclock_skew = 20s", 20, "skew"),
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -171,8 +171,8 @@
     ("old", "new", "says"),
     [
         ("name = e0", "name = " + "e" * 129, "name: "),
-        ("listen = edge:1", "listen = a b:1", "listen: 'a b:1' is no HOST:PORT"),
-        ("listen = edge:1", "listen = edge:²", "is no HOST:PORT"),
+        ("listen = edge:1", "listen = a b:1", "listen: 'a b:1' is not HOST:PORT"),
+        ("listen = edge:1", "listen = edge:²", "is not HOST:PORT"),
         ("warm_after = 15s", "come_back_limit = 2h", "come_back_limit: '2h'"),
         ("warm_after = 15s", "warm_after = " + "9" * 400 + "s", "warm_after: "),
         ("cold_share", "edge_proxies = 9999999999999\ncold_share", "given twice"),
--- a/tests/test_recorded_calls.py
+++ b/tests/test_recorded_calls.py
@@ -1,4 +1,4 @@
-"""A record of calls: read whole or refused with its lines, played again to the same moments and outcomes."""
+"""Recorded calls: a file is read completely or rejected with its lines, and replayed at the same times."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     ]
 
 
-# The file
+# The CSV file
 
 times_ns = st.integers(0, 10**17)
 numbers = st.none() | st.integers(0, 10**18)
@@ -107,21 +107,21 @@
     ("text", "messages"),
     [
         ("", ["calls.csv:1: the column 'at' is missing", "calls.csv:1: the column 'type' is missing"]),
-        ("at,type,dge\n", ["calls.csv:1: 'dge' is no column; known are at, type, edge"]),
-        ("at,type,at\n1,booking,2\n", ["calls.csv:1: 'at' stands twice"]),
-        ("at,type\n", ["replay.ini:70: [callers] record: calls.csv: holds no call"]),
+        ("at,type,dge\n", ["calls.csv:1: unknown column 'dge'; known columns: at, type, edge"]),
+        ("at,type,at\n1,booking,2\n", ["calls.csv:1: the column 'at' appears twice"]),
+        ("at,type\n", ["replay.ini:70: [callers] record: calls.csv: contains no calls"]),
         ("at,type\n1\n", ["calls.csv:2: 1 values under 2 columns"]),
         ("at,type\n1,booking\n\n-1,booking\n", ["calls.csv:4: at: '-1' is out of range"]),
-        ("at,type\nsoon,booking\n", ["calls.csv:2: at: 'soon' is no number of seconds"]),
+        ("at,type\nsoon,booking\n", ["calls.csv:2: at: 'soon' is not a number of seconds"]),
         ("at,type\nNaN,booking\n", ["calls.csv:2: at: 'NaN' is out of range"]),
         ("at,type\n1e30,booking\n", ["calls.csv:2: at: '1e30' is out of range"]),
         ("at,type\n1,\n", ["calls.csv:2: type: missing"]),
-        ("at,type,no_answer\n1,booking,0\n", ["calls.csv:2: no_answer: nobody waits for no time"]),
-        ("at,type,edge\n1,booking,-1\n", ["calls.csv:2: edge: '-1' is no whole number"]),
-        ("at,type,number\n1,booking,\u0663\n", ["calls.csv:2: number: '\u0663' is no whole number"]),
+        ("at,type,no_answer\n1,booking,0\n", ["calls.csv:2: no_answer: must be above 0"]),
+        ("at,type,edge\n1,booking,-1\n", ["calls.csv:2: edge: '-1' is not a whole number"]),
+        ("at,type,number\n1,booking,\u0663\n", ["calls.csv:2: number: '\u0663' is not a whole number"]),
         (
             "at,type\n1,fax\n",
-            ["replay.ini:70: [callers] record: has calls of 'fax', and there is no [mix fax]"],
+            ["replay.ini:70: [callers] record: has calls of 'fax', but there is no [mix fax]"],
         ),
         ("at,type,edge\n1,booking,3\n", ["replay.ini:70: [callers] record: names edge proxy 3 of 3"]),
         (
@@ -146,9 +146,13 @@
     ("old", "new", "message"),
     [
         ("record = calls.csv\n", "", "rate: missing"),
-        ("record = calls.csv\n", "rate = 1\ntimes = 2\n", "times: says something of a `record`"),
-        ("record = calls.csv\n", "record = calls.csv\nrate = 1\n", "rate: moments come from the `record`"),
-        ("record = calls.csv\n", "record = calls.csv\ndrift = 2\n", "drift: moments come from the `record`"),
+        ("record = calls.csv\n", "rate = 1\ntimes = 2\n", "times: applies only to a `record`"),
+        ("record = calls.csv\n", "record = calls.csv\nrate = 1\n", "rate: call times come from the `record`"),
+        (
+            "record = calls.csv\n",
+            "record = calls.csv\ndrift = 2\n",
+            "drift: call times come from the `record`",
+        ),
         ("record = calls.csv\n", "record = gone.csv\n", "record: gone.csv: No such file"),
     ],
 )
@@ -158,7 +162,7 @@
     assert f"[callers] {message}" in found
 
 
-# Days that play one
+# Scenarios that replay a file
 
 
 def test_replaying_an_emulated_scenario_with_its_seed_reproduces_it(tmp_path: Path) -> None:
@@ -168,8 +172,8 @@
     assert replayed == rows
     assert audit(replayed).passed
     other = run_emulated(replay(tmp_path, ("seed = 7", "seed = 8"))).rows
-    assert first_calls(other) == first_calls(rows), "the moments stay, chance does not"
-    assert other != rows, "the moments stay, chance does not"
+    assert first_calls(other) == first_calls(rows), "the calls do not depend on the seed"
+    assert other != rows, "everything else depends on the seed"
 
 
 def test_real_edge_proxies_replay_a_record_at_its_times(tmp_path: Path) -> None:
@@ -177,10 +181,12 @@
     write_calls(tmp_path / "calls.csv", recorded_calls(rows))
     replayed = run_virtual(replay(tmp_path))
     assert audit(replayed).passed
-    # Ids number first calls at each edge proxy in their order, whatever came between.
+    # Sorted by time. Dialog ids, which number the calls in the order they are made, are not compared.
     expected, found = sorted(first_calls(rows)), sorted(first_calls(replayed))
     assert [call[1:] for call in found] == [call[1:] for call in expected]
-    assert all(abs(a[0] - b[0]) < 1_000 for a, b in zip(found, expected, strict=True)), "to the clock's float"
+    assert all(abs(a[0] - b[0]) < 1_000 for a, b in zip(found, expected, strict=True)), (
+        "up to the rounding of the clock's float"
+    )
 
 
 def test_a_record_is_spread_over_another_fleet_from_an_offset(tmp_path: Path) -> None:
@@ -227,7 +233,7 @@
     other.mkdir()
     write_calls(other / "calls.csv", [RecordedCall(2, "booking")])
     keys.append(Run({}, 1, REPLAY, str(other)).key)
-    assert len(set(keys)) == 3, "by what the file holds, not by its name alone"
+    assert len(set(keys)) == 3, "the key depends on the file's contents, not only on its name"
 
 
 def test_a_search_rejects_a_scenario_that_replays_a_record(tmp_path: Path) -> None:
--- a/valverouter/config/__init__.py
+++ b/valverouter/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: INI in, checked and typed terms out; errors with file, line and reason."""
+"""Configuration: parses INI files into validated Structs and reports errors with file, line and reason."""
--- a/valverouter/config/attempts.py
+++ b/valverouter/config/attempts.py
@@ -1,6 +1,6 @@
 """Configuration of attempts: the sections [attempts NAME], [trunk-group NAME] and [server-set NAME].
 
-They set timers and attempt counts by traffic type and route. Durations are integer nanoseconds.
+They set timers and numbers of attempts by traffic type and route. Durations are integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -12,14 +12,17 @@
 
 from valverouter.config.ini import Duration, IniFile, PositiveDuration, valid_sections
 
-# Keys whose value is fixed: a file may state it, and nothing else.
+# Keys that accept a single value, with the reason. A file may state the value to document it.
 FIXED_VALUES = {
-    "jitter": ("full", "the wait is drawn from nought to its whole"),
-    "threshold": ("half", "a retry goes while more than half of the tokens remain after its own"),
-    "first_attempts": ("free", "no budget holds a first attempt back"),
+    "jitter": ("full", "the delay is drawn between 0 and the full backoff"),
+    "threshold": (
+        "half",
+        "a retry is allowed while more than half of the tokens remain after its own is taken",
+    ),
+    "first_attempts": ("free", "the retry budget does not limit first attempts"),
 }
 MAX_SECTIONS = 200
-# Of all sections together: they are checked against each other, which would take seconds beyond.
+# In all sections together. The sections are checked against each other, which would take seconds with more.
 MAX_PREFIXES = 1_000
 
 Prefixes = Annotated[tuple[str, ...], Meta(extra={"as": "prefixes"})]
@@ -30,9 +33,10 @@
 
 
 class AttemptKeys(Struct, frozen=True):
-    """[attempts NAME]: what a section requires of a dialog, and what it sets; None: left to other sections.
+    """[attempts NAME]: the conditions on a dialog and the settings that apply to it.
 
-    `tokens` and `fraction` are properties of a server, not of a dialog.
+    None: the section has no such condition, or leaves the setting to other sections. `tokens` and `fraction`
+    configure the retry budget of a server, not a dialog.
     """
 
     type: str | None = None
@@ -65,7 +69,8 @@
     if name not in (*CONDITION_KEYS, *BUDGET_KEYS) and name not in FIXED_VALUES
 )
 
-# The field of interface.AttemptPolicy that each setting gives; `server_share` is a fraction of the objective.
+# The field of interface.AttemptPolicy that each setting determines. `server_share`, a fraction of the
+# objective, has none of its own.
 POLICY_FIELDS = {
     "legs": "max_attempts",
     "legs_in_all": "max_total_attempts",
@@ -80,7 +85,7 @@
 
 
 class AttemptSection(Struct, frozen=True):
-    """One section [attempts NAME] and its place in the file; `lines` are those of its keys."""
+    """One section [attempts NAME] and its position in the file; `lines` has the line of each key."""
 
     name: str
     file: str
@@ -90,7 +95,7 @@
 
 
 class TrunkGroup(Struct, frozen=True):
-    """[trunk-group NAME]: callers by the names that they state when they connect."""
+    """[trunk-group NAME]: patterns of the names that callers state when they connect."""
 
     peers: Peers
 
@@ -102,19 +107,19 @@
 
 
 class AttemptConfig(Struct, frozen=True):
-    """The attempt sections of a file in their order, its trunk groups and its server sets."""
+    """The attempt sections of a file, in file order, with its trunk groups and server sets."""
 
     sections: tuple[AttemptSection, ...] = ()
     trunk_groups: dict[str, TrunkGroup] = {}
     server_sets: dict[str, ServerSet] = {}
 
     def __bool__(self) -> bool:
-        """Whether the file sets anything about attempts."""
+        """Returns whether the file has any attempt section."""
         return bool(self.sections)
 
 
 def attempt_config(ini: IniFile, types: set[str]) -> AttemptConfig:
-    """The attempt sections of a file with the traffic `types`; adds its problems to the file."""
+    """Reads the attempt sections of a file whose traffic types are `types`; adds problems to `ini`."""
     groups = valid_sections(ini.read_sections("trunk-group", TrunkGroup))
     sets = valid_sections(ini.read_sections("server-set", ServerSet))
     _check_disjoint(ini, "trunk-group", "peers", {name: group.peers for name, group in groups.items()})
@@ -126,7 +131,7 @@
     }
     names = ini.names_of("attempts")
     if len(names) > MAX_SECTIONS:
-        reason = f"at most {MAX_SECTIONS} such sections are taken"
+        reason = f"at most {MAX_SECTIONS} such sections are allowed"
         ini.add_problem(f"attempts {names[MAX_SECTIONS]}", "", reason)
     parsed = [_read_section(ini, name, known) for name in names]
     sections = tuple(section for section in parsed if section is not None)
@@ -138,7 +143,7 @@
 def _read_section(
     ini: IniFile, name: str, known: Mapping[str, tuple[str, set[str]]]
 ) -> AttemptSection | None:
-    """[attempts `name`]; `known` has the kind of section and the names that each key may refer to."""
+    """Reads [attempts `name`]; `known` gives, for each key that refers to sections, their kind and names."""
     section = f"attempts {name}"
     keys = ini.read_section(section, AttemptKeys)
     if keys is None:
@@ -155,7 +160,7 @@
     _check_budget_keys(ini, section, keys)
     for prefix in keys.prefix:
         if prefix.startswith("0"):
-            reason = f"{prefix} matches nothing: numbers have no nought in front"
+            reason = f"{prefix} matches nothing: called numbers have no leading zero"
             ini.add_problem(section, "prefix", reason)
     lines = {key: ini.line_of(section, key) for key in ini.sections[section]}
     return AttemptSection(name, ini.name, ini.line_of(section), keys, lines)
@@ -165,8 +170,8 @@
     conditions = [key for key in CONDITION_KEYS if key in ini.sections[section] and key != "server_set"]
     for key in BUDGET_KEYS:
         if getattr(keys, key) is not None and conditions:
-            rule = f"a section that sets it may ask server_set, not {conditions[0]}"
-            ini.add_problem(section, key, f"is a server's, not a dialog's: {rule}")
+            rule = f"a section that sets it may have the condition server_set, not {conditions[0]}"
+            ini.add_problem(section, key, f"is a property of a server, not of a dialog: {rule}")
 
 
 def _has_too_many_prefixes(ini: IniFile, sections: Iterable[AttemptSection]) -> bool:
@@ -175,7 +180,7 @@
     if total <= MAX_PREFIXES:
         return False
     longest = max(prefixes, key=lambda name: prefixes[name])
-    reason = f"{total} prefixes in all sections together, at most {MAX_PREFIXES} are taken"
+    reason = f"{total} prefixes in all sections together; at most {MAX_PREFIXES} are allowed"
     ini.add_problem(f"attempts {longest}", "prefix", reason)
     return True
 
@@ -183,7 +188,7 @@
 def _check_disjoint(
     ini: IniFile, kind: str, key: str, members: Mapping[str, tuple[str, ...] | tuple[int, ...]]
 ) -> None:
-    """Adds a problem for each member that two sections of a kind claim."""
+    """Adds a problem for each member that is listed in more than one section of a kind."""
     owners: dict[str | int, str] = {}
     for name, claimed in members.items():
         for member in claimed:
--- a/valverouter/config/cross_region.py
+++ b/valverouter/config/cross_region.py
@@ -15,13 +15,13 @@
 
 
 class RegionSection(Struct, frozen=True):
-    """[region NAME]: the number of its edge proxies, which share the budgets of pairs that start there."""
+    """[region NAME]: the number of its edge proxies, which share the budgets of pairs from this region."""
 
     edges: NonNegativeInteger = 0
 
 
 class CommonSection(Struct, frozen=True):
-    """[crossing]: the reserve that routine types never touch, and what all types have in common."""
+    """[crossing]: the reserve, which only urgent types may use, and the settings common to all types."""
 
     reserve: NonNegativeInteger = 0
     window: PositiveDuration = 10 * SECOND
@@ -31,7 +31,7 @@
 
 
 class BudgetSection(Struct, frozen=True):
-    """[crossing TYPE] and [crossing TYPE FROM TO]: attempts in a window, of which `burst` at one moment."""
+    """[crossing TYPE] and [crossing TYPE FROM TO]: attempts per window, and how many of them at once."""
 
     legs: Annotated[int, Meta(ge=0)] | None = None
     window: PositiveDuration = 10 * SECOND
@@ -40,7 +40,7 @@
 
 
 class _BudgetShare(NamedTuple):
-    """How many edge proxies share a budget, and the index of this one among them."""
+    """The number of edge proxies that share a budget, and the index of this one among them."""
 
     edge_proxies: int
     fleet_index: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class _BudgetSections:
-    """Reads the sections [crossing TYPE ...] of one file; problems are added to the file."""
+    """Reads the sections [crossing TYPE ...] of one file; adds problems to `ini`."""
 
     ini: IniFile
     home: str
@@ -68,11 +68,11 @@
         section = f"crossing {' '.join(words)}"
         keys = self.ini.read_section(section, BudgetSection)
         if not words:
-            return  # a section without a name is a problem that the file has noted already
+            return  # check_sections has already added a problem for a section without a name
         if words[0] not in self.traffic_types:
             self.ini.add_problem(section, "", f"there is no [traffic {words[0]}]")
         if len(words) not in (1, 3):
-            self.ini.add_problem(section, "", "is either [crossing TYPE] or [crossing TYPE FROM TO]")
+            self.ini.add_problem(section, "", "must be [crossing TYPE] or [crossing TYPE FROM TO]")
             return
         self._check_regions(section, words[1:])
         if keys is None:
@@ -85,7 +85,7 @@
     def budget(
         self, section: str, keys: BudgetSection | CommonSection, share: _BudgetShare
     ) -> CrossRegionBudget | None:
-        """A budget as it is shared here; adds a problem for one that could never permit an attempt."""
+        """Returns the budget as `share` divides it; adds a problem if it could never permit an attempt."""
         attempts = keys.reserve if isinstance(keys, CommonSection) else keys.legs
         if not attempts:
             return None
@@ -93,19 +93,19 @@
         burst = keys.burst or attempts
         if burst > attempts or burst < 2:
             self.ini.add_problem(
-                section, "burst", f"{burst} must lie from 2 to the {attempts} legs of a window"
+                section, "burst", f"{burst} must be from 2 to the {attempts} legs of a window"
             )
         elif (burst - 1) * keys.window <= 2 * self.clock_skew * (attempts - burst + 1):
-            reason = "a slot would lapse within the clocks' skew: no leg could ever be sent"
+            reason = "a time slot would expire within the clock skew, so no leg could ever be sent"
             self.ini.add_problem(section, "burst", reason)
         return budget
 
     def with_pairs(self) -> dict[str, CrossRegionPolicy]:
-        """The policies by traffic type, with the budgets of their pairs."""
+        """Returns the policies by traffic type, including the budgets of their region pairs."""
         for traffic_type, budgets in self.pairs.items():
             policy = self.policies.get(traffic_type)
             if policy is None:
-                reason = "missing: its pairs have budgets, the type has none"
+                reason = "missing: pairs of regions have budgets for this type, but the type itself has none"
                 self.ini.add_problem(f"crossing {traffic_type}", "", reason, 0)
             else:
                 self.policies[traffic_type] = CrossRegionPolicy(policy.budget, budgets, policy.urgent)
@@ -116,25 +116,25 @@
         for region in named_regions:
             if region not in self.regions:
                 known = ", ".join(self.regions)
-                self.ini.add_problem(section, "", f"unknown region {region!r}; known are {known}")
+                self.ini.add_problem(section, "", f"unknown region {region!r}; known regions: {known}")
 
     def _read_pair(self, section: str, traffic_type: str, pair: Pair, keys: BudgetSection) -> None:
         if pair[0] == pair[1]:
-            self.ini.add_problem(section, "", "a region and itself are no crossing")
+            self.ini.add_problem(section, "", "FROM and TO are the same region")
         if keys.urgent:
             self.ini.add_problem(section, "urgent", "belongs to [crossing TYPE], not to one of its pairs")
         if pair[0] != self.home:
             return
         budget = self.budget(section, keys, self.region_share)
         if keys.legs is None:
-            self.ini.add_problem(section, "legs", "missing: a pair is named to give it a budget of its own")
+            self.ini.add_problem(section, "legs", "missing: a section for a pair must set its budget")
         elif budget is not None:
             self.pairs.setdefault(traffic_type, {})[pair] = budget
 
     def _read_type(self, section: str, traffic_type: str, keys: BudgetSection) -> None:
         budget = self.budget(section, keys, self.fleet_share)
         if keys.legs == 0 and keys.urgent:
-            self.ini.add_problem(section, "legs", "0 and urgent contradict each other")
+            self.ini.add_problem(section, "legs", "0 contradicts urgent = yes")
         if keys.legs != 0:
             self.policies[traffic_type] = CrossRegionPolicy(budget, None, keys.urgent)
 
@@ -142,17 +142,20 @@
 def cross_region_config(
     ini: IniFile, home: str, fleet_index: int, edge_proxies: int, region_index: int, types: set[str]
 ) -> CrossRegionConfig | None:
-    """What may leave the region `home`; None where the file has no regions. Adds its problems to the file.
+    """Reads the limits on traffic from the region `home` to others; adds problems to `ini`.
 
     `fleet_index` is this instance's index among the fleet's `edge_proxies`, `region_index` the one among
-    those of its region; `types` are the known traffic types.
+    those of its region; `types` are the known traffic types. Returns None if the file has neither regions nor
+    cross-region sections.
     """
     regions = ini.read_sections("region", RegionSection)
     names = [name.split() for name in ini.names_of("crossing")]
     if not regions and not names and "crossing" not in ini.sections:
         return None
     if home not in regions:
-        ini.add_problem("edge", "region", f"{home!r} has no [region {home}]; known are {', '.join(regions)}")
+        ini.add_problem(
+            "edge", "region", f"{home!r} has no [region {home}]; known regions: {', '.join(regions)}"
+        )
     common = ini.read_section("crossing", CommonSection, required=False)
     at_home = regions.get(home)
     home_edges = at_home.edges if at_home else 0
@@ -179,6 +182,6 @@
     if common is None:
         return None
     if urgent and not common.reserve:
-        reason = f"{', '.join(urgent)} is urgent, and there is no reserve for it"
+        reason = f"{', '.join(urgent)} is urgent, but there is no reserve for it"
         sections.ini.add_problem("crossing", "reserve", reason)
     return sections.budget("crossing", common, sections.fleet_share)
--- a/valverouter/config/edge.py
+++ b/valverouter/config/edge.py
@@ -1,4 +1,4 @@
-"""Configuration of one edge proxy: the INI file of `valverouter edge`, checked and typed.
+"""Configuration of one edge proxy: the validated contents of the INI file of `valverouter edge`.
 
 Durations are integer nanoseconds.
 """
@@ -32,17 +32,17 @@
 from valverouter.interface import CrossRegionConfig, Deployment, TrafficType
 
 MS, SECOND = 10**6, 10**9
-# Between two readings of a file that may still be being written.
+# Interval between two reads of a file that may still be being written.
 REREAD_INTERVAL = 100 * MS
 
-# Bytes of the digest by which instances compare their configuration.
+# Bytes of the digest that instances exchange to compare their configurations.
 DIGEST_SIZE = 4
 
 ATTEMPT_SECTIONS = ("attempts", "trunk-group", "server-set")
 
 AttemptCount = Annotated[int, Meta(ge=1, le=6)]
-# Limits of the set-up protocol: the length of a name, durations up to an hour, frames of 64 KiB. An instance
-# configured beyond them would send messages that its peers reject.
+# The following limits are those of the set-up protocol: the length of a name, durations up to an hour, frames
+# of 64 KiB. An instance configured beyond them would send messages that its peers reject.
 PeerName = Annotated[str, Meta(min_length=1, max_length=128)]
 HOUR = 3_600 * SECOND
 ProtocolDuration = Annotated[int, Meta(ge=0, le=HOUR, extra={"as": "span"})]
@@ -51,7 +51,7 @@
 
 
 class TrafficConfig(Struct, frozen=True):
-    """[traffic NAME]: priority, latency objective and mean duration of a type, and the servers it may use."""
+    """[traffic NAME]: a type's priority, latency objective, mean duration, and the servers it may use."""
 
     objective: PositiveDuration
     importance: PositiveNumber = 1.0
@@ -61,7 +61,7 @@
 
 
 class FleetConfig(Struct, frozen=True):
-    """[fleet]: what is the same for every edge proxy of a fleet, among it the parameters of the rules."""
+    """[fleet]: the settings that a fleet's edge proxies share, including the routing policy's parameters."""
 
     edge_proxies: PositiveInteger
     list_is_pushed: bool = True
@@ -76,7 +76,7 @@
 
 
 class LinkConfig(Struct, frozen=True):
-    """[links]: timeouts of connections, and limits of what is queued or open."""
+    """[links]: timeouts of connections, and limits on queued bytes, open dialogs and callers."""
 
     connect_within: PositiveDuration = 500 * MS
     reconnect_least: Duration = 0
@@ -89,11 +89,12 @@
 
 
 class LedgerConfig(Struct, frozen=True):
-    """[ledger]: where open dialogs are stored for a restart; without a folder they are not.
+    """[ledger]: the folder in which open dialogs are stored across a restart; empty: they are not stored.
 
-    `sync` none: a killed process loses nothing, a machine that goes down its last moments. `sync` each:
-    nothing is lost, at the price of a disk write for each batch of events. `most`: bytes. `resume_within`:
-    how long callers have to resume their established dialogs.
+    `sync` none: nothing is lost if the process is killed, but the most recent events are lost if the machine
+    crashes. `sync` each: nothing is lost in either case, at the cost of a disk write for each batch of
+    events. `most`: maximum size in bytes. `resume_within`: how long callers have to resume their established
+    dialogs.
     """
 
     folder: str = ""
@@ -103,7 +104,7 @@
 
 
 class LogConfig(Struct, frozen=True):
-    """[log]: the format of the log, and the lowest level that is written."""
+    """[log]: the format of the log, and the minimum level that is logged."""
 
     form: Annotated[str, Meta(pattern="^(json|console)$")] = "json"
     level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
@@ -126,10 +127,10 @@
 class EdgeConfig(Struct, frozen=True):
     """The whole configuration of one edge proxy.
 
-    `answer_margin` is subtracted from every dialog's no-answer time, so that an answer given at the last
-    moment still arrives in time. `ends`: the file has an end marker, which distinguishes one that was read
-    half written from a short one. `digest`: of the part that a whole fleet shares, so that instances can
-    compare it.
+    `answer_margin` is subtracted from every dialog's no-answer time, so that a last-moment answer still
+    arrives in time. `ends`: the file has an end marker, which distinguishes a short file from one that was
+    read before it was completely written. `returns`: a change that worsens the service is rolled back.
+    `digest`: a digest of the part that the whole fleet shares, so that instances can compare it.
     """
 
     name: str
@@ -154,7 +155,7 @@
 
 
 def edge_config(ini: IniFile) -> EdgeConfig:
-    """The configuration in an edge proxy's file; raises InvalidConfigError with every problem of it."""
+    """Returns the configuration in an edge proxy's file; raises InvalidConfigError with all problems."""
     ini.check_sections(
         ("edge", "fleet", "links", "log", "ledger", "between", "crossing"),
         ("traffic", "region", "crossing", *ATTEMPT_SECTIONS),
@@ -195,7 +196,7 @@
 def _instance_config(
     ini: IniFile, edge: _EdgeSection, fleet: FleetConfig
 ) -> tuple[CrossRegionConfig | None, GossipConfig | None]:
-    """What depends on this instance's place in the fleet; checks its place and addresses too."""
+    """Reads the sections that depend on this instance's fleet index; checks the index and addresses."""
     types = set(ini.names_of("traffic"))
     crossing = cross_region_config(ini, edge.region, edge.place, fleet.edge_proxies, edge.region_place, types)
     if edge.place >= fleet.edge_proxies:
@@ -204,7 +205,7 @@
     gossip = gossip_config(ini, edge.region)
     for key in ("listen", "list_service"):
         if not is_host_and_port(address := getattr(edge, key)):
-            ini.add_problem("edge", key, f"{address!r} is no HOST:PORT")
+            ini.add_problem("edge", key, f"{address!r} is not HOST:PORT")
     return crossing, gossip
 
 
@@ -213,7 +214,7 @@
 
 
 def shared_text(ini: IniFile) -> str:
-    """The part of a file that is the same in a whole fleet: every section but the instance's own."""
+    """Returns the part of a file that the whole fleet shares: all sections but the instance's own."""
     return "\n".join(
         f"[{section}] {key} = {text}"
         for section, keys in ini.sections.items()
@@ -223,15 +224,15 @@
 
 
 def traffic_types(ini: IniFile) -> dict[str, TrafficConfig]:
-    """The [traffic NAME] sections by name; adds a problem to the file where there is none."""
+    """Returns the [traffic NAME] sections by name; adds a problem if there are none."""
     sections = ini.read_sections("traffic", TrafficConfig)
     if not sections and not ini.problems:
-        ini.add_problem("", "", "no [traffic NAME] section: no dialog could be taken")
+        ini.add_problem("", "", "no [traffic NAME] section, so no dialog could be accepted")
     return valid_sections(sections)
 
 
 def deployment(fleet: FleetConfig, traffic: dict[str, TrafficConfig], place: int) -> Deployment:
-    """The parameters of the routing policy, from the sections of the edge proxy at index `place`."""
+    """Returns the routing policy's parameters for the edge proxy with index `place` in the fleet."""
     return Deployment(
         traffic_types={
             name: TrafficType(
@@ -259,15 +260,15 @@
 
 
 def load_edge_config(path: Path) -> EdgeConfig:
-    """The configuration in the file at `path`; raises InvalidConfigError."""
+    """Loads the configuration in the file at `path`; raises InvalidConfigError."""
     return edge_config(IniFile.load(path))
 
 
 async def load_when_stable(path: Path, interval: int = REREAD_INTERVAL, tries: int = 20) -> EdgeConfig:
-    """The configuration in a file that may still be being written: read until two readings agree.
+    """Loads a file that may still be being written: reads it until two successive reads are equal.
 
-    `interval`: between readings, in nanoseconds. Raises InvalidConfigError as `edge_config` does, or if no
-    two readings agree.
+    `interval` is the time between reads, in nanoseconds. Raises InvalidConfigError as `edge_config` does, or
+    if after `tries` more reads no two successive ones were equal.
     """
     latest = IniFile.load(path)
     for _ in range(tries):
--- a/valverouter/config/ini.py
+++ b/valverouter/config/ini.py
@@ -1,8 +1,8 @@
-"""INI files read into typed sections; every problem is collected with its file, line, key and reason.
+"""Reads INI files into typed sections and collects every problem with its file, line, key and reason.
 
-Sections are read into msgspec Structs. The annotation of a field says how its text is parsed: `Duration`
-accepts 300ms or 1.5 s and gives integer nanoseconds, `TextList` a list with commas, bool yes or no. Bounds
-are those of msgspec's Meta.
+Sections are read into msgspec Structs. A field's annotation determines how its text is parsed: `Duration`
+accepts 300ms or 1.5 s and yields integer nanoseconds, `TextList` accepts a comma-separated list, bool yes or
+no. Bounds are declared with msgspec's Meta.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from valverouter.config.reader import lazy_reader
 
 _READERS = {start: lazy_reader(start) for start in SYNTAX_REASONS}
-# The last line of a file that uses an end marker: one that is read without it was truncated.
+# The last line of a file that uses an end marker. If a later read lacks it, the file was truncated.
 END_MARKER = "# end of terms"
-# A file is read and checked while dialogs are routed: it must not take long, whatever the path holds.
+# Bytes. A file is read and checked while dialogs are routed, so it must not take long, whatever its contents.
 MAX_FILE_SIZE = 256 * 1024
-# Three years: exact enough as a float, and accepted by every timer.
+# About three years in nanoseconds: precise enough as a float, and accepted by every timer.
 MAX_DURATION = 10**17
 
 Duration = Annotated[int, Meta(ge=0, le=MAX_DURATION, extra={"as": "span"})]
@@ -47,7 +47,7 @@
 
 
 class ConfigProblem(Struct, frozen=True):
-    """One problem of a configuration file; line 0 where it concerns the whole file."""
+    """One problem of a configuration file; `line` is 0 if it concerns the whole file."""
 
     file: str
     line: int
@@ -56,28 +56,28 @@
     reason: str
 
     def __str__(self) -> str:
-        """The problem in one line, as commands and logs show it."""
+        """Formats the problem as one line for commands and logs."""
         place = f"{self.file}:{self.line}" if self.line else self.file
         name = f"[{self.section}] {self.key}".strip() if self.section else self.key
         return f"{place}: {name}: {self.reason}" if name else f"{place}: {self.reason}"
 
 
 class InvalidConfigError(Exception):
-    """A configuration that can't be used, with all of its problems."""
+    """Raised for an invalid configuration; `problems` has all of its problems."""
 
     def __init__(self, problems: list[ConfigProblem]) -> None:
-        """The error's text has one line for each problem."""
+        """Sets the error's text, one line for each problem."""
         super().__init__("\n".join(map(str, problems)))
         self.problems = problems
 
 
 def parse_duration(text: str) -> int:
-    """A duration in nanoseconds; raises ValueError that says what is accepted."""
+    """Parses a duration into nanoseconds; raises ValueError, whose text states the accepted format."""
     return int(_READERS["span"](text.strip()))
 
 
 def format_duration(ns: int) -> str:
-    """A duration as one would write it; `parse_duration` reads it back exactly."""
+    """Formats a duration with a suitable unit; `parse_duration` returns exactly the same number."""
     units = ("h", "min", "s", "ms", "us")
     unit = next((unit for unit in units if ns and ns % NANOSECONDS_PER_UNIT[unit] == 0), "ns")
     if unit == "ns" and ns >= 10**6:
@@ -86,10 +86,10 @@
 
 
 class IniFile:
-    """The sections of a file with the line of each key, and the problems found in it so far."""
+    """The sections of an INI file, the line of each key, and the problems found so far."""
 
     def __init__(self, text: str, name: str, folder: Path = Path()) -> None:
-        """Parses `text`; `name` is the file's in messages, relative paths in it start at `folder`."""
+        """Parses `text`; `name` is the file's name in messages, `folder` the base of its relative paths."""
         self.name = name
         self.folder = folder
         self.problems: list[ConfigProblem] = []
@@ -120,7 +120,7 @@
 
     @classmethod
     def load(cls, path: Path) -> IniFile:
-        """The file at a path; one that can't be read is a problem like any other."""
+        """Loads the file at `path`; failure to read it is recorded as a problem, not raised."""
         try:
             with path.open("rb") as file:
                 data = file.read(MAX_FILE_SIZE + 1)
@@ -134,11 +134,11 @@
         return empty
 
     def line_of(self, section: str, key: str = "") -> int:
-        """The line of a key, or of its section where the key is missing; 0 for an unknown section."""
+        """Returns the line of a key, or of its section if the key is missing; 0 for an unknown section."""
         return self._lines.get((section, key), self._lines.get((section, ""), 0))
 
     def add_problem(self, section: str, key: str, reason: str, line: int | None = None) -> None:
-        """Adds a problem, by default at the line of its key."""
+        """Adds a problem; `line` defaults to the line of the key."""
         self.problems.append(
             ConfigProblem(
                 self.name, self.line_of(section, key) if line is None else line, section, key, reason
@@ -146,7 +146,7 @@
         )
 
     def names_of(self, kind: str) -> list[str]:
-        """The names X of the sections [kind X], in the file's order."""
+        """Returns the names X of the sections [`kind` X], in file order."""
         return [s[len(kind) + 1 :].strip() for s in self.sections if s.startswith(f"{kind} ")]
 
     def check_sections(self, single: typing.Iterable[str], named: typing.Iterable[str]) -> None:
@@ -157,15 +157,15 @@
             if section in single:
                 continue
             if kind not in named:
-                self.add_problem(section, "", f"unknown section; known are {', '.join(known)}")
+                self.add_problem(section, "", f"unknown section; known sections: {', '.join(known)}")
             elif not name or name != name.strip():
-                # Read by its stripped name it would be mistaken for another section, or for none.
-                self.add_problem(section, "", f"a name must follow, as in [{kind} NAME], with one space")
+                # names_of strips names, so this section would be mistaken for another one, or not be found.
+                self.add_problem(section, "", f"a name must follow after one space, as in [{kind} NAME]")
 
     def read_section(
         self, section: str, section_type: type[Section], required: bool = True
     ) -> Section | None:
-        """A section as a Struct; None when it has a problem, or is absent and `required`."""
+        """Reads a section into a Struct; None if it has a problem, or is absent although `required`."""
         if section not in self.sections:
             if required and not self.problems:
                 self.add_problem(section, "", "the section is missing", 0)
@@ -176,7 +176,7 @@
             field = fields.get(key)
             if field is None:
                 matches = difflib.get_close_matches(key, fields, 1)
-                hint = f"did you mean {matches[0]}?" if matches else f"known are {', '.join(fields)}"
+                hint = f"did you mean {matches[0]}?" if matches else f"known keys: {', '.join(fields)}"
                 self.add_problem(section, key, f"unknown key; {hint}")
                 continue
             try:
@@ -190,35 +190,36 @@
         return section_type(**values) if len(self.problems) == previous_problems else None
 
     def read_sections(self, kind: str, section_type: type[Section]) -> dict[str, Section | None]:
-        """The sections [`kind` NAME] by name, in the file's order; None for one that has a problem."""
+        """Reads the sections [`kind` NAME] by name, in file order; None for an invalid one."""
         return {name: self.read_section(f"{kind} {name}", section_type) for name in self.names_of(kind)}
 
     def raise_problems(self) -> None:
-        """Raises InvalidConfigError, sorted by line, where there is any problem."""
+        """Raises InvalidConfigError with the problems sorted by line, if there are any."""
         if self.problems:
             raise InvalidConfigError(sorted(self.problems, key=lambda problem: problem.line))
 
 
 def present(section: Section | None) -> Section:
-    """A section that is there, because it is optional or the file has no problems."""
+    """Returns the section, for callers that know it was read: it has defaults, or there are no problems."""
     assert section is not None
     return section
 
 
 def valid_sections(sections: Mapping[str, Section | None]) -> dict[str, Section]:
-    """The sections without a problem."""
+    """Returns the sections that were read without a problem."""
     return {name: section for name, section in sections.items() if section is not None}
 
 
 def is_host_and_port(text: str) -> bool:
-    """Whether the text is HOST:PORT, with a port number below 65,536."""
+    """Returns whether the text is HOST:PORT, with a port number below 65,536."""
     host, colon, port = text.rpartition(":")
     has_both = bool(host and colon) and not re.search(r"\s", host) and port.isascii() and port.isdigit()
     return has_both and int(port) < 65_536
 
 
 def _convert(text: str, field_type: Any) -> Any:
-    # `X | None` holds its annotation in the first of its arguments: a key left out is None, one given is X.
+    # A field of type `X | None` is None if its key is absent; otherwise the text is parsed as X, the first
+    # type argument.
     annotation = typing.get_args(field_type)[0] if type(None) in typing.get_args(field_type) else field_type
     syntax = next((m.extra["as"] for m in getattr(annotation, "__metadata__", ()) if m.extra), None)
     value: Any = text
@@ -240,6 +241,6 @@
         case configparser.DuplicateSectionError():
             return f"[{error.section}] is given twice"
         case configparser.MissingSectionHeaderError():
-            return "a line stands before the first [section]"
+            return "a line before the first [section]"
         case _:
             return "a line that is neither [section] nor key = value"
--- a/valverouter/config/options.py
+++ b/valverouter/config/options.py
@@ -1,6 +1,6 @@
-"""The operators' options for one edge proxy, as both the simulator and the operators' platform send them.
+"""The operators' options for one edge proxy, as sent by the simulator and by the operators' platform.
 
-The names of fields are the operators', and their durations are in microseconds (`Us`).
+The field names are those of the operators' format; a suffix `Us` means microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class MalformedInputError(ValueError):
-    """A line, message, field or setting that can't be used; the text says which."""
+    """Raised for an invalid line, message, field or setting, which the text names."""
 
 
 class Category(Struct):
@@ -32,7 +32,7 @@
 
 
 class Extra(Struct):
-    """Properties of the servers and calls; the lists have one entry for each category, or none at all."""
+    """Properties of the servers and calls; each list has one entry per category, or is empty."""
 
     classCells: list[list[int]] = []
     callLengthUs: list[int] = []
@@ -42,7 +42,7 @@
 
 
 class Limits(Struct):
-    """Limits of what the edge proxy may do."""
+    """Limits on the edge proxy, such as the number of attempts per dialog and of open dialogs."""
 
     sendCap: int
     maxRetryAfterUs: int = 0
@@ -59,7 +59,7 @@
 
 
 class Rules(Struct):
-    """How servers warm up, and from which load on they are overloaded."""
+    """Parameters of slow start and of the detection of overloaded servers."""
 
     startCapacity: float = 1.0
     tipMultiple: float = 1.0
@@ -68,7 +68,7 @@
 
 
 class Options(Struct):
-    """The options as a whole."""
+    """All options of one edge proxy."""
 
     categories: list[Category]
     nInstances: int
@@ -81,7 +81,7 @@
 
 
 def deployment(options: Options) -> Deployment:
-    """The routing policy's parameters; raises MalformedInputError for options that can't be used."""
+    """Returns the routing policy's parameters; raises MalformedInputError for invalid options."""
     _check(options)
     limits, extra, rules = options.limits, options.extra, options.rules
     return Deployment(
--- a/valverouter/config/platform.py
+++ b/valverouter/config/platform.py
@@ -1,6 +1,6 @@
-"""Configuration of an edge proxy on the operators' platform: JSON in, an EdgeConfig out.
+"""Configuration of an edge proxy on the operators' platform: converts its JSON file to an EdgeConfig.
 
-Features that the platform has no place for (a cached endpoint list, usage accounting, a ledger) stay off.
+Features that the platform does not support (a cached endpoint list, usage accounting, a ledger) are disabled.
 """
 
 from __future__ import annotations
@@ -14,33 +14,37 @@
 
 MS, SECOND = 10**6, 10**9
 
-# Subtracted from a dialog's no-answer time, so that an answer given at the last moment still arrives in time.
+# Subtracted from a dialog's no-answer time, so that a last-moment answer still arrives in time.
 ANSWER_MARGIN = 50 * MS
-# Of a long poll of the event bus. A bus that stopped is noticed by its silence, sooner with a short poll.
+# Duration of a long poll of the event bus. A stopped bus is detected by the missing answer, so a shorter poll
+# detects it sooner.
 BUS_POLL_TIMEOUT = 2 * SECOND
-# How much longer than the poll an answer may take, and the delay before a lost connection is retried.
+# How much longer than the poll its answer may take.
 BUS_ANSWER_MARGIN = 500 * MS
+# Delay before a lost connection to the bus is reopened.
 BUS_RETRY_DELAY = 100 * MS
-# Of a probe of a silent server. A server answers a probe at once, so this bounds the network alone.
+# Timeout of a probe of a silent server. Servers answer probes at once, so only network delay counts.
 PROBE_TIMEOUT = 2 * SECOND
-# How long a caller's connection may stay without a valid request, or leave one incomplete.
+# How long a caller's connection may be open without a valid request, or with an incomplete one.
 REQUEST_TIMEOUT = 2 * SECOND
-# A server that has been unreachable for so long has released its dialogs.
+# A server that has been unreachable for this long has released its dialogs.
 UNREACHABLE_TIMEOUT = 4 * SECOND
-# After SIGTERM new connections come for at most 0.4 s, and requests on them for 0.2 s more: those are served.
-# A request later than 0.7 s must be answered before SIGKILL, which may come 0.7 s after the longest no-answer
-# time, or after 3 s if that is shorter; so from here on each one is rejected at once.
+# How long requests are served after SIGTERM; later ones are rejected at once. New connections arrive for at
+# most 0.4 s after SIGTERM and requests on them for another 0.2 s; those are served. The no-answer time of a
+# request that comes later than 0.7 s may end after SIGKILL, so it must be answered earlier.
 ACCEPT_PERIOD = 650 * MS
+# SIGKILL may come KILL_DELAY after the longest no-answer time, or after MAX_KILL_BASE if that is shorter.
+# Both count from SIGTERM.
 KILL_DELAY, MAX_KILL_BASE = 700 * MS, 3 * SECOND
-# The last dialogs are answered, and the process exits, so long before SIGKILL.
+# How long before SIGKILL the last dialogs are answered and the process exits.
 EXIT_MARGIN = 250 * MS
-# So long before that, callers' connections without an open dialog are closed, and the process exits once no
-# dialog is open: the callers' next set-ups go to other edge proxies.
+# How long before that exit callers' connections without an open dialog are closed, so that the callers' next
+# set-ups go to other edge proxies. From then on the process exits as soon as no dialog is open.
 CLOSING_PERIOD = 500 * MS
 
 
 class ResourceLimits(Struct):
-    """The resources that the platform grants, `limits` in the file."""
+    """The resources that the platform grants to the process; `limits` in the file."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -48,7 +52,7 @@
 
 
 class PlatformFile(Struct):
-    """The file; fields that are not named here are ignored."""
+    """The contents of the file; fields that are not declared here are ignored."""
 
     name: str
     listen: str
@@ -62,8 +66,8 @@
 class PlatformConfig(Struct, frozen=True):
     """The configuration of an edge proxy on the platform.
 
-    `known`: the events of the event bus up to the start. `widths`: circuits that a dialog of a traffic type
-    occupies; a type without an entry may state any number.
+    `known`: the event bus's events up to the start, as JSON. `widths`: the number of circuits that a dialog
+    occupies, by traffic type; set-ups of a type without an entry may request any number.
     """
 
     config: EdgeConfig
@@ -73,7 +77,7 @@
 
 
 def platform_config(data: bytes) -> PlatformConfig:
-    """Parses the file; raises MalformedInputError that names a field that is missing or can't be used."""
+    """Parses the file; raises MalformedInputError, which names a missing or invalid field."""
     try:
         file = msgspec.json.decode(data, type=PlatformFile)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -81,12 +85,12 @@
     try:
         seed = int(file.seed, 16)
     except ValueError:
-        raise MalformedInputError(f"seed: {file.seed!r} is no hexadecimal number") from None
+        raise MalformedInputError(f"seed: {file.seed!r} is not a hexadecimal number") from None
     for name, address in (("listen", file.listen), ("bus", file.bus)):
         if not is_host_and_port(address):
-            raise MalformedInputError(f"{name}: {address!r} is no HOST:PORT")
+            raise MalformedInputError(f"{name}: {address!r} is not HOST:PORT")
     options = file.settings
-    # First, since it checks the options.
+    # Called before the options are used below, since it validates them.
     routing = deployment(options)
     links = LinkConfig(
         connect_within=max(1, options.limits.connectTimeoutUs) * US,
--- a/valverouter/config/reader.py
+++ b/valverouter/config/reader.py
@@ -1,4 +1,4 @@
-"""Parsers of single values that load the grammar's parser only when there is a text to parse."""
+"""Parsers of single values that import lark only when there is a text to parse."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def lazy_reader(start: str) -> Callable[[str], Any]:
-    """A parser for texts of one kind, by the grammar's start symbol; it raises ValueError."""
+    """Returns a parser for texts of the grammar's start symbol `start`; the parser raises ValueError."""
 
     def read(text: str) -> Any:
-        # An edge proxy that is configured without a file can't spare the memory of a parser.
+        # Imported here because an edge proxy that runs without such a file has no memory to spare for lark.
         from valverouter.config.value_parser import parse
 
         return parse(start, text)
--- a/valverouter/config/recorded_calls.py
+++ b/valverouter/config/recorded_calls.py
@@ -1,12 +1,12 @@
-"""Recorded calls that a scenario replays: CSV, checked as a whole before anything is dialled.
+"""Recorded calls that a scenario replays: a CSV file, validated completely before any call is made.
 
     at,type,edge,no_answer,first_choice,number
     0.0125,booking,0,9,2,10423
     0.0310,urgent-referral,1,,,
 
 `at` and `no_answer` are decimal seconds, `at` since the start of the record; `edge` is the number of the edge
-proxy that was dialled. Columns may come in any order; all but `at` and `type` may be left out or empty, and
-are then drawn or taken from the scenario, as for dialogs that are not recorded.
+proxy that was called. Columns may be in any order. All but `at` and `type` may be absent or empty; their
+values are then drawn or taken from the scenario, as for dialogs that are not recorded.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 COLUMNS = ("at", "type", "edge", "no_answer", "first_choice", "number")
 REQUIRED_COLUMNS = ("at", "type")
-# A record is held in memory while it is replayed.
+# Bytes. A record is kept in memory while it is replayed.
 MAX_FILE_SIZE = 64 * 1024 * 1024
-# A file of another kind has a problem in each line; this many say as much as all.
+# A file of a different format has a problem in each line; this many are as informative as all of them.
 MAX_REPORTED_PROBLEMS = 20
 MAX_NUMBER = 10**18
 
 
 class RecordedCall(Struct, frozen=True):
-    """The first try of one recorded call; None: not recorded. Times in nanoseconds, `at` since the start."""
+    """A recorded call without its redials. None: not recorded. Times in nanoseconds, `at` since the start."""
 
     at: int
     traffic_type: str
@@ -42,7 +42,7 @@
 
 
 class _InvalidValueError(ValueError):
-    """A value that can't be used, with its column."""
+    """Raised for an invalid value; `column` is its column."""
 
     def __init__(self, column: str, reason: str) -> None:
         super().__init__(reason)
@@ -50,12 +50,12 @@
 
 
 def read_calls(ini: IniFile, section: str, key: str) -> list[RecordedCall]:
-    """The record in the file that a key names, in the order of time; adds its problems to `ini`."""
+    """Reads the file that a key names and returns its calls sorted by time; adds its problems to `ini`."""
     path = ini.folder / ini.sections[section][key]
     try:
         size = path.stat().st_size
         if size > MAX_FILE_SIZE:
-            ini.add_problem(section, key, f"{path}: {size} bytes, {MAX_FILE_SIZE} are allowed")
+            ini.add_problem(section, key, f"{path}: {size} bytes; at most {MAX_FILE_SIZE} are allowed")
             return []
         with path.open(encoding="utf-8-sig", newline="") as file:
             calls, problems = _parse_rows(file, str(path))
@@ -64,7 +64,7 @@
         return []
     ini.problems += problems
     if not calls and not problems:
-        ini.add_problem(section, key, f"{path}: holds no call")
+        ini.add_problem(section, key, f"{path}: contains no calls")
     return sorted(calls, key=lambda call: call.at)
 
 
@@ -72,8 +72,12 @@
     rows = csv.reader(lines, strict=True)
     header = [word.strip() for word in next(rows, [])]
     reasons = [
-        *(f"{word!r} is no column; known are {', '.join(COLUMNS)}" for word in header if word not in COLUMNS),
-        *(f"{word!r} stands twice" for word in COLUMNS if header.count(word) > 1),
+        *(
+            f"unknown column {word!r}; known columns: {', '.join(COLUMNS)}"
+            for word in header
+            if word not in COLUMNS
+        ),
+        *(f"the column {word!r} appears twice" for word in COLUMNS if header.count(word) > 1),
         *(f"the column {word!r} is missing" for word in REQUIRED_COLUMNS if word not in header),
     ]
     if reasons:
@@ -86,7 +90,7 @@
 def _collect_calls(
     rows: Iterable[list[str]], header: list[str], name: str, calls: list[RecordedCall]
 ) -> Iterator[ConfigProblem]:
-    """Appends calls to `calls`, and yields a problem for each line that is none."""
+    """Appends the calls to `calls` and yields a problem for each invalid line."""
     for line, row in enumerate(rows, 2):
         if not row:
             continue
@@ -107,7 +111,7 @@
         raise _InvalidValueError("type", "missing")
     no_answer = _parse_seconds(row, "no_answer")
     if no_answer == 0:
-        raise _InvalidValueError("no_answer", "nobody waits for no time")
+        raise _InvalidValueError("no_answer", "must be above 0")
     return RecordedCall(
         at,
         row["type"],
@@ -125,7 +129,7 @@
     try:
         value = Decimal(text)
     except InvalidOperation:
-        raise _InvalidValueError(column, f"{text!r} is no number of seconds, as in 12.5") from None
+        raise _InvalidValueError(column, f"{text!r} is not a number of seconds, as in 12.5") from None
     if not value.is_finite() or not 0 <= value <= Decimal(MAX_DURATION) / 10**9:
         raise _InvalidValueError(
             column, f"{text!r} is out of range: seconds from 0 to {MAX_DURATION // 10**9}"
@@ -138,12 +142,12 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < 20 and int(text) <= MAX_NUMBER):
-        raise _InvalidValueError(column, f"{text!r} is no whole number from 0 to {MAX_NUMBER}")
+        raise _InvalidValueError(column, f"{text!r} is not a whole number from 0 to {MAX_NUMBER}")
     return int(text)
 
 
 def write_calls(path: Path, calls: Iterable[RecordedCall]) -> int:
-    """The calls as a file that `read_calls` reads back the same; how many."""
+    """Writes the calls to a file from which `read_calls` returns equal ones; returns their number."""
     count = 0
     with path.open("w", encoding="utf-8", newline="") as file:
         rows = csv.writer(file)
--- a/valverouter/config/rollout.py
+++ b/valverouter/config/rollout.py
@@ -1,6 +1,7 @@
 """Configuration of a raft server, of an instance's supervisor, and of a client of the control plane.
 
-The files' names for them are a council's seat and a keeper. Durations are integer nanoseconds.
+In the files a raft server is a [seat] of the council, the raft group, and a supervisor is a [keeper].
+Durations are integer nanoseconds.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 Keys = tuple[bytes, ...]
-# Addresses of the raft group's members by their names.
+# Addresses of the raft group's members by name.
 Members = dict[str, str]
 
 
@@ -54,7 +55,11 @@
 
 
 class DisruptionLimitConfig(Struct, frozen=True):
-    """[limits KIND]: how many instances may be down at once, and which fraction of a region must stay up."""
+    """[limits KIND]: limits on simultaneously unavailable instances of a kind, in total and per region.
+
+    `regions` overrides `in_region` for single regions. `least_capacity`, `least_processor`: the fractions of
+    a region's capacity and processor power that must stay available.
+    """
 
     most: PositiveInteger
     in_region: PositiveInteger
@@ -64,7 +69,7 @@
 
     @property
     def by_region(self) -> dict[str, int]:
-        """How many may be down at once in the regions that have a number of their own."""
+        """The maximum number of simultaneously unavailable instances in each region listed in `regions`."""
         return {name: int(count) for name, _, count in (entry.partition(" ") for entry in self.regions)}
 
 
@@ -80,7 +85,7 @@
 
 
 class RaftServerConfig(Struct, frozen=True):
-    """A raft server; `council` has the group's members."""
+    """The configuration of a raft server; `council` has the members of its group."""
 
     name: str
     listen: str
@@ -122,11 +127,12 @@
 
 
 class SupervisorConfig(Struct, frozen=True):
-    """The supervisor of one instance.
+    """The configuration of one instance's supervisor.
 
-    `asks`: the address at which an edge proxy is queried for its counts, that of its [between].
-    `list_service` is asked to drain a server, which then has `drain_within` to empty. `version`: what runs as
-    long as no operation demands another. `commands`: how each version is started.
+    `asks`: the address of an edge proxy's [between], at which its counts are queried. `list_service`: the
+    address to which the drain of a server is requested; the server's dialogs then have `drain_within` to end.
+    `version`: the version that runs unless an operation requires another. `commands`: the command that starts
+    each version.
     """
 
     name: str
@@ -151,21 +157,21 @@
 
 
 class FleetClientConfig(Struct, frozen=True):
-    """What a client needs to reach the raft group."""
+    """The keys and addresses with which a client reaches the raft group."""
 
     keys: Keys
     council: Members
 
 
 def raft_server_config(ini: IniFile) -> RaftServerConfig:
-    """The configuration of a raft server; raises InvalidConfigError with every problem of the file."""
+    """Returns the configuration of a raft server; raises InvalidConfigError with all problems of the file."""
     ini.check_sections(("seat", "evidence", "log"), ("limits",))
     server = ini.read_section("seat", _RaftServerSection)
     evidence = ini.read_section("evidence", EvidenceConfig, required=False)
     log = ini.read_section("log", LogConfig, required=False)
     limits = _read_limits(ini)
     if server and not limits:
-        ini.add_problem("", "", "no [limits ...] section: nothing could ever go out")
+        ini.add_problem("", "", "no [limits ...] section, so no instance could ever be taken out of service")
     keys, members = _raft_group(ini, server) if server else ((), {})
     ini.raise_problems()
     server = present(server)
@@ -186,12 +192,12 @@
 
 
 def _read_limits(ini: IniFile) -> dict[str, DisruptionLimitConfig]:
-    """The [limits KIND] sections by kind of instance."""
+    """Reads the [limits KIND] sections by kind of instance."""
     limits = {}
     for kind in ini.names_of("limits"):
         if kind not in INSTANCE_KINDS:
             known = " and ".join(f"[limits {name}]" for name in INSTANCE_KINDS)
-            ini.add_problem(f"limits {kind}", "", f"known are {known}")
+            ini.add_problem(f"limits {kind}", "", f"unknown kind of instance; known sections: {known}")
         section = ini.read_section(f"limits {kind}", DisruptionLimitConfig)
         if section is not None:
             _check_limits(ini, kind, section)
@@ -200,12 +206,12 @@
 
 
 def _raft_group(ini: IniFile, server: _RaftServerSection) -> tuple[Keys, Members]:
-    """The keys and the members of a raft server's group."""
+    """Returns the keys and members of a raft server's group; adds problems to `ini`."""
     keys, members = _control_plane(ini, "seat", server)
     if members and server.name not in members:
         ini.add_problem("seat", "council", f"{server.name} itself is not in it")
     if members and len(members) not in GROUP_SIZES:
-        reason = f"{len(members)} seats; wanted are 3 or 5, or 1 to try it"
+        reason = f"{len(members)} seats; must be 3 or 5, or 1 for a trial"
         ini.add_problem("seat", "council", reason)
     return keys, members
 
@@ -213,20 +219,24 @@
 def _check_limits(ini: IniFile, kind: str, limits: DisruptionLimitConfig) -> None:
     section = f"limits {kind}"
     if limits.in_region > limits.most:
-        reason = f"{limits.in_region} in a region are more than the {limits.most} in all"
+        reason = f"{limits.in_region} per region are more than {limits.most} in total"
         ini.add_problem(section, "in_region", reason)
     for entry in limits.regions:
         name, _, count = entry.partition(" ")
         if not name or not count.strip().isascii() or not count.strip().isdigit() or int(count) < 1:
-            ini.add_problem(section, "regions", f"{entry!r} is not a region and how many, as in north 2")
+            ini.add_problem(section, "regions", f"{entry!r} is not a region and a number, as in north 2")
         elif int(count) > limits.most:
-            ini.add_problem(section, "regions", f"{count} of {name} are more than the {limits.most} in all")
+            ini.add_problem(section, "regions", f"{count} in {name} are more than {limits.most} in total")
     if limits.least_capacity >= 1 or limits.least_processor >= 1:
-        ini.add_problem(section, "", "a least of 1 or more could never be met with anybody out")
+        ini.add_problem(
+            section,
+            "",
+            "least_capacity and least_processor must be below 1, or no instance could be unavailable",
+        )
 
 
 def supervisor_config(ini: IniFile) -> SupervisorConfig:
-    """The configuration of a supervisor; raises InvalidConfigError with every problem of the file."""
+    """Returns the configuration of a supervisor; raises InvalidConfigError with all problems of the file."""
     ini.check_sections(("keeper", "log"), ("version",))
     supervisor = ini.read_section("keeper", _SupervisorSection)
     log = ini.read_section("log", LogConfig, required=False)
@@ -258,7 +268,7 @@
 
 
 def _read_commands(ini: IniFile) -> dict[str, tuple[str, ...]]:
-    """The commands of the [version NAME] sections by version."""
+    """Reads the commands of the [version NAME] sections by version."""
     versions = valid_sections(ini.read_sections("version", _VersionSection))
     return {
         name: _parse_command(ini, f"version {name}", version.command) for name, version in versions.items()
@@ -268,15 +278,15 @@
 def _supervisor_group(
     ini: IniFile, supervisor: _SupervisorSection, commands: Mapping[str, tuple[str, ...]]
 ) -> tuple[Keys, Members]:
-    """The keys and members to reach the control plane by; checks what concerns the instance too."""
+    """Returns the keys and members of the raft group; checks the settings of the instance too."""
     keys, members = _control_plane(ini, "keeper", supervisor)
     if supervisor.asks:
         check_address(ini, "keeper", "asks", supervisor.asks, is_reachable=True)
     elif supervisor.sort == "edge proxy":
-        reason = "missing: where the edge proxy is asked, its [between] address"
+        reason = "missing: the edge proxy's [between] address, at which it is queried"
         ini.add_problem("keeper", "asks", reason)
     if supervisor.sort == "server" and not is_host_and_port(supervisor.list_service):
-        ini.add_problem("keeper", "list_service", f"{supervisor.list_service!r} is no HOST:PORT")
+        ini.add_problem("keeper", "list_service", f"{supervisor.list_service!r} is not HOST:PORT")
     if supervisor.version not in commands:
         ini.add_problem("keeper", "version", f"there is no [version {supervisor.version}]")
     return keys, members
@@ -296,7 +306,7 @@
 def _control_plane(
     ini: IniFile, name: str, section: _RaftServerSection | _SupervisorSection
 ) -> tuple[Keys, Members]:
-    """The keys and the raft group's members in the section `name`; checks its own addresses too."""
+    """Returns the keys and the raft group's members in the section `name`; checks its own addresses too."""
     check_address(ini, name, "listen", section.listen, is_reachable=False)
     if section.advertise:
         check_address(ini, name, "advertise", section.advertise, is_reachable=True)
@@ -306,7 +316,7 @@
 
 
 def _members(ini: IniFile, section: str, entries: TextList) -> Members:
-    """Addresses by the names of members, from entries such as "c0 10.0.0.1:7000"."""
+    """Parses entries such as "c0 10.0.0.1:7000" into addresses by the names of members."""
     members: Members = {}
     for entry in entries:
         name, _, address = entry.partition(" ")
@@ -316,37 +326,40 @@
             ini.add_problem(section, "council", reason)
             continue
         if name in members:
-            ini.add_problem(section, "council", f"{name} is named twice")
+            ini.add_problem(section, "council", f"{name} is listed twice")
         check_address(ini, section, "council", address, is_reachable=True)
         members[name] = address
     if not entries:
-        ini.add_problem(section, "council", "names nobody")
+        ini.add_problem(section, "council", "is empty")
     return members
 
 
 def fleet_client_config(ini: IniFile) -> FleetClientConfig:
-    """From the file of any raft server or supervisor; raises InvalidConfigError."""
+    """Returns a client's configuration from any raft server's or supervisor's file.
+
+    Raises InvalidConfigError.
+    """
     if "seat" in ini.sections:
         server = raft_server_config(ini)
         return FleetClientConfig(server.keys, server.council)
     if "keeper" in ini.sections:
         supervisor = supervisor_config(ini)
         return FleetClientConfig(supervisor.keys, supervisor.council)
-    ini.add_problem("", "", "neither a [seat] nor a [keeper]: the council can't be reached by it")
+    ini.add_problem("", "", "neither a [seat] nor a [keeper], so the council can't be reached with it")
     ini.raise_problems()
     raise AssertionError
 
 
 def load_raft_server(path: Path) -> RaftServerConfig:
-    """The configuration in a raft server's file; raises InvalidConfigError."""
+    """Loads a raft server's file; raises InvalidConfigError."""
     return raft_server_config(IniFile.load(path))
 
 
 def load_supervisor(path: Path) -> SupervisorConfig:
-    """The configuration in a supervisor's file; raises InvalidConfigError."""
+    """Loads a supervisor's file; raises InvalidConfigError."""
     return supervisor_config(IniFile.load(path))
 
 
 def load_fleet_client(path: Path) -> FleetClientConfig:
-    """What a client needs, from the file of a raft server or supervisor; raises InvalidConfigError."""
+    """Loads a client's configuration from a raft server's or supervisor's file; raises InvalidConfigError."""
     return fleet_client_config(IniFile.load(path))
--- a/valverouter/config/scenario.py
+++ b/valverouter/config/scenario.py
@@ -1,6 +1,6 @@
 """Configuration of a scenario: fleet, load and faults in one INI file.
 
-The same file is played on loopback, in virtual time and by the emulator. Its sections are in
+The same file is run on loopback, in virtual time and by the emulator. Its sections are defined in
 `scenario_sections.py`.
 """
 
@@ -40,18 +40,18 @@
     ServerConfig,
 )
 
-# Sections that each edge proxy's own file takes over word for word, by their whole name or its beginning.
+# Sections that are copied unchanged into each edge proxy's own file, by full name and by prefix.
 SHARED_SECTIONS = ("fleet", "links", "ledger", "crossing")
 SHARED_PREFIXES = ("traffic ", "crossing ", "attempts ")
 
 
 class ScenarioConfig(Struct, frozen=True):
-    """A whole scenario, checked.
+    """A complete, validated scenario.
 
-    `shared`: the sections that each edge proxy's own file takes over. `recorded`: recorded calls by edge
-    proxy, in order, counted from the scenario's start; None: callers call by rate. `ledger`: edge proxies
-    store open dialogs over a restart. `between`: edge proxies gossip. `paths`: faults of the paths between
-    them.
+    `shared`: the text of the sections that are copied into each edge proxy's own file. `recorded`: recorded
+    calls by edge proxy, in order of time since the scenario's start; None: calls are generated at a rate.
+    `ledger`: edge proxies store open dialogs across a restart. `between`: settings of the edge proxies'
+    gossip; None: they do not gossip. `paths`: faults of the network paths between edge proxies.
     """
 
     name: str
@@ -82,7 +82,7 @@
         ledger: str = "",
         between: Mapping[str, str] | None = None,
     ) -> str:
-        """The text of the file that edge proxy number `place` is started with."""
+        """Returns the text of the INI file with which edge proxy number `place` is started."""
         own = {
             "name": f"e{place}",
             "listen": listen,
@@ -108,19 +108,19 @@
     def edge_config(
         self, place: int, listen: str, list_service: str, cache: str = "", accounts: str = ""
     ) -> EdgeConfig:
-        """The configuration of edge proxy number `place`; raises InvalidConfigError."""
+        """Returns the configuration of edge proxy number `place`; raises InvalidConfigError."""
         ini = self.edge_ini(place, listen, list_service, cache, accounts)
         return edge_config(IniFile(ini, f"edge e{place}"))
 
     @property
     def edge_regions(self) -> dict[str, str]:
-        """Each edge proxy's region, by its name."""
+        """The regions of the edge proxies, by the proxies' names."""
         return {f"e{place}": self.region_of_edge(place) for place in range(self.fleet.edge_proxies)}
 
     def edges_of(self, words: TextList, regions: Mapping[str, str] | None = None) -> frozenset[str]:
-        """The edge proxies that `words` name, by name or region, several in one word joined by +.
+        """Returns the edge proxies that `words` list by name or region; a word may join several with +.
 
-        `regions`: each edge proxy's region by its name, where another fleet than this one is meant.
+        `regions`: the region of each edge proxy by name, for a fleet that differs from this scenario's.
         """
         regions = self.edge_regions if regions is None else regions
         names: set[str] = set()
@@ -130,21 +130,21 @@
 
     @property
     def late_edges(self) -> frozenset[str]:
-        """The edge proxies that start later than the scenario."""
+        """The edge proxies that start after the scenario has begun."""
         late_starts = [fault for fault in self.faults.values() if fault.kind == "balancer_late"]
         return frozenset().union(*(self.edges_of(fault.on) for fault in late_starts))
 
     def index_in_region(self, place: int) -> int:
-        """The index of edge proxy number `place` among those of its region."""
+        """Returns the index of edge proxy number `place` among those of its region."""
         region = self.region_of_edge(place)
         return sum(self.region_of_edge(other) == region for other in range(place))
 
     def region_of_edge(self, place: int) -> str:
-        """The region of edge proxy number `place`; empty past the last one."""
+        """Returns the region of edge proxy number `place`, or "" if there is no such proxy."""
         return _region_at(place, {name: region.edges for name, region in self.regions.items()})
 
     def region_of_server(self, number: int) -> str:
-        """The region of server `number`; empty past the last one."""
+        """Returns the region of server `number`, or "" if there is no such server."""
         return _region_at(number, {name: region.servers for name, region in self.regions.items()})
 
     @property
@@ -164,7 +164,7 @@
 
 
 def _region_at(index: int, counts: Mapping[str, int]) -> str:
-    """The region of the instance at `index`, where regions follow each other with so many instances each."""
+    """Returns the region of instance `index`; instances are numbered region by region, `counts` in each."""
     for name, count in counts.items():
         index -= count
         if index < 0:
@@ -173,7 +173,7 @@
 
 
 def scenario_config(ini: IniFile, name: str) -> ScenarioConfig:
-    """The scenario in a file; raises InvalidConfigError with every problem of it."""
+    """Returns the scenario in a file; raises InvalidConfigError with all of its problems."""
     ini.check_sections(
         ("day", "fleet", "links", "delays", "servers", "callers", "list", "ledger", "crossing", "between"),
         ("traffic", "mix", "region", "trouble", "crossing", "attempts", "path"),
@@ -215,20 +215,22 @@
 
 
 def load_scenario(path: Path) -> ScenarioConfig:
-    """The scenario in the file at `path`, named after it; raises InvalidConfigError."""
+    """Loads the scenario in the file at `path` and names it after the file; raises InvalidConfigError."""
     return scenario_config(IniFile.load(path), path.stem)
 
 
 def _check_ledger(ini: IniFile) -> None:
     section = ini.read_section("ledger", LedgerConfig, required=False)
     if section and "folder" in ini.sections.get("ledger", {}):
-        ini.add_problem("ledger", "folder", "each edge proxy of a day has a folder of its own")
+        ini.add_problem(
+            "ledger", "folder", "must not be set: each edge proxy of a scenario gets its own folder"
+        )
 
 
 def _read_named_sections(
     ini: IniFile, fleet: FleetConfig | None
 ) -> tuple[dict[str, MixConfig | None], dict[str, RegionConfig | None], dict[str, FaultConfig | None]]:
-    """The sections [mix TYPE], [region NAME] and [trouble NAME] by name."""
+    """Reads the sections [mix TYPE], [region NAME] and [trouble NAME] by name."""
     mix = ini.read_sections("mix", MixConfig)
     regions = ini.read_sections("region", RegionConfig)
     faults = ini.read_sections("trouble", FaultConfig)
@@ -236,7 +238,7 @@
         if traffic_type not in ini.names_of("traffic"):
             ini.add_problem(f"mix {traffic_type}", "", f"there is no [traffic {traffic_type}]")
     if not mix:
-        ini.add_problem("", "", "no [mix TYPE] section: nobody would call")
+        ini.add_problem("", "", "no [mix TYPE] section, so no calls would be made")
     if fleet and sum(region.edges for region in regions.values() if region) != fleet.edge_proxies:
         ini.add_problem("fleet", "edge_proxies", "must be the sum of `edges` over the regions")
     if not _server_count(regions):
@@ -249,23 +251,23 @@
     kinds = (*FAULT_KINDS, *MEMBERSHIP_FAULT_KINDS)
     for name, fault in faults.items():
         if fault.kind not in kinds:
-            reason = f"{fault.kind!r} is not known; known are {', '.join(kinds)}"
+            reason = f"unknown kind {fault.kind!r}; known kinds: {', '.join(kinds)}"
             ini.add_problem(f"trouble {name}", "kind", reason)
         if fault.kind == "balancer_late" and not fault.on:
-            ini.add_problem(f"trouble {name}", "on", "missing: who is not there from the beginning")
+            ini.add_problem(f"trouble {name}", "on", "missing: the edge proxies that start late")
 
 
 def _read_paths(
     ini: IniFile, fleet: FleetConfig | None, regions: set[str]
 ) -> tuple[ScenarioGossipConfig | None, dict[str, PathFaultConfig | None]]:
-    """The sections [between] and [path NAME]."""
+    """Reads the sections [between] and [path NAME]."""
     gossip = ini.read_section("between", ScenarioGossipConfig) if "between" in ini.sections else None
     paths = ini.read_sections("path", PathFaultConfig)
     if fleet:
         known = regions | {f"e{place}" for place in range(fleet.edge_proxies)}
         for name, path in valid_sections(paths).items():
             if gossip is None:
-                reason = "there is no [between], so nothing goes by any path"
+                reason = "there is no [between], so no datagrams are sent on any path"
                 ini.add_problem(f"path {name}", "", reason)
             _check_path(ini, f"path {name}", path, known)
     return gossip, paths
@@ -273,14 +275,14 @@
 
 def _check_path(ini: IniFile, section: str, path: PathFaultConfig, known: set[str]) -> None:
     if path.kind not in PATH_FAULT_KINDS:
-        reason = f"{path.kind!r} is not known; known are {', '.join(PATH_FAULT_KINDS)}"
+        reason = f"unknown kind {path.kind!r}; known kinds: {', '.join(PATH_FAULT_KINDS)}"
         ini.add_problem(section, "kind", reason)
     if path.kind == "split" and len(path.groups) < 2:
         ini.add_problem(section, "groups", "a split needs two groups or more")
     for key in ("senders", "receivers", "groups"):
         for name in (part.strip() for text in getattr(path, key) for part in text.split("+")):
             if name not in known:
-                reason = f"{name!r} is neither an edge proxy nor a region of this day"
+                reason = f"{name!r} is neither an edge proxy nor a region of this scenario"
                 ini.add_problem(section, key, reason)
 
 
@@ -291,26 +293,27 @@
 def _recorded_calls(
     ini: IniFile, callers: CallerConfig, seed: int, fleet_size: tuple[int, int]
 ) -> dict[int, list[RecordedCall]] | None:
-    """The recorded calls by edge proxy; None where callers call by rate.
+    """Reads the recorded calls by edge proxy; None if calls are generated at a rate.
 
-    `fleet_size`: the numbers of edge proxies and servers.
+    `fleet_size`: the numbers of edge proxies and of servers.
     """
     if not callers.record:
         _check_rate(ini, callers)
         return None
     for key in ("rate", "on", "off", "drift"):
         if key in ini.sections["callers"]:
-            ini.add_problem("callers", key, "moments come from the `record`; give one or the other")
+            ini.add_problem("callers", key, "call times come from the `record`; set only one of the two")
     calls = read_calls(ini, "callers", "record")
     for traffic_type in sorted({call.traffic_type for call in calls} - set(ini.names_of("mix"))):
-        reason = f"has calls of {traffic_type!r}, and there is no [mix {traffic_type}]"
+        reason = f"has calls of {traffic_type!r}, but there is no [mix {traffic_type}]"
         ini.add_problem("callers", "record", reason)
     edges, servers = fleet_size
     calls_by_edge: dict[int, list[RecordedCall]] = {place: [] for place in range(edges)}
     for index, call in enumerate(calls):
         if call.at < callers.record_from:
             continue
-        # By a digest of the seed and the index in the record: the same in every way to play the scenario.
+        # Drawn by a checksum of the seed and the index in the record, so that loopback, virtual time and the
+        # emulator all draw the same edge proxy.
         drawn_edge = zlib.crc32(b"%d/%d" % (seed, index)) % edges
         edge = drawn_edge if callers.spread or call.edge is None else call.edge
         preferred = None if callers.spread else call.first_choice
@@ -318,7 +321,7 @@
             name = (
                 f"edge proxy {edge} of {edges}" if edge >= edges else f"first choice {preferred} of {servers}"
             )
-            reason = f"names {name}, counted from 0; `spread = yes` draws them anew"
+            reason = f"names {name}, counted from 0; `spread = yes` draws them instead"
             ini.add_problem("callers", "record", reason)
             break
         at = call.at - callers.record_from
@@ -328,14 +331,14 @@
 
 def _check_rate(ini: IniFile, callers: CallerConfig) -> None:
     if not callers.rate:
-        ini.add_problem("callers", "rate", "missing: dialogs a second, or a `record` of calls")
+        ini.add_problem("callers", "rate", "missing: set dialogs per second, or a `record` of calls")
     for key in ("record_from", "spread", "times"):
         if key in ini.sections["callers"]:
-            ini.add_problem("callers", key, "says something of a `record`, and none is given")
+            ini.add_problem("callers", key, "applies only to a `record`, and none is set")
 
 
 def _shared_text(ini: IniFile) -> str:
-    """The sections that each edge proxy's own file takes over word for word."""
+    """Returns the text of the sections that are copied into each edge proxy's own file."""
     lines: list[str] = []
     for section, keys in ini.sections.items():
         if section in SHARED_SECTIONS or section.startswith(SHARED_PREFIXES):
--- a/valverouter/config/scenario_sections.py
+++ b/valverouter/config/scenario_sections.py
@@ -1,4 +1,4 @@
-"""The sections of a scenario's file: what is simulated and which faults happen.
+"""The sections of a scenario's file: the simulated fleet and load, and the faults.
 
 Durations are integer nanoseconds.
 """
@@ -40,14 +40,14 @@
     "peer_down",
     "vanish",
 )
-# Edge proxies that join or leave; the emulator plays them for the fleet's gossip alone.
+# Edge proxies that join or leave. The emulator simulates these only in runs of the fleet's gossip.
 MEMBERSHIP_FAULT_KINDS = ("balancer_late", "balancer_leave")
-# The kinds of faults that the model of network paths has.
+# The kinds of faults in the model of network paths.
 PATH_FAULT_KINDS = ("loss", "late", "twice", "swapped", "cut", "split")
 
 
 class RunConfig(Struct, frozen=True):
-    """[day]: length and seed; `settle`: how long a loopback run waits for its links before it starts."""
+    """[day]: duration and random seed; `settle`: how long a loopback run waits for its connections first."""
 
     length: PositiveDuration
     seed: NonNegativeInteger = 1
@@ -63,7 +63,7 @@
 
 
 class DelayConfig(Struct, frozen=True):
-    """[delays]: one way, within a region and between two; `jitter`: the fraction by which each one varies."""
+    """[delays]: one-way delays within a region and between two; `jitter`: the fraction by which they vary."""
 
     same: Duration = 0
     cross: Duration = 0
@@ -71,7 +71,7 @@
 
 
 class ServerConfig(Struct, frozen=True):
-    """[servers]: the properties of each server; durations of work are those of a warm processor."""
+    """[servers]: the properties of each server; the durations of work are those of a warmed-up server."""
 
     lines: PositiveInteger = 1_000
     setup_work: PositiveDuration = 10 * MS
@@ -91,13 +91,14 @@
 
 
 class CallerConfig(Struct, frozen=True):
-    """[callers]: dialogs a second in all or recorded calls, and what callers do when they are rejected.
+    """[callers]: the total rate of dialogs per second or recorded calls, and how callers react to rejections.
 
-    `record`: a file of calls beside the scenario's (see recorded_calls.py), replayed from its moment
+    `record`: a file of calls in the scenario's folder (see recorded_calls.py), replayed from its time
     `record_from` on. `spread`: edge proxies and preferred servers are drawn instead of taken from the record,
-    for a fleet of another shape. `times`: how often each call is dialled, on average. `local`: callers prefer
-    a server in the region of their edge proxy, where it has one. `on`, `off`: mean durations of an on-off
-    load with the same mean rate. `drift`: the rate at the end as a multiple of the rate at the start.
+    for a fleet of a different size. `times`: how often each recorded call is made, on average. `local`:
+    callers prefer a server in the region of their edge proxy, if it has one. `on`, `off`: mean durations of
+    the phases of an on-off load with the same mean rate. `drift`: the rate at the end as a multiple of the
+    rate at the start.
     """
 
     rate: RatePerSecond = 0.0
@@ -116,14 +117,14 @@
 
 
 class MixConfig(Struct, frozen=True):
-    """[mix TYPE]: the type's weight among the dialogs, and the no-answer time of its callers."""
+    """[mix TYPE]: the traffic type's relative share of the dialogs, and the no-answer time of its callers."""
 
     share: PositiveNumber
     no_answer: PositiveDuration
 
 
 class EndpointListConfig(Struct, frozen=True):
-    """[list]: how late the service of the endpoint list learns of a change at a server."""
+    """[list]: the delays after which the endpoint list service learns of changes of servers."""
 
     notice: Duration = 2 * SECOND
     silent_notice: Duration = 6 * SECOND
@@ -131,12 +132,12 @@
 
 
 class FaultConfig(Struct, frozen=True):
-    """[trouble NAME]: a fault: its kind, when and how long, which part of its targets it hits, and how hard.
+    """[trouble NAME]: a fault: its kind, start, duration, the fraction of targets affected, and its size.
 
-    `size`: burst: multiple of the rate; slow, ageing: how many times slower; origin_slow: 1/sqrt(size) of the
-    lines remain; reconnect, hot_key, answer_lost: a fraction; give_up: multiple of the patience; deploy: how
-    many at once. `extra`: the duration of a drain in a deploy, the lines of the number in a hot_key. `on`:
-    names of targets, which are drawn otherwise.
+    `size`, by kind: burst: multiple of the rate; slow, ageing: factor of the slowdown; origin_slow:
+    1/sqrt(size) of the lines remain; reconnect, hot_key, answer_lost: a fraction; give_up: multiple of the
+    callers' patience; deploy: the number of simultaneous restarts. `extra`: the duration of a drain in a
+    deploy, the lines of the called number in a hot_key. `on`: names of targets; if empty, they are drawn.
     """
 
     kind: str
@@ -150,10 +151,10 @@
 
 
 class ScenarioGossipConfig(Struct, frozen=True):
-    """[between]: the edge proxies gossip.
+    """[between]: settings of the gossip between edge proxies.
 
-    `seeds`: the first so many are the seeds of all. `settles`: within so many periods after the last fault
-    all views of the fleet must have converged.
+    `seeds`: the number of edge proxies, counted from the first, that are the seeds of all. `settles`: the
+    number of periods after the last fault within which all membership views must converge.
     """
 
     period: GossipPeriod = SECOND
@@ -165,8 +166,8 @@
 class PathFaultConfig(Struct, frozen=True):
     """[path NAME]: a fault of the network paths between edge proxies, of a kind in servermodel/paths.py.
 
-    `senders`, `receivers`, `groups`: names of edge proxies or regions, joined by + to a group of several.
-    Senders and receivers default to all.
+    `senders`, `receivers`, `groups`: names of edge proxies or regions; + joins several into one group.
+    Senders and receivers default to all edge proxies.
     """
 
     kind: str
--- a/valverouter/config/value_parser.py
+++ b/valverouter/config/value_parser.py
@@ -1,4 +1,4 @@
-"""The parser of the grammar's texts, by lark, and the values that they stand for."""
+"""Parses texts of the grammar with lark and converts them to values."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from valverouter.config.grammar import GRAMMAR, NANOSECONDS_PER_UNIT, SYNTAX_REASONS
 
-# A range stands for each of its members; a larger one is a mistake, or better written as a shorter prefix.
+# A range is expanded to all of its members. A larger one is a mistake, or better written as a shorter prefix.
 MAX_RANGE_SIZE = 1_000
 
 
@@ -40,13 +40,13 @@
         if parts[1] == "%":
             return float(Decimal(parts[0]) / 100)
         if not Decimal(parts[1]):
-            raise ValueError(f"{'/'.join(parts)!r} divides by nought")
+            raise ValueError(f"{'/'.join(parts)!r} divides by zero")
         return float(Decimal(parts[0]) / Decimal(parts[1]))
 
     def prefix(self, parts: list[Any]) -> list[str]:
         first, last = str(parts[0]), str(parts[-1])
         if len(first) != len(last):
-            raise ValueError(f"the range {first}-{last} has ends of unlike lengths")
+            raise ValueError(f"the range {first}-{last} has ends of different lengths")
         return [str(number).zfill(len(first)) for number in _range(first, last)]
 
     def prefixes(self, parts: list[list[str]]) -> tuple[str, ...]:
@@ -64,17 +64,17 @@
 
 def _nanoseconds_per(name: str) -> int:
     if name not in NANOSECONDS_PER_UNIT:
-        raise ValueError(f"unknown unit {str(name)!r}: {', '.join(NANOSECONDS_PER_UNIT)} are known")
+        raise ValueError(f"unknown unit {str(name)!r}; known units: {', '.join(NANOSECONDS_PER_UNIT)}")
     return NANOSECONDS_PER_UNIT[name]
 
 
 def _range(first: str, last: str) -> range:
     numbers = range(int(first), int(last) + 1)
     if not numbers:
-        raise ValueError(f"the range {first}-{last} runs backwards")
+        raise ValueError(f"the range {first}-{last} ends before it starts")
     if len(numbers) > MAX_RANGE_SIZE:
         raise ValueError(
-            f"the range {first}-{last} has {len(numbers)} entries, at most {MAX_RANGE_SIZE} are taken"
+            f"the range {first}-{last} has {len(numbers)} entries; at most {MAX_RANGE_SIZE} are allowed"
         )
     return numbers
 
@@ -90,7 +90,7 @@
 
 
 def parse(start: str, text: str) -> Any:
-    """The value of a text by the grammar's start symbol; raises ValueError that says what is accepted."""
+    """Parses a text by the start symbol `start`; raises ValueError, whose text states the accepted format."""
     try:
         return _Values().transform(_parser.parse(text, start=start))
     except UnexpectedInput:
--- a/valverouter/edge/sockets.py
+++ b/valverouter/edge/sockets.py
@@ -37,7 +37,7 @@
     """Splits HOST:PORT into host and port; raises ValueError for anything else."""
     host, _, port = address.rpartition(":")
     if not host or not port.isascii() or not port.isdigit():
-        raise ValueError(f"{address!r} is no HOST:PORT")
+        raise ValueError(f"{address!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
