--- a/tests/test_cross_region_config.py
+++ b/tests/test_cross_region_config.py
@@ -1,4 +1,4 @@
-"""Configuration of cross-region traffic: what a file gives, its problems, and a reload."""
+"""Configuration of cross-region traffic: the budgets read from a file, its problems, and reloads."""
 
 from __future__ import annotations
 
@@ -44,34 +44,36 @@
     crossing = edge_config(IniFile(GOOD, "e.ini")).crossing
     assert crossing is not None
     assert crossing.reserve is not None
-    kind = crossing.policies["plain"]
-    assert kind.urgent
-    assert kind.budget == CrossRegionBudget(10, 10 * SECOND, 0, 3, 0)
-    assert kind.pairs == {("a", "b"): CrossRegionBudget(4, 10 * SECOND, 0, 2, 0)}
+    policy = crossing.policies["plain"]
+    assert policy.urgent
+    assert policy.budget == CrossRegionBudget(10, 10 * SECOND, 0, 3, 0)
+    assert policy.pairs == {("a", "b"): CrossRegionBudget(4, 10 * SECOND, 0, 2, 0)}
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "said"),
+    ("old", "new", "line", "message"),
     [
         ("region = a", "region = c", 5, "no [region c]"),
         ("region = a", "region = a\nregion_place = 2", 6, "less than the 2 edges"),
         ("[crossing plain a b]", "[crossing plain a c]", 19, "unknown region 'c'"),
-        ("[crossing plain a b]", "[crossing plain a a]", 19, "no crossing"),
+        ("[crossing plain a b]", "[crossing plain a a]", 19, "the same region"),
         ("[crossing plain a b]", "[crossing plain a]", 19, "[crossing TYPE FROM TO]"),
         ("[crossing plain a b]", "[crossing fancy a b]", 19, "no [traffic fancy]"),
         ("reserve = 10", "reserve = 0", 15, "no reserve for it"),
-        ("legs = 4", "legs = 4\nburst = 5", 21, "must lie from 2 to the 4 legs"),
-        ("legs = 4", "legs = 1", 19, "must lie from 2"),
-        ("legs = 4", "window = 1s", 19, "a pair is named"),
+        ("legs = 4", "legs = 4\nburst = 5", 21, "must be from 2 to the 4 legs"),
+        ("legs = 4", "legs = 1", 19, "must be from 2"),
+        ("legs = 4", "window = 1s", 19, "a section for a pair"),
         ("legs = 4", "legs = 4\nurgent = yes", 21, "not to one of its pairs"),
         ("legs = 10", "legs = 0", 17, "contradict"),
         ("reserve = 10", "reserve = 10\nclock_skew = 20s", 20, "skew"),
     ],
 )
-def test_problems_are_reported_with_line_and_reason(old: str, new: str, line: int, said: str) -> None:
+def test_problems_are_reported_with_line_and_reason(old: str, new: str, line: int, message: str) -> None:
     with pytest.raises(InvalidConfigError) as caught:
         edge_config(IniFile(GOOD.replace(old, new, 1), "e.ini"))
-    assert any(flaw.line == line and said in str(flaw) for flaw in caught.value.problems), caught.value
+    assert any(problem.line == line and message in str(problem) for problem in caught.value.problems), (
+        caught.value
+    )
 
 
 async def test_a_reload_changes_cross_region_budgets_and_reports_what_needs_a_restart(
@@ -89,5 +91,5 @@
             late = msgspec.structs.replace(more, answer_margin=1)
             rig.edge.reload(late)
             await trio.sleep(0.1)
-    told = [entry for entry in logged if entry["event"] == "configuration-reloaded"]
-    assert [entry["waits_for_a_start"] for entry in told] == [[], ["answer_margin"]]
+    reloads = [entry for entry in logged if entry["event"] == "configuration-reloaded"]
+    assert [entry["waits_for_a_start"] for entry in reloads] == [[], ["answer_margin"]]
--- a/valverouter/fleet/raft_server.py
+++ b/valverouter/fleet/raft_server.py
@@ -1,7 +1,7 @@
-"""The raft server process: carries the messages and the disk writes of one `rollout` control plane node.
+"""The raft server process: performs the network and disk I/O of one control plane node of `rollout`.
 
-What a node promises is on its disk before any message leaves that rests on it. A node that is not a member
-yet, or has lost its disk, announces itself to the others, and the leader admits it.
+A node's state is written to disk before any message is sent that depends on it. Nodes announce their disk
+ids to each other, so that the leader can add a node that is not a member yet or has lost its disk.
 """
 
 from __future__ import annotations
@@ -33,58 +33,61 @@
 from valverouter.rollout.raft_log import Configuration, LogEntry, PersistentState, SaveEntries
 from valverouter.rollout.serialization import from_wire, to_wire
 
-# The longest sleep in seconds.
+# Maximum time to wait for a datagram before timers are checked.
 MAX_SLEEP_S = 0.05
-# Messages that are handled before the timers are looked at again.
+# Maximum number of messages that are handled before timers are checked again.
 BATCH_SIZE = 64
 ANNOUNCEMENT_INTERVAL_S = 1.0
 INCARNATION_BITS = 63
-# The stamp of a report that answers no message of this incarnation: long before the clock's zero.
+# Stamp, in ns, assumed for a report that acknowledges no message of this incarnation: lower than any stamp
+# of the monotonic clock.
 NO_STAMP = -(10**18)
 
 log = structlog.get_logger()
 
 
 class AlreadyBootstrappedError(RuntimeError):
-    """A raft group is to be bootstrapped from a store that already holds something."""
+    """Raised when a raft group is bootstrapped from a store that is not empty."""
 
 
 class RaftServer:
-    """One node of the control plane, on a socket and a disk."""
+    """Runs one node of the control plane with a socket and a store."""
 
-    def __init__(self, terms: RaftServerConfig, runtime: Runtime, store: RaftStore, bootstrap: bool) -> None:
-        """Load the node's state from `store`.
+    def __init__(self, config: RaftServerConfig, runtime: Runtime, store: RaftStore, bootstrap: bool) -> None:
+        """Loads the node's state from `store`.
 
-        `bootstrap`: this is the first node of a new group, which admits the others;
-        AlreadyBootstrappedError if the store is not empty.
+        `bootstrap`: this is the first node of a new group, which adds the others. Raises
+        AlreadyBootstrappedError if the store is not empty then.
         """
-        self._terms = terms
+        self._config = config
         self._runtime = runtime
         self._store = store
         self._incarnation = secrets.randbits(INCARNATION_BITS)
         self._announced_at = float("-inf")
         self._was_leader = False
-        self._log = log.bind(seat=terms.name)
+        self._log = log.bind(seat=config.name)
         persistent = store.load()
         if bootstrap:
-            _bootstrap(terms.name, persistent, store)
+            _bootstrap(config.name, persistent, store)
         draw = CounterRandom(self._incarnation).draw
-        self.node = ControlPlaneNode(terms.name, persistent, orchestrator_config(terms), draw, monotonic_ns())
-        # Replies that must not leave before what they rest on is on disk.
+        self.node = ControlPlaneNode(
+            config.name, persistent, orchestrator_config(config), draw, monotonic_ns()
+        )
+        # Replies to send after the state that they depend on has been written to disk.
         self._replies: list[tuple[str, ControlMessage]] = []
         self._client_requests = ClientRequestHandler(self.node, self._reply)
-        self._reconciler = RaftMembershipReconciler(self.node, frozenset(terms.council), self._log)
+        self._reconciler = RaftMembershipReconciler(self.node, frozenset(config.council), self._log)
         self._operation_events = OperationEventLogger(self._log)
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled.
+        """Runs until cancelled.
 
-        OSError if the address can't be bound, StoreError if the disk fails: a node that can't keep what it
-        promises must not go on.
+        Raises OSError if the address can't be bound, and StoreError if a write to disk fails: a node that
+        can't persist its state must not continue.
         """
-        socket = self._runtime.bind_datagrams(self._terms.listen)
+        socket = self._runtime.bind_datagrams(self._config.listen)
         try:
-            transport = Transport(socket, self._terms.keys, self._terms.name, self._incarnation)
+            transport = Transport(socket, self._config.keys, self._config.name, self._incarnation)
             self._log.info("raft-server-listening", address=transport.address, disk=f"{self._disk_id:016x}")
             task_status.started(transport.address)
             while True:
@@ -115,7 +118,7 @@
     def _on_message(self, message: ControlMessage, source: str) -> None:
         match message:
             case RaftEnvelope(recipient, content):
-                if recipient == self._terms.name:
+                if recipient == self._config.name:
                     self.node.on_message(monotonic_ns(), from_wire(content))
             case NodeAnnouncement(name, disk_id):
                 self._reconciler.on_announcement(name, disk_id)
@@ -136,21 +139,21 @@
 
     def _desired_state_message(self, reply: DesiredStateReply) -> DesiredStateMessage:
         return DesiredStateMessage(
-            self._terms.name, reply.instance, self._incarnation, reply.stamp, reply.desired, reply.is_open
+            self._config.name, reply.instance, self._incarnation, reply.stamp, reply.desired, reply.is_open
         )
 
     def _reply(self, address: str, message: ControlMessage) -> None:
         self._replies.append((address, message))
 
     def _flush(self, transport: Transport) -> None:
-        """Write to disk first, then send."""
+        """Writes pending changes to disk, then sends the outgoing messages and replies."""
         if self.node.pending_saves:
             self._store.commit(self.node.pending_saves)
             self.node.pending_saves.clear()
         outgoing = list(self.node.outgoing)
         self.node.outgoing.clear()
         for name, message in outgoing:
-            address = self._terms.council.get(name)
+            address = self._config.council.get(name)
             if address is not None:
                 transport.send(address, RaftEnvelope(name, to_wire(message)))
         replies, self._replies = self._replies, []
@@ -162,9 +165,9 @@
         if now - self._announced_at < ANNOUNCEMENT_INTERVAL_S:
             return
         self._announced_at = now
-        announcement = NodeAnnouncement(self._terms.name, self._disk_id)
-        for name, address in self._terms.council.items():
-            if name != self._terms.name:
+        announcement = NodeAnnouncement(self._config.name, self._disk_id)
+        for name, address in self._config.council.items():
+            if name != self._config.name:
                 transport.send(address, announcement)
 
     def _log_changes(self) -> None:
@@ -177,9 +180,9 @@
 
 
 def _bootstrap(name: str, persistent: PersistentState, store: RaftStore) -> None:
-    """Write the first log entry of a new group, which names this node as its only member."""
+    """Writes the first log entry of a new group: a configuration with this node as the only member."""
     if persistent.entries or persistent.snapshot or persistent.current_term:
-        raise AlreadyBootstrappedError(f"{store.path} holds a record: this council was founded before")
+        raise AlreadyBootstrappedError(f"{store.path} is not empty: the raft group was already bootstrapped")
     only_member = Configuration(((name, persistent.disk_id),))
     save = SaveEntries(1, (LogEntry(1, only_member),))
     persistent.apply(save)
