--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -61,7 +61,9 @@
     rows = run_virtual(played)
     accounts = account_by_type(rows)
     routine = [
-        one.at for one in cross_region_setups(rows) if one.traffic_type == "booking" and one.home == "sofia"
+        one.at
+        for one in cross_region_setups(rows)
+        if one.traffic_type == "booking" and one.home_region == "sofia"
     ]
     can = 0.0
     if variant == "budget":
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -47,7 +47,7 @@
         process.start()
     reports: list[CourseReport] = []
     with mp.Pool(options.jobs, maxtasksperchild=1) as pool:
-        for report in pool.imap(partial(play_course, planted_fault=options.planted), options.seeds):
+        for report in pool.imap(partial(play_course, injected_fault=options.planted), options.seeds):
             reports.append(report)
             print(report.line, *report.verdict.violations[:10], sep="\n    ", flush=True)
     for process in busy:
--- a/tests/test_cross_region_scenarios.py
+++ b/tests/test_cross_region_scenarios.py
@@ -100,7 +100,9 @@
     assert audit(rows).passed
     for home in ("sofia", "plovdiv", "varna", "burgas"):
         legs = [
-            one.at for one in cross_region_setups(rows) if one.traffic_type == "booking" and one.home == home
+            one.at
+            for one in cross_region_setups(rows)
+            if one.traffic_type == "booking" and one.home_region == home
         ]
         assert max_in_window(legs, 2 * SECOND) <= 24
     assert account_by_type(rows)["urgent-referral"].service_level > 0.8
--- a/tests/test_disruption_permits.py
+++ b/tests/test_disruption_permits.py
@@ -21,7 +21,7 @@
     PermitRegister,
     RequestPermit,
 )
-from valverouter.rollout.permit_model import PLANTED_FAULTS, PermitModel, SafetyViolationError
+from valverouter.rollout.permit_model import INJECTED_FAULTS, PermitModel, SafetyViolationError
 
 
 def test_a_crash_counts_against_the_limits_like_a_permit() -> None:
@@ -142,13 +142,13 @@
     assert disks_lost > 3
 
 
-@pytest.mark.parametrize("planted_fault", ["disk", "fence"])
-def test_the_simulation_finds_a_planted_fault(planted_fault: str) -> None:
+@pytest.mark.parametrize("injected_fault", ["disk", "fence"])
+def test_the_simulation_finds_an_injected_fault(injected_fault: str) -> None:
     """disk: a member that lost its disk still votes. fence: a permit is used again after its end."""
 
     def run_simulations() -> None:
         for seed in range(60):
-            PermitSimulation(seed, planted_fault=planted_fault).run(40)
+            PermitSimulation(seed, injected_fault=injected_fault).run(40)
 
     with pytest.raises(InvariantViolationError):
         run_simulations()
@@ -165,14 +165,14 @@
     assert model.explore() == states
 
 
-@pytest.mark.parametrize("planted_fault", PLANTED_FAULTS)
-def test_the_model_finds_each_planted_fault(planted_fault: str) -> None:
-    terms, length, crashes = (2, 1, 1) if planted_fault == "memory" else (1, 3, 0)
+@pytest.mark.parametrize("injected_fault", INJECTED_FAULTS)
+def test_the_model_finds_each_injected_fault(injected_fault: str) -> None:
+    terms, length, crashes = (2, 1, 1) if injected_fault == "memory" else (1, 3, 0)
     with pytest.raises(SafetyViolationError):
         PermitModel(
             max_terms=terms,
             max_log_length=length,
             max_crashes=crashes,
-            planted_fault=planted_fault,
+            injected_fault=injected_fault,
             depth_first=crashes > 0,
         ).explore()
--- a/tests/test_rollout_simulation.py
+++ b/tests/test_rollout_simulation.py
@@ -17,7 +17,7 @@
     simulation = RolloutSimulation(1, 12, loss=0.0)
     instances = simulation.fleet.instances
     submit = Submit("r", OperationKind.RELEASE, tuple(sorted(instances)), version)
-    simulation.events.at(10 * SECOND, simulation.submit, submit)
+    simulation.events.call_at(10 * SECOND, simulation.submit, submit)
     simulation.run_until(330 * SECOND)
     simulation.check_results()
     assert simulation.leader is not None
@@ -50,14 +50,14 @@
         assert {operation.phase for operation in operations} == {OperationPhase.ENDED}, seed
 
 
-def simulate_planted(planted_fault: str) -> None:
+def simulate_with_fault(injected_fault: str) -> None:
     for seed in range(40):
-        simulation = RolloutSimulation(seed, 12, planted_fault=planted_fault)
+        simulation = RolloutSimulation(seed, 12, injected_fault=injected_fault)
         simulation.run_randomly(90, operation_rate=0.3)
         simulation.check_results()
 
 
-@pytest.mark.parametrize("planted_fault", ["again", "lapse"])
-def test_a_planted_fault_is_found(planted_fault: str) -> None:
+@pytest.mark.parametrize("injected_fault", ["again", "lapse"])
+def test_an_injected_fault_is_found(injected_fault: str) -> None:
     with pytest.raises(InvariantViolationError):
-        simulate_planted(planted_fault)
+        simulate_with_fault(injected_fault)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -73,7 +73,7 @@
     assert play_course(seed).verdict.violations == []
 
 
-@pytest.mark.parametrize("planted_fault", FAULTS)
-def test_a_planted_fault_is_found_within_ten_seeds(planted_fault: str) -> None:
+@pytest.mark.parametrize("injected_fault", FAULTS)
+def test_an_injected_fault_is_found_within_ten_seeds(injected_fault: str) -> None:
     seeds = [seed for seed in range(1, 21) if draw_course(seed).front is Front.PLATFORM]
-    assert any(play_course(seed, planted_fault).verdict.violations for seed in seeds)
+    assert any(play_course(seed, injected_fault).verdict.violations for seed in seeds)
--- a/valverouter/audit/cross_region.py
+++ b/valverouter/audit/cross_region.py
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CrossRegionSetup:
-    """A set-up at time `at`, ns, from an edge proxy in region `home` at a server in region `away`."""
+    """A set-up at time `at`, ns, from an edge proxy in `home_region` at a server in `server_region`."""
 
     at: int
     traffic_type: str
-    home: str
-    away: str
+    home_region: str
+    server_region: str
 
 
 def cross_region_setups(rows: Iterable[Row]) -> list[CrossRegionSetup]:
@@ -28,9 +28,9 @@
         if isinstance(row, PlacementRow):
             regions[row.name] = row.region
         elif is_received_setup(row) and row.peer in regions:
-            home, away = regions.get(row.edge, ""), regions[row.peer]
-            if home != away:
-                found.append(CrossRegionSetup(row.at, row.detail, home, away))
+            home_region, server_region = regions.get(row.edge, ""), regions[row.peer]
+            if home_region != server_region:
+                found.append(CrossRegionSetup(row.at, row.detail, home_region, server_region))
     return found
 
 
@@ -45,5 +45,5 @@
 
 
 def count_by_route(setups: Iterable[CrossRegionSetup]) -> Counter[tuple[str, str, str]]:
-    """How many there were by traffic type, home and away."""
-    return Counter((setup.traffic_type, setup.home, setup.away) for setup in setups)
+    """How many there were by traffic type, home region and server region."""
+    return Counter((setup.traffic_type, setup.home_region, setup.server_region) for setup in setups)
--- a/valverouter/emulator/raft_group.py
+++ b/valverouter/emulator/raft_group.py
@@ -50,7 +50,7 @@
 class RaftGroup:
     """The group. `on_applied` is called with every command that a member has applied, and its result.
 
-    `planted_fault` "disk" lets a member that lost its disk come back under the former disk id, so that the
+    `injected_fault` "disk" lets a member that lost its disk come back under the former disk id, so that the
     checks are seen to find it.
     """
 
@@ -61,12 +61,12 @@
         size: int,
         loss: float,
         on_applied: Callable[[SimulatedMember, PermitCommand, PermitDecision | None], None],
-        planted_fault: str = "",
+        injected_fault: str = "",
         compaction_threshold: int = COMPACTION_THRESHOLD,
     ) -> None:
         """Founds the group: all members have the same first entry."""
         self.events = events
-        self.planted_fault = planted_fault
+        self.injected_fault = injected_fault
         self.counts: Counter[str] = Counter()
         self._compaction_threshold = compaction_threshold
         self._draws = draws
@@ -107,7 +107,7 @@
             restore_state,
             self._compaction_threshold,
         )
-        self.events.after(TICK_INTERVAL, self._tick, member, member.incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick, member, member.incarnation)
 
     def crash(self, name: str) -> None:
         """Ends a member's node; its disk stays."""
@@ -118,7 +118,7 @@
         """Ends a member's node, which comes back under its name with an empty disk."""
         self.crash(name)
         member = self.members[name]
-        if self.planted_fault == "disk":
+        if self.injected_fault == "disk":
             first_entry = LogEntry(1, self._committed[1])
             member.persistent = PersistentState(member.persistent.disk_id)
             member.persistent.apply(SaveEntries(1, (first_entry,)))
@@ -179,14 +179,14 @@
     def _tick(self, member: SimulatedMember, incarnation: int) -> None:
         if member.node is None or member.incarnation != incarnation:
             return
-        self.events.after(TICK_INTERVAL, self._tick, member, incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick, member, incarnation)
         if not self._is_paused(member):
             member.node.tick(self.events.now)
             self._carry_out(member)
 
     def _receive(self, member: SimulatedMember, message: RaftMessage) -> None:
         if self._is_paused(member):
-            self.events.at(member.paused_until, self._receive, member, message)
+            self.events.call_at(member.paused_until, self._receive, member, message)
         elif member.node is not None:
             member.node.receive(self.events.now, message)
             self._carry_out(member)
@@ -201,7 +201,7 @@
         self._check_leader(node)
         if self._has_faults and self._draws.random() < CRASH_AFTER_SAVE_PROBABILITY:
             self.crash(member.name)
-            self.events.after(int(self._draws.random() * 5 * SECOND), self.start, member.name)
+            self.events.call_after(int(self._draws.random() * 5 * SECOND), self.start, member.name)
             return
         for receiver, message in outgoing:
             if receiver in self.members:
--- a/valverouter/rollout/permit_model.py
+++ b/valverouter/rollout/permit_model.py
@@ -12,7 +12,7 @@
     out      the number of holders that are actually unavailable is at most `max_unavailable`
     one      the entry that was committed at an index never changes
 
-`planted_fault` disables a rule: "fence" (a holder acts on any permit), "lapse" (a permit ends while its
+`injected_fault` disables a rule: "fence" (a holder acts on any permit), "lapse" (a permit ends while its
 holder is unavailable), "twice" (a replica's vote counts twice), "memory" (a crash loses what is on disk).
 The rule that an entry of a former term is committed only together with one of the leader's own term matters
 only from five terms on; the tests of the Raft node cover it.
@@ -36,7 +36,7 @@
     RequestPermit,
 )
 
-PLANTED_FAULTS = ("fence", "lapse", "twice", "memory")
+INJECTED_FAULTS = ("fence", "lapse", "twice", "memory")
 REPLICAS = 3
 QUORUM = 2
 NO_VOTE = -1
@@ -113,7 +113,7 @@
     max_terms: int = 2
     max_log_length: int = 3
     max_crashes: int = 1
-    planted_fault: str = ""
+    injected_fault: str = ""
     depth_first: bool = False
 
     def explore(self, max_states: int = 3_000_000) -> int:
@@ -174,7 +174,7 @@
             for other, replica in enumerate(state.replicas)
             if other != index and _grants_vote(replica, term, candidate.log)
         ]
-        votes_needed = QUORUM - 1 if self.planted_fault != "twice" else 0
+        votes_needed = QUORUM - 1 if self.injected_fault != "twice" else 0
         for voters in combinations(granting, votes_needed):
             elected = state.with_replica(
                 index, replace(candidate, term=term, voted_for=index, leading_term=term)
@@ -185,7 +185,7 @@
             yield elected.with_leader_log(term, candidate.log)
 
     def _crashed(self, state: State, index: int, replica: Replica) -> State:
-        restarted = Replica() if self.planted_fault == "memory" else replace(replica, leading_term=0)
+        restarted = Replica() if self.injected_fault == "memory" else replace(replica, leading_term=0)
         return replace(state.with_replica(index, restarted), crashes=state.crashes + 1)
 
     def _appends(self, state: State, index: int, leader: Replica) -> Iterator[State]:
@@ -253,7 +253,7 @@
             returned = replace(holder, permit_number=0, highest_ended=holder.permit_number)
             proposed = state.proposed | {InstanceReturned(name, holder.permit_number)}
             yield replace(state.with_holder(index, returned), proposed=proposed)
-            if self.planted_fault == "lapse":
+            if self.injected_fault == "lapse":
                 yield replace(state, proposed=proposed)
             return
         for permit in self._permits(state.committed):
@@ -263,7 +263,7 @@
 
     def _accepts(self, holder: Holder, permit: Permit) -> bool:
         fence = Fence({permit.name: holder.highest_seen}, {permit.name: holder.highest_ended})
-        return self.planted_fault == "fence" or fence.accepts(permit)
+        return self.injected_fault == "fence" or fence.accepts(permit)
 
     def _permits(self, committed: Log) -> list[Permit]:
         """All permits that the register granted over the committed entries."""
--- a/valverouter/soak/report.py
+++ b/valverouter/soak/report.py
@@ -46,14 +46,14 @@
         )
 
 
-def play_course(seed: int, planted_fault: str = "") -> CourseReport:
+def play_course(seed: int, injected_fault: str = "") -> CourseReport:
     """Plays the course of a seed; a planted fault runs in the platform's edge proxy alone."""
     course = draw_course(seed)
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix=f"soak-{seed}-") as folder:
         run: PlatformRun | EdgeRun
         if course.front is Front.PLATFORM:
-            command = [*PLANTED, planted_fault] if planted_fault else RELAY
+            command = [*PLANTED, injected_fault] if injected_fault else RELAY
             run = PlatformRun(course, Path(folder), command)
         else:
             run = EdgeRun(course, Path(folder))
