--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -241,7 +241,7 @@
     ending = first if first.membership.own_record.incarnation in held else second
     remaining = second if ending is first else first
     ending.alive = False
-    del fleet.simulation._at_address[ending.address]
+    del fleet.simulation._nodes_by_address[ending.address]
     fleet.simulation.run_until(200 * SECOND)
     others = [node for node in fleet.simulation.running_nodes() if node.name != "e3"]
     assert {node.membership.view.records["e3"].incarnation for node in others} == {
--- a/tests/test_operation_audit.py
+++ b/tests/test_operation_audit.py
@@ -16,29 +16,29 @@
     return [*head, *rows]
 
 
-def turned(time: int, edge: str, number: int, outcome: str = "", up: bool = True, step: int = 0) -> StepRow:
+def step_row(time: int, edge: str, number: int, outcome: str = "", up: bool = True, step: int = 0) -> StepRow:
     return StepRow(time, time, edge, number, step, up, outcome)
 
 
 def test_each_violation_is_found_and_none_in_a_sound_trace() -> None:
-    sound = trace(
+    correct = trace(
         traffic_record.ProgramVersionRow(1, 1, "e0", "v1"),
-        turned(2, "e0", 7),
+        step_row(2, "e0", 7),
         traffic_record.ProgramVersionRow(3, 3, "e0", "v2"),
-        turned(4, "e0", 7, "done"),
-        turned(5, "e1", 9),
-        turned(6, "e1", 9, "done"),
+        step_row(4, "e0", 7, "done"),
+        step_row(5, "e1", 9),
+        step_row(6, "e1", 9, "done"),
         OperationRow(9, 9, "r", "release", "v2", "ended", "done", {"e0": ("done", 7, "v1")}),
     )
-    judged = check_operations(sound)
-    assert judged is not None
-    assert judged.passed
-    assert judged.steps_started == 2
-    assert judged.max_unavailable == 1
+    report = check_operations(correct)
+    assert report is not None
+    assert report.passed
+    assert report.steps_started == 2
+    assert report.max_unavailable == 1
     assert check_operations([]) is None
-    for bad, word in (
-        (trace(turned(1, "e0", 7), turned(2, "e1", 9)), "limits"),
-        (trace(turned(1, "e0", 7), turned(2, "e0", 7, "done"), turned(3, "e0", 7)), "once"),
+    for incorrect, word in (
+        (trace(step_row(1, "e0", 7), step_row(2, "e1", 9)), "limits"),
+        (trace(step_row(1, "e0", 7), step_row(2, "e0", 7, "done"), step_row(3, "e0", 7)), "once"),
         (trace(OperationRow(9, 9, "r", "restart", "", "ended", "done", {"e0": ("done", 7, "v1")})), "told"),
         (
             trace(
@@ -48,14 +48,14 @@
             "back",
         ),
     ):
-        judged = check_operations(bad)
-        assert judged is not None, (word, judged)
-        assert any(violation.startswith(word) for violation in judged.violations), (word, judged)
+        report = check_operations(incorrect)
+        assert report is not None, (word, report)
+        assert any(violation.startswith(word) for violation in report.violations), (word, report)
 
 
 def test_a_drained_instance_stays_out_in_the_check() -> None:
-    judged = check_operations(
-        trace(turned(1, "e0", 7, up=False), turned(2, "e0", 7, "done", up=False), turned(3, "e1", 9))
+    report = check_operations(
+        trace(step_row(1, "e0", 7, up=False), step_row(2, "e0", 7, "done", up=False), step_row(3, "e1", 9))
     )
-    assert judged is not None
-    assert not judged.passed
+    assert report is not None
+    assert not report.passed
--- a/tests/test_view_audit.py
+++ b/tests/test_view_audit.py
@@ -16,7 +16,7 @@
 )
 
 
-def judge(*rows: tuple[type, dict[str, Any]]) -> ViewReport:
+def check(*rows: tuple[type, dict[str, Any]]) -> ViewReport:
     trace = traffic_record.Tap(lambda: 0)
     for second, (kind, fields) in enumerate(rows):
         trace.now = lambda second=second: second * SECOND  # type: ignore[misc]
@@ -26,14 +26,14 @@
     return report
 
 
-def ran(edge: str, life: str, begins: bool = True) -> tuple[type, dict[str, Any]]:
-    return EdgeProcessRow, {"edge": edge, "incarnation": life, "is_start": begins}
+def process_row(edge: str, incarnation: str, is_start: bool = True) -> tuple[type, dict[str, Any]]:
+    return EdgeProcessRow, {"edge": edge, "incarnation": incarnation, "is_start": is_start}
 
 
-def viewed(edge: str, life: str, digest: str, **members: str) -> tuple[type, dict[str, Any]]:
+def view_row(edge: str, incarnation: str, digest: str, **members: str) -> tuple[type, dict[str, Any]]:
     return MembershipViewRow, {
         "edge": edge,
-        "incarnation": life,
+        "incarnation": incarnation,
         "digest": digest,
         "view_health": "settled",
         "members": members,
@@ -42,20 +42,20 @@
 
 def test_each_violation_is_found_and_a_sound_record_is_kept() -> None:
     begin = (ConvergenceDeadlineRow, {"max_duration": 3 * SECOND, "poll_interval": 0})
-    both = [ran("e0", "a"), ran("e1", "b"), begin]
-    good = [viewed("e0", "a", "x", e0="a", e1="b"), viewed("e1", "b", "x", e0="a", e1="b")]
-    assert judge(*both, *good).passed
-    assert judge(*both, good[0], viewed("e1", "b", "y", e0="a", e1="b")).converged_after is None
-    assert judge(*both, good[0], viewed("e1", "b", "x", e1="b")).converged_after is None
-    assert judge(*both, good[0]).converged_after is None, "one was never heard of"
-    assert not judge(*both, *[good[0]] * 9, good[1]).passed, "too late"
-    fresh = [ran("e1", "b", False), ran("e1", "c"), viewed("e0", "a", "x", e0="a", e1="c")]
-    back = judge(*both, *good, *fresh, good[0])
+    both = [process_row("e0", "a"), process_row("e1", "b"), begin]
+    good = [view_row("e0", "a", "x", e0="a", e1="b"), view_row("e1", "b", "x", e0="a", e1="b")]
+    assert check(*both, *good).passed
+    assert check(*both, good[0], view_row("e1", "b", "y", e0="a", e1="b")).converged_after is None
+    assert check(*both, good[0], view_row("e1", "b", "x", e1="b")).converged_after is None
+    assert check(*both, good[0]).converged_after is None, "one was never heard of"
+    assert not check(*both, *[good[0]] * 9, good[1]).passed, "too late"
+    fresh = [process_row("e1", "b", False), process_row("e1", "c"), view_row("e0", "a", "x", e0="a", e1="c")]
+    back = check(*both, *good, *fresh, good[0])
     assert back.regressions == (("e0", "e1"),)
     wrong = (
         MembershipEventRow,
         {"edge": "e0", "incarnation": "a", "kind": "gone", "member": "e1", "member_incarnation": "b"},
     )
-    assert judge(*both, *good, wrong).false_failures == (("e0", "e1"),)
+    assert check(*both, *good, wrong).false_failures == (("e0", "e1"),)
     cut = (FaultRow, {"until": 60 * SECOND, "kind": "path-cut", "target": "paths"})
-    assert judge(*both, cut, *good, wrong).false_failures == ()
+    assert check(*both, cut, *good, wrong).false_failures == ()
--- a/valverouter/audit/answer_rule.py
+++ b/valverouter/audit/answer_rule.py
@@ -13,7 +13,7 @@
 from valverouter.signalling.traffic_record import AuditConfigRow, ConnectionLostRow, MessageRow, Row
 
 # An entry in the history of a dialog: its caller's connection was lost.
-LOST = "lost"
+CONNECTION_LOST = "lost"
 # Final answers that a caller may receive once more after it resumed the dialog.
 REPEATABLE_ANSWERS = ("stands", "declined", "aborted")
 
@@ -47,13 +47,13 @@
         self.callers = callers_in(rows)
         self._slack = config.slack
         self._verdict = verdict
-        self._stalls = faults_of(rows, "balancer_stall")
+        self._edge_stalls = faults_of(rows, "balancer_stall")
         # Set-ups without a final answer, by dialog: on a connection, and of lost connections.
-        self._open: dict[str, MessageRow] = {}
+        self._pending: dict[str, MessageRow] = {}
         self._disconnected: dict[str, MessageRow] = {}
         self._dialogs_by_caller: dict[str, set[str]] = defaultdict(set)
         # By dialog: the kinds of the messages that its caller received, and LOST.
-        self._history: dict[str, list[str]] = {}
+        self._histories: dict[str, list[str]] = {}
         # Dialogs whose caller received a provisional answer.
         self._accepted: set[str] = set()
 
@@ -64,10 +64,10 @@
         for dialog in sorted(self._dialogs_by_caller.pop(row.peer, set())):
             # An answer that was overdue by then stays so: every record ends with the loss of the callers'
             # connections, and without this check no answer that never came would be found.
-            if (setup := self._open.pop(dialog, None)) is not None:
+            if (setup := self._pending.pop(dialog, None)) is not None:
                 self._check_overdue(setup, row.at)
                 self._disconnected[dialog] = setup
-            self._history.setdefault(dialog, []).append(LOST)
+            self._histories.setdefault(dialog, []).append(CONNECTION_LOST)
 
     def on_message(self, row: MessageRow) -> None:
         """A message between a caller and its edge proxy."""
@@ -78,37 +78,37 @@
 
     def finish(self, end: int) -> None:
         """The record ends; every answer that was due by then must have come."""
-        for setup in self._open.values():
+        for setup in self._pending.values():
             self._check_overdue(setup, end)
 
     def _on_request(self, row: MessageRow) -> None:
         if row.kind == "setup":
             self._verdict.add_check(Rule.ONE_ANSWER)
-            self._open[row.dialog] = row
+            self._pending[row.dialog] = row
             self._dialogs_by_caller[row.peer].add(row.dialog)
-            self._history[row.dialog] = []
+            self._histories[row.dialog] = []
         elif row.kind == "resume":
             self._on_resume(row)
 
     def _on_resume(self, row: MessageRow) -> None:
         self._verdict.resumptions += 1
-        history = self._history.setdefault(row.dialog, [])
-        if history and history[-1] == LOST:
+        history = self._histories.setdefault(row.dialog, [])
+        if history and history[-1] == CONNECTION_LOST:
             history.pop()
         if (setup := self._disconnected.pop(row.dialog, None)) is not None:
-            self._open[row.dialog] = setup
+            self._pending[row.dialog] = setup
         elif len(history) == 1 and history[0] in REPEATABLE_ANSWERS:
             history[0] = _from_earlier_connection(history[0])
         self._dialogs_by_caller[row.peer].add(row.dialog)
 
     def _on_response(self, row: MessageRow) -> None:
-        history = self._history.get(row.dialog, [])
+        history = self._histories.get(row.dialog, [])
         if row.kind == "provisional" and not history:
             self._accepted.add(row.dialog)
         elif history == [_from_earlier_connection(row.kind)]:
-            self._history[row.dialog] = [row.kind]
+            self._histories[row.dialog] = [row.kind]
         elif row.kind == "unknown" and history == [_from_earlier_connection("stands")]:
-            self._history[row.dialog] = ["stands", "ended"]
+            self._histories[row.dialog] = ["stands", "ended"]
             self._verdict.forgotten_dialogs += 1
         elif row.kind in FINAL_ANSWERS:
             self._on_final_answer(row)
@@ -118,8 +118,8 @@
     def _on_final_answer(self, row: MessageRow) -> None:
         if row.kind == "unknown" and row.dialog in self._accepted:
             self._add_violation(row.at, row.dialog, "unknown after it was told as taken")
-        history = self._history.setdefault(row.dialog, [])
-        setup = self._open.pop(row.dialog, None)
+        history = self._histories.setdefault(row.dialog, [])
+        setup = self._pending.pop(row.dialog, None)
         self._dialogs_by_caller[row.peer].discard(row.dialog)
         if history:
             self._add_violation(row.at, row.dialog, f"{row.kind} after {history[-1]}")
@@ -140,7 +140,7 @@
 
     def _check_overdue(self, setup: MessageRow, now: int) -> None:
         until = setup.at + setup.duration
-        if until + self._slack < now and not is_during(self._stalls, setup.edge, until):
+        if until + self._slack < now and not is_during(self._edge_stalls, setup.edge, until):
             self._add_violation(until, setup.dialog, "no final answer in its time")
 
     def _add_violation(self, at: int, dialog: str, text: str) -> None:
--- a/valverouter/audit/attempt_rules.py
+++ b/valverouter/audit/attempt_rules.py
@@ -37,12 +37,12 @@
         self._config = config
         self._verdict = verdict
         # While a server's process is held it reads late what was sent in time.
-        self._held = faults_of(rows, "held")
+        self._server_stalls = faults_of(rows, "held")
         # All by dialog: the attempt in flight, those that are established, and since when an attempt was
         # given up, with the reason.
         self._in_flight: dict[str, MessageRow] = {}
         self._established: set[str] = set()
-        self._given_up: dict[str, tuple[int, str]] = {}
+        self._abandoned: dict[str, tuple[int, str]] = {}
         # Dialogs by edge proxy and server.
         self._by_connection: dict[tuple[str, str], set[str]] = defaultdict(set)
 
@@ -53,7 +53,7 @@
         for dialog in self._by_connection.pop((row.edge, row.peer), set()):
             attempt = self._in_flight.pop(dialog, None)
             if attempt is not None and dialog not in self._established:
-                self._given_up[dialog] = row.at, "its connection was lost"
+                self._abandoned[dialog] = row.at, "its connection was lost"
 
     def on_message(self, row: MessageRow) -> None:
         """A message between an edge proxy and a server."""
@@ -72,25 +72,25 @@
         if previous is not None:
             text = f"leg {row.leg} at {row.peer} while leg {previous.leg} is out at {previous.peer}"
             self._verdict.add_violation(Rule.ONE_ATTEMPT, row.at, row.dialog, text)
-        if row.dialog in self._given_up and not self._is_held(row):
-            self._check_release_time(row)
+        if row.dialog in self._abandoned and not self._is_stalled(row):
+            self._check_release_delay(row)
         self._in_flight[row.dialog] = row
         self._by_connection[row.edge, row.peer].add(row.dialog)
         self._established.discard(row.dialog)
 
-    def _check_release_time(self, row: MessageRow) -> None:
-        self._verdict.add_check(Rule.RELEASE_TIME)
-        since, reason = self._given_up.pop(row.dialog)
+    def _check_release_delay(self, row: MessageRow) -> None:
+        self._verdict.add_check(Rule.RELEASE_DELAY)
+        since, reason = self._abandoned.pop(row.dialog)
         if row.at - since < self._config.release_wait - self._config.slack:
             text = f"sent again {row.at - since} ns after {reason}"
-            self._verdict.add_violation(Rule.RELEASE_TIME, row.at, row.dialog, text)
+            self._verdict.add_violation(Rule.RELEASE_DELAY, row.at, row.dialog, text)
 
     def _on_closed(self, row: MessageRow) -> None:
         del self._in_flight[row.dialog]
         self._by_connection[row.edge, row.peer].discard(row.dialog)
-        if row.kind == "cancel" and not self._is_held(row):
-            self._given_up[row.dialog] = row.at, "it was let go"
+        if row.kind == "cancel" and not self._is_stalled(row):
+            self._abandoned[row.dialog] = row.at, "it was let go"
         self._established.discard(row.dialog)
 
-    def _is_held(self, row: MessageRow) -> bool:
-        return is_during(self._held, row.peer, row.at, self._config.slack)
+    def _is_stalled(self, row: MessageRow) -> bool:
+        return is_during(self._server_stalls, row.peer, row.at, self._config.slack)
--- a/valverouter/audit/attempts.py
+++ b/valverouter/audit/attempts.py
@@ -65,13 +65,13 @@
         self._statistics: dict[str, AttemptStatistics] = {}
         self._attempt_counts: dict[str, int] = {}
         self._in_flight: dict[str, MessageRow] = {}
-        self._given_up_at: dict[str, int] = {}
+        self._abandoned_at: dict[str, int] = {}
 
     def on_connection_lost(self, row: ConnectionLostRow) -> None:
         """The attempts of a connection are given up."""
         for dialog, attempt in list(self._in_flight.items()):
             if (attempt.edge, attempt.peer) == (row.edge, row.peer):
-                self._given_up_at[dialog] = row.at
+                self._abandoned_at[dialog] = row.at
                 del self._in_flight[dialog]
 
     def on_message(self, row: MessageRow) -> None:
@@ -80,7 +80,7 @@
             self._on_attempt(row)
         elif not row.sent and row.kind == "cancel" and row.dialog in self._in_flight:
             attempt = self._in_flight.pop(row.dialog)
-            self._given_up_at[row.dialog] = row.at
+            self._abandoned_at[row.dialog] = row.at
             self._statistics[row.dialog].add_cancellation(row.at - attempt.at)
         elif row.sent and row.kind != "provisional":
             self._in_flight.pop(row.dialog, None)
@@ -91,6 +91,6 @@
         self._statistics[row.dialog] = statistics
         self._attempt_counts[row.dialog] = number
         statistics.add_attempt(number)
-        if (since := self._given_up_at.pop(row.dialog, None)) is not None:
+        if (since := self._abandoned_at.pop(row.dialog, None)) is not None:
             statistics.add_retry_gap(row.at - since)
         self._in_flight[row.dialog] = row
--- a/valverouter/audit/endpoint_rules.py
+++ b/valverouter/audit/endpoint_rules.py
@@ -27,7 +27,7 @@
     """
     # When an edge proxy was sent that a server is out of service.
     out_of_service: dict[tuple[str, str], int] = {}
-    held = faults_of(rows, "held")
+    server_stalls = faults_of(rows, "held")
     for row in rows:
         if isinstance(row, EndpointUpdateRow):
             if row.phase == IN_SERVICE:
@@ -40,7 +40,7 @@
         elif is_received_setup(row) and (row.edge, row.peer) in out_of_service:
             verdict.add_check(Rule.DRAINING)
             elapsed = row.at - out_of_service[row.edge, row.peer]
-            if elapsed > config.slack and not is_during(held, row.peer, row.at, config.slack):
+            if elapsed > config.slack and not is_during(server_stalls, row.peer, row.at, config.slack):
                 text = f"dialog {row.dialog} came {elapsed} ns after {row.edge} was told"
                 verdict.add_violation(Rule.DRAINING, row.at, row.peer, text)
 
--- a/valverouter/audit/verdict.py
+++ b/valverouter/audit/verdict.py
@@ -13,7 +13,7 @@
     ONE_ATTEMPT = 2
     DRAINING = 3
     SLOW_START = 4
-    RELEASE_TIME = 5
+    RELEASE_DELAY = 5
 
 
 @dataclass(frozen=True, slots=True)
--- a/valverouter/emulator/membership_simulation.py
+++ b/valverouter/emulator/membership_simulation.py
@@ -70,7 +70,7 @@
         self._on_event = on_event
         self._message_size = message_size
         self._create_member = create_member
-        self._at_address: dict[str, SimulatedNode] = {}
+        self._nodes_by_address: dict[str, SimulatedNode] = {}
         self._starts = 0
 
     # Scripted events
@@ -100,7 +100,7 @@
                 membership.view.set_record(record, self.now)
         node = SimulatedNode(name, address, membership)
         self.nodes[name] = node
-        self._at_address[address] = node
+        self._nodes_by_address[address] = node
         self._wake(node)
         return node
 
@@ -126,8 +126,8 @@
         """Ends a process; the others are not told."""
         node = self.nodes[name]
         node.alive = False
-        if self._at_address.get(node.address) is node:
-            del self._at_address[node.address]
+        if self._nodes_by_address.get(node.address) is node:
+            del self._nodes_by_address[node.address]
 
     def stall(self, name: str, duration: int) -> None:
         """Stops a process for `duration` ns; messages wait until then."""
@@ -186,7 +186,7 @@
             node.sent_counts[type(message).__name__] += 1
             if self._message_size is not None:
                 node.sent_bytes += self._message_size(message)
-            receiver = self._at_address.get(address)
+            receiver = self._nodes_by_address.get(address)
             if receiver is None:
                 continue
             for delay in self._paths.delivery_delays(node.name, receiver.name, self.now):
--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -96,17 +96,17 @@
     def run(self, seconds: float, faults_per_second: float = 1.0) -> None:
         """Faults come at drawn moments; the last fifth of the run has none."""
         end = int(seconds * SECOND)
-        calm_from = int(0.8 * end)
+        faults_end = int(0.8 * end)
         self.events.call_at(2 * SECOND, self._enroll)
-        moment = 3 * SECOND + int(self.draws.expovariate(faults_per_second) * SECOND)
-        while moment < calm_from:
-            self.events.call_at(moment, self._cause_fault)
-            moment += int(self.draws.expovariate(faults_per_second) * SECOND)
-        self.events.call_at(calm_from, self.group.end_faults)
+        time = 3 * SECOND + int(self.draws.expovariate(faults_per_second) * SECOND)
+        while time < faults_end:
+            self.events.call_at(time, self._cause_fault)
+            time += int(self.draws.expovariate(faults_per_second) * SECOND)
+        self.events.call_at(faults_end, self.group.end_faults)
         self.events.call_every(SECOND, self.group.repair_membership)
         self.events.run_until(end)
 
-    def _drawn_duration(self, least_s: float, most_s: float) -> int:
+    def _draw_duration(self, least_s: float, most_s: float) -> int:
         return int(self.draws.uniform(least_s, most_s) * SECOND)
 
     def _enroll(self) -> None:
@@ -123,18 +123,18 @@
         kind = self.draws.random()
         if kind < 0.25:
             self.group.crash(name)
-            self.events.call_after(self._drawn_duration(0.1, 6), self.group.start, name)
+            self.events.call_after(self._draw_duration(0.1, 6), self.group.start, name)
         elif kind < 0.45:
-            self.group.pause(name, self._drawn_duration(0.5, 10))
+            self.group.pause(name, self._draw_duration(0.5, 10))
         elif kind < 0.65:
             side = frozenset(self.draws.sample(names, self.draws.randint(1, len(names) - 1)))
-            self.group.cut(side, self._drawn_duration(0.5, 6))
+            self.group.partition(side, self._draw_duration(0.5, 6))
         elif kind < 0.9:
             self._kill_holder(self.draws.choice(sorted(self.holders)))
         elif self.group.is_complete:
             # One disk at a time: with two lost of three, what was committed may be lost as well.
             self.group.lose_disk(name)
-            self.events.call_after(self._drawn_duration(0.1, 3), self.group.start, name)
+            self.events.call_after(self._draw_duration(0.1, 3), self.group.start, name)
 
     # Decisions
 
@@ -181,7 +181,7 @@
     # Holders
 
     def _on_holder_due(self, holder: PermitHolder) -> None:
-        self.events.call_after(self._drawn_duration(0.2, 3), self._on_holder_due, holder)
+        self.events.call_after(self._draw_duration(0.2, 3), self._on_holder_due, holder)
         if holder.is_dead:
             return
         if holder.is_unavailable:
@@ -226,14 +226,14 @@
         holder.is_dead = True
         self.counts["died"] += 1
         self.events.call_after(SECOND, self._report_loss, holder)
-        self.events.call_after(self._drawn_duration(2, 8), self._revive_holder, holder)
+        self.events.call_after(self._draw_duration(2, 8), self._restart_holder, holder)
 
     def _report_loss(self, holder: PermitHolder) -> None:
         if holder.is_dead and not holder.is_unavailable:
             holder.is_loss_reported = True
             self.group.propose(InstanceLost(holder.name))
 
-    def _revive_holder(self, holder: PermitHolder) -> None:
+    def _restart_holder(self, holder: PermitHolder) -> None:
         """It serves again; its permit, if it had one, it knows from its supervisor."""
         holder.is_dead = False
         holder.request_id = ""
--- a/valverouter/emulator/raft_group.py
+++ b/valverouter/emulator/raft_group.py
@@ -75,9 +75,11 @@
         self._leaders: dict[int, str] = {}
         self.network = LossyNetwork(events, draws, loss, NETWORK_PROFILE)
         self._has_faults = True
-        founders = tuple((f"c{index}", draws.getrandbits(64)) for index in range(size))
-        first_entry = SaveEntries(1, (LogEntry(1, Configuration(founders)),))
-        self.members = {name: SimulatedMember(name, PersistentState(disk_id)) for name, disk_id in founders}
+        initial_members = tuple((f"c{index}", draws.getrandbits(64)) for index in range(size))
+        first_entry = SaveEntries(1, (LogEntry(1, Configuration(initial_members)),))
+        self.members = {
+            name: SimulatedMember(name, PersistentState(disk_id)) for name, disk_id in initial_members
+        }
         for member in self.members.values():
             member.persistent.apply(first_entry)
         for name in self.members:
@@ -131,7 +133,7 @@
         self.members[name].paused_until = self.events.now + duration
         self.counts["stop"] += 1
 
-    def cut(self, side: frozenset[str], duration: int) -> None:
+    def partition(self, side: frozenset[str], duration: int) -> None:
         """Lets nothing through between `side` and the other members."""
         now = self.events.now
         self.network.add_fault(PathFault("split", now, now + duration, groups=(side,)))
@@ -152,25 +154,27 @@
         for member in self.members.values():
             if member.node is not None and not self._is_paused(member):
                 member.node.propose(self.events.now, command)
-                self._carry_out(member)
+                self._persist_and_send(member)
 
     def repair_membership(self) -> None:
         """Admits members that have come with another disk; their former selves are removed first."""
         for member in list(self.members.values()):
             if member.node is None or member.node.role is not Role.LEADER or self._is_paused(member):
                 continue
-            present = dict(member.node.configuration.members)
+            configured_disks = dict(member.node.configuration.members)
             for other in self.members.values():
                 if other.node is not None:
                     with suppress(MembershipChangeError):
-                        self._repair_member(member.node, present, other)
-            self._carry_out(member)
+                        self._repair_member(member.node, configured_disks, other)
+            self._persist_and_send(member)
 
-    def _repair_member(self, leader: RaftNode, present: dict[str, int], other: SimulatedMember) -> None:
+    def _repair_member(
+        self, leader: RaftNode, configured_disks: dict[str, int], other: SimulatedMember
+    ) -> None:
         disk_id = other.persistent.disk_id
-        if other.name not in present:
+        if other.name not in configured_disks:
             leader.change_membership(self.events.now, "", (other.name, disk_id))
-        elif present[other.name] != disk_id:
+        elif configured_disks[other.name] != disk_id:
             leader.change_membership(self.events.now, other.name, None)
 
     def _is_paused(self, member: SimulatedMember) -> bool:
@@ -182,16 +186,16 @@
         self.events.call_after(TICK_INTERVAL, self._tick, member, incarnation)
         if not self._is_paused(member):
             member.node.tick(self.events.now)
-            self._carry_out(member)
+            self._persist_and_send(member)
 
     def _receive(self, member: SimulatedMember, message: RaftMessage) -> None:
         if self._is_paused(member):
             self.events.call_at(member.paused_until, self._receive, member, message)
         elif member.node is not None:
             member.node.receive(self.events.now, message)
-            self._carry_out(member)
+            self._persist_and_send(member)
 
-    def _carry_out(self, member: SimulatedMember) -> None:
+    def _persist_and_send(self, member: SimulatedMember) -> None:
         """Saves are on disk, then messages leave: between the two the member may crash."""
         node = member.node
         assert node is not None
--- a/valverouter/emulator/rollout_simulation.py
+++ b/valverouter/emulator/rollout_simulation.py
@@ -35,16 +35,16 @@
 TICK_INTERVAL = SECOND // 10
 NODE_COUNT = 3
 # What evaluates releases unless a baseline of `release_baselines.py` does.
-PROGRAM = "program"
+DEFAULT_ANALYSIS = "program"
 # Between a client's repetitions, and until it looks for an answer.
-CLIENT_RETRY = 2 * SECOND
-CLIENT_ANSWER = SECOND
+CLIENT_RETRY_INTERVAL = 2 * SECOND
+CLIENT_ANSWER_DELAY = SECOND
 CRASH_AFTER_SAVE_PROBABILITY = 0.0002
 # Of a planted fault: that a permit ends by time, at each tick.
-LAPSE_PROBABILITY = 0.02
+PERMIT_EXPIRY_PROBABILITY = 0.02
 # Faults and operations are drawn up to this part of a random course.
-RESTLESS_FRACTION = 0.6
-FIRST_EVENT = 5 * SECOND
+FAULTS_END_FRACTION = 0.6
+FIRST_EVENT_AT = 5 * SECOND
 UNDRAIN_AFTER_FAULTS = 8 * SECOND
 
 COMPLETED = (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
@@ -77,7 +77,7 @@
         limits: DisruptionLimits | None = None,
         loss: float = 0.02,
         injected_fault: str = "",
-        evaluated_by: str = PROGRAM,
+        evaluated_by: str = DEFAULT_ANALYSIS,
     ) -> None:
         """`instances`: how many edge proxies; `loss`: the fraction of messages lost beside faults."""
         self.events = EventQueue()
@@ -127,7 +127,7 @@
         machine.node = ControlPlaneNode(
             name, machine.persistent, self.config, self._draws.random, self.events.now
         )
-        if self._evaluated_by != PROGRAM:
+        if self._evaluated_by != DEFAULT_ANALYSIS:
             machine.node.orchestrator_class = BASELINES[self._evaluated_by]
         self.events.call_after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
 
@@ -148,11 +148,11 @@
         if self._injected_fault == "lapse" and machine.node.orchestrator is not None:
             self._expire_permits(machine.node)
         machine.node.tick(self.events.now)
-        self._carry_out(machine)
+        self._persist_and_send(machine)
 
     def _expire_permits(self, node: ControlPlaneNode) -> None:
         for name, permit in list(node.operation_log.permits.unavailable.items()):
-            if permit is not None and self._draws.random() < LAPSE_PROBABILITY:
+            if permit is not None and self._draws.random() < PERMIT_EXPIRY_PROBABILITY:
                 node.propose(self.events.now, InstanceReturned(name, permit.number))
 
     def _on_message(self, machine: SimulatedNode, message: RaftMessage) -> None:
@@ -160,9 +160,9 @@
             self.events.call_at(machine.paused_until, self._on_message, machine, message)
         elif machine.node is not None:
             machine.node.on_message(self.events.now, message)
-            self._carry_out(machine)
+            self._persist_and_send(machine)
 
-    def _carry_out(self, machine: SimulatedNode) -> None:
+    def _persist_and_send(self, machine: SimulatedNode) -> None:
         """Saves are on disk, then messages leave; between the two the node may crash."""
         assert machine.node is not None
         machine.node.pending_saves.clear()
@@ -208,7 +208,7 @@
             )
 
         machine.node.on_report(self.events.now, report, made_after, answer)
-        self._carry_out(machine)
+        self._persist_and_send(machine)
 
     # Clients
 
@@ -218,16 +218,16 @@
             return
         for machine in self.nodes.values():
             self._network.send("tool", machine.name, self._on_submit, machine, submit)
-        self.events.call_after(CLIENT_RETRY, self.submit, submit, attempts - 1)
+        self.events.call_after(CLIENT_RETRY_INTERVAL, self.submit, submit, attempts - 1)
 
     def _on_submit(self, machine: SimulatedNode, submit: Submit) -> None:
         if machine.node is None or self._is_paused(machine):
             return
         if machine.node.propose(self.events.now, submit):
-            self.events.call_after(CLIENT_ANSWER, self._take_answer, machine, submit)
-        self._carry_out(machine)
+            self.events.call_after(CLIENT_ANSWER_DELAY, self._record_answer, machine, submit)
+        self._persist_and_send(machine)
 
-    def _take_answer(self, machine: SimulatedNode, submit: Submit) -> None:
+    def _record_answer(self, machine: SimulatedNode, submit: Submit) -> None:
         if machine.node is not None and submit.id in machine.node.answers:
             answer = machine.node.answers[submit.id]
             assert isinstance(answer, SubmitResult)
@@ -238,9 +238,9 @@
         for machine in self.nodes.values():
             if machine.node is not None and not self._is_paused(machine):
                 machine.node.propose(self.events.now, Cancel(operation, reason))
-                self._carry_out(machine)
+                self._persist_and_send(machine)
         if attempts > 1:
-            self.events.call_after(CLIENT_RETRY, self.cancel, operation, reason, attempts - 1)
+            self.events.call_after(CLIENT_RETRY_INTERVAL, self.cancel, operation, reason, attempts - 1)
 
     # Random courses
 
@@ -250,12 +250,12 @@
 
     def run_randomly(self, seconds: float, fault_rate: float = 0.5, operation_rate: float = 0.1) -> None:
         """Operations and faults at random (rates per second); then neither, until all is at rest."""
-        faults_end = int(seconds * SECOND * RESTLESS_FRACTION)
+        faults_end = int(seconds * SECOND * FAULTS_END_FRACTION)
         for rate, action in ((fault_rate, self._cause_fault), (operation_rate, self._submit_randomly)):
-            moment = FIRST_EVENT + int(self._draws.expovariate(rate) * SECOND)
-            while moment < faults_end:
-                self.events.call_at(moment, action)
-                moment += int(self._draws.expovariate(rate) * SECOND)
+            time = FIRST_EVENT_AT + int(self._draws.expovariate(rate) * SECOND)
+            while time < faults_end:
+                self.events.call_at(time, action)
+                time += int(self._draws.expovariate(rate) * SECOND)
         self.events.call_at(faults_end, self._end_faults)
         self.run_until(int(seconds * SECOND))
 
@@ -275,14 +275,14 @@
             self.events.call_after(int(draws.uniform(10, 40) * SECOND), self.submit, submit)
 
     def _draw_names(self, kind: OperationKind) -> list[str]:
-        everybody = sorted(self.fleet.instances)
-        names = self._draws.sample(everybody, self._draws.randint(1, len(everybody)))
+        all_names = sorted(self.fleet.instances)
+        names = self._draws.sample(all_names, self._draws.randint(1, len(all_names)))
         if kind is OperationKind.DRAIN:
             return names[: self.limits.max_unavailable_per_region]
         if kind is OperationKind.UNDRAIN:
             return self.fleet.down_by_supervisor
         if kind is OperationKind.RELEASE and self._draws.random() < 0.7:
-            return everybody
+            return all_names
         return names
 
     def _cause_fault(self) -> None:
@@ -307,12 +307,12 @@
         elif kind < 0.7:
             self.fleet.pause(name, self._draw_pause())
         else:
-            self._cut_network(duration)
+            self._partition_network(duration)
 
     def _draw_pause(self) -> int:
         return int(self._draws.uniform(0.5, 10) * SECOND)
 
-    def _cut_network(self, duration: int) -> None:
+    def _partition_network(self, duration: int) -> None:
         names = [*self.fleet.instances, *self.nodes]
         size = self._draws.randint(1, len(self.fleet.instances))
         side = frozenset(self._draws.sample(names, size))
--- a/valverouter/emulator/server_faults.py
+++ b/valverouter/emulator/server_faults.py
@@ -117,7 +117,7 @@
     def _hang(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         sim = self._fleet.sim
 
-        def wake(server: EmulatedServer) -> None:
+        def resume(server: EmulatedServer) -> None:
             server.model.set_hung(sim.now(), False)
             server.deliver_events()
 
@@ -125,7 +125,7 @@
             fault,
             self._targets.recorded_servers(fault, random),
             lambda server: server.model.set_hung(sim.now(), True),
-            wake,
+            resume,
         )
 
     def _limit_lines(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
--- a/valverouter/emulator/supervised_fleet.py
+++ b/valverouter/emulator/supervised_fleet.py
@@ -28,8 +28,8 @@
 REGIONS = ("north", "south", "west")
 VERSIONS = ("v1", "v2", "crashes", "dies-late", "declines")
 # How long programs of those versions last, ns.
-CRASHES_AFTER = SECOND // 5
-DIES_AFTER = 12 * SECOND
+CRASH_DELAY = SECOND // 5
+LATE_EXIT_DELAY = 12 * SECOND
 NEVER = 10**6 * SECOND
 DIALOGS_PER_SECOND = 10.0
 REJECTED_FRACTION = 0.01
@@ -62,7 +62,7 @@
     # The latest stamp of each node, which the next report gives back.
     stamps: dict[str, int] = field(default_factory=dict)
     # The step by which it is really out, and all steps that were carried out.
-    step_out: StepId | None = None
+    active_step: StepId | None = None
     steps_done: list[StepId] = field(default_factory=list)
 
     @property
@@ -110,7 +110,7 @@
         self._limits = limits
         self._counts = counts
         self._forgets_steps = forgets_steps
-        self._processes = 0
+        self._process_count = 0
 
     @property
     def down_by_supervisor(self) -> list[str]:
@@ -186,7 +186,7 @@
         instance.stamps[node] = max(instance.stamps.get(node, 0), reply.stamp)
         is_open = reply.is_open or self._forgets_steps
         instance.supervisor.on_desired_state(self.events.now, reply.desired, is_open)
-        self._carry_out(instance, instance.supervisor)
+        self._run_actions(instance, instance.supervisor)
 
     def _is_paused(self, instance: SimulatedInstance) -> bool:
         return self.events.now < instance.paused_until
@@ -198,7 +198,7 @@
         self._run_program(instance)
         if not self._is_paused(instance):
             assert instance.supervisor is not None
-            self._carry_out(instance, instance.supervisor)
+            self._run_actions(instance, instance.supervisor)
 
     def _report(self, instance: SimulatedInstance, incarnation: int) -> None:
         if instance.supervisor is None or not instance.is_current(incarnation):
@@ -207,7 +207,7 @@
         if not self._is_paused(instance):
             self.send_report(instance, instance.supervisor.report())
 
-    def _carry_out(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
+    def _run_actions(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
         """Does all that the supervisor asks for."""
         now = self.events.now
         if instance.process and now >= instance.serves_at:
@@ -227,16 +227,16 @@
 
     def _start_program(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
         now = self.events.now
-        self._processes += 1
-        instance.process, instance.version = self._processes, supervisor.state.version
+        self._process_count += 1
+        instance.process, instance.version = self._process_count, supervisor.state.version
         instance.accepted = instance.rejected = 0
         instance.serves_at = now + int(self._draws.uniform(0.2, 1.0) * SECOND)
         instance.counted_until = instance.serves_at
         instance.ends_at = 0
         if instance.version == "crashes":
-            instance.serves_at, instance.ends_at = now + NEVER, now + CRASHES_AFTER
+            instance.serves_at, instance.ends_at = now + NEVER, now + CRASH_DELAY
         elif instance.version == "dies-late":
-            instance.ends_at = now + DIES_AFTER
+            instance.ends_at = now + LATE_EXIT_DELAY
         supervisor.on_started(now, instance.version)
 
     def _run_program(self, instance: SimulatedInstance) -> None:
@@ -263,11 +263,11 @@
         if instance.supervisor is None:
             return
         if self._is_paused(instance):
-            self.events.call_at(instance.paused_until, self._on_late_exit, instance, instance.incarnation)
+            self.events.call_at(instance.paused_until, self._on_deferred_exit, instance, instance.incarnation)
         else:
             instance.supervisor.on_exited(self.events.now)
 
-    def _on_late_exit(self, instance: SimulatedInstance, incarnation: int) -> None:
+    def _on_deferred_exit(self, instance: SimulatedInstance, incarnation: int) -> None:
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
         if not instance.process and instance.supervisor.is_running:
@@ -280,28 +280,28 @@
         step = state.latest_step
         if step is None or step.reason == STATE_LOST:
             return
-        if not step.outcome and instance.step_out != step.step_id:
+        if not step.outcome and instance.active_step != step.step_id:
             if step.step_id in instance.steps_done and not instance.has_lost_disk:
                 at = f"at {self.events.now / SECOND:.1f}"
                 raise InvariantViolationError(f"{instance.name} carries out {step.step_id} twice, {at}")
-            instance.step_out = step.step_id
+            instance.active_step = step.step_id
             self._counts["out"] += 1
             self._check_limits()
         elif step.outcome == StepOutcome.DONE:
             if step.step_id not in instance.steps_done:
                 instance.steps_done.append(step.step_id)
             if state.up:
-                instance.step_out = None
+                instance.active_step = None
 
     def _check_limits(self) -> None:
-        out = Counter(
-            instance.info.region for instance in self.instances.values() if instance.step_out is not None
+        unavailable = Counter(
+            instance.info.region for instance in self.instances.values() if instance.active_step is not None
         )
         at = f"by operations at {self.events.now / SECOND:.1f}"
-        if out.total() > self._limits.max_unavailable:
+        if unavailable.total() > self._limits.max_unavailable:
             limit = self._limits.max_unavailable
-            raise InvariantViolationError(f"{out.total()} are out {at}, {limit} may be")
-        for region, count in out.items():
+            raise InvariantViolationError(f"{unavailable.total()} are out {at}, {limit} may be")
+        for region, count in unavailable.items():
             limit = self._limits.max_unavailable_in(region)
             if count > limit:
                 raise InvariantViolationError(f"{count} of {region} are out {at}, {limit} may be")
