--- a/valverouter/emulator/membership_simulation.py
+++ b/valverouter/emulator/membership_simulation.py
@@ -1,7 +1,8 @@
-"""Membership of whole fleets in simulated time: thousands of `Membership`s over modelled network paths.
+"""Simulates the membership of a whole fleet: thousands of `Membership` objects over modelled network paths.
 
-Processes crash, restart, stall and are partitioned as scripted; nothing here decides anything. A stalled
-process first handles the messages received meanwhile and then runs its timers, as the real one does.
+Crashes, restarts and stalls are scripted by the caller and partitions by its network paths; the simulation
+adds no faults of its own. A process that resumes after a stall first handles the messages received meanwhile
+and then runs its timers, like the real one.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 SECOND = 10**9
 MILLISECOND = 10**6
-# The wall clock at the start of the simulation, ms: the generation of a process that starts then.
+# Wall clock at the start of the simulation, ms. A process's generation is its wall clock at its start.
 WALL_CLOCK_START_MS = 1_700_000_000_000
 
 
 @dataclass(slots=True, eq=False)
 class SimulatedNode:
-    """One process of a member; a restart makes another node under the same name.
+    """One process of a member; a restart creates another node under the same name.
 
-    `sent_counts`: messages sent, by the name of their type. `deferred`: what arrived during a stall, with its
-    sender's address. `next_wake`: when its timers run next, ns.
+    `sent_counts`: messages sent, by the name of their type. `deferred`: messages that arrived during a stall,
+    each with its sender's address. `next_wake`: the time at which its timers run next, ns.
     """
 
     name: str
@@ -46,10 +47,11 @@
 
 
 class MembershipSimulation(EventQueue):
-    """A fleet, and the queue of its events.
+    """A simulated fleet, which is also the queue of its events.
 
-    `on_event` receives each event with the node that reported it. `message_size` returns a message's bytes;
-    without it bytes are not counted. `create_member` creates a member, by default the program's own.
+    `on_event` receives each membership event with the node that reported it. `message_size` returns the size
+    of a message in bytes; without it bytes are not counted. `create_member` creates a member, by default a
+    `Membership`; benchmarks pass other protocols.
     """
 
     def __init__(
@@ -61,7 +63,7 @@
         message_size: Callable[[Message], int] | None = None,
         create_member: Callable[..., Membership] = Membership,
     ) -> None:
-        """An empty fleet at time 0; `seed` decides all random draws but those of the paths."""
+        """Creates an empty fleet at time 0; `seed` seeds all random draws except those of `paths`."""
         super().__init__()
         self.nodes: dict[str, SimulatedNode] = {}
         self.random = random.Random(f"views/{seed}")
@@ -84,9 +86,10 @@
         wall_ms: int | None = None,
         known_records: list[MemberRecord] | None = None,
     ) -> SimulatedNode:
-        """Starts a process of a member, by default at its name's address.
+        """Starts a process of a member; its address is by default derived from its name.
 
-        `wall_ms`: its wall clock, by default the right one. `known_records`: what it knows from the start.
+        `wall_ms`: its wall clock, ms, by default the correct one. `known_records`: the initial records of its
+        view.
         """
         self._starts += 1
         address = address or f"{name}:1"
@@ -106,13 +109,13 @@
 
     @property
     def wall_clock_ms(self) -> int:
-        """The right wall clock now."""
+        """The correct wall clock at the present time, ms."""
         return WALL_CLOCK_START_MS + self.now // MILLISECOND
 
     def start_converged(
         self, count: int, seeds: tuple[str, ...] = (), region: Callable[[int], str] | None = None
     ) -> None:
-        """Starts a fleet whose members `e0`, `e1`, ... know each other already."""
+        """Starts the members `e0`, `e1`, ..., each with a complete view of the fleet."""
         nodes = [
             self.start(f"e{index}", seeds, region=region(index) if region else "") for index in range(count)
         ]
@@ -123,21 +126,21 @@
             node.membership.view = full_view.copy()
 
     def kill(self, name: str) -> None:
-        """Ends a process; the others are not told."""
+        """Ends a process without notice to other members."""
         node = self.nodes[name]
         node.alive = False
         if self._nodes_by_address.get(node.address) is node:
             del self._nodes_by_address[node.address]
 
     def stall(self, name: str, duration: int) -> None:
-        """Stops a process for `duration` ns; messages wait until then."""
+        """Suspends a process for `duration` ns; messages to it are handled afterwards."""
         node = self.nodes[name]
         if node.alive:
             node.stalled_until = max(node.stalled_until, self.now + duration)
             self.call_at(node.stalled_until, self._resume, node)
 
     def leave(self, name: str) -> None:
-        """Ends a process that announces its leave."""
+        """Ends a process after it has announced that it leaves the group."""
         node = self.nodes[name]
         node.membership.leave(self.now)
         self._flush(node)
@@ -160,7 +163,7 @@
         if not node.alive or self.now < node.stalled_until:
             return
         deferred, node.deferred = node.deferred, []
-        # Messages first, timers afterwards: how late the timers are shows that the process was stopped.
+        # Messages first, timers afterwards: the delay of the timers shows that the process was suspended.
         for address, message in deferred:
             node.membership.receive(self.now, address, message)
         node.membership.tick(self.now)
@@ -195,11 +198,11 @@
     # Observation
 
     def running_nodes(self) -> list[SimulatedNode]:
-        """The nodes that run, stalled ones included."""
+        """Returns the running nodes, including stalled ones."""
         return [node for node in self.nodes.values() if node.alive]
 
     def is_converged(self) -> bool:
-        """Whether all running nodes have the same view, and it holds exactly these nodes."""
+        """Whether all running nodes have the same view, whose live members are exactly these nodes."""
         nodes = self.running_nodes()
         view = nodes[0].membership.view
         if view.live_count != len(nodes):
@@ -211,7 +214,7 @@
         )
 
     def run_until_converged(self, until: int, step: int = SECOND // 4) -> int | None:
-        """Runs until all views agree, at most until `until`; the time (ns) when they did, or None."""
+        """Runs until all views agree or `until` is reached; returns the time of agreement, ns, or None."""
         while self.now < until:
             self.run_until(self.now + step)
             if self.is_converged():
--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -1,7 +1,8 @@
 """Simulates instances that become unavailable under permits of a Raft group, with random faults.
 
-Permit holders request permits, become unavailable, crash meanwhile, and resume late. The checks compare the
-holders that are unavailable in the simulation, and not those that the group's state lists, with the limits.
+Permit holders request permits, become unavailable, crash in that state, and restart later. The limits are
+checked against the holders that are really unavailable in the simulation, not only against the state that the
+group has replicated.
 """
 
 from __future__ import annotations
@@ -26,9 +27,10 @@
 from valverouter.rollout.raft import COMPACTION_THRESHOLD, SECOND
 
 REGIONS = ("north", "south", "west")
-# This part of the decisions comes a second time, so much later.
+# The fraction of decisions that are delivered a second time, and the delay of that copy.
 LATE_COPY_FRACTION = 0.1
 LATE_COPY_DELAY = 3 * SECOND
+# Interval at which a restarted holder repeats its return report until the group has applied it.
 REPEAT_INTERVAL = 2 * SECOND
 
 
@@ -36,7 +38,7 @@
 class PermitHolder:
     """An instance that requests permits to become unavailable at random times.
 
-    `is_unavailable`: its real state, which may differ from the group's state. `request_id`: the id of the
+    `is_unavailable`: its real state, which may differ from the replicated one. `request_id`: the id of the
     pending request; empty: there is none.
     """
 
@@ -55,10 +57,10 @@
 
 
 class PermitSimulation:
-    """One run, by its seed.
+    """One simulation run, determined by its seed.
 
-    `injected_fault` takes a rule out, so that the checks are seen to find it: "disk" (a member that lost its
-    disk votes on under its former disk id), "fence" (a holder acts on any permit).
+    `injected_fault` disables a rule, to test that the checks detect the violation: "disk" (a member that lost
+    its disk still votes under its former disk id), "fence" (a holder acts on any permit).
     """
 
     def __init__(
@@ -71,7 +73,7 @@
         injected_fault: str = "",
         compaction_threshold: int = COMPACTION_THRESHOLD,
     ) -> None:
-        """Founds the group and lets every holder begin at a drawn moment."""
+        """Bootstraps the group and schedules the first action of each holder at a random time."""
         self.events = EventQueue()
         self.draws = random.Random(f"council/{seed}")
         self.injected_fault = injected_fault
@@ -90,11 +92,11 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """How often what happened: faults, permits that were used, rejected or stale."""
+        """Event counts by kind: faults, and permits that were used, rejected or stale."""
         return self.group.counts
 
     def run(self, seconds: float, faults_per_second: float = 1.0) -> None:
-        """Faults come at drawn moments; the last fifth of the run has none."""
+        """Runs the simulation with faults at random times, except in the last fifth of the run."""
         end = int(seconds * SECOND)
         faults_end = int(0.8 * end)
         self.events.call_at(2 * SECOND, self._enroll)
@@ -110,7 +112,7 @@
         return int(self.draws.uniform(least_s, most_s) * SECOND)
 
     def _enroll(self) -> None:
-        """Again until it is in the log: the first of all commands may be lost like any other."""
+        """Proposes the enrolment once a second until it is applied, as a proposal may be lost."""
         if any(member.register.instances for member in self.group.running_members):
             return
         instances = tuple(holder.instance for holder in self.holders.values())
@@ -132,7 +134,7 @@
         elif kind < 0.9:
             self._kill_holder(self.draws.choice(sorted(self.holders)))
         elif self.group.is_complete:
-            # One disk at a time: with two lost of three, what was committed may be lost as well.
+            # One disk at a time: if two of three disks are lost, committed entries may be lost with them.
             self.group.lose_disk(name)
             self.events.call_after(self._draw_duration(0.1, 3), self.group.start, name)
 
@@ -212,7 +214,7 @@
             holder.permit = None
 
     def _is_return_applied(self, permit: Permit) -> bool:
-        """Whether the permit has ended, as far as the holder can know: by any running member."""
+        """Whether any running member has applied the end of the permit; a holder can't know more."""
         return any(
             member.applied_index >= permit.number and member.register.unavailable.get(permit.name) != permit
             for member in self.group.running_members
@@ -234,7 +236,7 @@
             self.group.propose(InstanceLost(holder.name))
 
     def _restart_holder(self, holder: PermitHolder) -> None:
-        """It serves again; its permit, if it had one, it knows from its supervisor."""
+        """Restarts a dead holder; it learns its permit, if it had one, from its supervisor."""
         holder.is_dead = False
         holder.request_id = ""
         if holder.is_loss_reported:
@@ -243,7 +245,7 @@
             self.events.call_after(REPEAT_INTERVAL, self._repeat_return, holder)
 
     def _repeat_return(self, holder: PermitHolder) -> None:
-        """Reports the return without a permit again, while any running member takes the holder for lost."""
+        """Repeats the report of a return without a permit while a running member lists the holder as lost."""
         registers = [member.register for member in self.group.running_members]
         is_lost = any(register.unavailable.get(holder.name, holder) is None for register in registers)
         if is_lost and not holder.is_dead:
@@ -253,23 +255,23 @@
     # Checks
 
     def _check_permits(self, member: SimulatedMember) -> None:
-        """A member's register never holds more permits than the limits allow."""
+        """Raises InvariantViolationError if a member's register has more permits than the limits allow."""
         unavailable = member.register.unavailable
         with_permit = sum(permit is not None for permit in unavailable.values())
         if with_permit > self.limits.max_unavailable:
             raise InvariantViolationError(
-                f"{sorted(unavailable)} are out by permits, {self.limits.max_unavailable} may be"
+                f"{sorted(unavailable)} are unavailable under permits, limit {self.limits.max_unavailable}"
             )
 
     def _check_limits(self) -> None:
-        """The number of instances that are really unavailable never exceeds the limits."""
+        """Raises InvariantViolationError if more holders are really unavailable than the limits allow."""
         regions = [holder.instance.region for holder in self.holders.values() if holder.is_unavailable]
         if len(regions) > self.limits.max_unavailable:
             raise InvariantViolationError(
-                f"{len(regions)} are out at {self.events.now / SECOND:.1f}, "
-                f"{self.limits.max_unavailable} may be"
+                f"{len(regions)} instances are unavailable at {self.events.now / SECOND:.1f} s, "
+                f"limit {self.limits.max_unavailable}"
             )
         for region, count in Counter(regions).items():
             allowed = self.limits.max_unavailable_in(region)
             if count > allowed:
-                raise InvariantViolationError(f"{count} of {region} are out, {allowed} may be")
+                raise InvariantViolationError(f"{count} of {region} are unavailable, limit {allowed}")
--- a/valverouter/emulator/raft_group.py
+++ b/valverouter/emulator/raft_group.py
@@ -1,8 +1,9 @@
-"""A Raft group in simulated time, whose state machine is the register of disruption permits.
+"""Simulates a Raft group whose state machine is the register of disruption permits.
 
-Members crash between a save and the messages that follow it, lose their disks, are paused and cut off;
-messages are lost, late, repeated and out of order, all by draws of a seed. Two properties are checked from
-the outside: a term has one leader, and every member commits the same entry at an index.
+Members crash, also between a save and the messages that depend on it, lose their disks, are paused and
+partitioned; messages are lost, delayed, duplicated and reordered. All faults are drawn from a seeded random
+generator. Two safety properties are checked: a term has at most one leader, and all members commit the same
+entry at an index.
 """
 
 from __future__ import annotations
@@ -26,17 +27,20 @@
 TICK_INTERVAL = ELECTION_TIMEOUT // 8
 NETWORK_PROFILE = NetworkProfile(mean_delay_s=0.004, slow_fraction=0.05, duplicated_fraction=0.02)
 CRASH_AFTER_SAVE_PROBABILITY = 0.0005
-# So many entries may the applied logs of members differ by, in a group that is whole.
+# The maximum difference between applied indexes of members, in entries, in a group without faults.
 MAX_APPLY_LAG = 20
 
 
 class InvariantViolationError(Exception):
-    """A property that must always hold was broken; the text says how and when."""
+    """A simulation violated a property that must always hold; the message describes the violation."""
 
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """A member's machine, whose disk outlives its node. `node` is None while it is down."""
+    """A member's machine. `persistent`: its disk, which survives crashes. `node`: None while it is down.
+
+    `incarnation` counts the starts of the node, so that timers of an earlier one are ignored.
+    """
 
     name: str
     persistent: PersistentState
@@ -48,10 +52,11 @@
 
 
 class RaftGroup:
-    """The group. `on_applied` is called with every command that a member has applied, and its result.
+    """A Raft group on a lossy network.
 
-    `injected_fault` "disk" lets a member that lost its disk come back under the former disk id, so that the
-    checks are seen to find it.
+    `on_applied` is called with every command that a member has applied, and the command's result.
+    `injected_fault` "disk" restarts a member that lost its disk under its former disk id, to test that the
+    checks detect the violation.
     """
 
     def __init__(
@@ -64,7 +69,7 @@
         injected_fault: str = "",
         compaction_threshold: int = COMPACTION_THRESHOLD,
     ) -> None:
-        """Founds the group: all members have the same first entry."""
+        """Bootstraps the group: the first log entry of all members is the same configuration."""
         self.events = events
         self.injected_fault = injected_fault
         self.counts: Counter[str] = Counter()
@@ -88,7 +93,7 @@
     # Members
 
     def start(self, name: str) -> None:
-        """Starts a member's node from its disk, if it is down."""
+        """Starts a member's node from its disk; does nothing if it runs."""
         member = self.members[name]
         if member.node is not None:
             return
@@ -112,12 +117,12 @@
         self.events.call_after(TICK_INTERVAL, self._tick, member, member.incarnation)
 
     def crash(self, name: str) -> None:
-        """Ends a member's node; its disk stays."""
+        """Ends a member's node; its disk is kept."""
         self.members[name].node = None
         self.counts["crash"] += 1
 
     def lose_disk(self, name: str) -> None:
-        """Ends a member's node, which comes back under its name with an empty disk."""
+        """Ends a member's node and replaces its disk by an empty one with another disk id."""
         self.crash(name)
         member = self.members[name]
         if self.injected_fault == "disk":
@@ -129,18 +134,18 @@
         self.counts["disk lost"] += 1
 
     def pause(self, name: str, duration: int) -> None:
-        """Stops a member for a while; what arrives meanwhile waits for it."""
+        """Suspends a member for `duration` ns; messages that arrive meanwhile are handled afterwards."""
         self.members[name].paused_until = self.events.now + duration
         self.counts["stop"] += 1
 
     def partition(self, side: frozenset[str], duration: int) -> None:
-        """Lets nothing through between `side` and the other members."""
+        """Drops all messages between `side` and the other members for `duration` ns."""
         now = self.events.now
         self.network.add_fault(PathFault("split", now, now + duration, groups=(side,)))
         self.counts["cut"] += 1
 
     def end_faults(self) -> None:
-        """Heals all paths and starts everybody."""
+        """Ends all network faults and pauses, and starts all members that are down."""
         self._has_faults = False
         self.network.heal()
         for name, member in self.members.items():
@@ -150,14 +155,14 @@
     # Messages and entries
 
     def propose(self, command: PermitCommand) -> None:
-        """Proposes a command to everybody; the leader takes it."""
+        """Proposes a command to all running members; only the leader accepts it."""
         for member in self.members.values():
             if member.node is not None and not self._is_paused(member):
                 member.node.propose(self.events.now, command)
                 self._persist_and_send(member)
 
     def repair_membership(self) -> None:
-        """Admits members that have come with another disk; their former selves are removed first."""
+        """Lets the leader replace members whose disk id has changed: removes the old id, adds the new."""
         for member in list(self.members.values()):
             if member.node is None or member.node.role is not Role.LEADER or self._is_paused(member):
                 continue
@@ -196,7 +201,7 @@
             self._persist_and_send(member)
 
     def _persist_and_send(self, member: SimulatedMember) -> None:
-        """Saves are on disk, then messages leave: between the two the member may crash."""
+        """Persists pending saves, then sends messages and applies entries; a crash may occur in between."""
         node = member.node
         assert node is not None
         node.pending_saves.clear()
@@ -234,18 +239,18 @@
     def _check_entry(self, member: SimulatedMember, index: int, command: Any) -> None:
         known = self._committed.setdefault(index, command)
         if known != command:
-            raise InvariantViolationError(f"entry {index} is {known} and, to {member.name}, {command}")
+            raise InvariantViolationError(f"entry {index} is {known}, but {member.name} committed {command}")
         if index <= member.applied_index:
             raise InvariantViolationError(f"{member.name} applies entry {index} after {member.applied_index}")
 
     @property
     def running_members(self) -> list[SimulatedMember]:
-        """Those whose node is up, paused or not."""
+        """The members whose node is running, paused or not."""
         return [member for member in self.members.values() if member.node is not None]
 
     @property
     def is_complete(self) -> bool:
-        """Whether everybody is up, and every running node is a member by itself and by a leader."""
+        """Whether all members run, each in its own configuration, and a leader's configuration has all."""
         nodes = list(self._nodes())
         if len(nodes) < len(self.members):
             return False
@@ -256,13 +261,13 @@
 
     @property
     def problem(self) -> str:
-        """Why the group does not work as it should; empty: it has a leader and all have applied the same."""
+        """Why the group is unhealthy; empty if it has one leader and similar applied indexes."""
         leaders = [node.name for node in self._nodes() if node.role is Role.LEADER]
         if len(leaders) != 1:
-            return f"led by {leaders}"
+            return f"leaders: {leaders}"
         applied = [member.applied_index for member in self.members.values()]
         if max(applied) - min(applied) > MAX_APPLY_LAG:
-            return f"applied up to {applied}"
+            return f"applied indexes: {applied}"
         return ""
 
     def _nodes(self) -> Iterator[RaftNode]:
--- a/valverouter/emulator/release_baselines.py
+++ b/valverouter/emulator/release_baselines.py
@@ -1,4 +1,4 @@
-"""Simpler rules for the evaluation of a release, which simulations compare with the program's own."""
+"""Simpler canary analyses, used in simulations as baselines for `CanaryAnalysis`."""
 
 from __future__ import annotations
 
@@ -10,14 +10,18 @@
 from valverouter.rollout.reports import InstanceCounters
 from valverouter.rollout.sequential_test import CanaryEvidence, SequentialTestConfig
 
-# What the baselines wait for after a wave, and the ratio of rejected fractions that one of them allows.
+# The time from the end of a wave to the baselines' decision.
 BASELINE_EVALUATION = 10 * SECOND
+# `ThresholdAnalysis` cancels above this ratio of the rejected fractions of released to unreleased instances.
 THRESHOLD_RATIO = 1.5
 
 
 class ThresholdAnalysis(CanaryAnalysis):
-    """A baseline: ten seconds after a wave, a release goes on if its instances reject at most 1.5 times the
-    fraction of dialogs that the others do, and is cancelled if not."""
+    """A baseline that compares rejected fractions with a fixed threshold, ten seconds after each wave.
+
+    The release continues if the released instances reject at most 1.5 times the fraction of dialogs that the
+    unreleased instances reject; otherwise it is cancelled.
+    """
 
     def evaluate(self, now: int, log: OperationLog, operation: Operation, is_settled: bool) -> list[Command]:
         """See `CanaryAnalysis.evaluate`."""
@@ -52,7 +56,7 @@
 
 
 class TimerAnalysis(CanaryAnalysis):
-    """A baseline: a release goes on ten seconds after a wave."""
+    """A baseline that always continues the release, ten seconds after each wave."""
 
     def evaluate(self, now: int, log: OperationLog, operation: Operation, is_settled: bool) -> list[Command]:
         """See `CanaryAnalysis.evaluate`."""
@@ -78,13 +82,13 @@
 
 
 class ThresholdOrchestrator(Orchestrator):
-    """Releases by `ThresholdAnalysis`."""
+    """An orchestrator that evaluates releases with `ThresholdAnalysis`."""
 
     analysis_class = ThresholdAnalysis
 
 
 class TimerOrchestrator(Orchestrator):
-    """Releases by `TimerAnalysis`."""
+    """An orchestrator that evaluates releases with `TimerAnalysis`."""
 
     analysis_class = TimerAnalysis
 
--- a/valverouter/emulator/rollout_simulation.py
+++ b/valverouter/emulator/rollout_simulation.py
@@ -1,12 +1,12 @@
-"""Operations on a fleet in simulated time, under faults drawn by a seed.
+"""Simulates operations on a fleet, under faults drawn from a seeded random generator.
 
-Control plane nodes and supervisors are the program's own, with disks that outlive them. Simulated are the
-network, the supervised programs, and clients that submit operations and may be killed. Checked from outside:
+Control plane nodes and supervisors are the real classes, with simulated disks that survive their crashes. The
+network, the supervised programs and the clients that submit operations are simulated. Checked are:
 
-- never more instances are taken out at once than the limits allow, in all and by region;
-- a supervisor that kept its disk carries no step out twice;
-- an instance that an operation reports as done has carried out its step, and a drained one is down;
-- once faults are over, every release that was rolled back is back at one version.
+- operations never make more instances unavailable at once than the limits allow, in total and by region;
+- a supervisor that kept its disk never repeats a completed step;
+- an instance that an operation reports as done, drained or rolled back has completed its step;
+- after the faults have ended, no participant of a rolled-back release still has the released version.
 """
 
 from __future__ import annotations
@@ -34,15 +34,16 @@
 SECOND = 10**9
 TICK_INTERVAL = SECOND // 10
 NODE_COUNT = 3
-# What evaluates releases unless a baseline of `release_baselines.py` does.
+# The value of `evaluated_by` for the orchestrator's own canary analysis; others are keys of `BASELINES`.
 DEFAULT_ANALYSIS = "program"
-# Between a client's repetitions, and until it looks for an answer.
+# Interval at which a client repeats its request.
 CLIENT_RETRY_INTERVAL = 2 * SECOND
+# Delay after which a client reads the result of an accepted request.
 CLIENT_ANSWER_DELAY = SECOND
 CRASH_AFTER_SAVE_PROBABILITY = 0.0002
-# Of a planted fault: that a permit ends by time, at each tick.
+# Of the injected fault "lapse": the probability, at each tick, that a permit expires.
 PERMIT_EXPIRY_PROBABILITY = 0.02
-# Faults and operations are drawn up to this part of a random course.
+# Random runs have faults and new operations only within this fraction of their duration.
 FAULTS_END_FRACTION = 0.6
 FIRST_EVENT_AT = 5 * SECOND
 UNDRAIN_AFTER_FAULTS = 8 * SECOND
@@ -53,7 +54,11 @@
 
 @dataclass(slots=True)
 class SimulatedNode:
-    """The machine of a control plane node, whose disk outlives it. `node` is None while it is down."""
+    """A control plane node's machine.
+
+    `persistent`: its disk, which survives crashes. `node`: None while it is down. `incarnation` counts the
+    starts of the node, so that timers of an earlier one are ignored.
+    """
 
     name: str
     persistent: PersistentState
@@ -63,11 +68,11 @@
 
 
 class RolloutSimulation:
-    """One simulation.
+    """One simulation run, determined by its seed.
 
-    `injected_fault` takes a rule out, so that the checks are seen to find it: "again" (a supervisor forgets
-    at a restart what it began, and asks for no permit), "lapse" (permits end by time). `evaluated_by`: what
-    evaluates releases, the program or a baseline.
+    `injected_fault` disables a rule, to test that the checks detect the violation: "again" (a supervisor
+    loses its steps at a restart and acts without a permit), "lapse" (permits expire). `evaluated_by`: the
+    canary analysis of releases, `DEFAULT_ANALYSIS` or a baseline.
     """
 
     def __init__(
@@ -79,13 +84,13 @@
         injected_fault: str = "",
         evaluated_by: str = DEFAULT_ANALYSIS,
     ) -> None:
-        """`instances`: how many edge proxies; `loss`: the fraction of messages lost beside faults."""
+        """`instances`: the number of edge proxies. `loss`: the fraction of messages lost without faults."""
         self.events = EventQueue()
         self.limits = limits or DisruptionLimits(
             max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
         )
         self.config = _orchestrator_config(self.limits)
-        # What was caused, by kind.
+        # Faults and operations, counted by kind.
         self.counts: Counter[str] = Counter()
         self.answers: dict[str, SubmitResult] = {}
         self._draws = random.Random(f"rollout/{seed}")
@@ -108,7 +113,7 @@
 
     @property
     def leader(self) -> ControlPlaneNode | None:
-        """The node that leads in the highest term."""
+        """The running leader of the highest term, or None."""
         leaders = [
             machine.node
             for machine in self.nodes.values()
@@ -119,7 +124,7 @@
     # Nodes
 
     def start_node(self, name: str) -> None:
-        """Starts a node, if it does not run."""
+        """Starts a node from its disk; does nothing if it runs."""
         machine = self.nodes[name]
         if machine.node is not None:
             return
@@ -132,7 +137,7 @@
         self.events.call_after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
 
     def crash_node(self, name: str) -> None:
-        """Ends a node at once."""
+        """Kills a node; its disk is kept."""
         self.nodes[name].node = None
         self.counts["seat crashed"] += 1
 
@@ -163,7 +168,7 @@
             self._persist_and_send(machine)
 
     def _persist_and_send(self, machine: SimulatedNode) -> None:
-        """Saves are on disk, then messages leave; between the two the node may crash."""
+        """Persists pending saves, then sends messages; a crash may occur in between."""
         assert machine.node is not None
         machine.node.pending_saves.clear()
         outgoing = list(machine.node.outgoing)
@@ -213,7 +218,10 @@
     # Clients
 
     def submit(self, submit: Submit, attempts: int = 10) -> None:
-        """Sends it to all nodes until one answers; the client may be killed after any attempt."""
+        """Sends a request to all nodes, and again until one has answered or all attempts are used up.
+
+        Few attempts simulate a client that is killed.
+        """
         if submit.id in self.answers or not attempts:
             return
         for machine in self.nodes.values():
@@ -234,7 +242,7 @@
             self.answers.setdefault(submit.id, answer)
 
     def cancel(self, operation: str, reason: str, attempts: int = 5) -> None:
-        """Cancels an operation at whoever leads, several times over."""
+        """Proposes to cancel an operation to all running nodes, repeatedly; only the leader accepts it."""
         for machine in self.nodes.values():
             if machine.node is not None and not self._is_paused(machine):
                 machine.node.propose(self.events.now, Cancel(operation, reason))
@@ -242,14 +250,14 @@
         if attempts > 1:
             self.events.call_after(CLIENT_RETRY_INTERVAL, self.cancel, operation, reason, attempts - 1)
 
-    # Random courses
+    # Random runs
 
     def run_until(self, end: int) -> None:
-        """Runs up to a moment, ns."""
+        """Runs until the simulated time `end`, ns."""
         self.events.run_until(end)
 
     def run_randomly(self, seconds: float, fault_rate: float = 0.5, operation_rate: float = 0.1) -> None:
-        """Operations and faults at random (rates per second); then neither, until all is at rest."""
+        """Runs random operations and faults (rates per second), then without new ones until `seconds`."""
         faults_end = int(seconds * SECOND * FAULTS_END_FRACTION)
         for rate, action in ((fault_rate, self._cause_fault), (operation_rate, self._submit_randomly)):
             time = FIRST_EVENT_AT + int(self._draws.expovariate(rate) * SECOND)
@@ -330,7 +338,7 @@
             machine.paused_until = min(machine.paused_until, self.events.now)
             self.start_node(name)
         self.fleet.end_faults()
-        # Drained instances come back, and whatever waits for evidence goes on.
+        # Returns drained instances to service; releases that wait for evidence can continue then.
         self.events.call_after(UNDRAIN_AFTER_FAULTS, self._undrain)
 
     def _undrain(self) -> None:
@@ -338,13 +346,16 @@
         if names:
             self.submit(Submit(f"undrain/{self.events.now}", OperationKind.UNDRAIN, names))
 
-    # The end
+    # Checks
 
     def check_results(self) -> dict[str, int]:
-        """How the operations ended, by kind and result; raises InvariantViolationError."""
+        """Returns the number of operations by kind and result.
+
+        Raises InvariantViolationError if there is no leader or an operation's reported result is wrong.
+        """
         leader = self.leader
         if leader is None:
-            raise InvariantViolationError("nobody leads at the end")
+            raise InvariantViolationError("there is no leader at the end")
         operations = list(leader.operation_log.operations.values())
         results: Counter[str] = Counter()
         for operation in operations:
@@ -361,7 +372,9 @@
             number = participant.permit_number
             if not any(step_id.permit_number == number for step_id in instance.steps_done):
                 status = participant.status.value
-                raise InvariantViolationError(f"{name} is {status} by {operation.id}, and has not done it")
+                raise InvariantViolationError(
+                    f"{name} is {status} by {operation.id}, but did not complete its step"
+                )
 
     def _check_rollback(self, operation: Operation, operations: list[Operation]) -> None:
         is_rolled_back = operation.kind is OperationKind.RELEASE and operation.result == "halted"
@@ -372,7 +385,7 @@
         for name, participant in operation.participants.items():
             if participant.status in NOT_ROLLED_BACK:
                 status = participant.status.value
-                raise InvariantViolationError(f"{name} was not brought back by {operation.id}: {status}")
+                raise InvariantViolationError(f"{name} was not rolled back by {operation.id}: {status}")
 
 
 def _orchestrator_config(limits: DisruptionLimits) -> OrchestratorConfig:
--- a/valverouter/emulator/server_faults.py
+++ b/valverouter/emulator/server_faults.py
@@ -15,14 +15,14 @@
 
 
 class ServerFaults:
-    """The faults that a day's file may have at servers."""
+    """Injects the faults of servers that a scenario can contain."""
 
     def __init__(self, fleet: Fleet, targets: FaultTargets) -> None:
         self._fleet = fleet
         self._targets = targets
 
     def by_kind(self) -> dict[str, FaultStart]:
-        """The process of each kind, by its name in a day's file."""
+        """Returns the process of each kind of fault, keyed by its name in a scenario file."""
         return {
             "crash": self._crash,
             "vanish": self._vanish,
@@ -36,7 +36,7 @@
             "peer_down": self._partition,
         }
 
-    # Processes that end
+    # Crashes and replacements
 
     def _crash(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         servers = self._targets.recorded_servers(fault, random)
@@ -69,11 +69,11 @@
         self._announce_up_later(servers)
 
     def _deploy(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """Each target drains and stops, and a new machine under a new name takes its number."""
+        """Replaces targets in batches: each drains and stops; a server with a new name takes its number."""
         fleet, targets = self._fleet, self._targets
         servers = targets.running_servers(fault, random)
         batch_size = max(1, round(fault.size))
-        batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
+        batches = [servers[start : start + batch_size] for start in range(0, len(servers), batch_size)]
         interval = fault.length // max(1, len(batches))
         for batch in batches:
             started_at = fleet.sim.now()
@@ -94,7 +94,7 @@
         replacement.record_start()
         return replacement
 
-    # Processes that go on
+    # Degradation of running servers
 
     def _slow(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         yield from self._for_duration(
@@ -105,7 +105,7 @@
         )
 
     def _degrade(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """Servers get slower and slower, until the fault's size is reached at its end."""
+        """Slows servers down gradually; the factor reaches the fault's size at its end."""
         sim = self._fleet.sim
         yield from self._for_duration(
             fault,
@@ -129,7 +129,7 @@
         )
 
     def _limit_lines(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """The servers of one region have only a part of their lines."""
+        """Limits the servers of one region to a fraction of their lines."""
         fleet = self._fleet
         regions = [name for name, region in fleet.day.regions.items() if region.servers]
         region = fault.on[0] if fault.on else regions[random.integer_below(len(regions))]
@@ -164,7 +164,7 @@
     # Connections and dialogs
 
     def _cut_established(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """A fraction of all established dialogs ends at every server."""
+        """Interrupts a fraction of all established dialogs at every server."""
         for server in self._fleet.servers.values():
             self._targets.record(fault, server.name)
             server.model.cut_established(self._fleet.sim.now(), fault.size)
@@ -172,7 +172,7 @@
         yield self._targets.wait(0)
 
     def _partition(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """Some edge proxies can't reach some servers; all others can."""
+        """Cuts the connections between some edge proxies and some servers, and refuses new ones."""
         targets, servers = self._targets, self._fleet.servers
         edge_names = {edge.name for edge in targets.edges(fault, random)}
         partitioned = [servers[name] for name in targets.draw(fault, random, list(servers))]
--- a/valverouter/emulator/supervised_fleet.py
+++ b/valverouter/emulator/supervised_fleet.py
@@ -1,7 +1,7 @@
-"""Supervised edge proxies in simulated time: the program's own supervisors, round simulated programs.
+"""Simulates supervised edge proxies: real `Supervisor` objects with simulated programs.
 
-A supervisor's disk outlives it, and so does its program. What the programs really did is checked here, as it
-happens: the limits on those taken out, and that no step is carried out twice.
+A supervisor's disk and its program survive its crashes. Two properties are checked against what the programs
+really did, as it happens: the disruption limits, and that no completed step is repeated.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 REPORT_INTERVAL = SECOND // 2
 REGIONS = ("north", "south", "west")
 VERSIONS = ("v1", "v2", "crashes", "dies-late", "declines")
-# How long programs of those versions last, ns.
+# Time from the start of a program to its exit, by version: "crashes" and "dies-late".
 CRASH_DELAY = SECOND // 5
 LATE_EXIT_DELAY = 12 * SECOND
 NEVER = 10**6 * SECOND
+# Dialogs per second of one program; fractions rejected by harmless versions and by "declines".
 DIALOGS_PER_SECOND = 10.0
 REJECTED_FRACTION = 0.01
 HARMFUL_REJECTED_FRACTION = 0.11
-# Before any message that a report could answer, ns.
+# A stamp earlier than any message, for nodes from which none has arrived, ns.
 LONG_AGO = -(10**18)
 
 ReportSender = Callable[["SimulatedInstance", SupervisorReport], None]
@@ -42,16 +43,17 @@
 
 @dataclass(slots=True)
 class SimulatedInstance:
-    """A supervisor and its program. `disk`: the supervisor's state as it was saved last."""
+    """A supervisor and its program. `disk`: the last saved state of the supervisor, encoded."""
 
     info: InstanceInfo
     disk: bytes
-    # None while the supervisor is down; the incarnation counts its starts.
+    # `supervisor` is None while it is down; `incarnation` counts its starts.
     supervisor: Supervisor | None = None
     incarnation: int = 0
     paused_until: int = 0
     has_lost_disk: bool = False
-    # The program's process (0: none), when it serves, and when it ends (0: not known).
+    # The number of the program's process (0: none), the time from which it serves, and the time at which it
+    # exits (0: no exit is planned).
     process: int = 0
     version: str = ""
     serves_at: int = 0
@@ -59,9 +61,9 @@
     accepted: int = 0
     rejected: int = 0
     counted_until: int = 0
-    # The latest stamp of each node, which the next report gives back.
+    # The latest stamp from each control plane node, returned in the next report to it.
     stamps: dict[str, int] = field(default_factory=dict)
-    # The step by which it is really out, and all steps that were carried out.
+    # The step that makes the instance unavailable now (None: it is available), and all completed steps.
     active_step: StepId | None = None
     steps_done: list[StepId] = field(default_factory=list)
 
@@ -71,23 +73,23 @@
         return self.info.name
 
     def made_after(self, node: str) -> int:
-        """The stamp of a node's latest message."""
+        """Returns the stamp of the latest message from a node, or LONG_AGO."""
         return self.stamps.get(node, LONG_AGO)
 
     def is_current(self, incarnation: int) -> bool:
-        """Whether the supervisor of that incarnation still runs."""
+        """Returns whether the supervisor of that incarnation is still running."""
         return self.supervisor is not None and self.incarnation == incarnation
 
     def counters(self) -> InstanceCounters:
-        """What the program answers to its supervisor."""
+        """Returns the counters that the program reports to its supervisor."""
         is_serving = not self.ends_at
         return InstanceCounters(self.process, is_serving, True, self.accepted, self.rejected, 0, 0, "settled")
 
 
 class SupervisedFleet:
-    """All instances, by name. `served` and `rejected` count their dialogs.
+    """All instances, by name. `served` and `rejected` count the dialogs of all programs.
 
-    `forgets_steps` plants a fault: supervisors forget at a restart what they began, and ask for no permit.
+    `forgets_steps` injects a fault: supervisors lose their steps at a restart and act without a permit.
     """
 
     def __init__(
@@ -99,12 +101,12 @@
         counts: Counter[str],
         forgets_steps: bool,
     ) -> None:
-        """`counts` takes what was caused, by kind."""
+        """`counts`: incremented by kind for each fault and each step that makes an instance unavailable."""
         self.events = events
         self.instances = _new_instances(size)
         self.served = 0
         self.rejected = 0
-        # How a supervisor's report gets to the nodes; set by whoever has them.
+        # Sends a supervisor's report to the control plane nodes; set by the simulation that has the nodes.
         self.send_report: ReportSender = lambda instance, report: None
         self._draws = draws
         self._limits = limits
@@ -114,7 +116,7 @@
 
     @property
     def down_by_supervisor(self) -> list[str]:
-        """Names of the instances whose supervisors keep them down."""
+        """The names of instances whose supervisors run and keep the program stopped."""
         return [
             name
             for name, instance in self.instances.items()
@@ -124,7 +126,7 @@
     # Faults
 
     def start(self, name: str) -> None:
-        """Starts a supervisor, if it does not run."""
+        """Starts a supervisor from its disk; does nothing if it runs."""
         instance = self.instances[name]
         if instance.supervisor is not None:
             return
@@ -132,7 +134,7 @@
         instance.stamps.clear()
         state = msgspec.msgpack.decode(instance.disk, type=SupervisorState)
         instance.supervisor = Supervisor(instance.info, state)
-        # Its program may have outlived the supervisor before it.
+        # The program may still run from before the supervisor's crash.
         instance.supervisor.resume(bool(instance.process))
         if self._forgets_steps:
             state.steps.clear()
@@ -141,33 +143,33 @@
         self.events.call_after(first_report, self._report, instance, instance.incarnation)
 
     def crash(self, name: str) -> None:
-        """Ends a supervisor at once; its program runs on."""
+        """Kills a supervisor; its program keeps running."""
         self.instances[name].supervisor = None
         self._counts["keeper crashed"] += 1
 
     def lose_disk(self, name: str) -> None:
-        """Ends a supervisor at once, and its disk is lost."""
+        """Kills a supervisor and erases its disk; its program keeps running."""
         instance = self.instances[name]
         self.crash(name)
-        # The program that runs tells the next supervisor what it was started as.
+        # The next supervisor learns the running version from the program.
         instance.disk = msgspec.msgpack.encode(SupervisorState("v1", running_version=instance.version))
         instance.has_lost_disk = True
         self._counts["keeper disk lost"] += 1
 
     def pause(self, name: str, duration: int) -> None:
-        """Stops a supervisor for a while; its program runs on."""
+        """Suspends a supervisor for `duration` ns; its program keeps running."""
         self.instances[name].paused_until = self.events.now + duration
         self._counts["keeper stopped"] += 1
 
     def kill_program(self, name: str) -> None:
-        """Ends an instance's program at once."""
+        """Kills an instance's program, if it runs."""
         instance = self.instances[name]
         if instance.process:
             self._on_program_ended(instance)
             self._counts["killed"] += 1
 
     def end_faults(self) -> None:
-        """Goes on with paused supervisors and starts those that are down."""
+        """Resumes paused supervisors and starts those that are down."""
         for name, instance in self.instances.items():
             instance.paused_until = min(instance.paused_until, self.events.now)
             self.start(name)
@@ -177,7 +179,7 @@
     def on_reply(
         self, instance: SimulatedInstance, incarnation: int, node: str, reply: DesiredStateReply
     ) -> None:
-        """A node's answer arrives at the supervisor of an incarnation."""
+        """Delivers a node's reply; it is dropped if that incarnation of the supervisor has ended."""
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
         if self._is_paused(instance):
@@ -208,7 +210,7 @@
             self.send_report(instance, instance.supervisor.report())
 
     def _run_actions(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
-        """Does all that the supervisor asks for."""
+        """Passes the program's counters to the supervisor and executes all actions that it requests."""
         now = self.events.now
         if instance.process and now >= instance.serves_at:
             supervisor.on_counters(instance.counters())
@@ -240,7 +242,7 @@
         supervisor.on_started(now, instance.version)
 
     def _run_program(self, instance: SimulatedInstance) -> None:
-        """What the program does, whatever its supervisor knows."""
+        """Advances the program to the present time: its exit, or its accepted and rejected dialogs."""
         now = self.events.now
         if instance.ends_at and now >= instance.ends_at:
             self._on_program_ended(instance)
@@ -276,14 +278,16 @@
     # Checks
 
     def _check_saved(self, instance: SimulatedInstance, state: SupervisorState) -> None:
-        """What is on disk is what has happened: a step that was begun, or one that has ended."""
+        """Updates the active step from the saved state; checks its start for repetition and the limits."""
         step = state.latest_step
         if step is None or step.reason == STATE_LOST:
             return
         if not step.outcome and instance.active_step != step.step_id:
             if step.step_id in instance.steps_done and not instance.has_lost_disk:
-                at = f"at {self.events.now / SECOND:.1f}"
-                raise InvariantViolationError(f"{instance.name} carries out {step.step_id} twice, {at}")
+                at = f"at {self.events.now / SECOND:.1f} s"
+                raise InvariantViolationError(
+                    f"{instance.name} repeats the completed step {step.step_id} {at}"
+                )
             instance.active_step = step.step_id
             self._counts["out"] += 1
             self._check_limits()
@@ -297,14 +301,14 @@
         unavailable = Counter(
             instance.info.region for instance in self.instances.values() if instance.active_step is not None
         )
-        at = f"by operations at {self.events.now / SECOND:.1f}"
+        at = f"under operations at {self.events.now / SECOND:.1f} s"
         if unavailable.total() > self._limits.max_unavailable:
             limit = self._limits.max_unavailable
-            raise InvariantViolationError(f"{unavailable.total()} are out {at}, {limit} may be")
+            raise InvariantViolationError(f"{unavailable.total()} are unavailable {at}, limit {limit}")
         for region, count in unavailable.items():
             limit = self._limits.max_unavailable_in(region)
             if count > limit:
-                raise InvariantViolationError(f"{count} of {region} are out {at}, {limit} may be")
+                raise InvariantViolationError(f"{count} of {region} are unavailable {at}, limit {limit}")
 
 
 def _new_instances(size: int) -> dict[str, SimulatedInstance]:
