--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""Each rule's check is tested by a record that keeps the rule, and one that breaks it by the least."""
+"""Tests the check of each rule with records that just keep the rule, and records that just violate it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def record(*rows: Any, slack: int = 0) -> list[Row]:
-    """Rows from (time, type, fields), with their limits before and the end of a connection long after."""
+    """Returns rows from (time, type, fields), between the audit's limits and a late end of a connection."""
     limits = [
         (
             0,
@@ -100,11 +100,11 @@
     (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"}),
 ]
 CASES: list[tuple[str, set[int], list[Any]]] = [
-    ("answered at the last moment", set(), [sent_setup(0), caller_message(9 * SECOND, "declined")]),
+    ("answered at the deadline", set(), [sent_setup(0), caller_message(9 * SECOND, "declined")]),
     ("answered 1 ns late", {1}, [sent_setup(0), caller_message(9 * SECOND + 1, "declined")]),
     ("never answered", {1}, [sent_setup(0)]),
     (
-        "its connection lost first",
+        "connection lost before the deadline",
         set(),
         [sent_setup(0), (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})],
     ),
@@ -115,55 +115,59 @@
         [sent_setup(0), caller_message(5, "declined"), caller_message(6, "stands")],
     ),
     (
-        "a word after the answer",
+        "provisional after the final answer",
         {1},
         [sent_setup(0), caller_message(5, "declined"), caller_message(6, "provisional")],
     ),
-    ("stands and ends", set(), [sent_setup(0), caller_message(5, "stands"), caller_message(6, "ended")]),
     (
-        "ends twice",
+        "established, then ended",
+        set(),
+        [sent_setup(0), caller_message(5, "stands"), caller_message(6, "ended")],
+    ),
+    (
+        "ended twice",
         {1},
         [sent_setup(0), caller_message(5, "stands"), caller_message(6, "ended"), caller_message(7, "ended")],
     ),
     (
-        "back for it, and answered",
+        "resumed, then answered",
         set(),
         [*ACCEPTED, RESUME, caller_message(7, "provisional"), caller_message(8, "declined")],
     ),
-    ("back for it, and never answered", {1}, [*ACCEPTED, RESUME]),
-    (
-        "back for it, and answered 1 ns late",
-        {1},
-        [*ACCEPTED, RESUME, caller_message(9 * SECOND + 1, "declined")],
-    ),
+    ("resumed, never answered", {1}, [*ACCEPTED, RESUME]),
+    ("resumed, answered 1 ns late", {1}, [*ACCEPTED, RESUME, caller_message(9 * SECOND + 1, "declined")]),
     (
-        "back for it, and answered twice",
+        "resumed, answered twice",
         {1},
         [*ACCEPTED, RESUME, caller_message(7, "declined"), caller_message(8, "declined")],
     ),
-    ("told as taken, then unknown", {1}, [*ACCEPTED, RESUME, caller_message(7, "unknown")]),
+    ("accepted, then unknown", {1}, [*ACCEPTED, RESUME, caller_message(7, "unknown")]),
+    ("not accepted, then unknown", set(), [ACCEPTED[0], ACCEPTED[2], RESUME, caller_message(7, "unknown")]),
     (
-        "never told as taken, then unknown",
+        "established, resumed, and the answer repeated",
         set(),
-        [ACCEPTED[0], ACCEPTED[2], RESUME, caller_message(7, "unknown")],
+        [*ESTABLISHED, RESUME, caller_message(7, "stands"), caller_message(8, "ended")],
     ),
     (
-        "told again that it stands",
-        set(),
-        [*ESTABLISHED, RESUME, caller_message(7, "stands"), caller_message(8, "ended")],
+        "established, and the answer repeated without a resume",
+        {1},
+        [*ESTABLISHED, caller_message(7, "stands")],
     ),
-    ("told again without having asked", {1}, [*ESTABLISHED, caller_message(7, "stands")]),
-    ("stood, and another answer", {1}, [*ESTABLISHED, RESUME, caller_message(7, "declined")]),
-    ("stood, and a provisional", {1}, [*ESTABLISHED, RESUME, caller_message(7, "provisional")]),
-    ("stood, and unknown", set(), [*ESTABLISHED, RESUME, caller_message(7, "unknown")]),
+    ("established, resumed, then another answer", {1}, [*ESTABLISHED, RESUME, caller_message(7, "declined")]),
+    ("established, resumed, then provisional", {1}, [*ESTABLISHED, RESUME, caller_message(7, "provisional")]),
+    ("established, resumed, then unknown", set(), [*ESTABLISHED, RESUME, caller_message(7, "unknown")]),
     (
-        "stood, unknown, and a word after",
+        "established, resumed, unknown, then ended",
         {1},
         [*ESTABLISHED, RESUME, caller_message(7, "unknown"), caller_message(8, "ended")],
     ),
-    ("held through its time", set(), [sent_setup(0), fault(8 * SECOND, 10 * SECOND, "balancer_stall")]),
     (
-        "held, and answered late",
+        "edge proxy stalled at the deadline",
+        set(),
+        [sent_setup(0), fault(8 * SECOND, 10 * SECOND, "balancer_stall")],
+    ),
+    (
+        "edge proxy stalled, answered late",
         {1},
         [
             sent_setup(0),
@@ -171,34 +175,38 @@
             caller_message(11 * SECOND, "declined"),
         ],
     ),
-    ("held before its time alone", {1}, [sent_setup(0), fault(SECOND, 8 * SECOND, "balancer_stall")]),
     (
-        "one leg after another",
+        "edge proxy stalled only before the deadline",
+        {1},
+        [sent_setup(0), fault(SECOND, 8 * SECOND, "balancer_stall")],
+    ),
+    (
+        "one attempt after another",
         set(),
         [*ATTEMPT, server_message(20, "full", sent=True), server_message(20, "setup", "s1", 1)],
     ),
     (
-        "two legs out",
+        "two attempts in flight",
         {2},
         [*ATTEMPT, server_message(20, "setup", "s1", 1), server_message(21, "full", sent=True)],
     ),
     (
-        "a second while one stands",
+        "a second attempt while one is established",
         {2},
         [*ATTEMPT, server_message(20, "stands", sent=True), server_message(30, "setup", "s1", 1)],
     ),
     (
-        "released 300 ms",
+        "retried 300 ms after a cancel",
         set(),
         [*ATTEMPT, server_message(20, "cancel"), server_message(20 + RELEASE_DELAY, "setup", "s1", 1)],
     ),
     (
-        "released 300 ms less 1 ns",
+        "retried 300 ms less 1 ns after a cancel",
         {5},
         [*ATTEMPT, server_message(20, "cancel"), server_message(19 + RELEASE_DELAY, "setup", "s1", 1)],
     ),
     (
-        "reset 300 ms",
+        "retried 300 ms after a lost connection",
         set(),
         [
             *ATTEMPT,
@@ -207,7 +215,7 @@
         ],
     ),
     (
-        "reset 300 ms less 1 ns",
+        "retried 300 ms less 1 ns after a lost connection",
         {5},
         [
             *ATTEMPT,
@@ -216,7 +224,7 @@
         ],
     ),
     (
-        "another edge's link lost",
+        "connection of another edge proxy lost",
         {2},
         [
             *ATTEMPT,
@@ -224,25 +232,29 @@
             server_message(9 * SECOND, "setup", "s1", 1),
         ],
     ),
-    ("at the moment of the word", set(), [endpoint_update(10, "draining"), server_message(10, "setup")]),
-    ("1 ns after the word", {3}, [endpoint_update(9, "draining"), server_message(10, "setup")]),
     (
-        "after it came back",
+        "set-up at the time of the update",
+        set(),
+        [endpoint_update(10, "draining"), server_message(10, "setup")],
+    ),
+    ("set-up 1 ns after the update", {3}, [endpoint_update(9, "draining"), server_message(10, "setup")]),
+    (
+        "set-up after the server is in service again",
         set(),
         [endpoint_update(8, "gone"), endpoint_update(9, "in-service"), server_message(10, "setup")],
     ),
     (
-        "after a new start of the edge",
+        "set-up after the edge proxy restarted",
         set(),
         [endpoint_update(8, "gone"), fault(9, 9, "balancer_crash"), server_message(10, "setup")],
     ),
     (
-        "another edge's start",
+        "set-up after another edge proxy restarted",
         {3},
         [endpoint_update(8, "gone"), fault(9, 9, "balancer_crash", "e1"), server_message(10, "setup")],
     ),
     (
-        "cold, under its budget",
+        "slow start, under the overload limit",
         set(),
         [
             server_started(0),
@@ -250,7 +262,7 @@
         ],
     ),
     (
-        "cold, one more",
+        "slow start, one more set-up",
         {4},
         [
             server_started(0),
@@ -258,12 +270,12 @@
         ],
     ),
     (
-        "warm, far more",
+        "after slow start, far more set-ups",
         set(),
         [server_started(0), *(server_message(10 * SECOND + n, "setup", dialog=f"d{n}") for n in range(99))],
     ),
     (
-        "cold, just out of the window",
+        "slow start, one set-up just outside the window",
         set(),
         [
             server_started(0),
@@ -279,24 +291,24 @@
     assert audit(record(*rows)).violated_rules() == violated
 
 
-def test_the_slack_between_clocks_is_granted_and_no_more() -> None:
+def test_the_slack_between_clocks_is_exact() -> None:
     rows = [*ATTEMPT, server_message(20, "cancel"), server_message(20 + RELEASE_DELAY - 5, "setup", "s1", 1)]
     assert audit(record(*rows, slack=5)).passed
     assert not audit(record(*rows, slack=4)).passed
 
 
-def test_what_a_held_server_reads_late_is_not_held_against_the_edge() -> None:
+def test_a_set_up_that_a_stopped_server_receives_late_is_no_violation() -> None:
     late = [endpoint_update(9, "draining"), server_message(100, "setup")]
     assert not audit(record(*late)).passed
     assert audit(record(fault(0, 200, "held", "s0"), *late)).passed
 
 
 def test_a_record_without_limits_is_rejected() -> None:
-    with pytest.raises(ValueError, match="no terms"):
+    with pytest.raises(ValueError, match="no terms row"):
         audit([])
 
 
-def test_records_are_written_and_read_again(tmp_path: Path) -> None:
+def test_written_records_are_read_unchanged(tmp_path: Path) -> None:
     rows = record(*CASES[0][2], server_started(5), endpoint_update(6, "gone"), fault(1, 2, "slow"))
     traffic_record.write_rows(tmp_path / "rows", rows)
     assert traffic_record.read_rows(tmp_path / "rows") == rows
@@ -305,7 +317,7 @@
         traffic_record.read_rows(tmp_path / "rows")
 
 
-def test_redials_count_with_their_first_call() -> None:
+def test_a_call_and_its_redials_count_once() -> None:
     rows = record(
         *[
             sent_setup(0, "a"),
@@ -332,12 +344,12 @@
     assert weighted_service_level(account_by_type(rows), {"p": 2.0}) == 0.5
 
 
-def test_an_established_dialog_counts_once_however_often_it_is_told_and_a_redial_anew() -> None:
+def test_an_established_dialog_counts_once_and_a_redial_after_a_cut_again() -> None:
     lost = (5, ConnectionLostRow, {"edge": "e0", "peer": "c0"})
     back = [caller_message(2 * SECOND, "resume", sent=True), caller_message(3 * SECOND, "stands")]
     account = account_by_type(record(sent_setup(0), caller_message(4, "stands"), lost, *back))["p"]
     assert (account.within_objective, account.late, account.answers["stands"]) == (1, 0, 1)
-    # Its edge proxy died without a word: no `ended` tells of the cut, the try that stood in its place does.
+    # The edge proxy crashed without sending `ended`: only the established redial shows the cut.
     again = [sent_setup(2 * SECOND, "d.2"), caller_message(3 * SECOND, "stands", "d.2")]
     account = account_by_type(record(sent_setup(0), caller_message(4, "stands"), lost, *again))["p"]
     assert (account.within_objective, account.late, account.answers["stands"]) == (0, 1, 2)
--- a/tests/test_operation_audit.py
+++ b/tests/test_operation_audit.py
@@ -1,4 +1,4 @@
-"""The check of a day's operations from the supervisors' logs."""
+"""Tests the check of a scenario's operations from rows of the supervisors' logs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return StepRow(time, time, edge, number, step, up, outcome)
 
 
-def test_each_violation_is_found_and_none_in_a_sound_trace() -> None:
+def test_each_violation_is_found_and_none_in_a_correct_record() -> None:
     correct = trace(
         traffic_record.ProgramVersionRow(1, 1, "e0", "v1"),
         step_row(2, "e0", 7),
@@ -53,7 +53,7 @@
         assert any(violation.startswith(word) for violation in report.violations), (word, report)
 
 
-def test_a_drained_instance_stays_out_in_the_check() -> None:
+def test_a_drained_instance_counts_as_unavailable() -> None:
     report = check_operations(
         trace(step_row(1, "e0", 7, up=False), step_row(2, "e0", 7, "done", up=False), step_row(3, "e1", 9))
     )
--- a/tests/test_rollout_simulation.py
+++ b/tests/test_rollout_simulation.py
@@ -1,4 +1,4 @@
-"""Whole operations in simulated time, with faults between control plane nodes and supervisors."""
+"""Simulated operations on a fleet, with faults of control plane nodes, supervisors and the network."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("version", VERSIONS[1:])
-def test_a_harmless_release_ends_and_a_harmful_one_is_rolled_back(version: str) -> None:
+def test_a_harmless_release_completes_and_a_harmful_one_is_rolled_back(version: str) -> None:
     simulation = RolloutSimulation(1, 12, loss=0.0)
     instances = simulation.fleet.instances
     submit = Submit("r", OperationKind.RELEASE, tuple(sorted(instances)), version)
@@ -32,15 +32,18 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_simulated_faults_break_no_limit_and_repeat_no_step(seed: int) -> None:
+def test_no_limit_is_exceeded_and_no_step_repeated_under_faults(seed: int) -> None:
     simulation = RolloutSimulation(seed, 12)
     simulation.run_randomly(90)
     simulation.check_results()
 
 
-def test_once_faults_are_over_every_operation_ends() -> None:
-    """An undrain that was queued behind an operation which waited for the capacity that it gives back, and an
-    instance whose supervisor did not know what ran, left operations open for good."""
+def test_every_operation_ends_after_the_faults() -> None:
+    """Guards against two faults that kept operations open forever.
+
+    An undrain was queued behind an operation that waited for the capacity which the undrain would return; and
+    a supervisor did not know the running version of its instance.
+    """
     for seed in (2001, 2016, 2018):
         simulation = RolloutSimulation(seed, 12)
         simulation.run_randomly(90)
--- a/tests/test_view_audit.py
+++ b/tests/test_view_audit.py
@@ -1,4 +1,4 @@
-"""The check of the views that a day's edge proxies have had."""
+"""Tests the check of the membership views in a scenario's record."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
     }
 
 
-def test_each_violation_is_found_and_a_sound_record_is_kept() -> None:
+def test_each_violation_is_found_and_a_correct_record_passes() -> None:
     begin = (ConvergenceDeadlineRow, {"max_duration": 3 * SECOND, "poll_interval": 0})
     both = [process_row("e0", "a"), process_row("e1", "b"), begin]
     good = [view_row("e0", "a", "x", e0="a", e1="b"), view_row("e1", "b", "x", e0="a", e1="b")]
     assert check(*both, *good).passed
     assert check(*both, good[0], view_row("e1", "b", "y", e0="a", e1="b")).converged_after is None
     assert check(*both, good[0], view_row("e1", "b", "x", e1="b")).converged_after is None
-    assert check(*both, good[0]).converged_after is None, "one was never heard of"
+    assert check(*both, good[0]).converged_after is None, "one was never polled"
     assert not check(*both, *[good[0]] * 9, good[1]).passed, "too late"
     fresh = [process_row("e1", "b", False), process_row("e1", "c"), view_row("e0", "a", "x", e0="a", e1="c")]
     back = check(*both, *good, *fresh, good[0])
--- a/valverouter/audit/__init__.py
+++ b/valverouter/audit/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of a traffic record, which read its rows alone and nothing of the edge proxies' own state."""
+"""Checks a traffic record against the rules, from its rows only and not from the state of edge proxies."""
--- a/valverouter/audit/account.py
+++ b/valverouter/audit/account.py
@@ -1,4 +1,4 @@
-"""The service that callers got, counted from the rows that the audit reads: by traffic type."""
+"""Counts the calls served and the answers that callers received, by traffic type, from a traffic record."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 class TrafficAccount:
     """Counts of one traffic type.
 
-    `offered`: calls, each with all its redials. `dial_attempts`: calls and redials. `within_objective`: calls
-    that were established within the latency objective and not cut; `late`: established after it. `answers`:
-    final answers by kind, and dialogs that were "cut". `attempts`: set-ups at servers.
+    `offered`: calls; a call and its redials count once. `dial_attempts`: calls and redials.
+    `within_objective`: calls established within the latency objective and not cut; `late`: those established
+    later than that and not cut. `answers`: final answers by kind, and interrupted dialogs as "cut".
+    `attempts`: set-ups received by servers.
     """
 
     offered: int = 0
@@ -29,7 +30,7 @@
 
     @property
     def service_level(self) -> float:
-        """The fraction of the calls that were served within the objective."""
+        """The fraction of offered calls that were served within the objective; 1.0 if none was offered."""
         return self.within_objective / self.offered if self.offered else 1.0
 
 
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Call:
-    """A caller's first dialling with its redials; `since`: from when its latency counts, ns."""
+    """A call with its redials. `since`: the time from which its latency is measured, ns."""
 
     traffic_type: str
     since: int
@@ -50,10 +51,10 @@
 
 
 def account_by_type(rows: Iterable[Row]) -> dict[str, TrafficAccount]:
-    """Accounts by traffic type, in alphabetical order.
+    """Returns the accounts by traffic type, in alphabetical order.
 
-    The latency of a call counts from its first dialling; if its dialog was cut and the caller dialled again,
-    from then on.
+    The latency of a call is measured from its first set-up, or, after its dialog was cut, from the set-up of
+    the redial.
     """
     ordered = in_order(rows)
     config = next(row for row in ordered if isinstance(row, AuditConfigRow))
@@ -70,7 +71,7 @@
 
 
 class _Accounting:
-    """The calls while a record is read."""
+    """Accumulates calls while a record is read."""
 
     def __init__(self, latency_objectives: Mapping[str, int]) -> None:
         self.accounts: dict[str, TrafficAccount] = defaultdict(TrafficAccount)
@@ -80,7 +81,7 @@
         self._established: set[str] = set()
 
     def on_caller_message(self, row: MessageRow) -> None:
-        """A message between a caller and its edge proxy."""
+        """Processes a message between a caller and its edge proxy."""
         first_dialog = row.dialog.rpartition(".")[0] or row.dialog
         if is_sent_setup(row):
             self._on_dialled(row, first_dialog)
@@ -99,7 +100,7 @@
     def _on_response(self, row: MessageRow, call: _Call) -> None:
         if row.kind == "stands":
             if row.dialog in self._established:
-                return  # A caller that resumed the dialog is told again; a redial has another dialog.
+                return  # Repeated after the caller resumed the dialog; a redial has another dialog id.
             self._established.add(row.dialog)
         account = self.accounts[call.traffic_type]
         if row.kind in FINAL_ANSWERS:
@@ -113,7 +114,7 @@
             account.answers["cut"] += 1
 
     def finish(self) -> dict[str, TrafficAccount]:
-        """The accounts, with the calls that were served."""
+        """Adds the served calls to the accounts and returns them."""
         for call in self._calls.values():
             account = self.accounts[call.traffic_type]
             account.within_objective += call.service is _Service.WITHIN_OBJECTIVE
@@ -122,14 +123,14 @@
 
 
 def _is_cut(row: MessageRow, call: _Call) -> bool:
-    """Whether a dialog was cut, or is unknown to an edge proxy after it was established."""
+    """Returns whether an established dialog was cut, or has become unknown to the edge proxy."""
     if row.kind == "ended":
         return row.detail == "cut"
     return row.kind == "unknown" and call.service is not _Service.NONE
 
 
 def weighted_service_level(accounts: Mapping[str, TrafficAccount], weights: Mapping[str, float]) -> float:
-    """The service level of all types together, each weighted; a type without a weight has 1."""
+    """Returns the weighted service level of all traffic types; the default weight is 1."""
     offered = sum(account.offered * weights.get(kind, 1.0) for kind, account in accounts.items())
     served = sum(account.within_objective * weights.get(kind, 1.0) for kind, account in accounts.items())
     return served / offered if offered else 1.0
--- a/valverouter/audit/answer_rule.py
+++ b/valverouter/audit/answer_rule.py
@@ -1,6 +1,6 @@
-"""Rule 1.
+"""Rule 1: a caller receives exactly one final answer, in time.
 
-A caller gets exactly one final answer in time, and after it only the end of an established dialog.
+After it the caller receives only the end of an established dialog.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from valverouter.audit.verdict import Rule, Verdict
 from valverouter.signalling.traffic_record import AuditConfigRow, ConnectionLostRow, MessageRow, Row
 
-# An entry in the history of a dialog: its caller's connection was lost.
+# An entry in the history of a dialog: the caller's connection was lost.
 CONNECTION_LOST = "lost"
-# Final answers that a caller may receive once more after it resumed the dialog.
+# Final answers that may be repeated once after the caller has resumed the dialog.
 REPEATABLE_ANSWERS = ("stands", "declined", "aborted")
 
 
 def check_answers(rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
-    """Checks rule 1 over rows in order."""
+    """Checks rule 1 over rows sorted by time."""
     check = _AnswerCheck(rows, config, verdict)
     for row in rows:
         if isinstance(row, ConnectionLostRow):
@@ -30,17 +30,18 @@
 
 
 def _from_earlier_connection(kind: str) -> str:
-    """The entry in a history for an answer of an earlier connection, which may come again."""
+    """Returns the history entry for an answer on an earlier connection, which may be repeated."""
     return f"{kind} before"
 
 
 class _AnswerCheck:
-    """The state of all dialogs while a record is read.
+    """Tracks the state of all dialogs while a record is read.
 
-    No answer is due while the caller's connection is gone, until it resumes the dialog on another one: then
-    the answer is due as before, and one that was given may come again, the same. An accepted or established
-    dialog must be known when the caller asks for it. No answer can be expected from a process that was
-    stalled when the answer was due, yet an answer that comes too late is a violation all the same.
+    No answer is due while the caller has no connection. Once it resumes the dialog on another connection, the
+    original deadline applies again, and an answer already received may be repeated, unchanged. A dialog that
+    was accepted or established must be known when the caller resumes it; an established one that has become
+    unknown is only counted, as forgotten. A missing answer is no violation if the edge proxy was stalled at
+    the deadline; a late answer is one even then.
     """
 
     def __init__(self, rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
@@ -48,36 +49,36 @@
         self._slack = config.slack
         self._verdict = verdict
         self._edge_stalls = faults_of(rows, "balancer_stall")
-        # Set-ups without a final answer, by dialog: on a connection, and of lost connections.
+        # Set-ups without a final answer, by dialog: on open connections, and on lost ones.
         self._pending: dict[str, MessageRow] = {}
         self._disconnected: dict[str, MessageRow] = {}
         self._dialogs_by_caller: dict[str, set[str]] = defaultdict(set)
-        # By dialog: the kinds of the messages that its caller received, and LOST.
+        # By dialog: the kinds of the messages that its caller received, and CONNECTION_LOST.
         self._histories: dict[str, list[str]] = {}
-        # Dialogs whose caller received a provisional answer.
+        # Dialogs whose callers received a provisional answer.
         self._accepted: set[str] = set()
 
     def on_connection_lost(self, row: ConnectionLostRow) -> None:
-        """A caller's connection is gone, with its dialogs."""
+        """Processes the loss of a caller's connection, for all its dialogs."""
         if row.peer not in self.callers:
             return
         for dialog in sorted(self._dialogs_by_caller.pop(row.peer, set())):
-            # An answer that was overdue by then stays so: every record ends with the loss of the callers'
-            # connections, and without this check no answer that never came would be found.
+            # Every record ends with the loss of all callers' connections: without this check, answers that
+            # were overdue by then and never sent would not be found.
             if (setup := self._pending.pop(dialog, None)) is not None:
                 self._check_overdue(setup, row.at)
                 self._disconnected[dialog] = setup
             self._histories.setdefault(dialog, []).append(CONNECTION_LOST)
 
     def on_message(self, row: MessageRow) -> None:
-        """A message between a caller and its edge proxy."""
+        """Processes a message between a caller and its edge proxy."""
         if row.sent:
             self._on_request(row)
         else:
             self._on_response(row)
 
     def finish(self, end: int) -> None:
-        """The record ends; every answer that was due by then must have come."""
+        """Checks at the end of the record that no answer is overdue."""
         for setup in self._pending.values():
             self._check_overdue(setup, end)
 
@@ -117,7 +118,7 @@
 
     def _on_final_answer(self, row: MessageRow) -> None:
         if row.kind == "unknown" and row.dialog in self._accepted:
-            self._add_violation(row.at, row.dialog, "unknown after it was told as taken")
+            self._add_violation(row.at, row.dialog, "unknown after a provisional answer")
         history = self._histories.setdefault(row.dialog, [])
         setup = self._pending.pop(row.dialog, None)
         self._dialogs_by_caller[row.peer].discard(row.dialog)
@@ -125,11 +126,11 @@
             self._add_violation(row.at, row.dialog, f"{row.kind} after {history[-1]}")
         elif setup is not None and row.at > setup.at + setup.duration + self._slack:
             overdue = row.at - setup.at - setup.duration
-            self._add_violation(row.at, row.dialog, f"{row.kind} {overdue} ns after its time")
+            self._add_violation(row.at, row.dialog, f"{row.kind} {overdue} ns after the deadline")
         history.append(row.kind)
 
     def _on_other_response(self, row: MessageRow, history: list[str]) -> None:
-        """A provisional answer is due before the final one only, an end after establishment only."""
+        """Checks that provisional answers precede the final one, and that only established dialogs end."""
         is_end = row.kind == "ended"
         if (history or is_end) and (not is_end or history != ["stands"]):
             self._add_violation(
@@ -141,7 +142,7 @@
     def _check_overdue(self, setup: MessageRow, now: int) -> None:
         until = setup.at + setup.duration
         if until + self._slack < now and not is_during(self._edge_stalls, setup.edge, until):
-            self._add_violation(until, setup.dialog, "no final answer in its time")
+            self._add_violation(until, setup.dialog, "no final answer by the deadline")
 
     def _add_violation(self, at: int, dialog: str, text: str) -> None:
         self._verdict.add_violation(Rule.ONE_ANSWER, at, dialog, text)
--- a/valverouter/audit/attempt_rules.py
+++ b/valverouter/audit/attempt_rules.py
@@ -1,4 +1,4 @@
-"""Rules 2 and 5: one attempt at a time for each dialog, and the release time between two attempts."""
+"""Rules 2 and 5: a dialog has one attempt at a time, and retries wait for the release delay."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from valverouter.audit.verdict import Rule, Verdict
 from valverouter.signalling.traffic_record import AuditConfigRow, ConnectionLostRow, MessageRow, Row
 
-# Messages by which a server closes an attempt, and by which an edge proxy does.
+# Messages with which a server or an edge proxy closes an attempt.
 CLOSED_BY_SERVER = ("ended", "line-busy", "full", "no-agent", "fault", "cancelled", "unknown")
 CLOSED_BY_EDGE = ("cancel", "release")
 
 
 def check_attempts(rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
-    """Checks rules 2 and 5 over rows in order."""
+    """Checks rules 2 and 5 over rows sorted by time."""
     check = _AttemptCheck(rows, config, verdict)
     for row in rows:
         if isinstance(row, ConnectionLostRow):
@@ -25,21 +25,21 @@
 
 
 class _AttemptCheck:
-    """The attempts in flight while a record is read.
+    """Tracks the attempts in flight while a record is read.
 
-    An attempt is in flight from its set-up at a server until the server closes it, or it is cancelled, or its
-    connection is lost. After the latter two, unless it was established, the release time has to pass before
-    the next attempt of the dialog.
+    An attempt is in flight from the time at which a server receives its set-up until the server closes it, it
+    is cancelled or released, or its connection is lost. After a cancellation, and after a loss unless the
+    dialog was established, the release delay must pass before the next attempt of the dialog.
     """
 
     def __init__(self, rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
         self.servers = servers_in(rows)
         self._config = config
         self._verdict = verdict
-        # While a server's process is held it reads late what was sent in time.
+        # A server process that is stopped receives messages later than they were sent.
         self._server_stalls = faults_of(rows, "held")
-        # All by dialog: the attempt in flight, those that are established, and since when an attempt was
-        # given up, with the reason.
+        # By dialog: the attempt in flight; dialogs whose attempt in flight is established; the time at which
+        # an attempt was abandoned, with the reason.
         self._in_flight: dict[str, MessageRow] = {}
         self._established: set[str] = set()
         self._abandoned: dict[str, tuple[int, str]] = {}
@@ -47,7 +47,7 @@
         self._by_connection: dict[tuple[str, str], set[str]] = defaultdict(set)
 
     def on_connection_lost(self, row: ConnectionLostRow) -> None:
-        """A connection to a server is gone, with its attempts."""
+        """Processes the loss of a connection to a server, for all its attempts."""
         if row.peer not in self.servers:
             return
         for dialog in self._by_connection.pop((row.edge, row.peer), set()):
@@ -56,7 +56,7 @@
                 self._abandoned[dialog] = row.at, "its connection was lost"
 
     def on_message(self, row: MessageRow) -> None:
-        """A message between an edge proxy and a server."""
+        """Processes a message between an edge proxy and a server."""
         attempt = self._in_flight.get(row.dialog)
         if not row.sent and row.kind == "setup":
             self._on_setup(row, attempt)
@@ -70,7 +70,7 @@
     def _on_setup(self, row: MessageRow, previous: MessageRow | None) -> None:
         self._verdict.add_check(Rule.ONE_ATTEMPT)
         if previous is not None:
-            text = f"leg {row.leg} at {row.peer} while leg {previous.leg} is out at {previous.peer}"
+            text = f"leg {row.leg} at {row.peer} while leg {previous.leg} is in flight at {previous.peer}"
             self._verdict.add_violation(Rule.ONE_ATTEMPT, row.at, row.dialog, text)
         if row.dialog in self._abandoned and not self._is_stalled(row):
             self._check_release_delay(row)
@@ -82,14 +82,14 @@
         self._verdict.add_check(Rule.RELEASE_DELAY)
         since, reason = self._abandoned.pop(row.dialog)
         if row.at - since < self._config.release_wait - self._config.slack:
-            text = f"sent again {row.at - since} ns after {reason}"
+            text = f"retried {row.at - since} ns after {reason}"
             self._verdict.add_violation(Rule.RELEASE_DELAY, row.at, row.dialog, text)
 
     def _on_closed(self, row: MessageRow) -> None:
         del self._in_flight[row.dialog]
         self._by_connection[row.edge, row.peer].discard(row.dialog)
         if row.kind == "cancel" and not self._is_stalled(row):
-            self._abandoned[row.dialog] = row.at, "it was let go"
+            self._abandoned[row.dialog] = row.at, "it was cancelled"
         self._established.discard(row.dialog)
 
     def _is_stalled(self, row: MessageRow) -> bool:
--- a/valverouter/audit/attempts.py
+++ b/valverouter/audit/attempts.py
@@ -1,6 +1,6 @@
-"""Attempts, time-outs and retry gaps by traffic type as the servers saw them.
+"""Statistics of attempts, cancellations and retry gaps at servers, by traffic type.
 
-The effect of attempt policies.
+They show the effect of attempt policies.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True)
 class AttemptStatistics:
-    """Of one traffic type; times in ns, None: there was none.
+    """Statistics of one traffic type; times in ns, None if there was no such event.
 
-    `dialogs`: those that reached a server. `max_attempts`: of one dialog. `cancelled_after`: the shortest and
-    the longest time from an attempt to its cancellation. `min_retry_gap`: the shortest time from a
-    cancellation or a lost connection to the next attempt of the dialog.
+    `dialogs`: the number that reached a server. `max_attempts`: the maximum of one dialog. `cancelled_after`:
+    the shortest and the longest time from an attempt to its cancellation. `min_retry_gap`: the shortest time
+    from a cancellation or a lost connection to the next attempt of the dialog.
     """
 
     dialogs: int = 0
@@ -28,23 +28,23 @@
     min_retry_gap: int | None = None
 
     def add_attempt(self, number: int) -> None:
-        """Counts the attempt of that number, from 1, of a dialog."""
+        """Counts an attempt; `number` is its position among the attempts of the dialog, from 1."""
         self.dialogs += number == 1
         self.attempts += 1
         self.max_attempts = max(self.max_attempts, number)
 
     def add_retry_gap(self, gap: int) -> None:
-        """Takes in the time between two attempts."""
+        """Records the time between an abandoned attempt and the next one, ns."""
         self.min_retry_gap = gap if self.min_retry_gap is None else min(self.min_retry_gap, gap)
 
     def add_cancellation(self, after: int) -> None:
-        """Takes in the time after which an attempt was cancelled."""
+        """Records the time from an attempt to its cancellation, ns."""
         shortest, longest = self.cancelled_after or (after, after)
         self.cancelled_after = min(shortest, after), max(longest, after)
 
 
 def attempt_statistics(rows: Iterable[Row]) -> dict[str, AttemptStatistics]:
-    """Statistics by traffic type, in the order in which the types first reached a server."""
+    """Returns the statistics by traffic type, in the order in which the types first reached a server."""
     ordered = in_order(rows)
     servers = servers_in(ordered)
     reader = _AttemptReader()
@@ -57,25 +57,25 @@
 
 
 class _AttemptReader:
-    """The dialogs while a record is read; their entries stay to its end."""
+    """Tracks dialogs while a record is read; entries are not removed before its end."""
 
     def __init__(self) -> None:
         self.by_type: dict[str, AttemptStatistics] = {}
-        # All by dialog.
+        # By dialog.
         self._statistics: dict[str, AttemptStatistics] = {}
         self._attempt_counts: dict[str, int] = {}
         self._in_flight: dict[str, MessageRow] = {}
         self._abandoned_at: dict[str, int] = {}
 
     def on_connection_lost(self, row: ConnectionLostRow) -> None:
-        """The attempts of a connection are given up."""
+        """Marks the attempts of a lost connection as abandoned."""
         for dialog, attempt in list(self._in_flight.items()):
             if (attempt.edge, attempt.peer) == (row.edge, row.peer):
                 self._abandoned_at[dialog] = row.at
                 del self._in_flight[dialog]
 
     def on_message(self, row: MessageRow) -> None:
-        """A message between an edge proxy and a server."""
+        """Processes a message between an edge proxy and a server."""
         if is_received_setup(row):
             self._on_attempt(row)
         elif not row.sent and row.kind == "cancel" and row.dialog in self._in_flight:
--- a/valverouter/audit/cross_region.py
+++ b/valverouter/audit/cross_region.py
@@ -1,4 +1,4 @@
-"""Set-ups that crossed from one region to another, counted at the servers."""
+"""Finds cross-region set-ups: those that a server received from an edge proxy of another region."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrossRegionSetup:
-    """A set-up at time `at`, ns, from an edge proxy in `home_region` at a server in `server_region`."""
+    """A set-up received at time `at`, ns, in `server_region` from an edge proxy in `home_region`."""
 
     at: int
     traffic_type: str
@@ -21,7 +21,7 @@
 
 
 def cross_region_setups(rows: Iterable[Row]) -> list[CrossRegionSetup]:
-    """Every set-up that a server received from an edge proxy of another region, in order."""
+    """Returns all cross-region set-ups, by time."""
     found: list[CrossRegionSetup] = []
     regions: dict[str, str] = {}
     for row in in_order(rows):
@@ -35,7 +35,7 @@
 
 
 def max_in_window(times: list[int], window: int) -> int:
-    """The highest number of these times that lie within any window of that length, ns."""
+    """Returns the maximum number of `times` (sorted) within any window of `window` ns."""
     highest = first = 0
     for index, time in enumerate(times):
         while times[first] <= time - window:
@@ -45,5 +45,5 @@
 
 
 def count_by_route(setups: Iterable[CrossRegionSetup]) -> Counter[tuple[str, str, str]]:
-    """How many there were by traffic type, home region and server region."""
+    """Counts set-ups by traffic type, home region and server region."""
     return Counter((setup.traffic_type, setup.home_region, setup.server_region) for setup in setups)
--- a/valverouter/audit/endpoint_rules.py
+++ b/valverouter/audit/endpoint_rules.py
@@ -1,4 +1,4 @@
-"""Rules 3 and 4: no new dialogs to a server that drains, and no overload of one in slow start."""
+"""Rules 3 and 4: no new dialogs at draining servers, and no overload of servers in slow start."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def check_draining(rows: Sequence[Row], config: AuditConfigRow, verdict: Verdict) -> None:
-    """Rule 3: once an edge proxy has been sent that a server drains or is gone, no set-up goes there.
+    """Checks rule 3: an edge proxy sends no set-up to a server after an update that it drains or is gone.
 
-    A new process of the edge proxy has received nothing yet. What a server reads late because its process was
-    held may have been sent before.
+    A restarted edge proxy has not received earlier updates. Set-ups that a server receives while its process
+    is stopped may have been sent before the update, and are no violations.
     """
-    # When an edge proxy was sent that a server is out of service.
+    # The time of the update that a server is out of service, by edge proxy and server.
     out_of_service: dict[tuple[str, str], int] = {}
     server_stalls = faults_of(rows, "held")
     for row in rows:
@@ -41,18 +41,18 @@
             verdict.add_check(Rule.DRAINING)
             elapsed = row.at - out_of_service[row.edge, row.peer]
             if elapsed > config.slack and not is_during(server_stalls, row.peer, row.at, config.slack):
-                text = f"dialog {row.dialog} came {elapsed} ns after {row.edge} was told"
+                text = f"set-up of dialog {row.dialog} received {elapsed} ns after the update to {row.edge}"
                 verdict.add_violation(Rule.DRAINING, row.at, row.peer, text)
 
 
 def check_slow_start(rows: Sequence[Row], verdict: Verdict) -> None:
-    """Rule 4: the set-up work at a server in slow start stays below the multiple of what it can do.
+    """Checks rule 4: set-up work at a server in slow start stays below `overload_multiple` of its capacity.
 
-    That holds for all edge proxies together and within any window, and is reckoned at the window's beginning,
-    when the server can do least.
+    The set-ups of all edge proxies within any `overload_window` count together. The capacity is computed for
+    the beginning of the window, when it is lowest.
     """
     starts: dict[str, ServerStartedRow] = {}
-    # Times of the set-ups within the last window, by server.
+    # The times of set-ups within the current window, by server.
     recent: dict[str, list[int]] = defaultdict(list)
     for row in rows:
         if isinstance(row, ServerStartedRow):
@@ -77,5 +77,5 @@
     used = len(recent) * start.setup_work / (start.overload_multiple * speed * start.overload_window)
     verdict.slow_start_budget_used = max(verdict.slow_start_budget_used, used)
     if used >= 1:
-        text = f"{len(recent)} set-ups in a window, {used:.2f} of what tips it"
+        text = f"{len(recent)} set-ups in a window, {used:.2f} of the overload limit"
         verdict.add_violation(Rule.SLOW_START, row.at, row.peer, text)
--- a/valverouter/audit/operations.py
+++ b/valverouter/audit/operations.py
@@ -1,13 +1,14 @@
-"""Whether a day's operations were carried out correctly, judged from rows of the supervisors' own logs.
+"""Checks the operations of a scenario, from rows of the supervisors' own logs.
 
-Violations begin with the check that found them:
+Each violation begins with the name of its check:
 
-limits    more instances were taken out of service at once than allowed, in total or in a region: an instance
-          is out from the start of a step until a step is done that leaves it running
-once      a step was started twice
-told      an operation shows an instance as done, drained or returned, which ended no step of that permit
-back      an instance that a halted release had changed doesn't run its former version at the end, though no
-          later operation wanted otherwise
+limits    more instances were unavailable at once than allowed, in total or in a region: an instance is
+          unavailable from the start of a step until the end of a step after which it runs
+once      a step was started more than once
+told      an operation reports an instance as done, drained or returned that completed no step under that
+          permit
+back      an instance changed by a halted release doesn't run its previous version at the end, although no
+          later operation includes it
 """
 
 from __future__ import annotations
@@ -31,7 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationsReport:
-    """`violations`: a line each. `max_unavailable`: at once. `outcomes`: counts by kind and result."""
+    """The result of the check.
+
+    `violations`: one line each. `max_unavailable`: the most instances that were unavailable at once.
+    `outcomes`: counts of operations by kind and result.
+    """
 
     violations: tuple[str, ...]
     steps_started: int
@@ -45,7 +50,7 @@
 
 
 def check_operations(rows: Sequence[Row]) -> OperationsReport | None:
-    """The report of a day; None where it has no operations."""
+    """Returns the report of a scenario run, or None if its record has no disruption limits."""
     limits = next((row for row in rows if isinstance(row, DisruptionLimitsRow)), None)
     if limits is None:
         return None
@@ -63,14 +68,14 @@
 
 
 class _StepCheck:
-    """What supervisors did, while their logs are read."""
+    """Tracks the steps and versions of all instances while supervisors' logs are read."""
 
     def __init__(self, limits: DisruptionLimitsRow, regions: dict[str, str]) -> None:
         self.violations: list[str] = []
         self.max_unavailable = 0
-        # How often each step was started: by instance, permit and step.
+        # The number of starts of each step, by instance, permit number and step.
         self.started: Counter[tuple[str, int, int]] = Counter()
-        # Instance and permit of steps that are done.
+        # Instance and permit number of completed steps.
         self.done: set[tuple[str, int]] = set()
         self.versions: dict[str, str] = {}
         self._unavailable: set[str] = set()
@@ -78,12 +83,12 @@
         self._regions = regions
 
     def on_version(self, row: ProgramVersionRow) -> None:
-        """A program was started in a version, or ended."""
+        """Processes the start of a program, with its version, or its end."""
         if row.version:
             self.versions[row.edge] = row.version
 
     def on_step(self, row: StepRow) -> None:
-        """A step started or ended."""
+        """Processes the start or the end of a step."""
         if not row.outcome:
             self.started[row.edge, row.number, row.step] += 1
             self._unavailable.add(row.edge)
@@ -98,28 +103,28 @@
         self.max_unavailable = max(self.max_unavailable, len(unavailable))
         if len(unavailable) > limits.max_unavailable:
             self.violations.append(
-                f"limits: {sorted(unavailable)} are out at once, {limits.max_unavailable} may be"
+                f"limits: {sorted(unavailable)} are unavailable at once, limit {limits.max_unavailable}"
             )
         region = self._regions.get(instance)
         in_region = sorted(name for name in unavailable if self._regions.get(name) == region)
         if len(in_region) > limits.max_per_region:
-            self.violations.append(f"limits: {in_region} of {region} are out at once")
+            self.violations.append(f"limits: {in_region} of {region} are unavailable at once")
 
     def repeated_steps(self) -> Iterator[str]:
-        """A violation for each step that was started more than once."""
+        """Yields a violation for each step that was started more than once."""
         for (name, number, step), count in self.started.items():
             if count > 1:
-                yield f"once: {name} began turn {number}/{step} {count} times"
+                yield f"once: {name} started step {number}/{step} {count} times"
 
 
 def _check_results(operations: Sequence[OperationRow], steps: _StepCheck) -> Iterator[str]:
-    """Violations where the shown result of an operation is not what supervisors did."""
+    """Yields a violation for each result of an operation that contradicts the supervisors' logs."""
     for index, row in enumerate(operations):
         changed_later = {name for later in operations[index + 1 :] for name in later.members}
         was_halted = row.kind == "release" and row.result == "halted"
         for name, (step, number, former) in row.members.items():
             if step in COMPLETED_STEPS and (name, number) not in steps.done:
-                yield f"told: {row.operation} tells {name} as {step}, and it did nothing"
+                yield f"told: {row.operation} reports {name} as {step}, but it completed no step"
             version = steps.versions.get(name)
             if was_halted and number and name not in changed_later and version != former:
-                yield f"back: {name} runs {version} after {row.operation}, {former} before it"
+                yield f"back: {name} runs {version} after {row.operation}, {former} before"
--- a/valverouter/audit/rules.py
+++ b/valverouter/audit/rules.py
@@ -1,8 +1,8 @@
-"""The five rules, checked from rows of what passed over the sockets at the callers' and servers' ends.
+"""Checks a traffic record against the five rules.
 
-Each check reads the rows alone: what callers, servers and the endpoint-list service sent and received. The
-record's `slack` is the tolerance between the clocks of two processes; in virtual time it is 0 and the checks
-are exact.
+The checks read only rows: the messages that callers, servers and the endpoint-list service sent and received.
+The record's `slack` is the tolerance between the clocks of two processes; in virtual time it is 0 and the
+checks are exact.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 def audit(rows: Iterable[Row]) -> Verdict:
-    """Checks all five rules over a whole record; raises ValueError if it doesn't hold their limits."""
+    """Checks all five rules over a whole record; raises ValueError if it has no AuditConfigRow."""
     ordered = in_order(rows)
     config = next((row for row in ordered if isinstance(row, AuditConfigRow)), None)
     if config is None:
-        raise ValueError("the record holds no terms: nothing to check it against")
+        raise ValueError("the record has no terms row, so there is nothing to check it against")
     verdict = Verdict()
     check_answers(ordered, config, verdict)
     check_attempts(ordered, config, verdict)
--- a/valverouter/audit/verdict.py
+++ b/valverouter/audit/verdict.py
@@ -7,7 +7,7 @@
 
 
 class Rule(IntEnum):
-    """The rules, by their numbers."""
+    """The rules by number."""
 
     ONE_ANSWER = 1
     ONE_ATTEMPT = 2
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule broken at a time by a dialog or at a server (`subject`); `text` says how the record shows it."""
+    """A violation of a rule at time `at`, ns; `subject` is the dialog or server, `text` the evidence."""
 
     rule: int
     at: int
@@ -28,11 +28,11 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """All violations, and how much there was to check by rule; without anything to check it means nothing.
+    """All violations, and the number of checks by rule; a rule with no checks was not tested.
 
-    `slow_start_budget_used`: the highest load of a server in slow start, 1 at the limit. `resumptions`: how
-    often a caller asked for a dialog on another connection; `forgotten_dialogs`: how often an established one
-    was then unknown.
+    `slow_start_budget_used`: the highest load of a server in slow start, as a fraction of the overload limit.
+    `resumptions`: the number of times that a caller resumed a dialog on another connection;
+    `forgotten_dialogs`: the number of times that an established dialog was then unknown.
     """
 
     violations: list[Violation] = field(default_factory=list)
@@ -43,15 +43,15 @@
 
     @property
     def passed(self) -> bool:
-        """Whether no rule was violated."""
+        """Whether there are no violations."""
         return not self.violations
 
     def violated_rules(self) -> set[int]:
-        """The numbers of the rules that were violated."""
+        """Returns the numbers of the violated rules."""
         return {violation.rule for violation in self.violations}
 
     def add_check(self, rule: Rule, count: int = 1) -> None:
-        """Counts occasions on which a rule could have been violated."""
+        """Counts events at which a rule could have been violated."""
         self.check_counts[int(rule)] += count
 
     def add_violation(self, rule: Rule, at: int, subject: str, text: str) -> None:
--- a/valverouter/audit/views.py
+++ b/valverouter/audit/views.py
@@ -1,9 +1,9 @@
-"""Whether the membership views of a day's edge proxies converged, judged from rows alone.
+"""Checks from rows whether the membership views of a scenario's edge proxies converged.
 
-converged     within the stated time after the last fault, and from then on, all running edge proxies have the
-              same digest and take exactly the running ones for live
-regressions   an observer that had seen a later incarnation of a member went back to an earlier one
-false         how often a running process that no fault had affected was declared failed
+converged     within the time allowed after the last fault, and until the end, the views of all running edge
+              proxies have the same digest, and their live members are exactly the running edge proxies
+regressions   a view returned from a later incarnation of a member to an earlier one
+false         a running process that no fault had affected was declared failed
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewReport:
-    """How the views of a day converged; times in ns.
+    """The result of the check; times in ns.
 
-    `converged_after`: after the last fault, None: never, for `reason`; `max_duration`: the time allowed.
-    `regressions` and `false_failures`: pairs of observer and member. `conflicts`: edge proxies that found a
-    name conflict.
+    `converged_after`: the time from the last fault to convergence, or None if the views never converged;
+    `reason` says why. `max_duration`: the time allowed. `regressions` and `false_failures`: pairs of observer
+    and member. `conflicts`: edge proxies that reported a name conflict.
     """
 
     converged_after: int | None
@@ -46,13 +46,13 @@
 
     @property
     def passed(self) -> bool:
-        """Whether the views converged in time and never went back."""
+        """Whether the views converged in time and had no regressions."""
         converged = self.converged_after is not None and self.converged_after <= self.max_duration
         return converged and not self.regressions
 
 
 def check_views(rows: Sequence[Row]) -> ViewReport | None:
-    """The report of a day; None where it has no views."""
+    """Returns the report of a scenario run, or None if its record has no convergence deadline."""
     deadline = next((row for row in rows if isinstance(row, ConvergenceDeadlineRow)), None)
     if deadline is None:
         return None
@@ -72,9 +72,9 @@
 
 
 def _last_fault_at(rows: Sequence[Row], faults: Sequence[FaultRow], default: int) -> int:
-    """When the last fault ended.
+    """Returns the end of the last fault, or the last start of a process if that is later.
 
-    A process that a fault restarted converges from its start on, if that is later.
+    Convergence after a restart is measured from the start of the process.
     """
     last = max((fault.until for fault in faults if _affects_membership(fault)), default=default)
     starts = [row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start]
@@ -86,11 +86,11 @@
 
 
 def _converged_at(rows: Sequence[Row], last_fault: int) -> tuple[int | None, str]:
-    """The earliest time after the last fault from which all polled views are correct, and why not before."""
+    """Returns the time from which all polled views stay correct, and the last reason why they were not."""
     running: dict[str, str] = {}
     latest: dict[str, MembershipViewRow] = {}
     correct_since: int | None = None
-    reason = "no view was asked"
+    reason = "no view was polled"
     for row in rows:
         if isinstance(row, EdgeProcessRow):
             _update_running(running, row)
@@ -107,7 +107,7 @@
 
 
 def _update_running(running: dict[str, str], row: EdgeProcessRow) -> None:
-    """Takes a start or an end into the incarnations of the running edge proxies."""
+    """Updates the incarnations of running edge proxies with the start or the end of a process."""
     if row.is_start:
         running[row.edge] = row.incarnation
     elif running.get(row.edge) == row.incarnation:
@@ -115,21 +115,21 @@
 
 
 def _problem(running: dict[str, str], latest: dict[str, MembershipViewRow]) -> str:
-    """Why the latest views are not yet the correct one; empty if they are."""
+    """Returns what is wrong with the latest views, or an empty string if all are correct."""
     for edge in running:
         if edge not in latest:
-            return f"{edge} was not heard of yet"
+            return f"{edge} was not polled yet"
     if len({view.digest for view in latest.values()}) > 1:
         return "digests differ"
     for edge, view in latest.items():
         if view.members != running:
             wrong = sorted(set(view.members.items()) ^ set(running.items()))
-            return f"{edge} is wrong about {wrong[0][0]}"
+            return f"{edge} has a wrong entry for {wrong[0][0]}"
     return ""
 
 
 def _regressions(rows: Sequence[Row]) -> list[tuple[str, str]]:
-    """Observer and member where a view that held a later incarnation holds an earlier one again."""
+    """Returns observer and member for each return of a view to an earlier incarnation of the member."""
     started_at = {row.incarnation: row.at for row in rows if isinstance(row, EdgeProcessRow) and row.is_start}
     last_seen: dict[tuple[str, str], dict[str, str]] = defaultdict(dict)
     found = []
@@ -146,7 +146,7 @@
 
 
 def _false_failures(rows: Sequence[Row], faults: Sequence[FaultRow], grace: int) -> list[tuple[str, str]]:
-    """Observer and member where a process was declared failed that ran, without a fault near that time."""
+    """Returns observer and member for each running process declared failed without a recent fault."""
     processes = [row for row in rows if isinstance(row, EdgeProcessRow)]
     started = {row.incarnation for row in processes if row.is_start}
     ended_at = {row.incarnation: row.at for row in processes if not row.is_start}
