--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -143,7 +143,7 @@
     simulation = RolloutSimulation(seed, instances, limits, loss=0.0, evaluated_by=rule)
     events, fleet = simulation.events, simulation.fleet
     submit = Submit("r", OperationKind.RELEASE, tuple(sorted(fleet.instances)), version)
-    events.at(10 * SECOND, simulation.submit, submit)
+    events.call_at(10 * SECOND, simulation.submit, submit)
     while events.now < 1_200 * SECOND:
         simulation.run_until(events.now + SECOND)
         leader = simulation.leader
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -144,9 +144,9 @@
 
     def stall() -> None:
         simulation.stall(name, 2 * SECOND)
-        simulation.at(simulation.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
+        simulation.call_at(simulation.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
 
-    simulation.at(int(chance.random() * 20 * SECOND), stall)
+    simulation.call_at(int(chance.random() * 20 * SECOND), stall)
 
 
 def deaths(case: Case) -> dict[str, list[float]]:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,7 +18,7 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, load_scenario, scenario_config
 from valverouter.emulator.fleet import Fleet
-from valverouter.emulator.simulate import simulate_day
+from valverouter.emulator.simulate import simulate_scenario
 from valverouter.emulator.simulation import EPOCH, RandomStream, Simulation
 from valverouter.experiments.scenario_page import day_page
 from valverouter.scenarios.emulated import edge_plans, run_emulated
@@ -255,7 +255,7 @@
 def test_no_table_of_an_edge_proxy_holds_entries_of_ended_dialogs() -> None:
     played = short("bad-day.ini")
     fleet = Fleet(played, edge_plans(played))
-    simulate_day(fleet)
+    simulate_scenario(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)  # the longest dialogs end
     for edge in fleet.edges:
         assert not edge.open_dialogs
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -28,7 +28,7 @@
 from valverouter.edge.resumable_attempts import ResumableAttempts
 from valverouter.edge.resumable_proxy import ResumableProxy
 from valverouter.emulator.fleet import Fleet
-from valverouter.emulator.simulate import simulate_day
+from valverouter.emulator.simulate import simulate_scenario
 from valverouter.interface import AttemptPolicy, Outcome
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
@@ -648,7 +648,7 @@
 def test_emulated_edge_proxies_and_servers_retain_no_ended_dialogs() -> None:
     scenario = scenario_with_kills(3, 6)
     fleet = Fleet(scenario, edge_plans(scenario))
-    simulate_day(fleet)
+    simulate_scenario(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)
     for edge in fleet.edges:
         assert not edge.open_dialogs
--- a/tests/test_rollout_simulation.py
+++ b/tests/test_rollout_simulation.py
@@ -17,7 +17,7 @@
     simulation = RolloutSimulation(1, 12, loss=0.0)
     instances = simulation.fleet.instances
     submit = Submit("r", OperationKind.RELEASE, tuple(sorted(instances)), version)
-    simulation.events.at(10 * SECOND, simulation.submit, submit)
+    simulation.events.call_at(10 * SECOND, simulation.submit, submit)
     simulation.run_until(330 * SECOND)
     simulation.check_results()
     assert simulation.leader is not None
--- a/tests/test_servermodel.py
+++ b/tests/test_servermodel.py
@@ -125,7 +125,7 @@
         model.setup(0, key(number), 7, 60 * SECOND)
     model.advance(SECOND)
     model.limit_lines(SECOND, 0.5)
-    assert Counter(event.kind for event in model.advance(SECOND)) == {ServerEventKind.CUT: 3}
+    assert Counter(event.kind for event in model.advance(SECOND)) == {ServerEventKind.INTERRUPTED: 3}
     assert (model.line_count, model.free_lines) == (5, 0)
     model.limit_lines(SECOND, 1.0)
     assert model.free_lines == 5
--- a/valverouter/emulator/call_generation.py
+++ b/valverouter/emulator/call_generation.py
@@ -10,7 +10,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 
-HOT_CALLED_NUMBER = 1
+MASS_CALLED_NUMBER = 1
 MIN_CALLED_NUMBER = 100
 CALLED_NUMBERS = 10**6
 
@@ -19,11 +19,11 @@
 class CallLoad:
     """What faults change of the load, and how many calls were dialled.
 
-    `rate_factor` multiplies the day's rate; `hot_fraction` of the calls go to one number.
+    `rate_factor` multiplies the day's rate; `mass_call_fraction` of the calls go to one number.
     """
 
     rate_factor: float = 1.0
-    hot_fraction: float = 0.0
+    mass_call_fraction: float = 0.0
     dialled: int = 0
 
 
@@ -31,7 +31,7 @@
     """Dials at one edge proxy from its start until `ends_at`, ns."""
 
     def __init__(self, fleet: Fleet, load: CallLoad, callers: EmulatedCallers, ends_at: int) -> None:
-        day, fleet_index = fleet.day, callers.fleet_index
+        scenario, fleet_index = fleet.scenario, callers.fleet_index
         self._fleet = fleet
         self._load = load
         self._callers = callers
@@ -39,24 +39,24 @@
         self._starts_at = fleet.sim.now()
         self._arrival_draws = fleet.random_stream(f"arrivals {fleet_index}")
         self._call_draws = fleet.random_stream(f"asks {fleet_index}")
-        settings = day.callers
-        pattern = ArrivalPattern(settings.on, settings.off, settings.drift, day.run.length)
+        settings = scenario.callers
+        pattern = ArrivalPattern(settings.on, settings.off, settings.drift, scenario.run.length)
         self._arrivals = ArrivalProcess(pattern, self._arrival_draws.exponential, self._starts_at)
-        self._traffic_types = list(day.mix)
-        self._weights = [day.mix[traffic_type].share for traffic_type in self._traffic_types]
+        self._traffic_types = list(scenario.mix)
+        self._weights = [scenario.mix[traffic_type].share for traffic_type in self._traffic_types]
         self._server_numbers = self._preferred_numbers()
 
     def _preferred_numbers(self) -> list[int]:
-        day = self._fleet.day
-        numbers = list(range(day.server_count))
-        if not day.callers.local:
+        scenario = self._fleet.scenario
+        numbers = list(range(scenario.server_count))
+        if not scenario.callers.local:
             return numbers
-        home_region = day.region_of_edge(self._callers.fleet_index)
-        return [number for number in numbers if day.region_of_server(number) == home_region] or numbers
+        home_region = scenario.region_of_edge(self._callers.fleet_index)
+        return [number for number in numbers if scenario.region_of_server(number) == home_region] or numbers
 
     def start(self) -> None:
         """Schedules the first call; each schedules the next, so that the calendar holds one at a time."""
-        recorded = self._fleet.day.recorded
+        recorded = self._fleet.scenario.recorded
         if recorded is None:
             self._schedule_arrival()
             return
@@ -69,7 +69,7 @@
 
     def _schedule_arrival(self) -> None:
         fleet = self._fleet
-        rate = fleet.day.callers.rate / len(fleet.callers) * self._load.rate_factor
+        rate = fleet.scenario.callers.rate / len(fleet.callers) * self._load.rate_factor
         arrives_at = self._arrivals.next_arrival(fleet.sim.now(), rate)
         if arrives_at < self._ends_at:
             fleet.sim.call_at(arrives_at, self._on_arrival)
@@ -86,7 +86,7 @@
             self._fleet.sim.call_at(self._starts_at + call.at, self._on_recorded, call)
 
     def _on_recorded(self, call: RecordedCall) -> None:
-        times = self._fleet.day.callers.times * self._load.rate_factor
+        times = self._fleet.scenario.callers.times * self._load.rate_factor
         for _ in range(draw_repetitions(times, self._arrival_draws.random)):
             self._dial(call)
         self._schedule_recorded()
@@ -97,15 +97,15 @@
         # What is on record is drawn all the same, so that a day's record with its seed is that day again.
         traffic_type = self._traffic_types[self._call_draws.weighted_index(self._weights)]
         called_number = MIN_CALLED_NUMBER + self._call_draws.integer_below(CALLED_NUMBERS)
-        is_hot = self._call_draws.random() < self._load.hot_fraction
+        is_mass_call = self._call_draws.random() < self._load.mass_call_fraction
         preferred = self._server_numbers[self._call_draws.integer_below(len(self._server_numbers))]
         no_answer_timeout = None
         if recorded is not None:
             traffic_type, no_answer_timeout = recorded.traffic_type, recorded.no_answer
             called_number = called_number if recorded.number is None else recorded.number
             preferred = preferred if recorded.first_choice is None else recorded.first_choice
-        if is_hot:
-            called_number = HOT_CALLED_NUMBER
-        no_answer_timeout = no_answer_timeout or self._fleet.day.mix[traffic_type].no_answer
+        if is_mass_call:
+            called_number = MASS_CALLED_NUMBER
+        no_answer_timeout = no_answer_timeout or self._fleet.scenario.mix[traffic_type].no_answer
         self._load.dialled += 1
         self._callers.dial(DialogRequest("-", traffic_type, no_answer_timeout, preferred, called_number))
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -36,7 +36,7 @@
         self.fleet_index = edge.plan.fleet_index
         self.name = f"c{self.fleet_index}"
         self.attempts: dict[str, _DialAttempt] = {}
-        self.patience = behavior.patience
+        self.abandon_fraction = behavior.patience
         self.unreachable_count = 0
         self._edge = edge
         self._behavior = behavior
@@ -72,16 +72,16 @@
             return
         no_answer_timeout = request.no_answer_timeout
         self._record(True, "setup", dialog_id, no_answer_timeout, request.traffic_type)
-        patience = int(no_answer_timeout * self.patience)
-        if patience < no_answer_timeout:
-            self._sim.call_after(patience, self._on_impatient, dialog_id, attempt)
+        abandon_delay = int(no_answer_timeout * self.abandon_fraction)
+        if abandon_delay < no_answer_timeout:
+            self._sim.call_after(abandon_delay, self._on_abandon_due, dialog_id, attempt)
         self._sim.call_after(no_answer_timeout, self._on_timeout, dialog_id, attempt)
         self._edge.accept(request)
 
     def _is_unanswered(self, dialog_id: str, attempt: _DialAttempt) -> bool:
         return self.attempts.get(dialog_id) is attempt and not attempt.is_established
 
-    def _on_impatient(self, dialog_id: str, attempt: _DialAttempt) -> None:
+    def _on_abandon_due(self, dialog_id: str, attempt: _DialAttempt) -> None:
         if self._is_unanswered(dialog_id, attempt):
             if not self._edge.is_running:
                 self._close(dialog_id, may_redial=True)
--- a/valverouter/emulator/edge_faults.py
+++ b/valverouter/emulator/edge_faults.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.emulator.call_generation import HOT_CALLED_NUMBER, CallLoad
+from valverouter.emulator.call_generation import MASS_CALLED_NUMBER, CallLoad
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.fault_targets import FaultProcess, FaultStart, FaultTargets
 from valverouter.emulator.fleet import Fleet
@@ -29,8 +29,8 @@
             "balancer_leave": self._restart,
             "balancer_stall": self._stall,
             "burst": self._burst,
-            "hot_key": self._hot_number,
-            "give_up": self._impatience,
+            "hot_key": self._mass_calling,
+            "give_up": self._early_abandonment,
         }
 
     # Edge proxies
@@ -50,7 +50,7 @@
         for edge in edges:
             self._targets.record(fault, edge.name)
             edge.drain()
-        draining, deadline = edges, sim.now() + self._fleet.day.links.stop_within
+        draining, deadline = edges, sim.now() + self._fleet.scenario.links.stop_within
         while draining:
             drained = [edge for edge in draining if not edge.has_unanswered_dialogs or sim.now() >= deadline]
             for edge in drained:
@@ -79,17 +79,17 @@
         yield self._targets.wait(fault.length)
         self._load.rate_factor /= fault.size
 
-    def _hot_number(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
+    def _mass_calling(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         self._targets.record(fault, CALLERS_TARGET)
-        self._fleet.called_numbers.capacities[HOT_CALLED_NUMBER] = fault.lines
-        self._load.hot_fraction = fault.size
+        self._fleet.called_numbers.capacities[MASS_CALLED_NUMBER] = fault.lines
+        self._load.mass_call_fraction = fault.size
         yield self._targets.wait(fault.length)
-        self._load.hot_fraction = 0.0
+        self._load.mass_call_fraction = 0.0
 
-    def _impatience(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
+    def _early_abandonment(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         self._targets.record(fault, CALLERS_TARGET)
         for callers in self._fleet.callers:
-            callers.patience *= fault.size
+            callers.abandon_fraction *= fault.size
         yield self._targets.wait(fault.length)
         for callers in self._fleet.callers:
-            callers.patience /= fault.size
+            callers.abandon_fraction /= fault.size
--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -33,8 +33,8 @@
     """One edge proxy as its file has it.
 
     `build_driver` makes the Driver of each process: a variant's is passed here. `cross_region` makes its rule
-    for a start at a time, ns. `has_ledger`: dialogs survive a restart. `default_attempt_policy`: the routing
-    policy's own of a traffic type, from which the attempts of a previous process are taken off.
+    for a start at a time, ns. `has_dialog_store`: dialogs survive a restart. `default_attempt_policy`: the
+    routing policy's own of a traffic type, from which the attempts of a previous process are taken off.
     """
 
     fleet_index: int
@@ -45,7 +45,7 @@
     cross_region: Callable[[int], CrossRegionRule | None] = lambda now: None
     attempt_policies: AttemptPolicies | None = None
     build_driver: BuildDriver = Driver
-    has_ledger: bool = False
+    has_dialog_store: bool = False
     default_attempt_policy: Callable[[str], AttemptPolicy | None] = lambda traffic_type: None
 
 
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -66,16 +66,16 @@
 
     def kill(self) -> None:
         """Ends the process: its connections to callers and servers break."""
-        runtime, has_ledger = self.runtime, self.plan.has_ledger
+        runtime, has_dialog_store = self.runtime, self.plan.has_dialog_store
         runtime.stop()
         links, runtime.links = runtime.links, {}
-        legs_by_link = self.recovery.save() if has_ledger else {}
+        legs_by_link = self.recovery.save() if has_dialog_store else {}
         for link in links.values():
             if link.connection is not None:
                 link.connection.close(legs_by_link.get(link, ()))
         callers = self.dialogs.callers
         if callers is not None:
-            if has_ledger:
+            if has_dialog_store:
                 callers.on_restart_expected()
             else:
                 callers.on_connection_lost()
--- a/valverouter/emulator/event_queue.py
+++ b/valverouter/emulator/event_queue.py
@@ -14,26 +14,26 @@
         """Begins at 0, with nothing to do."""
         self.now = 0
         # How many actions were added so far.
-        self.added = 0
+        self.scheduled_count = 0
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
-    def at(self, moment: int, action: Callable[..., None], *arguments: Any) -> None:
+    def call_at(self, time: int, action: Callable[..., None], *arguments: Any) -> None:
         """Runs the action at a moment."""
-        self.added += 1
-        heapq.heappush(self._heap, (moment, self.added, action, arguments))
+        self.scheduled_count += 1
+        heapq.heappush(self._heap, (time, self.scheduled_count, action, arguments))
 
-    def after(self, delay: int, action: Callable[..., None], *arguments: Any) -> None:
+    def call_after(self, delay: int, action: Callable[..., None], *arguments: Any) -> None:
         """Runs the action `delay` ns from now."""
-        self.at(self.now + delay, action, *arguments)
+        self.call_at(self.now + delay, action, *arguments)
 
-    def every(self, interval: int, action: Callable[[], None]) -> None:
+    def call_every(self, interval: int, action: Callable[[], None]) -> None:
         """Runs the action again and again, first `interval` ns from now."""
 
         def repeat() -> None:
             action()
-            self.after(interval, repeat)
+            self.call_after(interval, repeat)
 
-        self.after(interval, repeat)
+        self.call_after(interval, repeat)
 
     def run_until(self, end: int) -> None:
         """Runs what is due up to `end`, which is the present time afterwards."""
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -22,10 +22,10 @@
 
 
 class Fleet:
-    """All parts of one day before it runs; `simulate.simulate_day` runs it."""
+    """All parts of one day before it runs; `simulate.simulate_scenario` runs it."""
 
-    def __init__(self, day: ScenarioConfig, plans: Sequence[EdgePlan]) -> None:
-        self.day = day
+    def __init__(self, scenario: ScenarioConfig, plans: Sequence[EdgePlan]) -> None:
+        self.scenario = scenario
         self.sim = Simulation()
         self.tap = Tap(self.sim.now)
         self.servers: dict[str, EmulatedServer] = {}
@@ -34,15 +34,15 @@
         self.called_numbers = CalledNumbers()
         self._reports: ReportLog = []
         self._network = self.random_stream("network")
-        self._profile = server_profile(day)
+        self._profile = server_profile(scenario)
         self.tap.record(
             AuditConfigRow,
-            release_wait=day.fleet.release_wait,
+            release_wait=scenario.fleet.release_wait,
             slack=0,
-            latency_objectives=day.objectives,
-            priority_weights=day.importance,
+            latency_objectives=scenario.objectives,
+            priority_weights=scenario.importance,
         )
-        for number in range(day.server_count):
+        for number in range(scenario.server_count):
             self.add_server(f"s{number}", number)
         self.endpoint_list = EmulatedEndpointList(self.sim, self.tap, self.servers, self.edges)
         for plan in plans:
@@ -50,12 +50,12 @@
 
     def random_stream(self, source: str) -> RandomStream:
         """The random draws of one source of this day."""
-        return RandomStream(self.day.run.seed, source)
+        return RandomStream(self.scenario.run.seed, source)
 
     def add_server(self, name: str, number: int) -> EmulatedServer:
         """Adds a server under its number; it is not on the endpoint list yet."""
-        day = self.day
-        region = day.region_of_server(number)
+        scenario = self.scenario
+        region = scenario.region_of_server(number)
         model = SetupServer(self._profile, self.random_stream(f"server {name}").random, self.called_numbers)
         server = self.servers[name] = EmulatedServer(
             name,
@@ -65,34 +65,36 @@
             self.sim,
             self.tap,
             self.random_stream(f"length {name}"),
-            lambda traffic_type: day.traffic[traffic_type].length if traffic_type in day.traffic else 0,
-            day.servers.tells_lines,
+            lambda traffic_type: (
+                scenario.traffic[traffic_type].length if traffic_type in scenario.traffic else 0
+            ),
+            scenario.servers.tells_lines,
         )
         self.tap.record(PlacementRow, name=name, region=region)
-        if day.servers.report_every:
+        if scenario.servers.report_every:
             self._report_load(server, self.random_stream(f"report {name}"))
         return server
 
     def _add_edge(self, plan: EdgePlan) -> None:
-        day, network = self.day, self._network
-        same_region, cross_region = day.delays.same, day.delays.cross
+        scenario, network = self.scenario, self._network
+        same_region, cross_region = scenario.delays.same, scenario.delays.cross
 
         def delay(server: EmulatedServer) -> int:
             base = same_region if server.region == plan.region else cross_region
-            return int(base * (1 + day.delays.jitter * (2 * network.random() - 1)))
+            return int(base * (1 + scenario.delays.jitter * (2 * network.random() - 1)))
 
         edge = EmulatedEdge(plan, self.sim, self.servers.__getitem__, delay, self._reports)
         self.tap.record(PlacementRow, name=edge.name, region=plan.region)
         random = self.random_stream(f"caller {plan.fleet_index}")
         self.edges.append(edge)
-        self.callers.append(EmulatedCallers(edge, day.callers, self.sim, self.tap, random))
+        self.callers.append(EmulatedCallers(edge, scenario.callers, self.sim, self.tap, random))
 
     def _report_load(self, server: EmulatedServer, random: RandomStream) -> None:
         # Reports go to one log for all edge proxies, which read it on their own: no event for each of them.
-        delays = self.day.delays
+        delays = self.scenario.delays
         if server.model.is_running and server.connections:
-            max_delay = max(delays.same, delays.cross if len(self.day.regions) > 1 else 0)
+            max_delay = max(delays.same, delays.cross if len(self.scenario.regions) > 1 else 0)
             self._reports.append((self.sim.now() + max_delay, server.name, server.load_report()))
         fraction = MIN_REPORT_FRACTION + REPORT_FRACTION_RANGE * random.random()
-        interval = int(self.day.servers.report_every * fraction)
+        interval = int(self.scenario.servers.report_every * fraction)
         self.sim.call_after(interval, self._report_load, server, random)
--- a/valverouter/emulator/lossy_network.py
+++ b/valverouter/emulator/lossy_network.py
@@ -49,7 +49,7 @@
         copies = 2 if self._draws.random() < self._profile.duplicated_fraction else 1
         for _ in range(copies):
             for delay in self._paths.delivery_delays(sender, receiver, self._events.now):
-                self._events.after(delay, action, *arguments)
+                self._events.call_after(delay, action, *arguments)
 
     def add_fault(self, fault: PathFault) -> None:
         """Adds a fault to those that are not over."""
--- a/valverouter/emulator/membership_simulation.py
+++ b/valverouter/emulator/membership_simulation.py
@@ -134,7 +134,7 @@
         node = self.nodes[name]
         if node.alive:
             node.stalled_until = max(node.stalled_until, self.now + duration)
-            self.at(node.stalled_until, self._resume, node)
+            self.call_at(node.stalled_until, self._resume, node)
 
     def leave(self, name: str) -> None:
         """Ends a process that announces its leave."""
@@ -147,7 +147,7 @@
 
     def _wake(self, node: SimulatedNode) -> None:
         node.next_wake = node.membership.next_timer
-        self.at(node.next_wake, self._tick, node)
+        self.call_at(node.next_wake, self._tick, node)
 
     def _tick(self, node: SimulatedNode) -> None:
         if not node.alive or self.now < node.stalled_until or self.now != node.next_wake:
@@ -190,7 +190,7 @@
             if receiver is None:
                 continue
             for delay in self._paths.delivery_delays(node.name, receiver.name, self.now):
-                self.at(self.now + delay, self._deliver, receiver, node.address, message)
+                self.call_at(self.now + delay, self._deliver, receiver, node.address, message)
 
     # Observation
 
--- a/valverouter/emulator/permit_simulation.py
+++ b/valverouter/emulator/permit_simulation.py
@@ -86,7 +86,7 @@
         self.holders = {instance.name: PermitHolder(instance) for instance in instances}
         self.fence = Fence()
         for holder in self.holders.values():
-            self.events.at(int(self.draws.random() * 4 * SECOND), self._on_holder_due, holder)
+            self.events.call_at(int(self.draws.random() * 4 * SECOND), self._on_holder_due, holder)
 
     @property
     def counts(self) -> Counter[str]:
@@ -97,13 +97,13 @@
         """Faults come at drawn moments; the last fifth of the run has none."""
         end = int(seconds * SECOND)
         calm_from = int(0.8 * end)
-        self.events.at(2 * SECOND, self._enroll)
+        self.events.call_at(2 * SECOND, self._enroll)
         moment = 3 * SECOND + int(self.draws.expovariate(faults_per_second) * SECOND)
         while moment < calm_from:
-            self.events.at(moment, self._cause_fault)
+            self.events.call_at(moment, self._cause_fault)
             moment += int(self.draws.expovariate(faults_per_second) * SECOND)
-        self.events.at(calm_from, self.group.end_faults)
-        self.events.every(SECOND, self.group.repair_membership)
+        self.events.call_at(calm_from, self.group.end_faults)
+        self.events.call_every(SECOND, self.group.repair_membership)
         self.events.run_until(end)
 
     def _drawn_duration(self, least_s: float, most_s: float) -> int:
@@ -115,7 +115,7 @@
             return
         instances = tuple(holder.instance for holder in self.holders.values())
         self.group.propose(EnrollInstances(instances, ((InstanceKind.EDGE, self.limits),)))
-        self.events.after(SECOND, self._enroll)
+        self.events.call_after(SECOND, self._enroll)
 
     def _cause_fault(self) -> None:
         names = sorted(self.group.members)
@@ -123,7 +123,7 @@
         kind = self.draws.random()
         if kind < 0.25:
             self.group.crash(name)
-            self.events.after(self._drawn_duration(0.1, 6), self.group.start, name)
+            self.events.call_after(self._drawn_duration(0.1, 6), self.group.start, name)
         elif kind < 0.45:
             self.group.pause(name, self._drawn_duration(0.5, 10))
         elif kind < 0.65:
@@ -134,7 +134,7 @@
         elif self.group.is_complete:
             # One disk at a time: with two lost of three, what was committed may be lost as well.
             self.group.lose_disk(name)
-            self.events.after(self._drawn_duration(0.1, 3), self.group.start, name)
+            self.events.call_after(self._drawn_duration(0.1, 3), self.group.start, name)
 
     # Decisions
 
@@ -142,9 +142,9 @@
         self, member: SimulatedMember, command: PermitCommand, decision: PermitDecision | None
     ) -> None:
         if decision is not None:
-            self.events.after(self.group.network.draw_delay(), self._on_decision, decision)
+            self.events.call_after(self.group.network.draw_delay(), self._on_decision, decision)
             if self.draws.random() < LATE_COPY_FRACTION:
-                self.events.after(LATE_COPY_DELAY, self._on_late_copy, decision.permit)
+                self.events.call_after(LATE_COPY_DELAY, self._on_late_copy, decision.permit)
         if not isinstance(command, InstanceLost):
             self._check_permits(member)
 
@@ -181,7 +181,7 @@
     # Holders
 
     def _on_holder_due(self, holder: PermitHolder) -> None:
-        self.events.after(self._drawn_duration(0.2, 3), self._on_holder_due, holder)
+        self.events.call_after(self._drawn_duration(0.2, 3), self._on_holder_due, holder)
         if holder.is_dead:
             return
         if holder.is_unavailable:
@@ -225,8 +225,8 @@
             return
         holder.is_dead = True
         self.counts["died"] += 1
-        self.events.after(SECOND, self._report_loss, holder)
-        self.events.after(self._drawn_duration(2, 8), self._revive_holder, holder)
+        self.events.call_after(SECOND, self._report_loss, holder)
+        self.events.call_after(self._drawn_duration(2, 8), self._revive_holder, holder)
 
     def _report_loss(self, holder: PermitHolder) -> None:
         if holder.is_dead and not holder.is_unavailable:
@@ -240,7 +240,7 @@
         if holder.is_loss_reported:
             holder.is_loss_reported = False
             self.group.propose(InstanceReturned(holder.name, 0))
-            self.events.after(REPEAT_INTERVAL, self._repeat_return, holder)
+            self.events.call_after(REPEAT_INTERVAL, self._repeat_return, holder)
 
     def _repeat_return(self, holder: PermitHolder) -> None:
         """Reports the return without a permit again, while any running member takes the holder for lost."""
@@ -248,7 +248,7 @@
         is_lost = any(register.unavailable.get(holder.name, holder) is None for register in registers)
         if is_lost and not holder.is_dead:
             self.group.propose(InstanceReturned(holder.name, 0))
-            self.events.after(REPEAT_INTERVAL, self._repeat_return, holder)
+            self.events.call_after(REPEAT_INTERVAL, self._repeat_return, holder)
 
     # Checks
 
--- a/valverouter/emulator/raft_group.py
+++ b/valverouter/emulator/raft_group.py
@@ -107,7 +107,7 @@
             restore_state,
             self._compaction_threshold,
         )
-        self.events.after(TICK_INTERVAL, self._tick, member, member.incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick, member, member.incarnation)
 
     def crash(self, name: str) -> None:
         """Ends a member's node; its disk stays."""
@@ -179,14 +179,14 @@
     def _tick(self, member: SimulatedMember, incarnation: int) -> None:
         if member.node is None or member.incarnation != incarnation:
             return
-        self.events.after(TICK_INTERVAL, self._tick, member, incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick, member, incarnation)
         if not self._is_paused(member):
             member.node.tick(self.events.now)
             self._carry_out(member)
 
     def _receive(self, member: SimulatedMember, message: RaftMessage) -> None:
         if self._is_paused(member):
-            self.events.at(member.paused_until, self._receive, member, message)
+            self.events.call_at(member.paused_until, self._receive, member, message)
         elif member.node is not None:
             member.node.receive(self.events.now, message)
             self._carry_out(member)
@@ -201,7 +201,7 @@
         self._check_leader(node)
         if self._has_faults and self._draws.random() < CRASH_AFTER_SAVE_PROBABILITY:
             self.crash(member.name)
-            self.events.after(int(self._draws.random() * 5 * SECOND), self.start, member.name)
+            self.events.call_after(int(self._draws.random() * 5 * SECOND), self.start, member.name)
             return
         for receiver, message in outgoing:
             if receiver in self.members:
--- a/valverouter/emulator/rollout_simulation.py
+++ b/valverouter/emulator/rollout_simulation.py
@@ -129,7 +129,7 @@
         )
         if self._evaluated_by != PROGRAM:
             machine.node.orchestrator_class = BASELINES[self._evaluated_by]
-        self.events.after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
 
     def crash_node(self, name: str) -> None:
         """Ends a node at once."""
@@ -142,7 +142,7 @@
     def _tick_node(self, machine: SimulatedNode, incarnation: int) -> None:
         if machine.node is None or machine.incarnation != incarnation:
             return
-        self.events.after(TICK_INTERVAL, self._tick_node, machine, incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick_node, machine, incarnation)
         if self._is_paused(machine):
             return
         if self._planted_fault == "lapse" and machine.node.orchestrator is not None:
@@ -157,7 +157,7 @@
 
     def _on_message(self, machine: SimulatedNode, message: RaftMessage) -> None:
         if self._is_paused(machine):
-            self.events.at(machine.paused_until, self._on_message, machine, message)
+            self.events.call_at(machine.paused_until, self._on_message, machine, message)
         elif machine.node is not None:
             machine.node.on_message(self.events.now, message)
             self._carry_out(machine)
@@ -170,7 +170,7 @@
         machine.node.outgoing.clear()
         if self._network.has_faults and self._draws.random() < CRASH_AFTER_SAVE_PROBABILITY:
             self.crash_node(machine.name)
-            self.events.after(int(self._draws.uniform(0.1, 5) * SECOND), self.start_node, machine.name)
+            self.events.call_after(int(self._draws.uniform(0.1, 5) * SECOND), self.start_node, machine.name)
             return
         for receiver, message in outgoing:
             if receiver in self.nodes:
@@ -218,13 +218,13 @@
             return
         for machine in self.nodes.values():
             self._network.send("tool", machine.name, self._on_submit, machine, submit)
-        self.events.after(CLIENT_RETRY, self.submit, submit, attempts - 1)
+        self.events.call_after(CLIENT_RETRY, self.submit, submit, attempts - 1)
 
     def _on_submit(self, machine: SimulatedNode, submit: Submit) -> None:
         if machine.node is None or self._is_paused(machine):
             return
         if machine.node.propose(self.events.now, submit):
-            self.events.after(CLIENT_ANSWER, self._take_answer, machine, submit)
+            self.events.call_after(CLIENT_ANSWER, self._take_answer, machine, submit)
         self._carry_out(machine)
 
     def _take_answer(self, machine: SimulatedNode, submit: Submit) -> None:
@@ -240,7 +240,7 @@
                 machine.node.propose(self.events.now, Cancel(operation, reason))
                 self._carry_out(machine)
         if attempts > 1:
-            self.events.after(CLIENT_RETRY, self.cancel, operation, reason, attempts - 1)
+            self.events.call_after(CLIENT_RETRY, self.cancel, operation, reason, attempts - 1)
 
     # Random courses
 
@@ -254,9 +254,9 @@
         for rate, action in ((fault_rate, self._cause_fault), (operation_rate, self._submit_randomly)):
             moment = FIRST_EVENT + int(self._draws.expovariate(rate) * SECOND)
             while moment < faults_end:
-                self.events.at(moment, action)
+                self.events.call_at(moment, action)
                 moment += int(self._draws.expovariate(rate) * SECOND)
-        self.events.at(faults_end, self._end_faults)
+        self.events.call_at(faults_end, self._end_faults)
         self.run_until(int(seconds * SECOND))
 
     def _submit_randomly(self) -> None:
@@ -270,9 +270,9 @@
         submit = Submit(f"o{self.counts.total()}", kind, tuple(names), version)
         self.submit(submit, draws.randint(1, 6))
         if draws.random() < 0.2:
-            self.events.after(int(draws.uniform(1, 20) * SECOND), self.cancel, submit.id, "by hand")
+            self.events.call_after(int(draws.uniform(1, 20) * SECOND), self.cancel, submit.id, "by hand")
         if draws.random() < 0.1:
-            self.events.after(int(draws.uniform(10, 40) * SECOND), self.submit, submit)
+            self.events.call_after(int(draws.uniform(10, 40) * SECOND), self.submit, submit)
 
     def _draw_names(self, kind: OperationKind) -> list[str]:
         everybody = sorted(self.fleet.instances)
@@ -292,7 +292,7 @@
         duration = int(draws.uniform(0.2, 6) * SECOND)
         if kind < 0.15:
             self.crash_node(node)
-            self.events.after(duration, self.start_node, node)
+            self.events.call_after(duration, self.start_node, node)
         elif kind < 0.25:
             self.nodes[node].paused_until = self.events.now + self._draw_pause()
             self.counts["seat stopped"] += 1
@@ -300,10 +300,10 @@
             self.fleet.kill_program(name)
         elif kind < 0.55:
             self.fleet.crash(name)
-            self.events.after(duration, self.fleet.start, name)
+            self.events.call_after(duration, self.fleet.start, name)
         elif kind < 0.6:
             self.fleet.lose_disk(name)
-            self.events.after(duration, self.fleet.start, name)
+            self.events.call_after(duration, self.fleet.start, name)
         elif kind < 0.7:
             self.fleet.pause(name, self._draw_pause())
         else:
@@ -331,7 +331,7 @@
             self.start_node(name)
         self.fleet.end_faults()
         # Drained instances come back, and whatever waits for evidence goes on.
-        self.events.after(UNDRAIN_AFTER_FAULTS, self._undrain)
+        self.events.call_after(UNDRAIN_AFTER_FAULTS, self._undrain)
 
     def _undrain(self) -> None:
         names = tuple(self.fleet.down_by_supervisor)
--- a/valverouter/emulator/server_faults.py
+++ b/valverouter/emulator/server_faults.py
@@ -31,7 +31,7 @@
             "ageing": self._degrade,
             "hang": self._hang,
             "origin_slow": self._limit_lines,
-            "reconnect": self._cut_established,
+            "reconnect": self._interrupt_established,
             "answer_lost": self._lose_answers,
             "peer_down": self._partition,
         }
@@ -42,7 +42,7 @@
         servers = self._targets.recorded_servers(fault, random)
         for server in servers:
             server.crash()
-        self._announce_down_after(self._fleet.day.endpoint_list.notice, servers)
+        self._announce_down_after(self._fleet.scenario.endpoint_list.notice, servers)
         yield self._targets.wait(fault.length)
         self._restart(servers)
 
@@ -50,7 +50,7 @@
         servers = self._targets.recorded_servers(fault, random)
         for server in servers:
             server.vanish()
-        self._announce_down_after(self._fleet.day.endpoint_list.silent_notice, servers)
+        self._announce_down_after(self._fleet.scenario.endpoint_list.silent_notice, servers)
         if fault.length:
             yield self._targets.wait(fault.length)
             self._restart(servers)
@@ -60,7 +60,7 @@
 
     def _announce_up_later(self, servers: Sequence[EmulatedServer]) -> None:
         fleet = self._fleet
-        fleet.sim.call_after(fleet.day.endpoint_list.add, fleet.endpoint_list.announce_up, servers)
+        fleet.sim.call_after(fleet.scenario.endpoint_list.add, fleet.endpoint_list.announce_up, servers)
 
     def _restart(self, servers: Sequence[EmulatedServer]) -> None:
         for server in servers:
@@ -131,7 +131,7 @@
     def _limit_lines(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         """The servers of one region have only a part of their lines."""
         fleet = self._fleet
-        regions = [name for name, region in fleet.day.regions.items() if region.servers]
+        regions = [name for name, region in fleet.scenario.regions.items() if region.servers]
         region = fault.on[0] if fault.on else regions[random.integer_below(len(regions))]
         servers = [server for server in fleet.servers.values() if server.region == region]
 
@@ -163,11 +163,11 @@
 
     # Connections and dialogs
 
-    def _cut_established(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
+    def _interrupt_established(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         """A fraction of all established dialogs ends at every server."""
         for server in self._fleet.servers.values():
             self._targets.record(fault, server.name)
-            server.model.cut_established(self._fleet.sim.now(), fault.size)
+            server.model.interrupt_established(self._fleet.sim.now(), fault.size)
             server.deliver_events()
         yield self._targets.wait(0)
 
--- a/valverouter/emulator/server_profile.py
+++ b/valverouter/emulator/server_profile.py
@@ -6,9 +6,9 @@
 from valverouter.servermodel.profile import ServerProfile
 
 
-def server_profile(day: ScenarioConfig) -> ServerProfile:
+def server_profile(scenario: ScenarioConfig) -> ServerProfile:
     """The profile of a day's servers, from the settings in [servers] and [fleet]."""
-    servers, fleet = day.servers, day.fleet
+    servers, fleet = scenario.servers, scenario.fleet
     return ServerProfile(
         lines=servers.lines,
         setup_work=servers.setup_work,
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -22,7 +22,7 @@
 OUTCOMES = {
     ServerEventKind.ESTABLISHED: (Outcome.ESTABLISHED, "stands"),
     ServerEventKind.ENDED: (Outcome.ENDED, ENDED_KIND),
-    ServerEventKind.CUT: (Outcome.ENDED, ENDED_KIND),
+    ServerEventKind.INTERRUPTED: (Outcome.ENDED, ENDED_KIND),
     ServerEventKind.LINE_BUSY: (Outcome.LINE_BUSY, "line-busy"),
     ServerEventKind.FULL: (Outcome.FULL, "full"),
     ServerEventKind.NO_AGENT: (Outcome.NO_AGENT, "no-agent"),
@@ -142,7 +142,7 @@
 
 
 def _end_reason(event: ServerEvent) -> EndReason:
-    return EndReason.INTERRUPTED if event.kind is ServerEventKind.CUT else EndReason.COMPLETED
+    return EndReason.INTERRUPTED if event.kind is ServerEventKind.INTERRUPTED else EndReason.COMPLETED
 
 
 class EmulatedServer:
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class DayResult:
+class ScenarioResult:
     """What a day gave: its rows, the servers with their counters, how many calls were dialled, samples."""
 
     rows: list[Row]
@@ -46,7 +46,7 @@
     samples: list[ServerSample] = field(default_factory=list)
 
 
-class _DayRun:
+class _ScenarioRun:
     """One run of a fleet's day."""
 
     def __init__(self, fleet: Fleet, sample_interval: int) -> None:
@@ -58,23 +58,23 @@
         self._faults = ServerFaults(fleet, targets).by_kind()
         self._faults |= EdgeFaults(fleet, targets, self._load).by_kind()
 
-    def run(self) -> DayResult:
+    def run(self) -> ScenarioResult:
         """Runs the day, and on until every caller has its answer."""
         fleet, sim = self._fleet, self._fleet.sim
         for edge in fleet.edges:
             edge.start(fleet.endpoint_list.complete())
-        settled_at = sim.now() + fleet.day.run.settle
-        ends_at = settled_at + fleet.day.run.length
+        settled_at = sim.now() + fleet.scenario.run.settle
+        ends_at = settled_at + fleet.scenario.run.length
         sim.run(settled_at)
         self._begin(ends_at)
         sim.run(ends_at)
         self._wait_for_answers(ends_at)
-        return DayResult(fleet.tap.rows, fleet.servers, self._load.dialled, self._samples)
+        return ScenarioResult(fleet.tap.rows, fleet.servers, self._load.dialled, self._samples)
 
     def _begin(self, ends_at: int) -> None:
         fleet = self._fleet
         fleet.tap.record(CallersStartedRow)
-        for name, fault in fleet.day.faults.items():
+        for name, fault in fleet.scenario.faults.items():
             fleet.sim.env.process(self._fault(name, fault))
         for callers in fleet.callers:
             CallGenerator(fleet, self._load, callers, ends_at).start()
@@ -89,8 +89,8 @@
     def _wait_for_answers(self, ends_at: int) -> None:
         fleet, sim = self._fleet, self._fleet.sim
         for callers in fleet.callers:
-            callers.patience = 1.0
-        deadline = ends_at + max(mix.no_answer for mix in fleet.day.mix.values()) + SECOND
+            callers.abandon_fraction = 1.0
+        deadline = ends_at + max(mix.no_answer for mix in fleet.scenario.mix.values()) + SECOND
         while sim.now() < deadline and any(callers.is_waiting for callers in fleet.callers):
             sim.run(min(deadline, sim.now() + ANSWER_POLL_INTERVAL))
         sim.run(sim.now() + FINAL_DELAY)
@@ -113,9 +113,9 @@
         self._fleet.sim.call_after(self._sample_interval, self._sample)
 
 
-def simulate_day(fleet: Fleet, sample_interval: int = 0) -> DayResult:
+def simulate_scenario(fleet: Fleet, sample_interval: int = 0) -> ScenarioResult:
     """Runs a fleet's day to the end.
 
     `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none.
     """
-    return _DayRun(fleet, sample_interval).run()
+    return _ScenarioRun(fleet, sample_interval).run()
--- a/valverouter/emulator/supervised_fleet.py
+++ b/valverouter/emulator/supervised_fleet.py
@@ -137,8 +137,8 @@
         if self._forgets_steps:
             state.steps.clear()
         first_report = int(self._draws.random() * REPORT_INTERVAL)
-        self.events.after(0, self._tick, instance, instance.incarnation)
-        self.events.after(first_report, self._report, instance, instance.incarnation)
+        self.events.call_after(0, self._tick, instance, instance.incarnation)
+        self.events.call_after(first_report, self._report, instance, instance.incarnation)
 
     def crash(self, name: str) -> None:
         """Ends a supervisor at once; its program runs on."""
@@ -181,7 +181,7 @@
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
         if self._is_paused(instance):
-            self.events.at(instance.paused_until, self.on_reply, instance, incarnation, node, reply)
+            self.events.call_at(instance.paused_until, self.on_reply, instance, incarnation, node, reply)
             return
         instance.stamps[node] = max(instance.stamps.get(node, 0), reply.stamp)
         is_open = reply.is_open or self._forgets_steps
@@ -194,7 +194,7 @@
     def _tick(self, instance: SimulatedInstance, incarnation: int) -> None:
         if not instance.is_current(incarnation):
             return
-        self.events.after(TICK_INTERVAL, self._tick, instance, incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick, instance, incarnation)
         self._run_program(instance)
         if not self._is_paused(instance):
             assert instance.supervisor is not None
@@ -203,7 +203,7 @@
     def _report(self, instance: SimulatedInstance, incarnation: int) -> None:
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
-        self.events.after(REPORT_INTERVAL, self._report, instance, incarnation)
+        self.events.call_after(REPORT_INTERVAL, self._report, instance, incarnation)
         if not self._is_paused(instance):
             self.send_report(instance, instance.supervisor.report())
 
@@ -263,7 +263,7 @@
         if instance.supervisor is None:
             return
         if self._is_paused(instance):
-            self.events.at(instance.paused_until, self._on_late_exit, instance, instance.incarnation)
+            self.events.call_at(instance.paused_until, self._on_late_exit, instance, instance.incarnation)
         else:
             instance.supervisor.on_exited(self.events.now)
 
--- a/valverouter/experiments/scenario_page.py
+++ b/valverouter/experiments/scenario_page.py
@@ -8,7 +8,7 @@
 
 from jinja2 import Environment
 
-from valverouter.emulator.simulate import DayResult
+from valverouter.emulator.simulate import ScenarioResult
 from valverouter.experiments.run_metrics import service_by_second
 from valverouter.signalling.traffic_record import AuditConfigRow, FaultRow, MessageRow, Row
 
@@ -50,7 +50,7 @@
     outcomes: Counter[tuple[str, int]] = field(default_factory=Counter)
 
 
-def day_page(name: str, result: DayResult) -> str:
+def day_page(name: str, result: ScenarioResult) -> str:
     """The page, readable without any tool or network."""
     rows = result.rows
     terms = next(row for row in rows if isinstance(row, AuditConfigRow))
@@ -75,7 +75,7 @@
     )
 
 
-def _count_attempts(result: DayResult, starts_at: int) -> _Attempts:
+def _count_attempts(result: ScenarioResult, starts_at: int) -> _Attempts:
     attempts = _Attempts()
     for row in result.rows:
         if not isinstance(row, MessageRow) or row.peer not in result.servers:
@@ -99,7 +99,7 @@
 
 
 def _charts(
-    result: DayResult, service: BySecond, attempts: _Attempts, seconds: int, starts_at: int
+    result: ScenarioResult, service: BySecond, attempts: _Attempts, seconds: int, starts_at: int
 ) -> list[dict[str, object]]:
     delays, windows, tokens = _by_server(result, starts_at)
     outcomes = {
@@ -114,7 +114,7 @@
     ]
 
 
-def _by_server(result: DayResult, starts_at: int) -> tuple[dict[str, BySecond], ...]:
+def _by_server(result: ScenarioResult, starts_at: int) -> tuple[dict[str, BySecond], ...]:
     """Queue delays (ms), windows and token fractions, each by server and second."""
     delays: dict[str, BySecond] = {}
     windows: dict[str, BySecond] = {}
--- a/valverouter/fakes/callers.py
+++ b/valverouter/fakes/callers.py
@@ -25,19 +25,19 @@
     """How callers behave.
 
     They redial at most `redials` times, after `redial_wait` ns times a random factor from 0.5 to 1.5.
-    `patience`: the fraction of the no-answer time after which they give up. `retry_after_compliance`: the
-    probability with which they wait for as long as the edge proxy asks them to.
+    `abandon_fraction`: the fraction of the no-answer time after which they cancel. `retry_after_compliance`:
+    the probability with which they wait for as long as the edge proxy asks them to.
     """
 
     redials: int = 0
     redial_wait: int = 800_000_000
-    patience: float = 1.0
+    abandon_fraction: float = 1.0
     retry_after_compliance: float = 1.0
 
 
-def with_scaled_patience(behavior: CallerBehavior, factor: float) -> CallerBehavior:
-    """The same behavior with `factor` times the patience."""
-    return replace(behavior, patience=behavior.patience * factor)
+def with_scaled_abandon_fraction(behavior: CallerBehavior, factor: float) -> CallerBehavior:
+    """The same behavior with `factor` times the abandon fraction."""
+    return replace(behavior, abandon_fraction=behavior.abandon_fraction * factor)
 
 
 @dataclass(slots=True)
@@ -128,9 +128,9 @@
 
     def _set_timers(self, dialog: str, attempt: DialAttempt) -> None:
         now, no_answer = self._scheduler.now(), attempt.setup.time_left
-        patience = int(no_answer * self.behavior.patience)
-        if patience < no_answer:
-            self._scheduler.call_at(now + patience, lambda: self._on_patience_over(dialog))
+        abandon_delay = int(no_answer * self.behavior.abandon_fraction)
+        if abandon_delay < no_answer:
+            self._scheduler.call_at(now + abandon_delay, lambda: self._on_abandon_due(dialog))
         self._scheduler.call_at(now + no_answer, lambda: self._on_no_answer(dialog, attempt))
 
     def hang_up(self, dialog: str) -> None:
@@ -144,7 +144,7 @@
         message = setup.Release(dialog) if attempt.is_established else setup.Cancel(dialog)
         self.connection.send(message, delayed=False)
 
-    def _on_patience_over(self, dialog: str) -> None:
+    def _on_abandon_due(self, dialog: str) -> None:
         attempt = self.attempts.get(dialog)
         if attempt is not None and not attempt.is_established:
             self.hang_up(dialog)
--- a/valverouter/fakes/server.py
+++ b/valverouter/fakes/server.py
@@ -22,7 +22,7 @@
 MESSAGE_BUILDERS: dict[ServerEventKind, Callable[[str, int, setup.Load, int], Any]] = {
     ServerEventKind.ESTABLISHED: lambda dialog, leg, load, wait: setup.Established(dialog, leg, report=load),
     ServerEventKind.ENDED: lambda dialog, leg, load, wait: setup.Ended(dialog, leg, "over", load),
-    ServerEventKind.CUT: lambda dialog, leg, load, wait: setup.Ended(dialog, leg, "cut", load),
+    ServerEventKind.INTERRUPTED: lambda dialog, leg, load, wait: setup.Ended(dialog, leg, "cut", load),
     ServerEventKind.LINE_BUSY: lambda dialog, leg, load, wait: setup.LineBusy(dialog, leg, load),
     ServerEventKind.FULL: lambda dialog, leg, load, wait: setup.Full(dialog, leg, wait, load),
     ServerEventKind.NO_AGENT: lambda dialog, leg, load, wait: setup.NoAgent(dialog, leg, load),
--- a/valverouter/scenarios/call_generation.py
+++ b/valverouter/scenarios/call_generation.py
@@ -7,7 +7,7 @@
 import trio
 
 from valverouter.config.recorded_calls import RecordedCall
-from valverouter.emulator.call_generation import HOT_CALLED_NUMBER
+from valverouter.emulator.call_generation import MASS_CALLED_NUMBER
 from valverouter.fakes.callers import NO_DIALOG, FakeCallers
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
@@ -19,11 +19,14 @@
 
 
 class CallLoad:
-    """Dials for all callers. `rate_factor` scales the rate; `hot_fraction` of the calls go to one number."""
+    """Dials for all callers.
+
+    `rate_factor` scales the rate; `mass_call_fraction` of the calls go to one number.
+    """
 
     def __init__(self, fakes: ScenarioFakes) -> None:
         self.rate_factor = 1.0
-        self.hot_fraction = 0.0
+        self.mass_call_fraction = 0.0
         self._fakes = fakes
 
     async def run(self, fleet_index: int, callers: FakeCallers) -> None:
@@ -71,15 +74,15 @@
     def _dial(self, recorded: RecordedCall | None) -> None:
         """Dials once. All is drawn for a recorded call as well; what is on record replaces it."""
         traffic_type = self._rng.choices(self._traffic_types, self._shares)[0]
-        is_hot = self._rng.random() < self._load.hot_fraction
+        is_mass_call = self._rng.random() < self._load.mass_call_fraction
         first_choice = self._rng.choice(self._first_choices)
-        called_number = self._draw_called_number(self._rng, is_hot)
+        called_number = self._draw_called_number(self._rng, is_mass_call)
         no_answer = None
         if recorded is not None:
             traffic_type, no_answer = recorded.traffic_type, recorded.no_answer
             if recorded.first_choice is not None:
                 first_choice = recorded.first_choice
-            if recorded.number is not None and not is_hot:
+            if recorded.number is not None and not is_mass_call:
                 called_number = recorded.number
         self._callers.dial(
             setup.Setup(
@@ -92,8 +95,8 @@
         )
 
     @staticmethod
-    def _draw_called_number(rng: random.Random, is_hot: bool) -> int:
-        return HOT_CALLED_NUMBER if is_hot else FIRST_CALLED_NUMBER + rng.randrange(CALLED_NUMBERS)
+    def _draw_called_number(rng: random.Random, is_mass_call: bool) -> int:
+        return MASS_CALLED_NUMBER if is_mass_call else FIRST_CALLED_NUMBER + rng.randrange(CALLED_NUMBERS)
 
 
 def _first_choices(fakes: ScenarioFakes, fleet_index: int) -> list[int]:
--- a/valverouter/scenarios/edge_faults.py
+++ b/valverouter/scenarios/edge_faults.py
@@ -7,8 +7,8 @@
 import trio
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.emulator.call_generation import HOT_CALLED_NUMBER
-from valverouter.fakes.callers import with_scaled_patience
+from valverouter.emulator.call_generation import MASS_CALLED_NUMBER
+from valverouter.fakes.callers import with_scaled_abandon_fraction
 from valverouter.scenarios.call_generation import CallLoad
 from valverouter.scenarios.fault_targets import CALLERS_TARGET, FaultProcess, FaultTargets
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
@@ -30,8 +30,8 @@
             "balancer_leave": self._restart,
             "balancer_stall": self._stall,
             "burst": self._burst,
-            "hot_key": self._hot_number,
-            "give_up": self._impatience,
+            "hot_key": self._mass_calling,
+            "give_up": self._early_abandonment,
         }
 
     # Edge proxies
@@ -77,19 +77,19 @@
         await trio.sleep(fault.length / NS_PER_S)
         self._load.rate_factor /= fault.size
 
-    async def _hot_number(self, fault: FaultConfig, rng: random.Random) -> None:
+    async def _mass_calling(self, fault: FaultConfig, rng: random.Random) -> None:
         self._targets.record(fault, CALLERS_TARGET)
-        self._fakes.called_numbers.capacities[HOT_CALLED_NUMBER] = fault.lines
-        self._load.hot_fraction = fault.size
+        self._fakes.called_numbers.capacities[MASS_CALLED_NUMBER] = fault.lines
+        self._load.mass_call_fraction = fault.size
         await trio.sleep(fault.length / NS_PER_S)
-        self._load.hot_fraction = 0.0
+        self._load.mass_call_fraction = 0.0
 
-    async def _impatience(self, fault: FaultConfig, rng: random.Random) -> None:
+    async def _early_abandonment(self, fault: FaultConfig, rng: random.Random) -> None:
         self._targets.record(fault, CALLERS_TARGET)
-        self._scale_patience(fault.size)
+        self._scale_abandon_fraction(fault.size)
         await trio.sleep(fault.length / NS_PER_S)
-        self._scale_patience(1 / fault.size)
+        self._scale_abandon_fraction(1 / fault.size)
 
-    def _scale_patience(self, factor: float) -> None:
+    def _scale_abandon_fraction(self, factor: float) -> None:
         for callers in self._fakes.callers:
-            callers.behavior = with_scaled_patience(callers.behavior, factor)
+            callers.behavior = with_scaled_abandon_fraction(callers.behavior, factor)
--- a/valverouter/scenarios/emulated.py
+++ b/valverouter/scenarios/emulated.py
@@ -7,7 +7,7 @@
 from valverouter.edge.attempt_policies import AttemptPolicies, default_policy
 from valverouter.emulator.edge_model import BuildDriver, EdgePlan
 from valverouter.emulator.fleet import Fleet
-from valverouter.emulator.simulate import DayResult, simulate_day
+from valverouter.emulator.simulate import ScenarioResult, simulate_scenario
 from valverouter.interface import AttemptPolicy
 from valverouter.regions.cross_region_limiter import CrossRegionLimiter
 
@@ -36,14 +36,14 @@
         cross_region=lambda now: CrossRegionLimiter(cross_region, now) if cross_region is not None else None,
         attempt_policies=AttemptPolicies(config) if config.attempts else None,
         build_driver=build_driver,
-        has_ledger=scenario.ledger,
+        has_dialog_store=scenario.ledger,
         default_attempt_policy=default_attempt_policy,
     )
 
 
 def run_emulated(
     scenario: ScenarioConfig, build_driver: BuildDriver = Driver, sample_interval: int = 0
-) -> DayResult:
+) -> ScenarioResult:
     """Runs the whole scenario; the same scenario gives the same rows every time.
 
     `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none. ValueError where
@@ -52,4 +52,4 @@
     for name, fault in scenario.faults.items():
         if fault.kind == "balancer_late":
             raise ValueError(f"trouble {name}: {fault.kind} is emulated for the view alone: fleet emulate")
-    return simulate_day(Fleet(scenario, edge_plans(scenario, build_driver)), sample_interval)
+    return simulate_scenario(Fleet(scenario, edge_plans(scenario, build_driver)), sample_interval)
--- a/valverouter/scenarios/emulated_membership.py
+++ b/valverouter/scenarios/emulated_membership.py
@@ -95,12 +95,12 @@
         is_late = fault.kind == "balancer_late"
         for name in self._targets(fault, rng):
             if fault.kind == "balancer_stall":
-                simulation.at(start, simulation.stall, name, fault.length)
+                simulation.call_at(start, simulation.stall, name, fault.length)
                 continue
             stop = simulation.leave if fault.kind == "balancer_leave" else simulation.kill
             # To the others, one that starts late is one that was not there from the beginning.
-            simulation.at(0 if is_late else start, stop, name)
-            simulation.at(start if is_late else end, self._start, name)
+            simulation.call_at(0 if is_late else start, stop, name)
+            simulation.call_at(start if is_late else end, self._start, name)
         return end
 
     def _targets(self, fault: FaultConfig, rng: random.Random) -> list[str]:
--- a/valverouter/scenarios/scenario_runner.py
+++ b/valverouter/scenarios/scenario_runner.py
@@ -11,7 +11,7 @@
 import trio
 
 from valverouter.config.scenario_sections import FaultConfig, PathFaultConfig
-from valverouter.fakes.callers import with_scaled_patience
+from valverouter.fakes.callers import with_scaled_abandon_fraction
 from valverouter.scenarios.call_generation import CallLoad
 from valverouter.scenarios.edge_faults import EdgeFaults
 from valverouter.scenarios.fault_targets import FaultProcess, FaultTargets
@@ -104,7 +104,7 @@
 
 async def _wait_for_answers(fakes: ScenarioFakes) -> None:
     for callers in fakes.callers:
-        callers.behavior = with_scaled_patience(callers.behavior, 1.0)
+        callers.behavior = with_scaled_abandon_fraction(callers.behavior, 1.0)
     longest = max(mix.no_answer for mix in fakes.scenario.mix.values())
     with trio.move_on_after(longest / NS_PER_S + 1):
         while any(not made.is_established for callers in fakes.callers for made in callers.attempts.values()):
--- a/valverouter/scenarios/server_faults.py
+++ b/valverouter/scenarios/server_faults.py
@@ -32,7 +32,7 @@
             "ageing": self._degrade,
             "hang": self._hang,
             "origin_slow": self._limit_lines,
-            "reconnect": self._cut_established,
+            "reconnect": self._interrupt_established,
             "answer_lost": self._lose_answers,
             "peer_down": self._partition,
         }
@@ -185,11 +185,11 @@
 
     # Connections and dialogs
 
-    async def _cut_established(self, fault: FaultConfig, rng: random.Random) -> None:
+    async def _interrupt_established(self, fault: FaultConfig, rng: random.Random) -> None:
         """A fraction of all established dialogs ends at every server."""
         for server in self._fakes.servers.values():
             self._targets.record(fault, server.name)
-            server.model.cut_established(self._fakes.now(), fault.size)
+            server.model.interrupt_established(self._fakes.now(), fault.size)
             server.deliver_events()
 
     async def _partition(self, fault: FaultConfig, rng: random.Random) -> None:
--- a/valverouter/servermodel/events.py
+++ b/valverouter/servermodel/events.py
@@ -10,12 +10,12 @@
 
 
 class ServerEventKind(Enum):
-    """What the peer of a leg has to be sent; ENDED and CUT close a leg that was established."""
+    """What the peer of a leg has to be sent; ENDED and INTERRUPTED close a leg that was established."""
 
     PROVISIONAL = auto()
     ESTABLISHED = auto()
     ENDED = auto()
-    CUT = auto()
+    INTERRUPTED = auto()
     LINE_BUSY = auto()
     FULL = auto()
     NO_AGENT = auto()
@@ -40,7 +40,7 @@
     setups: int = 0
     established: int = 0
     rejected: int = 0
-    cut: int = 0
+    interrupted: int = 0
     retransmissions: int = 0
     work: int = 0
     wasted_work: int = 0
--- a/valverouter/servermodel/server.py
+++ b/valverouter/servermodel/server.py
@@ -240,23 +240,23 @@
         self._lines.available_fraction = fraction
         holding = [key for key, leg in self.legs.items() if leg.holds_line]
         while self._lines.held > self._lines.available and holding:
-            self._cut(now, holding.pop(int(self.draw() * len(holding))))
+            self._interrupt(now, holding.pop(int(self.draw() * len(holding))))
 
-    def cut_established(self, now: int, probability: float) -> None:
+    def interrupt_established(self, now: int, probability: float) -> None:
         """Cuts each established leg with that probability."""
         for key in [key for key, leg in self.legs.items() if leg.stage is LegStage.ESTABLISHED]:
             if self.draw() < probability:
-                self._cut(now, key)
+                self._interrupt(now, key)
 
-    def _cut(self, now: int, key: LegKey) -> None:
-        self.counters.cut += 1
+    def _interrupt(self, now: int, key: LegKey) -> None:
+        self.counters.interrupted += 1
         was_established = self.legs[key].was_established
-        self._close(now, key, ServerEventKind.CUT if was_established else ServerEventKind.FAULT)
+        self._close(now, key, ServerEventKind.INTERRUPTED if was_established else ServerEventKind.FAULT)
 
     def crash(self, now: int) -> None:
         """The process dies with all its legs; the driver closes its connections."""
         self.is_running = False
-        self.counters.cut += sum(leg.was_established for leg in self.legs.values())
+        self.counters.interrupted += sum(leg.was_established for leg in self.legs.values())
         for key in list(self.legs):
             self._remove(key)
         self._processor.clear()
