--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -25,9 +25,9 @@
     dialog: str = ""
     server: str = ""
     edge: str = ""
-    leg: int = 0
+    attempt: int = 0
     until: int = 0
-    word: str = ""
+    detail: str = ""
     # Of a server that began: its rate at full speed, and its slow start.
     setups_per_second: float = 0.0
     slow_start_fraction: float = 1.0
@@ -36,16 +36,16 @@
     overload_window: int = 1
 
 
-ATTEMPT_ENDS = ("closed", "timed-out", "reset", "let-go", "unsent")
-NEEDS_NO_RELEASE = ("closed", "unsent")
+ATTEMPT_ENDS = ("closed", "timed-out", "reset", "cancelled", "unsent")
+ENDS_WITHOUT_RELEASE = ("closed", "unsent")
 OUT_OF_SERVICE = ("draining", "gone")
 
 
 class RuleModel:
     """The checks of one run. `slack`: the tolerance between clocks, ns; 0 in virtual time."""
 
-    def __init__(self, release_wait: int, slack: int = 0) -> None:
-        self.release_wait = release_wait
+    def __init__(self, release_delay: int, slack: int = 0) -> None:
+        self.release_delay = release_delay
         self.slack = slack
         self.history: list[Step] = []
         self.violations: list[tuple[int, int, str]] = []
@@ -58,7 +58,7 @@
                 found += [(1, reason) for reason in self._find_wrong_answer(step)]
             case "sent":
                 found += [(2, reason) for reason in self._find_parallel_attempts(step)]
-                found += [(3, reason) for reason in self._find_draining(step)]
+                found += [(3, reason) for reason in self._find_out_of_service(step)]
                 found += [(4, reason) for reason in self._find_overload(step)]
                 found += [(5, reason) for reason in self._find_early_retry(step)]
         self.history.append(step)
@@ -68,7 +68,7 @@
     def counts(self) -> Counter[str]:
         """How many steps there were of each kind, for some with their word."""
         return Counter(
-            f"{step.kind} {step.word}" if step.kind in ("told", "answered") else step.kind
+            f"{step.kind} {step.detail}" if step.kind in ("endpoint-update", "answered") else step.kind
             for step in self.history
         )
 
@@ -78,36 +78,40 @@
 
     # Rule 1
 
-    def _history_of(self, dialog: str) -> list[Step]:
+    def _steps_since_accepted(self, dialog: str) -> list[Step]:
         """What happened to a dialog since it was last taken."""
         steps = [step for step in self.history if step.dialog == dialog]
-        taken = [index for index, step in enumerate(steps) if step.kind == "taken"]
-        return steps[taken[-1] :] if taken else steps
+        accepted = [index for index, step in enumerate(steps) if step.kind == "accepted"]
+        return steps[accepted[-1] :] if accepted else steps
 
     def _find_overdue(self, now: Step) -> list[str]:
         """Dialogs whose time passes with this step, and that have no answer."""
         last = self.history[-1].at if self.history else now.at
         found = []
-        for index, taken in enumerate(self.history):
-            if taken.kind != "taken" or not last <= taken.until + self.slack < now.at:
+        for index, accepted in enumerate(self.history):
+            if accepted.kind != "accepted" or not last <= accepted.until + self.slack < now.at:
                 continue
-            since = [step for step in self.history[index:] if step.dialog == taken.dialog]
-            if any(step.kind in ("answered", "caller-gone") for step in since):
+            later_steps = [step for step in self.history[index:] if step.dialog == accepted.dialog]
+            if any(step.kind in ("answered", "caller-gone") for step in later_steps):
                 continue
-            held = [step for step in self.history if step.kind == "held" and step.edge == taken.edge]
-            if not any(step.at <= taken.until <= step.until for step in held):
-                found.append(f"{taken.dialog} had no answer by {taken.until}")
+            stalls = [
+                step for step in self.history if step.kind == "edge-stalled" and step.edge == accepted.edge
+            ]
+            if not any(step.at <= accepted.until <= step.until for step in stalls):
+                found.append(f"{accepted.dialog} had no answer by {accepted.until}")
         return found
 
     def _find_wrong_answer(self, answer: Step) -> list[str]:
-        steps = self._history_of(answer.dialog)
-        words = [step.word for step in steps if step.kind == "answered"]
-        if not steps or steps[0].kind != "taken":
+        steps = self._steps_since_accepted(answer.dialog)
+        answers = [step.detail for step in steps if step.kind == "answered"]
+        if not steps or steps[0].kind != "accepted":
             return [f"{answer.dialog} was never taken"]
         if answer.kind == "ended":
-            is_over = any(step.kind == "ended" for step in steps)
-            return [] if words == ["stands"] and not is_over else [f"{answer.dialog} ended after {words}"]
-        reasons = [f"{answer.dialog} was answered before: {words[0]}"] if words else []
+            has_ended = any(step.kind == "ended" for step in steps)
+            return (
+                [] if answers == ["stands"] and not has_ended else [f"{answer.dialog} ended after {answers}"]
+            )
+        reasons = [f"{answer.dialog} was answered before: {answers[0]}"] if answers else []
         if any(step.kind == "caller-gone" for step in steps):
             reasons.append(f"{answer.dialog} has nobody left to hear it")
         if answer.at > steps[0].until + self.slack:
@@ -122,41 +126,47 @@
             step
             for index, step in enumerate(steps)
             if step.kind == "sent"
-            and not any(end.kind in ATTEMPT_ENDS and end.leg == step.leg for end in steps[index + 1 :])
+            and not any(
+                end.kind in ATTEMPT_ENDS and end.attempt == step.attempt for end in steps[index + 1 :]
+            )
         ]
-        return [f"{sent.dialog}: leg {step.leg} at {step.server} is out still" for step in in_flight]
+        return [f"{sent.dialog}: leg {step.attempt} at {step.server} is out still" for step in in_flight]
 
     def _find_early_retry(self, sent: Step) -> list[str]:
         steps = [step for step in self.history if step.dialog == sent.dialog]
         for index, end in enumerate(steps):
-            if end.kind not in ATTEMPT_ENDS or end.kind in NEEDS_NO_RELEASE:
+            if end.kind not in ATTEMPT_ENDS or end.kind in ENDS_WITHOUT_RELEASE:
                 continue
-            was_established = any(step.kind == "stood" and step.leg == end.leg for step in steps[:index])
-            if not was_established and sent.at - end.at < self.release_wait - self.slack:
-                return [f"{sent.dialog} is sent {sent.at - end.at} ns after leg {end.leg}: {end.kind}"]
+            was_established = any(
+                step.kind == "established" and step.attempt == end.attempt for step in steps[:index]
+            )
+            if not was_established and sent.at - end.at < self.release_delay - self.slack:
+                return [f"{sent.dialog} is sent {sent.at - end.at} ns after leg {end.attempt}: {end.kind}"]
         return []
 
     # Rule 3
 
-    def _find_draining(self, sent: Step) -> list[str]:
+    def _find_out_of_service(self, sent: Step) -> list[str]:
         phase = ""
-        told_at = 0
+        out_of_service_since = 0
         for step in self.history:
-            if step.kind == "restarted" and step.edge == sent.edge:
+            if step.kind == "edge-restarted" and step.edge == sent.edge:
                 phase = ""
-            elif step.kind == "told" and (step.edge, step.server) == (sent.edge, sent.server):
+            elif step.kind == "endpoint-update" and (step.edge, step.server) == (sent.edge, sent.server):
                 # From the first time that it is out of service, however often that is told again.
-                is_repeated = step.word != "in-service" and phase in OUT_OF_SERVICE
-                told_at = told_at if is_repeated else step.at
-                phase = step.word
-        if phase in OUT_OF_SERVICE and sent.at > told_at + self.slack:
-            return [f"{sent.edge} was told at {told_at} that {sent.server} is {phase}"]
+                is_repeated = step.detail != "in-service" and phase in OUT_OF_SERVICE
+                out_of_service_since = out_of_service_since if is_repeated else step.at
+                phase = step.detail
+        if phase in OUT_OF_SERVICE and sent.at > out_of_service_since + self.slack:
+            return [f"{sent.edge} was told at {out_of_service_since} that {sent.server} is {phase}"]
         return []
 
     # Rule 4
 
     def _find_overload(self, sent: Step) -> list[str]:
-        starts = [step for step in self.history if step.kind == "began" and step.server == sent.server]
+        starts = [
+            step for step in self.history if step.kind == "server-started" and step.server == sent.server
+        ]
         if not starts or sent.at - starts[-1].at >= starts[-1].slow_start_duration:
             return []
         start = starts[-1]
--- a/tests/test_servermodel.py
+++ b/tests/test_servermodel.py
@@ -16,21 +16,23 @@
 from valverouter.servermodel.server import SetupServer
 
 MS, SECOND = 10**6, 10**9
-PLAIN = ServerProfile(lines=3, setup_work=10 * MS, answer_work=2 * MS, release_work=2 * MS, reject_work=MS)
+DEFAULT_PROFILE = ServerProfile(
+    lines=3, setup_work=10 * MS, answer_work=2 * MS, release_work=2 * MS, reject_work=MS
+)
 
 
 # Small enough for every limit to be met within a few steps.
-BUSY = ServerProfile(
+SMALL_PROFILE = ServerProfile(
     lines=4,
     setup_work=20 * MS,
     ringing_duration=30 * MS,
     retransmit_interval=50 * MS,
     max_queue_delay=200 * MS,
 )
-KEEPS_OPEN = (ServerEventKind.PROVISIONAL, ServerEventKind.ESTABLISHED)
+OPEN_EVENT_KINDS = (ServerEventKind.PROVISIONAL, ServerEventKind.ESTABLISHED)
 
 
-def server(profile: ServerProfile = PLAIN, **options: Any) -> SetupServer:
+def server(profile: ServerProfile = DEFAULT_PROFILE, **options: Any) -> SetupServer:
     return SetupServer(profile, random.Random(3).random, **options)
 
 
@@ -43,27 +45,27 @@
     return [(event.key[1], event.kind.name, event.at // MS) for event in model.advance(until)]
 
 
-def test_set_up_answer_and_release_pass_one_processor() -> None:
+def test_set_ups_answers_and_releases_share_one_processor() -> None:
     model = server()
     model.setup(0, key(0), 7, SECOND)
     model.setup(0, key(1), 7, SECOND)
     assert model.queue_delay(0) == 20 * MS
     assert model.queued_setups == 1
-    course = events(model, 5 * SECOND)
+    timeline = events(model, 5 * SECOND)
     # The second set-up goes ahead of the first one's answer, which waits behind new set-ups.
-    assert course[:4] == [
+    assert timeline[:4] == [
         ("d0", "PROVISIONAL", 10),
         ("d1", "PROVISIONAL", 20),
         ("d0", "ESTABLISHED", 22),
         ("d1", "ESTABLISHED", 24),
     ]
-    assert course[4:] == [("d0", "ENDED", 1024), ("d1", "ENDED", 1026)]
+    assert timeline[4:] == [("d0", "ENDED", 1024), ("d1", "ENDED", 1026)]
     assert model.free_lines == 3
     assert not model.legs
     assert model.next_event_at() is None
 
 
-def test_a_set_up_is_rejected_when_the_queue_delay_is_too_long_and_that_costs_work_too() -> None:
+def test_a_set_up_is_rejected_at_a_long_queue_delay_and_the_rejection_costs_work() -> None:
     model = server(
         ServerProfile(setup_work=10 * MS, max_queue_delay=25 * MS, reject_work=MS, sends_retry_after=True)
     )
@@ -83,7 +85,7 @@
     assert model.next_event_at() == int(10 * MS / share)
 
 
-def test_degrading_grows_and_ends() -> None:
+def test_degradation_grows_linearly_until_it_ends() -> None:
     model = server()
     model.start_degrading(0, 3.0, 10 * SECOND)
     assert [round(1 / model.processor_speed(at * SECOND), 2) for at in (0, 5, 10, 20)] == [1.0, 2.0, 3.0, 3.0]
@@ -91,7 +93,7 @@
     assert model.processor_speed(5 * SECOND) == 1.0
 
 
-def test_a_hung_server_answers_nothing_and_goes_on_where_it_was() -> None:
+def test_a_hung_server_sends_no_answer_and_resumes_its_current_job() -> None:
     model = server()
     model.setup(0, key(0), 7, SECOND)
     model.set_hung(4 * MS, True)
@@ -102,7 +104,7 @@
     assert events(model, SECOND + 16 * MS) == [("d0", "PROVISIONAL", 1006), ("d1", "PROVISIONAL", 1016)]
 
 
-def test_lines_and_called_numbers_run_out() -> None:
+def test_lines_of_the_server_and_of_called_numbers_are_limited() -> None:
     numbers = CalledNumbers({9: 1})
     model = server(called_numbers=numbers)
     for number in range(5):
@@ -119,7 +121,7 @@
     assert numbers.acquire(9), "a crash frees the lines behind a number too"
 
 
-def test_lines_lost_cut_their_dialogs() -> None:
+def test_dialogs_on_lost_lines_are_interrupted() -> None:
     model = server(ServerProfile(lines=10, setup_work=MS))
     for number in range(8):
         model.setup(0, key(number), 7, 60 * SECOND)
@@ -131,7 +133,7 @@
     assert model.free_lines == 5
 
 
-def test_retransmissions_are_work_at_doubling_intervals_until_processed() -> None:
+def test_retransmissions_cost_work_at_doubling_intervals_until_the_set_up_is_processed() -> None:
     model = server(
         ServerProfile(
             setup_work=SECOND,
@@ -146,11 +148,16 @@
     assert model.counters.retransmissions == 2 + 1  # d0 at 500 ms; d1 at 500 and 1500 ms
 
 
-@pytest.mark.parametrize(("drops", "due"), [(True, 10 * MS + 2 * MS), (False, 20 * MS)])
-def test_a_cancelled_set_up_may_still_be_worked_on(drops: bool, due: int) -> None:
+@pytest.mark.parametrize(("drops_cancelled", "due"), [(True, 10 * MS + 2 * MS), (False, 20 * MS)])
+def test_a_cancelled_set_up_is_still_processed_unless_the_server_drops_it(
+    drops_cancelled: bool, due: int
+) -> None:
     model = server(
         ServerProfile(
-            setup_work=10 * MS, release_work=2 * MS, drops_cancelled_setups=drops, ringing_duration=SECOND
+            setup_work=10 * MS,
+            release_work=2 * MS,
+            drops_cancelled_setups=drops_cancelled,
+            ringing_duration=SECOND,
         )
     )
     model.setup(0, key(0), 7, SECOND)
@@ -158,10 +165,10 @@
     model.cancel(MS, key(1))
     assert events(model, MS) == [("d1", "CANCELLED", 1)]
     model.advance(10 * MS)
-    assert (model.next_event_at() == 20 * MS) == (not drops)
+    assert (model.next_event_at() == 20 * MS) == (not drops_cancelled)
     model.setup(10 * MS, key(1), 7, SECOND)  # the same key again: the old work is not its
     assert [event for event in events(model, 200 * MS) if event[0] == "d1"] == [
-        ("d1", "PROVISIONAL", 20 if drops else 30)
+        ("d1", "PROVISIONAL", 20 if drops_cancelled else 30)
     ]
 
 
@@ -184,7 +191,7 @@
     assert model.free_lines == 2
 
 
-SLOW_STARTING = ServerProfile(
+SLOW_START_PROFILE = ServerProfile(
     setup_work=100 * MS,
     slow_start_fraction=0.5,
     slow_start_duration=10 * SECOND,
@@ -194,7 +201,7 @@
 
 
 @pytest.mark.parametrize(
-    ("count", "at", "fell"),
+    ("count", "at", "crashes"),
     [
         (10, 0, False),
         (11, 0, True),
@@ -203,28 +210,28 @@
         (16, 5 * SECOND, True),
     ],
 )
-def test_a_process_in_slow_start_crashes_past_its_budget_and_stays_down(
-    count: int, at: int, fell: bool
+def test_a_process_in_slow_start_crashes_above_its_budget_and_stays_down(
+    count: int, at: int, crashes: bool
 ) -> None:
-    model = server(SLOW_STARTING)
+    model = server(SLOW_START_PROFILE)
     model.start(0)
     for number in range(count):
         model.setup(at, key(number), 7, SECOND)
-    assert model.crashed_by_overload == fell
-    assert model.is_running != fell
-    if fell:
+    assert model.crashed_by_overload == crashes
+    assert model.is_running != crashes
+    if crashes:
         model.start(SECOND)
         assert not model.is_running
 
 
 def test_slow_start_reaches_full_speed() -> None:
-    model = server(SLOW_STARTING)
+    model = server(SLOW_START_PROFILE)
     assert model.processor_speed(0) == 1.0, "one that has run for long is at full speed"
     model.start(0)
     assert [model.processor_speed(at * SECOND) for at in (0, 5, 10)] == [0.5, 0.75, 1.0]
 
 
-def test_a_restarted_process_keeps_nothing_of_the_one_before() -> None:
+def test_a_restarted_process_has_no_state_of_the_previous_one() -> None:
     model = server()
     for at in range(5):
         model.start(at * SECOND)
@@ -247,7 +254,7 @@
     assert 650 < model.counters.established < 750
 
 
-class ServerCourse:
+class ServerDriver:
     """Drives a server by random steps; counts how often each leg was opened and closed by an event."""
 
     def __init__(self, model: SetupServer) -> None:
@@ -258,7 +265,7 @@
 
     def advance(self) -> None:
         for event in self.model.advance(self.now):
-            self.closed[event.key] += event.kind not in KEEPS_OPEN
+            self.closed[event.key] += event.kind not in OPEN_EVENT_KINDS
 
     def step(self, kind: str, number: int) -> None:
         model, now = self.model, self.now
@@ -270,7 +277,7 @@
                 model.cancel(now, key(number))
             case "release":
                 model.release(now, key(number))
-            case "lost":
+            case "connection-lost":
                 self.opened.subtract(list(model.legs))
                 model.on_connection_lost(now, "e0")
             case _:
@@ -282,7 +289,7 @@
             case "crash":
                 self.opened.subtract(list(model.legs))
                 model.crash(now)
-            case "keep":
+            case "limit-lines":
                 model.limit_lines(now, number / 6)
             case "hang":
                 model.set_hung(now, number % 2 == 0)
@@ -295,22 +302,34 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["setup", "cancel", "release", "lost", "keep", "hang", "slow", "crash", "start"]),
+            st.sampled_from(
+                [
+                    "setup",
+                    "cancel",
+                    "release",
+                    "connection-lost",
+                    "limit-lines",
+                    "hang",
+                    "slow",
+                    "crash",
+                    "start",
+                ]
+            ),
             st.integers(0, 6),
             st.integers(0, 300),
         ),
         max_size=60,
     )
 )
-def test_lines_are_conserved_and_each_leg_closes_once(steps: list[tuple[str, int, int]]) -> None:
-    model = server(BUSY)
-    course = ServerCourse(model)
+def test_lines_are_released_and_each_leg_closes_once(steps: list[tuple[str, int, int]]) -> None:
+    model = server(SMALL_PROFILE)
+    driver = ServerDriver(model)
     for kind, number, elapsed in steps:
-        course.now += elapsed * MS
-        course.advance()
-        course.step(kind, number)
-        course.advance()
+        driver.now += elapsed * MS
+        driver.advance()
+        driver.step(kind, number)
+        driver.advance()
         held = sum(leg.holds_line for leg in model.legs.values())
         assert held == model.held_lines <= model.profile.lines
         # Each set-up closes once; legs removed without an event (crash, lost connection) are not open.
-        assert all(course.closed[leg] + (leg in model.legs) == course.opened[leg] for leg in course.opened)
+        assert all(driver.closed[leg] + (leg in model.legs) == driver.opened[leg] for leg in driver.opened)
--- a/valverouter/emulator/call_generation.py
+++ b/valverouter/emulator/call_generation.py
@@ -44,9 +44,9 @@
         self._arrivals = ArrivalProcess(pattern, self._arrival_draws.exponential, self._starts_at)
         self._traffic_types = list(scenario.mix)
         self._weights = [scenario.mix[traffic_type].share for traffic_type in self._traffic_types]
-        self._server_numbers = self._preferred_numbers()
+        self._server_numbers = self._preferred_server_numbers()
 
-    def _preferred_numbers(self) -> list[int]:
+    def _preferred_server_numbers(self) -> list[int]:
         scenario = self._fleet.scenario
         numbers = list(range(scenario.server_count))
         if not scenario.callers.local:
--- a/valverouter/emulator/edge_attempts.py
+++ b/valverouter/emulator/edge_attempts.py
@@ -158,7 +158,7 @@
         if link is None or link.connection is not answer.connection or key not in link.attempts:
             return
         dialog = self._dialogs.open.get(dialog_id)
-        if link.attempts[key] or dialog is None or not _is_of_link(dialog, attempt, link):
+        if link.attempts[key] or dialog is None or not _uses_link(dialog, attempt, link):
             if outcome is not Outcome.ESTABLISHED and not link.attempts.pop(key):
                 self._report(AttemptResult(dialog_id, attempt, server, outcome))
             self._runtime.driver.update_load(server, answer.load_report)
@@ -177,7 +177,7 @@
         """All attempts on a link are reset; its established dialogs end."""
         for dialog_id, attempt in link.take_attempts():
             dialog = self._dialogs.open.get(dialog_id)
-            is_current = dialog is not None and _is_of_link(dialog, attempt, link)
+            is_current = dialog is not None and _uses_link(dialog, attempt, link)
             if dialog is not None and is_current and not dialog.is_established:
                 self._conclude(dialog, Outcome.RESET)
                 continue
@@ -200,5 +200,5 @@
     return dialog is not None and dialog.attempt == attempt and not dialog.is_established
 
 
-def _is_of_link(dialog: OpenDialog, attempt: int, link: ServerLink) -> bool:
+def _uses_link(dialog: OpenDialog, attempt: int, link: ServerLink) -> bool:
     return dialog.link is link and dialog.attempt == attempt
--- a/valverouter/emulator/edge_dialogs.py
+++ b/valverouter/emulator/edge_dialogs.py
@@ -35,7 +35,7 @@
             time_left = min(time_left, policy.no_answer_timeout)
         self.start_flow(request, now + time_left, policy)
 
-    def refuse(self, request: DialogRequest) -> None:
+    def reject_request(self, request: DialogRequest) -> None:
         """Rejects a dialog that was never opened, since this process drains."""
         self.notify(CallerMessage.REJECTED, request.dialog_id, self._runtime.plan.deployment.max_retry_after)
 
--- a/valverouter/emulator/edge_faults.py
+++ b/valverouter/emulator/edge_faults.py
@@ -41,7 +41,7 @@
             self._targets.record(fault, edge.name)
             edge.kill()
         yield self._targets.wait(fault.length)
-        self._start(edges)
+        self._start_edges(edges)
 
     def _restart(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         """Drained, ended and started again; each ends once all its dialogs are answered, or at its limit."""
@@ -59,9 +59,9 @@
             if draining:
                 yield self._targets.wait(DRAIN_POLL_INTERVAL)
         yield self._targets.wait(fault.length)
-        self._start(edges)
+        self._start_edges(edges)
 
-    def _start(self, edges: list[EmulatedEdge]) -> None:
+    def _start_edges(self, edges: list[EmulatedEdge]) -> None:
         for edge in edges:
             edge.start(self._fleet.endpoint_list.complete())
 
--- a/valverouter/emulator/edge_links.py
+++ b/valverouter/emulator/edge_links.py
@@ -87,14 +87,14 @@
         if is_stale or not link.is_listed or link.connection is not None:
             return
         link.is_connecting = True
-        if self._accepts(server):
+        if self._accepts_connection(server):
             duration = 2 * runtime.delay(server) + CONNECT_DURATION
             runtime.sim.call_after(duration, self._on_connected, incarnation, link, server.incarnation)
         else:
             duration = HELLO_TIMEOUT if server.is_silent else CONNECT_DURATION
             runtime.sim.call_after(duration, self._on_connect_failed, incarnation, link)
 
-    def _accepts(self, server: EmulatedServer) -> bool:
+    def _accepts_connection(self, server: EmulatedServer) -> bool:
         return server.model.is_running and self.name not in server.refused_edges
 
     def _on_connect_failed(self, incarnation: int, link: ServerLink) -> None:
@@ -111,7 +111,7 @@
         is_stale = incarnation != runtime.incarnation or not runtime.is_running
         if is_stale or link.connection is not None:
             return
-        if not self._accepts(server) or server.incarnation != server_incarnation:
+        if not self._accepts_connection(server) or server.incarnation != server_incarnation:
             self._on_connect_failed(incarnation, link)
             return
         self._last_serial += 1
@@ -151,7 +151,7 @@
 
     def update_endpoints(self, kind: EndpointUpdateKind, entries: Sequence[ListedEndpoint]) -> None:
         """Passes an update of the endpoint list to the driver, and connects to new servers."""
-        endpoints = [self._started_endpoint(entry) for entry in entries]
+        endpoints = [self._with_start_time(entry) for entry in entries]
         self._runtime.driver.update_endpoints(kind, endpoints)
         links = self._runtime.links
         for endpoint in endpoints:
@@ -164,7 +164,7 @@
                 if not link.is_listed and link.connection is None:
                     del links[endpoint.id]
 
-    def _started_endpoint(self, entry: ListedEndpoint) -> Endpoint:
+    def _with_start_time(self, entry: ListedEndpoint) -> Endpoint:
         endpoint = entry.endpoint
         started_at = self._record_start(endpoint.id, entry.incarnation, entry.age)
         return Endpoint(endpoint.id, endpoint.number, endpoint.in_service, started_at, endpoint.region)
--- a/valverouter/emulator/edge_recovery.py
+++ b/valverouter/emulator/edge_recovery.py
@@ -72,9 +72,9 @@
         else:
             dialog.recovery_action = RecoveryAction.AWAIT_RELEASE
             wait = runtime.plan.deployment.release_delay
-        runtime.sim.call_after(wait, runtime.handle, self._on_waited, runtime.incarnation, dialog)
+        runtime.sim.call_after(wait, runtime.handle, self._on_wait_elapsed, runtime.incarnation, dialog)
 
-    def _on_waited(self, incarnation: int, dialog: OpenDialog) -> None:
+    def _on_wait_elapsed(self, incarnation: int, dialog: OpenDialog) -> None:
         is_open = self._dialogs.open.get(dialog.request.dialog_id) is dialog
         if incarnation != self._runtime.incarnation or not is_open:
             return
--- a/valverouter/emulator/edge_runtime.py
+++ b/valverouter/emulator/edge_runtime.py
@@ -97,9 +97,9 @@
         """Stops handling events for a duration, ns."""
         self._advance(self.sim.now())
         self._stalled_until = self.sim.now() + duration
-        self.sim.call_after(duration, self._on_stall_over, self.incarnation)
+        self.sim.call_after(duration, self._on_stall_ended, self.incarnation)
 
-    def _on_stall_over(self, incarnation: int) -> None:
+    def _on_stall_ended(self, incarnation: int) -> None:
         now = self.sim.now()
         if incarnation != self.incarnation or not self.is_running or now < self._stalled_until:
             return
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -100,7 +100,7 @@
 
     def _on_request(self, request: DialogRequest) -> None:
         if self._is_draining:
-            self.dialogs.refuse(request)
+            self.dialogs.reject_request(request)
         else:
             self.dialogs.accept(request)
 
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -66,23 +66,23 @@
         settled_at = sim.now() + fleet.scenario.run.settle
         ends_at = settled_at + fleet.scenario.run.length
         sim.run(settled_at)
-        self._begin(ends_at)
+        self._start_load(ends_at)
         sim.run(ends_at)
         self._wait_for_answers(ends_at)
         return ScenarioResult(fleet.tap.rows, fleet.servers, self._load.dialled, self._samples)
 
-    def _begin(self, ends_at: int) -> None:
+    def _start_load(self, ends_at: int) -> None:
         fleet = self._fleet
         fleet.tap.record(CallersStartedRow)
         for name, fault in fleet.scenario.faults.items():
-            fleet.sim.env.process(self._fault(name, fault))
+            fleet.sim.env.process(self._run_fault(name, fault))
         for callers in fleet.callers:
             CallGenerator(fleet, self._load, callers, ends_at).start()
         self._advance_edges()
         if self._sample_interval:
             self._sample()
 
-    def _fault(self, name: str, fault: FaultConfig) -> FaultProcess:
+    def _run_fault(self, name: str, fault: FaultConfig) -> FaultProcess:
         yield self._fleet.sim.env.timeout(fault.start)
         yield from self._faults[fault.kind](fault, self._fleet.random_stream(f"trouble {name}"))
 
--- a/valverouter/servermodel/paths.py
+++ b/valverouter/servermodel/paths.py
@@ -40,18 +40,18 @@
     def affects(self, sender: str, receiver: str) -> bool:
         """Whether the fault, while active, affects datagrams between these two."""
         if self.kind == "split":
-            return _group_of(self.groups, sender) != _group_of(self.groups, receiver)
-        if self._names(sender, receiver):
+            return _find_group(self.groups, sender) != _find_group(self.groups, receiver)
+        if self._matches(sender, receiver):
             return True
-        return self.bidirectional and self._names(receiver, sender)
+        return self.bidirectional and self._matches(receiver, sender)
 
-    def _names(self, sender: str, receiver: str) -> bool:
+    def _matches(self, sender: str, receiver: str) -> bool:
         return (not self.senders or sender in self.senders) and (
             not self.receivers or receiver in self.receivers
         )
 
 
-def _group_of(groups: tuple[frozenset[str], ...], name: str) -> int | None:
+def _find_group(groups: tuple[frozenset[str], ...], name: str) -> int | None:
     return next((index for index, group in enumerate(groups) if name in group), None)
 
 
@@ -85,9 +85,9 @@
         delay = self._delay(sender, receiver)
         if not self._active:
             return (delay,)
-        return self._pass_faults(sender, receiver, delay)
+        return self._apply_faults(sender, receiver, delay)
 
-    def _pass_faults(self, sender: str, receiver: str, delay: int) -> tuple[int, ...]:
+    def _apply_faults(self, sender: str, receiver: str, delay: int) -> tuple[int, ...]:
         draw = self._draw
         copy_delay = None
         for fault in self._active:
--- a/valverouter/servermodel/server.py
+++ b/valverouter/servermodel/server.py
@@ -142,8 +142,8 @@
         self._timers.set(next_at, TimerKind.RETRANSMIT, key, leg.serial)
 
     def _on_setup_processed(self, now: int, key: LegKey, leg: Leg) -> None:
-        if (refusal := self._lines.acquire(leg.number)) is not None:
-            self._close(now, key, refusal)
+        if (rejection := self._lines.acquire(leg.number)) is not None:
+            self._close(now, key, rejection)
             return
         leg.holds_line = True
         leg.stage = LegStage.RINGING
