--- a/tests/reference_model.py
+++ b/tests/reference_model.py
@@ -1,7 +1,7 @@
-"""A reference model of the five rules: the history in one list, read again from its beginning at each step.
+"""A reference model of the five rules, which evaluates the complete history again at each step.
 
-It shares no code with the router or its audit, and is meant to be read and believed, not to be fast. A step
-is something that is about to happen; `step` says which rules it violates, and adds it to the history.
+It shares no code with the router or its audit, and is written for readability instead of speed. A step is an
+event that is about to occur; `RuleModel.step` returns the rules that it violates, and adds it to the history.
 """
 
 from __future__ import annotations
@@ -12,12 +12,15 @@
 
 @dataclass(frozen=True)
 class Step:
-    """What happens, and when, ns. Kinds:
+    """An event at time `at`, ns. Kinds:
 
-    taken (a dialog; `until`: its no-answer time), answered (`word`), ended (once established), caller-gone;
-    sent, stood, closed, timed-out, reset, let-go (an attempt; `unsent`: it never left);
-    told (`word`: the phase of `server` that `edge` receives), began (`server`, in slow start), restarted
-    (`edge`); held (`edge` does not run until `until`); passing (nothing but time).
+    Of a dialog: accepted (`until`: its no-answer deadline), answered (`detail`: the answer), ended (after it
+    was established), caller-gone.
+
+    Of an attempt: sent, established, closed, timed-out, reset, cancelled, unsent (it was never sent).
+
+    Of the fleet: endpoint-update (`edge` receives the phase `detail` of `server`), server-started (`server`,
+    in slow start), edge-restarted (`edge`), edge-stalled (`edge` is stalled until `until`), time-passed.
     """
 
     at: int
@@ -28,7 +31,7 @@
     attempt: int = 0
     until: int = 0
     detail: str = ""
-    # Of a server that began: its rate at full speed, and its slow start.
+    # For server-started: the rate at full speed, and the slow-start parameters.
     setups_per_second: float = 0.0
     slow_start_fraction: float = 1.0
     slow_start_duration: int = 0
@@ -42,7 +45,7 @@
 
 
 class RuleModel:
-    """The checks of one run. `slack`: the tolerance between clocks, ns; 0 in virtual time."""
+    """Checks the rules over one run. `slack`: tolerance for clock differences, ns; 0 in virtual time."""
 
     def __init__(self, release_delay: int, slack: int = 0) -> None:
         self.release_delay = release_delay
@@ -51,7 +54,7 @@
         self.violations: list[tuple[int, int, str]] = []
 
     def step(self, step: Step) -> list[int]:
-        """The rules that this violates, all of them; `violations` keeps rule, step number and reason."""
+        """Returns all rules that a step violates; `violations` collects rule, step number and reason."""
         found = [(1, reason) for reason in self._find_overdue(step)]
         match step.kind:
             case "answered" | "ended":
@@ -66,26 +69,26 @@
         return [rule for rule, _ in found]
 
     def counts(self) -> Counter[str]:
-        """How many steps there were of each kind, for some with their word."""
+        """Returns the number of steps by kind; answers and endpoint updates are counted by detail."""
         return Counter(
             f"{step.kind} {step.detail}" if step.kind in ("endpoint-update", "answered") else step.kind
             for step in self.history
         )
 
     def format_last(self, count: int = 12) -> str:
-        """The last steps, a line each."""
+        """Formats the last steps, one per line."""
         return "\n".join(map(str, self.history[-count:]))
 
     # Rule 1
 
     def _steps_since_accepted(self, dialog: str) -> list[Step]:
-        """What happened to a dialog since it was last taken."""
+        """Returns the steps of a dialog since it was last accepted."""
         steps = [step for step in self.history if step.dialog == dialog]
         accepted = [index for index, step in enumerate(steps) if step.kind == "accepted"]
         return steps[accepted[-1] :] if accepted else steps
 
     def _find_overdue(self, now: Step) -> list[str]:
-        """Dialogs whose time passes with this step, and that have no answer."""
+        """Finds unanswered dialogs whose deadline passes with this step."""
         last = self.history[-1].at if self.history else now.at
         found = []
         for index, accepted in enumerate(self.history):
@@ -105,7 +108,7 @@
         steps = self._steps_since_accepted(answer.dialog)
         answers = [step.detail for step in steps if step.kind == "answered"]
         if not steps or steps[0].kind != "accepted":
-            return [f"{answer.dialog} was never taken"]
+            return [f"{answer.dialog} was never accepted"]
         if answer.kind == "ended":
             has_ended = any(step.kind == "ended" for step in steps)
             return (
@@ -113,7 +116,7 @@
             )
         reasons = [f"{answer.dialog} was answered before: {answers[0]}"] if answers else []
         if any(step.kind == "caller-gone" for step in steps):
-            reasons.append(f"{answer.dialog} has nobody left to hear it")
+            reasons.append(f"{answer.dialog} is answered after its caller has gone")
         if answer.at > steps[0].until + self.slack:
             reasons.append(f"{answer.dialog} is answered {answer.at - steps[0].until} ns late")
         return reasons
@@ -130,7 +133,9 @@
                 end.kind in ATTEMPT_ENDS and end.attempt == step.attempt for end in steps[index + 1 :]
             )
         ]
-        return [f"{sent.dialog}: leg {step.attempt} at {step.server} is out still" for step in in_flight]
+        return [
+            f"{sent.dialog}: attempt {step.attempt} at {step.server} is still in flight" for step in in_flight
+        ]
 
     def _find_early_retry(self, sent: Step) -> list[str]:
         steps = [step for step in self.history if step.dialog == sent.dialog]
@@ -141,7 +146,9 @@
                 step.kind == "established" and step.attempt == end.attempt for step in steps[:index]
             )
             if not was_established and sent.at - end.at < self.release_delay - self.slack:
-                return [f"{sent.dialog} is sent {sent.at - end.at} ns after leg {end.attempt}: {end.kind}"]
+                return [
+                    f"{sent.dialog} is sent {sent.at - end.at} ns after attempt {end.attempt}: {end.kind}"
+                ]
         return []
 
     # Rule 3
@@ -153,12 +160,12 @@
             if step.kind == "edge-restarted" and step.edge == sent.edge:
                 phase = ""
             elif step.kind == "endpoint-update" and (step.edge, step.server) == (sent.edge, sent.server):
-                # From the first time that it is out of service, however often that is told again.
+                # Repeated updates do not change the time since which the server is out of service.
                 is_repeated = step.detail != "in-service" and phase in OUT_OF_SERVICE
                 out_of_service_since = out_of_service_since if is_repeated else step.at
                 phase = step.detail
         if phase in OUT_OF_SERVICE and sent.at > out_of_service_since + self.slack:
-            return [f"{sent.edge} was told at {out_of_service_since} that {sent.server} is {phase}"]
+            return [f"{sent.edge} received at {out_of_service_since} that {sent.server} is {phase}"]
         return []
 
     # Rule 4
@@ -172,7 +179,7 @@
         start = starts[-1]
         times = [step.at for step in self.history if step.kind == "sent" and step.server == sent.server]
         times = [at for at in times if at >= start.at] + [sent.at]
-        for first in times:  # every window that ends now, from each earlier set-up on
+        for first in times:  # all windows that begin at an earlier set-up and contain this one
             if sent.at - first >= start.overload_window:
                 continue
             count = sum(first <= at for at in times)
@@ -182,5 +189,5 @@
             overload_rate = start.overload_multiple * speed * start.setups_per_second
             limit = overload_rate * start.overload_window / 10**9
             if count >= limit:
-                return [f"{count} reached {sent.server} within a window that takes {limit:.1f}"]
+                return [f"{count} set-ups for {sent.server} in an overload window, limit {limit:.1f}"]
         return []
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: closed forms, the same rows every time, sources apart, and agreement with the edge proxy."""
+"""Tests of the emulator: closed-form queueing results, determinism, and agreement with the edge proxy."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 SCENARIOS = Path(__file__).parent.parent / "deploy" / "days"
 
 
-# Closed forms: a server of the model under Poisson arrivals
+# Closed forms: a modelled server under Poisson arrivals
 
 
 def simulate_server(
     profile: ServerProfile, rate: float, length: float, arrivals: int, seed: int
 ) -> tuple[list[int], float, float]:
-    """The waits that arrivals find, the share that finds the processor busy, the share without a line."""
+    """Returns the queue delays at arrival, and the fractions of arrivals that wait and that are blocked."""
     sim, draws, durations = Simulation(), RandomStream(seed, "arrivals"), RandomStream(seed, "lengths")
     model = SetupServer(profile, RandomStream(seed, "server").random)
     source, waits, busy, blocked = (
@@ -61,7 +61,7 @@
 
 
 def mean_and_error(values: list[float]) -> tuple[float, float]:
-    """Mean and bound over runs that owe each other nothing: 99.9% of Student's t with 11 degrees."""
+    """Returns the mean over independent runs and its error (Student's t, 99.9%, 11 degrees of freedom)."""
     mean = sum(values) / len(values)
     deviation = math.sqrt(sum((value - mean) ** 2 for value in values) / (len(values) - 1))
     return mean, 4.44 * deviation / math.sqrt(len(values))
@@ -76,12 +76,13 @@
     profile = ServerProfile(setup_work=10 * MS, random_work_fraction=random_fraction, **UNLIMITED)
     runs = [simulate_server(profile, rho * 100, 0, 4_000, seed) for seed in range(12)]
     mean, error = mean_and_error([sum(waits) / len(waits) for waits, _, _ in runs])
-    # Pollaczek and Khinchine: rho s (1 + c^2) / 2 (1 - rho), c^2 0 for fixed work and 1 for exponential.
+    # Pollaczek-Khinchine formula: rho s (1 + c^2) / 2 (1 - rho); c^2 is 0 for fixed and 1 for exponential
+    # work.
     expected = rho * 10 * MS * (1 + random_fraction) / (2 * (1 - rho))
     assert abs(mean - expected) <= error, name
-    assert error < 0.35 * expected, "the bound says something"
+    assert error < 0.35 * expected, "the error is small enough for the comparison to be meaningful"
     busy_fraction, error = mean_and_error([busy for _, busy, _ in runs])
-    assert abs(busy_fraction - rho) <= max(error, 0.01), "Erlang C of one server is its load"
+    assert abs(busy_fraction - rho) <= max(error, 0.01), "for one server, Erlang C equals the load"
 
 
 @pytest.mark.parametrize(("lines", "load"), [(8, 6.0), (20, 20.0), (3, 1.0)])
@@ -138,7 +139,7 @@
     assert sum(repetitions) / len(repetitions) == pytest.approx(times, rel=0.08)
 
 
-# Days
+# Scenarios
 
 
 def load_shortened(name: str) -> ScenarioConfig:
@@ -162,9 +163,11 @@
 
 
 def test_an_edge_proxy_killed_during_a_stall_handles_events_after_its_restart() -> None:
-    """The new process went on deferring all events: the end of a stall was told to its own process alone.
+    """Guards against a stall that outlives its process.
 
-    Of a day of 8 s, e0's callers had no answer from the stall's beginning on.
+    The end of a stall applies only to the process that was stalled. When the stall state was kept over a
+    restart, the new process deferred all events, and in a scenario of 8 s e0's callers had no answer after
+    the beginning of the stall.
     """
     text = (SCENARIOS / "bad-day.ini").read_text().replace("length = 30s", "length = 8s")
     text = text[: text.index("[trouble")] + STALLED_THEN_KILLED
@@ -174,7 +177,7 @@
         for row in rows
         if isinstance(row, MessageRow) and row.edge == "e0" and row.kind == "stands" and not row.sent
     ]
-    # The callers start 1 s after the record does.
+    # The callers start 1 s after the beginning of the record.
     assert sum(time < 2 for time in answers) > 5
     assert sum(time > 4.5 for time in answers) > 20
 
@@ -189,7 +192,7 @@
 
 
 def test_random_streams_are_independent() -> None:
-    # Twice the servers' reports draw twice as much; the callers dial at the same moments all the same.
+    # Servers that report twice as often draw twice as many numbers; the callers' dial times must not change.
     scenario = load_shortened("bad-day.ini")
     frequent_reports = msgspec.structs.replace(
         scenario, servers=msgspec.structs.replace(scenario.servers, report_every=250 * MS)
@@ -240,7 +243,8 @@
 
 
 def test_the_emulator_and_the_edge_proxy_agree_on_a_scenario() -> None:
-    # Six kinds of trouble over many seeds are in benchmarks/agreement.py; here the draws of one day differ.
+    # benchmarks/agreement.py compares six kinds of fault over many seeds. Here the random draws of the two
+    # runs differ, so the service levels agree only within a tolerance.
     text = (SCENARIOS / "bad-day.ini").read_text()
     text = text[: text.index("[trouble ")].replace("length = 30s", "length = 10s")
     text += "[trouble slow]\nkind = slow\nstart = 2s\nlength = 4s\nsize = 4\non = s0, s3\n"
@@ -269,7 +273,7 @@
     scenario = load_shortened("bad-day.ini")
     fleet = Fleet(scenario, edge_plans(scenario))
     simulate_scenario(fleet)
-    fleet.sim.run(fleet.sim.now() + 120 * SECOND)  # the longest dialogs end
+    fleet.sim.run(fleet.sim.now() + 120 * SECOND)  # until the longest dialogs have ended
     for edge in fleet.edges:
         assert not edge.open_dialogs
         assert not any(link.attempts for link in edge.links.values())
@@ -277,7 +281,8 @@
 
 
 async def test_a_link_removes_a_cancelled_attempt(autojump_clock: MockClock) -> None:
-    # Found beside the emulated edge: the closing word of a leg let go left its entry for the link's life.
+    # Guards against a leak: the answer to a cancelled attempt left its entry in the table for the life of the
+    # link. A comparison with the emulated edge proxy found it.
     async with running_edge(1) as harness:
         caller = await harness.caller()
         await caller.send(dial())
@@ -298,7 +303,7 @@
         0 <= sample.token_fraction <= 1 and sample.window > 0 and sample.queue_delay >= 0
         for sample in result.samples
     )
-    assert run_emulated(load_shortened("bad-day.ini")).rows == result.rows, "looking changes nothing"
+    assert run_emulated(load_shortened("bad-day.ini")).rows == result.rows, "sampling does not change the run"
     page = day_page("bad <day>", result)
     assert page.count("<polyline") > 10
     assert "bad &lt;day&gt;" in page
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -1,4 +1,4 @@
-"""The reference model beside the real code, step by step, over fixed seeds; planted faults are caught."""
+"""Compares the router with the reference model at each step over fixed seeds, with and without defects."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling import setup, traffic_record
 
-# RowChecker the Driver: a fleet of three, each with its own draws of what becomes of each leg.
+# The model compared with the Driver: a fleet of three drivers, with random outcomes of their attempts.
 
 EDGES, SETUPS_PER_SECOND, MEAN_DURATION = 3, 20.0, 2 * SECOND
 DEPLOYMENT_SETTINGS: dict[str, Any] = {
@@ -55,7 +55,7 @@
 
 
 class DriverFleet:
-    """Three Drivers in drawn events; every wish of theirs is shown to the model before it is carried out."""
+    """Three Drivers with random events; the model checks each of their actions before it is carried out."""
 
     def __init__(self, seed: int, tamper: Tamper | None = None, **other: Any) -> None:
         self.rng = random.Random(seed)
@@ -70,9 +70,8 @@
         self.established_counts: Counter[str] = Counter()
         self.drivers = [self._driver(fleet_index) for fleet_index in range(EDGES)]
         self.stalled_until = [0] * EDGES
-        self.in_flight: dict[
-            str, tuple[int, int, str, int]
-        ] = {}  # dialog: place, leg, server, of its leg out
+        # The attempt in flight by dialog: fleet index, attempt number, server, id of the driver.
+        self.in_flight: dict[str, tuple[int, int, str, int]] = {}
         self.event_heap: list[tuple[int, int, Callable[[], None]]] = []
         self.serial = 0
         self.dialogs = 0
@@ -103,11 +102,11 @@
         self.serial += 1
         heapq.heappush(self.event_heap, (self.now + delay, self.serial, action))
 
-    # What happens
+    # Events
 
     def run(self, length: int) -> None:
         end = self.now + length
-        self.last_arrival = end - 15 * SECOND  # so that all get their answers in the run
+        self.last_arrival = end - 15 * SECOND  # so that all dialogs are answered within the run
         self.schedule(0, self.on_arrival)
         self.schedule(SECOND, self.inject_fault)
         for fleet_index in range(EDGES):
@@ -121,7 +120,7 @@
     def deliver(
         self, fleet_index: int, action: Callable[[Driver], None], driver: Driver | None = None
     ) -> None:
-        """Hands something to a Driver; to one that is held once it runs again, to a former one never."""
+        """Passes an event to a Driver: to a stalled one after its stall, never to one that was replaced."""
         target = driver or self.drivers[fleet_index]
         if self.now < self.stalled_until[fleet_index]:
             self.schedule(
@@ -155,7 +154,7 @@
             step.kind == "edge-restarted" and step.edge == f"e{fleet_index}"
             for step in self.rules.history[-400:]
         ):
-            return  # it may be of the former process, which is known to nobody here any more
+            return  # the dialog may belong to the previous process, whose dialogs are lost
         self.step("caller-gone", dialog=dialog)
         if (current := self.in_flight.pop(dialog, None)) is not None:
             self.step("cancelled", dialog=dialog, attempt=current[1], server=current[2])
@@ -164,12 +163,10 @@
     def finish_attempt(
         self, dialog: str, fleet_index: int, attempt: int, server: str, outcome: Outcome, driver: Driver
     ) -> None:
-        """A leg's end; told only where that leg is the one out, at the process that sent it."""
+        """Finishes an attempt; ignored unless it is the one in flight, at the process that sent it."""
         if self.in_flight.get(dialog) != (fleet_index, attempt, server, id(driver)):
             return
-        if (
-            delay := self.stalled_until[fleet_index] - self.now
-        ) > 0:  # nothing is heard or done by a held process
+        if (delay := self.stalled_until[fleet_index] - self.now) > 0:  # a stalled process defers it
             self.schedule(
                 delay, lambda: self.finish_attempt(dialog, fleet_index, attempt, server, outcome, driver)
             )
@@ -250,11 +247,11 @@
             )
 
     def _on_endpoint_update(self, driver: Driver, fleet_index: int, server: str) -> None:
-        # What is told is what holds at the moment of hearing, which a held process reaches late.
+        # An update has the phase at the time when it is handled; a stalled process handles it late.
         self.record_endpoint_update(fleet_index, server)
         driver.update_endpoints(EndpointUpdateKind.INCREMENTAL, [self.entry(server)])
 
-    # What the decisions wish
+    # Commands of the drivers
 
     def run_commands(self, fleet_index: int) -> None:
         driver = self.drivers[fleet_index]
@@ -285,7 +282,7 @@
                 self.answer(dialog, fleet_index, detail)
 
     def answer(self, dialog: str, fleet_index: int, detail: str) -> None:
-        """An edge proxy that was held past the caller's time withholds the answer."""
+        """Records an answer; an edge proxy that was stalled beyond the deadline sends none."""
         if (
             self.now <= self.deadlines[dialog]
             or not self.stalled_until[fleet_index] >= self.deadlines[dialog]
@@ -429,11 +426,11 @@
     assert {rule for rule, _, _ in fleet.rules.violations} == {5}
 
 
-# RowChecker whole edge proxies in virtual time, row by row as bytes pass the sockets
+# The model compared with whole edge proxies in virtual time, at each recorded row
 
 
 class RowChecker:
-    """Turns rows into steps of the model, at the moment they are written."""
+    """Turns rows into steps of the model as they are recorded."""
 
     def __init__(self, scenario: ScenarioConfig) -> None:
         self.rules = RuleModel(scenario.fleet.release_wait)
@@ -530,7 +527,7 @@
 def run_with_model(
     scenario: ScenarioConfig, prepare: Callable[[ScenarioFakes, list[VirtualEdge]], None] | None = None
 ) -> tuple[RowChecker, set[int]]:
-    """Plays the day with the model beside it; beside it, what the audit finds in the same rows."""
+    """Runs the scenario with the model; returns its checker, and the rules that the audit finds violated."""
     checker = RowChecker(scenario)
 
     def prepare_both(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
@@ -544,7 +541,7 @@
 
 
 def reload_attempt_policies(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-    """Other attempt terms at each edge proxy, every 700 ms, whatever its dialogs are doing."""
+    """Changes the attempt policy of every edge proxy every 700 ms, regardless of open dialogs."""
 
     def reload(times: int) -> None:
         for edge in edges:
@@ -602,7 +599,7 @@
 
 
 def inject_defect(monkeypatch: pytest.MonkeyPatch, rule: int) -> Any:
-    """One fault in the edge proxy; what it returns prepares the day."""
+    """Injects a defect that violates `rule` into the edge proxy; may return a function to prepare the run."""
     match rule:
         case 1:
             original_answer = DialogTable.answer
--- a/tests/test_servermodel.py
+++ b/tests/test_servermodel.py
@@ -1,4 +1,4 @@
-"""The server model, with the time passed in by the tests."""
+"""Tests of the server model; the tests pass in the time."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-# Small enough for every limit to be met within a few steps.
+# Limits small enough to be reached within a few steps.
 SMALL_PROFILE = ServerProfile(
     lines=4,
     setup_work=20 * MS,
@@ -41,7 +41,7 @@
 
 
 def events(model: SetupServer, until: int) -> list[tuple[str, str, int]]:
-    """Dialog, kind and time in ms of what happens until then."""
+    """Returns the dialog, kind and time (ms) of the events up to `until`."""
     return [(event.key[1], event.kind.name, event.at // MS) for event in model.advance(until)]
 
 
@@ -52,7 +52,7 @@
     assert model.queue_delay(0) == 20 * MS
     assert model.queued_setups == 1
     timeline = events(model, 5 * SECOND)
-    # The second set-up goes ahead of the first one's answer, which waits behind new set-ups.
+    # The second set-up is processed before the first answer, because set-ups are prioritized.
     assert timeline[:4] == [
         ("d0", "PROVISIONAL", 10),
         ("d1", "PROVISIONAL", 20),
@@ -118,7 +118,7 @@
         "d4": "NO_AGENT",
     }
     model.crash(SECOND)
-    assert numbers.acquire(9), "a crash frees the lines behind a number too"
+    assert numbers.acquire(9), "a crash also frees the lines of called numbers"
 
 
 def test_dialogs_on_lost_lines_are_interrupted() -> None:
@@ -166,7 +166,7 @@
     assert events(model, MS) == [("d1", "CANCELLED", 1)]
     model.advance(10 * MS)
     assert (model.next_event_at() == 20 * MS) == (not drops_cancelled)
-    model.setup(10 * MS, key(1), 7, SECOND)  # the same key again: the old work is not its
+    model.setup(10 * MS, key(1), 7, SECOND)  # the same key; the cancelled job is not this leg's
     assert [event for event in events(model, 200 * MS) if event[0] == "d1"] == [
         ("d1", "PROVISIONAL", 20 if drops_cancelled else 30)
     ]
@@ -226,7 +226,7 @@
 
 def test_slow_start_reaches_full_speed() -> None:
     model = server(SLOW_START_PROFILE)
-    assert model.processor_speed(0) == 1.0, "one that has run for long is at full speed"
+    assert model.processor_speed(0) == 1.0, "a process that has always run is at full speed"
     model.start(0)
     assert [model.processor_speed(at * SECOND) for at in (0, 5, 10)] == [0.5, 0.75, 1.0]
 
@@ -255,7 +255,7 @@
 
 
 class ServerDriver:
-    """Drives a server by random steps; counts how often each leg was opened and closed by an event."""
+    """Drives a server with random steps; counts how often each leg was opened and closed by an event."""
 
     def __init__(self, model: SetupServer) -> None:
         self.model = model
@@ -331,5 +331,5 @@
         driver.advance()
         held = sum(leg.holds_line for leg in model.legs.values())
         assert held == model.held_lines <= model.profile.lines
-        # Each set-up closes once; legs removed without an event (crash, lost connection) are not open.
+        # Each set-up closes once; `opened` excludes legs removed without an event (crash, lost connection).
         assert all(driver.closed[leg] + (leg in model.legs) == driver.opened[leg] for leg in driver.opened)
--- a/valverouter/emulator/__init__.py
+++ b/valverouter/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Whole fleets in simulated time: the unchanged routing policy, the server model of the fakes, day files."""
+"""Whole fleets in simulated time, with the production routing policy and the fakes' server model."""
--- a/valverouter/emulator/call_generation.py
+++ b/valverouter/emulator/call_generation.py
@@ -1,4 +1,4 @@
-"""The calls of a day: drawn arrivals or those on record, dialled by the callers of each edge proxy."""
+"""Generates the calls of a scenario at each edge proxy, from random arrivals or from recorded calls."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 
+# The called number that mass-calling faults direct calls to; drawn numbers start above it.
 MASS_CALLED_NUMBER = 1
 MIN_CALLED_NUMBER = 100
 CALLED_NUMBERS = 10**6
@@ -17,9 +18,9 @@
 
 @dataclass(slots=True)
 class CallLoad:
-    """What faults change of the load, and how many calls were dialled.
+    """The parameters of the load that faults change, and the number of calls dialled.
 
-    `rate_factor` multiplies the day's rate; `mass_call_fraction` of the calls go to one number.
+    `rate_factor` multiplies the scenario's rate; `mass_call_fraction` of the calls go to one called number.
     """
 
     rate_factor: float = 1.0
@@ -28,7 +29,7 @@
 
 
 class CallGenerator:
-    """Dials at one edge proxy from its start until `ends_at`, ns."""
+    """Dials calls at one edge proxy from its creation until `ends_at`, ns."""
 
     def __init__(self, fleet: Fleet, load: CallLoad, callers: EmulatedCallers, ends_at: int) -> None:
         scenario, fleet_index = fleet.scenario, callers.fleet_index
@@ -55,7 +56,7 @@
         return [number for number in numbers if scenario.region_of_server(number) == home_region] or numbers
 
     def start(self) -> None:
-        """Schedules the first call; each schedules the next, so that the calendar holds one at a time."""
+        """Schedules the first call. Each call schedules the next, so that only one is queued at a time."""
         recorded = self._fleet.scenario.recorded
         if recorded is None:
             self._schedule_arrival()
@@ -65,7 +66,7 @@
         )
         self._schedule_recorded()
 
-    # Drawn arrivals
+    # Random arrivals
 
     def _schedule_arrival(self) -> None:
         fleet = self._fleet
@@ -78,7 +79,7 @@
         self._dial(None)
         self._schedule_arrival()
 
-    # Calls on record
+    # Recorded calls
 
     def _schedule_recorded(self) -> None:
         call = next(self._recorded, None)
@@ -94,7 +95,8 @@
     # Dialing
 
     def _dial(self, recorded: RecordedCall | None) -> None:
-        # What is on record is drawn all the same, so that a day's record with its seed is that day again.
+        # Values that a recorded call replaces are drawn all the same: a scenario that replays its own record
+        # with its own seed then reproduces the original run.
         traffic_type = self._traffic_types[self._call_draws.weighted_index(self._weights)]
         called_number = MIN_CALLED_NUMBER + self._call_draws.integer_below(CALLED_NUMBERS)
         is_mass_call = self._call_draws.random() < self._load.mass_call_fraction
--- a/valverouter/emulator/callers.py
+++ b/valverouter/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Emulated callers of one edge proxy: patience, redials, and rows of their messages, as with the fakes."""
+"""Emulated callers of one edge proxy: they dial, cancel and redial, and record messages as the fakes do."""
 
 from __future__ import annotations
 
@@ -13,13 +13,16 @@
 from valverouter.emulator.simulation import RandomStream, Simulation
 from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, Tap
 
-# A lost connection is made again after so long, ns.
+# Delay until a lost connection is re-established, ns.
 RECONNECT_DELAY = 50_000_000
 
 
 @dataclass(slots=True)
 class _DialAttempt:
-    """One dialled dialog; `first_dialog` is the id of the first of its redials, `number` counts them."""
+    """One dialled dialog.
+
+    `first_dialog` is the dialog id of the call's first attempt; `number` counts the call's attempts from 1.
+    """
 
     request: DialogRequest
     first_dialog: str
@@ -28,7 +31,11 @@
 
 
 class EmulatedCallers:
-    """`attempts` holds what is unanswered or established; each leaves with its end."""
+    """The callers of one edge proxy.
+
+    `attempts`: unanswered and established dialogs by id; an entry is removed when its dialog ends.
+    `abandon_fraction`: the fraction of the no-answer timeout after which a caller cancels.
+    """
 
     def __init__(
         self, edge: EmulatedEdge, behavior: CallerConfig, sim: Simulation, tap: Tap, random: RandomStream
@@ -49,7 +56,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether any dialog waits for its answer."""
+        """Whether any dialog is unanswered."""
         return any(not attempt.is_established for attempt in self.attempts.values())
 
     def _record(self, is_sent: bool, kind: str, dialog_id: str, duration: int = 0, details: str = "") -> None:
@@ -61,7 +68,7 @@
     # Dialing
 
     def dial(self, request: DialogRequest, first_dialog: str = "", number: int = 1) -> None:
-        """Dials now, under an id of its own; `first_dialog` is the one that is redialled."""
+        """Dials now under a new dialog id; a redial passes the id of the call's first dialog."""
         self._last_serial += 1
         dialog_id = f"{first_dialog}.{number}" if first_dialog else f"{self.name}-{self._last_serial}"
         request = replace(request, dialog_id=dialog_id)
@@ -101,12 +108,16 @@
         request = replace(attempt.request, was_interrupted=attempt.is_established)
         self._sim.call_after(delay, self.dial, request, attempt.first_dialog, attempt.number + 1)
 
-    # What the edge proxy sends
+    # Messages from the edge proxy
 
     def on_message(
         self, message: CallerMessage, dialog_id: str, retry_after: int = 0, details: str = ""
     ) -> None:
-        """An answer or an end; a rejected caller redials at the time it was given, if it complies."""
+        """Handles an answer or the end of a dialog.
+
+        A rejected caller redials after `retry_after` ns if a random draw decides that it complies, else after
+        its own redial delay.
+        """
         self._record(False, message.value, dialog_id, retry_after, details)
         attempt = self.attempts.get(dialog_id)
         if attempt is None:
@@ -121,14 +132,14 @@
             self._close(dialog_id, may_redial=message is CallerMessage.FAILED or was_interrupted)
 
     def on_connection_lost(self) -> None:
-        """The edge proxy is gone: every dialog is lost, and may be redialled."""
+        """Handles the end of the edge proxy's process: all dialogs are lost and may be redialled."""
         self._tap.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
         self._reconnects_at = self._sim.now() + RECONNECT_DELAY
         for dialog_id in list(self.attempts):
             self._close(dialog_id, may_redial=True)
 
     def on_restart_expected(self) -> None:
-        """The edge proxy is gone, and its next process has the dialogs: they are resumed there."""
+        """Handles the end of the edge proxy's process when the next one recovers the dialogs."""
         self._tap.record(ConnectionLostRow, edge=self._edge.name, peer=self.name)
         self._reconnects_at = self._sim.now() + RECONNECT_DELAY
         self._sim.call_after(RECONNECT_DELAY, self._reconnect)
--- a/valverouter/emulator/edge_attempts.py
+++ b/valverouter/emulator/edge_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of an emulated edge proxy: sent, cancelled, timed out, answered, reset."""
+"""Attempts of an emulated edge proxy, from their start to their result."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EdgeAttempts:
-    """Carries out the driver's actions at servers, and reports each attempt's result to it."""
+    """Carries out the driver's actions at servers, and reports the result of each attempt to the driver."""
 
     def __init__(self, runtime: EdgeRuntime, dialogs: DialogTable) -> None:
         self._runtime = runtime
@@ -28,7 +28,7 @@
     # Actions
 
     def run(self, command: DialogAction) -> None:
-        """Carries out an action of a dialog; one that is closed is passed over."""
+        """Carries out an action; ignores it if its dialog is closed."""
         dialog = self._dialogs.open.get(command.dialog_id)
         if dialog is None:
             return
@@ -44,7 +44,7 @@
             self._dialogs.fail(dialog, FailureReason.FAILED)
 
     def on_caller_cancelled(self, dialog_id: str) -> None:
-        """The caller gives up a dialog that is not established."""
+        """Handles a caller's cancel of a dialog that is not established."""
         dialog = self._dialogs.open.get(dialog_id)
         if dialog is None or dialog.is_established:
             return
@@ -94,20 +94,20 @@
             link.connection.send("cancel", dialog_id, attempt, link.server.model.cancel)
         self.finish_later(dialog_id, attempt, link.server.name, outcome)
 
-    # Results that this side decides
+    # Results determined by the edge proxy
 
     def finish_later(self, dialog_id: str, attempt: int, server: str, outcome: Outcome) -> None:
-        """Finishes an attempt after the events of this moment."""
+        """Finishes an attempt after all other events that are due now."""
         runtime = self._runtime
         runtime.sim.call_after(0, self.finish, runtime.incarnation, dialog_id, attempt, server, outcome)
 
     def finish(self, incarnation: int, dialog_id: str, attempt: int, server: str, outcome: Outcome) -> None:
-        """Finishes an attempt that a process made, unless that process is gone."""
+        """Finishes an attempt of the process `incarnation`; ignored once that process has ended."""
         if incarnation != self._runtime.incarnation:
             return
         dialog = self._dialogs.open.get(dialog_id)
         if outcome is Outcome.TIMED_OUT and not _is_pending(dialog, attempt):
-            return  # Nearly all timeouts: the attempt ended long before.
+            return  # The usual case: the attempt finished before its timeout.
         self._runtime.handle(self._on_finished, dialog_id, attempt, server, outcome)
 
     def _on_finished(self, dialog_id: str, attempt: int, server: str, outcome: Outcome) -> None:
@@ -148,10 +148,10 @@
     def _report(self, result: AttemptResult) -> None:
         self._runtime.driver.on_attempt_result(result)
 
-    # Messages of servers
+    # Messages from servers
 
     def on_answer(self, answer: AttemptAnswer) -> None:
-        """A server's answer to an attempt, or the end of an established one."""
+        """Handles a server's answer to an attempt, or the end of an established dialog."""
         dialog_id, attempt, outcome = answer.dialog_id, answer.attempt, answer.outcome
         key, server = (dialog_id, attempt), answer.connection.server.name
         link = self._runtime.links.get(server)
@@ -174,7 +174,7 @@
             self._conclude(dialog, outcome, answer.retry_after, answer.load_report)
 
     def on_connection_lost(self, link: ServerLink) -> None:
-        """All attempts on a link are reset; its established dialogs end."""
+        """Resets all attempts on a link and ends its established dialogs."""
         for dialog_id, attempt in link.take_attempts():
             dialog = self._dialogs.open.get(dialog_id)
             is_current = dialog is not None and _uses_link(dialog, attempt, link)
@@ -186,12 +186,12 @@
                 self._dialogs.end(dialog, EndReason.INTERRUPTED.value)
 
     def on_connect_failed(self, link: ServerLink) -> None:
-        """All attempts that waited for a connection are unreachable, at once."""
+        """Finishes all attempts that waited for the connection as unreachable, immediately."""
         for dialog_id, attempt in link.take_attempts():
             self.finish(self._runtime.incarnation, dialog_id, attempt, link.server.name, Outcome.UNREACHABLE)
 
     def on_restart_detected(self, link: ServerLink) -> None:
-        """All attempts that waited for the former process of a server are unreachable."""
+        """Finishes all attempts that were meant for a server's previous process as unreachable."""
         for dialog_id, attempt in link.take_attempts():
             self.finish_later(dialog_id, attempt, link.server.name, Outcome.UNREACHABLE)
 
--- a/valverouter/emulator/edge_dialogs.py
+++ b/valverouter/emulator/edge_dialogs.py
@@ -1,4 +1,4 @@
-"""The dialogs of an emulated edge proxy, and what their callers receive."""
+"""The dialogs of an emulated edge proxy, and the messages to their callers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DialogTable:
-    """Open dialogs by id; each leaves with its end, or with an answer that does not establish it."""
+    """Open dialogs by id; a dialog is removed when it ends, or when it is rejected or fails."""
 
     def __init__(self, runtime: EdgeRuntime) -> None:
         self.callers: Callers | None = None
@@ -18,7 +18,7 @@
 
     @property
     def has_unanswered(self) -> bool:
-        """Whether a dialog waits for its answer."""
+        """Whether any dialog is unanswered."""
         return any(not dialog.is_established for dialog in self.open.values())
 
     def accept(self, request: DialogRequest) -> None:
@@ -36,11 +36,11 @@
         self.start_flow(request, now + time_left, policy)
 
     def reject_request(self, request: DialogRequest) -> None:
-        """Rejects a dialog that was never opened, since this process drains."""
+        """Rejects a request without opening a dialog, because this process is draining."""
         self.notify(CallerMessage.REJECTED, request.dialog_id, self._runtime.plan.deployment.max_retry_after)
 
     def attempt_policy(self, request: DialogRequest) -> AttemptPolicy | None:
-        """The policy that the edge proxy's file has for a dialog; None: the routing policy's own."""
+        """Returns the attempt policy configured for a dialog; None: the routing policy's default."""
         plan = self._runtime.plan
         if plan.attempt_policies is None:
             return None
@@ -68,7 +68,7 @@
     # Answers and ends
 
     def reject(self, dialog: OpenDialog, retry_after: int) -> None:
-        """Closes a dialog whose caller may come back after `retry_after` ns."""
+        """Closes a dialog; its caller may redial after `retry_after` ns."""
         if not self._is_late(dialog):
             self.notify(CallerMessage.REJECTED, dialog.request.dialog_id, retry_after)
         self._remove(dialog)
@@ -80,7 +80,7 @@
         self._remove(dialog)
 
     def establish(self, dialog: OpenDialog, server: str) -> None:
-        """The dialog is established at a server; past its deadline it is released there."""
+        """Answers a dialog that a server established; releases it instead if its deadline has passed."""
         if self._is_late(dialog):
             self._release(dialog)
             self._remove(dialog)
@@ -89,7 +89,7 @@
         dialog.is_established = True
 
     def end(self, dialog: OpenDialog, reason: str) -> None:
-        """An established dialog has ended; a caller that is away receives it once it is back."""
+        """Ends an established dialog; a disconnected caller receives the end when it has reconnected."""
         if not dialog.is_caller_connected:
             dialog.recovery_action = RecoveryAction.RESEND_ANSWER_AND_END
             dialog.end_reason = reason
@@ -99,7 +99,7 @@
         self._remove(dialog)
 
     def notify(self, message: CallerMessage, dialog_id: str, retry_after: int = 0, details: str = "") -> None:
-        """Sends a message to the callers, if there are any."""
+        """Sends a message to the callers, if any are attached."""
         if self.callers is not None:
             self.callers.on_message(message, dialog_id, retry_after, details)
 
--- a/valverouter/emulator/edge_faults.py
+++ b/valverouter/emulator/edge_faults.py
@@ -1,4 +1,4 @@
-"""Faults of emulated edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
+"""Faults of emulated edge proxies and callers: restarts, stalls, bursts, mass calls, early abandonment."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulation import RandomStream
 
-# How often draining edge proxies are looked at, ns.
+# Interval at which draining edge proxies are checked for unanswered dialogs, ns.
 DRAIN_POLL_INTERVAL = 50_000_000
 CALLERS_TARGET = "callers"
 
 
 class EdgeFaults:
-    """The faults that a day's file may have at edge proxies and callers."""
+    """The faults that a scenario file may define for edge proxies and callers."""
 
     def __init__(self, fleet: Fleet, targets: FaultTargets, load: CallLoad) -> None:
         self._fleet = fleet
@@ -23,7 +23,7 @@
         self._load = load
 
     def by_kind(self) -> dict[str, FaultStart]:
-        """The process of each kind, by its name in a day's file."""
+        """Returns the fault processes by fault kind, as named in scenario files."""
         return {
             "balancer_crash": self._crash,
             "balancer_leave": self._restart,
@@ -44,7 +44,10 @@
         self._start_edges(edges)
 
     def _restart(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """Drained, ended and started again; each ends once all its dialogs are answered, or at its limit."""
+        """Drains edge proxies and restarts them.
+
+        Each process ends when all its dialogs are answered, or when the stop timeout has elapsed.
+        """
         sim = self._fleet.sim
         edges = self._targets.edges(fault, random)
         for edge in edges:
--- a/valverouter/emulator/edge_links.py
+++ b/valverouter/emulator/edge_links.py
@@ -1,4 +1,4 @@
-"""The links of an emulated edge proxy to servers: connected, lost, retried; and the endpoint list."""
+"""Links of an emulated edge proxy to servers: connections, reconnection, and endpoint list updates."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 from valverouter.interface import Endpoint, EndpointUpdateKind
 from valverouter.policy.retry import retry_delay
 
-# What connecting and the hello take beside the way there and back, ns.
+# Time that connecting and the hello take in addition to one round trip, ns.
 CONNECT_DURATION = 2_000_000
 HELLO_TIMEOUT = 2_000_000_000
-# A connection that was up for less counts as another failure in a row, ns.
+# A connection that was established for less than this counts as another consecutive failure, ns.
 MIN_CONNECTION_DURATION = 1_000_000_000
-# A server that is older counts as one that has always run, ns.
+# A server whose process is older than this is treated as one that has always run, ns.
 MAX_SERVER_AGE = 10**17
 
 
 class EdgeLinks:
-    """Connects to the servers of the endpoint list; a link leaves with its entry, once it is not connected.
+    """Connects to the servers of the endpoint list.
 
-    It is the owner of its connections: what arrives on one is passed on as an event of the edge proxy.
+    The link to a server that is no longer in service is removed once it is not connected. This is the owner
+    of all connections: it passes their messages on as events of the edge proxy.
     """
 
     def __init__(
@@ -43,21 +44,21 @@
         self._find_server = find_server
         self._last_serial = 0
         self._backoff_draws = 0
-        # By server: the newest incarnation known, and since when it runs, ns; 0: since ever.
+        # By server: the newest known incarnation and its start time, ns; 0: it has always run.
         self._started_at: dict[str, tuple[int, int]] = {}
 
     def forget_servers(self) -> None:
-        """Forgets when servers started: a fresh process learns it from the endpoint list."""
+        """Discards the start times of servers; a new process receives them with the endpoint list."""
         self._started_at = {}
 
     # Connections
 
     def on_attempt_answer(self, answer: AttemptAnswer) -> None:
-        """Passes a server's message on."""
+        """Passes a server's message on as an event."""
         self._runtime.handle(self._attempts.on_answer, answer)
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """Passes the loss of a connection on."""
+        """Passes the loss of a connection on as an event."""
         self._runtime.handle(self._on_connection_lost, connection)
 
     def _on_connection_lost(self, connection: Connection) -> None:
@@ -123,7 +124,10 @@
         runtime.handle(self._on_hello, link)
 
     def _on_hello(self, link: ServerLink) -> None:
-        """The server says which process it is; a restart that is not listed yet counts from here."""
+        """Handles a server's hello, which states its incarnation.
+
+        A restart that the endpoint list has not announced yet takes effect here.
+        """
         server = link.server
         callbacks, link.on_connected = link.on_connected, []
         known = self._started_at.get(server.name)
@@ -150,7 +154,7 @@
     # The endpoint list
 
     def update_endpoints(self, kind: EndpointUpdateKind, entries: Sequence[ListedEndpoint]) -> None:
-        """Passes an update of the endpoint list to the driver, and connects to new servers."""
+        """Passes an endpoint update to the driver, and connects to new servers."""
         endpoints = [self._with_start_time(entry) for entry in entries]
         self._runtime.driver.update_endpoints(kind, endpoints)
         links = self._runtime.links
--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -1,4 +1,4 @@
-"""The data of emulated edge proxies: plans, requests, open dialogs, server links, messages to callers."""
+"""Data types of emulated edge proxies: plans, requests, open dialogs, server links, messages to callers."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class AttemptPolicies(Protocol):
-    """The attempt policies of the edge proxy's file."""
+    """The attempt policies that an edge proxy is configured with."""
 
     def policy_for(
         self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
     ) -> AttemptPolicy | None:
-        """The policy of a dialog; None: the routing policy's own."""
+        """Returns the attempt policy of a dialog; None: the routing policy's default."""
 
 
 BuildDriver = Callable[[Deployment, int, int, CrossRegionRule | None], Driver]
@@ -30,11 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EdgePlan:
-    """One edge proxy as its file has it.
+    """The configuration of one edge proxy.
 
-    `build_driver` makes the Driver of each process: a variant's is passed here. `cross_region` makes its rule
-    for a start at a time, ns. `has_dialog_store`: dialogs survive a restart. `default_attempt_policy`: the
-    routing policy's own of a traffic type, from which the attempts of a previous process are taken off.
+    `build_driver` creates the Driver of each process; an experiment passes its variant here. `cross_region`
+    creates the cross-region rule of a process that starts at a time, ns. `has_dialog_store`: dialogs survive
+    a restart. `default_attempt_policy` returns the routing policy's default for a traffic type; the attempts
+    that a previous process made are subtracted from it.
     """
 
     fleet_index: int
@@ -50,7 +51,7 @@
 
 
 class DialogRequest(Struct, frozen=True):
-    """A dialog as its caller requests it; `no_answer_timeout` in ns."""
+    """A caller's request to set up a dialog; `no_answer_timeout` in ns."""
 
     dialog_id: str
     traffic_type: str
@@ -61,7 +62,7 @@
 
 
 class CallerMessage(StrEnum):
-    """What a caller receives; the values are the kinds of the recorded rows."""
+    """The kinds of messages to callers; the values are the kinds of the recorded rows."""
 
     REJECTED = "declined"
     FAILED = "aborted"
@@ -71,7 +72,7 @@
 
 
 class FailureReason(StrEnum):
-    """Why a dialog failed; the values are the words of the recorded rows."""
+    """Why a dialog failed; the values are the details of the recorded rows."""
 
     NO_TIME = "no-time"
     FAILED = "failed"
@@ -84,17 +85,17 @@
     def on_message(
         self, message: CallerMessage, dialog_id: str, retry_after: int = 0, details: str = ""
     ) -> None:
-        """An answer or an end; `details`: the server, the reason of a failure or of an end."""
+        """Handles an answer or an end; `details`: the server, or the reason of the failure or of the end."""
 
     def on_connection_lost(self) -> None:
-        """The edge proxy's process is gone, and its dialogs with it."""
+        """Handles the end of the edge proxy's process, which loses its dialogs."""
 
     def on_restart_expected(self) -> None:
-        """The edge proxy's process is gone; the next one has its dialogs."""
+        """Handles the end of the edge proxy's process when the next one recovers its dialogs."""
 
 
 class ListedEndpoint(NamedTuple):
-    """An entry of the endpoint list with its server's incarnation and age, ns; None: it has always run."""
+    """An entry of the endpoint list with its server's incarnation and age (ns; None: it has always run)."""
 
     endpoint: Endpoint
     incarnation: int
@@ -102,7 +103,7 @@
 
 
 class ServerView(NamedTuple):
-    """What an edge proxy knows of a server: queue delay (ns), concurrency window, share of retry tokens."""
+    """An edge proxy's estimates for a server: queue delay (ns), window, fraction of retry tokens left."""
 
     queue_delay: int
     window: float
@@ -111,12 +112,14 @@
 
 @dataclass(slots=True)
 class OpenDialog:
-    """A dialog until its end.
+    """A dialog that has not ended.
 
-    `attempts` counts those of this process, `attempt` is the one in flight or established. The rest is of a
-    dialog that a previous process left: how many attempts it made; `server` and `leg`, where the dialog is
-    established; what it needs before its flow goes on; whether its caller is back. `end_reason`: of an end
-    that waits for the caller.
+    `attempts` counts the attempts of this process; `attempt` is the one in flight or established.
+
+    The remaining fields describe a dialog that was recovered from a previous process. `previous_attempts`:
+    the number of attempts made earlier. `server`, `leg`: where the dialog is established. `recovery_action`:
+    the pending step of its recovery. `is_caller_connected`: whether its caller has reconnected. `end_reason`:
+    the reason of an end that the caller has not received yet.
     """
 
     request: DialogRequest
@@ -140,8 +143,9 @@
 class ServerLink:
     """An edge proxy's link to one server.
 
-    `attempts` holds those in flight or established, True where cancelled; `on_connected` is called once the
-    connection is up. `connection_failures` counts those in a row.
+    `attempts`: the attempts in flight or established; the value is True for a cancelled attempt.
+    `on_connected`: callbacks for when the connection is established. `connection_failures` counts consecutive
+    failures.
     """
 
     server: EmulatedServer
@@ -154,7 +158,7 @@
     connected_at: int = 0
 
     def take_attempts(self) -> list[AttemptKey]:
-        """All attempts in order; the link has none afterwards."""
+        """Removes all attempts from the link and returns them, sorted."""
         attempts = sorted(self.attempts)
         self.attempts = {}
         return attempts
--- a/valverouter/emulator/edge_recovery.py
+++ b/valverouter/emulator/edge_recovery.py
@@ -1,7 +1,8 @@
-"""What a process of an emulated edge proxy leaves, and how the next one recovers it, as with a dialog store.
+"""Recovery of an emulated edge proxy's dialogs by its next process, as with a dialog store.
 
-Established dialogs are queried at their servers, by the pace of `recovery.pacing`; all others wait for the
-release delay, since their server gave them up with the connection, and then for their caller.
+Established dialogs are queried at their servers, at the rate that `recovery.pacing` allows. The attempts of
+all others ended at their servers with the connection, so those dialogs wait for the release delay and then
+for their caller before routing continues.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from valverouter.recovery.plan import RecoveryAction, remaining_attempt_policy
 from valverouter.servermodel.events import LegKey
 
-# How long an established dialog waits for its server's word after a restart, ns.
+# How long an established dialog waits for its server's reply after a restart, ns.
 QUERY_TIMEOUT = 5_000_000_000
 
 
 class EdgeRecovery:
-    """The dialogs of the previous process until each has what it needs."""
+    """Recovers the dialogs of the previous process."""
 
     def __init__(self, runtime: EdgeRuntime, dialogs: DialogTable) -> None:
         self._runtime = runtime
@@ -29,16 +30,16 @@
 
     @property
     def saved_dialogs(self) -> int:
-        """How many dialogs of an ended process wait for the next one."""
+        """The number of dialogs saved by an ended process for the next one."""
         return len(self._saved)
 
     @property
     def waiting_queries(self) -> int:
-        """How many queries wait for their server's window."""
+        """The number of queries that wait for their server's query window."""
         return len(self._pacer)
 
     def save(self) -> dict[ServerLink, list[LegKey]]:
-        """Keeps the open dialogs for the next process; the established legs that survive, by link."""
+        """Saves the open dialogs for the next process; returns the established legs by link."""
         self._saved = list(self._dialogs.open.values())
         legs_by_link: dict[ServerLink, list[LegKey]] = {}
         for dialog in self._saved:
@@ -51,11 +52,11 @@
         return legs_by_link
 
     def reset(self) -> None:
-        """Begins a process without queries."""
+        """Discards all queries, for a new process."""
         self._pacer = QueryPacer()
 
     def restore(self) -> None:
-        """Takes over the dialogs of the previous process."""
+        """Opens the dialogs of the previous process again."""
         saved, self._saved = self._saved, []
         for dialog in saved:
             self._restore(dialog)
@@ -108,7 +109,7 @@
     # Established dialogs
 
     def query_server(self, link: ServerLink) -> None:
-        """A link is up: the dialogs established at its server are queried."""
+        """Queries the dialogs established at a server, when its link is connected."""
         for dialog_id, dialog in self._dialogs.open.items():
             is_queried = dialog.recovery_action is RecoveryAction.QUERY_SERVER
             if is_queried and dialog.link is None and link.server.name == dialog.server:
@@ -158,7 +159,7 @@
             self._runtime.handle(self._on_reply, dialog_id, link, end_reason)
 
     def _on_reply(self, dialog_id: str, link: ServerLink, end_reason: EndReason | None) -> None:
-        """`end_reason`: how the dialog ended, None if it is established."""
+        """Handles a reply; `end_reason`: why the dialog ended, None if it is still established."""
         self._pacer.on_reply(link.server.name)
         dialog = self._dialogs.open.get(dialog_id)
         if (
@@ -177,7 +178,7 @@
     # Callers
 
     def on_caller_resumed(self, dialog_id: str) -> None:
-        """The caller of a dialog is back: it receives the answer on record, or the dialog's flow goes on."""
+        """Handles a caller's resume request: repeats the recorded answer, or continues routing."""
         dialog = self._dialogs.open.get(dialog_id)
         if dialog is None:
             self._dialogs.notify(CallerMessage.UNKNOWN, dialog_id)
--- a/valverouter/emulator/edge_runtime.py
+++ b/valverouter/emulator/edge_runtime.py
@@ -1,7 +1,8 @@
 """The process of an emulated edge proxy: its driver, timers, load reports, and stalls.
 
-An event is handled whole: time caught up, the event, and the commands that follow from it. A stalled process
-defers its events, endpoint updates first, as the real one does.
+Each event is handled in one turn: overdue heartbeats and load reports, the event, and the driver's resulting
+commands. A stalled process defers its events and handles endpoint updates first afterwards, like a real edge
+proxy.
 """
 
 from __future__ import annotations
@@ -18,14 +19,15 @@
 from valverouter.interface import DialogAction, LoadReport, Timer
 from valverouter.policy.tuning import HEARTBEAT_INTERVAL
 
-# A load report as it arrives: the time (ns), the server, the report.
+# Load reports in order of arrival: arrival time (ns), server, report.
 ReportLog = list[tuple[int, str, LoadReport]]
 
 
 class EdgeRuntime:
-    """What the parts of one edge proxy share; `incarnation` tells its processes apart.
+    """The state that the parts of one edge proxy share.
 
-    `on_action` carries out the driver's actions. `links` are those of this process by server.
+    `incarnation` numbers its processes. `on_action` carries out the driver's actions. `links`: the links of
+    the current process by server. `delay` draws the one-way network delay to a server, ns.
     """
 
     driver: Driver
@@ -67,9 +69,9 @@
         self._run_commands()
 
     def stop(self) -> None:
-        """Ends the process; events that it has not handled are lost."""
+        """Ends the process; deferred events are lost."""
         self.is_running = False
-        # A stall ends with its process: its end is told to that incarnation alone.
+        # A stall ends with its process: `_on_stall_ended` ignores its timer in the next incarnation.
         self._stalled_until = 0
         self._deferred.clear()
         self._deferred_updates.clear()
@@ -87,7 +89,7 @@
         self._run_commands()
 
     def advance(self) -> None:
-        """Lets heartbeats and load reports up to now take effect where no event has for a while."""
+        """Applies heartbeats and load reports up to now, for an edge proxy that had no event for a while."""
         if self.is_running and not self._stalled_until:
             self._advance(self.sim.now())
 
@@ -105,7 +107,7 @@
             return
         self._stalled_until = 0
         if self._heartbeat_at is not None:
-            # Missed heartbeats are not made up for: their absence is how the policy recognizes the stall.
+            # Missed heartbeats are not repeated: the policy detects the stall by their absence.
             self._heartbeat_at = max(self._heartbeat_at, now)
         self._advance(now)
         for deferred in (self._deferred_updates, self._deferred):
@@ -116,8 +118,8 @@
     # Time
 
     def _advance(self, now: int) -> None:
-        # Heartbeats and load reports change nothing but the policy's view of servers. They wait for the next
-        # event of this edge proxy, and then take effect in their order at their own times.
+        # Heartbeats and load reports only change the policy's view of servers. To save events, they are
+        # applied at the next event of this edge proxy, in order and with their own times.
         driver, reports = self.driver, self._reports
         while True:
             report_at = reports[self._reports_read][0] if self._reports_read < len(reports) else now + 1
@@ -168,7 +170,7 @@
     # Observation
 
     def server_views(self) -> dict[str, ServerView]:
-        """What the policy knows of each server."""
+        """Returns the policy's estimates for each server."""
         policy = self.driver.policy
         return {
             name: ServerView(
--- a/valverouter/emulator/edges.py
+++ b/valverouter/emulator/edges.py
@@ -1,4 +1,4 @@
-"""Emulated edge proxies: an unchanged Driver each, with the tables that `valverouter.edge` has round it."""
+"""Emulated edge proxies: the production Driver with counterparts of the tables in `valverouter.edge`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EmulatedEdge:
-    """One instance of an edge proxy: its processes, one after another, and the events that reach it."""
+    """One edge proxy instance: its successive processes, and the events that it receives."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         return self.runtime.is_running
 
     def start(self, entries: Sequence[ListedEndpoint]) -> None:
-        """Starts a process that receives the complete endpoint list; links come up as they connect."""
+        """Starts a process, which receives the complete endpoint list and begins to connect to servers."""
         self._is_draining = False
         self.dialogs.open = {}
         self._links.forget_servers()
@@ -61,11 +61,11 @@
         self.update_endpoints(EndpointUpdateKind.COMPLETE, entries)
 
     def drain(self) -> None:
-        """Rejects new dialogs from here on; open ones get their answers."""
+        """Rejects new dialogs from now on; open dialogs are still answered."""
         self._is_draining = True
 
     def kill(self) -> None:
-        """Ends the process: its connections to callers and servers break."""
+        """Ends the process and closes its connections to callers and servers."""
         runtime, has_dialog_store = self.runtime, self.plan.has_dialog_store
         runtime.stop()
         links, runtime.links = runtime.links, {}
@@ -81,21 +81,21 @@
                 callers.on_connection_lost()
 
     def stall(self, duration: int) -> None:
-        """Stops the process for a duration, ns; it handles the events of that time afterwards."""
+        """Stalls the process for a duration, ns; it handles the deferred events afterwards."""
         self.runtime.stall(duration)
 
     def advance(self) -> None:
-        """Lets heartbeats and load reports up to now take effect."""
+        """Applies heartbeats and load reports up to now."""
         self.runtime.advance()
 
     # Events
 
     def attach(self, callers: Callers) -> None:
-        """Sets who receives the answers."""
+        """Sets the receiver of messages to callers."""
         self.dialogs.callers = callers
 
     def accept(self, request: DialogRequest) -> None:
-        """A caller requests a dialog."""
+        """Handles a caller's request for a dialog."""
         self.runtime.handle(self._on_request, request)
 
     def _on_request(self, request: DialogRequest) -> None:
@@ -105,15 +105,15 @@
             self.dialogs.accept(request)
 
     def cancel(self, dialog_id: str) -> None:
-        """A caller gives up."""
+        """Handles a caller's cancel."""
         self.runtime.handle(self._attempts.on_caller_cancelled, dialog_id)
 
     def resume(self, dialog_id: str) -> None:
-        """A caller comes back for a dialog of the previous process."""
+        """Handles a caller's request to resume a dialog of the previous process."""
         self.runtime.handle(self.recovery.on_caller_resumed, dialog_id)
 
     def update_endpoints(self, kind: EndpointUpdateKind, entries: Sequence[ListedEndpoint]) -> None:
-        """The endpoint list sends an update."""
+        """Handles an update of the endpoint list."""
         self.runtime.handle(self._links.update_endpoints, kind, entries, is_endpoint_update=True)
 
     def _on_action(self, command: DialogAction) -> None:
@@ -123,7 +123,7 @@
 
     @property
     def has_unanswered_dialogs(self) -> bool:
-        """Whether a dialog waits for its answer."""
+        """Whether any dialog is unanswered."""
         return self.dialogs.has_unanswered
 
     @property
@@ -137,5 +137,5 @@
         return self.runtime.links
 
     def server_views(self) -> dict[str, ServerView]:
-        """What the policy knows of each server."""
+        """Returns the policy's estimates for each server."""
         return self.runtime.server_views()
--- a/valverouter/emulator/endpoint_list.py
+++ b/valverouter/emulator/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of an emulated fleet: which servers are in service, and updates to all edge proxies."""
+"""The endpoint list of an emulated fleet: the service phases of servers, and updates to all edge proxies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ServicePhase(StrEnum):
-    """What the list says of a server; the values are the words of the recorded rows."""
+    """The phase of a server in the list; the values are the phases of the recorded rows."""
 
     IN_SERVICE = "in-service"
     DRAINING = "draining"
@@ -32,19 +32,19 @@
         self._servers = servers
         self._edges = edges
         self._phases = dict.fromkeys(servers, ServicePhase.IN_SERVICE)
-        # Of servers that started during the day.
+        # Start times of servers that started during the run, ns.
         self._started_at: dict[str, int] = {}
 
     def complete(self) -> list[ListedEndpoint]:
-        """All servers that are not gone."""
+        """Returns the entries of all servers that are not gone."""
         return [self._entry(name) for name, phase in self._phases.items() if phase is not ServicePhase.GONE]
 
     def record_start(self, server: EmulatedServer) -> None:
-        """A process of a server starts now; what is announced says how long ago."""
+        """Records that a server's process starts now; announced entries state its age."""
         self._started_at[server.name] = self._sim.now()
 
     def announce(self, servers: Sequence[EmulatedServer], phase: ServicePhase) -> None:
-        """Sets the phase of servers and sends the update to all edge proxies that run."""
+        """Sets the phase of servers and sends the update to all running edge proxies."""
         names = [server.name for server in servers]
         for name in names:
             self._phases[name] = phase
@@ -56,12 +56,12 @@
                 edge.update_endpoints(EndpointUpdateKind.INCREMENTAL, entries)
 
     def announce_down(self, servers: Sequence[EmulatedServer]) -> None:
-        """Announces those that do not run as gone."""
+        """Announces the servers that are not running as gone."""
         if down := [server for server in servers if not server.model.is_running]:
             self.announce(down, ServicePhase.GONE)
 
     def announce_up(self, servers: Sequence[EmulatedServer]) -> None:
-        """Announces those that run as in service."""
+        """Announces the servers that are running as in service."""
         if up := [server for server in servers if server.model.is_running]:
             self.announce(up, ServicePhase.IN_SERVICE)
 
--- a/valverouter/emulator/event_queue.py
+++ b/valverouter/emulator/event_queue.py
@@ -1,4 +1,4 @@
-"""Simulated time: actions that are due at a moment, in the order of their moments."""
+"""A queue of scheduled actions with a simulated clock."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class EventQueue:
-    """The queue and its clock, in ns. Actions of one moment run in the order of their adding."""
+    """Runs actions in the order of their times, ns; simultaneous actions run in the order of scheduling."""
 
     def __init__(self) -> None:
-        """Begins at 0, with nothing to do."""
+        """Starts the clock at 0 with an empty queue."""
         self.now = 0
-        # How many actions were added so far.
+        # Number of actions scheduled so far; breaks ties between simultaneous actions.
         self.scheduled_count = 0
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def call_at(self, time: int, action: Callable[..., None], *arguments: Any) -> None:
-        """Runs the action at a moment."""
+        """Schedules the action at `time`, ns."""
         self.scheduled_count += 1
         heapq.heappush(self._heap, (time, self.scheduled_count, action, arguments))
 
     def call_after(self, delay: int, action: Callable[..., None], *arguments: Any) -> None:
-        """Runs the action `delay` ns from now."""
+        """Schedules the action `delay` ns from now."""
         self.call_at(self.now + delay, action, *arguments)
 
     def call_every(self, interval: int, action: Callable[[], None]) -> None:
-        """Runs the action again and again, first `interval` ns from now."""
+        """Schedules the action every `interval` ns, first `interval` ns from now."""
 
         def repeat() -> None:
             action()
@@ -36,7 +36,7 @@
         self.call_after(interval, repeat)
 
     def run_until(self, end: int) -> None:
-        """Runs what is due up to `end`, which is the present time afterwards."""
+        """Runs all actions that are due up to `end`, ns, and sets the clock to `end`."""
         heap = self._heap
         while heap and heap[0][0] <= end:
             self.now, _, action, arguments = heapq.heappop(heap)
--- a/valverouter/emulator/fleet.py
+++ b/valverouter/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""The emulated fleet of a day: servers, endpoint list, edge proxies and callers, built from its file."""
+"""The emulated fleet of a scenario: servers, endpoint list, edge proxies and callers."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, Tap
 
-# Load reports leave a server at their interval, varied by up to this fraction either way.
+# The report interval is multiplied by a random factor in [0.9, 1.1), drawn for each load report.
 MIN_REPORT_FRACTION, REPORT_FRACTION_RANGE = 0.9, 0.2
 
 
 class Fleet:
-    """All parts of one day before it runs; `simulate.simulate_scenario` runs it."""
+    """The parts of a fleet, built for one scenario; `simulate.simulate_scenario` runs it."""
 
     def __init__(self, scenario: ScenarioConfig, plans: Sequence[EdgePlan]) -> None:
         self.scenario = scenario
@@ -49,11 +49,11 @@
             self._add_edge(plan)
 
     def random_stream(self, source: str) -> RandomStream:
-        """The random draws of one source of this day."""
+        """Returns the random stream of a named source, seeded with the scenario's seed."""
         return RandomStream(self.scenario.run.seed, source)
 
     def add_server(self, name: str, number: int) -> EmulatedServer:
-        """Adds a server under its number; it is not on the endpoint list yet."""
+        """Adds a server with its server number; the caller announces it on the endpoint list."""
         scenario = self.scenario
         region = scenario.region_of_server(number)
         model = SetupServer(self._profile, self.random_stream(f"server {name}").random, self.called_numbers)
@@ -90,7 +90,7 @@
         self.callers.append(EmulatedCallers(edge, scenario.callers, self.sim, self.tap, random))
 
     def _report_load(self, server: EmulatedServer, random: RandomStream) -> None:
-        # Reports go to one log for all edge proxies, which read it on their own: no event for each of them.
+        # All edge proxies read the reports from one log, which saves an event per report and edge proxy.
         delays = self.scenario.delays
         if server.model.is_running and server.connections:
             max_delay = max(delays.same, delays.cross if len(self.scenario.regions) > 1 else 0)
--- a/valverouter/emulator/server_profile.py
+++ b/valverouter/emulator/server_profile.py
@@ -1,4 +1,4 @@
-"""The server model's parameters for a day."""
+"""The server model's parameters for a scenario."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def server_profile(scenario: ScenarioConfig) -> ServerProfile:
-    """The profile of a day's servers, from the settings in [servers] and [fleet]."""
+    """Returns the profile of a scenario's servers, from the settings in [servers] and [fleet]."""
     servers, fleet = scenario.servers, scenario.fleet
     return ServerProfile(
         lines=servers.lines,
--- a/valverouter/emulator/servers.py
+++ b/valverouter/emulator/servers.py
@@ -1,4 +1,4 @@
-"""Emulated signalling servers round `servermodel`, and their connections to edge proxies."""
+"""Emulated signalling servers, which run `servermodel`, and their connections to edge proxies."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from valverouter.servermodel.server import SetupServer
 from valverouter.signalling.traffic_record import ConnectionLostRow, MessageRow, ServerStartedRow, Tap
 
-# How long a leg without a connection, and the end of such a leg, is retained, ns.
+# How long a leg without a connection, or the recorded end of such a leg, is retained, ns.
 RETENTION = 10_000_000_000
 ENDED_KIND = "ended"
 
-# By what the model reports: the outcome of the attempt, and the kind of message that carries it.
+# By event of the model: the attempt's outcome, and the kind of the message that reports it.
 OUTCOMES = {
     ServerEventKind.ESTABLISHED: (Outcome.ESTABLISHED, "stands"),
     ServerEventKind.ENDED: (Outcome.ENDED, ENDED_KIND),
@@ -32,16 +32,16 @@
 
 
 class EndReason(StrEnum):
-    """Why an established dialog ended; the values are the words of the recorded rows."""
+    """Why an established dialog ended; the values are the details of the recorded rows."""
 
     COMPLETED = "over"
     INTERRUPTED = "cut"
 
 
 class AttemptAnswer(Struct, frozen=True):
-    """A server's answer to an attempt, or the end of an established one, as it arrives.
+    """A server's answer to an attempt, or the end of an established dialog, as the edge proxy receives it.
 
-    `retry_after` in ns; `details`: the reason where an established dialog ended.
+    `retry_after` in ns; `details`: the reason for the end of an established dialog.
     """
 
     connection: Connection
@@ -59,17 +59,17 @@
     name: str
 
     def on_attempt_answer(self, answer: AttemptAnswer) -> None:
-        """A server's message has arrived."""
+        """Handles a message from the server."""
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """The connection is closed."""
+        """Handles the loss of the connection."""
 
 
 class Connection:
     """One connection between an edge proxy and a server.
 
-    Messages of one direction arrive in order, each after a delay of its own. A row is recorded when a message
-    passes the edge proxy's end, as with the fakes.
+    Each message has its own delay, but messages in the same direction arrive in order. A row is recorded when
+    the edge proxy sends or receives a message, as with the fakes.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         request: Callable[[int, LegKey], None],
         details: str = "",
     ) -> None:
-        """Sends a request to the server: recorded now, `request(now, leg)` applied when it arrives."""
+        """Records a request now and calls `request(now, leg)` when it arrives at the server."""
         server = self.server
         sim = server.sim
         now = sim.now()
@@ -106,7 +106,7 @@
             self.server.deliver_events()
 
     def send_event(self, event: ServerEvent) -> None:
-        """Sends to the edge proxy; what arrives after the connection closed is lost."""
+        """Sends an event to the edge proxy; it is lost if the connection closes before it arrives."""
         sim = self.server.sim
         self._last_arrival_at_edge = max(self._last_arrival_at_edge, sim.now() + self._delay())
         sim.call_at(self._last_arrival_at_edge, self._on_event, event, self.server.load_report())
@@ -128,7 +128,7 @@
         )
 
     def close(self, retained_legs: Sequence[LegKey] = ()) -> None:
-        """Closes the connection; the legs named survive it for a while, to be resumed on another."""
+        """Closes the connection; `retained_legs` can be resumed on another connection for RETENTION ns."""
         if not self.is_open:
             return
         self.is_open = False
@@ -146,7 +146,10 @@
 
 
 class EmulatedServer:
-    """A named server: one process at a time, with its open connections by peer."""
+    """A named server, which runs one process at a time, with its open connections by peer.
+
+    `is_silent`: the machine is lost, and nothing is answered. Edge proxies in `refused_edges` can't connect.
+    """
 
     def __init__(
         self,
@@ -170,9 +173,9 @@
         self.is_silent = False
         self.refused_edges: set[str] = set()
         self.connections: dict[str, Connection] = {}
-        # Legs that survived their connection, by the one that resumed them; each leaves with its end.
+        # Legs whose connection was lost, with the connection that resumed them; removed when the leg ends.
         self.retained_legs: dict[LegKey, Connection | None] = {}
-        # Ends of such legs while nobody was connected; each leaves when it is asked for, or in time.
+        # Ends of retained legs without a connection; removed by a resume request or after RETENTION.
         self.undelivered_ends: dict[LegKey, EndReason] = {}
         self._durations = durations
         self._mean_duration = mean_duration
@@ -190,7 +193,7 @@
         details: str,
         retry_after: int = 0,
     ) -> None:
-        """Records a message at an edge proxy; `is_sent`: by this server."""
+        """Records a message at an edge proxy; `is_sent`: whether this server sent it."""
         rows = self.tap.rows
         rows.append(
             MessageRow(
@@ -199,7 +202,7 @@
         )
 
     def setup_request(self, traffic_type: str, called_number: int) -> Callable[[int, LegKey], None]:
-        """The request that sets a dialog up; its duration is drawn when it arrives."""
+        """Returns a request that sets up a dialog, whose duration is drawn when the request arrives."""
 
         def request(now: int, leg: LegKey) -> None:
             duration = int(self._durations.exponential() * self._mean_duration(traffic_type))
@@ -208,13 +211,13 @@
         return request
 
     def load_report(self) -> LoadReport:
-        """What a message to an edge proxy says of the server's load."""
+        """Returns the load report that is sent with each message to an edge proxy."""
         if not self._reports_lines:
             return LoadReport()
         return LoadReport(free_lines=self.model.free_lines, lines=self.model.line_count)
 
     def deliver_events(self) -> None:
-        """Sends the model's events up to now, and schedules itself for the model's next one."""
+        """Sends the model's events up to now, and schedules the next call at the model's next event."""
         now = self.sim.now()
         for event in self.model.advance(now):
             connection = self.connections.get(event.key[0])
@@ -236,7 +239,7 @@
             self.sim.call_at(due, self.deliver_events)
 
     def retain(self, legs: Sequence[LegKey]) -> None:
-        """Lets legs survive without a connection for a while, with those whose new one has closed too."""
+        """Retains legs for RETENTION ns, together with resumed legs whose new connection has closed too."""
         orphaned = [
             leg
             for leg, connection in self.retained_legs.items()
@@ -256,7 +259,7 @@
             self.deliver_events()
 
     def resume(self, leg: LegKey, connection: Connection) -> EndReason | None:
-        """Resumes a leg on a connection of a later process; how it ended, or None if it is established."""
+        """Resumes a leg on a new connection; returns why it ended, or None if it is still established."""
         self.model.on_resume_request(self.sim.now())
         self.deliver_events()
         if leg in self.retained_legs and leg in self.model.legs:
@@ -265,24 +268,24 @@
         return self.undelivered_ends.pop(leg, EndReason.INTERRUPTED)
 
     def close_connections(self) -> None:
-        """Closes all connections; no leg survives."""
+        """Closes all connections; no legs are retained."""
         self.retained_legs.clear()
         self.undelivered_ends.clear()
         for connection in list(self.connections.values()):
             connection.close()
 
     def crash(self) -> None:
-        """The process ends, and its connections close."""
+        """Ends the process and closes its connections."""
         self.model.crash(self.sim.now())
         self.close_connections()
 
     def vanish(self) -> None:
-        """The machine is lost: nothing is answered, and no connection closes."""
+        """Simulates the loss of the machine: the server stops answering, and its connections stay open."""
         self.model.crash(self.sim.now())
         self.is_silent = True
 
     def start(self) -> None:
-        """Starts a new process, in slow start; a server that crashed by overload stays down."""
+        """Starts a new process in slow start; a server that crashed by overload does not start again."""
         self.close_connections()
         self.is_silent = False
         self.model.start(self.sim.now())
--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -1,4 +1,4 @@
-"""Runs an emulated fleet through its day: settling, the calls with the day's faults, and the last answers."""
+"""Runs an emulated fleet through its scenario: settling time, calls and faults, and the last answers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 from valverouter.signalling.traffic_record import CallersStartedRow, Row
 
 SECOND = 1_000_000_000
-# How often edge proxies without events read the load reports, so that none is kept for long, ns.
+# Interval at which edge proxies without events read the load reports, so that none waits long, ns.
 ADVANCE_INTERVAL = 2 * SECOND
-# How often it is looked whether all callers have their answers, and what is waited for afterwards, ns.
+# Interval at which unanswered dialogs are checked at the end of a run, ns.
 ANSWER_POLL_INTERVAL = SECOND // 20
+# Simulated time after the last answer, ns.
 FINAL_DELAY = 300_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSample:
-    """What the edge proxies knew of a server at a time, on average.
+    """The edge proxies' estimates for a server at a time, averaged over all running edge proxies.
 
-    `queue_delay` in ns, `window` their concurrency windows for it, `token_fraction` of retry tokens left.
+    `queue_delay` in ns; `window`: the concurrency window; `token_fraction`: the fraction of retry tokens
+    left.
     """
 
     at: int
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True)
 class ScenarioResult:
-    """What a day gave: its rows, the servers with their counters, how many calls were dialled, samples."""
+    """The result of a run: rows, servers with their counters, number of calls dialled, and samples."""
 
     rows: list[Row]
     servers: dict[str, EmulatedServer] = field(default_factory=dict)
@@ -47,7 +49,7 @@
 
 
 class _ScenarioRun:
-    """One run of a fleet's day."""
+    """One run of a fleet's scenario."""
 
     def __init__(self, fleet: Fleet, sample_interval: int) -> None:
         self._fleet = fleet
@@ -59,7 +61,7 @@
         self._faults |= EdgeFaults(fleet, targets, self._load).by_kind()
 
     def run(self) -> ScenarioResult:
-        """Runs the day, and on until every caller has its answer."""
+        """Runs the scenario, then waits until all callers are answered or their no-answer timeouts expire."""
         fleet, sim = self._fleet, self._fleet.sim
         for edge in fleet.edges:
             edge.start(fleet.endpoint_list.complete())
@@ -114,8 +116,8 @@
 
 
 def simulate_scenario(fleet: Fleet, sample_interval: int = 0) -> ScenarioResult:
-    """Runs a fleet's day to the end.
+    """Runs a fleet's scenario to the end.
 
-    `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none.
+    `sample_interval`: ns between samples of the edge proxies' estimates for servers; 0: no samples.
     """
     return _ScenarioRun(fleet, sample_interval).run()
--- a/valverouter/emulator/simulation.py
+++ b/valverouter/emulator/simulation.py
@@ -9,27 +9,28 @@
 import numpy as np
 import simpy
 
-# The start of every simulation. It lies well after 0, since the policy takes a start at 0 for long ago.
+# The start time of every simulation, ns. It is well after 0, because the policy treats a start time of 0 as
+# one in the distant past.
 EPOCH = 86_400 * 10**9
 DRAWS_PER_BATCH = 256
 
 
 class Simulation:
-    """The event calendar. Events due at one moment run in the order in which they were scheduled."""
+    """The event queue. Simultaneous events run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self.env = simpy.Environment(initial_time=EPOCH)
 
     def now(self) -> int:
-        """The simulated time, ns."""
+        """Returns the simulated time, ns."""
         return int(self.env.now)
 
     def call_at(self, time: int, callback: Callable[..., None], *args: Any) -> None:
-        """Calls `callback(*args)` at `time`, ns; a time that has passed counts as now."""
+        """Calls `callback(*args)` at `time`, ns; a time in the past counts as now."""
         self.call_after(time - self.now(), callback, *args)
 
     def call_after(self, delay: int, callback: Callable[..., None], *args: Any) -> None:
-        """Calls `callback(*args)` in `delay` ns; a negative delay counts as none."""
+        """Calls `callback(*args)` in `delay` ns; a negative delay counts as 0."""
         timeout = simpy.Timeout(self.env, max(0, delay))
         assert timeout.callbacks is not None
         timeout.callbacks.append(lambda event: callback(*args))
@@ -40,9 +41,9 @@
 
 
 class RandomStream:
-    """The draws of one source, the same on every machine.
+    """The random draws of one source, reproducible on every machine.
 
-    How many draws another source makes changes nothing here.
+    The streams of different sources are independent: draws from one do not affect another.
     """
 
     def __init__(self, seed: int, source: str) -> None:
@@ -51,23 +52,23 @@
         self._exponential: list[float] = []
 
     def random(self) -> float:
-        """Uniform from 0 up to 1."""
+        """Draws uniformly from [0, 1)."""
         if not self._uniform:
             self._uniform = self._generator.random(DRAWS_PER_BATCH).tolist()
         return self._uniform.pop()
 
     def exponential(self) -> float:
-        """Exponential with mean 1."""
+        """Draws from the exponential distribution with mean 1."""
         if not self._exponential:
             self._exponential = self._generator.standard_exponential(DRAWS_PER_BATCH).tolist()
         return self._exponential.pop()
 
     def integer_below(self, count: int) -> int:
-        """Uniform among 0 to `count` - 1."""
+        """Draws uniformly from the integers 0 to `count` - 1."""
         return int(self.random() * count)
 
     def weighted_index(self, weights: list[float]) -> int:
-        """An index, with a probability in proportion to its weight."""
+        """Draws an index with a probability proportional to its weight."""
         remaining = self.random() * sum(weights)
         for index, weight in enumerate(weights):
             remaining -= weight
@@ -76,5 +77,5 @@
         return len(weights) - 1
 
     def sample(self, names: list[str], count: int) -> list[str]:
-        """`count` different names in random order."""
+        """Draws `count` distinct names, in random order."""
         return [names[index] for index in self._generator.permutation(len(names))[:count].tolist()]
--- a/valverouter/servermodel/arrivals.py
+++ b/valverouter/servermodel/arrivals.py
@@ -1,8 +1,8 @@
-"""Arrivals of calls, with random draws passed in. Rates are dialogs per second, durations nanoseconds.
+"""Call arrival processes, with random draws passed in. Rates are dialogs per second, durations nanoseconds.
 
-Poisson arrivals; on-off arrivals, where periods without any alternate with denser ones so that the mean rate
-holds; a linear drift of the rate. Recorded calls bring their own times: for them only the number of
-repetitions is drawn.
+There are Poisson arrivals and on-off arrivals, which alternate between periods without arrivals and periods
+with a higher rate, so that the mean rate is the given one; the rate can drift linearly. Recorded calls have
+their own times; for them only the number of repetitions is drawn.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivalPattern:
-    """How the rate changes.
+    """The changes of the arrival rate.
 
-    `mean_on`, `mean_off`: mean lengths of the periods with and without arrivals; without pauses `mean_off` is
-    0. `drift`: the factor by which the rate has changed, linearly, after `drift_duration`.
+    `mean_on`, `mean_off`: mean lengths of the periods with and without arrivals, ns; `mean_off` 0: Poisson
+    arrivals. `drift`: the factor by which the rate has changed, linearly, after `drift_duration` ns.
     """
 
     mean_on: int = SECOND
@@ -30,12 +30,12 @@
     drift_duration: int = 1
 
     def rate(self, initial_rate: float, elapsed: int) -> float:
-        """The rate after that time, averaged over periods with and without arrivals."""
+        """Returns the rate after `elapsed` ns, averaged over periods with and without arrivals."""
         return initial_rate * (1 + (self.drift - 1) * min(1.0, elapsed / self.drift_duration))
 
 
 class ArrivalProcess:
-    """The arrivals at one edge proxy, from the time `start` on."""
+    """The arrivals at one edge proxy from the time `start`, ns."""
 
     def __init__(self, pattern: ArrivalPattern, exponential: Exponential, start: int) -> None:
         self._pattern = pattern
@@ -44,9 +44,9 @@
         self._on_until = start + int(pattern.mean_on * exponential()) if pattern.mean_off else 0
 
     def next_arrival(self, now: int, rate: float) -> int:
-        """The time of the first arrival after `now`, at a given mean rate."""
+        """Returns the time of the first arrival after `now`, ns, at a given mean rate."""
         pattern = self._pattern
-        # In periods with arrivals the rate is higher, so that the mean over all time is the given one.
+        # The rate in periods with arrivals is scaled up, so that the overall mean is the given rate.
         density = (pattern.mean_on + pattern.mean_off) / pattern.mean_on if pattern.mean_off else 1.0
         rate_while_on = pattern.rate(rate, now - self._start) * density
         arrival = now + max(1, int(self._exponential() / rate_while_on * SECOND))
@@ -59,6 +59,6 @@
 
 
 def draw_repetitions(mean: float, uniform: Callable[[], float]) -> int:
-    """How often a recorded call is dialled: `mean` times on average; a whole `mean` draws nothing."""
+    """Draws how often a recorded call is dialled, on average `mean` times; no draw if `mean` is integral."""
     whole = int(mean)
     return whole + (uniform() < mean - whole if mean > whole else 0)
--- a/valverouter/servermodel/events.py
+++ b/valverouter/servermodel/events.py
@@ -1,4 +1,4 @@
-"""What a server model reports to its driver: events about call legs, and counters."""
+"""The output of a server model: events of call legs, and counters."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ServerEventKind(Enum):
-    """What the peer of a leg has to be sent; ENDED and INTERRUPTED close a leg that was established."""
+    """Kinds of messages to the peer of a leg; ENDED and INTERRUPTED close an established leg."""
 
     PROVISIONAL = auto()
     ESTABLISHED = auto()
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEvent:
-    """An event of a leg at time `at`, ns. `retry_after`: the delay that a full server asks for, ns."""
+    """An event of a leg at time `at`, ns. `retry_after`: the delay that a full server requests, ns."""
 
     key: LegKey
     kind: ServerEventKind
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class ServerCounters:
-    """What a server did since it was built; `work` and `wasted_work` are processor time, ns."""
+    """Counters of a server since its creation; `work` and `wasted_work` are processor time, ns."""
 
     setups: int = 0
     established: int = 0
--- a/valverouter/servermodel/faults.py
+++ b/valverouter/servermodel/faults.py
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class ServerFaults:
-    """The faults of a process. `slowdown`: every job takes that many times longer.
+    """The faults of a process. `slowdown`: the factor by which jobs take longer.
 
-    From `degrading_since` on it takes longer and longer, `degrading_factor` times after `degrading_duration`
-    ns. `answer_loss`: the probability with which an answer is lost.
+    From `degrading_since` a further factor grows linearly from 1 to `degrading_factor` within
+    `degrading_duration` ns. `answer_loss`: the probability that an answer is lost.
     """
 
     slowdown: float = 1.0
@@ -20,7 +20,7 @@
     answer_loss: float = 0.0
 
     def slowdown_at(self, now: int) -> float:
-        """By which factor jobs that start now take longer."""
+        """Returns the factor by which jobs that start now take longer."""
         if self.degrading_factor <= 1:
             return self.slowdown
         progress = min(1.0, (now - self.degrading_since) / self.degrading_duration)
--- a/valverouter/servermodel/legs.py
+++ b/valverouter/servermodel/legs.py
@@ -11,7 +11,7 @@
 
 
 class LegStage(Enum):
-    """How far a leg has come; a closed leg is removed."""
+    """The stages of an open leg; a closed leg is removed."""
 
     QUEUED = auto()
     RINGING = auto()
@@ -21,9 +21,10 @@
 
 @dataclass(slots=True)
 class Leg:
-    """A leg at a server; `duration`: how long its dialog lasts once established, ns.
+    """A leg at a server; `duration`: the duration of its dialog once established, ns.
 
-    `serial` tells it from an earlier leg of the same key, whose jobs and timers may still be queued.
+    `serial` distinguishes it from an earlier leg with the same key, whose jobs and timers may still be
+    queued.
     """
 
     number: int
@@ -36,7 +37,7 @@
 
 
 class TimerKind(Enum):
-    """What happens to a leg when its timer expires."""
+    """The action that is due when a leg's timer expires."""
 
     ANSWER = auto()
     HANG_UP = auto()
@@ -44,7 +45,7 @@
 
 
 class Timer(NamedTuple):
-    """A timer of a leg; timers of one time expire in the order in which they were set."""
+    """A timer of a leg; timers with the same time expire in the order in which they were set."""
 
     at: int
     order: int
@@ -54,7 +55,7 @@
 
 
 class TimerQueue:
-    """The timers of all legs of a server, by time. Timers of legs that are gone stay until they expire."""
+    """The timers of all legs of a server, by time. Timers of removed legs remain until they expire."""
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
@@ -62,7 +63,7 @@
 
     @property
     def next_at(self) -> int | None:
-        """When the next timer expires, ns; None without timers."""
+        """The time at which the next timer expires, ns; None if there are no timers."""
         return self._heap[0].at if self._heap else None
 
     def set(self, at: int, kind: TimerKind, key: LegKey, leg_serial: int) -> None:
--- a/valverouter/servermodel/lines.py
+++ b/valverouter/servermodel/lines.py
@@ -1,4 +1,4 @@
-"""The lines of a server, and the lines behind called numbers that all servers share."""
+"""The lines of a server, and the lines of called numbers, which all servers share."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class CalledNumbers:
-    """Counts busy lines by called number; a number without a stated capacity has any number of lines.
+    """Counts busy lines by called number.
 
-    `capacities`: lines by number. An entry of the busy lines is removed with the number's last dialog.
+    `capacities`: lines by number; the capacity of other numbers is unlimited. The counter of a number is
+    removed with its last dialog.
     """
 
     def __init__(self, capacities: dict[int, int] | None = None) -> None:
@@ -16,7 +17,7 @@
         self._busy: dict[int, int] = {}
 
     def acquire(self, number: int) -> bool:
-        """Occupies a line of the number; false if all are busy."""
+        """Occupies a line of the number; returns False if all are busy."""
         busy = self._busy.get(number, 0)
         if busy >= self.capacities.get(number, busy + 1):
             return False
@@ -31,7 +32,7 @@
 
 
 class LinePool:
-    """The lines of one server. `held` are in use; a fault leaves only `available_fraction` of them usable."""
+    """The lines of one server; `held` of them are in use. A fault reduces the usable `available_fraction`."""
 
     def __init__(self, installed: int, called_numbers: CalledNumbers) -> None:
         self.held = 0
@@ -41,16 +42,16 @@
 
     @property
     def available(self) -> int:
-        """Lines that are usable, held or free."""
+        """The number of usable lines, held or free."""
         return int(self._installed * self.available_fraction)
 
     @property
     def free(self) -> int:
-        """Lines that a new dialog can have."""
+        """The number of lines available to new dialogs."""
         return max(0, self.available - self.held)
 
     def acquire(self, number: int) -> ServerEventKind | None:
-        """Holds a line here and one of the called number; returns why it can't, None if it did."""
+        """Occupies a line here and one of the called number; returns the rejection, None on success."""
         if self.held >= self.available:
             return ServerEventKind.NO_AGENT
         if not self._called_numbers.acquire(number):
--- a/valverouter/servermodel/paths.py
+++ b/valverouter/servermodel/paths.py
@@ -1,8 +1,8 @@
-"""Model of the network paths between instances: which datagram arrives, after how long, and how often.
+"""Model of the network paths between instances: loss, delay and duplication of datagrams.
 
-Loopback runs, virtual time and the simulations share it. Every pair of instances has a path in each
-direction. Faults are active between two times and name the instances that they affect; where several affect a
-path, a datagram passes them all.
+Loopback runs, runs in virtual time and the simulations share it. Every pair of instances has a path in each
+direction. A fault is active between two times and names the instances that it affects; if several faults
+affect a path, they are applied to a datagram one after another.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from dataclasses import dataclass
 
 PATH_FAULT_KINDS = ("loss", "late", "twice", "swapped", "cut", "split")
-# Nothing passes a path with one of these.
+# Faults that lose every datagram on the paths that they affect.
 BLOCKING_KINDS = ("cut", "split")
 
 
 @dataclass(frozen=True, slots=True)
 class PathFault:
-    """A fault from `start` until `until` on datagrams of `senders` to `receivers`; empty sets mean everybody.
+    """A fault from `start` to `until`, ns, on datagrams from `senders` to `receivers`; empty sets mean all.
 
-    loss: a datagram is lost with `probability`. late: it arrives `delay` ns later, give or take the fraction
-    `jitter` of that. twice: with `probability` it arrives again within `delay`. swapped: with `probability`
-    it is held back by up to `delay`, and those sent later overtake it. cut: nothing arrives, if
-    `bidirectional` in neither direction. split: nothing arrives between two of `groups`; an instance of no
-    group reaches all.
+    loss: a datagram is lost with `probability`. late: it is delayed by `delay` ns, varied by up to the
+    fraction `jitter` either way. twice: with `probability` a copy arrives within `delay` ns after it.
+    swapped: with `probability` it is delayed by up to `delay` ns, so that later datagrams overtake it. cut:
+    all datagrams are lost, in both directions if `bidirectional`. split: all datagrams between different
+    `groups` are lost; the instances that are in no group form another group.
     """
 
     kind: str
@@ -38,7 +38,7 @@
     groups: tuple[frozenset[str], ...] = ()
 
     def affects(self, sender: str, receiver: str) -> bool:
-        """Whether the fault, while active, affects datagrams between these two."""
+        """Returns whether the fault, while active, affects datagrams from `sender` to `receiver`."""
         if self.kind == "split":
             return _find_group(self.groups, sender) != _find_group(self.groups, receiver)
         if self._matches(sender, receiver):
@@ -56,10 +56,10 @@
 
 
 class NetworkPaths:
-    """The paths of all pairs.
+    """The paths between all pairs of instances.
 
-    `draw` gives random numbers evenly from 0 up to 1, `delay` the one-way delay of a pair in ns, `loss` the
-    probability of a loss without any fault. A fault is dropped when it is over.
+    `draw` returns random numbers uniformly from [0, 1), `delay` the one-way delay between two instances in
+    ns; `loss` is the loss probability without faults. A fault is removed when it has ended.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
         self._loss = loss
         self._active: list[PathFault] = []
         self._upcoming = sorted(faults, key=lambda fault: fault.start)[::-1]
-        # When the first of the active faults is over.
+        # The time at which the first of the active faults ends, ns.
         self._next_end = 0
 
     def delivery_delays(self, sender: str, receiver: str, now: int) -> tuple[int, ...]:
-        """The delay of each copy of a datagram sent now, ns; none if it is lost. `now` never goes back."""
+        """Returns the delay of each copy of a datagram sent now, ns; none if lost. `now` never decreases."""
         self._update_active(now)
         if self._loss and self._draw() < self._loss:
             return ()
--- a/valverouter/servermodel/processor.py
+++ b/valverouter/servermodel/processor.py
@@ -1,4 +1,4 @@
-"""The processor of a server: one job at a time, the others wait in a queue."""
+"""The processor of a server: it processes one job at a time, while the others wait in a queue."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from valverouter.servermodel.events import LegKey, ServerCounters
 
-# The utilization is measured anew once this time has passed since it was last, ns.
+# Minimum interval between two measurements of the utilization, ns.
 UTILIZATION_INTERVAL = 100_000_000
 
 
 class WorkKind(Enum):
-    """What a job is for."""
+    """The kinds of jobs."""
 
     SETUP = auto()
     ANSWER = auto()
@@ -23,15 +23,15 @@
     RETRANSMIT = auto()
 
 
-# These are queued ahead of answers and releases where the server prioritizes set-ups, and are dropped when
-# their leg is cancelled where it does that.
+# Jobs of these kinds are queued ahead of DEFERRED_KINDS if the server prioritizes set-ups, and are dropped
+# with a cancelled leg if the server drops cancelled set-ups.
 SETUP_KINDS = (WorkKind.SETUP, WorkKind.RETRANSMIT)
 DEFERRED_KINDS = (WorkKind.ANSWER, WorkKind.RELEASE)
 
 
 @dataclass(slots=True)
 class Job:
-    """Work for a leg (`key` and its serial), or for none; `cost`: processor time at full speed, ns."""
+    """Work for a leg (`key` and its serial), or without a leg; `cost`: processor time at full speed, ns."""
 
     kind: WorkKind
     key: LegKey | None
@@ -40,11 +40,11 @@
 
 
 class Processor:
-    """Works off jobs in the order of its queue.
+    """Processes jobs in queue order.
 
-    `speed` gives the speed at a time as a fraction of full speed; a job runs at the speed of its start.
-    `is_obsolete` says whether a queued job is dropped instead of started. A hung processor keeps its job and
-    goes on with it afterwards.
+    `speed` returns the speed at a time as a fraction of full speed; a job runs at the speed of its start
+    time. `is_obsolete` returns whether a queued job is dropped instead of started. A hung processor keeps its
+    current job and continues it afterwards.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._queued_work = 0
         self._current: Job | None = None
         self._finishes_at = 0
-        # Of the current job, when it started or when the processor hung.
+        # Remaining time of the current job when it started, or when the processor last hung, ns.
         self._remaining = 0
         self._measured_at = 0
         self._busy_time = 0
@@ -71,16 +71,16 @@
 
     @property
     def finishes_at(self) -> int | None:
-        """When the current job is done, ns; None if there is none, or the processor is hung."""
+        """The time at which the current job is done, ns; None if there is none, or the processor is hung."""
         return None if self._current is None or self.is_hung else self._finishes_at
 
     @property
     def queued_setups(self) -> int:
-        """How many set-ups wait in the queue."""
+        """The number of set-ups in the queue."""
         return sum(job.kind is WorkKind.SETUP for job in self._queue)
 
     def queue_delay(self, now: int) -> int:
-        """How long a set-up that arrived now would wait until it is started, ns."""
+        """Returns how long a set-up that arrives now would wait until it is started, ns."""
         return self._time_left(now) + int(self._queued_work / self._speed(now))
 
     def _time_left(self, now: int) -> int:
@@ -107,7 +107,7 @@
         self._queue.extend(reversed(deferred))
 
     def start_next(self, now: int) -> None:
-        """Starts the next job that is not obsolete, unless one is being worked on."""
+        """Starts the next job that is not obsolete, unless the processor is busy."""
         if self._current is not None:
             return
         while self._queue:
@@ -126,13 +126,13 @@
         self._busy_time += duration
 
     def take_finished(self) -> Job:
-        """Removes the current job, which is done, and returns it."""
+        """Removes the current job, which must be done, and returns it."""
         job, self._current = self._current, None
         assert job is not None
         return job
 
     def set_hung(self, now: int, is_hung: bool) -> None:
-        """Stops work on the current job, or goes on with it."""
+        """Suspends the current job, or continues it."""
         if is_hung and not self.is_hung:
             self._remaining = max(0, self._finishes_at - now)
         elif self.is_hung and not is_hung:
@@ -146,7 +146,7 @@
         self._current = None
 
     def utilization(self, now: int) -> float:
-        """Which fraction of the time the processor was busy since the last measurement, 0 to 1."""
+        """Returns the fraction of time that the processor was busy, 0 to 1, as last measured."""
         elapsed = now - self._measured_at
         if elapsed >= UTILIZATION_INTERVAL:
             ahead = max(0, self._finishes_at - now) if self._current else 0
--- a/valverouter/servermodel/profile.py
+++ b/valverouter/servermodel/profile.py
@@ -10,15 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerProfile:
-    """Capacity and costs of a server. Work is processor time at full speed; it and all durations are in ns.
+    """Capacity and costs of a server. Work is processor time at full speed; work and durations are in ns.
 
     `max_queue_delay`: set-ups are rejected while the queue delay is longer. `sends_retry_after`: a rejection
     carries the queue delay. `retransmit_interval`: the peer repeats a queued set-up after this time and then
-    at doubling intervals, each costing `retransmit_work`; 0: never. `prioritizes_setups`: set-ups are queued
-    ahead of answers and releases. `random_work_fraction`: the fraction of a set-up's work that is drawn from
-    an exponential distribution, the rest is fixed; the mean is the same. A new process starts at
-    `slow_start_fraction` of its speed and reaches full speed after `slow_start_duration`; until then it
-    crashes when the set-up work within `overload_window` exceeds `overload_multiple` times what it can do.
+    at doubling intervals, and each repetition costs `retransmit_work`; 0: never. `prioritizes_setups`:
+    set-ups are queued ahead of answers and releases. `drops_cancelled_setups`: queued set-ups of cancelled
+    legs are not processed. `random_work_fraction`: the fraction of a set-up's work that is drawn from an
+    exponential distribution; the rest is fixed, and the mean does not change. A new process starts at
+    `slow_start_fraction` of its full speed and reaches full speed after `slow_start_duration`; until then it
+    crashes when the set-up work within `overload_window` exceeds `overload_multiple` times its capacity.
     """
 
     lines: int = 1_000
@@ -40,7 +41,7 @@
     random_work_fraction: float = 0.0
 
     def slow_start_parameters(self) -> dict[str, Any]:
-        """The fields of a `ServerStartedRow` that describe slow start, by name."""
+        """Returns the fields of a `ServerStartedRow` that describe slow start, by name."""
         names = (
             "setup_work",
             "slow_start_fraction",
--- a/valverouter/servermodel/server.py
+++ b/valverouter/servermodel/server.py
@@ -1,7 +1,7 @@
-"""A signalling server as a model: one processor with a queue, lines, slow start and faults.
+"""Model of a signalling server: one processor with a queue, lines, slow start and faults.
 
-Nothing here reads a clock, sleeps or draws random numbers by itself: the driver passes `now` (whole
-nanoseconds), asks for the time of the next event by `next_event_at` and takes events out by `advance`. The
+The model reads no clock, does not sleep and draws no random numbers by itself: its user passes `now` (integer
+nanoseconds), queries the time of the next event with `next_event_at` and fetches events with `advance`. The
 fake servers run it on sockets, the emulator in simulated time.
 """
 
@@ -20,10 +20,10 @@
 
 
 class SetupServer:
-    """One server. `legs` holds the open ones: a closing event, a crash or a lost connection removes them.
+    """One server. `legs` holds its open legs; a closing event, a crash or a lost connection removes them.
 
-    `draw` gives random numbers evenly from 0 up to 1. A process that crashed by overload in its slow start
-    (`crashed_by_overload`) stays down.
+    `draw` returns random numbers uniformly from [0, 1). `crashed_by_overload`: the process crashed by
+    overload in its slow start; such a server can't be started again.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
     # Time
 
     def next_event_at(self) -> int | None:
-        """When `advance` next has something to do, ns; None: only after the next call of another method."""
+        """Returns when `advance` has to be called next, ns; None: not before another method is called."""
         timer_at, finishes_at = self._timers.next_at, self._processor.finishes_at
         if timer_at is None or finishes_at is None:
             return finishes_at if timer_at is None else timer_at
         return min(timer_at, finishes_at)
 
     def advance(self, now: int) -> list[ServerEvent]:
-        """Lets time pass up to `now`; returns the events since the last call, in order, and forgets them."""
+        """Advances the model to `now`; removes and returns the events since the last call, in order."""
         while (at := self.next_event_at()) is not None and at <= now:
             if self._timers.next_at == at:
                 self._on_timer(at, self._timers.pop())
@@ -95,7 +95,7 @@
     # Legs
 
     def setup(self, now: int, key: LegKey, number: int, duration: int) -> None:
-        """A set-up arrives, for a dialog that lasts `duration` ns; a server that does not run ignores it."""
+        """Handles a set-up of a dialog that lasts `duration` ns; ignored if the server is not running."""
         if not self.is_running:
             return
         self.counters.setups += 1
@@ -127,7 +127,7 @@
         return max(1, int(work * (1 - random_fraction + random_fraction * drawn)))
 
     def _is_obsolete(self, job: Job) -> bool:
-        """Whether a queued job is for a leg that is gone, at a server that drops such jobs."""
+        """Returns whether a queued job is to be dropped because its leg was removed."""
         if not self.profile.drops_cancelled_setups or job.kind not in SETUP_KINDS or job.key is None:
             return False
         leg = self.legs.get(job.key)
@@ -165,7 +165,7 @@
         self._timers.set(now + leg.duration, TimerKind.HANG_UP, key, leg.serial)
 
     def cancel(self, now: int, key: LegKey) -> None:
-        """The peer waits no longer; a leg that is established by now is released instead."""
+        """Handles a cancel of the peer; a leg that is already established is released."""
         leg = self.legs.get(key)
         if leg is None:
             return
@@ -178,23 +178,23 @@
                 self._enqueue_release_of_removed(now)
 
     def release(self, now: int, key: LegKey) -> None:
-        """Ends an established leg; others stay as they are."""
+        """Ends a leg if it is established."""
         leg = self.legs.get(key)
         if leg is not None and leg.stage is LegStage.ESTABLISHED:
             leg.stage = LegStage.ENDING
             self._processor.enqueue(now, Job(WorkKind.RELEASE, key, self.profile.release_work, leg.serial))
 
     def on_connection_lost(self, now: int, peer: str, retained: Container[LegKey] = ()) -> None:
-        """The connection to a peer is gone: its legs but the `retained` ones are removed, without events."""
+        """Removes all legs of a peer whose connection was lost, except `retained` ones, without events."""
         for key in [key for key in self.legs if key[0] == peer and key not in retained]:
             self.abandon(now, key)
 
     def on_resume_request(self, now: int) -> None:
-        """A peer asks for a leg of an earlier connection; the look-up costs as much as a rejection."""
+        """Handles a request to resume a leg of an earlier connection; it costs the work of a rejection."""
         self._processor.enqueue(now, Job(WorkKind.REJECT, None, self.profile.reject_work))
 
     def abandon(self, now: int, key: LegKey) -> None:
-        """Removes a leg whose peer is gone, without an event."""
+        """Removes a leg that its peer has abandoned, without an event."""
         if key in self.legs:
             self._remove(key)
             self._enqueue_release_of_removed(now)
@@ -217,33 +217,33 @@
     # Faults
 
     def set_slowdown(self, factor: float) -> None:
-        """Every job takes that many times longer; 1: as usual."""
+        """Sets the factor by which jobs take longer; 1: no slowdown."""
         self._faults.slowdown = factor
 
     def start_degrading(self, now: int, factor: float, duration: int) -> None:
-        """From now on slower and slower, by `factor` after `duration` ns; factor 1 ends it."""
+        """Slows the server down linearly, by `factor` after `duration` ns; factor 1 ends the degradation."""
         faults = self._faults
         faults.degrading_since = now
         faults.degrading_factor = factor
         faults.degrading_duration = max(1, duration)
 
     def set_hung(self, now: int, is_hung: bool) -> None:
-        """While hung the server accepts set-ups and answers none; the current job goes on afterwards."""
+        """Sets whether the server hangs: it queues set-ups, but processes no jobs until the hang ends."""
         self._processor.set_hung(now, is_hung)
 
     def set_answer_loss(self, probability: float) -> None:
-        """Answers are lost with that probability."""
+        """Sets the probability that an answer is lost."""
         self._faults.answer_loss = probability
 
     def limit_lines(self, now: int, fraction: float) -> None:
-        """Leaves a fraction of the lines; dialogs on the lost ones are cut, chosen at random."""
+        """Reduces the usable lines to a fraction; interrupts randomly chosen dialogs that exceed them."""
         self._lines.available_fraction = fraction
         holding = [key for key, leg in self.legs.items() if leg.holds_line]
         while self._lines.held > self._lines.available and holding:
             self._interrupt(now, holding.pop(int(self.draw() * len(holding))))
 
     def interrupt_established(self, now: int, probability: float) -> None:
-        """Cuts each established leg with that probability."""
+        """Interrupts each established leg with the given probability."""
         for key in [key for key, leg in self.legs.items() if leg.stage is LegStage.ESTABLISHED]:
             if self.draw() < probability:
                 self._interrupt(now, key)
@@ -254,7 +254,7 @@
         self._close(now, key, ServerEventKind.INTERRUPTED if was_established else ServerEventKind.FAULT)
 
     def crash(self, now: int) -> None:
-        """The process dies with all its legs; the driver closes its connections."""
+        """Ends the process and removes all its legs; the user of the model closes its connections."""
         self.is_running = False
         self.counters.interrupted += sum(leg.was_established for leg in self.legs.values())
         for key in list(self.legs):
@@ -264,7 +264,7 @@
         self._events.clear()
 
     def start(self, now: int) -> None:
-        """Starts a new process, without faults and in slow start; not after a crash by overload."""
+        """Starts a new process in slow start and without faults, unless the last one crashed by overload."""
         if self.crashed_by_overload:
             return
         self.crash(now)
@@ -277,42 +277,42 @@
 
     @property
     def started_at(self) -> int:
-        """When the current process started, ns."""
+        """The start time of the current process, ns."""
         return self._slow_start.started_at
 
     @property
     def slow_start_budget_used(self) -> float:
-        """How near slow start came to a crash: the highest work in a window, 1 at the limit."""
+        """The highest work within an overload window in slow start, as a fraction of the crash limit."""
         return self._slow_start.budget_used
 
     @property
     def line_count(self) -> int:
-        """Lines that are usable, held or free."""
+        """The number of usable lines, held or free."""
         return self._lines.available
 
     @property
     def free_lines(self) -> int:
-        """Lines that a new dialog can have."""
+        """The number of lines available to new dialogs."""
         return self._lines.free
 
     @property
     def held_lines(self) -> int:
-        """Lines in use."""
+        """The number of lines in use."""
         return self._lines.held
 
     @property
     def queued_setups(self) -> int:
-        """Set-ups that wait for the processor."""
+        """The number of set-ups that wait for the processor."""
         return self._processor.queued_setups
 
     def processor_speed(self, now: int) -> float:
-        """The speed as a fraction of that without faults after slow start."""
+        """Returns the speed as a fraction of the full speed, without faults and after slow start."""
         return self._slow_start.speed(now) / self._faults.slowdown_at(now)
 
     def queue_delay(self, now: int) -> int:
-        """How long a set-up that arrived now would wait for the processor, ns."""
+        """Returns how long a set-up that arrives now would wait for the processor, ns."""
         return self._processor.queue_delay(now)
 
     def utilization(self, now: int) -> float:
-        """Which fraction of the time the processor was busy lately, 0 to 1."""
+        """Returns the fraction of time that the processor was busy recently, 0 to 1."""
         return self._processor.utilization(now)
