--- a/valverouter/emulator/simulate.py
+++ b/valverouter/emulator/simulate.py
@@ -1,4 +1,4 @@
-"""Runs an emulated fleet through its day: settling, the calls with the day's faults, and the last answers."""
+"""Runs an emulated fleet through its scenario: settling time, calls and faults, and the last answers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 from valverouter.signalling.traffic_record import CallersStartedRow, Row
 
 SECOND = 1_000_000_000
-# How often edge proxies without events read the load reports, so that none is kept for long, ns.
+# Interval at which edge proxies without events read the load reports, so that none waits long, ns.
 ADVANCE_INTERVAL = 2 * SECOND
-# How often it is looked whether all callers have their answers, and what is waited for afterwards, ns.
+# Interval at which unanswered dialogs are checked at the end of a run, ns.
 ANSWER_POLL_INTERVAL = SECOND // 20
+# Simulated time after the last answer, ns.
 FINAL_DELAY = 300_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSample:
-    """What the edge proxies knew of a server at a time, on average.
+    """The edge proxies' estimates for a server at a time, averaged over all running edge proxies.
 
-    `queue_delay` in ns, `window` their concurrency windows for it, `token_fraction` of retry tokens left.
+    `queue_delay` in ns; `window`: the concurrency window; `token_fraction`: the fraction of retry tokens
+    left.
     """
 
     at: int
@@ -37,8 +39,8 @@
 
 
 @dataclass(slots=True)
-class DayResult:
-    """What a day gave: its rows, the servers with their counters, how many calls were dialled, samples."""
+class ScenarioResult:
+    """The result of a run: rows, servers with their counters, number of calls dialled, and samples."""
 
     rows: list[Row]
     servers: dict[str, EmulatedServer] = field(default_factory=dict)
@@ -46,8 +48,8 @@
     samples: list[ServerSample] = field(default_factory=list)
 
 
-class _DayRun:
-    """One run of a fleet's day."""
+class _ScenarioRun:
+    """One run of a fleet's scenario."""
 
     def __init__(self, fleet: Fleet, sample_interval: int) -> None:
         self._fleet = fleet
@@ -58,39 +60,39 @@
         self._faults = ServerFaults(fleet, targets).by_kind()
         self._faults |= EdgeFaults(fleet, targets, self._load).by_kind()
 
-    def run(self) -> DayResult:
-        """Runs the day, and on until every caller has its answer."""
+    def run(self) -> ScenarioResult:
+        """Runs the scenario, then waits until all callers are answered or their no-answer timeouts expire."""
         fleet, sim = self._fleet, self._fleet.sim
         for edge in fleet.edges:
             edge.start(fleet.endpoint_list.complete())
-        settled_at = sim.now() + fleet.day.run.settle
-        ends_at = settled_at + fleet.day.run.length
+        settled_at = sim.now() + fleet.scenario.run.settle
+        ends_at = settled_at + fleet.scenario.run.length
         sim.run(settled_at)
-        self._begin(ends_at)
+        self._start_load(ends_at)
         sim.run(ends_at)
         self._wait_for_answers(ends_at)
-        return DayResult(fleet.recorder.rows, fleet.servers, self._load.dialled, self._samples)
+        return ScenarioResult(fleet.recorder.rows, fleet.servers, self._load.dialled, self._samples)
 
-    def _begin(self, ends_at: int) -> None:
+    def _start_load(self, ends_at: int) -> None:
         fleet = self._fleet
         fleet.recorder.record(CallersStartedRow)
-        for name, fault in fleet.day.faults.items():
-            fleet.sim.env.process(self._fault(name, fault))
+        for name, fault in fleet.scenario.faults.items():
+            fleet.sim.env.process(self._run_fault(name, fault))
         for callers in fleet.callers:
             CallGenerator(fleet, self._load, callers, ends_at).start()
         self._advance_edges()
         if self._sample_interval:
             self._sample()
 
-    def _fault(self, name: str, fault: FaultConfig) -> FaultProcess:
+    def _run_fault(self, name: str, fault: FaultConfig) -> FaultProcess:
         yield self._fleet.sim.env.timeout(fault.start)
         yield from self._faults[fault.kind](fault, self._fleet.random_stream(f"trouble {name}"))
 
     def _wait_for_answers(self, ends_at: int) -> None:
         fleet, sim = self._fleet, self._fleet.sim
         for callers in fleet.callers:
-            callers.patience = 1.0
-        deadline = ends_at + max(mix.no_answer for mix in fleet.day.mix.values()) + SECOND
+            callers.abandon_fraction = 1.0
+        deadline = ends_at + max(mix.no_answer for mix in fleet.scenario.mix.values()) + SECOND
         while sim.now() < deadline and any(callers.is_waiting for callers in fleet.callers):
             sim.run(min(deadline, sim.now() + ANSWER_POLL_INTERVAL))
         sim.run(sim.now() + FINAL_DELAY)
@@ -113,9 +115,9 @@
         self._fleet.sim.call_after(self._sample_interval, self._sample)
 
 
-def simulate_day(fleet: Fleet, sample_interval: int = 0) -> DayResult:
-    """Runs a fleet's day to the end.
+def simulate_scenario(fleet: Fleet, sample_interval: int = 0) -> ScenarioResult:
+    """Runs a fleet's scenario to the end.
 
-    `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none.
+    `sample_interval`: ns between samples of the edge proxies' estimates for servers; 0: no samples.
     """
-    return _DayRun(fleet, sample_interval).run()
+    return _ScenarioRun(fleet, sample_interval).run()
