--- a/tests/platform_harness.py
+++ b/tests/platform_harness.py
@@ -1,7 +1,7 @@
-"""An edge proxy on the platform: callers, core servers and the event bus do as the test says.
+"""A harness for the edge proxy on the platform, with scripted callers, core servers and event bus.
 
-In memory and virtual time, or on loopback sockets, where the instance's turns and each dial wait for the
-test: what comes between two turns then comes there every time.
+It runs in memory and virtual time, or on loopback sockets. On sockets a test can hold the event loop between
+two turns, and connects, so that what happens between two turns happens there in every run.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from valverouter.config.platform import PlatformConfig, platform_config
 from valverouter.edge.runtime import Handler
 from valverouter.edge.sockets import SocketRuntime
-from valverouter.platform_edge.proxy import RelayProxy
+from valverouter.platform_edge.proxy import PlatformProxy
 from valverouter.platform_protocol import isup
 from valverouter.platform_protocol.lines import Line, LineReader
 from valverouter.scenarios.memory_network import WALL_CLOCK_START, MemoryNetwork, MemoryRuntime
 
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0 \u00e4\r\n"
-FIGURES = "dest:0;width:1;via:-1"
+ROUTING_FIELDS = "dest:0;width:1;via:-1"
 SETTINGS: dict[str, Any] = {
     "categories": [
         {"name": "voice", "objectiveUs": 1_500_000, "deadlineUs": 9_000_000},
@@ -35,15 +35,15 @@
     "limits": {"sendCap": 6, "mayCancel": True, "retryAfter": True, "maxRetryAfterUs": 2_000_000},
     "rules": {"startCapacity": 0.35, "tipMultiple": 2.5, "fallUs": 10**6, "warmWithinUs": 15 * 10**6},
 }
-# Wall time of the rig at its start, in the milliseconds of the event bus.
+# The harness starts at this wall time, in Unix milliseconds as on the event bus.
 WALL_MS = WALL_CLOCK_START // 10**6
 
 
-def host(name: str, number: int, health: str = "Ready", born_ms: int = 0) -> dict[str, Any]:
+def host_row(name: str, number: int, health: str = "Ready", born_ms: int = 0) -> dict[str, Any]:
     return {"host": name, "dial": f"{name}:1", "block": number, "health": health, "born_ms": born_ms}
 
 
-def event(number: int, hosts: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
+def bus_event(number: int, hosts: list[dict[str, Any]], whole: bool = False) -> dict[str, Any]:
     return {"offset": number, "topology": {"seq": number, "whole": whole, "hosts": hosts}}
 
 
@@ -59,38 +59,40 @@
     }
 
 
-def set_up(id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice") -> bytes:
-    told = {
+def encode_setup(
+    id_: str, routing_fields: str = ROUTING_FIELDS, time_left_ms: int = 5_000, traffic_type: str = "voice"
+) -> bytes:
+    parameters = {
         isup.TRAFFIC_TYPE: traffic_type.encode(),
-        isup.TIME_LEFT: b"%d" % left,
+        isup.TIME_LEFT: b"%d" % time_left_ms,
         isup.CALLED: b"7f3a9c21e0b4d655",
-        isup.FIGURES: figures.encode(),
+        isup.ROUTING_FIELDS: routing_fields.encode(),
         isup.DESCRIPTION: DESCRIPTION.encode(),
     }
-    return isup.encode(isup.IAM, id_, told)
+    return isup.encode(isup.IAM, id_, parameters)
 
 
 class Loopback(SocketRuntime):
-    """Loopback sockets under the rig's names: what serves at `s0:1` has some free port of this machine.
+    """A runtime on loopback sockets that maps addresses of the harness, such as `s0:1`, to free ports.
 
-    As an edge proxy's runtime: no turn begins while `turns` is not set, no dial to a name in `dials`
-    ends before its event is.
+    As the runtime of an edge proxy, it starts no turn until `turn_gate` is set, and does not connect to an
+    address in `connect_gates` until the event there is set.
     """
 
     def __init__(self, ports: dict[str, str] | None = None) -> None:
         super().__init__()
         self.ports = {} if ports is None else ports
-        self.turns = trio.Event()
-        self.turns.set()
-        self.dials: dict[str, trio.Event] = {}
-        # Once, where a turn begins, with nothing else of this process run before the turn's first event.
-        self.at_turn: Callable[[], None] | None = None
+        self.turn_gate = trio.Event()
+        self.turn_gate.set()
+        self.connect_gates: dict[str, trio.Event] = {}
+        # Called once at the start of the next turn; no other task runs between it and the turn's first event.
+        self.on_turn_start: Callable[[], None] | None = None
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        if address in self.dials:
-            await self.dials[address].wait()
+        if address in self.connect_gates:
+            await self.connect_gates[address].wait()
         if address not in self.ports:
-            raise ConnectionRefusedError(f"nobody serves at {address}")
+            raise ConnectionRefusedError(f"no listener at {address}")
         return await super().connect(self.ports[address])
 
     async def serve(
@@ -106,65 +108,69 @@
 
     async def checkpoint(self) -> None:
         await super().checkpoint()
-        await self.turns.wait()
-        at_turn, self.at_turn = self.at_turn, None
-        if at_turn is not None:
-            at_turn()
+        await self.turn_gate.wait()
+        on_turn_start, self.on_turn_start = self.on_turn_start, None
+        if on_turn_start is not None:
+            on_turn_start()
 
-    def hold(self) -> None:
-        """No turn begins until `go`; whatever else the instance does goes on."""
-        self.turns = trio.Event()
+    def pause_turns(self) -> None:
+        """Holds the event loop before its next turn until `resume_turns`; other tasks continue."""
+        self.turn_gate = trio.Event()
 
-    def go(self) -> None:
-        self.turns.set()
+    def resume_turns(self) -> None:
+        self.turn_gate.set()
 
 
 class Client:
-    """One caller's connection; `heard` keeps its messages with their moments."""
+    """One caller's connection; `received` has the messages to it with their times of arrival."""
 
     def __init__(self, stream: trio.abc.Stream) -> None:
         self.stream = stream
-        self.heard: list[tuple[float, isup.Message]] = []
-        self.ended: float | None = None
+        self.received: list[tuple[float, isup.Message]] = []
+        self.closed_at: float | None = None
 
     async def read(self) -> None:
         reader = isup.MessageReader()
         try:
             while data := await self.stream.receive_some():
-                self.heard += [(trio.current_time(), message) for message in reader.feed(data)]
+                self.received += [(trio.current_time(), message) for message in reader.feed(data)]
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        self.ended = trio.current_time()
+        self.closed_at = trio.current_time()
 
-    async def ask(
-        self, id_: str, figures: str = FIGURES, left: int = 5_000, traffic_type: str = "voice"
+    async def send_setup(
+        self,
+        id_: str,
+        routing_fields: str = ROUTING_FIELDS,
+        time_left_ms: int = 5_000,
+        traffic_type: str = "voice",
     ) -> None:
-        await self.stream.send_all(set_up(id_, figures, left, traffic_type))
+        await self.stream.send_all(encode_setup(id_, routing_fields, time_left_ms, traffic_type))
 
     async def release(self, id_: str) -> None:
         await self.stream.send_all(isup.encode_release(id_, 16))
 
     @property
-    def said(self) -> list[tuple[int, str, int]]:
-        return [(message.type, message.id, message.cause) for _, message in self.heard]
+    def responses(self) -> list[tuple[int, str, int]]:
+        return [(message.type, message.id, message.cause) for _, message in self.received]
 
 
 class Server:
-    """A core server: keeps what it hears, answers where `answers`, else says what the test says."""
+    """A core server: records received lines; answers set-ups if `answers_setups`, otherwise the test does."""
 
-    def __init__(self, rig: Rig, name: str) -> None:
-        self.rig = rig
+    def __init__(self, harness: PlatformHarness, name: str) -> None:
+        self.harness = harness
         self.name = name
-        self.answers = True
+        self.answers_setups = True
         self.streams: list[trio.abc.Stream] = []
-        self.heard: list[Line] = []
-        # The connection that each set-up came on.
-        self.at: dict[str, trio.abc.Stream] = {}
+        self.received: list[Line] = []
+        # The connection on which each set-up was last received, by dialog id.
+        self.setup_streams: dict[str, trio.abc.Stream] = {}
         self.scope = trio.CancelScope()
 
     async def run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         with trio.CancelScope() as self.scope:
-            await self.rig.network.serve(f"{self.name}:1", self._serve, task_status)
+            await self.harness.network.serve(f"{self.name}:1", self._serve, task_status)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
         self.streams.append(stream)
@@ -173,13 +179,13 @@
             while data := await stream.receive_some():
                 for line in reader.feed(data):
                     if line.type == "ping":
-                        await self.say(stream, {"type": "pong", "id": line.id, "fields": {}, "cause": 1})
+                        await self.send(stream, {"type": "pong", "id": line.id, "fields": {}, "cause": 1})
                         continue
-                    self.heard.append(line)
+                    self.received.append(line)
                     if line.type == "setup":
-                        self.at[line.id] = stream
-                    if line.type == "setup" and self.answers:
-                        await self.say(stream, answer(line.id))
+                        self.setup_streams[line.id] = stream
+                    if line.type == "setup" and self.answers_setups:
+                        await self.send(stream, answer_line(line.id))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
@@ -188,39 +194,39 @@
             with trio.CancelScope(shield=True):
                 await stream.aclose()
 
-    async def say(self, stream: trio.abc.Stream, *messages: dict[str, Any]) -> None:
+    async def send(self, stream: trio.abc.Stream, *messages: dict[str, Any]) -> None:
         await stream.send_all(b"".join(json.dumps(one).encode() + b"\n" for one in messages))
 
     async def reset(self) -> None:
         for stream in list(self.streams):
             await stream.aclose()
 
-    def of(self, kind: str) -> list[str]:
-        return [line.id for line in self.heard if line.type == kind]
+    def received_ids(self, kind: str) -> list[str]:
+        return [line.id for line in self.received if line.type == kind]
 
 
-def answer(id_: str) -> dict[str, Any]:
+def answer_line(id_: str) -> dict[str, Any]:
     return {"type": "answer", "id": id_, "fields": {"load": "x0:90;x1:100"}, "sdp": DESCRIPTION + id_}
 
 
-def release(id_: str, cause: int, **fields: str) -> dict[str, Any]:
+def release_line(id_: str, cause: int, **fields: str) -> dict[str, Any]:
     return {"type": "release", "id": id_, "fields": fields, "cause": cause}
 
 
 class Bus:
-    """The event bus. `silent`: takes polls and says nothing more; `hurried`: answers each at once, whether it
-    has news or none; `asked` keeps the numbers asked from.
+    """The event bus. `silent`: accepts polls and never responds; `answers_immediately`: responds to each poll
+    at once, even without new events; `polls` has the time and the offset of each poll.
     """
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.asked: list[tuple[float, int]] = []
+        self.polls: list[tuple[float, int]] = []
         self.silent = False
-        self.hurried = False
+        self.answers_immediately = False
         self._news = trio.Event()
 
-    def tell(self, *hosts: dict[str, Any]) -> None:
-        self.events.append(event(len(self.events) + 1, list(hosts)))
+    def publish(self, *hosts: dict[str, Any]) -> None:
+        self.events.append(bus_event(len(self.events) + 1, list(hosts)))
         self._news.set()
         self._news = trio.Event()
 
@@ -233,11 +239,11 @@
                 assert isinstance(request, h11.Request)
                 query = dict(pair.split("=") for pair in request.target.decode().partition("?")[2].split("&"))
                 after = int(query["from"])
-                self.asked.append((trio.current_time(), after))
+                self.polls.append((trio.current_time(), after))
                 connection.next_event()
                 if self.silent:
                     await trio.sleep_forever()
-                if len(self.events) <= after and not self.hurried:
+                if len(self.events) <= after and not self.answers_immediately:
                     with trio.move_on_after(int(query["hold"]) / 1e3):
                         await self._news.wait()
                 body = json.dumps({"offset": len(self.events), "batch": self.events[after:]}).encode()
@@ -249,7 +255,7 @@
             pass
 
 
-class Rig:
+class PlatformHarness:
     def __init__(
         self,
         nursery: trio.Nursery,
@@ -261,52 +267,54 @@
         self.network = network or MemoryNetwork()
         self.bus = Bus()
         self.servers = {name: Server(self, name) for name in names}
-        self.bus.events.append(event(1, [host(name, at) for at, name in enumerate(names)], whole=True))
-        self.told = configuration(list(self.bus.events)) | {"settings": settings or SETTINGS}
-        self.place = (
+        self.bus.events.append(
+            bus_event(1, [host_row(name, at) for at, name in enumerate(names)], whole=True)
+        )
+        self.config = configuration(list(self.bus.events)) | {"settings": settings or SETTINGS}
+        self.runtime = (
             Loopback(self.network.ports)
             if isinstance(self.network, Loopback)
             else MemoryRuntime(self.network)
         )
-        self.edge = RelayProxy(self.platform(), self.place)
+        self.edge = PlatformProxy(self.platform(), self.runtime)
 
     def platform(self) -> PlatformConfig:
-        return platform_config(json.dumps(self.told).encode())
+        return platform_config(json.dumps(self.config).encode())
 
     async def client(self) -> Client:
         client = Client(await self.network.connect("edge:1"))
         self.nursery.start_soon(client.read)
         return client
 
-    async def until(self, there: Any, within: float = 20.0) -> None:
-        """Looks every millisecond of the rig's clock; fails when it does not come true in time."""
+    async def wait_until(self, condition: Any, within: float = 20.0) -> None:
+        """Checks the condition every millisecond; raises TooSlowError if it isn't met `within` seconds."""
         with trio.fail_after(within):
-            while not there():
+            while not condition():
                 await trio.sleep(0.001)
 
 
 @asynccontextmanager
-async def relayed(
+async def running_platform_edge(
     *names: str, network: Loopback | None = None, settings: dict[str, Any] | None = None
-) -> AsyncIterator[Rig]:
-    """A rig that is up: in memory, or on loopback sockets where it is given a network of these."""
+) -> AsyncIterator[PlatformHarness]:
+    """Starts a harness whose links are up: in memory, or on loopback sockets if `network` is given."""
     async with trio.open_nursery() as nursery:
-        rig = Rig(nursery, list(names) or ["s0", "s1"], network, settings)
-        await nursery.start(rig.network.serve, "bus:1", rig.bus.serve)
-        for server in rig.servers.values():
+        harness = PlatformHarness(nursery, list(names) or ["s0", "s1"], network, settings)
+        await nursery.start(harness.network.serve, "bus:1", harness.bus.serve)
+        for server in harness.servers.values():
             await nursery.start(server.run)
-        await nursery.start(rig.edge.run)
+        await nursery.start(harness.edge.run)
         if network is None:
             await trio.sleep(0.1)
         else:
-            await rig.until(
+            await harness.wait_until(
                 lambda: (
-                    len(rig.edge.links.by_server) == len(rig.servers)
+                    len(harness.edge.links.by_server) == len(harness.servers)
                     and all(
                         link.is_writable and not getattr(link, "_connecting", 0)
-                        for link in rig.edge.links.by_server.values()
+                        for link in harness.edge.links.by_server.values()
                     )
                 )
             )
-        yield rig
+        yield harness
         nursery.cancel_scope.cancel()
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -198,7 +198,7 @@
 PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
-def member(step: operations.StepStatus = operations.StepStatus.OUT) -> operations.Participant:
+def member(step: operations.StepStatus = operations.StepStatus.IN_PROGRESS) -> operations.Participant:
     return operations.Participant(step, 269, 3, "v9", "slow")
 
 
@@ -455,7 +455,7 @@
 
 # The platform's protocol
 
-PLATFORM_SETUP = platform_translation.RelaySetup(
+PLATFORM_SETUP = platform_translation.PlatformSetup(
     *ATTEMPT_ID,
     traffic_type="booking",
     time_left=739,
@@ -721,7 +721,7 @@
     traffic_record.StepRow: "turned",
     traffic_record.ProgramVersionRow: "runs",
     traffic_record.OperationRow: "ordered",
-    platform_translation.RelaySetup: "setup",
+    platform_translation.PlatformSetup: "setup",
     platform_translation.EstablishedWithDescription: "stands",
 }
 
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -12,10 +12,10 @@
 from trio.testing import MockClock
 
 from tests.attempt_files import ini, policies_of
-from tests.edge_harness import INI, dial, rigged, terms
+from tests.edge_harness import INI, dial, parse_config, running_edge
 from tests.helpers import Rig
 from tests.test_scenarios import valverouter
-from tests.test_worst_case import TERMS
+from tests.test_worst_case import POLICY
 from valverouter import interface
 from valverouter.attempts.matching import EffectiveSetting
 from valverouter.audit.attempts import attempt_statistics
@@ -34,13 +34,13 @@
     line = text.splitlines().index("leg_time_out = 700ms") + 1
     assert found["leg_time_out"] == EffectiveSetting(700 * MS, f"rig.ini:{line} [attempts b]")
     assert found["retry_cap"].source == "default"
-    assert policies_of(text).policy_for("plain", 3) == replace(TERMS, max_attempts=2, no_answer_timeout=0)
+    assert policies_of(text).policy_for("plain", 3) == replace(POLICY, max_attempts=2, no_answer_timeout=0)
     assert policies_of(ini("[attempts a]\nprefix = 9\nlegs = 2")).policy_for("plain", 3) is None
 
 
 async def test_attempts_and_timeouts_on_the_wire_match_the_file(autojump_clock: MockClock) -> None:
     text = ini("[attempts a]\nprefix = 2\nlegs = 2\nleg_time_out = 700ms\nrelease_wait = 400ms")
-    async with rigged(3, text) as rig:
+    async with running_edge(3, text) as rig:
         caller = await rig.caller()
         await caller.send(msgspec.structs.replace(dial("d1"), called_number=21))
         first = rig.servers["s0"].link
@@ -49,7 +49,7 @@
         assert first.at(setup.Cancel) - first.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
         await trio.sleep(2)
         setups = [
-            (at, m) for s in rig.servers.values() for at, m in s.link.heard if isinstance(m, setup.Setup)
+            (at, m) for s in rig.servers.values() for at, m in s.link.received if isinstance(m, setup.Setup)
         ]
         assert [m.leg for _, m in sorted(setups, key=lambda one: one[0])] == [0, 1]
         assert setups[1][0] - first.at(setup.Cancel) >= 0.4 - 1e-9
@@ -57,11 +57,11 @@
 
 
 async def test_open_dialogs_keep_the_attempt_policy_they_started_with(autojump_clock: MockClock) -> None:
-    async with rigged(2, ini("[attempts a]\nleg_time_out = 700ms")) as rig:
+    async with running_edge(2, ini("[attempts a]\nleg_time_out = 700ms")) as rig:
         caller = await rig.caller()
         await caller.send(dial("old"))
         await rig.servers["s0"].link.next(setup.Setup)
-        rig.edge.reload(terms(ini("[attempts a]\nleg_time_out = 1400ms")))
+        rig.edge.reload(parse_config(ini("[attempts a]\nleg_time_out = 1400ms")))
         await trio.sleep(0.05)
         await caller.send(dial("new", first=1))
         one, two = rig.servers["s0"].link, rig.servers["s1"].link
@@ -69,10 +69,10 @@
         assert one.at(setup.Cancel) - one.at(setup.Setup) == pytest.approx(0.7, abs=0.005)
         while (await two.next(setup.Cancel)).dialog != "new":
             pass
-        sent_at = next(at for at, m in two.heard if isinstance(m, setup.Setup) and m.dialog == "new")
-        cancelled_at = next(at for at, m in two.heard if isinstance(m, setup.Cancel) and m.dialog == "new")
+        sent_at = next(at for at, m in two.received if isinstance(m, setup.Setup) and m.dialog == "new")
+        cancelled_at = next(at for at, m in two.received if isinstance(m, setup.Cancel) and m.dialog == "new")
         assert cancelled_at - sent_at == pytest.approx(1.4, abs=0.005)
-        rig.edge.reload(msgspec.structs.replace(terms(INI), attempts=ambiguous_sections()))
+        rig.edge.reload(msgspec.structs.replace(parse_config(INI), attempts=ambiguous_sections()))
         await trio.sleep(0.05)
         assert rig.edge.context.attempt_policies is not None, (
             "the old file stays in effect after a rejected one"
@@ -80,7 +80,7 @@
 
 
 def ambiguous_sections() -> Any:
-    return terms(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
+    return parse_config(ini("[attempts a]\nlegs = 2", "[attempts b]\nlegs = 3")).attempts
 
 
 def test_terms_commands_explain_compare_and_check_files(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
     assert "[attempts a]" in explained.stdout
     shown = valverouter("terms", "courses", old)
     assert "plain: answered at 8950ms, 6 legs" in shown.stdout
-    assert "leg 2" in shown.stdout
+    assert "attempt 2" in shown.stdout
     diff = valverouter("terms", "diff", old, new)
     assert diff.returncode == 1
     assert "plain, 0: legs 2 to 4" in diff.stdout
@@ -106,14 +106,14 @@
     assert valverouter("terms", "diff", old, old).returncode == 0
     refused = valverouter("check", bad)
     assert refused.returncode == 2
-    assert "a resend 1000000 ns after" in refused.stderr
+    assert "a retry 1000000 ns after" in refused.stderr
 
 
 async def test_objective_no_answer_time_and_retry_after_match_the_file(autojump_clock: MockClock) -> None:
     sections = (
         "[trunk-group gw]\npeers = gw-*\n[attempts a]\ntrunk_group = gw\nno_answer = 2s\ncome_back = 1s"
     )
-    async with rigged(1, ini(sections)) as rig:
+    async with running_edge(1, ini(sections)) as rig:
         for name in ("gw-1", "other"):
             caller = await rig.caller(name)
             await trio.sleep(6)  # until the earlier failures of the only server have lost their effect
--- a/tests/test_disconnected_callers.py
+++ b/tests/test_disconnected_callers.py
@@ -1,7 +1,7 @@
-"""Callers that have disconnected: no attempt begins for them, in whatever order their messages are read.
+"""Disconnected callers: no attempt is started for them, in whatever order events are read.
 
-On loopback sockets, where no turn of the instance begins before the test lets it: each bad order comes every
-time.
+The tests use loopback sockets and hold the edge proxy's event loop between turns, so that each bad order
+occurs in every run.
 """
 
 from __future__ import annotations
@@ -12,179 +12,183 @@
 import pytest
 import trio
 
-from tests.platform_harness import Client, Loopback, Rig, relayed, release
+from tests.platform_harness import Client, Loopback, PlatformHarness, release_line, running_platform_edge
 from valverouter.platform_edge.callers import MAX_PENDING_SETUPS
-from valverouter.platform_edge.link import CONNECTIONS
+from valverouter.platform_edge.link import CONNECTIONS_PER_SERVER
 
 A, B, LAST = "a" * 16, "b" * 16, "f" * 16
-GOES = ["closes", "cancels"]
-# More messages than one turn takes.
-CROWD = [f"{at:016x}" for at in range(1, 41)]
+LEAVING = ["closes", "cancels"]
+# More messages than one turn handles.
+OTHER_IDS = [f"{at:016x}" for at in range(1, 41)]
 
 
 @asynccontextmanager
-async def held(*names: str) -> AsyncIterator[tuple[Rig, Loopback]]:
-    """A rig on loopback, and its edge proxy's place."""
-    async with relayed(*names, network=Loopback()) as rig:
-        assert isinstance(rig.place, Loopback)
-        yield rig, rig.place
+async def loopback_harness(*names: str) -> AsyncIterator[tuple[PlatformHarness, Loopback]]:
+    """Starts a harness on loopback sockets; yields it and the Loopback that holds the event loop."""
+    async with running_platform_edge(*names, network=Loopback()) as harness:
+        assert isinstance(harness.runtime, Loopback)
+        yield harness, harness.runtime
 
 
-async def goes(client: Client, id_: str, how: str) -> None:
+async def leave(client: Client, id_: str, how: str) -> None:
     await (client.stream.aclose() if how == "closes" else client.release(id_))
 
 
-async def last_of_all(rig: Rig) -> None:
-    """One more caller's dialog has its answer: all that came before it has had its turn by then."""
-    client = await rig.client()
-    await client.ask(LAST)
-    await rig.until(lambda: [id_ for _, id_, _ in client.said] == [LAST])
+async def all_handled(harness: PlatformHarness) -> None:
+    """Returns once one more caller is answered; all earlier events have been handled by then."""
+    client = await harness.client()
+    await client.send_setup(LAST)
+    await harness.wait_until(lambda: [id_ for _, id_, _ in client.responses] == [LAST])
     await trio.sleep(0.02)
 
 
-def set_ups(rig: Rig) -> list[str]:
-    return [id_ for server in rig.servers.values() for id_ in server.of("setup")]
+def sent_set_ups(harness: PlatformHarness) -> list[str]:
+    return [id_ for server in harness.servers.values() for id_ in server.received_ids("setup")]
 
 
-async def asks(client: Client, ids: list[str], rig: Rig) -> None:
-    """Sends set-ups; returns once all lie in the inbox."""
-    before = len(rig.edge.context.events)
+async def queue_set_ups(client: Client, ids: list[str], harness: PlatformHarness) -> None:
+    """Sends set-ups; returns once all are in the event queue."""
+    before = len(harness.edge.context.events)
     for id_ in ids:
-        await client.ask(id_)
-    await rig.until(lambda: len(rig.edge.context.events) == before + len(ids))
-
-
-async def refused_once(rig: Rig, place: Loopback, client: Client) -> None:
-    """The first server is full for A, which then waits to be tried again; no turn begins from here on."""
-    server = rig.servers["s0"]
-    server.answers = False
-    await client.ask(A)
-    await rig.until(lambda: server.of("setup") == [A])
-    place.hold()
-    await server.say(server.at[A], release(A, 34))
-    await rig.until(lambda: len(rig.edge.context.events) == 1)
-    place.go()
-    await rig.until(lambda: A in rig.edge.dialogs.entries and rig.edge.dialogs.entries[A].attempt is None)
-    place.hold()
-
-
-async def unread(rig: Rig, client: Client) -> None:
-    """Closes a connection whose reader waits for room, behind its own set-ups: the kernel has the close."""
-    caller = next(one for one in rig.edge.connected._useful if one.pending_setups)
-    await client.ask(B)
+        await client.send_setup(id_)
+    await harness.wait_until(lambda: len(harness.edge.context.events) == before + len(ids))
+
+
+async def reject_first_attempt(harness: PlatformHarness, runtime: Loopback, client: Client) -> None:
+    """The first server rejects A, which then waits for its retry; the event loop is held from here on."""
+    server = harness.servers["s0"]
+    server.answers_setups = False
+    await client.send_setup(A)
+    await harness.wait_until(lambda: server.received_ids("setup") == [A])
+    runtime.pause_turns()
+    await server.send(server.setup_streams[A], release_line(A, 34))
+    await harness.wait_until(lambda: len(harness.edge.context.events) == 1)
+    runtime.resume_turns()
+    await harness.wait_until(
+        lambda: A in harness.edge.dialogs.entries and harness.edge.dialogs.entries[A].attempt is None
+    )
+    runtime.pause_turns()
+
+
+async def close_unread(harness: PlatformHarness, client: Client) -> None:
+    """Closes a connection whose reader waits for space in the queue, so the close stays in the kernel."""
+    caller = next(one for one in harness.edge.connected._useful if one.pending_setups)
+    await client.send_setup(B)
     await client.stream.aclose()
-    await rig.until(lambda: getattr(caller._stream, "peer_has_closed"))  # noqa: B009 - the seam names no such stream
+    await harness.wait_until(lambda: getattr(caller._stream, "peer_has_closed"))  # noqa: B009 - the seam names no such stream
     assert not caller.is_closed
     assert B not in caller.pending_setups
 
 
-@pytest.mark.parametrize("how", GOES)
-async def test_who_left_before_his_set_up_had_its_turn_is_not_sent_on(how: str) -> None:
-    async with held() as (rig, place):
-        client, crowd = await rig.client(), await rig.client()
-        place.hold()
-        await asks(client, [A], rig)
-        await asks(crowd, CROWD, rig)
-        await goes(client, A, how)
-        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD) + 2)
-        place.go()
-        await last_of_all(rig)
-        assert A not in set_ups(rig)
-        assert A not in rig.edge.dialogs.entries
-        assert not client.said
-
-
-async def test_a_close_that_nobody_has_read_is_seen_before_the_first_attempt() -> None:
-    async with held() as (rig, place):
-        client = await rig.client()
-        place.hold()
-        rig.edge.context.events._capacity = 1
-        await asks(client, CROWD[:MAX_PENDING_SETUPS], rig)
-        await unread(rig, client)
-        place.go()
-        await last_of_all(rig)
-        assert set_ups(rig) == [LAST]
-        assert set(rig.edge.dialogs.entries) == {LAST}
-
-
-async def test_a_close_that_nobody_has_read_is_seen_before_a_further_attempt() -> None:
-    async with held() as (rig, place):
-        client = await rig.client()
-        await refused_once(rig, place, client)
-        rig.edge.context.events._capacity = 1
-        await asks(client, CROWD[:MAX_PENDING_SETUPS], rig)
-        await unread(rig, client)
+@pytest.mark.parametrize("how", LEAVING)
+async def test_no_attempt_for_a_caller_that_left_before_its_set_up_was_handled(how: str) -> None:
+    async with loopback_harness() as (harness, runtime):
+        client, others = await harness.client(), await harness.client()
+        runtime.pause_turns()
+        await queue_set_ups(client, [A], harness)
+        await queue_set_ups(others, OTHER_IDS, harness)
+        await leave(client, A, how)
+        await harness.wait_until(lambda: len(harness.edge.context.events) == len(OTHER_IDS) + 2)
+        runtime.resume_turns()
+        await all_handled(harness)
+        assert A not in sent_set_ups(harness)
+        assert A not in harness.edge.dialogs.entries
+        assert not client.responses
+
+
+async def test_an_unread_close_is_detected_before_the_first_attempt() -> None:
+    async with loopback_harness() as (harness, runtime):
+        client = await harness.client()
+        runtime.pause_turns()
+        harness.edge.context.events._capacity = 1
+        await queue_set_ups(client, OTHER_IDS[:MAX_PENDING_SETUPS], harness)
+        await close_unread(harness, client)
+        runtime.resume_turns()
+        await all_handled(harness)
+        assert sent_set_ups(harness) == [LAST]
+        assert set(harness.edge.dialogs.entries) == {LAST}
+
+
+async def test_an_unread_close_is_detected_before_a_retry() -> None:
+    async with loopback_harness() as (harness, runtime):
+        client = await harness.client()
+        await reject_first_attempt(harness, runtime, client)
+        harness.edge.context.events._capacity = 1
+        await queue_set_ups(client, OTHER_IDS[:MAX_PENDING_SETUPS], harness)
+        await close_unread(harness, client)
         await trio.sleep(0.25)  # past the longest first retry wait
-        place.go()
-        await last_of_all(rig)
-        assert set_ups(rig) == [A, LAST]
-        assert set(rig.edge.dialogs.entries) == {LAST}
-
-
-@pytest.mark.parametrize("how", GOES)
-async def test_who_leaves_in_a_retry_pause_gets_no_further_attempt(how: str) -> None:
-    # His word comes behind other callers' words, more than one turn takes, when the pause ends.
-    async with held() as (rig, place):
-        client, crowd = await rig.client(), await rig.client()
-        await refused_once(rig, place, client)
-        for id_ in CROWD:
-            await crowd.release(id_)
-        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD))
-        await goes(client, A, how)
-        await rig.until(lambda: len(rig.edge.context.events) == len(CROWD) + 1)
+        runtime.resume_turns()
+        await all_handled(harness)
+        assert sent_set_ups(harness) == [A, LAST]
+        assert set(harness.edge.dialogs.entries) == {LAST}
+
+
+@pytest.mark.parametrize("how", LEAVING)
+async def test_no_retry_for_a_caller_that_left_during_the_retry_delay(how: str) -> None:
+    # When the retry delay ends, the caller's message is queued behind more messages than one turn handles.
+    async with loopback_harness() as (harness, runtime):
+        client, others = await harness.client(), await harness.client()
+        await reject_first_attempt(harness, runtime, client)
+        for id_ in OTHER_IDS:
+            await others.release(id_)
+        await harness.wait_until(lambda: len(harness.edge.context.events) == len(OTHER_IDS))
+        await leave(client, A, how)
+        await harness.wait_until(lambda: len(harness.edge.context.events) == len(OTHER_IDS) + 1)
         await trio.sleep(0.25)  # past the longest first retry wait
-        place.go()
-        await last_of_all(rig)
-        assert set_ups(rig).count(A) == 1
-        assert A not in rig.edge.dialogs.entries
-
-
-@pytest.mark.parametrize("how", GOES)
-async def test_a_full_event_queue_keeps_no_one_s_leaving_unread(how: str) -> None:
-    async with held() as (rig, place):
-        client, crowd = await rig.client(), await rig.client()
-        place.hold()
-        rig.edge.context.events._capacity = 4
-        await asks(crowd, CROWD[:5], rig)
-        await client.ask(A)
-        await goes(client, A, how)
-        # The set-up and the word on it are both here, though the inbox is full.
-        await rig.until(lambda: len(rig.edge.context.events) == 7)
-        place.go()
-        await last_of_all(rig)
-        assert A not in set_ups(rig)
-
-
-@pytest.mark.parametrize("how", GOES)
-async def test_who_leaves_during_a_dial_leaves_nothing_for_it(how: str) -> None:
-    async with held("s0") as (rig, place):
-        server, client = rig.servers["s0"], await rig.client()
-        place.dials["s0:1"] = trio.Event()
+        runtime.resume_turns()
+        await all_handled(harness)
+        assert sent_set_ups(harness).count(A) == 1
+        assert A not in harness.edge.dialogs.entries
+
+
+@pytest.mark.parametrize("how", LEAVING)
+async def test_a_full_event_queue_does_not_delay_a_cancel_or_close(how: str) -> None:
+    async with loopback_harness() as (harness, runtime):
+        client, others = await harness.client(), await harness.client()
+        runtime.pause_turns()
+        harness.edge.context.events._capacity = 4
+        await queue_set_ups(others, OTHER_IDS[:5], harness)
+        await client.send_setup(A)
+        await leave(client, A, how)
+        # The set-up and its cancel or close are both queued, though the event queue is full.
+        await harness.wait_until(lambda: len(harness.edge.context.events) == 7)
+        runtime.resume_turns()
+        await all_handled(harness)
+        assert A not in sent_set_ups(harness)
+
+
+@pytest.mark.parametrize("how", LEAVING)
+async def test_no_attempt_for_a_caller_that_left_while_the_link_connected(how: str) -> None:
+    async with loopback_harness("s0") as (harness, runtime):
+        server, client = harness.servers["s0"], await harness.client()
+        runtime.connect_gates["s0:1"] = trio.Event()
         await server.reset()
-        link = rig.edge.links.by_server["s0"]
-        await rig.until(lambda: getattr(link, "_connecting") == CONNECTIONS)  # noqa: B009
-        await client.ask(A)
-        await rig.until(lambda: A in rig.edge.dialogs.entries and rig.edge.dialogs.entries[A].attempt == 0)
-        await goes(client, A, how)
-        await rig.until(lambda: not rig.edge.dialogs.entries)
-        place.dials.pop("s0:1").set()
-        await last_of_all(rig)
-        assert set_ups(rig) == [LAST]
-
-
-async def test_an_established_dialog_is_released_though_its_caller_s_word_overtakes_the_answer() -> None:
-    async with held("s0") as (rig, place):
-        server, client = rig.servers["s0"], await rig.client()
-        server.answers = False
-        await client.ask(A)
-        await rig.until(lambda: server.of("setup") == [A])
-        place.hold()
-        await server.say(server.at[A], {"type": "answer", "id": A, "fields": {}, "sdp": "v=0"})
-        await rig.until(lambda: len(rig.edge.context.events) == 1)
+        link = harness.edge.links.by_server["s0"]
+        await harness.wait_until(lambda: getattr(link, "_connecting") == CONNECTIONS_PER_SERVER)  # noqa: B009
+        await client.send_setup(A)
+        await harness.wait_until(
+            lambda: A in harness.edge.dialogs.entries and harness.edge.dialogs.entries[A].attempt == 0
+        )
+        await leave(client, A, how)
+        await harness.wait_until(lambda: not harness.edge.dialogs.entries)
+        runtime.connect_gates.pop("s0:1").set()
+        await all_handled(harness)
+        assert sent_set_ups(harness) == [LAST]
+
+
+async def test_an_established_dialog_is_released_though_the_callers_release_overtakes_the_answer() -> None:
+    async with loopback_harness("s0") as (harness, runtime):
+        server, client = harness.servers["s0"], await harness.client()
+        server.answers_setups = False
+        await client.send_setup(A)
+        await harness.wait_until(lambda: server.received_ids("setup") == [A])
+        runtime.pause_turns()
+        await server.send(server.setup_streams[A], {"type": "answer", "id": A, "fields": {}, "sdp": "v=0"})
+        await harness.wait_until(lambda: len(harness.edge.context.events) == 1)
         await client.release(A)
-        await rig.until(lambda: len(rig.edge.context.events) == 2)
-        place.go()
-        await rig.until(lambda: server.of("release") == [A])
-        assert not rig.edge.dialogs.entries
-        assert not client.said
-        assert not rig.edge.links.by_server["s0"].attempts
+        await harness.wait_until(lambda: len(harness.edge.context.events) == 2)
+        runtime.resume_turns()
+        await harness.wait_until(lambda: server.received_ids("release") == [A])
+        assert not harness.edge.dialogs.entries
+        assert not client.responses
+        assert not harness.edge.links.by_server["s0"].attempts
--- a/tests/test_fleet_transport.py
+++ b/tests/test_fleet_transport.py
@@ -1,4 +1,4 @@
-"""Control messages over datagrams: fragmentation, reassembly, authentication."""
+"""Control plane messages over datagrams: fragmentation, reassembly, authentication."""
 
 from __future__ import annotations
 
@@ -53,15 +53,15 @@
 
 @given(st.binary(max_size=5 * FRAGMENT_BYTES), st.randoms())
 @settings(max_examples=50, deadline=None)
-def test_fragments_in_any_order_make_the_message(body: bytes, chance: Any) -> None:
+def test_fragments_in_any_order_make_the_message(body: bytes, rng: Any) -> None:
     reassembler = Reassembler()
     fragments = Fragmenter("a", 1).split("x:1", body)
-    chance.shuffle(fragments)
+    rng.shuffle(fragments)
     messages = [message for fragment in fragments if (message := reassembler.add(fragment)) is not None]
     assert messages == [body]
 
 
-def test_a_long_message_is_sent_in_bursts_and_fills_its_gaps() -> None:
+def test_a_long_message_is_sent_in_bursts_and_retransmissions_fill_gaps() -> None:
     fragmenter, reassembler = Fragmenter("a", 1), Reassembler()
     body = os.urandom(3 * BURST_FRAGMENTS * FRAGMENT_BYTES)
     message, transmissions = None, 0
@@ -77,7 +77,7 @@
 
 
 def operation_log(instances: int, operations: int) -> OperationLog:
-    """The state of a control plane: so many instances, and ended operations that named all of them."""
+    """The state of a control plane with `instances` instances and `operations` ended operations on all."""
     log = OperationLog()
     names = tuple(f"edge-{number}" for number in range(instances))
     enrolled = tuple(Instance(name, InstanceKind.EDGE, "north", 100) for name in names)
@@ -89,37 +89,37 @@
     ]
     for index, command in enumerate(commands, 1):
         operation_transitions.apply(log, index, command)
-    # Planned once: each plan of 900 instances takes a quarter of a second.
+    # Planned only once, since planning for 900 instances takes a quarter of a second.
     ended = log.operations["op-0"]
     log.operations = {f"op-{number}": ended.copy() for number in range(operations)}
     return log
 
 
 @pytest.mark.parametrize(("instances", "operations"), [(220, 0), (220, 64), (900, 64)])
-def test_a_raft_snapshot_of_the_largest_fleet_comes_over_a_path_that_loses(
+def test_a_raft_snapshot_of_the_largest_fleet_arrives_over_a_lossy_path(
     instances: int, operations: int
 ) -> None:
-    """At 900 instances and the 64 ended operations that are kept, a snapshot is 3.5 MB, 2,959 fragments.
+    """With 900 instances and the 64 ended operations that are kept, a snapshot has 3.5 MB (2,959 fragments).
 
-    That was over the limit of a message: an empty member never got it, and the leader logged
-    `message-too-long` at each heartbeat. Sent again, as a heartbeat does, it fills the gaps; another leader's
-    that comes between is a message of its own.
+    Guards against a snapshot above the maximum message size: an empty member never received it, and the
+    leader logged `message-too-long` at each heartbeat. Retransmissions, one per heartbeat, fill the gaps, and
+    are not mixed up with fragments of a snapshot from another leader.
     """
     configuration = Configuration((("c0", 1), ("c1", 2)))
     snapshot = Snapshot(5_000, 3, configuration, operation_log(instances, operations))
-    sent, late = (
+    sent, outdated = (
         encoder.encode(RaftEnvelope("c1", to_wire(InstallSnapshot(term, leader, snapshot, 7))))
         for term, leader in ((4, "c0"), (3, "c2"))
     )
-    fragmenter, other, reassembler = Fragmenter("c0", 1), Fragmenter("c2", 2), Reassembler()
-    chance = random.Random(1)
+    fragmenter, other_leader, reassembler = Fragmenter("c0", 1), Fragmenter("c2", 2), Reassembler()
+    rng = random.Random(1)
     for _ in range(1_000):
-        fragments = [*other.split("x:1", late)[:2], *fragmenter.split("x:1", sent)]
-        received = [reassembler.add(fragment) for fragment in fragments if chance.random() < 0.8]
+        fragments = [*other_leader.split("x:1", outdated)[:2], *fragmenter.split("x:1", sent)]
+        received = [reassembler.add(fragment) for fragment in fragments if rng.random() < 0.8]
         if sent in received:
             break
     else:
-        raise AssertionError("the snapshot never came")
+        raise AssertionError("the snapshot never arrived")
     message = decoder.decode(sent)
     assert isinstance(message, RaftEnvelope)
     installed = from_wire(message.message)
@@ -138,26 +138,26 @@
         Fragmenter("b", 2).split("x:1", bytes(10**7))
 
 
-async def test_only_holders_of_the_key_are_heard_on_the_control_plane() -> None:
+async def test_control_messages_under_another_key_are_dropped_without_a_reply() -> None:
     sockets = SocketRuntime()
     first, second, stranger = (sockets.bind_datagrams("127.0.0.1:0") for _ in range(3))
-    ours, theirs = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
-    theirs.send(first.address, NodeAnnouncement("c1", 7))
+    receiver, sender = Transport(first, KEY, "c0", 1), Transport(second, KEY, "c1", 2)
+    sender.send(first.address, NodeAnnouncement("c1", 7))
     Transport(stranger, (b"x" * 32,), "c1", 3).send(first.address, NodeAnnouncement("c1", 8))
     stranger.send(b"rubbish", first.address)
-    # Membership messages are under the same key, and are not messages of the control plane.
+    # A membership message is authenticated by the same key but is not a control plane message.
     stranger.send(Authenticator(KEY).sign(CountersQuery("", 9, 0, 1)), first.address)
     received: list[tuple[ControlMessage, str]] = []
     with trio.move_on_after(0.3):
         while True:
             await first.wait_readable()
-            while (message := ours.receive()) is not None:
+            while (message := receiver.receive()) is not None:
                 received.append(message)
     assert [message for message, _ in received] == [NodeAnnouncement("c1", 7)]
-    assert second.receive() is None, "and nobody is answered"
-    assert stranger.receive() is None, "and nobody is answered"
-    for each in (first, second, stranger):
-        each.close()
+    assert second.receive() is None, "no datagram is answered"
+    assert stranger.receive() is None, "no datagram is answered"
+    for socket in (first, second, stranger):
+        socket.close()
 
 
 def test_the_longest_fragment_fits_a_datagram_and_a_replay_is_dropped() -> None:
--- a/tests/test_platform_edge_shutdown.py
+++ b/tests/test_platform_edge_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the platform's edge proxy, beside callers that go on asking until their connection ends."""
+"""Shutdown of the platform's edge proxy while callers send set-ups until their connections are closed."""
 
 from __future__ import annotations
 
@@ -8,89 +8,90 @@
 import trio
 from trio.testing import MockClock
 
-from tests.platform_harness import Client, Rig, relayed, set_up
+from tests.platform_harness import Client, PlatformHarness, encode_setup, running_platform_edge
 from valverouter.config import platform
 from valverouter.scenarios.memory_network import MemoryRuntime
 
 CALLERS = 8
-ASK_INTERVAL_S = 0.08
-# What a turn of the event loop takes on a host that gives this process a quarter of a core.
+SETUP_INTERVAL_S = 0.08
+# The duration of a turn of the event loop on a host that gives this process a quarter of a core.
 TURN_S = 0.06
-# From the platform's page: a set-up that crosses the end of its connection is sent again.
+# The platform's specification: a set-up sent this shortly before its connection is closed is sent again.
 CROSSING_S = 0.05
-# The longest no-answer time of SETTINGS is over 3 s, and counts as 3 s.
+# The longest no-answer time of SETTINGS is over 3 s and therefore counts as 3 s, MAX_KILL_BASE.
 KILL_AFTER_S = (platform.MAX_KILL_BASE + platform.KILL_DELAY) / 1e9
 
 
 @dataclass
-class Asked:
-    """The set-ups of all callers by id, with the moment and the connection of each."""
+class SentSetups:
+    """The set-ups of all callers by id, with the time and the connection of each."""
 
     count: int = 0
     sent: dict[str, tuple[float, Client]] = field(default_factory=dict)
 
-    def lost_after(self, since: float, until: float) -> list[str]:
-        """Those sent since then with neither an answer nor, while they crossed it, their connection's end."""
-        lost = []
+    def unanswered_after(self, since: float, until: float) -> list[str]:
+        """Returns the set-ups sent after `since` that were neither answered nor crossed by a close."""
+        unanswered = []
         for id_, (at, client) in self.sent.items():
-            answered = any(message.id == id_ for _, message in client.heard)
-            ended = until if client.ended is None else client.ended
-            if at > since and not answered and ended - at > CROSSING_S:
-                lost.append(id_)
-        return lost
+            answered = any(message.id == id_ for _, message in client.received)
+            ended_at = until if client.closed_at is None else client.closed_at
+            if at > since and not answered and ended_at - at > CROSSING_S:
+                unanswered.append(id_)
+        return unanswered
 
 
-async def go_on_asking(asked: Asked, client: Client) -> None:
+async def send_setups_until_closed(setups: SentSetups, client: Client) -> None:
     while True:
-        await trio.sleep(ASK_INTERVAL_S)
-        asked.count += 1
-        id_ = f"{asked.count:016x}"
+        await trio.sleep(SETUP_INTERVAL_S)
+        setups.count += 1
+        id_ = f"{setups.count:016x}"
         try:
-            await client.stream.send_all(set_up(id_))
+            await client.stream.send_all(encode_setup(id_))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return
-        asked.sent[id_] = trio.current_time(), client
+        setups.sent[id_] = trio.current_time(), client
 
 
-def slow_down(rig: Rig) -> None:
-    """Each turn waits for the processor first, as beside many busy processes."""
-    assert isinstance(rig.place, MemoryRuntime)
-    checkpoint = rig.place.checkpoint
+def slow_down(harness: PlatformHarness) -> None:
+    """Delays each turn, as on a host with many busy processes."""
+    assert isinstance(harness.runtime, MemoryRuntime)
+    checkpoint = harness.runtime.checkpoint
 
     async def slow_checkpoint() -> None:
         await trio.sleep(TURN_S)
         await checkpoint()
 
-    rig.place.checkpoint = slow_checkpoint  # type: ignore[method-assign]
+    harness.runtime.checkpoint = slow_checkpoint  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize("open_to_the_last", [False, True])
-async def test_callers_that_go_on_asking_lose_nothing_at_the_end_on_a_busy_host(
-    autojump_clock: MockClock, open_to_the_last: bool
+@pytest.mark.parametrize("has_open_dialog", [False, True])
+async def test_shutdown_on_a_busy_host_loses_no_set_up_of_persistent_callers(
+    autojump_clock: MockClock, has_open_dialog: bool
 ) -> None:
-    """Beside 24 busy processes SIGKILL found the process still there, and set-ups in it without an answer.
+    """Guards against SIGKILL ending a process that still has unanswered set-ups.
 
-    Callers that went on asking over their open connections kept it from ever being quiet, so it stayed to
-    `stop_within` and FINAL_READ_LIMIT behind it, 50 ms before SIGKILL, where a turn alone takes longer.
+    That happened beside 24 busy processes. Callers that kept sending set-ups on open connections prevented
+    the process from ever being quiet, so it ran until `stop_within` plus FINAL_READ_LIMIT had passed, 50 ms
+    before SIGKILL, while a single turn took longer than that.
     """
-    async with relayed("s0") as rig:
-        clients = [await rig.client() for _ in range(CALLERS)]
+    async with running_platform_edge("s0") as harness:
+        clients = [await harness.client() for _ in range(CALLERS)]
         for number, client in enumerate(clients):
-            await client.ask(f"{number + 1:x}" * 16)
-        await rig.until(lambda: all(client.heard for client in clients))
-        asked = Asked()
-        if open_to_the_last:
-            rig.servers["s0"].answers = False
-            await clients[0].ask("f" * 16, left=9_000)
-        slow_down(rig)
-        signalled = trio.current_time()
+            await client.send_setup(f"{number + 1:x}" * 16)
+        await harness.wait_until(lambda: all(client.received for client in clients))
+        setups = SentSetups()
+        if has_open_dialog:
+            harness.servers["s0"].answers_setups = False
+            await clients[0].send_setup("f" * 16, time_left_ms=9_000)
+        slow_down(harness)
+        signalled_at = trio.current_time()
         for client in clients:
-            rig.nursery.start_soon(go_on_asking, asked, client)
+            harness.nursery.start_soon(send_setups_until_closed, setups, client)
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9)
-        rig.edge.stop()
-        killed = signalled + KILL_AFTER_S
-        with trio.move_on_at(killed):
-            await rig.edge.ended.wait()
-        ended = trio.current_time()
-        assert asked.lost_after(signalled + platform.KILL_DELAY / 1e9, ended) == []
-        assert killed - ended >= platform.EXIT_MARGIN / 1e9 / 2
+        harness.edge.stop()
+        killed_at = signalled_at + KILL_AFTER_S
+        with trio.move_on_at(killed_at):
+            await harness.edge.ended.wait()
+        ended_at = trio.current_time()
+        assert setups.unanswered_after(signalled_at + platform.KILL_DELAY / 1e9, ended_at) == []
+        assert killed_at - ended_at >= platform.EXIT_MARGIN / 1e9 / 2
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -17,7 +17,7 @@
 import trio
 from trio.testing import MockClock
 
-from tests.edge_harness import MS, SECOND, Peer, Rig, dial, rigged, rigged_as
+from tests.edge_harness import MS, SECOND, EdgeHarness, Peer, dial, running_edge, running_harness
 from valverouter.audit.account import account_by_type, weighted_service_level
 from valverouter.audit.rules import audit
 from valverouter.audit.verdict import Verdict
@@ -28,7 +28,7 @@
 from valverouter.edge.resumable_attempts import ResumableAttempts
 from valverouter.edge.resumable_proxy import ResumableProxy
 from valverouter.emulator.fleet import Fleet
-from valverouter.emulator.simulate import simulate_day
+from valverouter.emulator.simulate import simulate_scenario
 from valverouter.interface import AttemptPolicy, Outcome
 from valverouter.ledger.dialog_store import DialogStore
 from valverouter.recovery.lifecycle import DialogRecord, Phase, Timestamp
@@ -55,13 +55,13 @@
 # A scripted edge proxy that is killed and started again
 
 
-class ResumableRig(Rig):
+class ResumableRig(EdgeHarness):
     """A rig whose edge proxy has a store."""
 
     def make_edge(self) -> EdgeProxy:
-        # The first edge proxy, made by Rig.__init__, creates the store; later ones reuse it.
+        # The first edge proxy, made by EdgeHarness.__init__, creates the store; later ones reuse it.
         self.store: MemoryLedgerStore = getattr(self, "store", None) or MemoryLedgerStore()
-        return ResumableProxy(self.terms, self.runtime, self.store)
+        return ResumableProxy(self.config, self.runtime, self.store)
 
     async def restart_edge(self, clock_shift: int = 0, boot_id: str = "memory") -> None:
         """Kills the edge proxy and starts another on its store; shifts the wall clock by `clock_shift` ns."""
@@ -81,7 +81,7 @@
 
 @asynccontextmanager
 async def resumable_rig(servers: int = 2, version: int = 2) -> AsyncIterator[ResumableRig]:
-    async with rigged_as(ResumableRig, servers, version=version) as rig:
+    async with running_harness(ResumableRig, servers, version=version) as rig:
         yield rig
 
 
@@ -92,7 +92,7 @@
     with trio.fail_after(within):
         while True:
             for server in rig.servers.values():
-                for _, message in server.link.heard[server.link._taken :]:
+                for _, message in server.link.received[server.link._next_index :]:
                     if isinstance(message, kind):
                         return server.link, await server.link.next(kind)
             await trio.sleep(0.01)
@@ -283,14 +283,14 @@
         caller = await rig.caller()
         await caller.send(dial())
         link, request = await next_at_any_server(rig)
-        await caller.cut()
+        await caller.close()
         await trio.sleep(0.05)
         await link.send(setup.Established("d1", request.leg))
         await trio.sleep(0.05)
         back = await rig.caller()
         await back.send(setup.Resume("d1"))
         await back.next(setup.Established)
-        await back.cut()
+        await back.close()
         await trio.sleep(6)
         assert link.all(setup.Release) == [setup.Release("d1", request.leg)], (
             "the caller did not resume in time"
@@ -305,9 +305,9 @@
         caller, link, request = await established_dialog(rig)
         server, began = rig.servers["s0"], trio.current_time()
         if how == "gone from the list":
-            await rig.tell(server.row("gone"))
+            await rig.publish(server.row("gone"))
         if how in ("held", "unknown"):
-            await link.cut()
+            await link.close()
             await trio.sleep(0.5)
             assert await server.link.next(setup.Resume) == setup.Resume("d1", request.leg)
             assert not caller.all(setup.Ended)
@@ -360,7 +360,7 @@
 ) -> None:
     async with resumable_rig() as rig:
         caller, link, request = await established_dialog(rig)
-        await caller.cut()
+        await caller.close()
         await trio.sleep(0.05)
         await link.send(setup.Ended("d1", request.leg, reason))
         await trio.sleep(0.05)
@@ -467,7 +467,7 @@
     # Found by kills under load: the server's closing message had been read but waited in the event queue,
     # more than a batch back, when the attempt timed out. The cancel then raised in the session, which had
     # already closed the attempt, and the dialog was never answered.
-    async with rigged(1) as rig:
+    async with running_edge(1) as rig:
         caller = await rig.caller()
         await caller.send(dial(no_answer=SECOND))
         link = rig.servers["s0"].link
@@ -545,7 +545,7 @@
     """Kills e0 when its peers record its n-th dialog message, and starts it again 50 ms later."""
 
     def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-        original_record_message: Any = fakes.tap.record_message
+        original_record_message: Any = fakes.recorder.record_message
         count = 0
 
         def counting_record_message(edge: str, peer: str, sent: bool, message: Any) -> None:
@@ -562,7 +562,7 @@
             await trio.sleep(0.05)
             await edges[0].start()
 
-        fakes.tap.record_message = counting_record_message  # type: ignore[method-assign]
+        fakes.recorder.record_message = counting_record_message  # type: ignore[method-assign]
 
     return prepare
 
@@ -648,7 +648,7 @@
 def test_emulated_edge_proxies_and_servers_retain_no_ended_dialogs() -> None:
     scenario = scenario_with_kills(3, 6)
     fleet = Fleet(scenario, edge_plans(scenario))
-    simulate_day(fleet)
+    simulate_scenario(fleet)
     fleet.sim.run(fleet.sim.now() + 120 * SECOND)
     for edge in fleet.edges:
         assert not edge.open_dialogs
--- a/tests/test_rollout_config.py
+++ b/tests/test_rollout_config.py
@@ -1,4 +1,4 @@
-"""The settings of raft servers, supervisors and clients, and how they are rejected."""
+"""Configuration files of raft servers, supervisors and clients, and the errors of invalid ones."""
 
 from __future__ import annotations
 
@@ -23,33 +23,43 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "old", "new", "said"),
+    ("text", "old", "new", "expected_error"),
     [
-        (RAFT_SERVER, "in_region = 2", "in_region = 5", "5 in a region are more than the 4 in all"),
+        (RAFT_SERVER, "in_region = 2", "in_region = 5", "5 per region are more than 4 in total"),
         (RAFT_SERVER, "most = 4", "most = 0", "most"),
-        (RAFT_SERVER, "most = 4", "most = 4\nregions = north 9", "9 of north are more than the 4 in all"),
-        (RAFT_SERVER, "most = 4", "most = 4\nregions = north", "is not a region and how many"),
-        (RAFT_SERVER, "most = 4", "most = 4\nleast_capacity = 1", "a least of 1 or more could never be met"),
-        (RAFT_SERVER, ", c2 127.0.0.1:7002", "", "2 seats; wanted are 3 or 5"),
+        (RAFT_SERVER, "most = 4", "most = 4\nregions = north 9", "9 in north are more than 4 in total"),
+        (RAFT_SERVER, "most = 4", "most = 4\nregions = north", "is not a region and a number"),
+        (
+            RAFT_SERVER,
+            "most = 4",
+            "most = 4\nleast_capacity = 1",
+            "least_capacity and least_processor must be below 1",
+        ),
+        (RAFT_SERVER, ", c2 127.0.0.1:7002", "", "2 seats; must be 3 or 5"),
         (RAFT_SERVER, "c1 127.0.0.1:7001", "c1", "is not a seat and its address"),
-        (RAFT_SERVER, "c1 127.0.0.1:7001", "c0 127.0.0.1:7001", "c0 is named twice"),
+        (RAFT_SERVER, "c1 127.0.0.1:7001", "c0 127.0.0.1:7001", "c0 is listed twice"),
         (RAFT_SERVER, "name = c0", "name = c9", "c9 itself is not in it"),
-        (RAFT_SERVER, "limits edge proxies", "limits edges", "known are [limits edge proxies]"),
+        (RAFT_SERVER, "limits edge proxies", "limits edges", "known sections: [limits edge proxies]"),
         (RAFT_SERVER, "key = key", "key = nokey", "nokey: No such file"),
         (SUPERVISOR, "command = true", "command = no-such-program", "there is no program 'no-such-program'"),
         (SUPERVISOR, "command = true", "command = 'open", "No closing quotation"),
         (SUPERVISOR, "version = v1", "version = v2", "there is no [version v2]"),
-        (SUPERVISOR, "asks = 127.0.0.1:7200\n", "", "where the edge proxy is asked"),
-        (SUPERVISOR, "asks = 127.0.0.1:7200", "sort = server", "is no HOST:PORT"),
-        (SUPERVISOR, "listen = 127.0.0.1:7100", "listen = somewhere", "is no IP:PORT"),
+        (
+            SUPERVISOR,
+            "asks = 127.0.0.1:7200\n",
+            "",
+            "the edge proxy's [between] address, at which it is queried",
+        ),
+        (SUPERVISOR, "asks = 127.0.0.1:7200", "sort = server", "is not HOST:PORT"),
+        (SUPERVISOR, "listen = 127.0.0.1:7100", "listen = somewhere", "is not IP:PORT"),
     ],
 )
 def test_an_invalid_file_is_rejected_with_its_line(
-    tmp_path: Path, text: str, old: str, new: str, said: str
+    tmp_path: Path, text: str, old: str, new: str, expected_error: str
 ) -> None:
     assert old in text
     file = write_settings(tmp_path, text.replace(old, new))
     with pytest.raises(InvalidConfigError) as caught:
         (load_raft_server if text is RAFT_SERVER else load_supervisor)(file)
-    (line,) = [line for line in str(caught.value).splitlines() if said in line]
+    (line,) = [line for line in str(caught.value).splitlines() if expected_error in line]
     assert line.startswith(f"{file}:")
--- a/valverouter/emulator/edge_faults.py
+++ b/valverouter/emulator/edge_faults.py
@@ -1,21 +1,21 @@
-"""Faults of emulated edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
+"""Faults of emulated edge proxies and callers: restarts, stalls, bursts, mass calls, early abandonment."""
 
 from __future__ import annotations
 
 from valverouter.config.scenario_sections import FaultConfig
-from valverouter.emulator.call_generation import HOT_CALLED_NUMBER, CallLoad
+from valverouter.emulator.call_generation import MASS_CALLED_NUMBER, CallLoad
 from valverouter.emulator.edges import EmulatedEdge
 from valverouter.emulator.fault_targets import FaultProcess, FaultStart, FaultTargets
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulation import RandomStream
 
-# How often draining edge proxies are looked at, ns.
+# Interval at which draining edge proxies are checked for unanswered dialogs, ns.
 DRAIN_POLL_INTERVAL = 50_000_000
 CALLERS_TARGET = "callers"
 
 
 class EdgeFaults:
-    """The faults that a day's file may have at edge proxies and callers."""
+    """The faults that a scenario file may define for edge proxies and callers."""
 
     def __init__(self, fleet: Fleet, targets: FaultTargets, load: CallLoad) -> None:
         self._fleet = fleet
@@ -23,14 +23,14 @@
         self._load = load
 
     def by_kind(self) -> dict[str, FaultStart]:
-        """The process of each kind, by its name in a day's file."""
+        """Returns the fault processes by fault kind, as named in scenario files."""
         return {
             "balancer_crash": self._crash,
             "balancer_leave": self._restart,
             "balancer_stall": self._stall,
             "burst": self._burst,
-            "hot_key": self._hot_number,
-            "give_up": self._impatience,
+            "hot_key": self._mass_calling,
+            "give_up": self._early_abandonment,
         }
 
     # Edge proxies
@@ -41,16 +41,19 @@
             self._targets.record(fault, edge.name)
             edge.kill()
         yield self._targets.wait(fault.length)
-        self._start(edges)
+        self._start_edges(edges)
 
     def _restart(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
-        """Drained, ended and started again; each ends once all its dialogs are answered, or at its limit."""
+        """Drains edge proxies and restarts them.
+
+        Each process ends when all its dialogs are answered, or when the stop timeout has elapsed.
+        """
         sim = self._fleet.sim
         edges = self._targets.edges(fault, random)
         for edge in edges:
             self._targets.record(fault, edge.name)
             edge.drain()
-        draining, deadline = edges, sim.now() + self._fleet.day.links.stop_within
+        draining, deadline = edges, sim.now() + self._fleet.scenario.links.stop_within
         while draining:
             drained = [edge for edge in draining if not edge.has_unanswered_dialogs or sim.now() >= deadline]
             for edge in drained:
@@ -59,9 +62,9 @@
             if draining:
                 yield self._targets.wait(DRAIN_POLL_INTERVAL)
         yield self._targets.wait(fault.length)
-        self._start(edges)
+        self._start_edges(edges)
 
-    def _start(self, edges: list[EmulatedEdge]) -> None:
+    def _start_edges(self, edges: list[EmulatedEdge]) -> None:
         for edge in edges:
             edge.start(self._fleet.endpoint_list.complete())
 
@@ -79,17 +82,17 @@
         yield self._targets.wait(fault.length)
         self._load.rate_factor /= fault.size
 
-    def _hot_number(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
+    def _mass_calling(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         self._targets.record(fault, CALLERS_TARGET)
-        self._fleet.called_numbers.capacities[HOT_CALLED_NUMBER] = fault.lines
-        self._load.hot_fraction = fault.size
+        self._fleet.called_numbers.capacities[MASS_CALLED_NUMBER] = fault.lines
+        self._load.mass_call_fraction = fault.size
         yield self._targets.wait(fault.length)
-        self._load.hot_fraction = 0.0
+        self._load.mass_call_fraction = 0.0
 
-    def _impatience(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
+    def _early_abandonment(self, fault: FaultConfig, random: RandomStream) -> FaultProcess:
         self._targets.record(fault, CALLERS_TARGET)
         for callers in self._fleet.callers:
-            callers.patience *= fault.size
+            callers.abandon_fraction *= fault.size
         yield self._targets.wait(fault.length)
         for callers in self._fleet.callers:
-            callers.patience /= fault.size
+            callers.abandon_fraction /= fault.size
--- a/valverouter/emulator/rollout_simulation.py
+++ b/valverouter/emulator/rollout_simulation.py
@@ -1,12 +1,12 @@
-"""Operations on a fleet in simulated time, under faults drawn by a seed.
+"""Simulates operations on a fleet, under faults drawn from a seeded random generator.
 
-Control plane nodes and supervisors are the program's own, with disks that outlive them. Simulated are the
-network, the supervised programs, and clients that submit operations and may be killed. Checked from outside:
+Control plane nodes and supervisors are the real classes, with simulated disks that survive their crashes. The
+network, the supervised programs and the clients that submit operations are simulated. Checked are:
 
-- never more instances are taken out at once than the limits allow, in all and by region;
-- a supervisor that kept its disk carries no step out twice;
-- an instance that an operation reports as done has carried out its step, and a drained one is down;
-- once faults are over, every release that was rolled back is back at one version.
+- operations never make more instances unavailable at once than the limits allow, in total and by region;
+- a supervisor that kept its disk never repeats a completed step;
+- an instance that an operation reports as done, drained or rolled back has completed its step;
+- after the faults have ended, no participant of a rolled-back release still has the released version.
 """
 
 from __future__ import annotations
@@ -34,26 +34,31 @@
 SECOND = 10**9
 TICK_INTERVAL = SECOND // 10
 NODE_COUNT = 3
-# What evaluates releases unless a baseline of `release_baselines.py` does.
-PROGRAM = "program"
-# Between a client's repetitions, and until it looks for an answer.
-CLIENT_RETRY = 2 * SECOND
-CLIENT_ANSWER = SECOND
+# The value of `evaluated_by` for the orchestrator's own canary analysis; others are keys of `BASELINES`.
+DEFAULT_ANALYSIS = "program"
+# Interval at which a client repeats its request.
+CLIENT_RETRY_INTERVAL = 2 * SECOND
+# Delay after which a client reads the result of an accepted request.
+CLIENT_ANSWER_DELAY = SECOND
 CRASH_AFTER_SAVE_PROBABILITY = 0.0002
-# Of a planted fault: that a permit ends by time, at each tick.
-LAPSE_PROBABILITY = 0.02
-# Faults and operations are drawn up to this part of a random course.
-RESTLESS_FRACTION = 0.6
-FIRST_EVENT = 5 * SECOND
+# Of the injected fault "lapse": the probability, at each tick, that a permit expires.
+PERMIT_EXPIRY_PROBABILITY = 0.02
+# Random runs have faults and new operations only within this fraction of their duration.
+FAULTS_END_FRACTION = 0.6
+FIRST_EVENT_AT = 5 * SECOND
 UNDRAIN_AFTER_FAULTS = 8 * SECOND
 
 COMPLETED = (StepStatus.DONE, StepStatus.DRAINED, StepStatus.ROLLED_BACK)
-NOT_ROLLED_BACK = (StepStatus.DONE, StepStatus.OUT, StepStatus.FAILED)
+NOT_ROLLED_BACK = (StepStatus.DONE, StepStatus.IN_PROGRESS, StepStatus.FAILED)
 
 
 @dataclass(slots=True)
 class SimulatedNode:
-    """The machine of a control plane node, whose disk outlives it. `node` is None while it is down."""
+    """A control plane node's machine.
+
+    `persistent`: its disk, which survives crashes. `node`: None while it is down. `incarnation` counts the
+    starts of the node, so that timers of an earlier one are ignored.
+    """
 
     name: str
     persistent: PersistentState
@@ -63,11 +68,11 @@
 
 
 class RolloutSimulation:
-    """One simulation.
+    """One simulation run, determined by its seed.
 
-    `planted_fault` takes a rule out, so that the checks are seen to find it: "again" (a supervisor forgets
-    at a restart what it began, and asks for no permit), "lapse" (permits end by time). `evaluated_by`: what
-    evaluates releases, the program or a baseline.
+    `injected_fault` disables a rule, to test that the checks detect the violation: "again" (a supervisor
+    loses its steps at a restart and acts without a permit), "lapse" (permits expire). `evaluated_by`: the
+    canary analysis of releases, `DEFAULT_ANALYSIS` or a baseline.
     """
 
     def __init__(
@@ -76,26 +81,26 @@
         instances: int = 12,
         limits: DisruptionLimits | None = None,
         loss: float = 0.02,
-        planted_fault: str = "",
-        evaluated_by: str = PROGRAM,
+        injected_fault: str = "",
+        evaluated_by: str = DEFAULT_ANALYSIS,
     ) -> None:
-        """`instances`: how many edge proxies; `loss`: the fraction of messages lost beside faults."""
+        """`instances`: the number of edge proxies. `loss`: the fraction of messages lost without faults."""
         self.events = EventQueue()
         self.limits = limits or DisruptionLimits(
             max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
         )
         self.config = _orchestrator_config(self.limits)
-        # What was caused, by kind.
+        # Faults and operations, counted by kind.
         self.counts: Counter[str] = Counter()
         self.answers: dict[str, SubmitResult] = {}
         self._draws = random.Random(f"rollout/{seed}")
-        self._planted_fault = planted_fault
+        self._injected_fault = injected_fault
         self._evaluated_by = evaluated_by
         members = tuple((f"c{index}", self._draws.getrandbits(64)) for index in range(NODE_COUNT))
         self.nodes = {name: SimulatedNode(name, PersistentState(disk_id)) for name, disk_id in members}
         for machine in self.nodes.values():
             machine.persistent.apply(SaveEntries(1, (LogEntry(1, Configuration(members)),)))
-        forgets_steps = planted_fault == "again"
+        forgets_steps = injected_fault == "again"
         self.fleet = SupervisedFleet(
             self.events, self._draws, self.limits, instances, self.counts, forgets_steps
         )
@@ -108,7 +113,7 @@
 
     @property
     def leader(self) -> ControlPlaneNode | None:
-        """The node that leads in the highest term."""
+        """The running leader of the highest term, or None."""
         leaders = [
             machine.node
             for machine in self.nodes.values()
@@ -119,7 +124,7 @@
     # Nodes
 
     def start_node(self, name: str) -> None:
-        """Starts a node, if it does not run."""
+        """Starts a node from its disk; does nothing if it runs."""
         machine = self.nodes[name]
         if machine.node is not None:
             return
@@ -127,12 +132,12 @@
         machine.node = ControlPlaneNode(
             name, machine.persistent, self.config, self._draws.random, self.events.now
         )
-        if self._evaluated_by != PROGRAM:
+        if self._evaluated_by != DEFAULT_ANALYSIS:
             machine.node.orchestrator_class = BASELINES[self._evaluated_by]
-        self.events.after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick_node, machine, machine.incarnation)
 
     def crash_node(self, name: str) -> None:
-        """Ends a node at once."""
+        """Kills a node; its disk is kept."""
         self.nodes[name].node = None
         self.counts["seat crashed"] += 1
 
@@ -142,35 +147,35 @@
     def _tick_node(self, machine: SimulatedNode, incarnation: int) -> None:
         if machine.node is None or machine.incarnation != incarnation:
             return
-        self.events.after(TICK_INTERVAL, self._tick_node, machine, incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick_node, machine, incarnation)
         if self._is_paused(machine):
             return
-        if self._planted_fault == "lapse" and machine.node.orchestrator is not None:
+        if self._injected_fault == "lapse" and machine.node.orchestrator is not None:
             self._expire_permits(machine.node)
         machine.node.tick(self.events.now)
-        self._carry_out(machine)
+        self._persist_and_send(machine)
 
     def _expire_permits(self, node: ControlPlaneNode) -> None:
         for name, permit in list(node.operation_log.permits.unavailable.items()):
-            if permit is not None and self._draws.random() < LAPSE_PROBABILITY:
+            if permit is not None and self._draws.random() < PERMIT_EXPIRY_PROBABILITY:
                 node.propose(self.events.now, InstanceReturned(name, permit.number))
 
     def _on_message(self, machine: SimulatedNode, message: RaftMessage) -> None:
         if self._is_paused(machine):
-            self.events.at(machine.paused_until, self._on_message, machine, message)
+            self.events.call_at(machine.paused_until, self._on_message, machine, message)
         elif machine.node is not None:
             machine.node.on_message(self.events.now, message)
-            self._carry_out(machine)
+            self._persist_and_send(machine)
 
-    def _carry_out(self, machine: SimulatedNode) -> None:
-        """Saves are on disk, then messages leave; between the two the node may crash."""
+    def _persist_and_send(self, machine: SimulatedNode) -> None:
+        """Persists pending saves, then sends messages; a crash may occur in between."""
         assert machine.node is not None
         machine.node.pending_saves.clear()
         outgoing = list(machine.node.outgoing)
         machine.node.outgoing.clear()
         if self._network.has_faults and self._draws.random() < CRASH_AFTER_SAVE_PROBABILITY:
             self.crash_node(machine.name)
-            self.events.after(int(self._draws.uniform(0.1, 5) * SECOND), self.start_node, machine.name)
+            self.events.call_after(int(self._draws.uniform(0.1, 5) * SECOND), self.start_node, machine.name)
             return
         for receiver, message in outgoing:
             if receiver in self.nodes:
@@ -208,55 +213,58 @@
             )
 
         machine.node.on_report(self.events.now, report, made_after, answer)
-        self._carry_out(machine)
+        self._persist_and_send(machine)
 
     # Clients
 
     def submit(self, submit: Submit, attempts: int = 10) -> None:
-        """Sends it to all nodes until one answers; the client may be killed after any attempt."""
+        """Sends a request to all nodes, and again until one has answered or all attempts are used up.
+
+        Few attempts simulate a client that is killed.
+        """
         if submit.id in self.answers or not attempts:
             return
         for machine in self.nodes.values():
             self._network.send("tool", machine.name, self._on_submit, machine, submit)
-        self.events.after(CLIENT_RETRY, self.submit, submit, attempts - 1)
+        self.events.call_after(CLIENT_RETRY_INTERVAL, self.submit, submit, attempts - 1)
 
     def _on_submit(self, machine: SimulatedNode, submit: Submit) -> None:
         if machine.node is None or self._is_paused(machine):
             return
         if machine.node.propose(self.events.now, submit):
-            self.events.after(CLIENT_ANSWER, self._take_answer, machine, submit)
-        self._carry_out(machine)
+            self.events.call_after(CLIENT_ANSWER_DELAY, self._record_answer, machine, submit)
+        self._persist_and_send(machine)
 
-    def _take_answer(self, machine: SimulatedNode, submit: Submit) -> None:
+    def _record_answer(self, machine: SimulatedNode, submit: Submit) -> None:
         if machine.node is not None and submit.id in machine.node.answers:
             answer = machine.node.answers[submit.id]
             assert isinstance(answer, SubmitResult)
             self.answers.setdefault(submit.id, answer)
 
     def cancel(self, operation: str, reason: str, attempts: int = 5) -> None:
-        """Cancels an operation at whoever leads, several times over."""
+        """Proposes to cancel an operation to all running nodes, repeatedly; only the leader accepts it."""
         for machine in self.nodes.values():
             if machine.node is not None and not self._is_paused(machine):
                 machine.node.propose(self.events.now, Cancel(operation, reason))
-                self._carry_out(machine)
+                self._persist_and_send(machine)
         if attempts > 1:
-            self.events.after(CLIENT_RETRY, self.cancel, operation, reason, attempts - 1)
+            self.events.call_after(CLIENT_RETRY_INTERVAL, self.cancel, operation, reason, attempts - 1)
 
-    # Random courses
+    # Random runs
 
     def run_until(self, end: int) -> None:
-        """Runs up to a moment, ns."""
+        """Runs until the simulated time `end`, ns."""
         self.events.run_until(end)
 
     def run_randomly(self, seconds: float, fault_rate: float = 0.5, operation_rate: float = 0.1) -> None:
-        """Operations and faults at random (rates per second); then neither, until all is at rest."""
-        faults_end = int(seconds * SECOND * RESTLESS_FRACTION)
+        """Runs random operations and faults (rates per second), then without new ones until `seconds`."""
+        faults_end = int(seconds * SECOND * FAULTS_END_FRACTION)
         for rate, action in ((fault_rate, self._cause_fault), (operation_rate, self._submit_randomly)):
-            moment = FIRST_EVENT + int(self._draws.expovariate(rate) * SECOND)
-            while moment < faults_end:
-                self.events.at(moment, action)
-                moment += int(self._draws.expovariate(rate) * SECOND)
-        self.events.at(faults_end, self._end_faults)
+            time = FIRST_EVENT_AT + int(self._draws.expovariate(rate) * SECOND)
+            while time < faults_end:
+                self.events.call_at(time, action)
+                time += int(self._draws.expovariate(rate) * SECOND)
+        self.events.call_at(faults_end, self._end_faults)
         self.run_until(int(seconds * SECOND))
 
     def _submit_randomly(self) -> None:
@@ -270,19 +278,19 @@
         submit = Submit(f"o{self.counts.total()}", kind, tuple(names), version)
         self.submit(submit, draws.randint(1, 6))
         if draws.random() < 0.2:
-            self.events.after(int(draws.uniform(1, 20) * SECOND), self.cancel, submit.id, "by hand")
+            self.events.call_after(int(draws.uniform(1, 20) * SECOND), self.cancel, submit.id, "by hand")
         if draws.random() < 0.1:
-            self.events.after(int(draws.uniform(10, 40) * SECOND), self.submit, submit)
+            self.events.call_after(int(draws.uniform(10, 40) * SECOND), self.submit, submit)
 
     def _draw_names(self, kind: OperationKind) -> list[str]:
-        everybody = sorted(self.fleet.instances)
-        names = self._draws.sample(everybody, self._draws.randint(1, len(everybody)))
+        all_names = sorted(self.fleet.instances)
+        names = self._draws.sample(all_names, self._draws.randint(1, len(all_names)))
         if kind is OperationKind.DRAIN:
             return names[: self.limits.max_unavailable_per_region]
         if kind is OperationKind.UNDRAIN:
             return self.fleet.down_by_supervisor
         if kind is OperationKind.RELEASE and self._draws.random() < 0.7:
-            return everybody
+            return all_names
         return names
 
     def _cause_fault(self) -> None:
@@ -292,7 +300,7 @@
         duration = int(draws.uniform(0.2, 6) * SECOND)
         if kind < 0.15:
             self.crash_node(node)
-            self.events.after(duration, self.start_node, node)
+            self.events.call_after(duration, self.start_node, node)
         elif kind < 0.25:
             self.nodes[node].paused_until = self.events.now + self._draw_pause()
             self.counts["seat stopped"] += 1
@@ -300,19 +308,19 @@
             self.fleet.kill_program(name)
         elif kind < 0.55:
             self.fleet.crash(name)
-            self.events.after(duration, self.fleet.start, name)
+            self.events.call_after(duration, self.fleet.start, name)
         elif kind < 0.6:
             self.fleet.lose_disk(name)
-            self.events.after(duration, self.fleet.start, name)
+            self.events.call_after(duration, self.fleet.start, name)
         elif kind < 0.7:
             self.fleet.pause(name, self._draw_pause())
         else:
-            self._cut_network(duration)
+            self._partition_network(duration)
 
     def _draw_pause(self) -> int:
         return int(self._draws.uniform(0.5, 10) * SECOND)
 
-    def _cut_network(self, duration: int) -> None:
+    def _partition_network(self, duration: int) -> None:
         names = [*self.fleet.instances, *self.nodes]
         size = self._draws.randint(1, len(self.fleet.instances))
         side = frozenset(self._draws.sample(names, size))
@@ -330,21 +338,24 @@
             machine.paused_until = min(machine.paused_until, self.events.now)
             self.start_node(name)
         self.fleet.end_faults()
-        # Drained instances come back, and whatever waits for evidence goes on.
-        self.events.after(UNDRAIN_AFTER_FAULTS, self._undrain)
+        # Returns drained instances to service; releases that wait for evidence can continue then.
+        self.events.call_after(UNDRAIN_AFTER_FAULTS, self._undrain)
 
     def _undrain(self) -> None:
         names = tuple(self.fleet.down_by_supervisor)
         if names:
             self.submit(Submit(f"undrain/{self.events.now}", OperationKind.UNDRAIN, names))
 
-    # The end
+    # Checks
 
     def check_results(self) -> dict[str, int]:
-        """How the operations ended, by kind and result; raises InvariantViolationError."""
+        """Returns the number of operations by kind and result.
+
+        Raises InvariantViolationError if there is no leader or an operation's reported result is wrong.
+        """
         leader = self.leader
         if leader is None:
-            raise InvariantViolationError("nobody leads at the end")
+            raise InvariantViolationError("there is no leader at the end")
         operations = list(leader.operation_log.operations.values())
         results: Counter[str] = Counter()
         for operation in operations:
@@ -361,7 +372,9 @@
             number = participant.permit_number
             if not any(step_id.permit_number == number for step_id in instance.steps_done):
                 status = participant.status.value
-                raise InvariantViolationError(f"{name} is {status} by {operation.id}, and has not done it")
+                raise InvariantViolationError(
+                    f"{name} is {status} by {operation.id}, but did not complete its step"
+                )
 
     def _check_rollback(self, operation: Operation, operations: list[Operation]) -> None:
         is_rolled_back = operation.kind is OperationKind.RELEASE and operation.result == "halted"
@@ -372,7 +385,7 @@
         for name, participant in operation.participants.items():
             if participant.status in NOT_ROLLED_BACK:
                 status = participant.status.value
-                raise InvariantViolationError(f"{name} was not brought back by {operation.id}: {status}")
+                raise InvariantViolationError(f"{name} was not rolled back by {operation.id}: {status}")
 
 
 def _orchestrator_config(limits: DisruptionLimits) -> OrchestratorConfig:
--- a/valverouter/emulator/server_profile.py
+++ b/valverouter/emulator/server_profile.py
@@ -1,4 +1,4 @@
-"""The server model's parameters for a day."""
+"""The server model's parameters for a scenario."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from valverouter.servermodel.profile import ServerProfile
 
 
-def server_profile(day: ScenarioConfig) -> ServerProfile:
-    """The profile of a day's servers, from the settings in [servers] and [fleet]."""
-    servers, fleet = day.servers, day.fleet
+def server_profile(scenario: ScenarioConfig) -> ServerProfile:
+    """Returns the profile of a scenario's servers, from the settings in [servers] and [fleet]."""
+    servers, fleet = scenario.servers, scenario.fleet
     return ServerProfile(
         lines=servers.lines,
         setup_work=servers.setup_work,
--- a/valverouter/emulator/supervised_fleet.py
+++ b/valverouter/emulator/supervised_fleet.py
@@ -1,7 +1,7 @@
-"""Supervised edge proxies in simulated time: the program's own supervisors, round simulated programs.
+"""Simulates supervised edge proxies: real `Supervisor` objects with simulated programs.
 
-A supervisor's disk outlives it, and so does its program. What the programs really did is checked here, as it
-happens: the limits on those taken out, and that no step is carried out twice.
+A supervisor's disk and its program survive its crashes. Two properties are checked against what the programs
+really did, as it happens: the disruption limits, and that no completed step is repeated.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 REPORT_INTERVAL = SECOND // 2
 REGIONS = ("north", "south", "west")
 VERSIONS = ("v1", "v2", "crashes", "dies-late", "declines")
-# How long programs of those versions last, ns.
-CRASHES_AFTER = SECOND // 5
-DIES_AFTER = 12 * SECOND
+# Time from the start of a program to its exit, by version: "crashes" and "dies-late".
+CRASH_DELAY = SECOND // 5
+LATE_EXIT_DELAY = 12 * SECOND
 NEVER = 10**6 * SECOND
+# Dialogs per second of one program; fractions rejected by harmless versions and by "declines".
 DIALOGS_PER_SECOND = 10.0
 REJECTED_FRACTION = 0.01
 HARMFUL_REJECTED_FRACTION = 0.11
-# Before any message that a report could answer, ns.
+# A stamp earlier than any message, for nodes from which none has arrived, ns.
 LONG_AGO = -(10**18)
 
 ReportSender = Callable[["SimulatedInstance", SupervisorReport], None]
@@ -42,16 +43,17 @@
 
 @dataclass(slots=True)
 class SimulatedInstance:
-    """A supervisor and its program. `disk`: the supervisor's state as it was saved last."""
+    """A supervisor and its program. `disk`: the last saved state of the supervisor, encoded."""
 
     info: InstanceInfo
     disk: bytes
-    # None while the supervisor is down; the incarnation counts its starts.
+    # `supervisor` is None while it is down; `incarnation` counts its starts.
     supervisor: Supervisor | None = None
     incarnation: int = 0
     paused_until: int = 0
     has_lost_disk: bool = False
-    # The program's process (0: none), when it serves, and when it ends (0: not known).
+    # The number of the program's process (0: none), the time from which it serves, and the time at which it
+    # exits (0: no exit is planned).
     process: int = 0
     version: str = ""
     serves_at: int = 0
@@ -59,10 +61,10 @@
     accepted: int = 0
     rejected: int = 0
     counted_until: int = 0
-    # The latest stamp of each node, which the next report gives back.
+    # The latest stamp from each control plane node, returned in the next report to it.
     stamps: dict[str, int] = field(default_factory=dict)
-    # The step by which it is really out, and all steps that were carried out.
-    step_out: StepId | None = None
+    # The step that makes the instance unavailable now (None: it is available), and all completed steps.
+    active_step: StepId | None = None
     steps_done: list[StepId] = field(default_factory=list)
 
     @property
@@ -71,23 +73,23 @@
         return self.info.name
 
     def made_after(self, node: str) -> int:
-        """The stamp of a node's latest message."""
+        """Returns the stamp of the latest message from a node, or LONG_AGO."""
         return self.stamps.get(node, LONG_AGO)
 
     def is_current(self, incarnation: int) -> bool:
-        """Whether the supervisor of that incarnation still runs."""
+        """Returns whether the supervisor of that incarnation is still running."""
         return self.supervisor is not None and self.incarnation == incarnation
 
     def counters(self) -> InstanceCounters:
-        """What the program answers to its supervisor."""
+        """Returns the counters that the program reports to its supervisor."""
         is_serving = not self.ends_at
         return InstanceCounters(self.process, is_serving, True, self.accepted, self.rejected, 0, 0, "settled")
 
 
 class SupervisedFleet:
-    """All instances, by name. `served` and `rejected` count their dialogs.
+    """All instances, by name. `served` and `rejected` count the dialogs of all programs.
 
-    `forgets_steps` plants a fault: supervisors forget at a restart what they began, and ask for no permit.
+    `forgets_steps` injects a fault: supervisors lose their steps at a restart and act without a permit.
     """
 
     def __init__(
@@ -99,22 +101,22 @@
         counts: Counter[str],
         forgets_steps: bool,
     ) -> None:
-        """`counts` takes what was caused, by kind."""
+        """`counts`: incremented by kind for each fault and each step that makes an instance unavailable."""
         self.events = events
         self.instances = _new_instances(size)
         self.served = 0
         self.rejected = 0
-        # How a supervisor's report gets to the nodes; set by whoever has them.
+        # Sends a supervisor's report to the control plane nodes; set by the simulation that has the nodes.
         self.send_report: ReportSender = lambda instance, report: None
         self._draws = draws
         self._limits = limits
         self._counts = counts
         self._forgets_steps = forgets_steps
-        self._processes = 0
+        self._process_count = 0
 
     @property
     def down_by_supervisor(self) -> list[str]:
-        """Names of the instances whose supervisors keep them down."""
+        """The names of instances whose supervisors run and keep the program stopped."""
         return [
             name
             for name, instance in self.instances.items()
@@ -124,7 +126,7 @@
     # Faults
 
     def start(self, name: str) -> None:
-        """Starts a supervisor, if it does not run."""
+        """Starts a supervisor from its disk; does nothing if it runs."""
         instance = self.instances[name]
         if instance.supervisor is not None:
             return
@@ -132,42 +134,42 @@
         instance.stamps.clear()
         state = msgspec.msgpack.decode(instance.disk, type=SupervisorState)
         instance.supervisor = Supervisor(instance.info, state)
-        # Its program may have outlived the supervisor before it.
+        # The program may still run from before the supervisor's crash.
         instance.supervisor.resume(bool(instance.process))
         if self._forgets_steps:
             state.steps.clear()
         first_report = int(self._draws.random() * REPORT_INTERVAL)
-        self.events.after(0, self._tick, instance, instance.incarnation)
-        self.events.after(first_report, self._report, instance, instance.incarnation)
+        self.events.call_after(0, self._tick, instance, instance.incarnation)
+        self.events.call_after(first_report, self._report, instance, instance.incarnation)
 
     def crash(self, name: str) -> None:
-        """Ends a supervisor at once; its program runs on."""
+        """Kills a supervisor; its program keeps running."""
         self.instances[name].supervisor = None
         self._counts["keeper crashed"] += 1
 
     def lose_disk(self, name: str) -> None:
-        """Ends a supervisor at once, and its disk is lost."""
+        """Kills a supervisor and erases its disk; its program keeps running."""
         instance = self.instances[name]
         self.crash(name)
-        # The program that runs tells the next supervisor what it was started as.
+        # The next supervisor learns the running version from the program.
         instance.disk = msgspec.msgpack.encode(SupervisorState("v1", running_version=instance.version))
         instance.has_lost_disk = True
         self._counts["keeper disk lost"] += 1
 
     def pause(self, name: str, duration: int) -> None:
-        """Stops a supervisor for a while; its program runs on."""
+        """Suspends a supervisor for `duration` ns; its program keeps running."""
         self.instances[name].paused_until = self.events.now + duration
         self._counts["keeper stopped"] += 1
 
     def kill_program(self, name: str) -> None:
-        """Ends an instance's program at once."""
+        """Kills an instance's program, if it runs."""
         instance = self.instances[name]
         if instance.process:
             self._on_program_ended(instance)
             self._counts["killed"] += 1
 
     def end_faults(self) -> None:
-        """Goes on with paused supervisors and starts those that are down."""
+        """Resumes paused supervisors and starts those that are down."""
         for name, instance in self.instances.items():
             instance.paused_until = min(instance.paused_until, self.events.now)
             self.start(name)
@@ -177,16 +179,16 @@
     def on_reply(
         self, instance: SimulatedInstance, incarnation: int, node: str, reply: DesiredStateReply
     ) -> None:
-        """A node's answer arrives at the supervisor of an incarnation."""
+        """Delivers a node's reply; it is dropped if that incarnation of the supervisor has ended."""
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
         if self._is_paused(instance):
-            self.events.at(instance.paused_until, self.on_reply, instance, incarnation, node, reply)
+            self.events.call_at(instance.paused_until, self.on_reply, instance, incarnation, node, reply)
             return
         instance.stamps[node] = max(instance.stamps.get(node, 0), reply.stamp)
         is_open = reply.is_open or self._forgets_steps
         instance.supervisor.on_desired_state(self.events.now, reply.desired, is_open)
-        self._carry_out(instance, instance.supervisor)
+        self._run_actions(instance, instance.supervisor)
 
     def _is_paused(self, instance: SimulatedInstance) -> bool:
         return self.events.now < instance.paused_until
@@ -194,21 +196,21 @@
     def _tick(self, instance: SimulatedInstance, incarnation: int) -> None:
         if not instance.is_current(incarnation):
             return
-        self.events.after(TICK_INTERVAL, self._tick, instance, incarnation)
+        self.events.call_after(TICK_INTERVAL, self._tick, instance, incarnation)
         self._run_program(instance)
         if not self._is_paused(instance):
             assert instance.supervisor is not None
-            self._carry_out(instance, instance.supervisor)
+            self._run_actions(instance, instance.supervisor)
 
     def _report(self, instance: SimulatedInstance, incarnation: int) -> None:
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
-        self.events.after(REPORT_INTERVAL, self._report, instance, incarnation)
+        self.events.call_after(REPORT_INTERVAL, self._report, instance, incarnation)
         if not self._is_paused(instance):
             self.send_report(instance, instance.supervisor.report())
 
-    def _carry_out(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
-        """Does all that the supervisor asks for."""
+    def _run_actions(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
+        """Passes the program's counters to the supervisor and executes all actions that it requests."""
         now = self.events.now
         if instance.process and now >= instance.serves_at:
             supervisor.on_counters(instance.counters())
@@ -227,20 +229,20 @@
 
     def _start_program(self, instance: SimulatedInstance, supervisor: Supervisor) -> None:
         now = self.events.now
-        self._processes += 1
-        instance.process, instance.version = self._processes, supervisor.state.version
+        self._process_count += 1
+        instance.process, instance.version = self._process_count, supervisor.state.version
         instance.accepted = instance.rejected = 0
         instance.serves_at = now + int(self._draws.uniform(0.2, 1.0) * SECOND)
         instance.counted_until = instance.serves_at
         instance.ends_at = 0
         if instance.version == "crashes":
-            instance.serves_at, instance.ends_at = now + NEVER, now + CRASHES_AFTER
+            instance.serves_at, instance.ends_at = now + NEVER, now + CRASH_DELAY
         elif instance.version == "dies-late":
-            instance.ends_at = now + DIES_AFTER
+            instance.ends_at = now + LATE_EXIT_DELAY
         supervisor.on_started(now, instance.version)
 
     def _run_program(self, instance: SimulatedInstance) -> None:
-        """What the program does, whatever its supervisor knows."""
+        """Advances the program to the present time: its exit, or its accepted and rejected dialogs."""
         now = self.events.now
         if instance.ends_at and now >= instance.ends_at:
             self._on_program_ended(instance)
@@ -263,11 +265,11 @@
         if instance.supervisor is None:
             return
         if self._is_paused(instance):
-            self.events.at(instance.paused_until, self._on_late_exit, instance, instance.incarnation)
+            self.events.call_at(instance.paused_until, self._on_deferred_exit, instance, instance.incarnation)
         else:
             instance.supervisor.on_exited(self.events.now)
 
-    def _on_late_exit(self, instance: SimulatedInstance, incarnation: int) -> None:
+    def _on_deferred_exit(self, instance: SimulatedInstance, incarnation: int) -> None:
         if instance.supervisor is None or not instance.is_current(incarnation):
             return
         if not instance.process and instance.supervisor.is_running:
@@ -276,35 +278,37 @@
     # Checks
 
     def _check_saved(self, instance: SimulatedInstance, state: SupervisorState) -> None:
-        """What is on disk is what has happened: a step that was begun, or one that has ended."""
+        """Updates the active step from the saved state; checks its start for repetition and the limits."""
         step = state.latest_step
         if step is None or step.reason == STATE_LOST:
             return
-        if not step.outcome and instance.step_out != step.step_id:
+        if not step.outcome and instance.active_step != step.step_id:
             if step.step_id in instance.steps_done and not instance.has_lost_disk:
-                at = f"at {self.events.now / SECOND:.1f}"
-                raise InvariantViolationError(f"{instance.name} carries out {step.step_id} twice, {at}")
-            instance.step_out = step.step_id
+                at = f"at {self.events.now / SECOND:.1f} s"
+                raise InvariantViolationError(
+                    f"{instance.name} repeats the completed step {step.step_id} {at}"
+                )
+            instance.active_step = step.step_id
             self._counts["out"] += 1
             self._check_limits()
         elif step.outcome == StepOutcome.DONE:
             if step.step_id not in instance.steps_done:
                 instance.steps_done.append(step.step_id)
             if state.up:
-                instance.step_out = None
+                instance.active_step = None
 
     def _check_limits(self) -> None:
-        out = Counter(
-            instance.info.region for instance in self.instances.values() if instance.step_out is not None
+        unavailable = Counter(
+            instance.info.region for instance in self.instances.values() if instance.active_step is not None
         )
-        at = f"by operations at {self.events.now / SECOND:.1f}"
-        if out.total() > self._limits.max_unavailable:
+        at = f"under operations at {self.events.now / SECOND:.1f} s"
+        if unavailable.total() > self._limits.max_unavailable:
             limit = self._limits.max_unavailable
-            raise InvariantViolationError(f"{out.total()} are out {at}, {limit} may be")
-        for region, count in out.items():
+            raise InvariantViolationError(f"{unavailable.total()} are unavailable {at}, limit {limit}")
+        for region, count in unavailable.items():
             limit = self._limits.max_unavailable_in(region)
             if count > limit:
-                raise InvariantViolationError(f"{count} of {region} are out {at}, {limit} may be")
+                raise InvariantViolationError(f"{count} of {region} are unavailable {at}, limit {limit}")
 
 
 def _new_instances(size: int) -> dict[str, SimulatedInstance]:
--- a/valverouter/platform_edge/proxy.py
+++ b/valverouter/platform_edge/proxy.py
@@ -1,6 +1,6 @@
-"""The edge proxy behind the platform's protocol.
+"""The edge proxy on the operators' platform.
 
-What differs from `EdgeProxy` is who an established dialog belongs to, and where messages come from and go to.
+It differs from `EdgeProxy` in its protocols, and in that established dialogs belong to no connection.
 """
 
 from __future__ import annotations
@@ -16,27 +16,32 @@
 from valverouter.edge.runtime import Runtime
 from valverouter.edge.server_links import ServerLinks
 from valverouter.platform_edge.bus_client import BusClient
-from valverouter.platform_edge.caller_listener import RelayListener
+from valverouter.platform_edge.caller_listener import PlatformListener
 from valverouter.platform_edge.callers import AnsweredIds, ConnectedCallers, EstablishedReported
-from valverouter.platform_edge.dialogs import EndNotifier, RelayAttempts, RelayDialogs, RelayRequests
-from valverouter.platform_edge.server_links import RelayLinks
-from valverouter.platform_edge.unknown_releases import UnknownEnds
+from valverouter.platform_edge.dialogs import (
+    PlatformAttempts,
+    PlatformDialogs,
+    PlatformRequests,
+    ReleaseNotifier,
+)
+from valverouter.platform_edge.server_links import PlatformLinks
+from valverouter.platform_edge.unknown_releases import UnknownReleases
 
 
-class RelayProxy(EdgeProxy):
-    """An instance on the platform."""
+class PlatformProxy(EdgeProxy):
+    """An edge proxy instance on the platform."""
 
     closing_period = CLOSING_PERIOD
     source: BusClient
-    requests: RelayRequests
-    listener: RelayListener
+    requests: PlatformRequests
+    listener: PlatformListener
 
     def __init__(self, platform: PlatformConfig, runtime: Runtime) -> None:
-        """`platform`: the configuration, whole and checked."""
+        """`platform`: the complete, validated configuration."""
         self.connected = ConnectedCallers()
-        self.end_notifier = EndNotifier(self.connected)
+        self.release_notifier = ReleaseNotifier(self.connected)
         self._platform = platform
-        self._unknown_ends = UnknownEnds()
+        self._unknown_releases = UnknownReleases()
         self._answered_ids = AnsweredIds()
         super().__init__(platform.config, runtime)
         self._handlers[EstablishedReported] = self.requests.on_established_reported
@@ -44,42 +49,44 @@
         self._log.info("edge-started", limits=limits, seed=platform.config.seed)
 
     def reconfigure(self, platform: PlatformConfig) -> None:
-        """A new configuration: the event bus's address and events act, all else waits for a new start.
+        """Applies the event bus's address and events; other settings take effect with the next start.
 
-        MalformedInputError, and nothing of it acts, where it is another edge proxy's.
+        Raises MalformedInputError, and applies nothing, if the configuration is for another edge proxy.
         """
         if platform.config.name != self.config.name:
-            raise MalformedInputError(f"name: {platform.config.name!r}, this is {self.config.name!r}")
+            raise MalformedInputError(
+                f"name: {platform.config.name!r}, but this edge proxy is {self.config.name!r}"
+            )
         self.source.apply_events(platform.known)
         self.source.set_address(platform.config.list_service)
         self._log.info("configuration-reloaded", bus=platform.config.list_service)
 
-    # The parts
+    # Factories for the components
 
     def _make_source(self) -> BusClient:
         context = self.context
         return BusClient(context.config.list_service, self._platform.known, context.runtime, context.events)
 
     def _make_links(self) -> ServerLinks:
-        return RelayLinks(self.context, self.source, self._unknown_ends)
+        return PlatformLinks(self.context, self.source, self._unknown_releases)
 
     def _make_dialogs(self) -> DialogTable:
-        return RelayDialogs(self.context, self.reloader, self.end_notifier, self._answered_ids)
+        return PlatformDialogs(self.context, self.reloader, self.release_notifier, self._answered_ids)
 
     def _make_attempts(self) -> AttemptHandler:
-        return RelayAttempts(self.context, self.dialogs, self.links)
+        return PlatformAttempts(self.context, self.dialogs, self.links)
 
-    def _make_requests(self) -> RelayRequests:
-        return RelayRequests(self.context, self.dialogs, self.attempts, self.links, self._unknown_ends)
+    def _make_requests(self) -> PlatformRequests:
+        return PlatformRequests(self.context, self.dialogs, self.attempts, self.links, self._unknown_releases)
 
-    def _make_listener(self) -> RelayListener:
-        return RelayListener(
+    def _make_listener(self) -> PlatformListener:
+        return PlatformListener(
             self.context,
             self.links,
             self.incarnation,
             self._platform.widths,
             self.connected,
-            self.end_notifier,
+            self.release_notifier,
             self._answered_ids,
         )
 
@@ -87,23 +94,23 @@
 
     @property
     def _is_done(self) -> bool:
-        # Ends are passed on as long as there is a connection for them.
+        # Until closing starts, established dialogs count too, so that their releases are passed on.
         if self.context.shutdown.is_closing(self.context.now):
             return not self.dialogs.open_count
         return not self.dialogs.entries
 
     @property
     def _is_quiet(self) -> bool:
-        # A request that the kernel has accepted for us is accepted: ended with it unread, it would be lost.
+        # A request that the kernel has received must be answered; it would be lost if the process ended.
         return super()._is_quiet and self.connected.all_quiet()
 
     def _close_idle_callers(self) -> None:
-        # Callers that go on asking would keep the process from being quiet up to the last moment before
-        # SIGKILL, where a busy host may give it no turn any more. What crosses the close is sent again.
+        # Callers that keep sending set-ups would keep the process busy until shortly before SIGKILL, when a
+        # busy host may not schedule it any more. Callers repeat a set-up that crosses the close.
         owed = {entry.caller for entry in self.dialogs.entries.values() if not entry.is_established}
         self.connected.close_quiet(owed)
 
     def _on_endpoint_update(self, update: EndpointUpdate) -> None:
         super()._on_endpoint_update(update)
-        # While the list was away callers may have taken the descriptors that its servers need now.
+        # While the bus was unreachable, callers may have taken the file descriptors that servers need now.
         self.listener.free_descriptors()
