--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -198,16 +198,16 @@
 PERMIT = disruption_permits.Permit(263, "e14", "o7")
 
 
-def member(step: operations.StepStatus = operations.StepStatus.IN_PROGRESS) -> operations.Participant:
+def participant(step: operations.StepStatus = operations.StepStatus.IN_PROGRESS) -> operations.Participant:
     return operations.Participant(step, 269, 3, "v9", "slow")
 
 
 def operation(kind: operations.OperationKind, phase: operations.OperationPhase) -> operations.Operation:
     """An operation with one participant for each step status."""
-    members = {f"m{at}": member(step) for at, step in enumerate(operations.StepStatus)}
-    waves = [["m0"], list(members)[1:]]
+    participants = {f"m{at}": participant(step) for at, step in enumerate(operations.StepStatus)}
+    waves = [["m0"], list(participants)[1:]]
     header = f"o-{kind.value}", kind, "v10", 271, "operator"
-    return operations.Operation(*header, waves, members, [1], phase, 1, True, "halted", "partly")
+    return operations.Operation(*header, waves, participants, [1], phase, 1, True, "halted", "partly")
 
 
 def full_operation_log() -> operation_log.OperationLog:
