--- a/valverouter/edge/link.py
+++ b/valverouter/edge/link.py
@@ -252,7 +252,7 @@
         while True:
             since = self._awaiting_since
             if since is not None and trio.current_time() >= since + limit:
-                self.close(f"no message received for {limit:g} s")
+                self.close(f"silent for {limit:g} s")
             await trio.sleep_until((trio.current_time() if since is None else since) + limit)
 
     async def _read(self, stream: trio.abc.Stream, session: SetupSession) -> None:
