--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,85 +13,96 @@
 TYPE = interface.TrafficType(1500 * MS, 1.0, 10 * SECOND, True, None)
 TYPES = {
     "plain": TYPE,
-    "once": replace(TYPE, idempotent=False),
-    "worthy": replace(TYPE, priority_weight=2.0),
+    "not-idempotent": replace(TYPE, idempotent=False),
+    "important": replace(TYPE, priority_weight=2.0),
     "only-1": replace(TYPE, server_numbers=frozenset([1])),
 }
-TERMS: dict[str, Any] = {
+DEPLOYMENT_FIELDS: dict[str, Any] = {
     "edge_proxies": 4,
     "own_server_number": -1,
     "endpoint_list_is_pushed": True,
     "max_attempts": 6,
 }
-TERMS |= {"can_cancel": True, "max_retry_after": 2 * SECOND, "release_delay": 300 * MS}
-TERMS |= {"slow_start_fraction": 0.35, "overload_multiple": 2.5, "overload_window": SECOND}
-TERMS |= {"slow_start_duration": 15 * SECOND, "fleet_index": 0}
-SAID: dict[type, str] = {
-    interface.Reject: "declined",
-    interface.Fail: "aborted",
-    interface.CancelAttempt: "cancels",
+DEPLOYMENT_FIELDS |= {"can_cancel": True, "max_retry_after": 2 * SECOND, "release_delay": 300 * MS}
+DEPLOYMENT_FIELDS |= {"slow_start_fraction": 0.35, "overload_multiple": 2.5, "overload_window": SECOND}
+DEPLOYMENT_FIELDS |= {"slow_start_duration": 15 * SECOND, "fleet_index": 0}
+ACTION_NAMES: dict[type, str] = {
+    interface.Reject: "reject",
+    interface.Fail: "fail",
+    interface.CancelAttempt: "cancel",
 }
 
 
-class Rig:
+class DriverHarness:
     """A driver at a clock, with a few servers on its list."""
 
     def __init__(
-        self, servers: int = 3, now: int = 100 * SECOND, cross_region: Any = None, **terms: Any
+        self, servers: int = 3, now: int = 100 * SECOND, cross_region: Any = None, **fields: Any
     ) -> None:
         self.now = now
         self.driver = Driver(
-            interface.Deployment(**{"traffic_types": TYPES} | TERMS | terms), 7, now, cross_region
+            interface.Deployment(**{"traffic_types": TYPES} | DEPLOYMENT_FIELDS | fields),
+            7,
+            now,
+            cross_region,
         )
         self.policy = self.driver.policy
-        self.listed(
+        self.update_endpoints(
             [interface.Endpoint(f"s{n}", n, True) for n in range(servers)],
             interface.EndpointUpdateKind.CACHED,
         )
         self.dialogs = 0
 
-    def listed(
+    def update_endpoints(
         self,
         entries: list[interface.Endpoint],
         scope: interface.EndpointUpdateKind = interface.EndpointUpdateKind.INCREMENTAL,
     ) -> None:
         self.driver.update_endpoints(scope, entries)
 
-    def ahead(self, span: int) -> None:
-        for _ in range(span // MS):
+    def advance(self, duration: int) -> None:
+        for _ in range(duration // MS):
             self.now += MS
             self.driver.tick(self.now)
-        self.now += span % MS
+        self.now += duration % MS
         self.driver.tick(self.now)
 
-    def dialog(self, first: int = 0, kind: str = "plain", no_answer: int = 3 * SECOND, **more: Any) -> str:
+    def dialog(
+        self, preferred_server: int = 0, traffic_type: str = "plain", no_answer: int = 3 * SECOND, **more: Any
+    ) -> str:
         self.dialogs += 1
         id_ = f"d{self.dialogs}"
-        self.driver.start_dialog(interface.Dialog(id_, kind, self.now + no_answer, first, **more))
+        self.driver.start_dialog(
+            interface.Dialog(id_, traffic_type, self.now + no_answer, preferred_server, **more)
+        )
         return id_
 
-    def result(self, id_: str, server: str, outcome: interface.Outcome, leg: int = 0, **more: Any) -> None:
-        self.driver.on_attempt_result(interface.AttemptResult(id_, leg, server, outcome, **more))
+    def result(
+        self, id_: str, server: str, outcome: interface.Outcome, attempt: int = 0, **more: Any
+    ) -> None:
+        self.driver.on_attempt_result(interface.AttemptResult(id_, attempt, server, outcome, **more))
 
-    def take(self) -> list[interface.Command]:
+    def take_commands(self) -> list[interface.Command]:
         return self.driver.take_commands()
 
-    def said(self) -> str:
+    def describe_commands(self) -> str:
         """The commands since the last look, in short: where to, declined, aborted, waiting."""
-        words = []
-        for command in self.take():
+        descriptions = []
+        for command in self.take_commands():
             if isinstance(command, interface.DialogAction):
-                words.append(SAID.get(type(command.action), getattr(command.action, "server", "")))
+                descriptions.append(
+                    ACTION_NAMES.get(type(command.action), getattr(command.action, "server", ""))
+                )
             elif command != interface.Timer(tuning.HEARTBEAT_INTERVAL, getattr(command, "timer_id", 0)):
-                words.append("waits" if isinstance(command, interface.Timer) else "asks")
-        return " ".join(words)
+                descriptions.append("timer" if isinstance(command, interface.Timer) else "subscribe")
+        return " ".join(descriptions)
 
-    def wake(self) -> None:
-        """Fires the one alarm last asked for, at its time."""
-        alarm = next(
-            c
-            for c in reversed(self.take())
-            if isinstance(c, interface.Timer) and c.duration != tuning.HEARTBEAT_INTERVAL
+    def fire_timer(self) -> None:
+        """Fires the one timer last asked for, at its time."""
+        timer = next(
+            command
+            for command in reversed(self.take_commands())
+            if isinstance(command, interface.Timer) and command.duration != tuning.HEARTBEAT_INTERVAL
         )
-        self.ahead(alarm.duration)
-        self.driver.on_timer(alarm.timer_id)
+        self.advance(timer.duration)
+        self.driver.on_timer(timer.timer_id)
--- a/tests/test_attempt_policies.py
+++ b/tests/test_attempt_policies.py
@@ -14,7 +14,7 @@
 from trio.testing import MockClock
 
 from tests.edge_harness import INI, MS, SECOND, parse_config
-from tests.helpers import Rig
+from tests.helpers import DriverHarness
 from tests.test_scenarios import valverouter
 from valverouter.attempts.worst_case import policy_problems, timelines
 from valverouter.config.edge import load_when_stable
@@ -307,15 +307,15 @@
 def test_ten_thousand_random_dialogs_with_random_policies_break_no_rule(seed: int) -> None:
     rng = random.Random(seed)
     for at, found in enumerate(random_policies(rng, 25)):
-        rig = Rig(servers=5, edge_proxies=(4, 281)[at % 2])  # small and large fleets
-        rig.driver.set_retry_budgets(found.retry_budgets(), found.default_retry_budget())
+        harness = DriverHarness(servers=5, edge_proxies=(4, 281)[at % 2])  # small and large fleets
+        harness.driver.set_retry_budgets(found.retry_budgets(), found.default_retry_budget())
         for dialog in range(50):
             number, peer, first = rng.choice([7, 21]), rng.choice(["", "gw-1"]), rng.randint(-1, 4)
             no_answer = rng.choice([1, 3, 9]) * SECOND
             policy = found.policy_for("plain", number, peer, first)
             if policy is not None and policy.no_answer_timeout:
                 no_answer = min(no_answer, policy.no_answer_timeout)
-            run_random_dialog(rig, rng, found, f"d{dialog}", (number, peer, first), no_answer)
+            run_random_dialog(harness, rng, found, f"d{dialog}", (number, peer, first), no_answer)
 
 
 @functools.lru_cache
@@ -327,7 +327,7 @@
 
 
 def run_random_dialog(
-    rig: Rig,
+    harness: DriverHarness,
     rng: random.Random,
     found: AttemptPolicies,
     name: str,
@@ -337,33 +337,35 @@
     """Runs one dialog to its answer with random attempt outcomes, and asserts the rules on the commands."""
     worst_case = found.worst_case_policy("plain", route[0], no_answer, *route[1:])
     latest, most_attempts = worst_case_bounds(worst_case)
-    began, attempts_started, released_at, no_agents = rig.now, 0, 0, False
+    began, attempts_started, released_at, no_agents = harness.now, 0, 0, False
     policy = found.policy_for("plain", *route)
-    rig.driver.start_dialog(
+    harness.driver.start_dialog(
         Dialog(name, "plain", began + no_answer, route[2], route[0], attempt_policy=policy)
     )
     while True:
         command = next(
-            c for c in rig.take() if (isinstance(c, DialogAction) and c.dialog_id == name) or is_retry(c)
+            c
+            for c in harness.take_commands()
+            if (isinstance(c, DialogAction) and c.dialog_id == name) or is_retry(c)
         )
         if isinstance(command, Timer):
-            advance(rig, command.duration)
-            rig.driver.on_timer(command.timer_id)
+            advance(harness, command.duration)
+            harness.driver.on_timer(command.timer_id)
             continue
         assert isinstance(command, DialogAction)
         if not isinstance(action := command.action, StartAttempt):
             break
-        assert rig.now >= released_at, "a retry within the release delay"
-        assert rig.now < action.deadline <= began + no_answer
+        assert harness.now >= released_at, "a retry within the release delay"
+        assert harness.now < action.deadline <= began + no_answer
         attempts_started += 1
-        outcome, time_left = rng.choice(FAILURES), action.deadline - rig.now
-        advance(rig, time_left if outcome is Outcome.TIMED_OUT else rng.randint(0, time_left))
+        outcome, time_left = rng.choice(FAILURES), action.deadline - harness.now
+        advance(harness, time_left if outcome is Outcome.TIMED_OUT else rng.randint(0, time_left))
         if outcome in (Outcome.RESET, Outcome.TIMED_OUT):
-            released_at = rig.now + 300 * MS
+            released_at = harness.now + 300 * MS
         no_agents |= outcome is Outcome.NO_AGENT
         requested_delay = rng.randint(0, 2 * SECOND) if outcome is Outcome.FULL else 0
-        rig.result(name, action.server, outcome, attempts_started - 1, retry_after=requested_delay)
-    assert rig.now - began <= latest <= no_answer
+        harness.result(name, action.server, outcome, attempts_started - 1, retry_after=requested_delay)
+    assert harness.now - began <= latest <= no_answer
     # An attempt that found no free agent does not count as failed, and the next follows at once: only the
     # total of attempts limits these.
     assert attempts_started <= (worst_case.max_total_attempts if no_agents else worst_case.max_attempts)
@@ -376,12 +378,12 @@
     return isinstance(command, Timer) and command.duration != tuning.HEARTBEAT_INTERVAL
 
 
-def advance(rig: Rig, duration: int) -> None:
+def advance(harness: DriverHarness, duration: int) -> None:
     for _ in range(duration // (100 * MS)):
-        rig.now += 100 * MS
-        rig.driver.tick(rig.now)
-    rig.now += duration % (100 * MS)
-    rig.driver.tick(rig.now)
+        harness.now += 100 * MS
+        harness.driver.tick(harness.now)
+    harness.now += duration % (100 * MS)
+    harness.driver.tick(harness.now)
 
 
 # Reading a file while it is written
--- a/tests/test_attempt_policy_effects.py
+++ b/tests/test_attempt_policy_effects.py
@@ -13,7 +13,7 @@
 
 from tests.attempt_files import ini, policies_of
 from tests.edge_harness import INI, dial, parse_config, running_edge
-from tests.helpers import Rig
+from tests.helpers import DriverHarness
 from tests.test_scenarios import valverouter
 from tests.test_worst_case import POLICY
 from valverouter import interface
@@ -129,12 +129,12 @@
 
 
 def test_retry_budgets_change_by_server_and_keep_their_fill_level() -> None:
-    rig = Rig(servers=2)
-    budget = rig.policy.table.servers["s0"].budget
+    harness = DriverHarness(servers=2)
+    budget = harness.policy.table.servers["s0"].budget
     budget.on_failure()
-    rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
+    harness.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
     assert (budget.tokens, budget.config.token_ratio) == (4_500, 200), "the fill level is kept"
-    assert rig.policy.table.servers["s1"].budget.tokens == 10_000
+    assert harness.policy.table.servers["s1"].budget.tokens == 10_000
     budget.on_failure()
     budget.on_failure()
     assert budget.tokens == 2_500, "exactly half is not more than half"
@@ -142,21 +142,21 @@
     budget.on_success()
     assert budget.tokens == 2_700
     assert budget.allows_retry
-    rig.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
+    harness.driver.set_retry_budgets({0: RetryBudgetConfig(5_000, 200)}, RetryBudgetConfig(10_000, 100))
     assert budget.tokens == 2_700, "setting the same budget again changes nothing"
-    rig.listed([interface.Endpoint("s0b", 0, True, started_at=rig.now)])
-    assert rig.policy.table.servers["s0b"].budget.tokens == 5_000, (
+    harness.update_endpoints([interface.Endpoint("s0b", 0, True, started_at=harness.now)])
+    assert harness.policy.table.servers["s0b"].budget.tokens == 5_000, (
         "a newly started server begins with a full budget of its own configuration"
     )
 
 
 def test_no_attempt_starts_at_the_no_answer_time_after_no_free_agent() -> None:
-    rig = Rig(servers=2)
-    dialog = rig.dialog(0, no_answer=SECOND)
-    assert rig.said() == "s0"
-    rig.ahead(SECOND)
-    rig.result(dialog, "s0", Outcome.NO_AGENT)
-    assert rig.said() == "aborted"
+    harness = DriverHarness(servers=2)
+    dialog = harness.dialog(0, no_answer=SECOND)
+    assert harness.describe_commands() == "s0"
+    harness.advance(SECOND)
+    harness.result(dialog, "s0", Outcome.NO_AGENT)
+    assert harness.describe_commands() == "fail"
 
 
 def test_scenario_attempts_timeouts_and_gaps_match_the_file_by_type() -> None:
--- a/tests/test_cross_region_limiter.py
+++ b/tests/test_cross_region_limiter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.helpers import Rig
+from tests.helpers import DriverHarness
 from valverouter.interface import (
     AttemptResult,
     CrossRegionBudget,
@@ -182,56 +182,56 @@
 # Under the routing policy
 
 
-def rig_with_limiter(**policies: CrossRegionPolicy) -> Rig:
-    rig = Rig(
+def harness_with_limiter(**policies: CrossRegionPolicy) -> DriverHarness:
+    harness = DriverHarness(
         servers=0,
         cross_region=CrossRegionLimiter(CrossRegionConfig("home", policies, None, 0, 0.0), 100 * SECOND),
     )
     endpoints = [Endpoint("h0", 0, True, 0, "home"), Endpoint("h1", 1, True, 0, "home")]
-    rig.listed([*endpoints, Endpoint("a2", 2, True, 0, "away"), Endpoint("u3", 3, True, 0, "")])
-    return rig
+    harness.update_endpoints([*endpoints, Endpoint("a2", 2, True, 0, "away"), Endpoint("u3", 3, True, 0, "")])
+    return harness
 
 
 def test_selection_prefers_first_choice_then_home_region_then_remote() -> None:
-    rig = rig_with_limiter(plain=CrossRegionPolicy())
-    rig.dialog(0)
-    assert rig.said() == "h0"
-    rig.driver.update_load("h0", LoadReport(free_lines=0))
-    rig.dialog(0)
-    assert rig.said() == "h1", "home before remote"
-    rig.driver.update_load("h1", LoadReport(free_lines=0))
+    harness = harness_with_limiter(plain=CrossRegionPolicy())
+    harness.dialog(0)
+    assert harness.describe_commands() == "h0"
+    harness.driver.update_load("h0", LoadReport(free_lines=0))
+    harness.dialog(0)
+    assert harness.describe_commands() == "h1", "home before remote"
+    harness.driver.update_load("h1", LoadReport(free_lines=0))
     for _ in range(6):
-        rig.dialog(0)
-    assert set(rig.said().split()) == {"a2", "u3"}, "a server without a region is remote"
+        harness.dialog(0)
+    assert set(harness.describe_commands().split()) == {"a2", "u3"}, "a server without a region is remote"
 
 
 def test_a_remote_first_choice_is_replaced_where_the_limiter_forbids_it() -> None:
-    rig = rig_with_limiter(worthy=CrossRegionPolicy(urgent=True))
-    rig.dialog(2, kind="plain")
-    assert rig.said() in ("h0", "h1")
-    rig.dialog(2, kind="worthy")
-    assert rig.said() == "a2"
+    harness = harness_with_limiter(important=CrossRegionPolicy(urgent=True))
+    harness.dialog(2, traffic_type="plain")
+    assert harness.describe_commands() in ("h0", "h1")
+    harness.dialog(2, traffic_type="important")
+    assert harness.describe_commands() == "a2"
 
 
 def test_a_dialog_without_quota_is_rejected_at_once_with_a_retry_after() -> None:
-    rig = rig_with_limiter()
+    harness = harness_with_limiter()
     for server in ("h0", "h1"):
-        rig.driver.update_load(server, LoadReport(free_lines=0))
-    rig.dialog(0)
-    (command,) = [c for c in rig.take() if hasattr(c, "dialog_id")]
+        harness.driver.update_load(server, LoadReport(free_lines=0))
+    harness.dialog(0)
+    (command,) = [c for c in harness.take_commands() if hasattr(c, "dialog_id")]
     assert command.action.retry_after > 0  # type: ignore[union-attr]
-    assert rig.policy.cross_region.usage.totals[UsageKey("plain", "home", "?")].rejected == 1  # type: ignore[union-attr]
+    assert harness.policy.cross_region.usage.totals[UsageKey("plain", "home", "?")].rejected == 1  # type: ignore[union-attr]
 
 
 def test_a_cross_region_retry_is_charged_like_a_first_attempt() -> None:
-    rig = rig_with_limiter(plain=CrossRegionPolicy(urgent=True))
+    harness = harness_with_limiter(plain=CrossRegionPolicy(urgent=True))
     for server in ("h0", "h1"):
-        rig.driver.update_load(server, LoadReport(free_lines=0))
-    dialog = rig.dialog(2)
-    assert rig.said() == "a2"
-    rig.result(dialog, "a2", Outcome.NO_AGENT)
-    assert rig.said() == "u3"
-    totals = rig.policy.cross_region.usage.totals  # type: ignore[union-attr]
+        harness.driver.update_load(server, LoadReport(free_lines=0))
+    dialog = harness.dialog(2)
+    assert harness.describe_commands() == "a2"
+    harness.result(dialog, "a2", Outcome.NO_AGENT)
+    assert harness.describe_commands() == "u3"
+    totals = harness.policy.cross_region.usage.totals  # type: ignore[union-attr]
     assert (
         totals[UsageKey("plain", "home", "away")].attempts
         == totals[UsageKey("plain", "home", "?")].attempts
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -22,7 +22,7 @@
 from trio.testing import MockClock
 
 from tests.edge_harness import INI, SECOND, Peer, dial, parse_config, running_edge
-from tests.helpers import Rig as Quiet
+from tests.helpers import DriverHarness as Quiet
 from tests.process_harness import Drill, drill
 from tests.test_cross_region_config import GOOD as REGIONS
 from valverouter.config.edge import load_edge_config
@@ -701,9 +701,9 @@
     rig.result(rig.dialog(called_number=6), "s0", Outcome.RESET)
     rig.now += 600 * SECOND
     rig.driver.tick(rig.now)
-    rig.take()
+    rig.take_commands()
     rig.dialog()
-    assert "s0" in rig.said()
+    assert "s0" in rig.describe_commands()
 
 
 # Tables
@@ -788,9 +788,9 @@
     rig.driver.tick(rig.now)
     for server in ("s0", "s1"):
         rig.driver.update_load(server, LoadReport(free_lines=100, lines=400))
-    rig.take()
+    rig.take_commands()
     rig.dialog()
-    assert rig.said() == "s0"
+    assert rig.describe_commands() == "s0"
 
 
 def test_a_server_started_again_under_a_smaller_incarnation_is_cold() -> None:
--- a/tests/test_platform_protocol.py
+++ b/tests/test_platform_protocol.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.helpers import TERMS, TYPES
+from tests.helpers import DEPLOYMENT_FIELDS, TYPES
 from valverouter.interface import Deployment
 from valverouter.platform_edge import translation
 from valverouter.platform_protocol import isup, lines
@@ -19,7 +19,7 @@
 
 IDS = st.binary(min_size=8, max_size=8).map(bytes.hex)
 PARAMETERS = st.dictionaries(st.integers(0, 255), st.binary(max_size=300), max_size=6)
-DEPLOYMENT = Deployment(traffic_types=TYPES, **TERMS)
+DEPLOYMENT = Deployment(traffic_types=TYPES, **DEPLOYMENT_FIELDS)
 ID = "9b1f03aa5c7e2d41"
 
 
--- a/tests/test_worst_case.py
+++ b/tests/test_worst_case.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.helpers import Rig
+from tests.helpers import DriverHarness
 from valverouter import interface
 from valverouter.attempts.worst_case import backoff_delay, longest_timeline, policy_problems, timelines
 from valverouter.interface import AttemptPolicy, Outcome
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_random_dialogs_of_the_driver_stay_within_the_worst_case(seed: int) -> None:
-    rng, rig = random.Random(seed), Rig(servers=4)
+    rng, harness = random.Random(seed), DriverHarness(servers=4)
     no_answer = rng.choice([2, 3, 9]) * SECOND
     policy = replace(
         POLICY,
@@ -83,7 +83,7 @@
         max_attempts=tuning.MAX_ATTEMPTS,
         max_server_retry_after=2 * SECOND,
     )
-    started_at, dialog, attempt = rig.now, rig.dialog(0, no_answer=no_answer), 0
+    started_at, dialog, attempt = harness.now, harness.dialog(0, no_answer=no_answer), 0
     outcomes = [
         interface.Outcome.RESET,
         interface.Outcome.FULL,
@@ -91,20 +91,20 @@
         interface.Outcome.FAULT,
     ]
     while True:
-        commands = [c for c in rig.driver.commands if isinstance(c, interface.DialogAction)]
+        commands = [c for c in harness.driver.commands if isinstance(c, interface.DialogAction)]
         if any(isinstance(command.action, interface.Reject | interface.Fail) for command in commands):
             break
         if commands:
-            rig.take()
+            harness.take_commands()
             outcome = rng.choice(outcomes)
-            remaining = started_at + no_answer - rig.now
-            rig.ahead(remaining if outcome is Outcome.TIMED_OUT else rng.randint(0, remaining))
+            remaining = started_at + no_answer - harness.now
+            harness.advance(remaining if outcome is Outcome.TIMED_OUT else rng.randint(0, remaining))
             server = getattr(commands[0].action, "server", "")
-            rig.result(dialog, server, outcome, attempt, retry_after=rng.randint(0, 2 * SECOND))
+            harness.result(dialog, server, outcome, attempt, retry_after=rng.randint(0, 2 * SECOND))
             attempt += 1
         else:
-            rig.wake()
-    assert rig.now - started_at <= longest_timeline(policy).answered_at
+            harness.fire_timer()
+    assert harness.now - started_at <= longest_timeline(policy).answered_at
     assert attempt <= max(timeline.attempts for timeline in timelines(policy))
 
 
