--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -21,21 +21,21 @@
 from typing import Any
 
 HERE = Path(__file__).resolve().parent
-AT_HAND = HERE.parent.parent.parent / "given" / "kit" / "more" / "node" / "sites"
+DEFAULT_SITE_FOLDER = HERE.parent.parent.parent / "given" / "kit" / "more" / "node" / "sites"
 SITE = "booking-line-bg.toml"
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
 def traffic(
-    name: str, share: list[float], aim: int, deadline: int, worth: float, late: float
+    name: str, share: list[float], objective_ms: int, deadline_ms: int, value: float, late_value: float
 ) -> dict[str, Any]:
-    asked = {"name": name, "share": share, "aim_ms": aim, "deadline_ms": deadline}
-    paid = {"worth": worth, "late_worth": late, "effect": "safe", "stream": True}
-    return asked | {"work_ms": 2, "dist": "fixed"} | paid
+    limits = {"name": name, "share": share, "aim_ms": objective_ms, "deadline_ms": deadline_ms}
+    value_fields = {"worth": value, "late_worth": late_value, "effect": "safe", "stream": True}
+    return limits | {"work_ms": 2, "dist": "fixed"} | value_fields
 
 
-def circuits(*lengths: float) -> list[dict[str, Any]]:
-    return [{"width": 1, "hold": length, "skilled": 1} for length in lengths]
+def circuits(*hold_factors: float) -> list[dict[str, Any]]:
+    return [{"width": 1, "hold": factor, "skilled": 1} for factor in hold_factors]
 
 
 # Each key of a table is replaced, tables that are not named stay; a list of tables is replaced whole.
@@ -78,29 +78,29 @@
 }  # fmt: skip
 
 
-def changed(site: dict[str, Any], name: str) -> dict[str, Any]:
+def apply_variant(site: dict[str, Any], name: str) -> dict[str, Any]:
     """The site with a variant's changes."""
-    found: dict[str, Any] = json.loads(json.dumps(site)) | {"name": name}
+    result: dict[str, Any] = json.loads(json.dumps(site)) | {"name": name}
     for path, change in VARIANTS[name].items():
-        *way, last = path.split(".")
-        at = found
-        for step in way:
-            at = at[step][0] if isinstance(at[step], list) else at[step]
-        at[last] = at[last] | change if isinstance(change, dict) else change
-    return found
+        *parents, key = path.split(".")
+        table = result
+        for parent in parents:
+            table = table[parent][0] if isinstance(table[parent], list) else table[parent]
+        table[key] = table[key] | change if isinstance(change, dict) else change
+    return result
 
 
-def toml(table: dict[str, Any], path: str = "") -> str:
+def to_toml(table: dict[str, Any], path: str = "") -> str:
     """TOML of what TOML gave: a table's own keys first, then its tables, then its lists of tables."""
     plain = {key: value for key, value in table.items() if not _is_table(value)}
     lines = [f"{key} = {json.dumps(value)}" for key, value in plain.items()]
     for key, value in table.items():
         name = f"{path}{key}"
         if isinstance(value, dict):
-            lines += [f"\n[{name}]", toml(value, f"{name}.")]
+            lines += [f"\n[{name}]", to_toml(value, f"{name}.")]
         elif _is_table(value):
-            for one in value:
-                lines += [f"\n[[{name}]]", toml(one, f"{name}.")]
+            for item in value:
+                lines += [f"\n[[{name}]]", to_toml(item, f"{name}.")]
     return "\n".join(lines)
 
 
@@ -108,21 +108,21 @@
     return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
 
 
-def main(folder: Path, to: Path) -> int:
+def main(folder: Path, target: Path) -> int:
     try:
         site = tomllib.loads((folder / SITE).read_text("utf-8"))
-        to.mkdir(exist_ok=True)
-        for name in BESIDE:
+        target.mkdir(exist_ok=True)
+        for name in COMPANION_FILES:
             # Their owner may have taken the right to write: a copy is written anew each time.
-            (to / name).unlink(missing_ok=True)
-            shutil.copyfile(folder / name, to / name)
+            (target / name).unlink(missing_ok=True)
+            shutil.copyfile(folder / name, target / name)
     except (OSError, ValueError) as error:
         print(f"variants: no site to change in {folder}: {error}", file=sys.stderr)
         return 2
     for name in VARIANTS:
-        (to / f"{name}.toml").write_text(toml(changed(site, name)) + "\n", "utf-8")
+        (target / f"{name}.toml").write_text(to_toml(apply_variant(site, name)) + "\n", "utf-8")
     return 0
 
 
 if __name__ == "__main__":
-    sys.exit(main(Path(sys.argv[1]) if len(sys.argv) > 1 else AT_HAND, HERE))
+    sys.exit(main(Path(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SITE_FOLDER, HERE))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,18 +16,20 @@
 
 def pytest_configure(config: pytest.Config) -> None:
     try:
-        known_failures.reds(known_failures.FILE.read_text("utf-8"))
+        known_failures.parse_entries(known_failures.FILE.read_text("utf-8"))
     except (OSError, ValueError) as error:
         raise pytest.UsageError(str(error)) from None
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    listed = {red.test: red for red in known_failures.reds(known_failures.FILE.read_text("utf-8"))}
+    listed = {
+        entry.test: entry for entry in known_failures.parse_entries(known_failures.FILE.read_text("utf-8"))
+    }
     for item in items:
-        if (red := listed.get(item.nodeid)) is not None:
-            item.add_marker(pytest.mark.xfail(strict=True, reason=str(red)))
+        if (entry := listed.get(item.nodeid)) is not None:
+            item.add_marker(pytest.mark.xfail(strict=True, reason=str(entry)))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for red in known_failures.reds(known_failures.FILE.read_text("utf-8")):
-        terminalreporter.write_line(f"known red: {red}")
+    for entry in known_failures.parse_entries(known_failures.FILE.read_text("utf-8")):
+        terminalreporter.write_line(f"known red: {entry}")
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -16,14 +16,14 @@
 
 ROOT = Path(__file__).parent.parent
 FILE = ROOT / "KNOWN-RED.txt"
-FORM = "TEST | COMMAND | SEEN | ISSUE"
+FORMAT = "TEST | COMMAND | SEEN | ISSUE"
 NO_TEST = "-"
 PYTEST = ["python", "-m", "pytest"]
 # Options that name what a program draws from.
 SEED_OPTIONS = ("--seed", "--seeds")
 
 
-class Red(NamedTuple):
+class KnownFailure(NamedTuple):
     """One entry."""
 
     test: str
@@ -47,36 +47,36 @@
         return ROOT / self.arguments[1]
 
 
-def reds(text: str) -> list[Red]:
+def parse_entries(text: str) -> list[KnownFailure]:
     """The entries; ValueError where one has another form or comes twice."""
-    found = [_red(line.strip()) for line in text.splitlines() if line.strip()]
-    tests = [red.test for red in found if red.test != NO_TEST]
+    entries = [_parse_entry(line.strip()) for line in text.splitlines() if line.strip()]
+    tests = [entry.test for entry in entries if entry.test != NO_TEST]
     if len(set(tests)) < len(tests):
         raise ValueError("KNOWN-RED.txt: a test is listed twice")
-    return found
+    return entries
 
 
-def _red(line: str) -> Red:
+def _parse_entry(line: str) -> KnownFailure:
     parts = [part.strip() for part in line.split(" | ")]
-    if len(parts) != len(Red._fields) or not all(parts):
-        raise ValueError(f"KNOWN-RED.txt: {line!r} is no {FORM}")
-    red = Red(*parts)
-    if problem := _problem(red):
+    if len(parts) != len(KnownFailure._fields) or not all(parts):
+        raise ValueError(f"KNOWN-RED.txt: {line!r} is no {FORMAT}")
+    entry = KnownFailure(*parts)
+    if problem := _describe_problem(entry):
         raise ValueError(f"KNOWN-RED.txt: {line!r}: {problem}")
-    return red
+    return entry
 
 
-def _problem(red: Red) -> str:
+def _describe_problem(entry: KnownFailure) -> str:
     """What is wrong with an entry of four parts; empty: nothing."""
-    if red.test != NO_TEST and "::" not in red.test:
+    if entry.test != NO_TEST and "::" not in entry.test:
         return "the test is no pytest id"
-    if not re.fullmatch(r"[1-9]\d*", red.issue):
+    if not re.fullmatch(r"[1-9]\d*", entry.issue):
         return "the issue is no number"
-    words = red.arguments
+    words = entry.arguments
     if words[:3] == PYTEST:
-        return "" if red.test in words else "the command does not run the test"
+        return "" if entry.test in words else "the command does not run the test"
     if words[:1] != ["python"] or len(words) < 2 or not re.fullmatch(r"benchmarks/\w+\.py", words[1]):
         return "the command runs neither the test nor a program of the project"
-    if red.test == NO_TEST and not any(option in words for option in SEED_OPTIONS):
+    if entry.test == NO_TEST and not any(option in words for option in SEED_OPTIONS):
         return "the command names no seed"
     return ""
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -15,11 +15,11 @@
 PAGE = ROOT / "docs" / "architecture.md"
 IN_BACKTICKS = re.compile(r"`([^`]+)`")
 NAME = re.compile(r"[A-Za-z_]\w*(?:\.[A-Za-z_]\w*)?")
-RENAMED = re.compile(r"\w+ → (\w+)")
+GLOSSARY_ENTRY = re.compile(r"\w+ → (\w+)")
 CLASS_OR_METHOD = re.compile(r"[A-Z]\w*[a-z]\w*(?:\.[a-z_]\w*)?")
 
 
-class NamedRow(NamedTuple):
+class TableRow(NamedTuple):
     """A table's row: the files that it names, and what it says is in one of them."""
 
     line: int
@@ -27,35 +27,35 @@
     names: tuple[str, ...]
 
 
-def cells_of(line: str) -> list[str]:
+def split_cells(line: str) -> list[str]:
     """The cells of a table's row."""
     return [cell.strip() for cell in line.strip().strip("|").split("|")]
 
 
-def named_rows() -> list[NamedRow]:
+def table_rows() -> list[TableRow]:
     """Every row of the tables that name files with functions or classes."""
     rows, columns = [], None
     for number, line in enumerate(PAGE.read_text("utf-8").splitlines(), 1):
         if not line.startswith("|"):
             columns = None
             continue
-        cells = cells_of(line)
+        cells = split_cells(line)
         if columns is None:
-            columns = columns_of(cells)
+            columns = find_columns(cells)
         elif columns and not set(line) <= set("|- "):
             file_column, name_column = columns
             files = tuple(IN_BACKTICKS.findall(cells[file_column]))
             names = tuple(name for name in IN_BACKTICKS.findall(cells[name_column]) if NAME.fullmatch(name))
-            rows.append(NamedRow(number, files, names))
+            rows.append(TableRow(number, files, names))
     return rows
 
 
-def columns_of(head: list[str]) -> tuple[int, int] | tuple[()]:
+def find_columns(header: list[str]) -> tuple[int, int] | tuple[()]:
     """Where a table has its file and its names; empty for another table."""
-    if {"owner", "file"} <= set(head):
-        return head.index("file"), head.index("owner")
-    if {"file", "function"} <= set(head):
-        return head.index("file"), head.index("function")
+    if {"owner", "file"} <= set(header):
+        return header.index("file"), header.index("owner")
+    if {"file", "function"} <= set(header):
+        return header.index("file"), header.index("function")
     return ()
 
 
@@ -63,30 +63,30 @@
 def definitions(file: str) -> frozenset[str]:
     """The functions and classes of a file, and the methods of its classes as Class.method."""
     tree = ast.parse((PACKAGE / file).read_text("utf-8"))
-    found = set()
+    names = set()
     for node in tree.body:
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
-            found.add(node.name)
+            names.add(node.name)
         if isinstance(node, ast.ClassDef):
             methods = [part for part in node.body if isinstance(part, ast.FunctionDef | ast.AsyncFunctionDef)]
-            found |= {f"{node.name}.{method.name}" for method in methods}
-    return frozenset(found)
+            names |= {f"{node.name}.{method.name}" for method in methods}
+    return frozenset(names)
 
 
-def test_the_page_has_rows_that_name_files_and_functions() -> None:
-    assert len(named_rows()) > 30
+def test_the_page_has_tables_of_files_and_functions() -> None:
+    assert len(table_rows()) > 30
 
 
-@pytest.mark.parametrize("row", named_rows(), ids=lambda row: f"line-{row.line}")
-def test_what_a_row_names_is_in_its_files(row: NamedRow) -> None:
+@pytest.mark.parametrize("row", table_rows(), ids=lambda row: f"line-{row.line}")
+def test_the_names_in_a_row_are_defined_in_its_files(row: TableRow) -> None:
     assert row.files
     assert [file for file in row.files if not (PACKAGE / file).is_file()] == []
-    present = frozenset().union(*(definitions(file) for file in row.files))
-    assert [name for name in row.names if name not in present] == []
+    defined = frozenset().union(*(definitions(file) for file in row.files))
+    assert [name for name in row.names if name not in defined] == []
 
 
 @cache
-def classes_and_variables() -> frozenset[str]:
+def class_and_variable_names() -> frozenset[str]:
     """Every class and every variable or type alias of the package."""
     nodes = [node for path in PACKAGE.rglob("*.py") for node in ast.walk(ast.parse(path.read_text("utf-8")))]
     classes = {node.name for node in nodes if isinstance(node, ast.ClassDef)}
@@ -95,16 +95,16 @@
 
 
 def test_the_new_names_of_the_glossary_exist() -> None:
-    renamed = RENAMED.findall(PAGE.read_text("utf-8"))
+    renamed = GLOSSARY_ENTRY.findall(PAGE.read_text("utf-8"))
     assert len(renamed) > 100
-    assert [name for name in renamed if name not in classes_and_variables()] == []
+    assert [name for name in renamed if name not in class_and_variable_names()] == []
 
 
 def test_every_class_and_method_in_backticks_exists() -> None:
     quoted = IN_BACKTICKS.findall(PAGE.read_text("utf-8"))
-    present = frozenset().union(
+    defined = frozenset().union(
         *(definitions(str(path.relative_to(PACKAGE))) for path in PACKAGE.rglob("*.py"))
     )
     named = [name for name in quoted if CLASS_OR_METHOD.fullmatch(name)]
     assert len(named) > 50
-    assert [name for name in named if name not in present] == []
+    assert [name for name in named if name not in defined] == []
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -19,15 +19,15 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "valverouter"
-FILE_LINES = 450
-FUNCTION_LINES = 40
+MAX_FILE_LINES = 450
+MAX_FUNCTION_LINES = 40
 
 FILE_CEILINGS: dict[str, int] = {}
 
 FUNCTION_CEILINGS: dict[str, int] = {"valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52}
 
 # The lints of pyproject.toml that are switched on while code that is not clean yet is left out of them.
-SWITCHED_ON = ("D1", "C901", "PT")
+GRADUAL_LINTS = ("D1", "C901", "PT")
 
 
 def file_sizes() -> dict[str, int]:
@@ -38,64 +38,67 @@
     }
 
 
-def functions_in(node: ast.AST, inside: str) -> Iterator[tuple[str, int]]:
+def iterate_functions(node: ast.AST, parent: str) -> Iterator[tuple[str, int]]:
     """Each function with its lines, the signature and the doc comment included, decorators not."""
     for child in ast.iter_child_nodes(node):
         if isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
-            name = f"{inside}.{child.name}" if inside else child.name
+            name = f"{parent}.{child.name}" if parent else child.name
             if not isinstance(child, ast.ClassDef):
                 assert child.end_lineno is not None
                 yield name, child.end_lineno - child.lineno + 1
-            yield from functions_in(child, name)
+            yield from iterate_functions(child, name)
         else:
-            yield from functions_in(child, inside)
+            yield from iterate_functions(child, parent)
 
 
 def function_sizes() -> dict[str, int]:
     """Lines of each function, as path::Class.function; of several of a name in one file the longest."""
     sizes: dict[str, int] = {}
     for path in sorted(PACKAGE.rglob("*.py")):
-        for name, lines in functions_in(ast.parse(path.read_text("utf-8")), ""):
+        for name, lines in iterate_functions(ast.parse(path.read_text("utf-8")), ""):
             key = f"{path.relative_to(ROOT)}::{name}"
             sizes[key] = max(lines, sizes.get(key, 0))
     return sizes
 
 
-def too_long(sizes: dict[str, int], bound: int, ceilings: dict[str, int]) -> dict[str, int]:
-    return {name: lines for name, lines in sizes.items() if lines > max(bound, ceilings.get(name, 0))}
+def over_limit(sizes: dict[str, int], limit: int, ceilings: dict[str, int]) -> dict[str, int]:
+    return {name: lines for name, lines in sizes.items() if lines > max(limit, ceilings.get(name, 0))}
 
 
-def not_needed(sizes: dict[str, int], bound: int, ceilings: dict[str, int]) -> set[str]:
-    return {name for name in ceilings if sizes.get(name, 0) <= bound}
+def unneeded_ceilings(sizes: dict[str, int], limit: int, ceilings: dict[str, int]) -> set[str]:
+    return {name for name in ceilings if sizes.get(name, 0) <= limit}
 
 
-BOUNDS = pytest.mark.parametrize(
-    ("sizes", "bound", "ceilings"),
-    [(file_sizes(), FILE_LINES, FILE_CEILINGS), (function_sizes(), FUNCTION_LINES, FUNCTION_CEILINGS)],
+LIMITS = pytest.mark.parametrize(
+    ("sizes", "limit", "ceilings"),
+    [
+        (file_sizes(), MAX_FILE_LINES, FILE_CEILINGS),
+        (function_sizes(), MAX_FUNCTION_LINES, FUNCTION_CEILINGS),
+    ],
     ids=["files", "functions"],
 )
 
 
-@BOUNDS
-def test_nothing_is_longer_than_its_bound_or_ceiling(
-    sizes: dict[str, int], bound: int, ceilings: dict[str, int]
+@LIMITS
+def test_nothing_is_longer_than_its_limit_or_ceiling(
+    sizes: dict[str, int], limit: int, ceilings: dict[str, int]
 ) -> None:
-    assert too_long(sizes, bound, ceilings) == {}
+    assert over_limit(sizes, limit, ceilings) == {}
 
 
-@BOUNDS
-def test_every_ceiling_is_still_needed(sizes: dict[str, int], bound: int, ceilings: dict[str, int]) -> None:
-    assert not_needed(sizes, bound, ceilings) == set()
+@LIMITS
+def test_every_ceiling_is_still_needed(sizes: dict[str, int], limit: int, ceilings: dict[str, int]) -> None:
+    assert unneeded_ceilings(sizes, limit, ceilings) == set()
 
 
-def test_what_is_over_its_ceiling_or_listed_for_nothing_is_found() -> None:
+def test_sizes_over_the_ceiling_and_unneeded_ceilings_are_detected() -> None:
     sizes = {"short": 40, "long": 41, "listed": 50, "grown": 51}
     ceilings = {"short": 45, "listed": 50, "grown": 50, "gone": 60}
-    assert too_long(sizes, 40, ceilings) == {"long": 41, "grown": 51}
-    assert not_needed(sizes, 40, ceilings) == {"short", "gone"}
+    assert over_limit(sizes, 40, ceilings) == {"long": 41, "grown": 51}
+    assert unneeded_ceilings(sizes, 40, ceilings) == {"short", "gone"}
 
 
-def exceptions() -> list[tuple[str, str]]:
+def lint_exceptions() -> list[tuple[str, str]]:
     """Glob and code of what pyproject.toml leaves out of the lints that are switched on file by file."""
     config = tomllib.loads((ROOT / "pyproject.toml").read_text("utf-8"))
     entries = config["tool"]["ruff"]["lint"]["per-file-ignores"]
@@ -103,26 +106,26 @@
         (glob, code)
         for glob, codes in entries.items()
         for code in codes
-        if code.startswith(SWITCHED_ON) and code != "D1"
+        if code.startswith(GRADUAL_LINTS) and code != "D1"
     ]
 
 
 @cache
-def violations() -> set[tuple[Path, str]]:
+def lint_violations() -> set[tuple[Path, str]]:
     """File and code of all that the switched-on lints find where nothing is left out."""
     command = [sys.executable, "-m", "ruff", "check", "--no-cache", "--output-format", "json"]
-    command += ["--select", ",".join(SWITCHED_ON), "--config", "lint.per-file-ignores = {}", "."]
-    found = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
-    assert found.returncode in (0, 1), found.stderr.decode()
-    return {(Path(one["filename"]).relative_to(ROOT), one["code"]) for one in json.loads(found.stdout)}
+    command += ["--select", ",".join(GRADUAL_LINTS), "--config", "lint.per-file-ignores = {}", "."]
+    result = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
+    assert result.returncode in (0, 1), result.stderr.decode()
+    return {(Path(entry["filename"]).relative_to(ROOT), entry["code"]) for entry in json.loads(result.stdout)}
 
 
-@pytest.mark.parametrize(("glob", "code"), exceptions())
-def test_what_is_left_out_of_a_lint_needs_it_still(glob: str, code: str) -> None:
+@pytest.mark.parametrize(("glob", "code"), lint_exceptions())
+def test_every_lint_exception_is_still_needed(glob: str, code: str) -> None:
     covered = set(ROOT.glob(f"{glob}/*.py" if glob.endswith("**") else glob))
-    assert any(ROOT / path in covered for path, found in violations() if found == code)
+    assert any(ROOT / path in covered for path, found_code in lint_violations() if found_code == code)
 
 
-def test_the_functions_of_a_file_are_found_wherever_they_stand() -> None:
+def test_nested_and_conditional_functions_are_found() -> None:
     tree = ast.parse("class A:\n  def f(self):\n    def g():\n      pass\nif True:\n  async def h(): pass\n")
-    assert dict(functions_in(tree, "")) == {"A.f": 3, "A.f.g": 2, "h": 1}
+    assert dict(iterate_functions(tree, "")) == {"A.f": 3, "A.f.g": 2, "h": 1}
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -29,18 +29,18 @@
 SOURCES = [path for folder in ("valverouter", "benchmarks") for path in sorted((ROOT / folder).rglob("*.py"))]
 
 IN_BACKTICKS = re.compile(r"`([^`\n]+)`")
-LINKED = re.compile(r"\]\(([^)#\s]+)[^)]*\)")
-FROM_A_FOLDER = re.compile(rf"(?<![\w./-])(?:{'|'.join(map(re.escape, FOLDERS))})/[\w./*-]*\w[\w*/]*")
+LINK = re.compile(r"\]\(([^)#\s]+)[^)]*\)")
+REPOSITORY_PATH = re.compile(rf"(?<![\w./-])(?:{'|'.join(map(re.escape, FOLDERS))})/[\w./*-]*\w[\w*/]*")
 PYTHON_FILE = re.compile(r"(?<![\w./*-])[\w-]+(?:/[\w-]+)*\.py\b")
-DOTTED = re.compile(r"(?<![\w./-])valverouter(?:\.[A-Za-z_]\w*)+")
+MODULE_NAME = re.compile(r"(?<![\w./-])valverouter(?:\.[A-Za-z_]\w*)+")
 PATH = re.compile(r"[\w.-]+(?:/[\w.*-]+)*/?")
 # Files of users and of runs, which no commit holds.
-OF_USERS = ("deploy/sites/",)
+USER_FOLDERS = ("deploy/sites/",)
 
 
 def is_path(word: str) -> bool:
     """Whether a word in backticks is one: a Python file, a page, a folder, or what stands in one of ours."""
-    if not PATH.fullmatch(word) or word.startswith(OF_USERS):
+    if not PATH.fullmatch(word) or word.startswith(USER_FOLDERS):
         return False
     return word.endswith((".py", ".md", "/")) or ("/" in word and is_folder(word.split("/")[0]))
 
@@ -54,17 +54,17 @@
     return frozenset(path.name for folder in FOLDERS for path in (ROOT / folder).rglob("*.py"))
 
 
-def is_there(word: str, page: Path) -> bool:
+def exists(word: str, page: Path) -> bool:
     if "/" not in word and word.endswith(".py"):
         return word in python_files()
     return any(any(folder.glob(word.rstrip("/"))) for folder in (ROOT, PACKAGE, page.parent))
 
 
-def is_module_or_part_of_one(name: str) -> bool:
+def is_module_or_attribute(name: str) -> bool:
     if is_module(name):
         return True
-    module, _, part = name.rpartition(".")
-    return is_module(module) and hasattr(import_module(module), part)
+    module, _, attribute = name.rpartition(".")
+    return is_module(module) and hasattr(import_module(module), attribute)
 
 
 def is_module(name: str) -> bool:
@@ -74,55 +74,55 @@
         return False
 
 
-def paths_of_page(line: str) -> Iterator[str]:
+def paths_in_line(line: str) -> Iterator[str]:
     for quoted in IN_BACKTICKS.findall(line):
         yield from filter(is_path, re.split(r"[\s,;]+", quoted))
-    yield from (link for link in LINKED.findall(line) if "://" not in link)
-    yield from (word for word in FROM_A_FOLDER.findall(line) if not word.startswith(OF_USERS))
+    yield from (link for link in LINK.findall(line) if "://" not in link)
+    yield from (word for word in REPOSITORY_PATH.findall(line) if not word.startswith(USER_FOLDERS))
 
 
-def dead(page: Path, text: str, is_source: bool = False) -> list[str]:
+def dangling_references(page: Path, text: str, is_source: bool = False) -> list[str]:
     """File, line and name of each path and module that is not there."""
     found = []
     for number, line in enumerate(text.splitlines(), 1):
-        paths = PYTHON_FILE.findall(line) if is_source else paths_of_page(line)
-        wrong = {path for path in paths if not is_there(path, page)}
-        wrong |= {name for name in DOTTED.findall(line) if not is_module_or_part_of_one(name)}
-        found += [f"{page.relative_to(ROOT)}:{number}: {name}" for name in sorted(wrong)]
+        paths = PYTHON_FILE.findall(line) if is_source else paths_in_line(line)
+        missing = {path for path in paths if not exists(path, page)}
+        missing |= {name for name in MODULE_NAME.findall(line) if not is_module_or_attribute(name)}
+        found += [f"{page.relative_to(ROOT)}:{number}: {name}" for name in sorted(missing)]
     return found
 
 
-def name_of(path: Path) -> str:
+def relative_name(path: Path) -> str:
     return str(path.relative_to(ROOT))
 
 
-@pytest.mark.parametrize("page", PAGES, ids=name_of)
-def test_a_page_names_nothing_that_is_not_there(page: Path) -> None:
-    found = dead(page, page.read_text("utf-8"))
+@pytest.mark.parametrize("page", PAGES, ids=relative_name)
+def test_a_page_names_only_existing_paths_and_modules(page: Path) -> None:
+    found = dangling_references(page, page.read_text("utf-8"))
     assert not found, "\n".join(found)
 
 
-@pytest.mark.parametrize("source", SOURCES, ids=name_of)
-def test_a_source_names_no_file_that_is_not_there(source: Path) -> None:
-    found = dead(source, source.read_text("utf-8"), is_source=True)
+@pytest.mark.parametrize("source", SOURCES, ids=relative_name)
+def test_a_source_names_only_existing_files_and_modules(source: Path) -> None:
+    found = dangling_references(source, source.read_text("utf-8"), is_source=True)
     assert not found, "\n".join(found)
 
 
-def balancer() -> dict[str, object]:
+def balancer_settings() -> dict[str, object]:
     return tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text("utf-8"))
 
 
 @pytest.mark.parametrize("key", ["policy", "node"])
-def test_the_balancer_file_lists_paths_that_exist(key: str) -> None:
-    paths = balancer()[key]
+def test_the_balancer_file_lists_existing_paths(key: str) -> None:
+    paths = balancer_settings()[key]
     assert isinstance(paths, list)
     assert paths
     assert [path for path in paths if not (ROOT / path).exists()] == []
 
 
 @pytest.mark.parametrize("key", ["run", "sim"])
-def test_the_balancer_file_starts_modules_that_can_be_run(key: str) -> None:
-    started = re.findall(r"-m ([\w.]+)", str(balancer()[key]))
+def test_the_balancer_file_starts_runnable_modules(key: str) -> None:
+    started = re.findall(r"-m ([\w.]+)", str(balancer_settings()[key]))
     assert started
     assert [name for name in started if importlib.util.find_spec(f"{name}.__main__") is None] == []
 
@@ -150,5 +150,7 @@
         ("# fleet/nowhere.py knows; `proxy.py` too", True, ["fleet/nowhere.py"]),
     ],
 )
-def test_what_is_not_there_is_found(line: str, is_source: bool, names: list[str]) -> None:
-    assert dead(ROOT / "README.md", line, is_source) == [f"README.md:1: {name}" for name in names]
+def test_missing_paths_and_modules_are_detected(line: str, is_source: bool, names: list[str]) -> None:
+    assert dangling_references(ROOT / "README.md", line, is_source) == [
+        f"README.md:1: {name}" for name in names
+    ]
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -6,21 +6,21 @@
 import pytest
 
 # To be taken apart; each entry fails once it is one no more. Imports in functions and for types alone count.
-KNOWN_CIRCLES: set[frozenset[str]] = set()
+KNOWN_CYCLES: set[frozenset[str]] = set()
 
 
-def circles(graph: grimp.ImportGraph) -> set[frozenset[str]]:
+def import_cycles(graph: grimp.ImportGraph) -> set[frozenset[str]]:
     """Modules that reach each other by imports, as the largest sets of them."""
     found = set()
     for module in graph.modules:
-        circle = graph.find_upstream_modules(module) & graph.find_downstream_modules(module)
-        if circle:
-            found.add(frozenset(circle | {module}))
+        cycle = graph.find_upstream_modules(module) & graph.find_downstream_modules(module)
+        if cycle:
+            found.add(frozenset(cycle | {module}))
     return found
 
 
-def test_modules_import_each_other_in_known_circles_only() -> None:
-    assert circles(grimp.build_graph("valverouter", cache_dir=None)) == KNOWN_CIRCLES
+def test_import_cycles_are_known() -> None:
+    assert import_cycles(grimp.build_graph("valverouter", cache_dir=None)) == KNOWN_CYCLES
 
 
 @pytest.mark.parametrize(
@@ -31,8 +31,8 @@
         ([("a", "b"), ("b", "c"), ("c", "a"), ("d", "e"), ("e", "d")], {frozenset("abc"), frozenset("de")}),
     ],
 )
-def test_circles_are_found(imports: list[tuple[str, str]], found: set[frozenset[str]]) -> None:
+def test_import_cycles_are_detected(imports: list[tuple[str, str]], found: set[frozenset[str]]) -> None:
     graph = grimp.ImportGraph()
     for importer, imported in imports:
         graph.add_import(importer=importer, imported=imported)
-    assert circles(graph) == found
+    assert import_cycles(graph) == found
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,15 +18,15 @@
 RED, GREEN = "tests/test_some.py::test_red", "tests/test_some.py::test_green"
 
 
-def entry(test: str, issue: str = "36") -> str:
+def entry_line(test: str, issue: str = "36") -> str:
     """An entry of a test that its own command shows."""
     return f"{test} | python -m pytest {test} | why | {issue}"
 
 
-SOME = "def test_red():\n    assert False\n\ndef test_green():\n    pass\n"
+TEST_SOURCE = "def test_red():\n    assert False\n\ndef test_green():\n    pass\n"
 
 
-def run(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+def run_pytest(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "pytest", "-q", "-n", "0", "-p", "no:cacheprovider", *arguments]
     environment = os.environ | {"PYTHONPATH": str(folder)}
     environment.pop("PYTEST_ADDOPTS", None)
@@ -40,43 +40,43 @@
     (tmp_path / "tests").mkdir()
     for name in ("__init__.py", "conftest.py", "known_failures.py"):
         shutil.copy(HERE / name, tmp_path / "tests")
-    (tmp_path / "tests" / "test_some.py").write_text(SOME)
+    (tmp_path / "tests" / "test_some.py").write_text(TEST_SOURCE)
     return tmp_path
 
 
 def test_each_listed_test_exists_and_is_run() -> None:
-    listed = known_failures.reds(known_failures.FILE.read_text("utf-8"))
-    for red in listed:
-        if red.test != known_failures.NO_TEST:
-            found = run(HERE.parent, "--collect-only", red.test)
-            assert found.returncode == 0, f"{red.test} is unknown, or not run:\n{found.stdout}"
+    entries = known_failures.parse_entries(known_failures.FILE.read_text("utf-8"))
+    for entry in entries:
+        if entry.test != known_failures.NO_TEST:
+            found = run_pytest(HERE.parent, "--collect-only", entry.test)
+            assert found.returncode == 0, f"{entry.test} is unknown, or not run:\n{found.stdout}"
 
 
-def unknown_options(red: known_failures.Red) -> list[str]:
+def unknown_options(entry: known_failures.KnownFailure) -> list[str]:
     """What a listed command asks of its program that it does not know; all, where it does not run."""
-    options = [word for word in red.arguments if word.startswith("--")]
-    if red.program is None:
+    options = [word for word in entry.arguments if word.startswith("--")]
+    if entry.program is None:
         return []
-    subcommands = itertools.takewhile(lambda word: not word.startswith("--"), red.arguments[2:])
-    told = subprocess.run(
-        [sys.executable, str(red.program), *subcommands, "--help"],
+    subcommands = itertools.takewhile(lambda word: not word.startswith("--"), entry.arguments[2:])
+    help_output = subprocess.run(
+        [sys.executable, str(entry.program), *subcommands, "--help"],
         cwd=HERE.parent,
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    return [option for option in options if told.returncode or option not in told.stdout]
+    return [option for option in options if help_output.returncode or option not in help_output.stdout]
 
 
 def test_each_listed_command_can_be_run() -> None:
-    for red in known_failures.reds(known_failures.FILE.read_text("utf-8")):
-        assert unknown_options(red) == [], f"{red.command}: cannot be run"
+    for entry in known_failures.parse_entries(known_failures.FILE.read_text("utf-8")):
+        assert unknown_options(entry) == [], f"{entry.command}: cannot be run"
 
 
-def test_a_command_that_cannot_be_run_is_found() -> None:
-    def entry(command: str) -> known_failures.Red:
-        return known_failures.reds(f"- | {command} | why | 36")[0]
+def test_an_unknown_option_or_program_is_detected() -> None:
+    def entry(command: str) -> known_failures.KnownFailure:
+        return known_failures.parse_entries(f"- | {command} | why | 36")[0]
 
     assert unknown_options(entry("python benchmarks/soak.py --seeds 7")) == []
     assert unknown_options(entry("python benchmarks/soak.py --seeds 7 --never")) == ["--never"]
@@ -97,24 +97,26 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "code", "says"),
+    ("lines", "code", "message"),
     [
-        ([entry(RED)], 0, f"known red: {entry(RED)}"),
+        ([entry_line(RED)], 0, f"known red: {entry_line(RED)}"),
         ([], 1, "1 failed, 1 passed"),
-        ([entry(RED), entry(GREEN)], 1, "XPASS(strict)"),
+        ([entry_line(RED), entry_line(GREEN)], 1, "XPASS(strict)"),
         ([f"{RED} | why | 36"], 4, "is no TEST | COMMAND | SEEN | ISSUE"),
         ([f"{RED} |  | why | 36"], 4, "is no TEST | COMMAND | SEEN | ISSUE"),
-        ([entry(RED)] * 2, 4, "listed twice"),
-        ([entry(RED, issue="soon")], 4, "the issue is no number"),
-        ([entry("test_red")], 4, "the test is no pytest id"),
+        ([entry_line(RED)] * 2, 4, "listed twice"),
+        ([entry_line(RED, issue="soon")], 4, "the issue is no number"),
+        ([entry_line("test_red")], 4, "the test is no pytest id"),
         ([f"{RED} | python -m pytest {GREEN} | why | 36"], 4, "the command does not run the test"),
         ([f"{RED} | make it fail | why | 36"], 4, "neither the test nor a program of the project"),
         (["- | python benchmarks/soak.py | why | 36"], 4, "the command names no seed"),
-        ([entry(RED), "- | python benchmarks/soak.py --seeds 7 | why | 36"], 0, "known red: - | python"),
+        ([entry_line(RED), "- | python benchmarks/soak.py --seeds 7 | why | 36"], 0, "known red: - | python"),
     ],
 )
-def test_a_listed_test_must_fail(project: Path, lines: list[str], code: int, says: str) -> None:
+def test_the_list_excuses_only_listed_failures(
+    project: Path, lines: list[str], code: int, message: str
+) -> None:
     (project / "KNOWN-RED.txt").write_text("\n".join(lines))
-    ended = run(project)
+    ended = run_pytest(project)
     assert ended.returncode == code
-    assert says in ended.stdout + ended.stderr
+    assert message in ended.stdout + ended.stderr
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -53,14 +53,14 @@
     folder, to = tmp_path / "kit", tmp_path / "to"
     folder.mkdir()
     (folder / variants.SITE).write_text(SITE)
-    for name in variants.BESIDE:
+    for name in variants.COMPANION_FILES:
         (folder / name).write_text(name)
         (folder / name).chmod(0o444)
     assert variants.main(folder, to) == variants.main(folder, to) == 0
     site = tomllib.loads(SITE)
     for name, changes in variants.VARIANTS.items():
         found = tomllib.loads((to / f"{name}.toml").read_text())
-        assert found == variants.changed(site, name)
+        assert found == variants.apply_variant(site, name)
         assert found["name"] == name
         kept = [key for key in site if key not in ("name", *(path.split(".")[0] for path in changes))]
         assert {"day", "trouble"} <= set(kept)
@@ -70,7 +70,7 @@
         assert len(names) == len(found["fam"]["class"])
         assert found["fam"]["release_ms"] != 300
         assert found["tier"][0]["report"] == site["tier"][0]["report"]
-        assert all((to / beside).read_text() == beside for beside in variants.BESIDE)
+        assert all((to / beside).read_text() == beside for beside in variants.COMPANION_FILES)
 
 
 def test_without_a_site_it_ends_with_one_line(tmp_path: Path) -> None:
