--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""One verdict every time: properties draw the same cases in each run, and no clock judges them.
+"""Makes test results reproducible: Hypothesis draws the same cases in each run and has no deadline.
 
-What KNOWN-RED.txt lists must fail, and is printed; nothing else may.
+Tests listed in KNOWN-RED.txt must fail (strict xfail), and each run prints the list; no other test may fail.
 """
 
 from __future__ import annotations
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: one deployment, and a driver that is fed and read in our words."""
+"""A deployment and a harness of the driver that several test files share."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class DriverHarness:
-    """A driver at a clock, with a few servers on its list."""
+    """A driver with a simulated clock and a cached endpoint list of `servers` servers; times in ns."""
 
     def __init__(
         self, servers: int = 3, now: int = 100 * SECOND, cross_region: Any = None, **fields: Any
@@ -61,6 +61,7 @@
         self.driver.update_endpoints(scope, entries)
 
     def advance(self, duration: int) -> None:
+        """Advances the clock by `duration`, with a tick of the driver every millisecond."""
         for _ in range(duration // MS):
             self.now += MS
             self.driver.tick(self.now)
@@ -86,7 +87,11 @@
         return self.driver.take_commands()
 
     def describe_commands(self) -> str:
-        """The commands since the last look, in short: where to, declined, aborted, waiting."""
+        """Returns the commands since the last call, separated by spaces.
+
+        An attempt is described by its server, others by reject, fail, cancel, timer and subscribe. Heartbeat
+        timers are left out.
+        """
         descriptions = []
         for command in self.take_commands():
             if isinstance(command, interface.DialogAction):
@@ -98,7 +103,7 @@
         return " ".join(descriptions)
 
     def fire_timer(self) -> None:
-        """Fires the one timer last asked for, at its time."""
+        """Advances to the most recently requested timer and fires it; heartbeat timers don't count."""
         timer = next(
             command
             for command in reversed(self.take_commands())
--- a/tests/known_failures.py
+++ b/tests/known_failures.py
@@ -1,10 +1,11 @@
-"""KNOWN-RED.txt: faults that are known and not mended yet.
-
-One entry a line, `TEST | COMMAND | SEEN | ISSUE`: the test by its pytest id, or `-` where only a program of
-the project shows the fault; the command that shows it, with its seed where it draws; what was seen; the
-issue's number. A listed test must fail, a listed command must be one that can still be run, and the test set
-prints each entry. What fails only at times is listed by a command and seed that make it fail. There is no
-bound on the number of entries: the operators took it back, since it made people leave faults unnamed.
+"""Parses KNOWN-RED.txt, the list of known faults that are not fixed yet.
+
+Each line is an entry `TEST | COMMAND | SEEN | ISSUE`: the pytest id of the test, or `-` if only a program in
+benchmarks/ shows the fault; the command that reproduces it, with its seed if it draws random numbers; the
+observed failure; the number of the issue. A listed test must fail, a listed command must still be runnable,
+and each test run prints all entries. An intermittent failure is listed with a command and seed that make it
+fail. The number of entries is not limited: the operators withdrew a limit, since it made people leave faults
+unlisted.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 FORMAT = "TEST | COMMAND | SEEN | ISSUE"
 NO_TEST = "-"
 PYTEST = ["python", "-m", "pytest"]
-# Options that name what a program draws from.
+# Options that set the seed of a program.
 SEED_OPTIONS = ("--seed", "--seeds")
 
 
 class KnownFailure(NamedTuple):
-    """One entry."""
+    """One entry of KNOWN-RED.txt."""
 
     test: str
     command: str
@@ -36,19 +37,19 @@
 
     @property
     def arguments(self) -> list[str]:
-        """The command's words."""
+        """The words of the command."""
         return shlex.split(self.command)
 
     @property
     def program(self) -> Path | None:
-        """The program of the project that the command runs; None: it runs the test."""
+        """The program in benchmarks/ that the command runs; None if it runs the test with pytest."""
         if self.arguments[:3] == PYTEST:
             return None
         return ROOT / self.arguments[1]
 
 
 def parse_entries(text: str) -> list[KnownFailure]:
-    """The entries; ValueError where one has another form or comes twice."""
+    """Returns the entries; raises ValueError if one is malformed or a test is listed twice."""
     entries = [_parse_entry(line.strip()) for line in text.splitlines() if line.strip()]
     tests = [entry.test for entry in entries if entry.test != NO_TEST]
     if len(set(tests)) < len(tests):
@@ -59,7 +60,7 @@
 def _parse_entry(line: str) -> KnownFailure:
     parts = [part.strip() for part in line.split(" | ")]
     if len(parts) != len(KnownFailure._fields) or not all(parts):
-        raise ValueError(f"KNOWN-RED.txt: {line!r} is no {FORMAT}")
+        raise ValueError(f"KNOWN-RED.txt: {line!r} is not of the form {FORMAT}")
     entry = KnownFailure(*parts)
     if problem := _describe_problem(entry):
         raise ValueError(f"KNOWN-RED.txt: {line!r}: {problem}")
@@ -67,16 +68,16 @@
 
 
 def _describe_problem(entry: KnownFailure) -> str:
-    """What is wrong with an entry of four parts; empty: nothing."""
+    """Returns the problem of an entry of four parts; empty if it is valid."""
     if entry.test != NO_TEST and "::" not in entry.test:
-        return "the test is no pytest id"
+        return "the test is not a pytest id"
     if not re.fullmatch(r"[1-9]\d*", entry.issue):
-        return "the issue is no number"
+        return "the issue is not a number"
     words = entry.arguments
     if words[:3] == PYTEST:
         return "" if entry.test in words else "the command does not run the test"
     if words[:1] != ["python"] or len(words) < 2 or not re.fullmatch(r"benchmarks/\w+\.py", words[1]):
-        return "the command runs neither the test nor a program of the project"
+        return "the command runs neither the test nor a program in benchmarks/"
     if entry.test == NO_TEST and not any(option in words for option in SEED_OPTIONS):
-        return "the command names no seed"
+        return "the command has no seed option"
     return ""
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""The files, functions and classes that docs/architecture.md names are where it says."""
+"""Checks that the files, functions and classes named in docs/architecture.md exist where it says."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TableRow(NamedTuple):
-    """A table's row: the files that it names, and what it says is in one of them."""
+    """A row of a table: the files that it names, and the functions and classes that one of them defines."""
 
     line: int
     files: tuple[str, ...]
@@ -28,12 +28,12 @@
 
 
 def split_cells(line: str) -> list[str]:
-    """The cells of a table's row."""
+    """Splits a row of a table into its cells."""
     return [cell.strip() for cell in line.strip().strip("|").split("|")]
 
 
 def table_rows() -> list[TableRow]:
-    """Every row of the tables that name files with functions or classes."""
+    """Returns the rows of all tables with a column of files and one of functions or owning classes."""
     rows, columns = [], None
     for number, line in enumerate(PAGE.read_text("utf-8").splitlines(), 1):
         if not line.startswith("|"):
@@ -51,7 +51,7 @@
 
 
 def find_columns(header: list[str]) -> tuple[int, int] | tuple[()]:
-    """Where a table has its file and its names; empty for another table."""
+    """Returns the indexes of the file column and the name column; empty for other tables."""
     if {"owner", "file"} <= set(header):
         return header.index("file"), header.index("owner")
     if {"file", "function"} <= set(header):
@@ -61,7 +61,7 @@
 
 @cache
 def definitions(file: str) -> frozenset[str]:
-    """The functions and classes of a file, and the methods of its classes as Class.method."""
+    """Returns the names of a file's functions and classes, and of their methods as Class.method."""
     tree = ast.parse((PACKAGE / file).read_text("utf-8"))
     names = set()
     for node in tree.body:
@@ -87,7 +87,7 @@
 
 @cache
 def class_and_variable_names() -> frozenset[str]:
-    """Every class and every variable or type alias of the package."""
+    """Returns the names of all classes, variables and type aliases of the package."""
     nodes = [node for path in PACKAGE.rglob("*.py") for node in ast.walk(ast.parse(path.read_text("utf-8")))]
     classes = {node.name for node in nodes if isinstance(node, ast.ClassDef)}
     stored = {node.id for node in nodes if isinstance(node, ast.Name) and isinstance(node.ctx, ast.Store)}
--- a/tests/test_code_size.py
+++ b/tests/test_code_size.py
@@ -1,7 +1,8 @@
-"""Files and functions stay short; what is over the bounds is listed with its size and may only shrink.
+"""Limits the length of files and functions. Longer ones are listed with a ceiling, which may only be lowered.
 
-An entry that is needed no more fails: whoever shortens or moves code takes it out, or lowers its ceiling. The
-same holds of the lints that pyproject.toml leaves out of packages that are not clean yet.
+A ceiling that is no longer needed fails a test, so that the change that shortens or moves the code also
+removes or lowers it. The same applies to the lints that pyproject.toml ignores in packages that are not clean
+yet.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 
 FUNCTION_CEILINGS: dict[str, int] = {"valverouter/policy/routing.py::RoutingPolicy.dialog_flow": 52}
 
-# The lints of pyproject.toml that are switched on while code that is not clean yet is left out of them.
+# Lints that are enabled in pyproject.toml while files that are not clean yet are exempted from them.
 GRADUAL_LINTS = ("D1", "C901", "PT")
 
 
 def file_sizes() -> dict[str, int]:
-    """Lines of each file, by its path from the root."""
+    """Returns the lines of each file by its path relative to the root."""
     return {
         str(path.relative_to(ROOT)): len(path.read_text("utf-8").splitlines())
         for path in sorted(PACKAGE.rglob("*.py"))
@@ -39,7 +40,7 @@
 
 
 def iterate_functions(node: ast.AST, parent: str) -> Iterator[tuple[str, int]]:
-    """Each function with its lines, the signature and the doc comment included, decorators not."""
+    """Yields each function and its lines, including signature and doc comment but not decorators."""
     for child in ast.iter_child_nodes(node):
         if isinstance(child, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
             name = f"{parent}.{child.name}" if parent else child.name
@@ -52,7 +53,7 @@
 
 
 def function_sizes() -> dict[str, int]:
-    """Lines of each function, as path::Class.function; of several of a name in one file the longest."""
+    """Returns the lines of each path::Class.function; the longest one where a file repeats a name."""
     sizes: dict[str, int] = {}
     for path in sorted(PACKAGE.rglob("*.py")):
         for name, lines in iterate_functions(ast.parse(path.read_text("utf-8")), ""):
@@ -99,7 +100,7 @@
 
 
 def lint_exceptions() -> list[tuple[str, str]]:
-    """Glob and code of what pyproject.toml leaves out of the lints that are switched on file by file."""
+    """Returns the globs and codes of `per-file-ignores` in pyproject.toml for the gradual lints but D1."""
     config = tomllib.loads((ROOT / "pyproject.toml").read_text("utf-8"))
     entries = config["tool"]["ruff"]["lint"]["per-file-ignores"]
     return [
@@ -112,7 +113,7 @@
 
 @cache
 def lint_violations() -> set[tuple[Path, str]]:
-    """File and code of all that the switched-on lints find where nothing is left out."""
+    """Returns file and code of every violation of the gradual lints if no file is exempted."""
     command = [sys.executable, "-m", "ruff", "check", "--no-cache", "--output-format", "json"]
     command += ["--select", ",".join(GRADUAL_LINTS), "--config", "lint.per-file-ignores = {}", "."]
     result = subprocess.run(command, cwd=ROOT, capture_output=True, check=False)
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,8 +1,8 @@
-"""Paths and module names in the pages, the deploy files and the doc comments name what is there.
+"""Checks that paths and module names in pages, deploy files and doc comments exist.
 
-Looked at: words in backticks, links, and any word that begins with one of the repository's folders. A path
-may be given from the root, from valverouter/ or from its page's folder; a bare name of a Python file may be
-that of any file. In sources every word that ends with .py is looked at.
+In pages the words in backticks, the links and every word that begins with one of the repository's folders are
+checked; in sources every word that ends with .py. A path may be relative to the root, to valverouter/ or to
+the folder of its page. A bare name of a Python file may be that of a file in any folder.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 PYTHON_FILE = re.compile(r"(?<![\w./*-])[\w-]+(?:/[\w-]+)*\.py\b")
 MODULE_NAME = re.compile(r"(?<![\w./-])valverouter(?:\.[A-Za-z_]\w*)+")
 PATH = re.compile(r"[\w.-]+(?:/[\w.*-]+)*/?")
-# Files of users and of runs, which no commit holds.
+# Folders for files of users and of runs, which are not committed.
 USER_FOLDERS = ("deploy/sites/",)
 
 
 def is_path(word: str) -> bool:
-    """Whether a word in backticks is one: a Python file, a page, a folder, or what stands in one of ours."""
+    """Returns whether a word is a path: a Python file, a page, a folder, or below a folder of ours."""
     if not PATH.fullmatch(word) or word.startswith(USER_FOLDERS):
         return False
     return word.endswith((".py", ".md", "/")) or ("/" in word and is_folder(word.split("/")[0]))
@@ -70,7 +70,7 @@
 def is_module(name: str) -> bool:
     try:
         return importlib.util.find_spec(name) is not None
-    except ModuleNotFoundError:  # what stands before the last dot is none, or no package
+    except ModuleNotFoundError:  # the part before the last dot is not a package
         return False
 
 
@@ -82,7 +82,7 @@
 
 
 def dangling_references(page: Path, text: str, is_source: bool = False) -> list[str]:
-    """File, line and name of each path and module that is not there."""
+    """Returns file, line and name of each path and module that does not exist."""
     found = []
     for number, line in enumerate(text.splitlines(), 1):
         paths = PYTHON_FILE.findall(line) if is_source else paths_in_line(line)
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,16 +1,17 @@
-"""Which modules of the program import each other in a circle: only those that are named here."""
+"""Checks that the modules of the program have no import cycles besides those listed here."""
 
 from __future__ import annotations
 
 import grimp
 import pytest
 
-# To be taken apart; each entry fails once it is one no more. Imports in functions and for types alone count.
+# Cycles to be broken up; an entry that is no longer a cycle fails the test. Imports inside functions and
+# under TYPE_CHECKING count.
 KNOWN_CYCLES: set[frozenset[str]] = set()
 
 
 def import_cycles(graph: grimp.ImportGraph) -> set[frozenset[str]]:
-    """Modules that reach each other by imports, as the largest sets of them."""
+    """Returns the strongly connected components of several modules: sets of mutually importing modules."""
     found = set()
     for module in graph.modules:
         cycle = graph.find_upstream_modules(module) & graph.find_downstream_modules(module)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known reds: it excuses nothing but what it names, and what it names must fail."""
+"""KNOWN-RED.txt excuses only the tests that it lists, and a listed test must fail."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def entry_line(test: str, issue: str = "36") -> str:
-    """An entry of a test that its own command shows."""
+    """Returns an entry whose command runs the test itself."""
     return f"{test} | python -m pytest {test} | why | {issue}"
 
 
@@ -49,11 +49,11 @@
     for entry in entries:
         if entry.test != known_failures.NO_TEST:
             found = run_pytest(HERE.parent, "--collect-only", entry.test)
-            assert found.returncode == 0, f"{entry.test} is unknown, or not run:\n{found.stdout}"
+            assert found.returncode == 0, f"{entry.test} does not exist or is deselected:\n{found.stdout}"
 
 
 def unknown_options(entry: known_failures.KnownFailure) -> list[str]:
-    """What a listed command asks of its program that it does not know; all, where it does not run."""
+    """Returns the options of a listed command that its program lacks; all of them if it does not run."""
     options = [word for word in entry.arguments if word.startswith("--")]
     if entry.program is None:
         return []
@@ -102,14 +102,14 @@
         ([entry_line(RED)], 0, f"known red: {entry_line(RED)}"),
         ([], 1, "1 failed, 1 passed"),
         ([entry_line(RED), entry_line(GREEN)], 1, "XPASS(strict)"),
-        ([f"{RED} | why | 36"], 4, "is no TEST | COMMAND | SEEN | ISSUE"),
-        ([f"{RED} |  | why | 36"], 4, "is no TEST | COMMAND | SEEN | ISSUE"),
+        ([f"{RED} | why | 36"], 4, "is not of the form TEST | COMMAND | SEEN | ISSUE"),
+        ([f"{RED} |  | why | 36"], 4, "is not of the form TEST | COMMAND | SEEN | ISSUE"),
         ([entry_line(RED)] * 2, 4, "listed twice"),
-        ([entry_line(RED, issue="soon")], 4, "the issue is no number"),
-        ([entry_line("test_red")], 4, "the test is no pytest id"),
+        ([entry_line(RED, issue="soon")], 4, "the issue is not a number"),
+        ([entry_line("test_red")], 4, "the test is not a pytest id"),
         ([f"{RED} | python -m pytest {GREEN} | why | 36"], 4, "the command does not run the test"),
-        ([f"{RED} | make it fail | why | 36"], 4, "neither the test nor a program of the project"),
-        (["- | python benchmarks/soak.py | why | 36"], 4, "the command names no seed"),
+        ([f"{RED} | make it fail | why | 36"], 4, "neither the test nor a program in benchmarks/"),
+        (["- | python benchmarks/soak.py | why | 36"], 4, "the command has no seed option"),
         ([entry_line(RED), "- | python benchmarks/soak.py --seeds 7 | why | 36"], 0, "known red: - | python"),
     ],
 )
