--- a/tests/edge_harness.py
+++ b/tests/edge_harness.py
@@ -51,7 +51,7 @@
 
 
 class Peer:
-    """The peer's end of one connection to the edge proxy. `heard` records every message with its time."""
+    """The peer's end of one connection to the edge proxy. `received` records every message with its time."""
 
     def __init__(self, stream: trio.abc.Stream, session: Session) -> None:
         self.stream = stream
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -225,7 +225,7 @@
 async def test_dialogs_that_are_not_resumed_do_not_continue_and_established_ones_are_released(
     autojump_clock: MockClock,
 ) -> None:
-    # The caller may have dialled again at another edge proxy, so nobody would receive the answer here.
+    # The caller may have dialled again at another edge proxy, so an answer sent here might not reach it.
     async with resumable_rig() as rig:
         caller = await rig.caller()
         await caller.send(dial("out", 0), dial("up", 1))
