--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -26,7 +26,7 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.emulator import edge_recovery
-from valverouter.experiments.run_metrics import compute_figures
+from valverouter.experiments.run_metrics import compute_metrics
 from valverouter.recovery.pacing import QueryPacer
 from valverouter.scenarios.emulated import run_emulated
 from valverouter.scenarios.loopback import run_loopback
@@ -134,7 +134,7 @@
         edge_recovery.QueryPacer = AtOnce if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
         played = fleet_day(seed, size, share, mode != "without")
         rows = run_emulated(played).rows
-        seen = compute_figures(rows)
+        seen = compute_metrics(rows)
         found.append((seen["service"], seen["worst-10s"], len(audit(rows).violations)))
     return found
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,7 +20,7 @@
 from valverouter.emulator.fleet import Fleet
 from valverouter.emulator.simulate import simulate_day
 from valverouter.emulator.simulation import EPOCH, RandomStream, Simulation
-from valverouter.experiments.scenario_page import day_page
+from valverouter.experiments.scenario_page import render_scenario_page
 from valverouter.scenarios.emulated import edge_plans, run_emulated
 from valverouter.scenarios.virtual import run_virtual
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
@@ -286,7 +286,7 @@
         for sample in result.samples
     )
     assert run_emulated(short("bad-day.ini")).rows == result.rows, "looking changes nothing"
-    page = day_page("bad <day>", result)
+    page = render_scenario_page("bad <day>", result)
     assert page.count("<polyline") > 10
     assert "bad &lt;day&gt;" in page
     assert "s3, second" in page
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -14,7 +14,7 @@
 from valverouter.experiments.compare import confidence_interval, paired_difference
 from valverouter.experiments.plan import load_plan, with_settings
 from valverouter.experiments.report import collect_cells, report_page
-from valverouter.experiments.run_metrics import compute_figures, service_by_second, worst_window_service
+from valverouter.experiments.run_metrics import compute_metrics, service_by_second, worst_window_service
 from valverouter.experiments.runner import RunStore, run_all, run_here
 from valverouter.experiments.variants import BASELINES, VARIANTS, parse_variant
 from valverouter.policy import routing, tuning
@@ -56,7 +56,7 @@
     assert [run.levels for run in runs[::3]] == [
         {"edges": edges, "decisions": decisions} for edges in "12" for decisions in ("module", "any-server")
     ]
-    day = runs[-1].load_day()
+    day = runs[-1].load_scenario()
     assert (day.fleet.edge_proxies, day.run.seed) == (2, 3)
 
 
@@ -170,7 +170,7 @@
     assert worst_window_service(rows, terms) == pytest.approx(0.5)
     assert service_by_second(rows, terms)[10] == (10, 0)
     assert service_by_second(rows, terms)[3] == (10, 10)
-    assert compute_figures(rows)["tries"] == pytest.approx(301 / 300)
+    assert compute_metrics(rows)["tries"] == pytest.approx(301 / 300)
 
 
 def test_a_changed_day_keeps_what_was_not_named() -> None:
--- a/tests/test_recorded_calls.py
+++ b/tests/test_recorded_calls.py
@@ -227,7 +227,7 @@
     keys = []
     for name in ("calls.csv", "later.csv"):
         run = Run({}, 1, REPLAY.replace("calls.csv", name), str(tmp_path))
-        assert run.load_day().recorded
+        assert run.load_scenario().recorded
         keys.append(run.key)
     other = tmp_path / "other"
     other.mkdir()
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -73,12 +73,12 @@
 
     Exits with 1 when a rule was broken.
     """
-    from valverouter.experiments.scenario_page import day_page
+    from valverouter.experiments.scenario_page import render_scenario_page
     from valverouter.scenarios.emulated import run_emulated
 
     scenario = load_scenario(file)
     result = run_emulated(scenario, sample_interval=10**9)
-    html.write_text(day_page(scenario.name, result), "utf-8")
+    html.write_text(render_scenario_page(scenario.name, result), "utf-8")
     show_verdict(result.rows)
 
 
--- a/valverouter/experiments/plan.py
+++ b/valverouter/experiments/plan.py
@@ -78,7 +78,7 @@
         file_name = ini.sections.get("callers", {}).get("record", "")
         return [_digest(ini.folder / file_name)] if file_name else []
 
-    def load_day(self) -> ScenarioConfig:
+    def load_scenario(self) -> ScenarioConfig:
         """The day to simulate; raises InvalidConfigError."""
         return scenario_config(self._ini(), "run")
 
@@ -165,7 +165,7 @@
     for run in plan.runs():
         if run.seed == plan.seeds[0]:
             try:
-                run.load_day()
+                run.load_scenario()
             except InvalidConfigError as error:
                 ini.problems += error.problems
 
--- a/valverouter/experiments/run_metrics.py
+++ b/valverouter/experiments/run_metrics.py
@@ -16,7 +16,7 @@
 MIN_WEIGHT = 1e-9
 
 
-def compute_figures(rows: Sequence[Row]) -> dict[str, float]:
+def compute_metrics(rows: Sequence[Row]) -> dict[str, float]:
     """The figures of a run by name.
 
     Service in all, by type and in the worst 10 s; fractions of dialogs rejected, late and interrupted; dial
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from valverouter.experiments.plan import Run, source_version
-from valverouter.experiments.run_metrics import compute_figures
+from valverouter.experiments.run_metrics import compute_metrics
 from valverouter.experiments.variants import parse_variant
 from valverouter.scenarios.emulated import run_emulated
 
@@ -62,12 +62,12 @@
     variant = parse_variant(run.variant)
     started_at = time.process_time()
     with variant.applied():
-        result = run_emulated(run.load_day(), variant.build)
+        result = run_emulated(run.load_scenario(), variant.build)
     cpu = time.process_time() - started_at
     models = [server.model for server in result.servers.values()]
     work = sum(model.counters.work for model in models)
     wasted = sum(model.counters.wasted_work for model in models) / max(1, work)
-    return compute_figures(result.rows) | {"wasted": wasted, "cpu": cpu}
+    return compute_metrics(result.rows) | {"wasted": wasted, "cpu": cpu}
 
 
 def _run_in_pool(run: Run) -> tuple[Run, dict[str, float]]:
--- a/valverouter/experiments/scenario_page.py
+++ b/valverouter/experiments/scenario_page.py
@@ -50,7 +50,7 @@
     outcomes: Counter[tuple[str, int]] = field(default_factory=Counter)
 
 
-def day_page(name: str, result: DayResult) -> str:
+def render_scenario_page(name: str, result: DayResult) -> str:
     """The page, readable without any tool or network."""
     rows = result.rows
     terms = next(row for row in rows if isinstance(row, AuditConfigRow))
