--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("name", VARIANTS)
 def test_every_variant_runs_a_day_and_baselines_differ_from_the_program(small: Path, name: str) -> None:
-    run = load_plan(small).run_of({"edges": "2", "decisions": "module"}, 1)
+    run = load_plan(small).make_run({"edges": "2", "decisions": "module"}, 1)
     found = run_here(type(run)({"decisions": name}, run.seed, run.text))
     assert 0 < found["service"] <= 1
     assert found["legs"] > 0.3
--- a/tests/test_load_test.py
+++ b/tests/test_load_test.py
@@ -79,14 +79,14 @@
     day = load_scenario(LOAD)
 
     async def serve(stream: trio.SocketStream) -> None:
-        session, held = setup.SetupSession(), False
+        session, is_delayed = setup.SetupSession(), False
         while data := await stream.receive_some(65_536):
             for message in session.receive(data):
                 if isinstance(message, Hello):
                     await stream.send_all(session.send(Welcome(1, "slow")))
                 elif isinstance(message, setup.Setup):
-                    if not held and message.dialog.endswith("-20"):
-                        held = True
+                    if not is_delayed and message.dialog.endswith("-20"):
+                        is_delayed = True
                         await trio.sleep(0.3)
                     await stream.send_all(session.send(setup.Established(message.dialog)))
                 elif isinstance(message, setup.Release):
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -12,8 +12,13 @@
 from valverouter.config.ini import IniFile, InvalidConfigError
 from valverouter.config.scenario import scenario_config
 from valverouter.config.scenario_sections import FAULT_KINDS
-from valverouter.experiments.candidates import DayCandidate, FaultCandidate, decode_genes, simplifications
-from valverouter.experiments.search import DayJudge, day_file, minimize, search
+from valverouter.experiments.candidates import (
+    FaultCandidate,
+    ScenarioCandidate,
+    decode_vector,
+    simplifications,
+)
+from valverouter.experiments.search import CandidateScorer, format_scenario_file, minimize, search
 from valverouter.experiments.search_config import Search, load_search
 from valverouter.scenarios.emulated import run_emulated
 
@@ -24,15 +29,15 @@
 
 
 @given(st.lists(st.floats(0, 1), min_size=19, max_size=19))
-def test_every_vector_decodes_to_a_day_that_passes_all_checks(genes: list[float]) -> None:
-    candidate = decode_genes(EVERY, BASE, genes)
+def test_every_vector_decodes_to_a_day_that_passes_all_checks(vector: list[float]) -> None:
+    candidate = decode_vector(EVERY, BASE, vector)
     played = scenario_config(IniFile(candidate.text(TEXT, 100.0), "made"), "made")
     assert len(played.faults) == len(candidate.faults) >= 1
     for trouble in played.faults.values():
         assert trouble.start + trouble.length <= played.run.length
 
 
-def planted(candidate: DayCandidate) -> float:
+def planted(candidate: ScenarioCandidate) -> float:
     """As if a slow server in a crowd were what hurts; a hang makes it a little worse."""
     kinds = {fault.kind: fault for fault in candidate.faults}
     slow = kinds.get("slow")
@@ -45,9 +50,9 @@
 
 def test_a_planted_worst_day_is_found_and_minimized() -> None:
     terms = Search(day="-", budget=600, troubles=2, kinds=("crash", "slow", "hang", "burst"))
-    found, score, judged = search(terms, BASE, planted)
+    found, score, evaluation_count = search(terms, BASE, planted)
     assert score > 0.9 * 1.5 * 4 * 3
-    assert judged <= 700
+    assert evaluation_count <= 700
     assert search(terms, BASE, planted)[0] == found, "the same seed finds the same day"
     least, kept = minimize(found, planted, 0.5 * score, 300)
     assert [fault.kind for fault in least.faults] == ["slow"]
@@ -62,29 +67,29 @@
 def test_minimizing_keeps_to_its_budget() -> None:
     calls = []
 
-    def judge(candidate: DayCandidate) -> float:
+    def score_function(candidate: ScenarioCandidate) -> float:
         calls.append(candidate)
         return 1.0
 
-    many = DayCandidate(
+    many = ScenarioCandidate(
         1.4, 14 * SECOND, tuple(FaultCandidate("slow", 6 * SECOND, 5 * SECOND, 6.0, 0.3) for _ in range(3))
     )
-    minimize(many, judge, 0.5, 4)
+    minimize(many, score_function, 0.5, 4)
     assert len(calls) == 4
 
 
 def test_what_is_found_is_a_file_that_runs(tmp_path: Path) -> None:
     small = TEXT.replace("edge_proxies = 16", "edge_proxies = 4").replace("edges = 16", "edges = 4")
-    candidate = DayCandidate(0.3, 4 * SECOND, (FaultCandidate("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
+    candidate = ScenarioCandidate(0.3, 4 * SECOND, (FaultCandidate("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
     path = tmp_path / "found.ini"
-    path.write_text(day_file(candidate, small, 100.0, "Found: +0.100"))
+    path.write_text(format_scenario_file(candidate, small, 100.0, "Found: +0.100"))
     played = scenario_config(IniFile.load(path), "found")
     assert path.read_text().startswith("# Found")
     assert audit(run_emulated(played).rows).passed
-    judge = DayJudge(Search(day="-", against=("any-server",)), small, 100.0)
-    assert -1 <= judge(candidate) <= 1
-    rules = DayJudge(Search(day="-", seeks="rules"), small, 100.0)
-    assert 0 <= rules(candidate) < 1, "no rule is broken"
+    scorer = CandidateScorer(Search(day="-", against=("any-server",)), small, 100.0)
+    assert -1 <= scorer(candidate) <= 1
+    rule_scorer = CandidateScorer(Search(day="-", seeks="rules"), small, 100.0)
+    assert 0 <= rule_scorer(candidate) < 1, "no rule is broken"
 
 
 @pytest.mark.parametrize(
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -19,7 +19,7 @@
 # draws charts and plays scenarios, took half of the time in which an edge proxy starts.
 COMMANDS = {
     "audit": "scenarios:check_records",
-    "calls": "scenarios:kept_calls",
+    "calls": "scenarios:export_calls",
     "check": "scenarios:check",
     "day": "scenarios:play",
     "edge": "edge:edge",
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -18,7 +18,7 @@
 from valverouter.signalling import traffic_record
 
 # The callers' no-answer time where a command is told none.
-SHOWN_NO_ANSWER = 9 * 10**9
+DEFAULT_NO_ANSWER_TIMEOUT = 9 * 10**9
 
 
 @click.group()
@@ -26,7 +26,7 @@
     """Timers and attempts by class and route."""
 
 
-def of_dialog(command: Callable[..., None]) -> Callable[..., None]:
+def dialog_options(command: Callable[..., None]) -> Callable[..., None]:
     """The options that say which dialog is meant, beside its class."""
     for option in (
         click.option("--first-choice", default=-1, help="The number of its first choice; -1: none."),
@@ -51,7 +51,7 @@
         sections = len(config.attempts.sections)
         console.print(f"{file}: sound, {sections} sections of attempts", highlight=False, soft_wrap=True)
         for traffic_type in config.deployment.traffic_types:
-            worst_case = timelines(policies.worst_case_policy(traffic_type, 0, SHOWN_NO_ANSWER))
+            worst_case = timelines(policies.worst_case_policy(traffic_type, 0, DEFAULT_NO_ANSWER_TIMEOUT))
             max_attempts = max(timeline.attempts for timeline in worst_case)
             console.print(f"  {traffic_type}: {max_attempts} legs at most", highlight=False)
     if problems:
@@ -61,7 +61,7 @@
 @terms.command("explain")
 @click.argument("file", type=FILE)
 @click.option("--class", "traffic_type", required=True, help="The dialog's traffic type.")
-@of_dialog
+@dialog_options
 def terms_explain(file: Path, traffic_type: str, number: int, peer: str, first_choice: int) -> None:
     """Each effective value for such a dialog at FILE's edge proxy, and the line that it comes from."""
     config = load_edge_config(file)
@@ -87,7 +87,7 @@
 @click.argument("file", type=FILE)
 @click.option("--no-answer", default="9s", show_default=True, help="The callers' no-answer time.")
 @click.option("--chart", is_flag=True, help="Each type's course as a bar on one scale of time.")
-@of_dialog
+@dialog_options
 def terms_courses(file: Path, no_answer: str, chart: bool, number: int, peer: str, first_choice: int) -> None:
     """The longest course that FILE's terms allow each traffic type, step by step."""
     config = load_edge_config(file)
@@ -115,7 +115,7 @@
 @terms.command("diff")
 @click.argument("old", type=FILE)
 @click.argument("new", type=FILE)
-@of_dialog
+@dialog_options
 def terms_diff(old: Path, new: Path, number: int, peer: str, first_choice: int) -> None:
     """What changes for whom between two files; exits with 1 when anything does.
 
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -88,20 +88,20 @@
 @click.option("--jobs", default=4, show_default=True, help="Processes at once.")
 def experiment_search(file: Path, out: Path, jobs: int) -> None:
     """Seek the day on which the module loses most, or comes nearest to a broken rule, and cut it down."""
-    from valverouter.experiments.search import DayJudge, day_file, minimize
+    from valverouter.experiments.search import CandidateScorer, format_scenario_file, minimize
     from valverouter.experiments.search import search as find_worst_day
     from valverouter.experiments.search_config import load_search
 
     config, base, text = load_search(file)
     base_rate = base.callers.rate
-    judge = DayJudge(config, text, base_rate)
-    worst, score, judged = find_worst_day(config, base, judge, jobs)
-    console.print(f"{judged} days judged; the worst scores {score:+.3f}", highlight=False)
-    simplest, simplest_score = minimize(worst, judge, 0.8 * score, config.budget // 4)
+    scorer = CandidateScorer(config, text, base_rate)
+    worst, score, evaluation_count = find_worst_day(config, base, scorer, jobs)
+    console.print(f"{evaluation_count} days judged; the worst scores {score:+.3f}", highlight=False)
+    simplest, simplest_score = minimize(worst, scorer, 0.8 * score, config.budget // 4)
     summary = (
         f"Found by a search for {config.seeks}: {simplest_score:+.3f}, seed {config.seed}; "
         f"cut down from {score:+.3f}."
     )
-    out.write_text(day_file(simplest, text, base_rate, summary), "utf-8")
+    out.write_text(format_scenario_file(simplest, text, base_rate, summary), "utf-8")
     kinds = ", ".join(fault.kind for fault in simplest.faults)
     console.print(f"cut down to {kinds}: {simplest_score:+.3f}; {out}", highlight=False, soft_wrap=True)
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -40,30 +40,30 @@
 
     A node whose store is empty waits to be admitted by the others. Logs go to standard error.
     """
-    terms = load_raft_server(file)
-    logs.configure_logging(terms.log)
+    config = load_raft_server(file)
+    logs.configure_logging(config.log)
     try:
-        store = _open_store(terms)
+        store = _open_store(config)
         try:
-            trio.run(_run_raft_server, terms, store, bootstrap)
+            trio.run(_run_raft_server, config, store, bootstrap)
         finally:
             store.close()
     except* (OSError, StoreError, AlreadyBootstrappedError) as group:
-        log.error("could-not-run", why=str(first_cause(group)), listen=terms.listen)
+        log.error("could-not-run", why=str(first_cause(group)), listen=config.listen)
         sys.exit(FAILED)
 
 
-def _open_store(terms: RaftServerConfig) -> RaftStore:
+def _open_store(config: RaftServerConfig) -> RaftStore:
     """Open the store; one that can't be read whole is set aside, and the node is another member then."""
     fresh = secrets.randbits(63)
-    opened = open_or_set_aside(terms.store, lambda: RaftStore(terms.store, fresh), RaftStore.load)
+    opened = open_or_set_aside(config.store, lambda: RaftStore(config.store, fresh), RaftStore.load)
     if opened.problem:
         log.error("raft-store-set-aside", why=opened.problem, to=str(opened.set_aside_to))
     return opened.store
 
 
-async def _run_raft_server(terms: RaftServerConfig, store: RaftStore, bootstrap: bool) -> None:
-    server = RaftServer(terms, SocketRuntime(), store, bootstrap)
+async def _run_raft_server(config: RaftServerConfig, store: RaftStore, bootstrap: bool) -> None:
+    server = RaftServer(config, SocketRuntime(), store, bootstrap)
     async with trio.open_nursery() as nursery:
         await nursery.start(server.run)
         await _on_stop_signals(nursery.cancel_scope.cancel)
@@ -78,19 +78,19 @@
     instance as out without a permit. Killed, it leaves its instance running, and adopts it when it is started
     again.
     """
-    terms = load_supervisor(file)
-    logs.configure_logging(terms.log)
+    config = load_supervisor(file)
+    logs.configure_logging(config.log)
     try:
-        store, state, set_aside = open_supervisor_store(terms.store)
+        store, state, set_aside = open_supervisor_store(config.store)
         if set_aside:
             log.error("supervisor-state-set-aside", why=set_aside)
         try:
-            service = SupervisorService(terms, SocketRuntime(), store, state)
+            service = SupervisorService(config, SocketRuntime(), store, state)
             trio.run(_run_supervisor, service)
         finally:
             store.close()
     except* (OSError, StoreError) as group:
-        log.error("could-not-run", why=str(first_cause(group)), listen=terms.listen)
+        log.error("could-not-run", why=str(first_cause(group)), listen=config.listen)
         sys.exit(FAILED)
 
 
--- a/valverouter/cli/fleet_view.py
+++ b/valverouter/cli/fleet_view.py
@@ -40,11 +40,11 @@
     FILE is the terms of any instance: its key and its seeds are used. Asked are those, and whom they name.
     Exits with 0 where all that were asked are settled on one view, 1 where not, 2 where nobody answered.
     """
-    between = load_edge_config(file).between
-    if between is None:
+    gossip_config = load_edge_config(file).between
+    if gossip_config is None:
         raise ValueError(f"{file}: has no [between], so its instance keeps no view")
     while True:
-        answers = trio.run(_query, between, at, most)
+        answers = trio.run(_query, gossip_config, at, most)
         code = _exit_code(answers)
         if watch and console.is_terminal:
             console.clear()
@@ -63,17 +63,17 @@
         print_tables(answers, converged)
 
 
-async def _query(between: GossipConfig, at: tuple[str, ...], max_queried: int) -> list[ViewAnswer]:
+async def _query(gossip_config: GossipConfig, at: tuple[str, ...], max_queried: int) -> list[ViewAnswer]:
     """Query the addresses given, else the file's instance, its seeds and then the members that they name."""
     addresses = list(at) or [
         address
-        for address in (between.advertise or between.listen, *between.seeds)
+        for address in (gossip_config.advertise or gossip_config.listen, *gossip_config.seeds)
         if not address.endswith(":0")
     ]
     host = addresses[0].rpartition(":")[0] if addresses else "127.0.0.1"
     socket = SocketRuntime().bind_datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
     try:
-        client = FleetClient(between.keys, socket, random.Random(secrets.randbits(64)))
+        client = FleetClient(gossip_config.keys, socket, random.Random(secrets.randbits(64)))
         answers = await client.query_views(addresses[:max_queried])
         if at:
             return answers
--- a/valverouter/cli/load_runs.py
+++ b/valverouter/cli/load_runs.py
@@ -59,21 +59,23 @@
     objective = min(kind.objective for kind in scenario.traffic.values())
     runs = 0
 
-    async def holds(rate: float) -> bool:
+    async def is_sustained(rate: float) -> bool:
         nonlocal runs
         runs += 1
         sample = await drive(address, scenario, rate, seconds, f"find{runs}")
-        held = sample.meets(objective, share)
+        sustained = sample.meets(objective, share)
         console.print(
-            f"{'holds' if held else 'does not'}: {format_sample(sample)}", highlight=False, soft_wrap=True
+            f"{'holds' if sustained else 'does not'}: {format_sample(sample)}",
+            highlight=False,
+            soft_wrap=True,
         )
-        return held
+        return sustained
 
     with tempfile.TemporaryDirectory() as folder:
         async with target(
             file, scenario, Path(folder), MAX_SEARCH_RUNS * (seconds + RUN_MARGIN_S)
         ) as address:
-            found = await highest_rate(holds, MIN_RATE, max_rate)
+            found = await highest_rate(is_sustained, MIN_RATE, max_rate)
     console.print(
         f"highest rate at which {share:.1%} stand within {objective / 1e6:.0f} ms: {found:.0f}/s",
         highlight=False,
--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -23,7 +23,7 @@
 from valverouter.rollout.status import FleetStatus, OperationStatus
 
 # Exit codes: an operation ended in part or halted; nobody answered, or an operation is not known.
-IN_PART, UNKNOWN = RULE_VIOLATED, FAILED
+PARTLY_DONE, OUTCOME_UNKNOWN = RULE_VIOLATED, FAILED
 TIMEOUT_S = 10.0
 FOLLOW_INTERVAL_S = 1.0
 
@@ -48,14 +48,14 @@
 def _submit(file: Path, kind: RequestKind, operation: Submit) -> SubmitResult:
     result = _request(file, kind, operation, SubmitResult)
     if result is None:
-        _exit_unknown(operation.id)
+        _exit_outcome_unknown(operation.id)
     return result
 
 
 def execute(file: Path, command: Command, subject: str) -> None:
     """Executes a command about an operation or instance `subject`, for the message where nobody answers."""
     if _request(file, RequestKind.EXECUTE, command, dict) is None:
-        _exit_unknown(subject)
+        _exit_outcome_unknown(subject)
 
 
 def fleet_status(file: Path, about: str = "") -> FleetStatus:
@@ -63,7 +63,7 @@
     status = _request(file, RequestKind.SHOW, None, FleetStatus, about)
     if status is None:
         console.print("nobody of the council who leads was reached", highlight=False)
-        sys.exit(UNKNOWN)
+        sys.exit(OUTCOME_UNKNOWN)
     return status
 
 
@@ -80,7 +80,7 @@
     if operation.result != "done":
         if not as_json:
             print_participants(operation)
-        sys.exit(IN_PART)
+        sys.exit(PARTLY_DONE)
 
 
 def _wait_for_end(file: Path, id_: str, is_quiet: bool) -> OperationStatus:
@@ -89,7 +89,7 @@
         status = fleet_status(file, id_)
         operation = next((operation for operation in status.operations if operation.id == id_), None)
         if operation is None:
-            _exit_unknown(id_)
+            _exit_outcome_unknown(id_)
         line = describe_progress(status, operation)
         if line != printed and not is_quiet:
             printed = line
@@ -103,20 +103,20 @@
     file: Path, kind: RequestKind, command: Command | None, answer_type: type[Answer], about: str = ""
 ) -> Answer | None:
     """The leader's answer; None where no leader answered in time."""
-    terms = load_fleet_client(file)
+    config = load_fleet_client(file)
 
-    async def ask() -> Answer | None:
-        host = next(iter(terms.council.values())).rpartition(":")[0]
+    async def send() -> Answer | None:
+        host = next(iter(config.council.values())).rpartition(":")[0]
         socket = SocketRuntime().bind_datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
-            client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
+            client = OperationsClient(config, socket, random.Random(secrets.randbits(64)))
             return await client.request(kind, command, answer_type, TIMEOUT_S, about)
         finally:
             socket.close()
 
-    return trio.run(ask)
+    return trio.run(send)
 
 
-def _exit_unknown(subject: str) -> NoReturn:
+def _exit_outcome_unknown(subject: str) -> NoReturn:
     console.print(f"unknown what became of {subject or 'it'}: no answer; ask by its id", highlight=False)
-    sys.exit(UNKNOWN)
+    sys.exit(OUTCOME_UNKNOWN)
--- a/valverouter/cli/operations.py
+++ b/valverouter/cli/operations.py
@@ -40,7 +40,7 @@
     return id_
 
 
-def _combined(*options: Option) -> Option:
+def _combine_options(*options: Option) -> Option:
     def decorate(command: Callable[..., None]) -> Callable[..., None]:
         for option in reversed(options):
             command = option(command)
@@ -49,7 +49,7 @@
     return decorate
 
 
-_selection = _combined(
+_selection = _combine_options(
     click.argument("file", type=FILE),
     click.argument("names", nargs=-1),
     click.option("--region", "regions", multiple=True, help="All of this region; several."),
@@ -58,7 +58,7 @@
     click.option("--servers", is_flag=True, help="Of the servers, not of the edge proxies."),
     click.option("--all", "everybody", is_flag=True, help="All of them."),
 )
-_submission = _combined(
+_submission = _combine_options(
     click.option(
         "--id",
         "id_",
@@ -95,7 +95,7 @@
         CLIENT_NAME,
     )
     if dry_run:
-        print_waves(status, operation, _accepted(plan(file, operation)))
+        print_waves(status, operation, _exit_if_rejected(plan(file, operation)))
         return
     _submit(file, operation)
     if not no_wait:
@@ -107,10 +107,10 @@
     process.
     """
     console.print(f"order {operation.id}", highlight=False)
-    _accepted(submit(file, operation))
+    _exit_if_rejected(submit(file, operation))
 
 
-def _accepted(result: SubmitResult) -> SubmitResult:
+def _exit_if_rejected(result: SubmitResult) -> SubmitResult:
     """Ends the process where the operation is rejected."""
     if result.rejection:
         console.print(f"refused: {result.rejection}", highlight=False, soft_wrap=True)
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -73,7 +73,7 @@
 @click.command("calls")
 @click.argument("records", type=FILE)
 @click.option("--out", type=FILE, required=True, help="The calls go here, as CSV.")
-def kept_calls(records: Path, out: Path) -> None:
+def export_calls(records: Path, out: Path) -> None:
     """The first tries in kept RECORDS as a file that a day's `record` plays again."""
     count = write_calls(out, recorded_calls(traffic_record.read_rows(records)))
     console.print(f"{count} calls; {out}", highlight=False, soft_wrap=True)
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -34,7 +34,7 @@
     """The service of each traffic type, and of all by the weights."""
     # Ten columns whole in 80: no lines between them, and one space.
     table = Table(title="Dialogs by traffic type", box=None, pad_edge=False, padding=(0, 1, 0, 0))
-    heads = (
+    headings = (
         "type",
         "offered",
         "tries",
@@ -46,7 +46,7 @@
         "legs",
         "service",
     )
-    for head in heads:
+    for head in headings:
         table.add_column(head, justify="left" if head == "type" else "right", overflow="fold")
     for kind, account in accounts.items():
         answers = account.answers
--- a/valverouter/experiments/candidates.py
+++ b/valverouter/experiments/candidates.py
@@ -13,7 +13,7 @@
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
 # A vector holds the rate, and after it so many genes for each fault.
-GENES_PER_FAULT = 6
+PARAMETERS_PER_FAULT = 6
 # A fault other than the first is left out where its first gene is less.
 PRESENCE_THRESHOLD = 0.25
 MIN_FAULT_DURATION = SECOND // 2
@@ -38,7 +38,7 @@
     part: float
 
     @property
-    def size_in_file(self) -> float:
+    def configured_size(self) -> float:
         """The size as the day file has it."""
         if self.kind in FRACTION_KINDS:
             return min(MAX_FRACTION_SIZE, self.size / SIZE_PER_FRACTION)
@@ -50,14 +50,14 @@
             (section, "kind", self.kind),
             (section, "start", format_duration(self.start)),
             (section, "length", format_duration(self.length)),
-            (section, "size", f"{self.size_in_file:.3f}"),
+            (section, "size", f"{self.configured_size:.3f}"),
             (section, "part", f"{self.part:.3f}"),
             (section, "extra", "1s"),
         ]
 
 
 @dataclass(frozen=True, slots=True)
-class DayCandidate:
+class ScenarioCandidate:
     """A day of the search: the factor of the base day's rate, its length in ns, and its faults."""
 
     rate: float
@@ -77,28 +77,28 @@
 
 def vector_size(config: Search) -> int:
     """How many genes a vector of this search has."""
-    return 1 + GENES_PER_FAULT * config.troubles
+    return 1 + PARAMETERS_PER_FAULT * config.troubles
 
 
-def decode_genes(config: Search, base: ScenarioConfig, genes: Sequence[float]) -> DayCandidate:
+def decode_vector(config: Search, base: ScenarioConfig, vector: Sequence[float]) -> ScenarioCandidate:
     """The day that a vector from the unit cube stands for; every such vector is a day that can run."""
     length = base.run.length
-    rate = config.rate_least + genes[0] * (config.rate_most - config.rate_least)
+    rate = config.rate_least + vector[0] * (config.rate_most - config.rate_least)
     faults = []
     for index in range(config.troubles):
-        first = 1 + GENES_PER_FAULT * index
-        presence, *fault_genes = genes[first : first + GENES_PER_FAULT]
+        first = 1 + PARAMETERS_PER_FAULT * index
+        presence, *fault_parameters = vector[first : first + PARAMETERS_PER_FAULT]
         if presence >= PRESENCE_THRESHOLD or index == 0:
-            faults.append(_decode_fault(config, length, fault_genes))
-    return DayCandidate(rate, length, tuple(faults))
+            faults.append(_decode_fault(config, length, fault_parameters))
+    return ScenarioCandidate(rate, length, tuple(faults))
 
 
-def _decode_fault(config: Search, day_length: int, genes: Sequence[float]) -> FaultCandidate:
-    kind, start, length, size, part = genes
+def _decode_fault(config: Search, scenario_length: int, parameters: Sequence[float]) -> FaultCandidate:
+    kind, start, length, size, part = parameters
     duration = max(MIN_FAULT_DURATION, int(length * config.longest))
     return FaultCandidate(
         config.kinds[min(len(config.kinds) - 1, int(kind * len(config.kinds)))],
-        _whole_milliseconds(int(start * max(0, day_length - duration))),
+        _whole_milliseconds(int(start * max(0, scenario_length - duration))),
         _whole_milliseconds(duration),
         1 + size * (config.size_most - 1),
         MIN_FRACTION + FRACTION_RANGE * part,
@@ -109,21 +109,21 @@
     return time // MILLISECOND * MILLISECOND
 
 
-def simplifications(day: DayCandidate) -> Iterator[DayCandidate]:
+def simplifications(candidate: ScenarioCandidate) -> Iterator[ScenarioCandidate]:
     """Simpler days next to this one: without a fault, shorter, at the base rate, with a milder fault."""
-    faults = day.faults
+    faults = candidate.faults
     for index in range(len(faults)):
         if len(faults) > 1:
-            yield replace(day, faults=faults[:index] + faults[index + 1 :])
+            yield replace(candidate, faults=faults[:index] + faults[index + 1 :])
     faults_end = max((fault.start + fault.length for fault in faults), default=0)
-    for length in (faults_end + MARGIN_AFTER_FAULTS, _whole_milliseconds(day.length * 3 // 4)):
-        if faults_end <= length < day.length:
-            yield replace(day, length=length)
-    if day.rate != 1.0:
-        yield replace(day, rate=1.0)
+    for length in (faults_end + MARGIN_AFTER_FAULTS, _whole_milliseconds(candidate.length * 3 // 4)):
+        if faults_end <= length < candidate.length:
+            yield replace(candidate, length=length)
+    if candidate.rate != 1.0:
+        yield replace(candidate, rate=1.0)
     for index, fault in enumerate(faults):
         for milder in _milder_faults(fault):
-            yield replace(day, faults=(*faults[:index], milder, *faults[index + 1 :]))
+            yield replace(candidate, faults=(*faults[:index], milder, *faults[index + 1 :]))
 
 
 def _milder_faults(fault: FaultCandidate) -> Iterator[FaultCandidate]:
--- a/valverouter/experiments/plan.py
+++ b/valverouter/experiments/plan.py
@@ -99,9 +99,9 @@
         for combination in itertools.product(*(self.factors[name].levels for name in names)):
             levels = dict(zip(names, combination, strict=True))
             for seed in self.seeds:
-                yield self.run_of(levels, seed)
+                yield self.make_run(levels, seed)
 
-    def run_of(self, chosen: dict[str, str], seed: int) -> Run:
+    def make_run(self, chosen: dict[str, str], seed: int) -> Run:
         """The run of a level for each factor, and a seed."""
         settings = [("day", "seed", str(seed))]
         levels = {}
@@ -123,7 +123,7 @@
     head = ini.read_section("experiment", Experiment)
     sections = {name: ini.read_section(f"factor {name}", Factor) for name in ini.names_of("factor")}
     factors = {name: factor for name, factor in sections.items() if factor is not None}
-    text = read_day_text(ini, path, "experiment", head.day) if head is not None else ""
+    text = read_scenario_text(ini, path, "experiment", head.day) if head is not None else ""
     for name, factor in factors.items():
         _check_factor(ini, name, factor)
     ini.raise_problems()
@@ -132,7 +132,7 @@
     folder = str((path.parent / head.day).parent)
     plan = Plan(path.stem, head.seeds, factors, text, baseline, folder)
     if not ini.problems:
-        _check_days(ini, plan)
+        _check_scenarios(ini, plan)
     ini.raise_problems()
     return plan
 
@@ -160,7 +160,7 @@
     return baseline
 
 
-def _check_days(ini: IniFile, plan: Plan) -> None:
+def _check_scenarios(ini: IniFile, plan: Plan) -> None:
     """Reads the day of each combination of levels, and adds its flaws."""
     for run in plan.runs():
         if run.seed == plan.seeds[0]:
@@ -170,7 +170,7 @@
                 ini.problems += error.problems
 
 
-def read_day_text(ini: IniFile, path: Path, section: str, name: str) -> str:
+def read_scenario_text(ini: IniFile, path: Path, section: str, name: str) -> str:
     """The text of the day that a file names, beside it; empty, and noted as a flaw, where it can't be had."""
     try:
         return (path.parent / name).read_text("utf-8")
--- a/valverouter/experiments/report.py
+++ b/valverouter/experiments/report.py
@@ -29,8 +29,8 @@
 <td{% if not cell.shown %} class="no"{% endif %}>{{ cell.said }}</td>{% endfor %}</tr>
 {% endfor %}</table></html>
 """
-CHARTED_FIGURES = ("service", "worst-10s", "declined", "legs", "wasted")
-WIDE = 300
+CHARTED_METRICS = ("service", "worst-10s", "declined", "legs", "wasted")
+BAR_AREA_WIDTH = 300
 
 
 Levels = tuple[str, ...]
@@ -80,7 +80,7 @@
 def report_page(plan: Plan, cells: dict[Levels, Cell], figure: str) -> str:
     """HTML with bars drawn in it, the figure asked for first."""
     heads = list(next(iter(next(iter(cells.values())).by_seed.values())))
-    charts = [_chart(cells, name) for name in dict.fromkeys((figure, *CHARTED_FIGURES))]
+    charts = [_chart(cells, name) for name in dict.fromkeys((figure, *CHARTED_METRICS))]
     table = [
         {
             "name": ", ".join(levels),
@@ -110,9 +110,9 @@
 def _bar(levels: Levels, mean: float, half_width: float, scale: float) -> dict[str, object]:
     return {
         "name": ", ".join(levels),
-        "width": WIDE * mean / scale,
-        "low": WIDE * (mean - half_width) / scale,
-        "high": WIDE * (mean + half_width) / scale,
+        "width": BAR_AREA_WIDTH * mean / scale,
+        "low": BAR_AREA_WIDTH * (mean - half_width) / scale,
+        "high": BAR_AREA_WIDTH * (mean + half_width) / scale,
         "said": f"{mean:.3f} ± {half_width:.3f}",
     }
 
--- a/valverouter/experiments/run_metrics.py
+++ b/valverouter/experiments/run_metrics.py
@@ -11,7 +11,7 @@
 from valverouter.signalling.traffic_record import AuditConfigRow, MessageRow, PlacementRow, Row
 
 SECOND = 1_000_000_000
-WORST_WINDOW = 10 * SECOND
+WORST_WINDOW_LENGTH = 10 * SECOND
 # In place of a weight of 0, by which nothing can be divided.
 MIN_WEIGHT = 1e-9
 
@@ -81,7 +81,7 @@
 
 def worst_window_service(rows: Sequence[Row], config: AuditConfigRow) -> float:
     """Service of the dialogs first dialled in the worst 10 s."""
-    seconds, window_size = service_by_second(rows, config), WORST_WINDOW // SECOND
+    seconds, window_size = service_by_second(rows, config), WORST_WINDOW_LENGTH // SECOND
     levels = []
     for start in seconds:
         window = [seconds[second] for second in range(start, start + window_size) if second in seconds]
--- a/valverouter/experiments/scenario_page.py
+++ b/valverouter/experiments/scenario_page.py
@@ -13,8 +13,8 @@
 from valverouter.signalling.traffic_record import AuditConfigRow, FaultRow, MessageRow, Row
 
 SECOND = 1_000_000_000
-WIDE, HIGH, CELL = 900, 120, 14
-ENDS = ("stands", "full", "no-agent", "line-busy", "fault", "cancelled")
+CHART_WIDTH, CHART_HEIGHT, CELL_SIZE = 900, 120, 14
+OUTCOME_KINDS = ("stands", "full", "no-agent", "line-busy", "fault", "cancelled")
 COLOURS = ("#2c7fb8", "#d95f0e", "#756bb1", "#999", "#de2d26", "#636363")
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
@@ -69,9 +69,9 @@
         troubles=_fault_lines(rows, starts_at),
         charts=_charts(result, service, attempts, seconds, starts_at),
         heat=_heat_map(attempts, seconds),
-        wide=WIDE,
-        high=HIGH,
-        cell=CELL,
+        wide=CHART_WIDTH,
+        high=CHART_HEIGHT,
+        cell=CELL_SIZE,
     )
 
 
@@ -83,7 +83,7 @@
         second = (row.at - starts_at) // SECOND
         if not row.sent and row.kind == "setup":
             attempts.sent[row.peer, second] += 1
-        elif row.sent and row.kind in ENDS:
+        elif row.sent and row.kind in OUTCOME_KINDS:
             attempts.outcomes[row.kind, second] += 1
             attempts.failed[row.peer, second] += row.kind != "stands"
     return attempts
@@ -103,7 +103,8 @@
 ) -> list[dict[str, object]]:
     delays, windows, tokens = _by_server(result, starts_at)
     outcomes = {
-        kind: {second: float(attempts.outcomes[kind, second]) for second in range(seconds)} for kind in ENDS
+        kind: {second: float(attempts.outcomes[kind, second]) for second in range(seconds)}
+        for kind in OUTCOME_KINDS
     }
     return [
         _chart("Service of dialogs first dialled in each second", {"service": service}, seconds, 1.0),
@@ -132,9 +133,9 @@
     return [
         {
             "name": server,
-            "y": CELL * index,
+            "y": CELL_SIZE * index,
             "spots": [
-                _heat_spot(attempts, server, second, seconds)
+                _heat_map_cell(attempts, server, second, seconds)
                 for second in range(seconds)
                 if attempts.sent[server, second]
             ],
@@ -143,11 +144,11 @@
     ]
 
 
-def _heat_spot(attempts: _Attempts, server: str, second: int, seconds: int) -> dict[str, object]:
+def _heat_map_cell(attempts: _Attempts, server: str, second: int, seconds: int) -> dict[str, object]:
     sent, failed = attempts.sent[server, second], attempts.failed[server, second]
     return {
-        "x": round(second * WIDE / seconds, 1),
-        "w": round(WIDE / seconds, 1),
+        "x": round(second * CHART_WIDTH / seconds, 1),
+        "w": round(CHART_WIDTH / seconds, 1),
         "shade": int(235 * (1 - min(1.0, failed / sent))),
         "said": f"{server}, second {second}: {failed} of {sent}",
     }
@@ -167,7 +168,7 @@
 
 def _points(line: Mapping[int, float], seconds: int, top: float) -> str:
     points = [
-        (second * WIDE / max(1, seconds - 1), HIGH - value / top * (HIGH - 4))
+        (second * CHART_WIDTH / max(1, seconds - 1), CHART_HEIGHT - value / top * (CHART_HEIGHT - 4))
         for second, value in sorted(line.items())
     ]
     return " ".join(f"{x:.1f},{y:.1f}" for x, y in points)
--- a/valverouter/experiments/search_config.py
+++ b/valverouter/experiments/search_config.py
@@ -18,7 +18,7 @@
 )
 from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.config.scenario_sections import FAULT_KINDS
-from valverouter.experiments.plan import read_day_text
+from valverouter.experiments.plan import read_scenario_text
 from valverouter.experiments.variants import BASELINES, VARIANTS
 
 SECOND = 1_000_000_000
@@ -62,7 +62,7 @@
 
 def _read_base(ini: IniFile, path: Path, config: Search) -> str:
     """The base day's text without faults; a flaw for each name that is not known."""
-    text = read_day_text(ini, path, "search", config.day)
+    text = read_scenario_text(ini, path, "search", config.day)
     for kind in config.kinds:
         if kind not in FAULT_KINDS:
             ini.add_problem("search", "kinds", f"{kind!r} is not known; known are {', '.join(FAULT_KINDS)}")
--- a/valverouter/experiments/variants.py
+++ b/valverouter/experiments/variants.py
@@ -33,7 +33,7 @@
 class _Baseline(ServerSelector):
     """Selects among all servers that are in service and may take the type, by one figure alone."""
 
-    def _open(self, traffic_type: TrafficType) -> list[ServerState]:
+    def _open_servers(self, traffic_type: TrafficType) -> list[ServerState]:
         return [
             server
             for server in self.table.servers.values()
@@ -49,7 +49,7 @@
         self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
     ) -> ServerState | None:
         """Any server that is open."""
-        servers = self._open(traffic_type)
+        servers = self._open_servers(traffic_type)
         return servers[int(self._random.draw() * len(servers))] if servers else None
 
 
@@ -61,7 +61,9 @@
     ) -> ServerState | None:
         """The preferred server, if it is open."""
         number = dialog.preferred_server_number
-        return next((server for server in self._open(traffic_type) if server.endpoint.number == number), None)
+        return next(
+            (server for server in self._open_servers(traffic_type) if server.endpoint.number == number), None
+        )
 
 
 class ShortestQueue(_Baseline):
@@ -76,7 +78,7 @@
             is_other = server.endpoint.number != dialog.preferred_server_number
             return server.queue_delay(now), is_other, self._random.draw()
 
-        return min(self._open(traffic_type), key=order, default=None)
+        return min(self._open_servers(traffic_type), key=order, default=None)
 
 
 class TwoChoices(_Baseline):
@@ -86,7 +88,7 @@
         self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
     ) -> ServerState | None:
         """The preferred server, else the better of two drawn."""
-        servers, number = self._open(traffic_type), dialog.preferred_server_number
+        servers, number = self._open_servers(traffic_type), dialog.preferred_server_number
         preferred = next((server for server in servers if server.endpoint.number == number), None)
         if preferred is not None and preferred.endpoint.id not in tried:
             return preferred
--- a/valverouter/load_test/drive.py
+++ b/valverouter/load_test/drive.py
@@ -29,20 +29,20 @@
     """The target could not be brought up, or went away in the middle."""
 
 
-def traffic_of(day: ScenarioConfig, serial: int) -> tuple[str, int]:
+def traffic_of(scenario: ScenarioConfig, serial: int) -> tuple[str, int]:
     """The type and no-answer time (ns) of dialog number `serial`: types in turn by their shares."""
-    total = sum(mix.share for mix in day.mix.values())
+    total = sum(mix.share for mix in scenario.mix.values())
     remaining = (serial * GOLDEN_RATIO_FRACTION) % 1 * total
-    for traffic_type, mix in day.mix.items():
+    for traffic_type, mix in scenario.mix.items():
         remaining -= mix.share
         if remaining < 0:
             return traffic_type, mix.no_answer
-    traffic_type = next(reversed(day.mix))
-    return traffic_type, day.mix[traffic_type].no_answer
+    traffic_type = next(reversed(scenario.mix))
+    return traffic_type, scenario.mix[traffic_type].no_answer
 
 
 async def drive(
-    address: str, day: ScenarioConfig, rate: float, seconds: float, name: str = "load"
+    address: str, scenario: ScenarioConfig, rate: float, seconds: float, name: str = "load"
 ) -> LoadSample:
     """Dials at a steady rate; ends when all dialogs are answered or past their time.
 
@@ -50,18 +50,18 @@
     """
     host, _, port = address.rpartition(":")
     stream = await trio.open_tcp_stream(host, int(port))
-    return await _LoadRun(stream, address, day, rate, name).run(int(rate * seconds))
+    return await _LoadRun(stream, address, scenario, rate, name).run(int(rate * seconds))
 
 
 class _LoadRun:
     """One run on one connection; `_due` holds when each unanswered dialog was due, ns."""
 
     def __init__(
-        self, stream: trio.SocketStream, address: str, day: ScenarioConfig, rate: float, name: str
+        self, stream: trio.SocketStream, address: str, scenario: ScenarioConfig, rate: float, name: str
     ) -> None:
         self._stream = stream
         self._address = address
-        self._day = day
+        self._scenario = scenario
         self._name = name
         self._sample = LoadSample(rate)
         hello = Hello((OLDEST_VERSION, NEWEST_VERSION), "caller", name)
@@ -103,21 +103,21 @@
     def _queue_setup(self, due: int) -> None:
         sample, serial = self._sample, self._sample.offered
         dialog = f"{self._name}-{serial}"
-        traffic_type, no_answer = traffic_of(self._day, serial)
+        traffic_type, no_answer = traffic_of(self._scenario, serial)
         self._due[dialog] = due
         sample.record_dial_delay(_now() - due)
         message = setup.Setup(
             dialog=dialog,
             traffic_type=traffic_type,
             time_left=no_answer,
-            preferred_server_number=serial % self._day.server_count,
+            preferred_server_number=serial % self._scenario.server_count,
             called_number=FIRST_CALLED_NUMBER + serial,
         )
         sample.offered += 1
         self._outgoing.append(self._session.send(message))
 
     async def _wait_for_answers(self) -> None:
-        longest = max(mix.no_answer for mix in self._day.mix.values()) / SECOND
+        longest = max(mix.no_answer for mix in self._scenario.mix.values()) / SECOND
         with trio.move_on_after(longest + ANSWER_GRACE_S):
             while self._due:
                 await trio.sleep(ANSWER_POLL_INTERVAL_S)
--- a/valverouter/load_test/target.py
+++ b/valverouter/load_test/target.py
@@ -20,7 +20,7 @@
 
 
 @asynccontextmanager
-async def target(file: Path, day: ScenarioConfig, folder: Path, seconds: float) -> AsyncIterator[str]:
+async def target(file: Path, scenario: ScenarioConfig, folder: Path, seconds: float) -> AsyncIterator[str]:
     """An edge proxy of the day's with its fakes; gives the edge proxy's address.
 
     The fakes end by themselves after so many seconds, whatever becomes of this process.
@@ -32,9 +32,9 @@
         if not list_address:
             raise LoadFailedError(f"the stand-ins of {file} did not come up")
         async with trio.open_nursery() as nursery:
-            edge = LoopbackEdge(day, 0, list_address, folder, nursery)
+            edge = LoopbackEdge(scenario, 0, list_address, folder, nursery)
             await edge.start()
-            await trio.sleep(day.run.settle / SECOND)
+            await trio.sleep(scenario.run.settle / SECOND)
             yield edge.address
             await edge.stop()
             nursery.cancel_scope.cancel()
