--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -74,7 +74,7 @@
         ("[factor edges]", "[factors edges]", "unknown section"),
     ],
 )
-def test_a_flawed_plan_is_refused_before_any_run(small: Path, old: str, new: str, message: str) -> None:
+def test_an_invalid_plan_is_rejected_before_any_run(small: Path, old: str, new: str, message: str) -> None:
     small.write_text(PLAN.replace(old, new))
     with pytest.raises(InvalidConfigError, match=message.replace("[", r"\[")):
         load_plan(small)
@@ -90,11 +90,11 @@
     assert run_all(experiment.runs(), tmp_path / "runs.db", 2) == 0
     with closing(RunStore(tmp_path / "runs.db")) as store:
         cells = collect_cells(experiment, store)
-        again = run_here(first[0])
+        rerun = run_here(first[0])
         kept = store.load(first[0])
     assert kept is not None
     assert {key: value for key, value in kept.items() if key != "cpu"} == {
-        key: value for key, value in again.items() if key != "cpu"
+        key: value for key, value in rerun.items() if key != "cpu"
     }, "the same run gives the same figures in any process"
     assert len(cells) == 4
     assert all(len(cell.by_seed) == 3 for cell in cells.values())
@@ -107,11 +107,11 @@
     assert "any-server" in shown.stdout
 
 
-def test_differences_are_by_pairs_and_give_the_least_detectable_one() -> None:
+def test_differences_are_paired_by_seed_and_include_the_minimum_detectable_difference() -> None:
     chance = random.Random(5)
     base = {seed: chance.gauss(0.8, 0.1) for seed in range(12)}  # the days differ far more than the variants
-    better = {seed: value + chance.gauss(0.02, 0.01) for seed, value in base.items()}
-    found = paired_difference(base, better)
+    improved = {seed: value + chance.gauss(0.02, 0.01) for seed, value in base.items()}
+    found = paired_difference(base, improved)
     assert found.is_significant
     assert found.mean == pytest.approx(0.02, abs=0.01)
     assert found.pair_count == 12
@@ -132,19 +132,19 @@
     assert 0.92 <= covered / 400 <= 0.98
 
 
-def test_variants_are_applied_for_a_run_and_leave_the_program_as_it_was(small: Path) -> None:
+def test_variants_are_applied_for_a_run_and_restored_afterwards(small: Path) -> None:
     before = {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()}
-    waits = vars(routing)["retry_delay"]
+    delay_function = vars(routing)["retry_delay"]
     with VARIANTS["fixed-waits"].applied():
         assert vars(routing)["retry_delay"](3, 0.0, 0) == tuning.BACKOFF_BASE
     with VARIANTS["without-window"].applied():
         assert tuning.WINDOW_INITIAL > 1e6
     assert {name: getattr(tuning, name) for name in dir(tuning) if name.isupper()} == before
-    assert vars(routing)["retry_delay"] is waits
+    assert vars(routing)["retry_delay"] is delay_function
 
 
 @pytest.mark.parametrize("name", VARIANTS)
-def test_every_variant_runs_a_day_and_baselines_differ_from_the_program(small: Path, name: str) -> None:
+def test_every_variant_runs_a_scenario_and_baselines_differ_from_the_policy(small: Path, name: str) -> None:
     run = load_plan(small).make_run({"edges": "2", "decisions": "module"}, 1)
     found = run_here(type(run)({"decisions": name}, run.seed, run.text))
     assert 0 < found["service"] <= 1
@@ -157,7 +157,7 @@
     return MessageRow(at, at * SECOND // 10, "e0", "c0", sent, kind, dialog, 0, 0, word)
 
 
-def test_the_worst_ten_seconds_are_those_in_which_dialogs_were_first_dialled() -> None:
+def test_the_worst_window_is_by_the_time_of_the_first_dial() -> None:
     rows: list[Row] = [AuditConfigRow(0, 0, 0, 0, {"plain": SECOND}, {"plain": 1.0})]
     for at in range(0, 300):
         rows.append(message_row(at, True, "setup", f"d{at}", "plain"))
@@ -165,22 +165,22 @@
             rows.append(message_row(at + 1, False, "stands", f"d{at}"))
     rows.append(message_row(320, True, "setup", "d120.2", "plain"))
     rows.append(message_row(321, False, "stands", "d120.2"))
-    terms = rows[0]
-    assert isinstance(terms, AuditConfigRow)
-    assert worst_window_service(rows, terms) == pytest.approx(0.5)
-    assert service_by_second(rows, terms)[10] == (10, 0)
-    assert service_by_second(rows, terms)[3] == (10, 10)
+    audit_config = rows[0]
+    assert isinstance(audit_config, AuditConfigRow)
+    assert worst_window_service(rows, audit_config) == pytest.approx(0.5)
+    assert service_by_second(rows, audit_config)[10] == (10, 0)
+    assert service_by_second(rows, audit_config)[3] == (10, 10)
     assert compute_metrics(rows)["tries"] == pytest.approx(301 / 300)
 
 
-def test_a_changed_day_keeps_what_was_not_named() -> None:
+def test_with_settings_keeps_all_other_settings() -> None:
     text = with_settings("[day]\nlength = 3s\n[fleet]\nedge_proxies = 1\n", [("fleet", "edge_proxies", "4")])
     assert "edge_proxies = 4" in text
     assert "length = 3s" in text
     assert "[list]\nnotice = 1s" in with_settings(text, [("list", "notice", "1s")])
 
 
-def test_a_level_may_set_figures_of_the_decisions() -> None:
+def test_a_level_may_set_constants_of_the_policy() -> None:
     parsed = parse_variant("without-room NEWS_FADES_TURNS=2 WINDOW_LEAST=0.5")
     assert (parsed.selector, parsed.table) == (
         VARIANTS["without-room"].selector,
@@ -200,6 +200,6 @@
         ("module Far=1", "no"),
     ],
 )
-def test_a_level_that_sets_what_is_not_there_is_refused(level: str, message: str) -> None:
+def test_a_level_with_an_unknown_variant_or_constant_is_rejected(level: str, message: str) -> None:
     with pytest.raises(ValueError, match=message):
         parse_variant(level)
--- a/tests/test_load_test.py
+++ b/tests/test_load_test.py
@@ -22,22 +22,22 @@
 
 
 @pytest.mark.parametrize("limit", [19, 20, 21, 55, 333, 4_000, 10**6])
-async def test_the_highest_rate_is_found_to_a_twentieth(limit: int, autojump_clock: MockClock) -> None:
-    asked = []
+async def test_the_highest_rate_is_found_to_five_percent(limit: int, autojump_clock: MockClock) -> None:
+    tried_rates = []
 
-    async def holds(rate: float) -> bool:
-        asked.append(rate)
+    async def is_sustained(rate: float) -> bool:
+        tried_rates.append(rate)
         return rate <= limit
 
-    found = await highest_rate(holds, 20, 10_000)
+    found = await highest_rate(is_sustained, 20, 10_000)
     if limit < 20:
         assert found == 0
-        assert asked == [20]
+        assert tried_rates == [20]
     elif limit >= 10_000:
         assert found == 10_000
     else:
         assert limit / 1.06 <= found <= limit
-    assert len(asked) < 25
+    assert len(tried_rates) < 25
 
 
 async def test_a_rate_that_was_sustained_by_chance_is_lowered_until_it_is_again(
@@ -45,10 +45,10 @@
 ) -> None:
     chance = random.Random(3)
 
-    async def holds(rate: float) -> bool:
+    async def is_sustained(rate: float) -> bool:
         return rate < 500 or (rate < 1_000 and chance.random() < 0.3)
 
-    found = [await highest_rate(holds, 20, 10_000) for _ in range(30)]
+    found = [await highest_rate(is_sustained, 20, 10_000) for _ in range(30)]
     assert all(400 <= rate < 1_000 for rate in found)
     assert sorted(found)[15] < 700
 
@@ -74,7 +74,7 @@
         assert kinds.count(kind) / 1_000 == pytest.approx(mix.share / total, abs=0.01)
 
 
-async def test_a_stalled_target_shows_in_the_latencies_of_the_dialogs_behind() -> None:
+async def test_a_stalled_target_delays_the_dialogs_that_were_due_meanwhile() -> None:
     """The target reads nothing for 300 ms: all that were due meanwhile waited, though dialled in one go."""
     day = load_scenario(LOAD)
 
@@ -105,7 +105,7 @@
     )
 
 
-async def test_a_target_that_goes_away_fails_the_run() -> None:
+async def test_a_run_fails_when_the_target_closes_the_connection() -> None:
     async def serve(stream: trio.SocketStream) -> None:
         await stream.receive_some(10)
         await stream.aclose()
@@ -121,9 +121,9 @@
 
 
 def test_a_real_edge_proxy_answers_all_offered_dialogs(tmp_path: Path) -> None:
-    kept = tmp_path / "delays.txt"
-    ran = valverouter("load", str(LOAD), "--rate", "60", "--seconds", "1", "--histogram", str(kept))
+    histogram = tmp_path / "delays.txt"
+    ran = valverouter("load", str(LOAD), "--rate", "60", "--seconds", "1", "--histogram", str(histogram))
     assert ran.returncode == 0, ran.stderr
     assert "60/s: 60 offered" in ran.stdout
     assert "0 unanswered" in ran.stdout
-    assert "Percentile" in kept.read_text()
+    assert "Percentile" in histogram.read_text()
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -24,20 +24,20 @@
 
 SECOND = 10**9
 FILE = Path(__file__).parent.parent / "deploy" / "experiments" / "worst-day.ini"
-EVERY = Search(day="-", kinds=tuple(FAULT_KINDS), troubles=3)
-_, BASE, TEXT = load_search(FILE)
+ALL_KINDS_SEARCH = Search(day="-", kinds=tuple(FAULT_KINDS), troubles=3)
+_, BASE, BASE_TEXT = load_search(FILE)
 
 
 @given(st.lists(st.floats(0, 1), min_size=19, max_size=19))
-def test_every_vector_decodes_to_a_day_that_passes_all_checks(vector: list[float]) -> None:
-    candidate = decode_vector(EVERY, BASE, vector)
-    played = scenario_config(IniFile(candidate.text(TEXT, 100.0), "made"), "made")
+def test_every_vector_decodes_to_a_valid_scenario(vector: list[float]) -> None:
+    candidate = decode_vector(ALL_KINDS_SEARCH, BASE, vector)
+    played = scenario_config(IniFile(candidate.text(BASE_TEXT, 100.0), "made"), "made")
     assert len(played.faults) == len(candidate.faults) >= 1
     for trouble in played.faults.values():
         assert trouble.start + trouble.length <= played.run.length
 
 
-def planted(candidate: ScenarioCandidate) -> float:
+def score_slow_server(candidate: ScenarioCandidate) -> float:
     """As if a slow server in a crowd were what hurts; a hang makes it a little worse."""
     kinds = {fault.kind: fault for fault in candidate.faults}
     slow = kinds.get("slow")
@@ -48,23 +48,23 @@
     )
 
 
-def test_a_planted_worst_day_is_found_and_minimized() -> None:
-    terms = Search(day="-", budget=600, troubles=2, kinds=("crash", "slow", "hang", "burst"))
-    found, score, evaluation_count = search(terms, BASE, planted)
+def test_a_known_worst_scenario_is_found_and_minimized() -> None:
+    config = Search(day="-", budget=600, troubles=2, kinds=("crash", "slow", "hang", "burst"))
+    found, score, evaluation_count = search(config, BASE, score_slow_server)
     assert score > 0.9 * 1.5 * 4 * 3
     assert evaluation_count <= 700
-    assert search(terms, BASE, planted)[0] == found, "the same seed finds the same day"
-    least, kept = minimize(found, planted, 0.5 * score, 300)
-    assert [fault.kind for fault in least.faults] == ["slow"]
-    assert kept >= 0.5 * score
-    assert least.length < found.length
-    assert least.faults[0].start <= SECOND
-    assert all(planted(simpler) < 0.5 * score for simpler in simplifications(least)), (
+    assert search(config, BASE, score_slow_server)[0] == found, "the same seed finds the same day"
+    simplest, simplest_score = minimize(found, score_slow_server, 0.5 * score, 300)
+    assert [fault.kind for fault in simplest.faults] == ["slow"]
+    assert simplest_score >= 0.5 * score
+    assert simplest.length < found.length
+    assert simplest.faults[0].start <= SECOND
+    assert all(score_slow_server(simpler) < 0.5 * score for simpler in simplifications(simplest)), (
         "nothing simpler shows it"
     )
 
 
-def test_minimizing_keeps_to_its_budget() -> None:
+def test_minimizing_stays_within_its_budget() -> None:
     calls = []
 
     def score_function(candidate: ScenarioCandidate) -> float:
@@ -78,8 +78,8 @@
     assert len(calls) == 4
 
 
-def test_what_is_found_is_a_file_that_runs(tmp_path: Path) -> None:
-    small = TEXT.replace("edge_proxies = 16", "edge_proxies = 4").replace("edges = 16", "edges = 4")
+def test_the_found_scenario_is_a_file_that_runs(tmp_path: Path) -> None:
+    small = BASE_TEXT.replace("edge_proxies = 16", "edge_proxies = 4").replace("edges = 16", "edges = 4")
     candidate = ScenarioCandidate(0.3, 4 * SECOND, (FaultCandidate("slow", SECOND, 2 * SECOND, 4.0, 0.3),))
     path = tmp_path / "found.ini"
     path.write_text(format_scenario_file(candidate, small, 100.0, "Found: +0.100"))
@@ -102,7 +102,7 @@
         ("troubles = 3", "troubles = 9", "<= 6"),
     ],
 )
-def test_a_flawed_search_is_refused(tmp_path: Path, old: str, new: str, message: str) -> None:
+def test_an_invalid_search_is_rejected(tmp_path: Path, old: str, new: str, message: str) -> None:
     (tmp_path / "calm-day.ini").write_text((FILE.parent / "calm-day.ini").read_text())
     (tmp_path / "search.ini").write_text(FILE.read_text().replace(old, new))
     with pytest.raises(InvalidConfigError, match=message):
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -44,45 +44,45 @@
 """
 
 
-def test_variants_differ_from_the_site_where_they_say(tmp_path: Path) -> None:
-    found_at = importlib.util.spec_from_file_location("variants", SCRIPT)
-    assert found_at is not None
-    assert found_at.loader is not None
-    variants: Any = importlib.util.module_from_spec(found_at)
-    found_at.loader.exec_module(variants)
-    folder, to = tmp_path / "kit", tmp_path / "to"
+def test_variants_change_only_the_listed_settings(tmp_path: Path) -> None:
+    spec = importlib.util.spec_from_file_location("variants", SCRIPT)
+    assert spec is not None
+    assert spec.loader is not None
+    variants: Any = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(variants)
+    folder, target = tmp_path / "kit", tmp_path / "to"
     folder.mkdir()
     (folder / variants.SITE).write_text(SITE)
     for name in variants.BESIDE:
         (folder / name).write_text(name)
         (folder / name).chmod(0o444)
-    assert variants.main(folder, to) == variants.main(folder, to) == 0
+    assert variants.main(folder, target) == variants.main(folder, target) == 0
     site = tomllib.loads(SITE)
     for name, changes in variants.VARIANTS.items():
-        found = tomllib.loads((to / f"{name}.toml").read_text())
+        found = tomllib.loads((target / f"{name}.toml").read_text())
         assert found == variants.changed(site, name)
         assert found["name"] == name
         kept = [key for key in site if key not in ("name", *(path.split(".")[0] for path in changes))]
         assert {"day", "trouble"} <= set(kept)
         assert all(found[key] == site[key] for key in kept)
-        names = [one["name"] for one in found["class"]]
+        names = [entry["name"] for entry in found["class"]]
         assert "only" not in names
         assert len(names) == len(found["fam"]["class"])
         assert found["fam"]["release_ms"] != 300
         assert found["tier"][0]["report"] == site["tier"][0]["report"]
-        assert all((to / beside).read_text() == beside for beside in variants.BESIDE)
+        assert all((target / file_name).read_text() == file_name for file_name in variants.BESIDE)
 
 
-def test_without_a_site_it_ends_with_one_line(tmp_path: Path) -> None:
-    ended = subprocess.run(
+def test_a_missing_site_file_is_reported_in_one_line(tmp_path: Path) -> None:
+    result = subprocess.run(
         [sys.executable, SCRIPT, tmp_path], capture_output=True, text=True, timeout=60, check=False
     )
-    assert ended.returncode == 2
-    assert len(ended.stderr.splitlines()) == 1
-    assert str(tmp_path) in ended.stderr
+    assert result.returncode == 2
+    assert len(result.stderr.splitlines()) == 1
+    assert str(tmp_path) in result.stderr
 
 
-def test_nothing_in_the_program_knows_a_variant_s_names() -> None:
+def test_the_program_contains_no_names_of_the_variants() -> None:
     text = SCRIPT.read_text()
     names = [line.split('"')[1] for line in text.splitlines() if line.strip().startswith('traffic("')]
     assert len(names) == 7
--- a/valverouter/experiments/scenario_page.py
+++ b/valverouter/experiments/scenario_page.py
@@ -53,11 +53,11 @@
 def render_scenario_page(name: str, result: DayResult) -> str:
     """The page, readable without any tool or network."""
     rows = result.rows
-    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
+    audit_config = next(row for row in rows if isinstance(row, AuditConfigRow))
     starts_at = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
     service = {
         second: served / offered
-        for second, (offered, served) in service_by_second(rows, terms).items()
+        for second, (offered, served) in service_by_second(rows, audit_config).items()
         if offered
     }
     attempts = _count_attempts(result, starts_at)
