--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: plans, kept runs, paired differences, variants that act from outside the module alone."""
+"""Tests of experiments: plans, stored runs, paired differences, and variants of the routing policy."""
 
 from __future__ import annotations
 
@@ -64,7 +64,11 @@
     ("old", "new", "message"),
     [
         ("day = day.ini", "day = none.ini", "No such file"),
-        ("levels = module, any-server", "levels = module, best", "'best': known are module"),
+        (
+            "levels = module, any-server",
+            "levels = module, best",
+            "unknown variant 'best'; known variants: module",
+        ),
         ("baseline = decisions = module", "baseline = decisions = best", "FACTOR = LEVEL"),
         ("baseline = decisions = module", "baseline = size = 1", "FACTOR = LEVEL"),
         ("set = fleet.edge_proxies, region north.edges", "set = edges", "SECTION.KEY"),
@@ -85,8 +89,8 @@
     first = [run for run in experiment.runs() if run.seed == 1]
     assert run_all(first, tmp_path / "runs.db", 2) == 4
     assert run_all(experiment.runs(), tmp_path / "runs.db", 2, lambda *counts: progress.append(counts)) == 8
-    assert progress[0] == (4, 12), "cut off, it goes on where it was"
-    assert progress[-1] == (12, 12), "cut off, it goes on where it was"
+    assert progress[0] == (4, 12), "an interrupted experiment is resumed"
+    assert progress[-1] == (12, 12), "an interrupted experiment is resumed"
     assert run_all(experiment.runs(), tmp_path / "runs.db", 2) == 0
     with closing(RunStore(tmp_path / "runs.db")) as store:
         cells = collect_cells(experiment, store)
@@ -109,7 +113,7 @@
 
 def test_differences_are_paired_by_seed_and_include_the_minimum_detectable_difference() -> None:
     chance = random.Random(5)
-    base = {seed: chance.gauss(0.8, 0.1) for seed in range(12)}  # the days differ far more than the variants
+    base = {seed: chance.gauss(0.8, 0.1) for seed in range(12)}  # seeds differ far more than variants
     improved = {seed: value + chance.gauss(0.02, 0.01) for seed, value in base.items()}
     found = paired_difference(base, improved)
     assert found.is_significant
@@ -194,10 +198,10 @@
 @pytest.mark.parametrize(
     ("level", "message"),
     [
-        ("best", "known are"),
-        ("module NEWS=2", "no figure"),
-        ("module LEGS=many", "LEGS is int"),
-        ("module Far=1", "no"),
+        ("best", "unknown variant 'best'; known variants: module"),
+        ("module NEWS=2", "'NEWS' is not a numeric constant"),
+        ("module LEGS=many", "LEGS must be of type int"),
+        ("module Far=1", "'Far' is not a numeric constant"),
     ],
 )
 def test_a_level_with_an_unknown_variant_or_constant_is_rejected(level: str, message: str) -> None:
--- a/tests/test_load_test.py
+++ b/tests/test_load_test.py
@@ -1,4 +1,4 @@
-"""The load tool: the search for the highest rate, delays from when due, and a short real run on sockets."""
+"""Tests of the load test: search for the highest rate, latencies from the due time, a run on sockets."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 async def test_a_stalled_target_delays_the_dialogs_that_were_due_meanwhile() -> None:
-    """The target reads nothing for 300 ms: all that were due meanwhile waited, though dialled in one go."""
+    """The target stalls for 300 ms; the latencies of dialogs due meanwhile count from their due times."""
     day = load_scenario(LOAD)
 
     async def serve(stream: trio.SocketStream) -> None:
@@ -100,9 +100,7 @@
         nursery.cancel_scope.cancel()
     assert (sample.offered, sample.established, sample.unanswered) == (100, 100, 0)
     assert sample.latency_percentile(99.9) >= 295
-    assert sample.latency_percentile(90) > 100, (
-        "a quarter of the dialogs was due while the target was held up"
-    )
+    assert sample.latency_percentile(90) > 100, "a quarter of the dialogs was due while the target stalled"
 
 
 async def test_a_run_fails_when_the_target_closes_the_connection() -> None:
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -170,7 +170,7 @@
     file.write_text(EDGE_SECTIONS)
     result = CliRunner().invoke(main, ["fleet", "view", str(file)])
     assert isinstance(result.exception, ValueError)
-    assert "keeps no view" in str(result.exception)
+    assert "keeps no view of the fleet" in str(result.exception)
     write_key_file(tmp_path)
     file.write_text(EDGE_SECTIONS + GOSSIP_SECTION.replace("KEY", "key"))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as silent_socket:
@@ -179,7 +179,7 @@
             main, ["fleet", "view", str(file), "--at", f"127.0.0.1:{silent_socket.getsockname()[1]}"]
         )
     assert result.exit_code == 2
-    assert "nobody was reached" in result.output
+    assert "no instance answered" in result.output
 
 
 async def test_fleet_view_queries_the_members_that_the_answers_name(tmp_path: Path) -> None:
--- a/tests/test_recorded_calls.py
+++ b/tests/test_recorded_calls.py
@@ -240,7 +240,7 @@
     write_calls(tmp_path / "calls.csv", [RecordedCall(1, "booking")])
     (tmp_path / "day.ini").write_text(REPLAY)
     (tmp_path / "search.ini").write_text("[search]\nday = day.ini\n")
-    with pytest.raises(InvalidConfigError, match="a search varies the rate"):
+    with pytest.raises(InvalidConfigError, match="a search varies the call rate"):
         load_search(tmp_path / "search.ini")
 
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,4 @@
-"""The search for bad days: every candidate is a day, a planted worst is found and cut down."""
+"""Tests of the search for bad scenarios: candidates are valid, a known worst one is found and simplified."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def score_slow_server(candidate: ScenarioCandidate) -> float:
-    """As if a slow server in a crowd were what hurts; a hang makes it a little worse."""
+    """A score with a known maximum: a slow server at a high call rate; a hang adds a little."""
     kinds = {fault.kind: fault for fault in candidate.faults}
     slow = kinds.get("slow")
     if slow is None:
@@ -53,14 +53,14 @@
     found, score, evaluation_count = search(config, BASE, score_slow_server)
     assert score > 0.9 * 1.5 * 4 * 3
     assert evaluation_count <= 700
-    assert search(config, BASE, score_slow_server)[0] == found, "the same seed finds the same day"
+    assert search(config, BASE, score_slow_server)[0] == found, "the same seed finds the same scenario"
     simplest, simplest_score = minimize(found, score_slow_server, 0.5 * score, 300)
     assert [fault.kind for fault in simplest.faults] == ["slow"]
     assert simplest_score >= 0.5 * score
     assert simplest.length < found.length
     assert simplest.faults[0].start <= SECOND
     assert all(score_slow_server(simpler) < 0.5 * score for simpler in simplifications(simplest)), (
-        "nothing simpler shows it"
+        "no simpler candidate reaches the score"
     )
 
 
@@ -89,15 +89,15 @@
     scorer = CandidateScorer(Search(day="-", against=("any-server",)), small, 100.0)
     assert -1 <= scorer(candidate) <= 1
     rule_scorer = CandidateScorer(Search(day="-", seeks="rules"), small, 100.0)
-    assert 0 <= rule_scorer(candidate) < 1, "no rule is broken"
+    assert 0 <= rule_scorer(candidate) < 1, "no rule is violated"
 
 
 @pytest.mark.parametrize(
     ("old", "new", "message"),
     [
         ("seeks = loss", "seeks = gain", "seeks"),
-        ("kinds = crash", "kinds = cash", "'cash' is not known"),
-        ("against = two-drawn", "against = best", "'best': known are"),
+        ("kinds = crash", "kinds = cash", "unknown kind 'cash'; known kinds: "),
+        ("against = two-drawn", "against = best", "unknown variant 'best'; known variants: module"),
         ("day = calm-day.ini", "day = none.ini", "No such file"),
         ("troubles = 3", "troubles = 9", "<= 6"),
     ],
--- a/tests/test_variants.py
+++ b/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""The script that writes variants of the operators' deployment, on a small site of our own."""
+"""Tests of the script that writes variants of the operators' deployment, on a small site file."""
 
 from __future__ import annotations
 
--- a/valverouter/cli/__init__.py
+++ b/valverouter/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: parses, calls, prints; decides nothing."""
+"""The command line: parses arguments, calls the packages below it, and prints results."""
--- a/valverouter/cli/__main__.py
+++ b/valverouter/cli/__main__.py
@@ -1,7 +1,7 @@
 """The command line: `valverouter ...` or `python -m valverouter.cli ...`.
 
-Exit codes: 0 done; 1 a rule was broken; 2 the command or a file can't be used; 3 the program could not come
-up or went down by an error; 130 interrupted.
+Exit codes: 0 success; 1 a rule was violated; 2 the command line or a file is invalid; 3 the program could not
+start or failed; 130 interrupted.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from valverouter.config.ini import InvalidConfigError
 from valverouter.ledger.storage import StoreError
 
-# Each command with its module, which is imported when the command is called: importing all of them, with what
-# draws charts and plays scenarios, took half of the time in which an edge proxy starts.
+# Each command's module and function. A module is imported when its command is invoked: importing all of them,
+# with the libraries for charts and scenarios, took half of an edge proxy's start-up time.
 COMMANDS = {
     "audit": "scenarios:check_records",
     "calls": "scenarios:export_calls",
@@ -34,14 +34,14 @@
 
 
 class LazyCommands(click.Group):
-    """The commands by name; a command's module is imported when the command is asked for."""
+    """The top-level commands; a command's module is imported when the command is invoked."""
 
     def list_commands(self, context: click.Context) -> list[str]:
-        """All commands, by name."""
+        """Returns the names of all commands, sorted."""
         return sorted(COMMANDS)
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        """A command of that name, None where there is none."""
+        """Imports and returns the named command; None if there is no such command."""
         if name not in COMMANDS:
             return None
         module, _, attribute = COMMANDS[name].partition(":")
@@ -53,11 +53,11 @@
 @click.command(cls=LazyCommands, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="valverouter")
 def main() -> None:
-    """A call router: edge proxies that set dialogs up at shared setup servers."""
+    """A call router: edge proxies that set up dialogs at shared set-up servers."""
 
 
 def run() -> None:
-    """The program's entry point; prints problems and errors as one plain line each, without a traceback."""
+    """The program's entry point. Expected errors are printed as one line each, without a traceback."""
     try:
         main(standalone_mode=False)
     except click.ClickException as error:
--- a/valverouter/cli/attempts.py
+++ b/valverouter/cli/attempts.py
@@ -1,4 +1,4 @@
-"""`valverouter terms ...`: timers and attempts by class and route."""
+"""`valverouter terms ...`: timers and attempt limits by traffic type and route."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from valverouter.edge.attempt_policies import AttemptPolicies
 from valverouter.signalling import traffic_record
 
-# The callers' no-answer time where a command is told none.
+# The callers' no-answer timeout in `terms check`, which has no option for it, in nanoseconds.
 DEFAULT_NO_ANSWER_TIMEOUT = 9 * 10**9
 
 
 @click.group()
 def terms() -> None:
-    """Timers and attempts by class and route."""
+    """Timers and attempt limits by traffic type and route."""
 
 
 def dialog_options(command: Callable[..., None]) -> Callable[..., None]:
-    """The options that say which dialog is meant, beside its class."""
+    """Adds the options that describe a dialog besides its traffic type."""
     for option in (
-        click.option("--first-choice", default=-1, help="The number of its first choice; -1: none."),
-        click.option("--peer", default="", help="The caller's name, which decides on the trunk group."),
-        click.option("--number", default=0, help="The number called."),
+        click.option("--first-choice", default=-1, help="The number of its preferred server; -1: none."),
+        click.option("--peer", default="", help="The caller's name, which determines the trunk group."),
+        click.option("--number", default=0, help="The called number."),
     ):
         command = option(command)
     return command
@@ -40,7 +40,7 @@
 @terms.command("check")
 @click.argument("files", type=FILE, nargs=-1, required=True)
 def terms_check(files: tuple[Path, ...]) -> None:
-    """Check each of FILES whole; prints every flaw with file, line, key and reason. Exits with 2 for any."""
+    """Check FILES and print every problem with file, line, key and reason. Exits with 2 if there is any."""
     problems = []
     for file in files:
         try:
@@ -63,7 +63,7 @@
 @click.option("--class", "traffic_type", required=True, help="The dialog's traffic type.")
 @dialog_options
 def terms_explain(file: Path, traffic_type: str, number: int, peer: str, first_choice: int) -> None:
-    """Each effective value for such a dialog at FILE's edge proxy, and the line that it comes from."""
+    """Show each effective setting of a dialog at FILE's edge proxy, and the line that sets it."""
     config = load_edge_config(file)
     if traffic_type not in config.deployment.traffic_types:
         raise ValueError(f"{file}: there is no [traffic {traffic_type}]")
@@ -73,7 +73,7 @@
 
 
 def _print_line(line: str) -> None:
-    """Prints a line as it is: without highlighting, markup or wrapping."""
+    """Prints a line unchanged, without highlighting, markup or wrapping."""
     console.print(line, highlight=False, markup=False, soft_wrap=True)
 
 
@@ -85,16 +85,16 @@
 
 @terms.command("courses")
 @click.argument("file", type=FILE)
-@click.option("--no-answer", default="9s", show_default=True, help="The callers' no-answer time.")
-@click.option("--chart", is_flag=True, help="Each type's course as a bar on one scale of time.")
+@click.option("--no-answer", default="9s", show_default=True, help="The callers' no-answer timeout.")
+@click.option("--chart", is_flag=True, help="Show each type's timeline as a bar on one time scale.")
 @dialog_options
 def terms_courses(file: Path, no_answer: str, chart: bool, number: int, peer: str, first_choice: int) -> None:
-    """The longest course that FILE's terms allow each traffic type, step by step."""
+    """Show the longest timeline of attempts that FILE allows each traffic type, step by step."""
     config = load_edge_config(file)
     policies = AttemptPolicies(config)
     no_answer_timeout = parse_duration(no_answer) - config.answer_margin
     if no_answer_timeout <= 0:
-        raise ValueError(f"no-answer time {no_answer} leaves nothing past the answer margin")
+        raise ValueError(f"no-answer timeout {no_answer} must exceed the answer margin")
     longest = {
         traffic_type: longest_timeline(
             policies.worst_case_policy(traffic_type, number, no_answer_timeout, peer, first_choice)
@@ -117,9 +117,9 @@
 @click.argument("new", type=FILE)
 @dialog_options
 def terms_diff(old: Path, new: Path, number: int, peer: str, first_choice: int) -> None:
-    """What changes for whom between two files; exits with 1 when anything does.
+    """Show the settings that differ between two files; exits with 1 if there are any.
 
-    By class, and for each of them by each route that a section of either file names.
+    They are listed by traffic type and by each route that a section of either file names.
     """
     configs = load_edge_config(old), load_edge_config(new)
     old_types, new_types = (config.deployment.traffic_types for config in configs)
@@ -146,7 +146,7 @@
     traffic_type: str,
     routes: Mapping[str, tuple[int, str, int]],
 ) -> Iterator[str]:
-    """A line for each setting that differs for a traffic type on one of the named routes."""
+    """Yields a line for each setting of a traffic type that differs on one of the named routes."""
     for name, route in routes.items():
         old, new = (side.explain(traffic_type, *route) for side in policies)
         for key, setting in new.items():
@@ -158,7 +158,7 @@
 @terms.command("seen")
 @click.argument("records", type=FILE)
 def terms_seen(records: Path) -> None:
-    """Legs, time-outs and gaps by class in kept RECORDS, as the servers saw them."""
+    """Show attempts, timeouts and retry gaps by traffic type in stored RECORDS, as the servers saw them."""
     for traffic_type, seen in attempt_statistics(traffic_record.read_rows(records)).items():
         cancelled = gap = "none"
         if seen.cancelled_after is not None:
@@ -167,7 +167,7 @@
             gap = format_duration(seen.min_retry_gap)
         console.print(
             f"{traffic_type}: {seen.dialogs} dialogs, {seen.attempts} legs, "
-            f"at most {seen.max_attempts} each; let go after {cancelled}; shortest wait after that {gap}",
+            f"at most {seen.max_attempts} each; cancelled after {cancelled}; shortest retry gap {gap}",
             highlight=False,
             soft_wrap=True,
         )
--- a/valverouter/cli/command_support.py
+++ b/valverouter/cli/command_support.py
@@ -1,4 +1,4 @@
-"""What the command groups share: exit codes, the console, the type of file arguments, and a run's verdict."""
+"""Shared by the commands: exit codes, the console, the type of file arguments, printing of verdicts."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def show_verdict(rows: list[traffic_record.Row]) -> None:
-    """Prints a run's accounts and the audit's verdict; exits with 1 where a rule was violated."""
+    """Prints a run's accounts and the audit's verdict; exits with 1 if a rule was violated."""
     config = next(row for row in rows if isinstance(row, traffic_record.AuditConfigRow))
     verdict = audit(rows)
     tables.print_accounts(console, account_by_type(rows), config.priority_weights)
@@ -36,7 +36,7 @@
 
 
 def first_cause(error: BaseException) -> BaseException:
-    """The first error inside nested groups of errors."""
+    """Returns the first error that is not a group from nested exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/valverouter/cli/edge.py
+++ b/valverouter/cli/edge.py
@@ -1,4 +1,4 @@
-"""`valverouter edge`: one edge proxy, its store and its signals."""
+"""`valverouter edge`: runs an edge proxy with its dialog store, membership service and signal handlers."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
 @click.command()
 @click.argument("file", type=FILE)
 def edge(file: Path) -> None:
-    """Run an edge proxy by the terms in FILE until SIGTERM or SIGINT.
+    """Run an edge proxy with the configuration in FILE until SIGTERM or SIGINT.
 
-    Logs go to standard error. SIGHUP reads FILE again. SIGTERM takes no more dialogs, lets those here have
-    their answers, and ends.
+    Logs go to standard error. On SIGHUP, FILE is reloaded. On SIGTERM, the edge proxy accepts no new dialogs,
+    answers the pending ones, and exits.
     """
     config = load_edge_config(file)
     logs.configure_logging(config.log)
@@ -76,9 +76,10 @@
 
 @contextmanager
 def _open_store(config: EdgeConfig) -> Iterator[DialogStore | None]:
-    """The dialog store of the configuration, if any.
+    """Opens the configured dialog store; yields None if none is configured.
 
-    One that can't be read is set aside whole: its records are lost, but the proxy serves.
+    A store that can't be read is moved aside and replaced by an empty one: its records are lost, but the edge
+    proxy still serves callers.
     """
     ledger = config.ledger
     if not ledger.folder:
@@ -95,7 +96,10 @@
 
 
 async def _serve_signals(proxy: EdgeProxy, file: Path) -> None:
-    """One reload runs at a time and one more may wait, however many signals come; a stop waits for none."""
+    """Handles the process's signals.
+
+    At most one reload runs and one is pending, however many SIGHUPs arrive. A stop waits for no reload.
+    """
     send_request, requests = trio.open_memory_channel[None](1)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_serve_reloads, proxy, file, requests)
@@ -113,8 +117,10 @@
 
 
 async def _serve_reloads(proxy: EdgeProxy, file: Path, requests: trio.MemoryReceiveChannel[None]) -> None:
-    """Reads FILE at each request. A file that can't be used, and any error in reading it, leaves the present
-    configuration in force and the instance running."""
+    """Reloads the configuration file at each request.
+
+    If the file is invalid or reading it fails, the edge proxy keeps running with its current configuration.
+    """
     async for _ in requests:
         try:
             config = await load_when_stable(file)
--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -1,4 +1,4 @@
-"""`valverouter experiment ...`: factors, levels and seeds on the emulator."""
+"""`valverouter experiment ...`: experiments with factors, levels and seeds on the emulator."""
 
 from __future__ import annotations
 
@@ -18,19 +18,22 @@
 
 @click.group()
 def experiment() -> None:
-    """Factors, levels and seeds on the emulator, kept and compared."""
+    """Run experiments with factors, levels and seeds on the emulator, and compare the stored runs."""
 
 
-STORE = click.option("--store", type=FILE, default=Path("runs.db"), show_default=True, help="The kept runs.")
+STORE = click.option(
+    "--store", type=FILE, default=Path("runs.db"), show_default=True, help="The file of stored runs."
+)
 
 
 @experiment.command("run")
 @click.argument("file", type=FILE)
 @STORE
-@click.option("--jobs", default=4, show_default=True, help="Processes at once.")
+@click.option("--jobs", default=4, show_default=True, help="The number of worker processes.")
 def experiment_run(file: Path, store: Path, jobs: int) -> None:
-    """Play the runs of FILE that are not kept yet; cut off, it goes on where it was."""
-    # Here and below: importing scipy takes half a second, which no other command should spend.
+    """Run the runs of FILE that are not stored yet; an interrupted experiment can be resumed."""
+    # Imported in the functions, here and below: importing scipy takes half a second, which would delay every
+    # other command.
     from valverouter.experiments.plan import load_plan
     from valverouter.experiments.runner import run_all
 
@@ -41,16 +44,16 @@
         played = run_all(
             plan.runs(), store, jobs, lambda done, every: bars.update(task, completed=done, total=every)
         )
-    console.print(f"{played} runs played, the others were kept", highlight=False)
+    console.print(f"{played} runs executed, the others were already stored", highlight=False)
 
 
 @experiment.command("report")
 @click.argument("file", type=FILE)
 @STORE
-@click.option("--figure", default="service", show_default=True, help="Which figure is compared.")
-@click.option("--html", type=FILE, help="A page with charts in this file too.")
+@click.option("--figure", default="service", show_default=True, help="The metric to compare.")
+@click.option("--html", type=FILE, help="Also write a page with charts to this file.")
 def experiment_report(file: Path, store: Path, figure: str, html: Path | None) -> None:
-    """Means with their intervals, and paired differences from the baseline, of the kept runs of FILE."""
+    """Show means, confidence intervals and paired differences from the baseline for FILE's stored runs."""
     from valverouter.experiments.plan import load_plan
     from valverouter.experiments.report import collect_cells, report_page
     from valverouter.experiments.runner import RunStore
@@ -59,7 +62,7 @@
     with closing(RunStore(store)) as kept:
         cells = collect_cells(plan, kept)
     if not cells:
-        raise ValueError(f"{store}: no run of {file} is kept there; experiment run comes first")
+        raise ValueError(f"{store}: contains no run of {file}; run `experiment run` first")
     tables.print_cells(console, cells, plan.baseline, figure)
     if html is not None:
         html.write_text(report_page(plan, cells, figure))
@@ -67,11 +70,11 @@
 
 @experiment.command("day")
 @click.argument("file", type=FILE)
-@click.option("--html", type=FILE, required=True, help="The page goes here.")
+@click.option("--html", type=FILE, required=True, help="Write the page to this file.")
 def experiment_day(file: Path, html: Path) -> None:
-    """Emulate the day in FILE, print accounts and verdict, and draw it second by second on a page.
+    """Emulate the scenario in FILE, print accounts and verdict, and write a page with charts by second.
 
-    Exits with 1 when a rule was broken.
+    Exits with 1 if a rule was violated.
     """
     from valverouter.experiments.scenario_page import render_scenario_page
     from valverouter.scenarios.emulated import run_emulated
@@ -84,19 +87,19 @@
 
 @experiment.command("search")
 @click.argument("file", type=FILE)
-@click.option("--out", type=FILE, required=True, help="The day that was found goes here.")
-@click.option("--jobs", default=4, show_default=True, help="Processes at once.")
+@click.option("--out", type=FILE, required=True, help="Write the scenario that was found to this file.")
+@click.option("--jobs", default=4, show_default=True, help="The number of worker processes.")
 def experiment_search(file: Path, out: Path, jobs: int) -> None:
-    """Seek the day on which the module loses most, or comes nearest to a broken rule, and cut it down."""
+    """Search for the scenario in which the policy does worst or comes nearest to a violation; simplify it."""
     from valverouter.experiments.search import CandidateScorer, format_scenario_file, minimize
-    from valverouter.experiments.search import search as find_worst_day
+    from valverouter.experiments.search import search as find_worst_scenario
     from valverouter.experiments.search_config import load_search
 
     config, base, text = load_search(file)
     base_rate = base.callers.rate
     scorer = CandidateScorer(config, text, base_rate)
-    worst, score, evaluation_count = find_worst_day(config, base, scorer, jobs)
-    console.print(f"{evaluation_count} days judged; the worst scores {score:+.3f}", highlight=False)
+    worst, score, evaluation_count = find_worst_scenario(config, base, scorer, jobs)
+    console.print(f"{evaluation_count} scenarios evaluated; the worst scores {score:+.3f}", highlight=False)
     simplest, simplest_score = minimize(worst, scorer, 0.8 * score, config.budget // 4)
     summary = (
         f"Found by a search for {config.seeks}: {simplest_score:+.3f}, seed {config.seed}; "
@@ -104,4 +107,4 @@
     )
     out.write_text(format_scenario_file(simplest, text, base_rate, summary), "utf-8")
     kinds = ", ".join(fault.kind for fault in simplest.faults)
-    console.print(f"cut down to {kinds}: {simplest_score:+.3f}; {out}", highlight=False, soft_wrap=True)
+    console.print(f"simplified to {kinds}: {simplest_score:+.3f}; {out}", highlight=False, soft_wrap=True)
--- a/valverouter/cli/fleet.py
+++ b/valverouter/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`valverouter fleet ...`: the fleet as its instances see it, its processes, and operations on it."""
+"""`valverouter fleet ...`: the instances' views of the fleet, the control plane, and operations."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @click.group()
 def fleet() -> None:
-    """The fleet as its instances see it."""
+    """Show the instances' views of the fleet, run its processes, and operate on instances."""
 
 
 @fleet.command("emulate")
 @click.argument("file", type=FILE)
-@click.option("--members", default=0, help="How many; 0: the day's own edge proxies.")
+@click.option("--members", default=0, help="The number of members; 0: the scenario's edge proxies.")
 def emulate(file: Path, members: int) -> None:
-    """Play the faults between edge proxies of the day in FILE on the emulator, the view alone.
+    """Emulate the membership views of the scenario in FILE under its faults between edge proxies.
 
-    Exits with 1 where the views did not become one in the time that the file allows.
+    Exits with 1 if the views did not converge in the time that FILE allows.
     """
     result = run_emulated_membership(load_scenario(file), members)
     counts = ", ".join(f"{kind} {count}" for kind, count in sorted(result.event_counts.items()))
@@ -37,14 +37,14 @@
     console.print(f"{result.messages_per_second:.1f} messages a second each", highlight=False)
     allowed = result.max_convergence_time / NS_PER_S
     if result.convergence_time is None:
-        console.print(f"not one view {allowed:.1f} s after the last fault", highlight=False)
+        console.print(f"no common view {allowed:.1f} s after the last fault", highlight=False)
         sys.exit(RULE_VIOLATED)
     after = result.convergence_time / NS_PER_S
-    console.print(f"one view {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
+    console.print(f"one view {after:.1f} s after the last fault ({allowed:.1f} s allowed)", highlight=False)
 
 
 def _hidden_alias(command: click.Command, former_name: str) -> click.Command:
-    """The same command under its former name, which the help does not list."""
+    """Returns the same command under its former name, hidden from the help."""
     alias = copy.copy(command)
     alias.name = former_name
     alias.hidden = True
--- a/valverouter/cli/fleet_processes.py
+++ b/valverouter/cli/fleet_processes.py
@@ -1,4 +1,4 @@
-"""`valverouter fleet raft-server` and `fleet supervisor`: the processes beside the edge proxies."""
+"""`valverouter fleet raft-server` and `fleet supervisor`: the control plane's processes."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     "--found",
     "bootstrap",
     is_flag=True,
-    help="The first node of a new raft group; once, at one node.",
+    help="Bootstrap a new raft group with this node as its first; use once, at one node.",
 )
 def raft_server(file: Path, bootstrap: bool) -> None:
-    """Run a node of the control plane by the settings in FILE until SIGTERM or SIGINT.
+    """Run a raft server of the control plane with the settings in FILE until SIGTERM or SIGINT.
 
-    A node whose store is empty waits to be admitted by the others. Logs go to standard error.
+    A server whose store is empty waits until the others add it to the raft group. Logs go to standard error.
     """
     config = load_raft_server(file)
     logs.configure_logging(config.log)
@@ -54,7 +54,11 @@
 
 
 def _open_store(config: RaftServerConfig) -> RaftStore:
-    """Open the store; one that can't be read whole is set aside, and the node is another member then."""
+    """Opens the raft store.
+
+    A store that can't be read is moved aside and replaced by an empty one; the server is then a new member of
+    the raft group, with a new id.
+    """
     fresh = secrets.randbits(63)
     opened = open_or_set_aside(config.store, lambda: RaftStore(config.store, fresh), RaftStore.load)
     if opened.problem:
@@ -72,11 +76,11 @@
 @click.command("supervisor")
 @click.argument("file", type=FILE)
 def supervisor(file: Path) -> None:
-    """Supervise one instance by the settings in FILE until SIGTERM or SIGINT.
+    """Supervise one instance with the settings in FILE until SIGTERM or SIGINT.
 
-    Asked to end, it stops its instance first, and reports that to the control plane, which counts the
-    instance as out without a permit. Killed, it leaves its instance running, and adopts it when it is started
-    again.
+    On these signals the supervisor first stops its instance and reports this to the control plane, which
+    counts the instance as unavailable without a permit. If the supervisor is killed, its instance keeps
+    running and is adopted when the supervisor starts again.
     """
     config = load_supervisor(file)
     logs.configure_logging(config.log)
@@ -102,7 +106,7 @@
 
 
 async def _on_stop_signals(callback: Callable[[], None]) -> None:
-    """Call back at each signal: a second one that met no handler would end the process at once."""
+    """Calls `callback` at each signal; without a handler, a second signal would end the process at once."""
     with receive_signals(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             callback()
--- a/valverouter/cli/fleet_view.py
+++ b/valverouter/cli/fleet_view.py
@@ -1,4 +1,4 @@
-"""`valverouter fleet view`: instances are queried for their views, which are compared and shown."""
+"""`valverouter fleet view`: queries instances for their membership views, compares and prints them."""
 
 from __future__ import annotations
 
@@ -20,29 +20,38 @@
 from valverouter.fleet.view_comparison import ViewAnswer, is_converged
 from valverouter.membership.records import LIVE_STATES
 
-# Exit codes beside 0.
+# Exit codes besides 0: the views differ or are not settled; no instance answered.
 NOT_CONVERGED, NO_ANSWER = RULE_VIOLATED, INVALID_INPUT
-# Instances that one call queries at most, however large the fleet.
+# The default limit of the instances that one query contacts, however large the fleet.
 MAX_QUERIED = 64
 WATCH_INTERVAL_S = 1.0
 
 
 @click.command("view")
 @click.argument("file", type=FILE)
-@click.option("--at", "at", multiple=True, metavar="IP:PORT", help="Ask there, and nobody else; several.")
-@click.option("--json", "as_json", is_flag=True, help="All answers as JSON.")
-@click.option("--metrics", is_flag=True, help="Counts and states in Prometheus' text form.")
-@click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
-@click.option("--most", default=MAX_QUERIED, show_default=True, help="How many instances are asked.")
+@click.option(
+    "--at",
+    "at",
+    multiple=True,
+    metavar="IP:PORT",
+    help="Query only the instance at this address; may be repeated.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print all answers as JSON.")
+@click.option("--metrics", is_flag=True, help="Print counters and states in the Prometheus text format.")
+@click.option("--watch", is_flag=True, help="Repeat every second until interrupted.")
+@click.option(
+    "--most", default=MAX_QUERIED, show_default=True, help="The maximum number of instances to query."
+)
 def view(file: Path, at: tuple[str, ...], as_json: bool, metrics: bool, watch: bool, most: int) -> None:
-    """Ask instances for their view of the fleet and show where they differ.
+    """Query instances for their views of the fleet and show the differences.
 
-    FILE is the terms of any instance: its key and its seeds are used. Asked are those, and whom they name.
-    Exits with 0 where all that were asked are settled on one view, 1 where not, 2 where nobody answered.
+    FILE is the configuration of any instance; its key and seeds are used. The instance itself, its seeds and
+    the members that their answers contain are queried. Exits with 0 if all queried instances have settled on
+    one view, 1 if not, 2 if no instance answered.
     """
     gossip_config = load_edge_config(file).between
     if gossip_config is None:
-        raise ValueError(f"{file}: has no [between], so its instance keeps no view")
+        raise ValueError(f"{file}: has no [between], so its instance keeps no view of the fleet")
     while True:
         answers = trio.run(_query, gossip_config, at, most)
         code = _exit_code(answers)
@@ -64,7 +73,10 @@
 
 
 async def _query(gossip_config: GossipConfig, at: tuple[str, ...], max_queried: int) -> list[ViewAnswer]:
-    """Query the addresses given, else the file's instance, its seeds and then the members that they name."""
+    """Queries the addresses `at`; if there are none, the file's instance, its seeds and their known members.
+
+    At most `max_queried` instances are queried.
+    """
     addresses = list(at) or [
         address
         for address in (gossip_config.advertise or gossip_config.listen, *gossip_config.seeds)
@@ -93,7 +105,7 @@
     complete = by_incarnation(answers)
     if not complete:
         return NO_ANSWER
-    # A seed that is no member's address any more answers nothing, and says nothing of those who are live.
+    # Only an unanswered address of a live member counts: a seed may be the address of a former member.
     silent = {answer.address for answer in answers if answer.missing_page is not None}
     live = {row.address for answer in complete.values() for row in answer.rows if row.state in LIVE_STATES}
     return 0 if is_converged(list(complete.values())) and not silent & live else NOT_CONVERGED
--- a/valverouter/cli/fleet_view_output.py
+++ b/valverouter/cli/fleet_view_output.py
@@ -1,6 +1,6 @@
-"""What `valverouter fleet view` prints: tables, JSON, or metrics in Prometheus' text form.
+"""The output of `valverouter fleet view`: tables, JSON, or metrics in the Prometheus text format.
 
-The keys of the JSON and the names of the metrics are read by the operators' programs and do not change.
+Operators' programs read the JSON keys and the metric names, so these do not change.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from valverouter.membership.records import MemberState, Phase
 
 MS_PER_S = 1_000
-# Units of an age with their seconds, the largest first.
+# Units of a duration and their lengths in seconds, largest first.
 AGE_UNITS = (("d", 86_400), ("h", 3_600), ("min", 60))
 
 
 def by_incarnation(answers: list[ViewAnswer]) -> dict[int, ViewAnswer]:
-    """The complete answers, one for each process: it may have been queried at two addresses."""
+    """Returns the complete answers, one per process; a process may have been queried at two addresses."""
     return {answer.incarnation: answer for answer in answers if answer.missing_page is None}
 
 
 def print_json(answers: list[ViewAnswer], converged: bool) -> None:
-    """Print all answers as one line of JSON."""
+    """Prints all answers as one line of JSON."""
     complete = by_incarnation(answers)
     page = {
         "settled": converged,
@@ -69,12 +69,12 @@
 
 
 def _phase(row: MemberRow) -> str:
-    """The phase's name; its number where a later version of the program has sent it."""
+    """Returns the phase's name, or its number if it is unknown here because a later version sent it."""
     return Phase(row.phase).name.lower() if row.phase in list(Phase) else str(row.phase)
 
 
 def print_metrics(answers: list[ViewAnswer]) -> None:
-    """Print each instance's members by state, its counts since its start, and whether it is settled."""
+    """Prints each instance's members by state, its event counts, and whether its view is settled."""
     for answer in by_incarnation(answers).values():
         states = {state: 0 for state in MemberState}
         for row in answer.rows:
@@ -89,13 +89,13 @@
 
 
 def print_tables(answers: list[ViewAnswer], converged: bool) -> None:
-    """Print the views by their digest, the members as most instances see them, and the differences."""
+    """Prints the views by digest, the members in the most common view, and the differences between views."""
     complete = list(by_incarnation(answers).values())
     for answer in answers:
         if answer.missing_page is not None:
             console.print(f"no answer from {answer.address}", highlight=False)
     if not complete:
-        console.print("nobody was reached", highlight=False)
+        console.print("no instance answered", highlight=False)
         return
     views = _by_digest(complete)
     _print_digests(views)
@@ -115,7 +115,7 @@
 
 
 def _print_digests(views: dict[int, list[ViewAnswer]]) -> None:
-    """Those that most instances have first."""
+    """Prints the views by digest, the most common first."""
     for digest, holders in sorted(views.items(), key=lambda item: -len(item[1])):
         healths = sorted({answer.view_health for answer in holders})
         names = ", ".join(sorted(answer.name for answer in holders))
@@ -123,7 +123,7 @@
 
 
 def _print_members(answer: ViewAnswer) -> None:
-    """Narrow columns: a table fits 80 characters."""
+    """Prints the members of a view, in a table that fits in 80 characters."""
     table = Table(box=None, pad_edge=False, title=f"as {answer.name} sees it", title_justify="left")
     columns: list[tuple[str, Callable[[MemberRow], str]]] = [
         ("member", lambda row: row.name or "?"),
@@ -150,7 +150,7 @@
 
 
 def _since(row: MemberRow) -> str:
-    """How long the member has been in its state, in the largest unit of which there are two or more."""
+    """Returns how long the member has been in its state, in the largest unit that gives at least 2."""
     if row.state == MemberState.UNKNOWN:
         return ""
     seconds = row.since_ms // MS_PER_S
--- a/valverouter/cli/ledger.py
+++ b/valverouter/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`valverouter ledger ...`: the store of dialogs that an edge proxy still has to answer."""
+"""`valverouter ledger ...`: inspects and repairs an edge proxy's dialog store."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @click.group()
 def ledger() -> None:
-    """The store of dialogs that an edge proxy owes answers to."""
+    """Inspect and repair the dialog store, which has the dialogs that an edge proxy must still answer."""
 
 
 def _open_existing(folder: Path) -> DialogStore:
-    # Opening makes a store where there is none: a slip in the path would read as an empty one.
+    # DialogStore creates a missing store, so a mistyped path would show as an empty store.
     if not (folder / DATA_FILE).exists():
         raise ValueError(f"{folder}: there is no store")
     return DialogStore(folder)
@@ -35,7 +35,7 @@
 @ledger.command("inspect")
 @click.argument("folder", type=FILE)
 def ledger_inspect(folder: Path) -> None:
-    """What the store in FOLDER holds, by phase."""
+    """Show the size of the store in FOLDER and its dialogs by phase."""
     with _open_existing(folder) as store:
         records = [entry for entry in store.records() if isinstance(entry, DialogRecord)]
         sizes = f"{store.live_bytes()} bytes live, {store.bytes_in_use()} used"
@@ -48,7 +48,7 @@
 @ledger.command("verify")
 @click.argument("folder", type=FILE)
 def ledger_verify(folder: Path) -> None:
-    """Read every entry in FOLDER; exits with 1 when one is damaged."""
+    """Read every entry of the store in FOLDER; exits with 1 if one is damaged."""
     with _open_existing(folder) as store:
         damaged = store.damaged_entries()
     for entry in damaged:
@@ -60,7 +60,7 @@
 @ledger.command("repair")
 @click.argument("folder", type=FILE)
 def ledger_repair(folder: Path) -> None:
-    """Take damaged entries out of the store in FOLDER, and say what is lost by it."""
+    """Remove the damaged entries from the store in FOLDER and list them."""
     with _open_existing(folder) as store:
         lost = store.repair()
     for entry in lost:
@@ -71,7 +71,7 @@
 @ledger.command("export")
 @click.argument("folder", type=FILE)
 def ledger_export(folder: Path) -> None:
-    """Every readable record in FOLDER as a JSON line on standard output."""
+    """Print every readable record of the store in FOLDER as a line of JSON."""
     with _open_existing(folder) as store:
         for entry in store.records():
             if isinstance(entry, DialogRecord):
--- a/valverouter/cli/load_runs.py
+++ b/valverouter/cli/load_runs.py
@@ -1,4 +1,4 @@
-"""Runs and prints what `valverouter load` asks for: given rates, a search for a rate, a comparison."""
+"""The modes of `valverouter load`: runs at given rates, a search for the highest rate, and a comparison."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 from valverouter.load_test.rate_search import highest_rate
 from valverouter.load_test.target import target
 
-# How long the fakes outlive the runs that are planned; they end by themselves.
+# The fakes exit by themselves this long after the planned end of the runs.
 FAKES_MARGIN_S = 60
-# What a run takes besides the time in which it dials.
+# The duration of a run beyond the time in which it dials.
 RUN_MARGIN_S = 15
-# A search starts at this rate and takes at most so many runs.
+# The rate at which a search starts, in dialogs per second.
 MIN_RATE = 20.0
+# A search takes at most this many runs; its fakes stay up for as long.
 MAX_SEARCH_RUNS = 25
 
 
 def format_sample(sample: LoadSample) -> str:
-    """A run's counts and latencies as one line."""
+    """Formats a run's counts and latencies as one line."""
     p50, p99, p999 = (sample.latency_percentile(percent) for percent in (50, 99, 99.9))
     return (
         f"{sample.rate:.0f}/s: {sample.offered} offered, {sample.established} stood, "
@@ -37,7 +38,7 @@
 async def run_at_rates(
     console: Console, file: Path, rates: tuple[float, ...], seconds: float, histogram: Path | None
 ) -> None:
-    """One run at each rate; the last one's latencies go into the file `histogram`."""
+    """Runs once at each rate; writes the last run's latencies to the file `histogram`."""
     scenario = load_scenario(file)
     with tempfile.TemporaryDirectory() as folder:
         async with target(
@@ -54,7 +55,10 @@
 async def find_highest_rate(
     console: Console, file: Path, seconds: float, share: float, max_rate: float
 ) -> None:
-    """Searches for the highest rate at which the fraction `share` is established within the objective."""
+    """Searches for the highest rate at which the fraction `share` of the dialogs meets the latency objective.
+
+    The objective is the shortest one of the scenario's traffic types.
+    """
     scenario = load_scenario(file)
     objective = min(kind.objective for kind in scenario.traffic.values())
     runs = 0
@@ -77,7 +81,7 @@
         ) as address:
             found = await highest_rate(is_sustained, MIN_RATE, max_rate)
     console.print(
-        f"highest rate at which {share:.1%} stand within {objective / 1e6:.0f} ms: {found:.0f}/s",
+        f"highest rate at which {share:.1%} are established within {objective / 1e6:.0f} ms: {found:.0f}/s",
         highlight=False,
     )
 
@@ -85,7 +89,10 @@
 async def compare(
     console: Console, files: tuple[Path, Path], rates: tuple[float, ...], seconds: float, rounds: int
 ) -> None:
-    """Compares two scenarios: their runs alternate, and rounds swap the order, so that drift affects both."""
+    """Compares two scenarios in alternating runs.
+
+    Each round swaps the order, so that drift of the machine affects both alike.
+    """
     scenarios = [load_scenario(file) for file in files]
     duration = rounds * len(rates) * 2 * (seconds + RUN_MARGIN_S) + FAKES_MARGIN_S
     with tempfile.TemporaryDirectory() as first_folder, tempfile.TemporaryDirectory() as second_folder:
@@ -107,7 +114,7 @@
                         )
                 if rounds > 1:
                     difference = paired_difference(*p99)
-                    significance = "" if difference.is_significant else ", not shown"
+                    significance = "" if difference.is_significant else ", not significant"
                     console.print(
                         f"p99 at {rate:.0f}/s, {files[1].stem} less {files[0].stem}: "
                         f"{difference.mean:+.2f} ± {difference.half_width:.2f} ms{significance}",
--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the command line to the control plane, each over a socket of its own."""
+"""Requests from the command line to the control plane, each over its own socket."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 from valverouter.rollout.operations import Command, Submit, SubmitResult
 from valverouter.rollout.status import FleetStatus, OperationStatus
 
-# Exit codes: an operation ended in part or halted; nobody answered, or an operation is not known.
+# Exit codes: an operation was halted or was done only in part; no raft leader answered, or the operation is
+# unknown to it.
 PARTLY_DONE, OUTCOME_UNKNOWN = RULE_VIOLATED, FAILED
 TIMEOUT_S = 10.0
 FOLLOW_INTERVAL_S = 1.0
@@ -31,17 +32,17 @@
 
 
 def wall_clock_ms() -> int:
-    """The time to show beside an operation, ms since 1970."""
+    """Returns the time to be shown with an operation, in ms since 1970."""
     return time.time_ns() // 1_000_000
 
 
 def plan(file: Path, operation: Submit) -> SubmitResult:
-    """The waves of an operation if it were submitted now, or why it would be rejected."""
+    """Returns the waves of an operation if it were submitted now, or why it would be rejected."""
     return _submit(file, RequestKind.PLAN, operation)
 
 
 def submit(file: Path, operation: Submit) -> SubmitResult:
-    """Submits an operation: its waves, or why it is rejected."""
+    """Submits an operation; returns its waves, or why it was rejected."""
     return _submit(file, RequestKind.EXECUTE, operation)
 
 
@@ -53,24 +54,24 @@
 
 
 def execute(file: Path, command: Command, subject: str) -> None:
-    """Executes a command about an operation or instance `subject`, for the message where nobody answers."""
+    """Executes a command; `subject`, an operation or instance, is named in the error if no leader answers."""
     if _request(file, RequestKind.EXECUTE, command, dict) is None:
         _exit_outcome_unknown(subject)
 
 
 def fleet_status(file: Path, about: str = "") -> FleetStatus:
-    """The fleet's status; `about`: see `rollout.status.fleet_status`. Ends the process if nobody answers."""
+    """Returns the fleet's status; `about`: see `rollout.status.fleet_status`. Exits if no leader answers."""
     status = _request(file, RequestKind.SHOW, None, FleetStatus, about)
     if status is None:
-        console.print("nobody of the council who leads was reached", highlight=False)
+        console.print("no raft leader answered", highlight=False)
         sys.exit(OUTCOME_UNKNOWN)
     return status
 
 
 def follow(file: Path, id_: str, as_json: bool) -> None:
-    """Prints an operation's progress until it ends; ends the process where it was not all done.
+    """Prints an operation's progress until it ends; exits if it was not done completely.
 
-    Interrupted, it ends the printing alone.
+    Interrupting this command does not affect the operation.
     """
     operation = _wait_for_end(file, id_, is_quiet=as_json)
     if as_json:
@@ -102,7 +103,7 @@
 def _request(
     file: Path, kind: RequestKind, command: Command | None, answer_type: type[Answer], about: str = ""
 ) -> Answer | None:
-    """The leader's answer; None where no leader answered in time."""
+    """Sends a request; returns the leader's answer, or None if no leader answered within TIMEOUT_S."""
     config = load_fleet_client(file)
 
     async def send() -> Answer | None:
@@ -118,5 +119,7 @@
 
 
 def _exit_outcome_unknown(subject: str) -> NoReturn:
-    console.print(f"unknown what became of {subject or 'it'}: no answer; ask by its id", highlight=False)
+    console.print(
+        f"no answer, so what became of {subject or 'it'} is unknown; query it by its id", highlight=False
+    )
     sys.exit(OUTCOME_UNKNOWN)
--- a/valverouter/cli/operation_selection.py
+++ b/valverouter/cli/operation_selection.py
@@ -1,4 +1,4 @@
-"""Which instances an operation of the command line is meant for."""
+"""Selects the instances of an operation by names and selectors from the command line."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 
 
 class SelectionError(ValueError):
-    """A selector means an instance, region, version or state that is not there, or nobody at all."""
+    """A selector names an unknown instance, region, version or state, or no instance is selected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """Instances by name, and all that match each kind of selector that was given."""
+    """Names of instances, and selectors; an instance must match each kind of selector that is given.
+
+    `everybody`: all instances of the kind. `servers`: servers instead of edge proxies.
+    """
 
     names: tuple[str, ...]
     regions: tuple[str, ...]
@@ -28,11 +31,11 @@
 
     @property
     def has_selectors(self) -> bool:
-        """Whether instances are meant that are not named."""
+        """Whether instances can be selected other than by name."""
         return bool(self.regions or self.states or self.versions or self.everybody)
 
     def matches(self, instance: InstanceStatus) -> bool:
-        """Whether the instance is named, or all selectors that were given mean it."""
+        """Whether the instance is named, or matches all selectors that are given."""
         return instance.name in self.names or (
             self.has_selectors
             and (not self.regions or instance.region in self.regions)
@@ -44,10 +47,10 @@
 def select_instances(
     instances: Sequence[InstanceStatus], kind: OperationKind, version: str, selection: Selection
 ) -> list[str]:
-    """Names of the selected instances that the operation has something to do with.
+    """Returns the names of the selected instances to which the operation applies.
 
-    Those that a release has brought to its version before, and those that are drained (for an undrain: that
-    are not), are left out unless they are named. Raises SelectionError where nobody is left.
+    Unless they are named, instances that already have the release's version and drained instances (for an
+    undrain: those not drained) are omitted. Raises SelectionError if none is left.
     """
     instance_kind = "server" if selection.servers else "edge proxy"
     candidates = [instance for instance in instances if instance.kind == instance_kind]
@@ -63,7 +66,7 @@
         is_undrain = kind is OperationKind.UNDRAIN
         selected = [instance for instance in selected if (instance.state == "drained") is is_undrain]
     if not selected:
-        raise SelectionError("that means nobody: give names, --region, --version, --state or --all")
+        raise SelectionError("no instance is selected: give names, --region, --version, --state or --all")
     return [instance.name for instance in selected]
 
 
@@ -81,4 +84,4 @@
     for value in values:
         if value not in known:
             listed = ", ".join(sorted(known)) or "none"
-            raise SelectionError(f"nobody is of {selector} {value!r}; known: {listed}")
+            raise SelectionError(f"no instance has {selector} {value!r}; known: {listed}")
--- a/valverouter/cli/operations.py
+++ b/valverouter/cli/operations.py
@@ -1,6 +1,7 @@
 """`valverouter fleet drain|undrain|restart|release|halt|back|retire|status|history`: operations on the fleet.
 
-Clients of the control plane: whatever becomes of this process, an operation goes on, and is found by its id.
+The commands are clients of the control plane: an operation continues if the command's process ends, and is
+identified by its id.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 from valverouter.rollout.operations import Cancel, Command, OperationKind, Retire, Submit, SubmitResult
 from valverouter.rollout.status import ALL_OPERATIONS, OperationStatus
 
-# The exit code of an operation that is rejected.
+# The exit code if an operation is rejected.
 REJECTED = INVALID_INPUT
 STATUS_INTERVAL_S = 1.0
-# Who submits, as the status shows it.
+# The submitting client, as stored with an operation.
 CLIENT_NAME = "tool"
 OPERATION_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
 
@@ -36,7 +37,7 @@
 
 def _valid_id(context: click.Context, option: click.Parameter, id_: str) -> str:
     if id_ and not OPERATION_ID.fullmatch(id_):
-        raise click.BadParameter("letters, digits, dots, dashes and underlines, 64 at most")
+        raise click.BadParameter("must be 1 to 64 letters, digits, dots, dashes or underscores")
     return id_
 
 
@@ -52,11 +53,18 @@
 _selection = _combine_options(
     click.argument("file", type=FILE),
     click.argument("names", nargs=-1),
-    click.option("--region", "regions", multiple=True, help="All of this region; several."),
-    click.option("--version", "versions", multiple=True, help="All that run this version; several."),
-    click.option("--state", "states", multiple=True, help="All that are in, out, away or drained; several."),
-    click.option("--servers", is_flag=True, help="Of the servers, not of the edge proxies."),
-    click.option("--all", "everybody", is_flag=True, help="All of them."),
+    click.option("--region", "regions", multiple=True, help="All of this region; may be repeated."),
+    click.option(
+        "--version", "versions", multiple=True, help="All whose desired version is this; may be repeated."
+    ),
+    click.option(
+        "--state",
+        "states",
+        multiple=True,
+        help="All in this state: in, out, away or drained; may be repeated.",
+    ),
+    click.option("--servers", is_flag=True, help="Select servers instead of edge proxies."),
+    click.option("--all", "everybody", is_flag=True, help="Select all instances."),
 )
 _submission = _combine_options(
     click.option(
@@ -64,11 +72,13 @@
         "id_",
         default="",
         callback=_valid_id,
-        help="The operation's own id; submitted again, it is the same operation.",
+        help="The operation's id; submitting the same id again does not start a second operation.",
+    ),
+    click.option("--dry-run", is_flag=True, help="Show the waves without submitting the operation."),
+    click.option(
+        "--no-wait", is_flag=True, help="Return at once instead of following the operation to its end."
     ),
-    click.option("--dry-run", is_flag=True, help="Show the waves; nothing is submitted."),
-    click.option("--no-wait", is_flag=True, help="Do not follow the operation to its end."),
-    click.option("--json", "as_json", is_flag=True, help="The operation as JSON, once it is known."),
+    click.option("--json", "as_json", is_flag=True, help="Print the operation as JSON when it has ended."),
 )
 
 
@@ -83,7 +93,10 @@
     as_json: bool,
     **selection: Any,
 ) -> None:
-    """Selects, plans, submits and follows an operation; `selection` are the fields of a `Selection`."""
+    """Selects instances, submits an operation and follows it, or prints its waves if `dry_run`.
+
+    `selection` contains the fields of a `Selection`.
+    """
     status = fleet_status(file)
     instances = select_instances(status.instances, kind, version, Selection(**selection))
     operation = Submit(
@@ -103,17 +116,15 @@
 
 
 def _submit(file: Path, operation: Submit) -> None:
-    """Submits an operation; its id is printed before, by which it is found whatever becomes of this
-    process.
-    """
+    """Prints an operation's id and submits it; the id is known even if this process then ends early."""
     console.print(f"order {operation.id}", highlight=False)
     _exit_if_rejected(submit(file, operation))
 
 
 def _exit_if_rejected(result: SubmitResult) -> SubmitResult:
-    """Ends the process where the operation is rejected."""
+    """Returns the result; exits if the operation was rejected."""
     if result.rejection:
-        console.print(f"refused: {result.rejection}", highlight=False, soft_wrap=True)
+        console.print(f"rejected: {result.rejection}", highlight=False, soft_wrap=True)
         sys.exit(REJECTED)
     return result
 
@@ -122,10 +133,10 @@
 @_selection
 @_submission
 def drain(**options: Any) -> None:
-    """Take instances out, and leave them out until undrain.
+    """Take instances out of service until they are undrained.
 
-    FILE is the settings of any raft server or supervisor. Exits with 0 done, 1 in part or halted, 2
-    rejected, 3 unknown.
+    FILE is the settings of any raft server or supervisor. Exit codes: 0 done, 1 halted or done only in part,
+    2 rejected, 3 outcome unknown.
     """
     _run(OperationKind.DRAIN, "", **options)
 
@@ -134,7 +145,7 @@
 @_selection
 @_submission
 def undrain(**options: Any) -> None:
-    """Bring drained instances in again."""
+    """Return drained instances to service."""
     _run(OperationKind.UNDRAIN, "", **options)
 
 
@@ -148,10 +159,12 @@
 
 @click.command("release")
 @_selection
-@click.option("--to", "version", required=True, help="The version, a label of the supervisors' settings.")
+@click.option(
+    "--to", "version", required=True, help="The target version, as labelled in the supervisors' settings."
+)
 @_submission
 def release(version: str, **options: Any) -> None:
-    """Bring instances to a version, wave by wave, while the evidence lets it."""
+    """Move instances to a version, wave by wave, unless the canary comparison halts it."""
     _run(OperationKind.RELEASE, version, **options)
 
 
@@ -159,13 +172,13 @@
 @click.argument("file", type=FILE)
 @click.argument("order", default="")
 @click.option("--why", default="by hand", show_default=True)
-@click.option("--stay", is_flag=True, help="What was released stays at its new version.")
-@click.option("--hold", is_flag=True, help="Take no further operations either, until --over.")
-@click.option("--over", is_flag=True, help="Take operations again.")
+@click.option("--stay", is_flag=True, help="Keep released instances at the new version.")
+@click.option("--hold", is_flag=True, help="Also grant no permits to any operation until `halt --over`.")
+@click.option("--over", is_flag=True, help="Grant permits again.")
 def halt(file: Path, order: str, why: str, stay: bool, hold: bool, over: bool) -> None:
-    """Halt ORDER, or all: nothing further goes out, and what is out comes in.
+    """Halt the operation ORDER, or all: no further instance is taken out, and those that are out return.
 
-    What a release brought to its new version goes back, unless it is to stay.
+    Released instances return to their previous version, unless --stay is given.
     """
     commands: list[Command] = []
     if over:
@@ -184,7 +197,7 @@
 @click.option("--no-wait", is_flag=True)
 @click.option("--json", "as_json", is_flag=True)
 def back(file: Path, order: str, no_wait: bool, as_json: bool) -> None:
-    """Bring back what the release ORDER brought to its version, whether it goes or has ended."""
+    """Roll back the release ORDER, whether it is running or has ended."""
     release_status = _find_release(file, order)
     if release_status.phase != "ended":
         execute(file, Cancel(order, "back, by hand", True, wall_clock_ms()), order)
@@ -201,16 +214,19 @@
     for operation in fleet_status(file, id_).operations:
         if operation.id == id_ and operation.kind == OperationKind.RELEASE.value:
             return operation
-    raise ValueError(f"there is no release {id_!r}")
+    raise ValueError(f"unknown release {id_!r}")
 
 
 def _reverse(release_status: OperationStatus) -> Submit:
-    """The operation that brings an ended release's instances back to their one previous version."""
+    """Returns the operation that moves an ended release's instances back to their previous version.
+
+    Raises ValueError unless all of them had the same one.
+    """
     done = [participant for participant in release_status.participants if participant.status == "done"]
     versions = {participant.previous_version for participant in done}
     if len(versions) != 1:
         raise ValueError(
-            f"{release_status.id} brought instances from {len(versions)} versions: release them by name"
+            f"instances of {release_status.id} had {len(versions)} previous versions: release them by name"
         )
     names = tuple(participant.name for participant in done)
     id_ = f"{release_status.id}-back"
@@ -221,16 +237,16 @@
 @click.argument("file", type=FILE)
 @click.argument("name")
 def retire(file: Path, name: str) -> None:
-    """Strike NAME, which is no part of the fleet any more, and whatever waits for it goes on."""
+    """Remove the instance NAME, which has left the fleet for good; operations no longer wait for it."""
     execute(file, Retire(name), name)
 
 
 @click.command("status")
 @click.argument("file", type=FILE)
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--watch", is_flag=True, help="Again each second, until interrupted.")
+@click.option("--watch", is_flag=True, help="Repeat every second until interrupted.")
 def status(file: Path, as_json: bool, watch: bool) -> None:
-    """Who is out and by what, and the operations that are queued or active."""
+    """Show the instances that are out and their operations, and the operations that are queued or active."""
     while True:
         present = fleet_status(file)
         if watch and console.is_terminal:
@@ -249,13 +265,13 @@
 @click.argument("order", default="")
 @click.option("--json", "as_json", is_flag=True)
 def history(file: Path, order: str, as_json: bool) -> None:
-    """The operations on record, or one of them with what became of each instance."""
+    """Show all recorded operations, or the operation ORDER with the outcome for each instance."""
     about = order or (ALL_OPERATIONS if as_json else "")
     operations = [
         operation for operation in fleet_status(file, about).operations if order in ("", operation.id)
     ]
     if order and not operations:
-        raise ValueError(f"there is no order {order!r}")
+        raise ValueError(f"unknown operation {order!r}")
     if as_json:
         click.echo(msgspec.json.encode(operations).decode())
     else:
--- a/valverouter/cli/operations_output.py
+++ b/valverouter/cli/operations_output.py
@@ -1,4 +1,4 @@
-"""What the commands about operations print."""
+"""The output of the commands for operations."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from valverouter.rollout.status import FleetStatus, InstanceStatus, OperationStatus
 
 MS_PER_S = 1_000
-# Participants in one of these tell why.
+# Participants with one of these statuses are shown with the reason for it.
 EXPLAINED_STATUSES = ("waiting", "failed", "to return")
 
 
 def print_status(status: FleetStatus) -> None:
-    """Prints who leads, instances by state, those out of the ordinary, and the open operations."""
+    """Prints the raft leader, instances by state, instances in an unusual state, and open operations."""
     members = ", ".join(status.members)
     console.print(f"{status.node} leads in term {status.term}; council: {members}", highlight=False)
     if status.halt_reason:
@@ -33,7 +33,7 @@
 
 
 def print_history(operations: Sequence[OperationStatus], with_participants: bool) -> None:
-    """Prints operations in a table, and below it each one's participants."""
+    """Prints a table of operations; `with_participants` adds the outcome for each one's instances."""
     table = _table("order", "kind", "placed", "end", "instances")
     for operation in operations:
         table.add_row(
@@ -56,7 +56,7 @@
 
 
 def print_participants(operation: OperationStatus) -> None:
-    """Prints what became of each instance."""
+    """Prints a table of an operation's participants with their status, permit and reason."""
     table = _table("instance", "step", "permit", "why")
     for participant in operation.participants:
         permit = str(participant.permit_number or "")
@@ -65,7 +65,7 @@
 
 
 def print_waves(status: FleetStatus, operation: Submit, plan: SubmitResult) -> None:
-    """Prints which instances would go out when, and how many of their region stay."""
+    """Prints the instances of each wave, and how many instances of its region stay in service."""
     by_name = {instance.name: instance for instance in status.instances}
     kind = by_name[operation.instances[0]].kind
     sizes = Counter(instance.region for instance in status.instances if instance.kind == kind)
@@ -78,7 +78,10 @@
 
 
 def describe_progress(status: FleetStatus, operation: OperationStatus) -> str:
-    """An operation's phase, wave and participants in one line, and its evidence while that is awaited."""
+    """Formats an operation's phase, wave and participants as one line.
+
+    While a wave is being evaluated, the number of compared pairs is included.
+    """
     line = f"{operation.phase}, {_wave(operation)}: {_status_counts(operation)}"
     if status.min_pairs and operation.phase == "watching":
         line += f"; evidence: {status.compared_pairs} pairs, {status.min_pairs} at least"
--- a/valverouter/cli/regions.py
+++ b/valverouter/cli/regions.py
@@ -1,4 +1,4 @@
-"""`valverouter regions ...`: what crossed from region to region."""
+"""`valverouter regions ...`: cross-region traffic, and the least that a load requires."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 @click.group()
 def regions() -> None:
-    """What crossed from region to region, and what had better."""
+    """Report cross-region traffic, and compute the least that a load requires."""
 
 
 @regions.command("report")
 @click.argument("files", type=FILE, nargs=-1, required=True)
-@click.option("--edges", default=0, help="How many there are, to tell what is missing.")
-@click.option("--json", "as_json", is_flag=True, help="Rows as JSON in place of tables.")
+@click.option("--edges", default=0, help="The number of edge proxies; records missing from any are listed.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON instead of tables.")
 def regions_report(files: tuple[Path, ...], edges: int, as_json: bool) -> None:
-    """Merge the accounts that edge proxies left in FILES, by traffic type and pair of regions."""
+    """Sum the edge proxies' cross-region usage records in FILES by traffic type and pair of regions."""
     records = [[msgspec.json.decode(line) for line in file.read_bytes().splitlines()] for file in files]
     totals, missing = merge_totals(records), missing_records(records, edges)
     if as_json:
@@ -44,9 +44,8 @@
 @click.argument("file", type=FILE)
 @click.argument("records", type=FILE)
 def regions_plan(file: Path, records: Path) -> None:
-    """The least crossing that carries what RECORDS of the day in FILE show, within its capacities and
-    budgets.
+    """Compute the least cross-region traffic that carries the load in RECORDS of the scenario in FILE.
 
-    It advises; nothing is steered by it.
+    The capacities and budgets in FILE are respected. The plan is for information only; it controls nothing.
     """
     tables.print_plan(console, plan_scenario(load_scenario(file), traffic_record.read_rows(records)))
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""Plays scenarios and reads their records: `day`, `audit`, `calls`, `check`, `standin`, `load`."""
+"""Commands that run scenarios and read their records: `day`, `audit`, `calls`, `check`, `standin`, `load`."""
 
 from __future__ import annotations
 
@@ -31,13 +31,15 @@
 
 @click.command("day")
 @click.argument("file", type=FILE)
-@click.option("--virtual", is_flag=True, help="In virtual time, in memory: seconds, and exact.")
-@click.option("--records", type=FILE, help="Keep the rows of what passed in this file.")
+@click.option(
+    "--virtual", is_flag=True, help="Run in memory in virtual time: takes seconds and is deterministic."
+)
+@click.option("--records", type=FILE, help="Write the recorded traffic to this file.")
 @click.option("--logs", "folder", type=FILE, help="Keep the edge proxies' files and logs in this folder.")
 def play(file: Path, virtual: bool, records: Path | None, folder: Path | None) -> None:
-    """Play the scripted day in FILE, print what callers got and the audit's verdict.
+    """Run the scenario in FILE, and print the service that callers received and the audit's verdict.
 
-    Exits with 1 when a rule was broken.
+    Exits with 1 if a rule was violated.
     """
     scenario = load_scenario(file)
     logs.configure_logging(LogConfig(level="error"))
@@ -63,18 +65,18 @@
 @click.command("audit")
 @click.argument("records", type=FILE)
 def check_records(records: Path) -> None:
-    """Check the five rules over kept RECORDS; exits with 1 when one was broken."""
+    """Check the five rules on stored RECORDS; exits with 1 if one was violated."""
     rows = traffic_record.read_rows(records)
     if not any(isinstance(row, traffic_record.AuditConfigRow) for row in rows):
-        raise ValueError(f"{records}: holds no terms row, so there is nothing to check it against")
+        raise ValueError(f"{records}: has no audit configuration, so its traffic can't be checked")
     show_verdict(rows)
 
 
 @click.command("calls")
 @click.argument("records", type=FILE)
-@click.option("--out", type=FILE, required=True, help="The calls go here, as CSV.")
+@click.option("--out", type=FILE, required=True, help="Write the calls to this file, as CSV.")
 def export_calls(records: Path, out: Path) -> None:
-    """The first tries in kept RECORDS as a file that a day's `record` plays again."""
+    """Export the first dial attempts in stored RECORDS to a file that a scenario's `record` setting reads."""
     count = write_calls(out, recorded_calls(traffic_record.read_rows(records)))
     console.print(f"{count} calls; {out}", highlight=False, soft_wrap=True)
 
@@ -82,7 +84,7 @@
 @click.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Check an edge proxy's FILE, or a day's; prints every flaw with its line and reason."""
+    """Check an edge proxy's or a scenario's FILE; prints every problem with its line and reason."""
     ini = IniFile.load(file)
     if "edge" in ini.sections:
         config = edge_config(ini)
@@ -90,21 +92,21 @@
         if config.crossing is not None:
             CrossRegionLimiter(config.crossing, 0)
         console.print(
-            f"{file}: an edge proxy's terms, {len(config.deployment.traffic_types)} traffic types: sound"
+            f"{file}: an edge proxy's settings, {len(config.deployment.traffic_types)} traffic types: sound"
         )
     else:
         scenario = scenario_config(ini, file.stem)
-        console.print(f"{file}: a day with {len(scenario.faults)} troubles: sound")
+        console.print(f"{file}: a scenario with {len(scenario.faults)} faults: sound")
 
 
 @click.command()
 @click.argument("file", type=FILE)
 @click.option(
-    "--list", "list_at", default="127.0.0.1:0", show_default=True, help="Where the list service listens."
+    "--list", "list_at", default="127.0.0.1:0", show_default=True, help="The list service's listen address."
 )
-@click.option("--seconds", default=60.0, show_default=True, help="It ends by itself after so long.")
+@click.option("--seconds", default=60.0, show_default=True, help="Exit after this time.")
 def standin(file: Path, list_at: str, seconds: float) -> None:
-    """Run the stand-in setup servers and list service of a day's FILE, with its troubles but no callers."""
+    """Run the fake set-up servers and list service of the scenario in FILE, with faults, without callers."""
     scenario = load_scenario(file)
     trio.run(_run_fakes, scenario, list_at, seconds)
 
@@ -125,14 +127,29 @@
 
 @click.command()
 @click.argument("file", type=FILE)
-@click.option("--rate", "rates", type=float, multiple=True, help="Dialogs a second; several: one run each.")
-@click.option("--seconds", default=5.0, show_default=True, help="How long each run dials.")
-@click.option("--find", is_flag=True, help="Find the highest rate that holds the objective.")
-@click.option("--share", default=0.99, show_default=True, help="Of those offered that must stand in it.")
-@click.option("--most", default=20_000.0, show_default=True, help="The highest rate that is tried.")
-@click.option("--against", type=FILE, help="Another day's file: runs of the two alternate.")
-@click.option("--rounds", default=3, show_default=True, help="Runs of each, where two are compared.")
-@click.option("--histogram", type=FILE, help="Keep the last run's delays here, as HdrHistogram text.")
+@click.option(
+    "--rate",
+    "rates",
+    type=float,
+    multiple=True,
+    help="Dialogs per second; may be repeated, for one run each.",
+)
+@click.option("--seconds", default=5.0, show_default=True, help="The duration of dialling in each run.")
+@click.option("--find", is_flag=True, help="Find the highest rate that meets the objective.")
+@click.option(
+    "--share",
+    default=0.99,
+    show_default=True,
+    help="With --find: the fraction of dialogs that must be established within the objective.",
+)
+@click.option("--most", default=20_000.0, show_default=True, help="With --find: the highest rate to try.")
+@click.option("--against", type=FILE, help="Another scenario's file to compare with, in alternating runs.")
+@click.option(
+    "--rounds", default=3, show_default=True, help="With --against: the number of runs of each scenario."
+)
+@click.option(
+    "--histogram", type=FILE, help="Write the last run's latencies to this file, as HdrHistogram text."
+)
 def load(
     file: Path,
     rates: tuple[float, ...],
@@ -144,7 +161,10 @@
     rounds: int,
     histogram: Path | None,
 ) -> None:
-    """Drive a real edge proxy of the day in FILE open-loop on loopback; delays from when each was due."""
+    """Load an edge proxy of the scenario in FILE over loopback, open-loop.
+
+    Latencies are measured from the time at which each dialog was due to be dialled.
+    """
     from valverouter.cli import load_runs
 
     if against is not None:
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -21,9 +21,9 @@
 
 RULES = {
     1: "one final answer, in time, nothing after",
-    2: "never two legs out",
-    3: "nothing new to a server told draining or gone",
-    4: "no cold server pushed over",
+    2: "never two attempts in flight",
+    3: "nothing new to a draining or removed server",
+    4: "no server overloaded in slow start",
     5: "release time after time-out, reset, cancel",
 }
 
@@ -31,8 +31,8 @@
 def print_accounts(
     console: Console, accounts: dict[str, TrafficAccount], priority_weights: dict[str, float]
 ) -> None:
-    """The service of each traffic type, and of all by the weights."""
-    # Ten columns whole in 80: no lines between them, and one space.
+    """Prints each traffic type's account, and the service level over all types, weighted by priority."""
+    # Without borders and with one space between them, the ten columns fit in 80 characters.
     table = Table(title="Dialogs by traffic type", box=None, pad_edge=False, padding=(0, 1, 0, 0))
     headings = (
         "type",
@@ -58,7 +58,7 @@
 
 
 def print_verdict(console: Console, verdict: Verdict, max_violations: int = 20) -> None:
-    """The audit's five rules, and the first violations."""
+    """Prints the audit's verdict on each of the five rules, and the first `max_violations` violations."""
     table = Table(title="The five rules, from what passed over the sockets")
     for head in ("rule", "", "checked", "verdict"):
         table.add_column(head, justify="right" if head == "checked" else "left")
@@ -84,7 +84,7 @@
 def print_cross_region_usage(
     console: Console, totals: dict[UsageKey, UsageCounters], minutes: dict[int, int]
 ) -> None:
-    """Cross-region usage by type and pair, and a bar for each minute of the last hour."""
+    """Prints cross-region usage by traffic type and pair of regions, and a chart of attempts per minute."""
     table = Table(title="What crossed")
     for head in ("type", "home", "away", *USAGE_COLUMNS):
         table.add_column(
@@ -104,7 +104,7 @@
 
 
 def print_plan(console: Console, plan: Plan) -> None:
-    """The least cross-region traffic, and what limits it."""
+    """Prints a plan's cross-region traffic, the unserved load, and the constraints that are binding."""
     table = Table(title="The least crossing that carries the load")
     for head in ("type", "home", "away", "legs a second"):
         table.add_column(head, justify="right" if head.startswith("legs") else "left")
@@ -119,7 +119,7 @@
 
 
 def print_attempt_timelines(console: Console, timelines: dict[str, AttemptTimeline], no_answer: int) -> None:
-    """Timelines as bars on one scale up to the no-answer time, ns: attempts full, waits light."""
+    """Prints timelines as bars on one scale up to the no-answer timeout (ns): attempts dark, waits light."""
     width = 40
     for kind, timeline in timelines.items():
         bar = ""
@@ -136,7 +136,7 @@
 def print_cells(
     console: Console, cells: dict[tuple[str, ...], Cell], baseline: dict[str, str], figure: str
 ) -> None:
-    """One line for each combination of levels: mean, interval, paired difference from the baseline."""
+    """Prints a row for each combination of levels: mean, interval, paired difference from the baseline."""
     from valverouter.experiments.report import difference_from_baseline
 
     table = Table(title=f"{figure}: mean and 95% interval; difference from the baseline by pairs of a seed")
@@ -149,7 +149,7 @@
         if difference is None:
             row += ["", ""]
         else:
-            significance = "" if difference.is_significant else " (not shown)"
+            significance = "" if difference.is_significant else " (not significant)"
             row += [
                 f"{difference.mean:+.3f} ± {difference.half_width:.3f}{significance}",
                 f"{difference.min_detectable:.3f}",
@@ -159,14 +159,21 @@
 
 
 def print_membership(console: Console, views: ViewReport) -> None:
-    """Whether the edge proxies' views of their fleet became one, and how soon."""
+    """Prints whether and how soon the edge proxies' membership views converged, and their errors."""
     allowed = views.max_duration / 1e9
     if views.converged_after is None:
-        console.print(f"views: not one {allowed:.1f} s after the last fault; {views.reason}", highlight=False)
+        console.print(
+            f"views: not converged {allowed:.1f} s after the last fault; {views.reason}", highlight=False
+        )
     else:
         after = views.converged_after / 1e9
-        console.print(f"views: one {after:.1f} s after the last fault ({allowed:.1f} s)", highlight=False)
+        console.print(
+            f"views: converged {after:.1f} s after the last fault ({allowed:.1f} s allowed)", highlight=False
+        )
     for observer, member in views.regressions:
-        console.print(f"views: {observer} took a former {member} for present again", highlight=False)
+        console.print(
+            f"views: {observer} took a former incarnation of {member} for the current one again",
+            highlight=False,
+        )
     for observer, member in views.false_failures:
-        console.print(f"views: {observer} took {member} for gone, which ran", highlight=False)
+        console.print(f"views: {observer} took {member} for failed, though it was running", highlight=False)
--- a/valverouter/experiments/__init__.py
+++ b/valverouter/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the emulator: factors, levels and seeds; variants of the decisions; what differs."""
+"""Experiments on the emulator: factors, levels and seeds; variants of the policy; paired comparisons."""
--- a/valverouter/experiments/candidates.py
+++ b/valverouter/experiments/candidates.py
@@ -1,4 +1,4 @@
-"""The days of a search: decoded from vectors of the unit cube, written as day files, and simplified."""
+"""The scenarios of a search: decoded from vectors of the unit cube, written as files, and simplified."""
 
 from __future__ import annotations
 
@@ -12,24 +12,31 @@
 
 SECOND = 1_000_000_000
 MILLISECOND = 1_000_000
-# A vector holds the rate, and after it so many genes for each fault.
+# A vector contains the rate, followed by this number of parameters for each fault: presence, kind, start,
+# length, size and part.
 PARAMETERS_PER_FAULT = 6
-# A fault other than the first is left out where its first gene is less.
+# Faults other than the first are omitted if their presence parameter is less than this.
 PRESENCE_THRESHOLD = 0.25
 MIN_FAULT_DURATION = SECOND // 2
+# The fraction of the instances that a fault affects: its least value, and the range above it.
 MIN_FRACTION, FRACTION_RANGE = 0.05, 0.45
-# Of these kinds the size is a fraction of something, and stays under one.
+# The size of a fault of these kinds is a fraction, which must be less than 1: the candidate's size divided by
+# SIZE_PER_FRACTION, at most MAX_FRACTION_SIZE.
 FRACTION_KINDS = ("reconnect", "hot_key", "answer_lost", "give_up")
 MAX_FRACTION_SIZE = 0.95
 SIZE_PER_FRACTION = 6
-# Simplifications: sizes above the least are reduced, and days are cut to so much after the last fault, ns.
+# Simplification reduces only sizes above this.
 MIN_REDUCED_SIZE = 1.5
+# A shortened scenario ends this long after its last fault, in nanoseconds.
 MARGIN_AFTER_FAULTS = 2 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class FaultCandidate:
-    """One fault of a candidate; times in ns."""
+    """One fault of a candidate; times in ns.
+
+    `size` is on the scale of the search's range for every kind; see `configured_size`.
+    """
 
     kind: str
     start: int
@@ -39,13 +46,13 @@
 
     @property
     def configured_size(self) -> float:
-        """The size as the day file has it."""
+        """The size as written to the scenario file."""
         if self.kind in FRACTION_KINDS:
             return min(MAX_FRACTION_SIZE, self.size / SIZE_PER_FRACTION)
         return self.size
 
     def settings(self, section: str) -> list[tuple[str, str, str]]:
-        """Its section of the day file: section, key and value of each line."""
+        """Returns the lines of the fault's section in a scenario file, as section, key and value."""
         return [
             (section, "kind", self.kind),
             (section, "start", format_duration(self.start)),
@@ -58,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScenarioCandidate:
-    """A day of the search: the factor of the base day's rate, its length in ns, and its faults."""
+    """A scenario of the search: the multiple of the base scenario's rate, the length (ns), the faults."""
 
     rate: float
     length: int
     faults: tuple[FaultCandidate, ...]
 
     def text(self, base: str, base_rate: float) -> str:
-        """The day file, from the base day's text and rate."""
+        """Returns the scenario file's text, made from the base scenario's text and rate."""
         settings = [
             ("day", "length", format_duration(self.length)),
             ("callers", "rate", f"{base_rate * self.rate:.3f}"),
@@ -76,12 +83,12 @@
 
 
 def vector_size(config: Search) -> int:
-    """How many genes a vector of this search has."""
+    """Returns the number of parameters in a vector of this search."""
     return 1 + PARAMETERS_PER_FAULT * config.troubles
 
 
 def decode_vector(config: Search, base: ScenarioConfig, vector: Sequence[float]) -> ScenarioCandidate:
-    """The day that a vector from the unit cube stands for; every such vector is a day that can run."""
+    """Decodes a vector from the unit cube; every such vector gives a valid scenario."""
     length = base.run.length
     rate = config.rate_least + vector[0] * (config.rate_most - config.rate_least)
     faults = []
@@ -110,7 +117,7 @@
 
 
 def simplifications(candidate: ScenarioCandidate) -> Iterator[ScenarioCandidate]:
-    """Simpler days next to this one: without a fault, shorter, at the base rate, with a milder fault."""
+    """Yields scenarios one step simpler: a fault less, shorter, at the base rate, or with a milder fault."""
     faults = candidate.faults
     for index in range(len(faults)):
         if len(faults) > 1:
--- a/valverouter/experiments/compare.py
+++ b/valverouter/experiments/compare.py
@@ -1,4 +1,4 @@
-"""Differences between levels: pairs of one seed, Student's t intervals, the least detectable difference."""
+"""Differences between levels, paired by seed: Student's t intervals, minimum detectable difference."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A mean difference over pairs with the half width of its 95% interval.
+    """A mean difference over pairs with the half-width of its 95% interval.
 
-    `min_detectable`: the smallest difference that so many pairs would show in 4 of 5 such experiments.
+    `min_detectable`: the smallest difference that this number of pairs detects with a power of 0.8, that is,
+    in 4 of 5 such experiments.
     """
 
     mean: float
@@ -26,16 +27,16 @@
 
     @property
     def is_significant(self) -> bool:
-        """Whether the interval excludes no difference."""
+        """Whether the interval excludes zero."""
         return abs(self.mean) > self.half_width
 
 
 def paired_difference(before: Mapping[int, float], after: Mapping[int, float]) -> Difference:
-    """The difference `after` less `before`, paired by seed; ValueError under two pairs."""
+    """Returns the mean of `after` - `before`, paired by seed; ValueError for fewer than two pairs."""
     seeds = sorted(set(before) & set(after))
     differences = [after[seed] - before[seed] for seed in seeds]
     if len(differences) < 2:
-        raise ValueError(f"{len(differences)} pairs: two or more are needed")
+        raise ValueError(f"{len(differences)} pairs: at least two are required")
     standard_error = statistics.stdev(differences) / math.sqrt(len(differences))
     degrees = len(differences) - 1
     confidence_quantile = float(stdtrit(degrees, (1 + CONFIDENCE) / 2))
@@ -49,7 +50,7 @@
 
 
 def confidence_interval(values: Sequence[float]) -> tuple[float, float]:
-    """The mean and the half width of its 95% interval, infinite for a single value."""
+    """Returns the mean and the half-width of its 95% interval, which is infinite for a single value."""
     if len(values) < 2:
         return values[0], math.inf
     standard_error = statistics.stdev(values) / math.sqrt(len(values))
--- a/valverouter/experiments/plan.py
+++ b/valverouter/experiments/plan.py
@@ -1,4 +1,4 @@
-"""An experiment's file: a day, factors with their levels, seeds; and the runs that it stands for."""
+"""Experiment files: a scenario, factors with their levels, and seeds; and the runs that result from them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from valverouter.experiments.variants import parse_variant
 
 DECISIONS = "decisions"
-# What a run's figures depend on beside its day: stored runs of another version are not taken for this one's.
+# The sources on which a run's metrics depend. Their digest is part of a run's key, so that runs stored by
+# another version are not mistaken for those of this one.
 SOURCES = (
     "policy",
     "randomness.py",
@@ -36,7 +37,7 @@
 
 
 class Experiment(Struct, frozen=True):
-    """[experiment]: the day that is varied (beside this file), and seeds as in 1-8."""
+    """[experiment]: the varied scenario, a file in this file's folder, and the seeds, as in 1-8."""
 
     day: NonEmptyText
     seeds: Numbers
@@ -44,14 +45,14 @@
 
 
 class Factor(Struct, frozen=True):
-    """[factor NAME]: which keys of the day it sets (SECTION.KEY, several at once) or `decisions`; levels."""
+    """[factor NAME]: the keys of the scenario that it sets (SECTION.KEY), or `decisions`; and its levels."""
 
     set: TextList
     levels: TextList
 
 
 class Run(Struct, frozen=True):
-    """One run: its levels by factor, its seed, the day's text, and the folder that the day's files are in."""
+    """One run: levels by factor, seed, the scenario's text, and the folder of the files that it refers to."""
 
     levels: dict[str, str]
     seed: int
@@ -60,12 +61,12 @@
 
     @property
     def variant(self) -> str:
-        """The level of the `decisions` factor, or the program's own decisions."""
+        """The level of the `decisions` factor; by default the program's own routing policy."""
         return self.levels.get(DECISIONS, "module")
 
     @property
     def key(self) -> str:
-        """The key under which the run is stored: another version, variant, seed or day is another run."""
+        """The key under which the run is stored: a digest of version, variant, seed and scenario."""
         parts = [source_version(), self.variant, str(self.seed), self.text, *self._record_digest()]
         return hashlib.sha256("\0".join(parts).encode()).hexdigest()[:24]
 
@@ -73,18 +74,18 @@
         return IniFile(self.text, "run", Path(self.folder))
 
     def _record_digest(self) -> list[str]:
-        """A digest of the calls on record that the day plays again: another record is another run."""
+        """Returns a digest of the recorded calls that the scenario replays; it is part of the run's key."""
         ini = self._ini()
         file_name = ini.sections.get("callers", {}).get("record", "")
         return [_digest(ini.folder / file_name)] if file_name else []
 
     def load_scenario(self) -> ScenarioConfig:
-        """The day to simulate; raises InvalidConfigError."""
+        """Parses the scenario to simulate; raises InvalidConfigError."""
         return scenario_config(self._ini(), "run")
 
 
 class Plan(Struct, frozen=True):
-    """A checked experiment: its factors, the text of its day, and the baseline's levels by factor."""
+    """A valid experiment: its factors, the text of its scenario, and the baseline's levels by factor."""
 
     name: str
     seeds: tuple[int, ...]
@@ -94,7 +95,7 @@
     folder: str
 
     def runs(self) -> Iterator[Run]:
-        """Each combination of levels with each seed, the seeds of one combination together."""
+        """Yields the runs of each combination of levels with each seed, grouped by combination."""
         names = list(self.factors)
         for combination in itertools.product(*(self.factors[name].levels for name in names)):
             levels = dict(zip(names, combination, strict=True))
@@ -102,7 +103,7 @@
                 yield self.make_run(levels, seed)
 
     def make_run(self, chosen: dict[str, str], seed: int) -> Run:
-        """The run of a level for each factor, and a seed."""
+        """Returns the run with the given seed and the chosen level of each factor."""
         settings = [("day", "seed", str(seed))]
         levels = {}
         for name, level in chosen.items():
@@ -117,7 +118,7 @@
 
 
 def load_plan(path: Path) -> Plan:
-    """The experiment in a file; raises InvalidConfigError with every flaw, those of its days included."""
+    """Loads an experiment; raises InvalidConfigError with all problems, including those of its scenarios."""
     ini = IniFile.load(path)
     ini.check_sections(("experiment",), ("factor",))
     head = ini.read_section("experiment", Experiment)
@@ -146,22 +147,24 @@
             except ValueError as error:
                 ini.add_problem(section, "levels", str(error))
     elif not factor.set or any("." not in path for path in factor.set):
-        ini.add_problem(section, "set", "SECTION.KEY of the day, or decisions alone")
+        ini.add_problem(section, "set", "must be SECTION.KEY of the scenario, or decisions alone")
 
 
 def _read_baseline(ini: IniFile, head: Experiment, factors: dict[str, Factor]) -> dict[str, str]:
-    """The baseline's levels by factor; a flaw for each that this file does not have."""
+    """Parses the baseline's levels by factor; adds a problem for each factor or level that the file lacks."""
     baseline = {}
     for part in head.baseline.split(",") if head.baseline else ():
         name, _, level = (word.strip() for word in part.partition("="))
         if name not in factors or level not in factors[name].levels:
-            ini.add_problem("experiment", "baseline", f"{part.strip()!r}: FACTOR = LEVEL of this file")
+            ini.add_problem(
+                "experiment", "baseline", f"{part.strip()!r}: must be FACTOR = LEVEL of this file"
+            )
         baseline[name] = level
     return baseline
 
 
 def _check_scenarios(ini: IniFile, plan: Plan) -> None:
-    """Reads the day of each combination of levels, and adds its flaws."""
+    """Parses the scenario of each combination of levels and adds its problems."""
     for run in plan.runs():
         if run.seed == plan.seeds[0]:
             try:
@@ -171,7 +174,7 @@
 
 
 def read_scenario_text(ini: IniFile, path: Path, section: str, name: str) -> str:
-    """The text of the day that a file names, beside it; empty, and noted as a flaw, where it can't be had."""
+    """Reads the scenario file `name` beside `path`; on failure, adds a problem and returns an empty text."""
     try:
         return (path.parent / name).read_text("utf-8")
     except OSError as error:
@@ -180,7 +183,7 @@
 
 
 def with_settings(text: str, settings: list[tuple[str, str, str]]) -> str:
-    """A day's text with some keys set; sections that are not there are made."""
+    """Returns a scenario's text with the given keys set; missing sections are added."""
     parser = configparser.ConfigParser(interpolation=None, default_section="\0")
     parser.optionxform = str  # type: ignore[assignment,method-assign]
     parser.read_string(text)
@@ -200,7 +203,7 @@
 
 @cache
 def source_version() -> str:
-    """A digest of the sources that a run's figures depend on."""
+    """Returns a digest of the sources on which a run's metrics depend."""
     root = Path(valverouter.__file__).parent
     digest = hashlib.sha256()
     for name in SOURCES:
--- a/valverouter/experiments/report.py
+++ b/valverouter/experiments/report.py
@@ -1,4 +1,4 @@
-"""The stored runs of an experiment by levels, and a page of them that needs no tool to be read."""
+"""The stored runs of an experiment by levels, and a self-contained HTML page about them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 <style>body{font:15px sans-serif;max-width:70em;margin:2em auto}td,th{padding:.2em .7em;text-align:right}
 th:first-child,td:first-child{text-align:left}tr:nth-child(even){background:#f3f3f3}.no{color:#888}</style>
 <h1>{{ name }}</h1>
-<p>{{ runs }} runs of an emulator (figures are a model's), version {{ version }}, seeds {{ seeds }}.
-Means with 95% intervals; differences from the baseline by pairs of the same seed, grey where not shown.</p>
+<p>{{ runs }} emulated runs (all figures come from a model), version {{ version }}, seeds {{ seeds }}.
+Means with 95% intervals; differences from the baseline are paired by seed, and grey if not significant.</p>
 {% for chart in charts %}<h2>{{ chart.figure }}</h2>
 <svg viewBox="0 0 700 {{ 26 * chart.bars|length + 10 }}" width="700" role="img">
 {% for bar in chart.bars %}<text x="0" y="{{ 26 * loop.index0 + 18 }}" font-size="13">{{ bar.name }}</text>
@@ -38,22 +38,22 @@
 
 @dataclass(slots=True)
 class Cell:
-    """One combination of levels, and the figures of its runs by seed."""
+    """A combination of levels, and the metrics of its runs by seed."""
 
     levels: dict[str, str]
     by_seed: dict[int, dict[str, float]] = field(default_factory=dict)
 
     def values(self, figure: str) -> dict[int, float]:
-        """One figure by seed."""
+        """Returns a metric's value by seed."""
         return {seed: figures[figure] for seed, figures in self.by_seed.items()}
 
     def interval(self, figure: str) -> tuple[float, float]:
-        """The mean of a figure and the half width of its interval."""
+        """Returns the mean of a metric and the half-width of its 95% interval."""
         return confidence_interval(list(self.values(figure).values()))
 
 
 def collect_cells(plan: Plan, store: RunStore) -> dict[Levels, Cell]:
-    """The stored runs by levels, in the plan's order; combinations without any are left out."""
+    """Loads the stored runs by levels, in the plan's order; combinations without stored runs are omitted."""
     cells: dict[Levels, Cell] = {}
     for run in plan.runs():
         if (figures := store.load(run)) is not None:
@@ -65,9 +65,9 @@
 def difference_from_baseline(
     cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
 ) -> Difference | None:
-    """The paired difference from the cell that has the baseline's levels in its factors, and others alike.
+    """Returns the paired difference from the cell with the baseline's levels and otherwise the same levels.
 
-    None where there is no such cell, where it is this one, or where either has fewer than two runs.
+    Returns None if there is no such cell, if it is this one, or if either has fewer than two runs.
     """
     if not baseline:
         return None
@@ -78,7 +78,7 @@
 
 
 def report_page(plan: Plan, cells: dict[Levels, Cell], figure: str) -> str:
-    """HTML with bars drawn in it, the figure asked for first."""
+    """Renders the HTML page with bar charts, the one of the given metric first."""
     heads = list(next(iter(next(iter(cells.values())).by_seed.values())))
     charts = [_chart(cells, name) for name in dict.fromkeys((figure, *CHARTED_METRICS))]
     table = [
--- a/valverouter/experiments/run_metrics.py
+++ b/valverouter/experiments/run_metrics.py
@@ -1,4 +1,4 @@
-"""What a run gave, in figures: read from the rows alone, as the audit reads them."""
+"""The metrics of a run, computed from the recorded rows alone, as the audit does."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 SECOND = 1_000_000_000
 WORST_WINDOW_LENGTH = 10 * SECOND
-# In place of a weight of 0, by which nothing can be divided.
+# Replaces a total weight of 0 as a divisor.
 MIN_WEIGHT = 1e-9
 
 
 def compute_metrics(rows: Sequence[Row]) -> dict[str, float]:
-    """The figures of a run by name.
+    """Returns the metrics of a run by name.
 
-    Service in all, by type and in the worst 10 s; fractions of dialogs rejected, late and interrupted; dial
-    attempts and attempts at servers for each dialog; the fraction of attempts that left their region; the
-    most of a slow-start budget that was used; how many rules were violated.
+    These are the service level overall, by type and in the worst 10 s; the fractions of dialogs rejected,
+    late and interrupted; dial attempts and attempts at servers per dialog; the fraction of cross-region
+    attempts; the largest fraction of a slow-start budget that was used; and the number of violated rules.
     """
     config = next(row for row in rows if isinstance(row, AuditConfigRow))
     accounts, verdict = account_by_type(rows), audit(rows)
@@ -46,18 +46,18 @@
 
 @dataclass(slots=True)
 class _Second:
-    """The weight of the dialogs first dialled in one second, and of those served in time."""
+    """The total weight of the dialogs first dialled in one second, and of those served in time."""
 
     offered: float = 0
     served: float = 0
 
 
 def service_by_second(rows: Sequence[Row], config: AuditConfigRow) -> dict[int, tuple[float, float]]:
-    """By second since the first dialog: the weight of the dialogs first dialled, and of those served in time.
+    """Returns the weights of the dialogs first dialled and of those served in time, by second of the run.
 
     Redials belong to the first dialog; each dialog counts once, however often it is established again.
     """
-    # When each unserved first dialog was dialled, and its type.
+    # The dial time and traffic type of each first dialog that has not been served yet.
     unserved: dict[str, tuple[int, str]] = {}
     dialled: set[str] = set()
     seconds: defaultdict[int, _Second] = defaultdict(_Second)
@@ -80,7 +80,7 @@
 
 
 def worst_window_service(rows: Sequence[Row], config: AuditConfigRow) -> float:
-    """Service of the dialogs first dialled in the worst 10 s."""
+    """Returns the lowest service level of the dialogs first dialled within any 10 s."""
     seconds, window_size = service_by_second(rows, config), WORST_WINDOW_LENGTH // SECOND
     levels = []
     for start in seconds:
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -1,6 +1,6 @@
 """Runs an experiment in parallel processes and stores each run as a row in SQLite.
 
-A run that is stored is not run again: an experiment that was interrupted continues where it was.
+Stored runs are not repeated, so an interrupted experiment can be resumed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class RunStore:
-    """The stored runs, one row each; rows leave with the file alone."""
+    """The stored runs, one row each; rows are never deleted."""
 
     def __init__(self, path: Path) -> None:
         self._db = sqlite3.connect(path)
@@ -32,11 +32,11 @@
             self._db.execute(TABLE)
 
     def close(self) -> None:
-        """Closes the file."""
+        """Closes the database."""
         self._db.close()
 
     def save(self, run: Run, figures: dict[str, float]) -> None:
-        """Stores a run's figures, in place of former ones."""
+        """Stores a run's metrics, replacing earlier ones."""
         with self._db:
             self._db.execute(
                 "insert or replace into runs values (?, ?, ?, ?, ?, ?, ?)",
@@ -52,13 +52,13 @@
             )
 
     def load(self, run: Run) -> dict[str, float] | None:
-        """The figures of a run; None: it is not stored."""
+        """Returns the metrics of a run; None if it is not stored."""
         row = self._db.execute("select figures from runs where key = ?", (run.key,)).fetchone()
         return None if row is None else msgspec.json.decode(row[0], type=dict[str, float])
 
 
 def run_here(run: Run) -> dict[str, float]:
-    """Runs in this process; `cpu` is the seconds that it took."""
+    """Executes a run in this process; the metric `cpu` is its CPU time in seconds."""
     variant = parse_variant(run.variant)
     started_at = time.process_time()
     with variant.applied():
@@ -80,7 +80,10 @@
     jobs: int,
     on_progress: Callable[[int, int], None] = lambda finished, total: None,
 ) -> int:
-    """Runs what is not stored yet; how many were run. `on_progress` receives how many of all are finished."""
+    """Executes the runs that are not stored yet and returns their number.
+
+    `on_progress` is called with the number of finished runs and of all runs.
+    """
     with closing(RunStore(path)) as store:
         all_runs = list(runs)
         missing = [run for run in all_runs if store.load(run) is None]
--- a/valverouter/experiments/scenario_page.py
+++ b/valverouter/experiments/scenario_page.py
@@ -1,4 +1,4 @@
-"""One emulated day as a page: service, queue delays, windows, tokens and attempts by second, by server."""
+"""An HTML page about an emulated run: service, queue delays, windows, tokens and attempts by second."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
 <style>body{font:14px sans-serif;max-width:{{ wide + 140 }}px;margin:2em auto}svg{background:#fafafa}</style>
-<h1>{{ name }}</h1><p>Emulated: figures are a model's. {{ seconds }} seconds from the first dialog on.
+<h1>{{ name }}</h1><p>Emulated: all figures come from a model. {{ seconds }} seconds from the first dialog.
 {% for trouble in troubles %}{{ trouble }}; {% endfor %}</p>
 {% for chart in charts %}<h2>{{ chart.title }}</h2>
 <svg width="{{ wide + 120 }}" height="{{ high + 20 }}" role="img">{% for line in chart.lines %}
@@ -27,7 +27,7 @@
 <text x="{{ wide + 5 }}" y="{{ 14 + 15 * loop.index0 }}" fill="{{ line.colour }}"
  font-size="12">{{ line.name }}</text>
 {% endfor %}<text x="0" y="{{ high + 15 }}" font-size="11">0 to {{ chart.most }}</text></svg>{% endfor %}
-<h2>Legs that did not stand, by server and second</h2>
+<h2>Failed attempts by server and second</h2>
 <svg width="{{ wide + 120 }}" height="{{ cell * heat|length + 20 }}" role="img">{% for row in heat %}
 <text x="{{ wide + 5 }}" y="{{ cell * loop.index0 + 11 }}" font-size="11">{{ row.name }}</text>
 {% for spot in row.spots %}<rect x="{{ spot.x }}" y="{{ row.y }}" width="{{ spot.w }}" height="{{ cell - 1 }}"
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Attempts:
-    """Attempts by server and second, how many of them failed, and all outcomes by kind and second."""
+    """Counts of attempts and of failed attempts by server and second, and of outcomes by kind and second."""
 
     sent: ByServerAndSecond = field(default_factory=Counter)
     failed: ByServerAndSecond = field(default_factory=Counter)
@@ -51,7 +51,7 @@
 
 
 def render_scenario_page(name: str, result: DayResult) -> str:
-    """The page, readable without any tool or network."""
+    """Renders the self-contained HTML page, which loads nothing over the network."""
     rows = result.rows
     audit_config = next(row for row in rows if isinstance(row, AuditConfigRow))
     starts_at = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
@@ -108,15 +108,15 @@
     }
     return [
         _chart("Service of dialogs first dialled in each second", {"service": service}, seconds, 1.0),
-        _chart("Legs by outcome", outcomes, seconds),
-        _chart("Waits that the edge proxies know, ms", delays, seconds),
-        _chart("Windows for unanswered legs", windows, seconds),
-        _chart("Retry tokens left", tokens, seconds, 1.0),
+        _chart("Attempts by outcome", outcomes, seconds),
+        _chart("Queue delays known to the edge proxies, ms", delays, seconds),
+        _chart("Windows (attempts in flight)", windows, seconds),
+        _chart("Fraction of retry tokens left", tokens, seconds, 1.0),
     ]
 
 
 def _by_server(result: DayResult, starts_at: int) -> tuple[dict[str, BySecond], ...]:
-    """Queue delays (ms), windows and token fractions, each by server and second."""
+    """Returns queue delays (ms), windows and token fractions, each by server and second."""
     delays: dict[str, BySecond] = {}
     windows: dict[str, BySecond] = {}
     tokens: dict[str, BySecond] = {}
--- a/valverouter/experiments/search.py
+++ b/valverouter/experiments/search.py
@@ -1,7 +1,8 @@
-"""Searches for the day on which the program loses most, or violates a rule, and minimizes what was found.
+"""Searches for the scenario in which the policy loses most or violates a rule, and simplifies it.
 
-A day is the base day with up to `troubles` faults drawn from ranges; the search is scipy's differential
-evolution with a budget of evaluations. What it finds is a day file, for the emulator and for loopback.
+A candidate is the base scenario with up to `troubles` faults, whose parameters are drawn from ranges. The
+search is scipy's differential evolution with a limited number of evaluations. Its result is a scenario file,
+which runs on the emulator and on loopback.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
 from valverouter.experiments.runner import run_here
 from valverouter.experiments.search_config import RULES, Search
 
-# Without a violation, the slow-start budget used counts in proportion, up to this.
+# In a search for violations, a candidate without any scores half the fraction of the slow-start budget that
+# was used, up to this.
 MAX_SCORE_WITHOUT_VIOLATION = 0.99
 MIN_POPULATION = 5
 MAX_POPULATION_PER_PARAMETER = 4
@@ -31,14 +33,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateScorer:
-    """Runs a day under the program and what it is measured against; the worse for the program, the higher."""
+    """Scores candidates by running them; the worse the program's policy does, the higher the score."""
 
     config: Search
     base: str
     rate: float
 
     def __call__(self, candidate: ScenarioCandidate) -> float:
-        """The candidate's score."""
+        """Returns the number of violated rules, or the service lost against the best baseline."""
         text = candidate.text(self.base, self.rate)
         policy = run_here(Run({}, self.config.seed, text))
         if self.config.seeks == RULES:
@@ -51,7 +53,7 @@
 
 
 class _Objective:
-    """A vector's score for scipy, which minimizes; at module level, so that processes can unpickle it."""
+    """The negated score, which scipy minimizes; at module level, so that worker processes can unpickle it."""
 
     def __init__(self, score_function: ScoreFunction, config: Search, base: ScenarioConfig) -> None:
         self.score_function, self.config, self.base = score_function, config, base
@@ -63,7 +65,7 @@
 def search(
     config: Search, base: ScenarioConfig, score_function: ScoreFunction, jobs: int = 1
 ) -> tuple[ScenarioCandidate, float, int]:
-    """The worst day found within the budget, its score, and how many days were judged."""
+    """Returns the worst scenario found within the budget, its score, and the number of evaluations."""
     size = vector_size(config)
     population = max(
         MIN_POPULATION, min(MAX_POPULATION_PER_PARAMETER * size, config.budget // MIN_GENERATIONS)
@@ -89,9 +91,9 @@
 def minimize(
     candidate: ScenarioCandidate, score_function: ScoreFunction, min_score: float, budget: int
 ) -> tuple[ScenarioCandidate, float]:
-    """The simplest day reached by steps whose score stays at `min_score` or above, and its score.
+    """Simplifies a candidate step by step while its score is at least `min_score`; returns it and its score.
 
-    Each step takes the first simplification that does; `budget` days are judged at most.
+    Each step takes the first simplification with such a score. At most `budget` candidates are evaluated.
     """
     score, evaluation_count = min_score, 0
     is_simplified = True
@@ -109,5 +111,5 @@
 
 
 def format_scenario_file(candidate: ScenarioCandidate, base: str, rate: float, summary: str) -> str:
-    """The day file, with what was found in its first line."""
+    """Returns the scenario file's text, with the summary as a comment in its first line."""
     return f"# {summary}\n{candidate.text(base, rate)}"
--- a/valverouter/experiments/search_config.py
+++ b/valverouter/experiments/search_config.py
@@ -1,4 +1,4 @@
-"""A search's file: the base day, what is sought, and the ranges of the faults."""
+"""Search files: the base scenario, the objective, and the ranges of the faults."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from valverouter.experiments.variants import BASELINES, VARIANTS
 
 SECOND = 1_000_000_000
-# What a search may seek: days on which rules are violated, or on which the program loses to a baseline.
+# The objectives of a search: scenarios in which rules are violated, or the policy loses to a baseline.
 RULES, LOSS = "rules", "loss"
 
 
 class Search(Struct, frozen=True):
-    """[search]: the base day, what is sought, and the ranges of its faults; `longest` in ns."""
+    """[search]: the base scenario, the objective (`seeks`), and the ranges of the faults; `longest` in ns."""
 
     day: NonEmptyText
     seeks: Annotated[str, Meta(pattern="^(loss|rules)$")] = LOSS
@@ -43,7 +43,10 @@
 
 
 def load_search(path: Path) -> tuple[Search, ScenarioConfig, str]:
-    """The search in a file, its base day without faults, and that day's text; raises InvalidConfigError."""
+    """Loads a search; returns it, its base scenario without faults, and that scenario's text.
+
+    Raises InvalidConfigError.
+    """
     ini = IniFile.load(path)
     ini.check_sections(("search",), ())
     config = ini.read_section("search", Search)
@@ -55,20 +58,24 @@
     except InvalidConfigError as error:
         raise InvalidConfigError([*ini.problems, *error.problems]) from None
     if base.recorded is not None:
-        ini.add_problem("search", "day", "plays a record; a search varies the rate of its day")
+        ini.add_problem("search", "day", "replays recorded calls, but a search varies the call rate")
         ini.raise_problems()
     return config, base, text
 
 
 def _read_base(ini: IniFile, path: Path, config: Search) -> str:
-    """The base day's text without faults; a flaw for each name that is not known."""
+    """Reads the base scenario's text without its faults; adds a problem for each unknown kind or variant."""
     text = read_scenario_text(ini, path, "search", config.day)
     for kind in config.kinds:
         if kind not in FAULT_KINDS:
-            ini.add_problem("search", "kinds", f"{kind!r} is not known; known are {', '.join(FAULT_KINDS)}")
+            ini.add_problem(
+                "search", "kinds", f"unknown kind {kind!r}; known kinds: {', '.join(FAULT_KINDS)}"
+            )
     for name in config.against:
         if name not in VARIANTS:
-            ini.add_problem("search", "against", f"{name!r}: known are {', '.join(VARIANTS)}")
+            ini.add_problem(
+                "search", "against", f"unknown variant {name!r}; known variants: {', '.join(VARIANTS)}"
+            )
     return _without_faults(text)
 
 
--- a/valverouter/experiments/variants.py
+++ b/valverouter/experiments/variants.py
@@ -1,7 +1,7 @@
-"""Baselines and ablations of the routing policy, for experiments alone: the program never imports this.
+"""Baselines and ablations of the routing policy, for experiments only: the program never imports this module.
 
-A baseline stands in for the server selection or the retries; an ablation takes one exception to the source
-away. Both change the policy from outside, for the length of a run, and never by a switch in it.
+A baseline replaces the server selection or the retries; an ablation removes one mechanism of the policy. Both
+change the policy from outside for the duration of a run; the policy itself contains no switches for them.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class _Baseline(ServerSelector):
-    """Selects among all servers that are in service and may take the type, by one figure alone."""
+    """Base class of selectors by one criterion, among all servers in service for the traffic type."""
 
     def _open_servers(self, traffic_type: TrafficType) -> list[ServerState]:
         return [
@@ -43,23 +43,23 @@
 
 
 class AnyServer(_Baseline):
-    """One drawn at random, whatever is known of it."""
+    """Selects a server at random, regardless of its state."""
 
     def select(
         self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
     ) -> ServerState | None:
-        """Any server that is open."""
+        """Returns a random open server."""
         servers = self._open_servers(traffic_type)
         return servers[int(self._random.draw() * len(servers))] if servers else None
 
 
 class PreferredOnly(_Baseline):
-    """The preferred server, at every attempt."""
+    """Selects the preferred server at every attempt."""
 
     def select(
         self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
     ) -> ServerState | None:
-        """The preferred server, if it is open."""
+        """Returns the preferred server if it is open."""
         number = dialog.preferred_server_number
         return next(
             (server for server in self._open_servers(traffic_type) if server.endpoint.number == number), None
@@ -67,12 +67,12 @@
 
 
 class ShortestQueue(_Baseline):
-    """The shortest queue delay known; of equal ones the preferred server, else drawn."""
+    """Selects the shortest known queue delay; ties go to the preferred server, otherwise at random."""
 
     def select(
         self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
     ) -> ServerState | None:
-        """The open server with the shortest queue."""
+        """Returns the open server with the shortest queue delay."""
 
         def order(server: ServerState) -> tuple[int, bool, float]:
             is_other = server.endpoint.number != dialog.preferred_server_number
@@ -82,12 +82,12 @@
 
 
 class TwoChoices(_Baseline):
-    """The preferred server, and after it the shorter queue of two drawn; nothing else is looked at."""
+    """Selects the preferred server first, then the one with the shorter queue delay of two random servers."""
 
     def select(
         self, now: int, dialog: Dialog, traffic_type: TrafficType, tried: set[str]
     ) -> ServerState | None:
-        """The preferred server, else the better of two drawn."""
+        """Returns the preferred server if untried, else the better of two drawn at random."""
         servers, number = self._open_servers(traffic_type), dialog.preferred_server_number
         preferred = next((server for server in servers if server.endpoint.number == number), None)
         if preferred is not None and preferred.endpoint.id not in tried:
@@ -120,7 +120,7 @@
 
 
 class _TableWithoutBudget(ServerTable):
-    """Servers whose retries are never throttled."""
+    """A server table whose servers have unlimited retry budgets."""
 
     def update_endpoints(self, now: int, kind: EndpointUpdateKind, endpoints: Sequence[Endpoint]) -> None:
         super().update_endpoints(now, kind, endpoints)
@@ -130,7 +130,7 @@
 
 
 class _TableWithoutSlowStart(ServerTable):
-    """Servers without slow start: rule 4 may be broken."""
+    """A server table without slow start; rule 4 may be violated."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(deployment)
@@ -138,7 +138,7 @@
 
 
 class _TableWithoutCapacity(ServerTable):
-    """Servers that always have spare capacity."""
+    """A server table whose servers always have spare capacity."""
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(deployment)
@@ -148,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One form of the decisions: which parts stand in for the policy's own, and which tuned values differ."""
+    """A variant of the routing policy: the parts that replace its own, and the tuned values that differ."""
 
     name: str
     selector: type[ServerSelector] = ServerSelector
@@ -158,7 +158,7 @@
 
     @contextmanager
     def applied(self) -> Iterator[None]:
-        """Sets the tuned values for the length of a run."""
+        """Applies the tuned values and the retry delay; restores the policy's own on exit."""
         with ExitStack() as stack:
             stack.enter_context(patch.object(routing, "retry_delay", self.retry_delay))
             for name, value in self.values.items():
@@ -168,7 +168,7 @@
     def build(
         self, deployment: Deployment, seed: int, now: int, cross_region: CrossRegionRule | None = None
     ) -> Driver:
-        """A driver whose policy is made of this variant's parts."""
+        """Returns a driver whose policy has this variant's parts."""
         driver = Driver(deployment, seed, now, cross_region)
         policy = RoutingPolicy(deployment, seed, now, cross_region)
         policy.table = self.table(deployment)
@@ -207,8 +207,7 @@
 }
 BASELINES = ("any-server", "first-only", "least-wait", "two-drawn")
 
-# The names that experiment files use for tuned values; files written before the constants were renamed stay
-# valid.
+# Former names of tuned values. Experiment files may still use them.
 FORMER_NAMES = {
     "FULL_COUNT": "MAX_TOKENS",
     "STAND_ADDS": "TOKEN_RATIO",
@@ -249,23 +248,23 @@
 
 
 def parse_variant(level: str) -> Variant:
-    """A variant by its name, and after it other tuned values: `module LATENCY_SAMPLE_INTERVALS=2`.
+    """Parses a variant's name and tuned values that follow it, as in `module LATENCY_SAMPLE_INTERVALS=2`.
 
-    ValueError names what is not known; a value must be a number where `policy/tuning.py` has one.
+    Raises ValueError for an unknown variant or constant, and for a value not of the constant's type.
     """
     name, *changes = level.split()
     if name not in VARIANTS:
-        raise ValueError(f"{name!r}: known are {', '.join(VARIANTS)}")
+        raise ValueError(f"unknown variant {name!r}; known variants: {', '.join(VARIANTS)}")
     values = dict(VARIANTS[name].values)
     for change in changes:
         key, _, text = change.partition("=")
         constant = FORMER_NAMES.get(key, key)
         default = getattr(tuning, constant, None)
         if not key.isupper() or not isinstance(default, int | float):
-            raise ValueError(f"{key!r} is no figure of the decisions")
+            raise ValueError(f"{key!r} is not a numeric constant of the policy")
         try:
             values[constant] = type(default)(text)
         except ValueError:
             kind = type(default).__name__
-            raise ValueError(f"{change!r}: {key} is {kind}, now {default}") from None
+            raise ValueError(f"{change!r}: {key} must be of type {kind}; its default is {default}") from None
     return replace(VARIANTS[name], name=level, values=values)
--- a/valverouter/load_test/__init__.py
+++ b/valverouter/load_test/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load on real edge proxies over loopback: what they hold, and which of two holds more."""
+"""Open-loop load tests of edge proxies over loopback: the sustained rate of one, or a comparison of two."""
--- a/valverouter/load_test/drive.py
+++ b/valverouter/load_test/drive.py
@@ -1,4 +1,4 @@
-"""Drives one edge proxy open-loop: dialogs at a steady rate, whatever comes back."""
+"""Loads one edge proxy open-loop: dials at a constant rate, independently of the answers."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
 READ_SIZE = 256 * 1024
 MAX_OPEN_DIALOGS = 10**6
 FIRST_CALLED_NUMBER = 100
-# Set-ups due within one interval leave in one write.
+# Set-ups that are due within one interval are sent in one write.
 DIAL_INTERVAL_S = 0.001
 ANSWER_POLL_INTERVAL_S = 0.01
-# What the last answers may take beyond the longest no-answer time.
+# How long to wait for the last answers beyond the longest no-answer timeout.
 ANSWER_GRACE_S = 0.1
-# Multiples of it are spread evenly over the unit interval.
+# The fractional parts of its multiples are spread evenly over the unit interval.
 GOLDEN_RATIO_FRACTION = 0.618033988749895
 
 
 class LoadFailedError(RuntimeError):
-    """The target could not be brought up, or went away in the middle."""
+    """The target could not be started, or closed the connection during a run."""
 
 
 def traffic_of(scenario: ScenarioConfig, serial: int) -> tuple[str, int]:
-    """The type and no-answer time (ns) of dialog number `serial`: types in turn by their shares."""
+    """Returns the traffic type and no-answer timeout (ns) of dialog number `serial`.
+
+    The types are interleaved evenly, in proportion to their shares.
+    """
     total = sum(mix.share for mix in scenario.mix.values())
     remaining = (serial * GOLDEN_RATIO_FRACTION) % 1 * total
     for traffic_type, mix in scenario.mix.items():
@@ -44,9 +47,9 @@
 async def drive(
     address: str, scenario: ScenarioConfig, rate: float, seconds: float, name: str = "load"
 ) -> LoadSample:
-    """Dials at a steady rate; ends when all dialogs are answered or past their time.
+    """Dials at a constant rate (dialogs per second); returns when all dialogs are answered or timed out.
 
-    Each that is established is released at once. LoadFailedError when the connection breaks.
+    Established dialogs are released at once. Raises LoadFailedError if the connection fails.
     """
     host, _, port = address.rpartition(":")
     stream = await trio.open_tcp_stream(host, int(port))
@@ -54,7 +57,7 @@
 
 
 class _LoadRun:
-    """One run on one connection; `_due` holds when each unanswered dialog was due, ns."""
+    """One run on one connection; `_due` contains the due time (ns) of each unanswered dialog."""
 
     def __init__(
         self, stream: trio.SocketStream, address: str, scenario: ScenarioConfig, rate: float, name: str
@@ -73,7 +76,7 @@
         self._finished = trio.Event()
 
     async def run(self, dialogs: int) -> LoadSample:
-        """Dials so many dialogs."""
+        """Dials the given number of dialogs and returns the sample."""
         async with self._stream, trio.open_nursery() as nursery:
             await self._stream.send_all(self._session.hello_frame())
             nursery.start_soon(self._receive)
@@ -81,7 +84,7 @@
             with trio.move_on_after(START_TIMEOUT_S):
                 await self._welcomed.wait()
             if not self._welcomed.is_set():
-                raise LoadFailedError(f"{self._address} did not greet")
+                raise LoadFailedError(f"{self._address} sent no Welcome in time")
             await self._finished.wait()
             nursery.cancel_scope.cancel()
         return self._sample
@@ -142,7 +145,7 @@
                 self._on_message(message, now)
             await self._flush()
         if not self._finished.is_set():
-            raise LoadFailedError(f"{self._address} closed the connection in the middle")
+            raise LoadFailedError(f"{self._address} closed the connection during the run")
 
     async def _read(self) -> bytes:
         try:
@@ -164,7 +167,7 @@
             self._sample.failed += self._due.pop(message.dialog, None) is not None
 
     def _broken(self) -> LoadFailedError:
-        return LoadFailedError(f"{self._address} broke the connection in the middle")
+        return LoadFailedError(f"the connection to {self._address} broke during the run")
 
 
 def _now() -> int:
--- a/valverouter/load_test/measure.py
+++ b/valverouter/load_test/measure.py
@@ -1,7 +1,7 @@
-"""What a load run measured; no clock and no sockets here.
+"""The measurements of a load run; this module uses no clock and no sockets.
 
-Latencies are reckoned from when a dialog was due to be dialled, not from when it was: a target that holds its
-caller up would otherwise hide the latencies of those behind (coordinated omission).
+Latencies are computed from the time at which a dialog was due to be dialled, not from when it was dialled: a
+target that delays its caller would otherwise hide the latencies of the dialogs behind (coordinated omission).
 """
 
 from __future__ import annotations
@@ -12,16 +12,17 @@
 
 MICROSECOND = 1_000
 MICROSECONDS_PER_MS = 1_000
-# Latencies from 1 us to 60 s, to three digits.
+# Latencies are recorded from 1 us to 60 s with three significant digits.
 MIN_LATENCY_US, MAX_LATENCY_US, DIGITS = 1, 60_000_000, 3
 
 
 @dataclass(slots=True)
 class LoadSample:
-    """One run at one rate.
+    """The results of one run at one rate.
 
-    `latencies`: in us, of the established dialogs, from when each was due. `max_dial_delay`: how far behind
-    its plan the caller itself dialled, ns; a run that shows much of it measured the caller.
+    `latencies`: in us, of the established dialogs, from the time each was due. `max_dial_delay`: the largest
+    delay (ns) with which the load generator itself dialled; if it is large, the run measured the generator
+    and not the target.
     """
 
     rate: float
@@ -36,24 +37,24 @@
 
     @property
     def established(self) -> int:
-        """How many dialogs were established."""
+        """The number of established dialogs."""
         return int(self.latencies.get_total_count())
 
     def record_established(self, due: int, now: int) -> None:
-        """A dialog that was due at a time is established now; ns."""
+        """Records that a dialog due at `due` was established at `now`, both in ns."""
         latency = (now - due) // MICROSECOND
         self.latencies.record_value(min(MAX_LATENCY_US, max(MIN_LATENCY_US, latency)))
 
     def record_dial_delay(self, delay: int) -> None:
-        """A dialog was dialled `delay` ns after it was due."""
+        """Records that a dialog was dialled `delay` ns after it was due."""
         self.max_dial_delay = max(self.max_dial_delay, delay)
 
     def latency_percentile(self, percent: float) -> float:
-        """The latency, ms, within which so many percent were established."""
+        """Returns a percentile of the latencies of established dialogs, in ms."""
         return float(self.latencies.get_value_at_percentile(percent)) / MICROSECONDS_PER_MS
 
     def meets(self, latency_objective: int, fraction: float) -> bool:
-        """Whether that fraction of all that was offered was established within the objective, ns."""
+        """Whether at least `fraction` of the offered dialogs were established within the objective (ns)."""
         if not self.offered:
             return False
         return self._count_within(latency_objective // MICROSECOND) / self.offered >= fraction
--- a/valverouter/load_test/rate_search.py
+++ b/valverouter/load_test/rate_search.py
@@ -13,10 +13,10 @@
     max_rate: float,
     precision: float = DEFAULT_PRECISION,
 ) -> float:
-    """The highest rate that is sustained, to the fraction `precision`; 0 where not even the least is.
+    """Returns the highest sustained rate, to the fraction `precision`; 0 if not even `min_rate` is sustained.
 
-    Doubles from the least to find one that is not sustained, then bisects between. A rate near the limit may
-    be sustained or not by chance, so what is found is tried once more, and lowered while it fails.
+    The rate is doubled from `min_rate` until one is not sustained; then the interval is bisected. Near the
+    limit, a rate may be sustained by chance, so the result is tried again and lowered while it fails.
     """
     if not await is_sustained(min_rate):
         return 0.0
--- a/valverouter/load_test/target.py
+++ b/valverouter/load_test/target.py
@@ -1,4 +1,4 @@
-"""Brings up an edge proxy with fake servers and a fake list, each a process, as a load run's target."""
+"""Starts the target of a load run: an edge proxy, and a process with fake servers and a fake list service."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from valverouter.load_test.drive import SECOND, LoadFailedError
 from valverouter.scenarios.loopback import START_TIMEOUT_S, LoopbackEdge
 
-# What the fakes print before the address of their list service.
+# The fakes print this before the address of their list service.
 LIST_SERVICE_PROMPT = b"list service at "
 READ_SIZE = 4_096
 
 
 @asynccontextmanager
 async def target(file: Path, scenario: ScenarioConfig, folder: Path, seconds: float) -> AsyncIterator[str]:
-    """An edge proxy of the day's with its fakes; gives the edge proxy's address.
+    """Runs an edge proxy of the scenario with its fakes; yields the edge proxy's address.
 
-    The fakes end by themselves after so many seconds, whatever becomes of this process.
+    The fakes exit by themselves after `seconds`, even if this process has died.
     """
     command = [sys.executable, "-m", "valverouter.cli", "standin", str(file), "--seconds", str(seconds)]
     fakes = await trio.lowlevel.open_process(command, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
     try:
         list_address = await _list_service_address(fakes)
         if not list_address:
-            raise LoadFailedError(f"the stand-ins of {file} did not come up")
+            raise LoadFailedError(f"the fake servers of {file} did not start")
         async with trio.open_nursery() as nursery:
             edge = LoopbackEdge(scenario, 0, list_address, folder, nursery)
             await edge.start()
@@ -46,7 +46,7 @@
 
 
 async def _list_service_address(fakes: trio.Process) -> str:
-    """The address that the fakes print, empty where none comes in time."""
+    """Reads the address that the fakes print; empty if there is none within START_TIMEOUT_S."""
     assert fakes.stdout is not None
     output = b""
     with trio.move_on_after(START_TIMEOUT_S):
