--- a/valverouter/cli/experiments.py
+++ b/valverouter/cli/experiments.py
@@ -41,10 +41,13 @@
     bars = Progress(TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn(), console=console)
     with bars:
         task = bars.add_task(plan.name)
-        played = run_all(
-            plan.runs(), store, jobs, lambda done, every: bars.update(task, completed=done, total=every)
+        executed_count = run_all(
+            plan.runs(),
+            store,
+            jobs,
+            lambda done, total_runs: bars.update(task, completed=done, total=total_runs),
         )
-    console.print(f"{played} runs executed, the others were already stored", highlight=False)
+    console.print(f"{executed_count} runs executed, the others were already stored", highlight=False)
 
 
 @experiment.command("report")
@@ -59,8 +62,8 @@
     from valverouter.experiments.runner import RunStore
 
     plan = load_plan(file)
-    with closing(RunStore(store)) as kept:
-        cells = collect_cells(plan, kept)
+    with closing(RunStore(store)) as run_store:
+        cells = collect_cells(plan, run_store)
     if not cells:
         raise ValueError(f"{store}: contains no run of {file}; run `experiment run` first")
     tables.print_cells(console, cells, plan.baseline, figure)
--- a/valverouter/cli/operations_output.py
+++ b/valverouter/cli/operations_output.py
@@ -110,8 +110,8 @@
 
 
 def _print_open_operation(operation: OperationStatus) -> None:
-    head = f"{operation.id}: {operation.kind} {operation.version}".rstrip()
-    line = f"{head}, {operation.phase}, {_wave(operation)}: {_status_counts(operation)}"
+    heading = f"{operation.id}: {operation.kind} {operation.version}".rstrip()
+    line = f"{heading}, {operation.phase}, {_wave(operation)}: {_status_counts(operation)}"
     console.print(line, highlight=False, soft_wrap=True)
     if operation.halt_reason:
         console.print(f"  halted: {operation.halt_reason}", highlight=False, soft_wrap=True)
@@ -120,10 +120,10 @@
             console.print(f"  {participant.name}: {participant.reason}", highlight=False, soft_wrap=True)
 
 
-def _table(*heads: str) -> Table:
+def _table(*headings: str) -> Table:
     table = Table(box=None, pad_edge=False)
-    for head in heads:
-        table.add_column(head, overflow="fold")
+    for heading in headings:
+        table.add_column(heading, overflow="fold")
     return table
 
 
--- a/valverouter/cli/tables.py
+++ b/valverouter/cli/tables.py
@@ -46,8 +46,8 @@
         "legs",
         "service",
     )
-    for head in headings:
-        table.add_column(head, justify="left" if head == "type" else "right", overflow="fold")
+    for heading in headings:
+        table.add_column(heading, justify="left" if heading == "type" else "right", overflow="fold")
     for kind, account in accounts.items():
         answers = account.answers
         counts = (account.offered, account.dial_attempts, account.within_objective, account.late)
@@ -60,19 +60,19 @@
 def print_verdict(console: Console, verdict: Verdict, max_violations: int = 20) -> None:
     """Prints the audit's verdict on each of the five rules, and the first `max_violations` violations."""
     table = Table(title="The five rules, from what passed over the sockets")
-    for head in ("rule", "", "checked", "verdict"):
-        table.add_column(head, justify="right" if head == "checked" else "left")
+    for heading in ("rule", "", "checked", "verdict"):
+        table.add_column(heading, justify="right" if heading == "checked" else "left")
     broken = verdict.violated_rules()
     for rule, text in RULES.items():
         count = sum(violation.rule == rule for violation in verdict.violations)
-        word = (
+        outcome = (
             f"BROKEN {count} times"
             if rule in broken
             else "kept"
             if verdict.check_counts[rule]
             else "not tried"
         )
-        table.add_row(str(rule), text, str(verdict.check_counts[rule]), word)
+        table.add_row(str(rule), text, str(verdict.check_counts[rule]), outcome)
     console.print(table)
     console.print(f"most of a cold server's budget used in any window: {verdict.slow_start_budget_used:.2f}")
     for violation in verdict.violations[:max_violations]:
@@ -86,9 +86,9 @@
 ) -> None:
     """Prints cross-region usage by traffic type and pair of regions, and a chart of attempts per minute."""
     table = Table(title="What crossed")
-    for head in ("type", "home", "away", *USAGE_COLUMNS):
+    for heading in ("type", "home", "away", *USAGE_COLUMNS):
         table.add_column(
-            head.replace("_ns", " s"), justify="left" if head in ("type", "home", "away") else "right"
+            heading.replace("_ns", " s"), justify="left" if heading in ("type", "home", "away") else "right"
         )
     for key, counters in totals.items():
         shown = [
@@ -106,8 +106,8 @@
 def print_plan(console: Console, plan: Plan) -> None:
     """Prints a plan's cross-region traffic, the unserved load, and the constraints that are binding."""
     table = Table(title="The least crossing that carries the load")
-    for head in ("type", "home", "away", "legs a second"):
-        table.add_column(head, justify="right" if head.startswith("legs") else "left")
+    for heading in ("type", "home", "away", "legs a second"):
+        table.add_column(heading, justify="right" if heading.startswith("legs") else "left")
     for (kind, home, away), rate in sorted(plan.cross_region.items()):
         table.add_row(kind, home, away, f"{rate:.2f}")
     console.print(table)
@@ -134,18 +134,24 @@
 
 
 def print_cells(
-    console: Console, cells: dict[tuple[str, ...], Cell], baseline: dict[str, str], figure: str
+    console: Console, cells: dict[tuple[str, ...], Cell], baseline: dict[str, str], metric: str
 ) -> None:
     """Prints a row for each combination of levels: mean, interval, paired difference from the baseline."""
     from valverouter.experiments.report import difference_from_baseline
 
-    table = Table(title=f"{figure}: mean and 95% interval; difference from the baseline by pairs of a seed")
-    for head in (*next(iter(cells.values())).levels, "runs", figure, "difference", "least that would show"):
-        table.add_column(head)
+    table = Table(title=f"{metric}: mean and 95% interval; difference from the baseline by pairs of a seed")
+    for heading in (
+        *next(iter(cells.values())).levels,
+        "runs",
+        metric,
+        "difference",
+        "least that would show",
+    ):
+        table.add_column(heading)
     for cell in cells.values():
-        mean, half_width = cell.interval(figure)
+        mean, half_width = cell.interval(metric)
         row = [*cell.levels.values(), str(len(cell.by_seed)), f"{mean:.3f} ± {half_width:.3f}"]
-        difference = difference_from_baseline(cells, cell, baseline, figure)
+        difference = difference_from_baseline(cells, cell, baseline, metric)
         if difference is None:
             row += ["", ""]
         else:
--- a/valverouter/experiments/report.py
+++ b/valverouter/experiments/report.py
@@ -43,27 +43,27 @@
     levels: dict[str, str]
     by_seed: dict[int, dict[str, float]] = field(default_factory=dict)
 
-    def values(self, figure: str) -> dict[int, float]:
+    def values(self, metric: str) -> dict[int, float]:
         """Returns a metric's value by seed."""
-        return {seed: figures[figure] for seed, figures in self.by_seed.items()}
+        return {seed: metrics[metric] for seed, metrics in self.by_seed.items()}
 
-    def interval(self, figure: str) -> tuple[float, float]:
+    def interval(self, metric: str) -> tuple[float, float]:
         """Returns the mean of a metric and the half-width of its 95% interval."""
-        return confidence_interval(list(self.values(figure).values()))
+        return confidence_interval(list(self.values(metric).values()))
 
 
 def collect_cells(plan: Plan, store: RunStore) -> dict[Levels, Cell]:
     """Loads the stored runs by levels, in the plan's order; combinations without stored runs are omitted."""
     cells: dict[Levels, Cell] = {}
     for run in plan.runs():
-        if (figures := store.load(run)) is not None:
+        if (metrics := store.load(run)) is not None:
             cell = cells.setdefault(tuple(run.levels.values()), Cell(run.levels))
-            cell.by_seed[run.seed] = figures
+            cell.by_seed[run.seed] = metrics
     return cells
 
 
 def difference_from_baseline(
-    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
+    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], metric: str
 ) -> Difference | None:
     """Returns the paired difference from the cell with the baseline's levels and otherwise the same levels.
 
@@ -74,13 +74,13 @@
     base = cells.get(tuple((cell.levels | baseline).values()))
     if base is None or base is cell or min(len(base.by_seed), len(cell.by_seed)) < 2:
         return None
-    return paired_difference(base.values(figure), cell.values(figure))
+    return paired_difference(base.values(metric), cell.values(metric))
 
 
-def report_page(plan: Plan, cells: dict[Levels, Cell], figure: str) -> str:
+def report_page(plan: Plan, cells: dict[Levels, Cell], metric: str) -> str:
     """Renders the HTML page with bar charts, the one of the given metric first."""
     heads = list(next(iter(next(iter(cells.values())).by_seed.values())))
-    charts = [_chart(cells, name) for name in dict.fromkeys((figure, *CHARTED_METRICS))]
+    charts = [_chart(cells, name) for name in dict.fromkeys((metric, *CHARTED_METRICS))]
     table = [
         {
             "name": ", ".join(levels),
@@ -100,11 +100,11 @@
     )
 
 
-def _chart(cells: dict[Levels, Cell], figure: str) -> dict[str, object]:
-    intervals = {levels: cell.interval(figure) for levels, cell in cells.items()}
+def _chart(cells: dict[Levels, Cell], metric: str) -> dict[str, object]:
+    intervals = {levels: cell.interval(metric) for levels, cell in cells.items()}
     scale = max(mean for mean, _ in intervals.values()) or 1.0
     bars = [_bar(levels, mean, min(half, mean), scale) for levels, (mean, half) in intervals.items()]
-    return {"figure": figure, "bars": bars}
+    return {"figure": metric, "bars": bars}
 
 
 def _bar(levels: Levels, mean: float, half_width: float, scale: float) -> dict[str, object]:
@@ -118,10 +118,10 @@
 
 
 def _table_cell(
-    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
+    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], metric: str
 ) -> dict[str, object]:
-    mean, _ = cell.interval(figure)
-    difference = difference_from_baseline(cells, cell, baseline, figure)
+    mean, _ = cell.interval(metric)
+    difference = difference_from_baseline(cells, cell, baseline, metric)
     if difference is None:
         return {"said": f"{mean:.3f}", "shown": True}
     return {"said": f"{mean:.3f} ({difference.mean:+.3f})", "shown": difference.is_significant}
--- a/valverouter/experiments/run_metrics.py
+++ b/valverouter/experiments/run_metrics.py
@@ -28,7 +28,7 @@
     totals = list(accounts.values())
     offered = sum(account.offered for account in totals) or 1
     attempts = sum(account.attempts for account in totals)
-    figures = {
+    metrics = {
         "service": weighted_service_level(accounts, config.priority_weights),
         "worst-10s": worst_window_service(rows, config),
         "declined": sum(account.answers["declined"] for account in totals) / offered,
@@ -41,7 +41,7 @@
         "rules-broken": float(len(verdict.violated_rules())),
     }
     by_type = {f"service {traffic_type}": account.service_level for traffic_type, account in accounts.items()}
-    return figures | by_type
+    return metrics | by_type
 
 
 @dataclass(slots=True)
--- a/valverouter/experiments/runner.py
+++ b/valverouter/experiments/runner.py
@@ -35,7 +35,7 @@
         """Closes the database."""
         self._db.close()
 
-    def save(self, run: Run, figures: dict[str, float]) -> None:
+    def save(self, run: Run, metrics: dict[str, float]) -> None:
         """Stores a run's metrics, replacing earlier ones."""
         with self._db:
             self._db.execute(
@@ -47,7 +47,7 @@
                     run.seed,
                     msgspec.json.encode(run.levels).decode(),
                     run.text,
-                    msgspec.json.encode(figures).decode(),
+                    msgspec.json.encode(metrics).decode(),
                 ),
             )
 
@@ -92,8 +92,8 @@
         if not missing:
             return 0
         with multiprocessing.get_context("spawn").Pool(min(jobs, len(missing))) as pool:
-            for run, figures in pool.imap_unordered(_run_in_pool, missing):
-                store.save(run, figures)
+            for run, metrics in pool.imap_unordered(_run_in_pool, missing):
+                store.save(run, metrics)
                 finished += 1
                 on_progress(finished, len(all_runs))
         return len(missing)
