--- a/valverouter/cli/operation_requests.py
+++ b/valverouter/cli/operation_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the command line to the control plane, each over a socket of its own."""
+"""Requests from the command line to the control plane, each over its own socket."""
 
 from __future__ import annotations
 
@@ -22,8 +22,9 @@
 from valverouter.rollout.operations import Command, Submit, SubmitResult
 from valverouter.rollout.status import FleetStatus, OperationStatus
 
-# Exit codes: an operation ended in part or halted; nobody answered, or an operation is not known.
-IN_PART, UNKNOWN = RULE_VIOLATED, FAILED
+# Exit codes: an operation was halted or was done only in part; no raft leader answered, or the operation is
+# unknown to it.
+PARTLY_DONE, OUTCOME_UNKNOWN = RULE_VIOLATED, FAILED
 TIMEOUT_S = 10.0
 FOLLOW_INTERVAL_S = 1.0
 
@@ -31,46 +32,46 @@
 
 
 def wall_clock_ms() -> int:
-    """The time to show beside an operation, ms since 1970."""
+    """Returns the time to be shown with an operation, in ms since 1970."""
     return time.time_ns() // 1_000_000
 
 
 def plan(file: Path, operation: Submit) -> SubmitResult:
-    """The waves of an operation if it were submitted now, or why it would be rejected."""
+    """Returns the waves of an operation if it were submitted now, or why it would be rejected."""
     return _submit(file, RequestKind.PLAN, operation)
 
 
 def submit(file: Path, operation: Submit) -> SubmitResult:
-    """Submits an operation: its waves, or why it is rejected."""
+    """Submits an operation; returns its waves, or why it was rejected."""
     return _submit(file, RequestKind.EXECUTE, operation)
 
 
 def _submit(file: Path, kind: RequestKind, operation: Submit) -> SubmitResult:
     result = _request(file, kind, operation, SubmitResult)
     if result is None:
-        _exit_unknown(operation.id)
+        _exit_outcome_unknown(operation.id)
     return result
 
 
 def execute(file: Path, command: Command, subject: str) -> None:
-    """Executes a command about an operation or instance `subject`, for the message where nobody answers."""
+    """Executes a command; `subject`, an operation or instance, is named in the error if no leader answers."""
     if _request(file, RequestKind.EXECUTE, command, dict) is None:
-        _exit_unknown(subject)
+        _exit_outcome_unknown(subject)
 
 
 def fleet_status(file: Path, about: str = "") -> FleetStatus:
-    """The fleet's status; `about`: see `rollout.status.fleet_status`. Ends the process if nobody answers."""
+    """Returns the fleet's status; `about`: see `rollout.status.fleet_status`. Exits if no leader answers."""
     status = _request(file, RequestKind.SHOW, None, FleetStatus, about)
     if status is None:
-        console.print("nobody of the council who leads was reached", highlight=False)
-        sys.exit(UNKNOWN)
+        console.print("no raft leader answered", highlight=False)
+        sys.exit(OUTCOME_UNKNOWN)
     return status
 
 
 def follow(file: Path, id_: str, as_json: bool) -> None:
-    """Prints an operation's progress until it ends; ends the process where it was not all done.
+    """Prints an operation's progress until it ends; exits if it was not done completely.
 
-    Interrupted, it ends the printing alone.
+    Interrupting this command does not affect the operation.
     """
     operation = _wait_for_end(file, id_, is_quiet=as_json)
     if as_json:
@@ -80,7 +81,7 @@
     if operation.result != "done":
         if not as_json:
             print_participants(operation)
-        sys.exit(IN_PART)
+        sys.exit(PARTLY_DONE)
 
 
 def _wait_for_end(file: Path, id_: str, is_quiet: bool) -> OperationStatus:
@@ -89,7 +90,7 @@
         status = fleet_status(file, id_)
         operation = next((operation for operation in status.operations if operation.id == id_), None)
         if operation is None:
-            _exit_unknown(id_)
+            _exit_outcome_unknown(id_)
         line = describe_progress(status, operation)
         if line != printed and not is_quiet:
             printed = line
@@ -102,21 +103,23 @@
 def _request(
     file: Path, kind: RequestKind, command: Command | None, answer_type: type[Answer], about: str = ""
 ) -> Answer | None:
-    """The leader's answer; None where no leader answered in time."""
-    terms = load_fleet_client(file)
+    """Sends a request; returns the leader's answer, or None if no leader answered within TIMEOUT_S."""
+    config = load_fleet_client(file)
 
-    async def ask() -> Answer | None:
-        host = next(iter(terms.council.values())).rpartition(":")[0]
+    async def send() -> Answer | None:
+        host = next(iter(config.council.values())).rpartition(":")[0]
         socket = SocketRuntime().bind_datagrams("[::]:0" if ":" in host else "0.0.0.0:0")
         try:
-            client = OperationsClient(terms, socket, random.Random(secrets.randbits(64)))
+            client = OperationsClient(config, socket, random.Random(secrets.randbits(64)))
             return await client.request(kind, command, answer_type, TIMEOUT_S, about)
         finally:
             socket.close()
 
-    return trio.run(ask)
+    return trio.run(send)
 
 
-def _exit_unknown(subject: str) -> NoReturn:
-    console.print(f"unknown what became of {subject or 'it'}: no answer; ask by its id", highlight=False)
-    sys.exit(UNKNOWN)
+def _exit_outcome_unknown(subject: str) -> NoReturn:
+    console.print(
+        f"no answer, so what became of {subject or 'it'} is unknown; query it by its id", highlight=False
+    )
+    sys.exit(OUTCOME_UNKNOWN)
--- a/valverouter/experiments/report.py
+++ b/valverouter/experiments/report.py
@@ -1,4 +1,4 @@
-"""The stored runs of an experiment by levels, and a page of them that needs no tool to be read."""
+"""The stored runs of an experiment by levels, and a self-contained HTML page about them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 <style>body{font:15px sans-serif;max-width:70em;margin:2em auto}td,th{padding:.2em .7em;text-align:right}
 th:first-child,td:first-child{text-align:left}tr:nth-child(even){background:#f3f3f3}.no{color:#888}</style>
 <h1>{{ name }}</h1>
-<p>{{ runs }} runs of an emulator (figures are a model's), version {{ version }}, seeds {{ seeds }}.
-Means with 95% intervals; differences from the baseline by pairs of the same seed, grey where not shown.</p>
+<p>{{ runs }} emulated runs (all figures come from a model), version {{ version }}, seeds {{ seeds }}.
+Means with 95% intervals; differences from the baseline are paired by seed, and grey if not significant.</p>
 {% for chart in charts %}<h2>{{ chart.figure }}</h2>
 <svg viewBox="0 0 700 {{ 26 * chart.bars|length + 10 }}" width="700" role="img">
 {% for bar in chart.bars %}<text x="0" y="{{ 26 * loop.index0 + 18 }}" font-size="13">{{ bar.name }}</text>
@@ -29,8 +29,8 @@
 <td{% if not cell.shown %} class="no"{% endif %}>{{ cell.said }}</td>{% endfor %}</tr>
 {% endfor %}</table></html>
 """
-CHARTED_FIGURES = ("service", "worst-10s", "declined", "legs", "wasted")
-WIDE = 300
+CHARTED_METRICS = ("service", "worst-10s", "declined", "legs", "wasted")
+BAR_AREA_WIDTH = 300
 
 
 Levels = tuple[str, ...]
@@ -38,49 +38,49 @@
 
 @dataclass(slots=True)
 class Cell:
-    """One combination of levels, and the figures of its runs by seed."""
+    """A combination of levels, and the metrics of its runs by seed."""
 
     levels: dict[str, str]
     by_seed: dict[int, dict[str, float]] = field(default_factory=dict)
 
-    def values(self, figure: str) -> dict[int, float]:
-        """One figure by seed."""
-        return {seed: figures[figure] for seed, figures in self.by_seed.items()}
+    def values(self, metric: str) -> dict[int, float]:
+        """Returns a metric's value by seed."""
+        return {seed: metrics[metric] for seed, metrics in self.by_seed.items()}
 
-    def interval(self, figure: str) -> tuple[float, float]:
-        """The mean of a figure and the half width of its interval."""
-        return confidence_interval(list(self.values(figure).values()))
+    def interval(self, metric: str) -> tuple[float, float]:
+        """Returns the mean of a metric and the half-width of its 95% interval."""
+        return confidence_interval(list(self.values(metric).values()))
 
 
 def collect_cells(plan: Plan, store: RunStore) -> dict[Levels, Cell]:
-    """The stored runs by levels, in the plan's order; combinations without any are left out."""
+    """Loads the stored runs by levels, in the plan's order; combinations without stored runs are omitted."""
     cells: dict[Levels, Cell] = {}
     for run in plan.runs():
-        if (figures := store.load(run)) is not None:
+        if (metrics := store.load(run)) is not None:
             cell = cells.setdefault(tuple(run.levels.values()), Cell(run.levels))
-            cell.by_seed[run.seed] = figures
+            cell.by_seed[run.seed] = metrics
     return cells
 
 
 def difference_from_baseline(
-    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
+    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], metric: str
 ) -> Difference | None:
-    """The paired difference from the cell that has the baseline's levels in its factors, and others alike.
+    """Returns the paired difference from the cell with the baseline's levels and otherwise the same levels.
 
-    None where there is no such cell, where it is this one, or where either has fewer than two runs.
+    Returns None if there is no such cell, if it is this one, or if either has fewer than two runs.
     """
     if not baseline:
         return None
     base = cells.get(tuple((cell.levels | baseline).values()))
     if base is None or base is cell or min(len(base.by_seed), len(cell.by_seed)) < 2:
         return None
-    return paired_difference(base.values(figure), cell.values(figure))
+    return paired_difference(base.values(metric), cell.values(metric))
 
 
-def report_page(plan: Plan, cells: dict[Levels, Cell], figure: str) -> str:
-    """HTML with bars drawn in it, the figure asked for first."""
+def report_page(plan: Plan, cells: dict[Levels, Cell], metric: str) -> str:
+    """Renders the HTML page with bar charts, the one of the given metric first."""
     heads = list(next(iter(next(iter(cells.values())).by_seed.values())))
-    charts = [_chart(cells, name) for name in dict.fromkeys((figure, *CHARTED_FIGURES))]
+    charts = [_chart(cells, name) for name in dict.fromkeys((metric, *CHARTED_METRICS))]
     table = [
         {
             "name": ", ".join(levels),
@@ -100,28 +100,28 @@
     )
 
 
-def _chart(cells: dict[Levels, Cell], figure: str) -> dict[str, object]:
-    intervals = {levels: cell.interval(figure) for levels, cell in cells.items()}
+def _chart(cells: dict[Levels, Cell], metric: str) -> dict[str, object]:
+    intervals = {levels: cell.interval(metric) for levels, cell in cells.items()}
     scale = max(mean for mean, _ in intervals.values()) or 1.0
     bars = [_bar(levels, mean, min(half, mean), scale) for levels, (mean, half) in intervals.items()]
-    return {"figure": figure, "bars": bars}
+    return {"figure": metric, "bars": bars}
 
 
 def _bar(levels: Levels, mean: float, half_width: float, scale: float) -> dict[str, object]:
     return {
         "name": ", ".join(levels),
-        "width": WIDE * mean / scale,
-        "low": WIDE * (mean - half_width) / scale,
-        "high": WIDE * (mean + half_width) / scale,
+        "width": BAR_AREA_WIDTH * mean / scale,
+        "low": BAR_AREA_WIDTH * (mean - half_width) / scale,
+        "high": BAR_AREA_WIDTH * (mean + half_width) / scale,
         "said": f"{mean:.3f} ± {half_width:.3f}",
     }
 
 
 def _table_cell(
-    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], figure: str
+    cells: dict[Levels, Cell], cell: Cell, baseline: dict[str, str], metric: str
 ) -> dict[str, object]:
-    mean, _ = cell.interval(figure)
-    difference = difference_from_baseline(cells, cell, baseline, figure)
+    mean, _ = cell.interval(metric)
+    difference = difference_from_baseline(cells, cell, baseline, metric)
     if difference is None:
         return {"said": f"{mean:.3f}", "shown": True}
     return {"said": f"{mean:.3f} ({difference.mean:+.3f})", "shown": difference.is_significant}
--- a/valverouter/experiments/scenario_page.py
+++ b/valverouter/experiments/scenario_page.py
@@ -1,4 +1,4 @@
-"""One emulated day as a page: service, queue delays, windows, tokens and attempts by second, by server."""
+"""An HTML page about an emulated run: service, queue delays, windows, tokens and attempts by second."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from valverouter.signalling.traffic_record import AuditConfigRow, FaultRow, MessageRow, Row
 
 SECOND = 1_000_000_000
-WIDE, HIGH, CELL = 900, 120, 14
-ENDS = ("stands", "full", "no-agent", "line-busy", "fault", "cancelled")
+CHART_WIDTH, CHART_HEIGHT, CELL_SIZE = 900, 120, 14
+OUTCOME_KINDS = ("stands", "full", "no-agent", "line-busy", "fault", "cancelled")
 COLOURS = ("#2c7fb8", "#d95f0e", "#756bb1", "#999", "#de2d26", "#636363")
 
 PAGE = """<!doctype html><html lang="en"><meta charset="utf-8"><title>{{ name }}</title>
 <style>body{font:14px sans-serif;max-width:{{ wide + 140 }}px;margin:2em auto}svg{background:#fafafa}</style>
-<h1>{{ name }}</h1><p>Emulated: figures are a model's. {{ seconds }} seconds from the first dialog on.
+<h1>{{ name }}</h1><p>Emulated: all figures come from a model. {{ seconds }} seconds from the first dialog.
 {% for trouble in troubles %}{{ trouble }}; {% endfor %}</p>
 {% for chart in charts %}<h2>{{ chart.title }}</h2>
 <svg width="{{ wide + 120 }}" height="{{ high + 20 }}" role="img">{% for line in chart.lines %}
@@ -27,7 +27,7 @@
 <text x="{{ wide + 5 }}" y="{{ 14 + 15 * loop.index0 }}" fill="{{ line.colour }}"
  font-size="12">{{ line.name }}</text>
 {% endfor %}<text x="0" y="{{ high + 15 }}" font-size="11">0 to {{ chart.most }}</text></svg>{% endfor %}
-<h2>Legs that did not stand, by server and second</h2>
+<h2>Failed attempts by server and second</h2>
 <svg width="{{ wide + 120 }}" height="{{ cell * heat|length + 20 }}" role="img">{% for row in heat %}
 <text x="{{ wide + 5 }}" y="{{ cell * loop.index0 + 11 }}" font-size="11">{{ row.name }}</text>
 {% for spot in row.spots %}<rect x="{{ spot.x }}" y="{{ row.y }}" width="{{ spot.w }}" height="{{ cell - 1 }}"
@@ -43,21 +43,21 @@
 
 @dataclass(slots=True)
 class _Attempts:
-    """Attempts by server and second, how many of them failed, and all outcomes by kind and second."""
+    """Counts of attempts and of failed attempts by server and second, and of outcomes by kind and second."""
 
     sent: ByServerAndSecond = field(default_factory=Counter)
     failed: ByServerAndSecond = field(default_factory=Counter)
     outcomes: Counter[tuple[str, int]] = field(default_factory=Counter)
 
 
-def day_page(name: str, result: ScenarioResult) -> str:
-    """The page, readable without any tool or network."""
+def render_scenario_page(name: str, result: ScenarioResult) -> str:
+    """Renders the self-contained HTML page, which loads nothing over the network."""
     rows = result.rows
-    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
+    audit_config = next(row for row in rows if isinstance(row, AuditConfigRow))
     starts_at = next((row.at for row in rows if isinstance(row, MessageRow)), 0)
     service = {
         second: served / offered
-        for second, (offered, served) in service_by_second(rows, terms).items()
+        for second, (offered, served) in service_by_second(rows, audit_config).items()
         if offered
     }
     attempts = _count_attempts(result, starts_at)
@@ -69,9 +69,9 @@
         troubles=_fault_lines(rows, starts_at),
         charts=_charts(result, service, attempts, seconds, starts_at),
         heat=_heat_map(attempts, seconds),
-        wide=WIDE,
-        high=HIGH,
-        cell=CELL,
+        wide=CHART_WIDTH,
+        high=CHART_HEIGHT,
+        cell=CELL_SIZE,
     )
 
 
@@ -83,7 +83,7 @@
         second = (row.at - starts_at) // SECOND
         if not row.sent and row.kind == "setup":
             attempts.sent[row.peer, second] += 1
-        elif row.sent and row.kind in ENDS:
+        elif row.sent and row.kind in OUTCOME_KINDS:
             attempts.outcomes[row.kind, second] += 1
             attempts.failed[row.peer, second] += row.kind != "stands"
     return attempts
@@ -103,19 +103,20 @@
 ) -> list[dict[str, object]]:
     delays, windows, tokens = _by_server(result, starts_at)
     outcomes = {
-        kind: {second: float(attempts.outcomes[kind, second]) for second in range(seconds)} for kind in ENDS
+        kind: {second: float(attempts.outcomes[kind, second]) for second in range(seconds)}
+        for kind in OUTCOME_KINDS
     }
     return [
         _chart("Service of dialogs first dialled in each second", {"service": service}, seconds, 1.0),
-        _chart("Legs by outcome", outcomes, seconds),
-        _chart("Waits that the edge proxies know, ms", delays, seconds),
-        _chart("Windows for unanswered legs", windows, seconds),
-        _chart("Retry tokens left", tokens, seconds, 1.0),
+        _chart("Attempts by outcome", outcomes, seconds),
+        _chart("Queue delays known to the edge proxies, ms", delays, seconds),
+        _chart("Windows (attempts in flight)", windows, seconds),
+        _chart("Fraction of retry tokens left", tokens, seconds, 1.0),
     ]
 
 
 def _by_server(result: ScenarioResult, starts_at: int) -> tuple[dict[str, BySecond], ...]:
-    """Queue delays (ms), windows and token fractions, each by server and second."""
+    """Returns queue delays (ms), windows and token fractions, each by server and second."""
     delays: dict[str, BySecond] = {}
     windows: dict[str, BySecond] = {}
     tokens: dict[str, BySecond] = {}
@@ -132,9 +133,9 @@
     return [
         {
             "name": server,
-            "y": CELL * index,
+            "y": CELL_SIZE * index,
             "spots": [
-                _heat_spot(attempts, server, second, seconds)
+                _heat_map_cell(attempts, server, second, seconds)
                 for second in range(seconds)
                 if attempts.sent[server, second]
             ],
@@ -143,11 +144,11 @@
     ]
 
 
-def _heat_spot(attempts: _Attempts, server: str, second: int, seconds: int) -> dict[str, object]:
+def _heat_map_cell(attempts: _Attempts, server: str, second: int, seconds: int) -> dict[str, object]:
     sent, failed = attempts.sent[server, second], attempts.failed[server, second]
     return {
-        "x": round(second * WIDE / seconds, 1),
-        "w": round(WIDE / seconds, 1),
+        "x": round(second * CHART_WIDTH / seconds, 1),
+        "w": round(CHART_WIDTH / seconds, 1),
         "shade": int(235 * (1 - min(1.0, failed / sent))),
         "said": f"{server}, second {second}: {failed} of {sent}",
     }
@@ -167,7 +168,7 @@
 
 def _points(line: Mapping[int, float], seconds: int, top: float) -> str:
     points = [
-        (second * WIDE / max(1, seconds - 1), HIGH - value / top * (HIGH - 4))
+        (second * CHART_WIDTH / max(1, seconds - 1), CHART_HEIGHT - value / top * (CHART_HEIGHT - 4))
         for second, value in sorted(line.items())
     ]
     return " ".join(f"{x:.1f},{y:.1f}" for x, y in points)
