--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -25,7 +25,7 @@
 from valverouter.config.ini import IniFile
 from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.edge import logs
-from valverouter.scenarios.fault_course import draw_fault_course
+from valverouter.scenarios.fault_schedule import draw_fault_schedule
 from valverouter.scenarios.loopback import run_loopback
 from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling.traffic_record import AuditConfigRow, MembershipEventRow, Row
@@ -39,7 +39,7 @@
     text = text.replace("length = 18s", f"length = {length_s:g}s")
     return scenario_config(
         IniFile(
-            text + draw_fault_course(seed, edges, ("north", "south", "west"), length_s), f"course {seed}"
+            text + draw_fault_schedule(seed, edges, ("north", "south", "west"), length_s), f"course {seed}"
         ),
         "course",
     )
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -37,8 +37,8 @@
 from valverouter.rollout.operations import OperationKind, Submit
 from valverouter.rollout.raft import SECOND
 from valverouter.scenarios.loopback import run_loopback
-from valverouter.scenarios.operation_course import OperationCourse
-from valverouter.scenarios.operation_harness import OperationRig, run_operations
+from valverouter.scenarios.operation_harness import OperationHarness, run_operations
+from valverouter.scenarios.random_operations import RandomOperations
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
@@ -57,7 +57,7 @@
     turns = 0
     most, here = max(2, options.edges // 6), max(1, options.edges // 12)
     for seed in range(options.first, options.first + options.seeds):
-        course, began = OperationCourse(seed, options.length), time.monotonic()
+        course, began = RandomOperations(seed, options.length), time.monotonic()
         script = scripted(seed, options.edges, options.length * 2)
         with tempfile.TemporaryDirectory() as scratch:
             folder = options.logs / str(seed) if options.logs else Path(scratch)
@@ -67,13 +67,13 @@
         assert orders is not None
         passed = orders.passed and rules.passed
         failed += not passed
-        resting += course.is_at_rest
+        resting += course.has_settled
         results_by_kind.update(orders.outcomes)
         turns += orders.steps_started
         line = f"seed {seed}: {course.operations} told, {course.faults} faults, "
         line += f"{orders.steps_started} turns, "
         line += f"most out {orders.max_unavailable} of {most}, rules kept: {rules.passed}, "
-        line += f"at rest: {course.is_at_rest}, "
+        line += f"at rest: {course.has_settled}, "
         line += f"{time.monotonic() - began:.0f} s"
         print(line if passed else f"{line}; {orders.violations} {rules.violations}", flush=True)
     print(f"{options.seeds} courses, {failed} bad, {resting} at rest, {turns} turns; {dict(results_by_kind)}")
@@ -97,7 +97,7 @@
     print(f"mean {mean:+.4f}, spread of the pairs {spread:.4f}")
 
 
-async def nothing(rig: OperationRig) -> None:
+async def nothing(rig: OperationHarness) -> None:
     pass
 
 
--- a/tests/operation_harness.py
+++ b/tests/operation_harness.py
@@ -21,7 +21,7 @@
 LIMITS = DisruptionLimits(max_unavailable=2, max_unavailable_per_region=1)
 
 
-class OperationLogRig:
+class OperationLogHarness:
     """An operation log with enrolled edge proxies, and the index of the next command."""
 
     def __init__(self, count: int = 6, limits: DisruptionLimits = LIMITS) -> None:
--- a/tests/test_operation_processes.py
+++ b/tests/test_operation_processes.py
@@ -22,11 +22,11 @@
 from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.rollout.status import FleetStatus
 from valverouter.scenarios.operation_files import NODES
-from valverouter.scenarios.operation_harness import OperationRig, run_operations
+from valverouter.scenarios.operation_harness import OperationHarness, run_operations
 from valverouter.servermodel.paths import PathFault
 
 FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
-Script = Callable[[OperationRig], Awaitable[None]]
+Script = Callable[[OperationHarness], Awaitable[None]]
 
 processes = pytest.mark.processes
 
@@ -52,7 +52,7 @@
     return next(each.result for each in status.operations if each.id == operation)
 
 
-async def wait_until_unavailable(rig: OperationRig, operation: str) -> FleetStatus:
+async def wait_until_unavailable(rig: OperationHarness, operation: str) -> FleetStatus:
     """Returns the status once an instance is unavailable under a permit of the operation."""
     with trio.fail_after(20):
         while True:
@@ -62,7 +62,7 @@
             await trio.sleep(0.05)
 
 
-async def leader(rig: OperationRig) -> str:
+async def leader(rig: OperationHarness) -> str:
     with trio.fail_after(20):
         while (status := await rig.status()) is None:
             await trio.sleep(0.2)
@@ -72,7 +72,7 @@
 def test_operations_with_faults_between_real_processes(tmp_path: Path) -> None:
     """Restarts all instances while the leader and a supervisor are killed; then releases a faulty version."""
 
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
             await wait_until_unavailable(rig, "all")
@@ -96,7 +96,7 @@
 
 @processes
 def test_a_restart_of_all_while_three_are_restarting(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         for name in ("e0", "e2", "e4"):
             rig.kill(name)
         code, _ = await rig.run_client("restart", "--all", "--id", "all")
@@ -108,7 +108,7 @@
 
 @processes
 def test_a_supervisor_that_dies_between_a_step_and_its_report(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "e1", "--id", "one")
             log = rig.folder / "k1.log"
@@ -125,7 +125,7 @@
 
 @processes
 def test_the_client_killed_at_each_step(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         for client_timeout_s in (0.2, 0.4, 0.6, 0.8, 1.2, 2.0):
             await rig.run_client("restart", "e0", "e1", "--id", "one", timeout_s=client_timeout_s)
         code, _ = await rig.run_client("restart", "e0", "e1", "--id", "one")
@@ -137,7 +137,7 @@
 
 @processes
 def test_two_operators_with_overlapping_sets_on_two_sides_of_a_partition(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         now = rig.fakes.now()
         left, right = frozenset({"c0", "k0", "k1"}), frozenset({"c1", "c2", "k2", "k3", "k4", "k5"})
         rig.add_path_fault(PathFault("split", now, now + 8 * 10**9, groups=(left, right)))
@@ -159,7 +159,7 @@
 
 @processes
 def test_one_leader_killed_and_one_paused_for_ten_seconds(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "restart", "--all", "--id", "all")
             await wait_until_unavailable(rig, "all")
@@ -176,7 +176,7 @@
 
 @processes
 def test_a_drain_of_a_whole_region_is_rejected_for_capacity(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         code, output = await rig.run_client("drain", "--region", "north", "--id", "d")
         assert code == 2
         assert "least capacity of north" in output
@@ -194,7 +194,7 @@
 
 @processes
 def test_three_crashes_during_a_drain_up_to_the_limit(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         assert (await rig.run_client("drain", "e0", "e2", "--id", "d"))[0] == 0
         for name in ("k1", "k3", "k5"):
             rig.kill(name)
@@ -220,7 +220,7 @@
 @processes
 @pytest.mark.parametrize("version", ["crashes", "dies-late", "declines", "crowds"])
 def test_a_harmful_release_is_halted_and_rolled_back(tmp_path: Path, version: str) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         code, output = await rig.run_client("release", "--all", "--to", version, "--id", "r", timeout_s=90)
         assert code == 1
         assert "halted" in output
@@ -232,7 +232,7 @@
 
 @processes
 def test_a_harmless_release_on_a_day_with_a_slow_server_is_not_halted(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         code, output = await rig.run_client("release", "--all", "--to", "v2", "--id", "r", timeout_s=120)
         assert code == 0, output
 
@@ -242,7 +242,7 @@
 
 @processes
 def test_a_partition_during_a_wave_that_heals_after_the_halt(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(rig.run_client, "release", "--all", "--to", "v2", "--id", "r")
             await wait_until_unavailable(rig, "r")
@@ -261,7 +261,7 @@
 
 @processes
 def test_the_client_the_leader_and_an_instance_die_during_a_rollback(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         await rig.run_client("release", "--all", "--to", "v2", "--id", "r", timeout_s=14)
         await rig.run_client("back", "r", timeout_s=0.7)
         await rig.run_client("back", "r", "--no-wait")
@@ -280,7 +280,7 @@
 
 @processes
 def test_raft_servers_that_lost_their_disks_are_admitted_again(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         for node in NODES[:2]:
             rig.kill(node)
             shutil.rmtree(rig.folder / f"{node}.store")
@@ -298,7 +298,7 @@
 
 @processes
 def test_a_supervisor_that_lost_its_disk_finds_what_it_had_started(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         assert (await rig.run_client("restart", "e1", "--id", "one"))[0] == 0
         before = rig.find_pid("e1")
         rig.kill("k1")
@@ -316,7 +316,7 @@
 
 @processes
 def test_a_rejected_operation_may_be_submitted_again_under_its_id(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         assert (await rig.run_client("drain", "e0", "--id", "a"))[0] == 0
         assert (await rig.run_client("drain", "e1", "--id", "b"))[0] == 2
         assert (await rig.run_client("undrain", "e0"))[0] == 0
@@ -328,7 +328,7 @@
 
 @processes
 def test_an_operation_submitted_again_later_does_nothing(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         for _ in range(3):
             assert (await rig.run_client("restart", "e0", "--id", "one"))[0] == 0
             await trio.sleep(1)
@@ -341,7 +341,7 @@
 
 @processes
 def test_servers_become_unavailable_one_at_a_time_under_permits(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         code, output = await rig.run_client("restart", "s0", "s1", "--servers", "--id", "s", timeout_s=90)
         assert code == 0, output
 
@@ -357,7 +357,7 @@
 
 @processes
 def test_a_sigterm_is_obeyed_and_the_instance_counted_as_lost_without_a_permit(tmp_path: Path) -> None:
-    async def script(rig: OperationRig) -> None:
+    async def script(rig: OperationHarness) -> None:
         rig.record_fault("leave-k1", "k1", 10)
         for _ in range(3):
             rig.processes["k1"].terminate()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.operation_harness import LIMITS, OperationLogRig
+from tests.operation_harness import LIMITS, OperationLogHarness
 from valverouter.rollout.disruption_limits import DisruptionLimits, Instance, InstanceKind
 from valverouter.rollout.disruption_permits import (
     EnrollInstances,
@@ -38,7 +38,7 @@
 
 
 def test_a_release_runs_wave_by_wave_and_awaits_its_evidence() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     names = [f"e{index}" for index in range(6)]
     result = rig.submit("r", OperationKind.RELEASE, *names, version="v2")
     assert [len(wave) for wave in result.waves] == [1] * 6
@@ -79,7 +79,7 @@
 def test_an_operation_that_can_not_be_carried_out_is_rejected_as_a_whole(
     kind: OperationKind, names: tuple[str, ...], version: str, expected: str
 ) -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("d", OperationKind.DRAIN, "e5")
     rig.apply(StepReported("d", "e5", rig.request_permit("d", "e5"), StepStatus.DRAINED))
     rig.submit("going", OperationKind.RESTART, "e3")
@@ -90,7 +90,7 @@
 
 
 def test_overlapping_operations_are_rejected_and_others_are_queued() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("a", OperationKind.RESTART, "e0")
     assert "order a is not done" in rig.submit("b", OperationKind.RESTART, "e0", "e1").rejection
     assert not rig.submit("c", OperationKind.RESTART, "e2").rejection
@@ -104,7 +104,7 @@
 
 
 def test_an_operation_submitted_again_later_is_the_same_operation() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("a", OperationKind.RESTART, "e0")
     number = rig.request_permit("a", "e0")
     rig.apply(InstanceReturned("e0", number))
@@ -115,7 +115,7 @@
 
 
 def test_a_cancel_returns_unavailable_instances_and_rolls_back_released_ones() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     names = [f"e{index}" for index in range(6)]
     waves = rig.submit("r", OperationKind.RELEASE, *names, version="v2").waves
     first, second = waves[0][0], waves[1][0]
@@ -148,7 +148,7 @@
 
 def test_a_released_instance_in_a_crash_loop_is_rolled_back() -> None:
     """Its request was rejected because it was unavailable without a permit, so it was never rolled back."""
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     waves = rig.submit("r", OperationKind.RELEASE, "e0", "e1", "e2", version="v2").waves
     first = waves[0][0]
     rig.apply(InstanceReturned(first, rig.request_permit("r", first)))
@@ -160,7 +160,7 @@
 
 
 def test_a_drained_instance_stays_unavailable_even_if_its_program_runs() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("d", OperationKind.DRAIN, "e0")
     number = rig.request_permit("d", "e0")
     rig.apply(InstanceReturned("e0", number))
@@ -175,7 +175,7 @@
 
 
 def test_an_unreachable_instance_is_skipped_and_a_retired_one_delays_nothing() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("a", OperationKind.RESTART, "e0", "e1")
     waves = rig.log.operations["a"].waves
     rig.apply(StepReported("a", waves[0][0], 0, StepStatus.UNREACHABLE, "silent"))
@@ -190,7 +190,7 @@
 
 
 def test_a_rebuilt_control_plane_reuses_no_permit_number_and_keeps_drains() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.number = 3  # the log is new, and supervisors have already seen higher permit numbers
     rig.apply(Retire("e0"))
     rig.apply(Retire("e1"))
@@ -211,7 +211,7 @@
 
 
 def test_a_halted_fleet_rejects_operations() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.apply(HaltDisruptions("by hand"))
     assert rig.submit("a", OperationKind.RESTART, "e0").rejection == "halted: by hand"
     rig.apply(HaltDisruptions("", lifted=True))
@@ -219,7 +219,7 @@
 
 
 def test_an_operation_log_is_stored_and_read_back_as_it_was() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("r", OperationKind.RELEASE, "e0", "e1", version="v2")
     rig.request_permit("r", rig.log.operations["r"].waves[0][0])
     stored = StoredSnapshot(3, 1, Configuration(()), rig.log)
@@ -265,7 +265,7 @@
 @given(st.lists(commands_strategy, max_size=80))
 @settings(max_examples=300, deadline=None)
 def test_the_operation_log_keeps_its_invariants_under_any_commands(commands: list[Any]) -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     log = rig.log
     latest_steps = {name: (0, 0) for name in NAMES}
     for command in commands:
@@ -324,7 +324,7 @@
 
 
 def test_an_undrain_is_not_queued() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     rig.submit("d", OperationKind.DRAIN, "e0")
     number = rig.request_permit("d", "e0")
     rig.apply(StepReported("d", "e0", number, StepStatus.DRAINED))
@@ -340,7 +340,7 @@
 
 
 def test_unsatisfiable_limits_reject_every_operation() -> None:
-    rig = OperationLogRig(limits=DisruptionLimits(6, 3))
+    rig = OperationLogHarness(limits=DisruptionLimits(6, 3))
     assert (
         rig.submit("a", OperationKind.RESTART, "e0").rejection
         == "by these limits: all 6 edge proxies may be out at once"
--- a/tests/test_orchestrator.py
+++ b/tests/test_orchestrator.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tests.operation_harness import LIMITS, SECOND, OperationLogRig
+from tests.operation_harness import LIMITS, SECOND, OperationLogHarness
 from valverouter.rollout.disruption_limits import InstanceKind
 from valverouter.rollout.disruption_permits import InstanceLost, InstanceReturned, RequestPermit
 from valverouter.rollout.operations import Cancel, OperationKind
@@ -17,11 +17,11 @@
 from valverouter.rollout.sequential_test import SequentialTestConfig
 
 
-def new_orchestrator(rig: OperationLogRig, **config: Any) -> Orchestrator:
+def new_orchestrator(rig: OperationLogHarness, **config: Any) -> Orchestrator:
     return Orchestrator(OrchestratorConfig({InstanceKind.EDGE: LIMITS}, **config), random.Random(1).random, 0)
 
 
-def report_all(orchestrator: Orchestrator, rig: OperationLogRig, now: int, **counter_fields: Any) -> None:
+def report_all(orchestrator: Orchestrator, rig: OperationLogHarness, now: int, **counter_fields: Any) -> None:
     for name, instance in rig.log.permits.instances.items():
         desired = rig.log.desired[name]
         counters = InstanceCounters(
@@ -45,7 +45,7 @@
 
 
 def test_a_silent_instance_is_lost_but_a_new_leader_first_waits_for_reports() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     orchestrator = new_orchestrator(rig)
     assert orchestrator.next_commands(3 * SECOND, rig.log) == []
     report_all(orchestrator, rig, 4 * SECOND)
@@ -57,7 +57,7 @@
 
 
 def test_an_unsettled_view_delays_permits_and_then_cancels_the_operation() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     orchestrator = new_orchestrator(rig, max_unsettled=5 * SECOND)
     rig.submit("a", OperationKind.RESTART, "e0", "e1")
     report_all(orchestrator, rig, SECOND, view_health="unsettled")
@@ -71,7 +71,7 @@
 
 
 def test_a_mostly_cut_off_fleet_cancels_the_operation_at_once() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     orchestrator = new_orchestrator(rig)
     rig.submit("a", OperationKind.RESTART, "e0", "e1")
     report_all(orchestrator, rig, SECOND, view_health="cut off")
@@ -81,7 +81,7 @@
 
 
 def test_too_few_dialogs_do_not_advance_a_release() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     orchestrator = new_orchestrator(rig, sequential_test=SequentialTestConfig(min_pairs=10))
     waves = rig.submit("r", OperationKind.RELEASE, *rig.log.permits.instances, version="v2").waves
     rig.apply(InstanceReturned(waves[0][0], rig.request_permit("r", waves[0][0])))
@@ -91,7 +91,7 @@
 
 
 def test_a_release_that_uses_far_more_memory_is_halted() -> None:
-    rig = OperationLogRig()
+    rig = OperationLogHarness()
     orchestrator = new_orchestrator(rig)
     waves = rig.submit("r", OperationKind.RELEASE, *rig.log.permits.instances, version="v2").waves
     rig.apply(InstanceReturned(waves[0][0], rig.request_permit("r", waves[0][0])))
--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -16,7 +16,7 @@
 
 from tests.helpers import MS, SECOND, TYPE
 from tests.reference_model import RuleModel, Step
-from tests.test_scenarios import HOW, small
+from tests.test_scenarios import FAULT_SETTINGS, short_scenario
 from valverouter import interface
 from valverouter.audit.rules import audit
 from valverouter.config.attempts import AttemptConfig, AttemptKeys, AttemptSection
@@ -534,7 +534,7 @@
 @pytest.mark.parametrize("seed", [3, 4])
 @pytest.mark.parametrize("kinds", DAYS, ids="-".join)
 def test_whole_edge_proxies_and_model_agree_at_every_row(kinds: tuple[str, ...], seed: int) -> None:
-    script = small(*((kind, HOW[kind]) for kind in kinds), length=6)
+    script = short_scenario(*((kind, FAULT_SETTINGS[kind]) for kind in kinds), length=6)
     script = msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, seed=seed))
     beside, audited = both(script, reloads)
     assert not beside.rules.violations, (beside.rules.violations[:3], audited, beside.rules.format_last())
@@ -603,11 +603,13 @@
     monkeypatch: pytest.MonkeyPatch, rule: int
 ) -> None:
     prepare = plant(monkeypatch, rule)
-    script = small(("deploy", HOW["deploy"]), ("answer_lost", HOW["answer_lost"]), length=4)
+    script = short_scenario(
+        ("deploy", FAULT_SETTINGS["deploy"]), ("answer_lost", FAULT_SETTINGS["answer_lost"]), length=4
+    )
     if rule == 4:
         burst = ("burst", {"start": 0, "length": 20 * SECOND, "size": 3})
         crash = ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6})
-        script = small(burst, crash, length=8, tip_multiple=0.8)
+        script = short_scenario(burst, crash, length=8, tip_multiple=0.8)
     beside, audited = both(script, prepare)
     assert rule in audited
     assert {found for found, _, _ in beside.rules.violations} == audited
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -36,7 +36,7 @@
 from valverouter.scenarios.emulated import edge_plans, run_emulated
 from valverouter.scenarios.loopback import run_loopback
 from valverouter.scenarios.memory_network import MemoryRuntime
-from valverouter.scenarios.memory_store import MemoryLedgerStore
+from valverouter.scenarios.memory_store import MemoryDialogStore
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.virtual import VirtualEdge, run_virtual
 from valverouter.signalling import setup, traffic_record
@@ -60,7 +60,7 @@
 
     def make_edge(self) -> EdgeProxy:
         # The first edge proxy, made by EdgeHarness.__init__, creates the store; later ones reuse it.
-        self.store: MemoryLedgerStore = getattr(self, "store", None) or MemoryLedgerStore()
+        self.store: MemoryDialogStore = getattr(self, "store", None) or MemoryDialogStore()
         return ResumableProxy(self.config, self.runtime, self.store)
 
     async def restart_edge(self, clock_shift: int = 0, boot_id: str = "memory") -> None:
@@ -617,7 +617,7 @@
 
 
 def test_audit_detects_a_store_that_loses_its_records(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(MemoryLedgerStore, "records", lambda self: [])
+    monkeypatch.setattr(MemoryDialogStore, "records", lambda self: [])
     assert 1 in audit(run_virtual(scenario_with_kills(1))).violated_rules()
 
 
@@ -690,7 +690,7 @@
 
 
 def test_recorded_phase_after_an_attempt_ends() -> None:
-    store = MemoryLedgerStore()
+    store = MemoryDialogStore()
     recovery_log = RecoveryLog(store, lambda: Timestamp(1, 1, "b"))
     recovery_log.on_accepted(dial(), "c0", SECOND, 0)
     recovery_log.on_attempt_sent("d1", 0, "s0", 1)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -42,7 +42,7 @@
     structlog.reset_defaults()
 
 
-def small(
+def short_scenario(
     *troubles: tuple[str, dict[str, Any]], length: int = 8, rate: float = 25, **fleet: Any
 ) -> ScenarioConfig:
     """A short day on three edge proxies and three servers."""
@@ -72,12 +72,12 @@
 
 
 def test_another_seed_is_another_day() -> None:
-    script = small(length=2)
+    script = short_scenario(length=2)
     other = msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, seed=8))
     assert run_virtual(script) != run_virtual(other)
 
 
-HOW: dict[str, dict[str, Any]] = {
+FAULT_SETTINGS: dict[str, dict[str, Any]] = {
     "burst": {"length": 3 * SECOND, "size": 3},
     "crash": {"length": 3 * SECOND, "part": 0.5},
     "deploy": {"length": 5 * SECOND, "part": 0.5, "extra": SECOND},
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("kind", [*FAULT_KINDS, *MEMBERSHIP_FAULT_KINDS])
 def test_each_kind_of_trouble_with_the_rules_kept(kind: str) -> None:
-    rows = run_virtual(small((kind, HOW[kind])))
+    rows = run_virtual(short_scenario((kind, FAULT_SETTINGS[kind])))
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
     struck = [row for row in rows if isinstance(row, traffic_record.FaultRow) and row.kind == kind]
@@ -131,7 +131,7 @@
         ("crash", {"start": SECOND, "length": SECOND, "part": 0.5}),
         ("balancer_crash", {"start": 3 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
-    verdict = audit(run_virtual(small(*troubles)))
+    verdict = audit(run_virtual(short_scenario(*troubles)))
     assert verdict.passed
     assert verdict.check_counts[4] > 20
 
@@ -157,7 +157,7 @@
             other.start_attempt((dialog_id, 60), asked)
 
     monkeypatch.setattr(AttemptHandler, "start", twice)
-    assert 2 in verdict_of(small(length=3)).violated_rules()
+    assert 2 in verdict_of(short_scenario(length=3)).violated_rules()
 
 
 def test_a_planted_late_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -167,7 +167,7 @@
         sound(self, caller, msgspec.structs.replace(asked, time_left=asked.time_left + 51 * MS), received_at)
 
     monkeypatch.setattr(CallerRequests, "accept", generous)
-    script = small(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
+    script = short_scenario(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
     patient = msgspec.structs.replace(script.callers, patience=1.0)
     assert verdict_of(msgspec.structs.replace(script, callers=patient)).violated_rules() == {1}
 
@@ -180,7 +180,7 @@
         sound(self, type(update)(update.kind, rows))
 
     monkeypatch.setattr(ServerLinks, "on_endpoint_update", deaf)
-    assert 3 in verdict_of(small(("deploy", HOW["deploy"]), length=5)).violated_rules()
+    assert 3 in verdict_of(short_scenario(("deploy", FAULT_SETTINGS["deploy"]), length=5)).violated_rules()
 
 
 @pytest.mark.parametrize(("cut", "broken"), [(0, set()), (1 * MS, {5})])
@@ -193,7 +193,7 @@
                 terms, release_delay=terms.release_delay - cut
             )
 
-    verdict = verdict_of(small(("answer_lost", HOW["answer_lost"])), hasty)
+    verdict = verdict_of(short_scenario(("answer_lost", FAULT_SETTINGS["answer_lost"])), hasty)
     assert verdict.check_counts[5] > 3
     assert verdict.violated_rules() == broken
 
@@ -213,7 +213,7 @@
         ("burst", {"start": 0, "length": 20 * SECOND, "size": 3}),
         ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
-    verdict = verdict_of(small(*troubles, length=10, tip_multiple=0.8))
+    verdict = verdict_of(short_scenario(*troubles, length=10, tip_multiple=0.8))
     assert verdict.violated_rules() == broken, verdict.slow_start_budget_used
 
 
@@ -400,7 +400,7 @@
     ids=lambda fault: fault.__name__,
 )
 def test_faults_on_request_with_the_rules_kept(fault: Any) -> None:
-    script = small(("deploy", HOW["deploy"]))
+    script = short_scenario(("deploy", FAULT_SETTINGS["deploy"]))
     rows = run_virtual(script, fault)
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
--- a/valverouter/scenarios/fault_course.py
+++ b/valverouter/scenarios/fault_schedule.py
@@ -19,7 +19,7 @@
 DELAYS_MS = (20, 100, 300)
 
 
-def draw_fault_course(seed: int, edges: int, regions: tuple[str, ...], length_s: float) -> str:
+def draw_fault_schedule(seed: int, edges: int, regions: tuple[str, ...], length_s: float) -> str:
     """Sections [path ...] and [trouble ...] for a scenario's file, the same for the same seed.
 
     Four to seven faults of paths, and a third of the edge proxies crash, stall, leave or start late.
--- a/valverouter/scenarios/memory_store.py
+++ b/valverouter/scenarios/memory_store.py
@@ -5,7 +5,7 @@
 from valverouter.recovery.lifecycle import DialogRecord
 
 
-class MemoryLedgerStore:
+class MemoryDialogStore:
     """A ledger's store: committed records outlive the edge proxy, pending changes do not.
 
     `commit_fails`: commits of changes raise OSError, as on a full disk.
--- a/valverouter/scenarios/operation_harness.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -59,11 +59,11 @@
     kill = stop = start
 
     async def stall(self, duration: int) -> None:
-        """Left to `OperationRig.pause`."""
+        """Left to `OperationHarness.pause`."""
         raise NotImplementedError("stalled by name")
 
 
-class OperationRig:
+class OperationHarness:
     """The processes of one scenario, by name.
 
     Raft servers are c0 to c2, edge proxies e0..., and their supervisors k0...; of servers with supervisors
@@ -309,7 +309,7 @@
 
 
 def _end_with_parent() -> None:
-    """Runs in a child: a rig that is killed must not leave its fleet running, and loading the machine.
+    """Runs in a child: a harness that is killed must not leave its fleet running, and loading the machine.
 
     A supervisor that is asked to end by this ends its edge proxy first.
     """
@@ -336,7 +336,7 @@
 def run_operations(
     scenario: ScenarioConfig,
     folder: Path,
-    script: Callable[[OperationRig], Awaitable[None]],
+    script: Callable[[OperationHarness], Awaitable[None]],
     max_unavailable: int = 2,
     max_per_region: int = 1,
     servers: bool = False,
@@ -355,13 +355,13 @@
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 await fakes.start(nursery)
-                rig = OperationRig(scenario, folder, fakes, limits, servers, min_capacity_fraction)
-                await rig.open(nursery)
+                harness = OperationHarness(scenario, folder, fakes, limits, servers, min_capacity_fraction)
+                await harness.open(nursery)
                 try:
-                    await _play(scenario, fakes, rig, script)
+                    await _play(scenario, fakes, harness, script)
                 finally:
                     with trio.CancelScope(shield=True):
-                        await rig.stop_all()
+                        await harness.stop_all()
                 scope.cancel()
         return fakes.recorder.rows
 
@@ -371,12 +371,12 @@
 async def _play(
     scenario: ScenarioConfig,
     fakes: ScenarioFakes,
-    rig: OperationRig,
-    script: Callable[[OperationRig], Awaitable[None]],
+    harness: OperationHarness,
+    script: Callable[[OperationHarness], Awaitable[None]],
 ) -> None:
-    await rig.start_all()
-    rig.add_callers()
+    await harness.start_all()
+    harness.add_callers()
     await trio.sleep(scenario.run.settle / NS_PER_S)
     async with trio.open_nursery() as playing:
         playing.start_soon(play_script, fakes)
-        playing.start_soon(script, rig)
+        playing.start_soon(script, harness)
--- a/valverouter/scenarios/operation_course.py
+++ b/valverouter/scenarios/random_operations.py
@@ -12,7 +12,7 @@
 import trio
 
 from valverouter.scenarios.operation_files import NODES, supervisor_of
-from valverouter.scenarios.operation_harness import OperationRig
+from valverouter.scenarios.operation_harness import OperationHarness
 from valverouter.servermodel.paths import PathFault
 
 NS_PER_S = 1e9
@@ -27,7 +27,7 @@
 LATE_MESSAGES_DELAY = 300_000_000
 
 
-class OperationCourse:
+class RandomOperations:
     """One course; `play` is a script for `run_operations`. `operations` and `faults` count what was drawn."""
 
     def __init__(self, seed: int, length_s: float) -> None:
@@ -36,9 +36,9 @@
         self._length_s = length_s
         self.operations = 0
         self.faults = 0
-        self.is_at_rest = False
+        self.has_settled = False
 
-    async def play(self, rig: OperationRig) -> None:
+    async def play(self, harness: OperationHarness) -> None:
         """Draws operations and faults, then waits until all is at rest."""
         started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
@@ -46,29 +46,29 @@
                 while True:
                     await trio.sleep(self._draws.expovariate(1 / MEAN_INTERVAL_S))
                     if self._draws.random() < 0.5:
-                        nursery.start_soon(self._run_client, rig, self._draw_arguments(rig))
+                        nursery.start_soon(self._run_client, harness, self._draw_arguments(harness))
                     else:
-                        nursery.start_soon(self._cause_fault, rig, started_at)
+                        nursery.start_soon(self._cause_fault, harness, started_at)
             # Each fault ends by itself within its duration.
-        for name in (*NODES, *map(supervisor_of, (*rig.edges, *rig.servers))):
-            if rig.processes[name].poll() is not None:
-                rig.start(name)
+        for name in (*NODES, *map(supervisor_of, (*harness.edges, *harness.servers))):
+            if harness.processes[name].poll() is not None:
+                harness.start(name)
         with trio.move_on_after(REST_TIMEOUT_S):
-            while not self.is_at_rest:
-                await self._come_to_rest(rig)
+            while not self.has_settled:
+                await self._come_to_rest(harness)
 
-    async def _come_to_rest(self, rig: OperationRig) -> None:
+    async def _come_to_rest(self, harness: OperationHarness) -> None:
         """Waits for open operations, and brings drained instances back."""
-        await rig.wait_until_settled(REST_TIMEOUT_S)
-        status = await rig.status()
+        await harness.wait_until_settled(REST_TIMEOUT_S)
+        status = await harness.status()
         if status is None or any(operation.phase != "ended" for operation in status.operations):
             return
         if any(instance.state == "drained" for instance in status.instances):
-            await rig.run_client("undrain", "--all")
+            await harness.run_client("undrain", "--all")
         else:
-            self.is_at_rest = True
+            self.has_settled = True
 
-    def _draw_arguments(self, rig: OperationRig) -> tuple[str, ...]:
+    def _draw_arguments(self, harness: OperationHarness) -> tuple[str, ...]:
         draws = self._draws
         kind = draws.choices(("restart", "release", "drain", "undrain", "halt"), (3, 4, 2, 2, 1))[0]
         self.operations += 1
@@ -78,58 +78,58 @@
         if kind == "undrain":
             return ("undrain", "--all", "--id", id_)
         if kind == "drain":
-            return ("drain", draws.choice(rig.edges), "--id", id_)
-        if rig.servers and draws.random() < 0.2:
-            return ("restart", draws.choice(rig.servers), "--servers", "--id", id_)
-        names = sorted(draws.sample(rig.edges, draws.randint(1, len(rig.edges))))
+            return ("drain", draws.choice(harness.edges), "--id", id_)
+        if harness.servers and draws.random() < 0.2:
+            return ("restart", draws.choice(harness.servers), "--servers", "--id", id_)
+        names = sorted(draws.sample(harness.edges, draws.randint(1, len(harness.edges))))
         if kind == "restart":
             return ("restart", *names, "--id", id_)
         return ("release", *names, "--to", draws.choice(VERSIONS), "--id", id_)
 
-    async def _run_client(self, rig: OperationRig, arguments: tuple[str, ...]) -> None:
+    async def _run_client(self, harness: OperationHarness, arguments: tuple[str, ...]) -> None:
         """A client that may be killed at any moment, and now and then runs again."""
         is_repeated = self._draws.random() < 0.3
-        await rig.run_client(*arguments, timeout_s=self._draws.choice(CLIENT_TIMEOUTS_S))
+        await harness.run_client(*arguments, timeout_s=self._draws.choice(CLIENT_TIMEOUTS_S))
         if is_repeated:
-            await rig.run_client(*arguments, timeout_s=REPEATED_CLIENT_TIMEOUT_S)
+            await harness.run_client(*arguments, timeout_s=REPEATED_CLIENT_TIMEOUT_S)
 
-    async def _cause_fault(self, rig: OperationRig, started_at: float) -> None:
+    async def _cause_fault(self, harness: OperationHarness, started_at: float) -> None:
         draws = self._draws
         remaining_s = self._length_s - (trio.current_time() - started_at)
         duration_s = min(draws.uniform(*FAULT_DURATIONS_S), max(0.1, remaining_s))
         self.faults += 1
         kind = draws.random()
-        node, edge = draws.choice(NODES), draws.choice(rig.edges)
+        node, edge = draws.choice(NODES), draws.choice(harness.edges)
         if kind < 0.4:
             name = node if kind < 0.2 else supervisor_of(edge)
-            if rig.processes[name].poll() is None:
-                rig.kill(name)
+            if harness.processes[name].poll() is None:
+                harness.kill(name)
                 await trio.sleep(duration_s)
-                rig.start(name)
+                harness.start(name)
         elif kind < 0.55:
-            rig.kill(edge)
+            harness.kill(edge)
         elif kind < 0.7:
             name = node if kind < 0.62 else supervisor_of(edge)
-            if rig.processes[name].poll() is None:
-                await rig.pause(name, duration_s)
+            if harness.processes[name].poll() is None:
+                await harness.pause(name, duration_s)
         else:
-            self._add_path_fault(rig, duration_s)
+            self._add_path_fault(harness, duration_s)
 
-    def _add_path_fault(self, rig: OperationRig, duration_s: float) -> None:
-        draws, now = self._draws, rig.fakes.now()
-        names = [*NODES, *rig.edges, *map(supervisor_of, (*rig.edges, *rig.servers))]
+    def _add_path_fault(self, harness: OperationHarness, duration_s: float) -> None:
+        draws, now = self._draws, harness.fakes.now()
+        names = [*NODES, *harness.edges, *map(supervisor_of, (*harness.edges, *harness.servers))]
         side = frozenset(draws.sample(names, draws.randint(1, len(names) // 2)))
         rest = frozenset(names) - side
         end = now + round(duration_s * NS_PER_S)
         kind = draws.choice(("split", "cut", "loss", "late"))
         if kind == "split":
-            rig.add_path_fault(PathFault("split", now, end, groups=(side, rest)))
+            harness.add_path_fault(PathFault("split", now, end, groups=(side, rest)))
         elif kind == "cut":
-            rig.add_path_fault(PathFault("cut", now, end, senders=side, receivers=rest))
+            harness.add_path_fault(PathFault("cut", now, end, senders=side, receivers=rest))
         elif kind == "loss":
             probability = draws.uniform(0.1, 0.5)
-            rig.add_path_fault(PathFault("loss", now, end, senders=side, probability=probability))
+            harness.add_path_fault(PathFault("loss", now, end, senders=side, probability=probability))
         else:
-            rig.add_path_fault(
+            harness.add_path_fault(
                 PathFault("late", now, end, senders=side, delay=LATE_MESSAGES_DELAY, jitter=0.5)
             )
--- a/valverouter/scenarios/virtual.py
+++ b/valverouter/scenarios/virtual.py
@@ -15,7 +15,7 @@
 from valverouter.edge.proxy import EdgeProxy
 from valverouter.edge.resumable_proxy import make_edge_proxy
 from valverouter.scenarios.memory_network import MemoryNetwork, MemoryRuntime
-from valverouter.scenarios.memory_store import MemoryLedgerStore
+from valverouter.scenarios.memory_store import MemoryDialogStore
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.scenarios.scenario_runner import run_scenario
 from valverouter.scenarios.virtual_membership import VirtualMembership
@@ -39,7 +39,7 @@
     ) -> None:
         self.name = f"e{fleet_index}"
         self.address = f"edge{fleet_index}:1"
-        self.store = MemoryLedgerStore() if scenario.ledger else None
+        self.store = MemoryDialogStore() if scenario.ledger else None
         self.config = scenario.edge_config(
             fleet_index, self.address, list_address, f"list-{fleet_index}", f"accounts-{fleet_index}"
         )
