--- a/tests/operation_harness.py
+++ b/tests/operation_harness.py
@@ -27,27 +27,28 @@
     def __init__(self, count: int = 6, limits: DisruptionLimits = LIMITS) -> None:
         self.log = OperationLog()
         self.number = 0
-        units = tuple(
-            Instance(f"e{at}", InstanceKind.EDGE, ("north", "south")[at % 2], 100) for at in range(count)
+        instances = tuple(
+            Instance(f"e{index}", InstanceKind.EDGE, ("north", "south")[index % 2], 100)
+            for index in range(count)
         )
-        self.apply(EnrollInstances(units, ((InstanceKind.EDGE, limits),)))
-        for unit in units:
-            self.apply(InstanceReported(unit.name, "v1", ("v1", "v2")))
+        self.apply(EnrollInstances(instances, ((InstanceKind.EDGE, limits),)))
+        for instance in instances:
+            self.apply(InstanceReported(instance.name, "v1", ("v1", "v2")))
 
     def apply(self, command: Command) -> Any:
         self.number += 1
         return apply(self.log, self.number, command)
 
     def submit(self, id_: str, kind: OperationKind, *names: str, version: str = "") -> SubmitResult:
-        placed = self.apply(Submit(id_, kind, names, version))
-        assert isinstance(placed, SubmitResult)
-        return placed
-
-    def request_permit(self, order: str, name: str, try_: int = 0) -> int:
-        answer = self.apply(RequestPermit(f"{order}/{name}/{try_}", name, order))
-        assert isinstance(answer, PermitDecision), answer
-        assert answer.permit is not None, answer
-        return answer.permit.number
-
-    def status(self, order: str, name: str) -> StepStatus:
-        return self.log.operations[order].participants[name].status
+        result = self.apply(Submit(id_, kind, names, version))
+        assert isinstance(result, SubmitResult)
+        return result
+
+    def request_permit(self, operation: str, name: str, attempt: int = 0) -> int:
+        decision = self.apply(RequestPermit(f"{operation}/{name}/{attempt}", name, operation))
+        assert isinstance(decision, PermitDecision), decision
+        assert decision.permit is not None, decision
+        return decision.permit.number
+
+    def status(self, operation: str, name: str) -> StepStatus:
+        return self.log.operations[operation].participants[name].status
--- a/tests/test_membership_scenarios.py
+++ b/tests/test_membership_scenarios.py
@@ -22,12 +22,12 @@
 from valverouter.signalling.traffic_record import CallersStartedRow, MembershipEventRow, MessageRow
 
 
-def changed_day(text: str = "", **terms_: Any) -> ScenarioConfig:
-    script = scenario_config(IniFile(SCENARIO_FILE.read_text() + text, "d.ini"), "d")
-    return msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, **terms_))
+def modified_scenario(text: str = "", **run_settings: Any) -> ScenarioConfig:
+    scenario = scenario_config(IniFile(SCENARIO_FILE.read_text() + text, "d.ini"), "d")
+    return msgspec.structs.replace(scenario, run=msgspec.structs.replace(scenario.run, **run_settings))
 
 
-def test_a_day_of_faults_in_virtual_time() -> None:
+def test_faults_in_virtual_time() -> None:
     rows = run_virtual(load_scenario(SCENARIO_FILE))
     views = check_views(rows)
     assert views is not None, views
@@ -44,7 +44,7 @@
     assert [repr(row) for row in run_virtual(load_scenario(SCENARIO_FILE))] == [repr(row) for row in rows]
 
 
-def test_a_day_of_faults_between_real_processes(tmp_path: Path) -> None:
+def test_faults_between_real_processes(tmp_path: Path) -> None:
     """Six processes of the program for 22 s: loss, delay, repeats, a region cut off, a one-way cut, a kill, a
     stop, a late join."""
     rows = run_loopback(load_scenario(SCENARIO_FILE), tmp_path)
@@ -52,12 +52,12 @@
     assert views is not None, views
     assert views.passed, views
     assert audit(rows).passed
-    found = {row.kind for row in rows if isinstance(row, MembershipEventRow)}
-    assert found >= {"joined", "suspect", "gone", "refuted", "restarted", "stalled", "settled"}
+    kinds = {row.kind for row in rows if isinstance(row, MembershipEventRow)}
+    assert kinds >= {"joined", "suspect", "gone", "refuted", "restarted", "stalled", "settled"}
 
 
 @pytest.mark.parametrize("members", ["6", "60"])
-def test_the_same_file_on_the_emulator(members: str) -> None:
+def test_same_scenario_on_the_emulator(members: str) -> None:
     result = CliRunner().invoke(main, ["fleet", "emulate", str(SCENARIO_FILE), "--members", members])
     assert result.exit_code == 0
     assert f"{members} members" in result.output
@@ -68,54 +68,58 @@
 
 def test_membership_changes_no_message_to_callers_or_servers() -> None:
     """No delay is drawn here: which message comes first at one instant depends on the order of tasks."""
-    script = changed_day(length=6 * SECOND)
-    script = msgspec.structs.replace(
-        script, faults={}, delays=msgspec.structs.replace(script.delays, jitter=0.0)
+    scenario = modified_scenario(length=6 * SECOND)
+    scenario = msgspec.structs.replace(
+        scenario, faults={}, delays=msgspec.structs.replace(scenario.delays, jitter=0.0)
     )
-    without = msgspec.structs.replace(script, between=None, paths={})
+    without = msgspec.structs.replace(scenario, between=None, paths={})
 
-    def messages(played: ScenarioConfig) -> list[tuple[Any, ...]]:
-        rows = run_virtual(played)
-        (opened,) = [row.at for row in rows if isinstance(row, CallersStartedRow)]
+    def messages(variant: ScenarioConfig) -> list[tuple[Any, ...]]:
+        rows = run_virtual(variant)
+        (started_at,) = [row.at for row in rows if isinstance(row, CallersStartedRow)]
         # Past that the day with the view goes on for as long as settling may take.
-        until = opened + played.run.length
-        passed = [row for row in rows if isinstance(row, MessageRow) and row.at < until]
+        until = started_at + variant.run.length
+        before_end = [row for row in rows if isinstance(row, MessageRow) and row.at < until]
         return sorted(
             (row.at, row.edge, row.peer, row.sent, row.kind, row.dialog, row.leg, row.duration)
-            for row in passed
+            for row in before_end
         )
 
-    with_view = messages(script)
-    assert len(with_view) > 1_500
-    assert with_view == messages(without)
+    with_membership = messages(scenario)
+    assert len(with_membership) > 1_500
+    assert with_membership == messages(without)
 
 
-def test_without_the_section_no_socket_is_opened(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_gossip_section_no_datagram_socket_is_opened(monkeypatch: pytest.MonkeyPatch) -> None:
     def refused(*args: Any) -> Any:
         raise AssertionError("nobody asked for datagrams")
 
     monkeypatch.setattr(MemoryRuntime, "bind_datagrams", refused)
-    script = msgspec.structs.replace(changed_day(length=3 * SECOND), between=None, paths={}, faults={})
-    assert audit(run_virtual(script)).passed
+    scenario = msgspec.structs.replace(
+        modified_scenario(length=3 * SECOND), between=None, paths={}, faults={}
+    )
+    assert audit(run_virtual(scenario)).passed
 
 
-def test_a_clock_set_back_an_hour_and_a_restart_of_the_program() -> None:
-    script = changed_day("\n[trouble back]\nkind = balancer_crash\nstart = 9s\nlength = 1s\non = e4\n")
+def test_restart_with_wall_clock_set_back_an_hour() -> None:
+    scenario = modified_scenario(
+        "\n[trouble back]\nkind = balancer_crash\nstart = 9s\nlength = 1s\non = e4\n"
+    )
 
     def prepare(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         edges[4].wall_clock_setback = 3_600 * SECOND
 
-    rows = run_virtual(script, prepare)
+    rows = run_virtual(scenario, prepare)
     views = check_views(rows)
     assert views is not None, views
     assert views.passed, views
 
 
-def test_an_instance_that_is_asked_to_end_leaves_and_is_never_gone() -> None:
-    leave = "\n[trouble back]\nkind = balancer_leave\nstart = 3s\nlength = 3s\non = e4\n"
-    script = msgspec.structs.replace(changed_day(leave), paths={})
-    script = msgspec.structs.replace(script, faults={"back": script.faults["back"]})
-    rows = run_virtual(script)
+def test_graceful_shutdown_is_reported_as_left_and_never_as_gone() -> None:
+    fault = "\n[trouble back]\nkind = balancer_leave\nstart = 3s\nlength = 3s\non = e4\n"
+    scenario = msgspec.structs.replace(modified_scenario(fault), paths={})
+    scenario = msgspec.structs.replace(scenario, faults={"back": scenario.faults["back"]})
+    rows = run_virtual(scenario)
     views = check_views(rows)
     assert views is not None
     assert views.passed
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -36,45 +36,45 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> Iterator[None]:
+def silence_logs() -> Iterator[None]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     yield
     structlog.reset_defaults()
 
 
 def short_scenario(
-    *troubles: tuple[str, dict[str, Any]], length: int = 8, rate: float = 25, **fleet: Any
+    *faults: tuple[str, dict[str, Any]], length: int = 8, rate: float = 25, **fleet: Any
 ) -> ScenarioConfig:
     """A short day on three edge proxies and three servers."""
-    script = load_scenario(BAD_DAY)
+    scenario = load_scenario(BAD_DAY)
     replace = msgspec.structs.replace
     return replace(
-        script,
-        run=replace(script.run, length=length * SECOND),
-        callers=replace(script.callers, rate=rate),
-        fleet=replace(script.fleet, **fleet),
-        faults={kind: FaultConfig(kind=kind, **{"start": 2 * SECOND, **more}) for kind, more in troubles},
+        scenario,
+        run=replace(scenario.run, length=length * SECOND),
+        callers=replace(scenario.callers, rate=rate),
+        fleet=replace(scenario.fleet, **fleet),
+        faults={kind: FaultConfig(kind=kind, **{"start": 2 * SECOND, **more}) for kind, more in faults},
     )
 
 
-def test_the_bad_day_keeps_the_rules_and_gives_the_same_rows_twice() -> None:
-    script = load_scenario(BAD_DAY)
-    once, again = run_virtual(script), run_virtual(script)
-    assert once == again
-    verdict = audit(once)
+def test_bad_day_scenario_keeps_the_rules_and_is_reproducible() -> None:
+    scenario = load_scenario(BAD_DAY)
+    first, second = run_virtual(scenario), run_virtual(scenario)
+    assert first == second
+    verdict = audit(first)
     assert verdict.passed, verdict.violations[:5]
     assert all(verdict.check_counts.values()), f"every rule was tried: {verdict.check_counts}"
     assert 0.2 < verdict.slow_start_budget_used < 1
-    accounts = account_by_type(once)
-    offered = sum(one.offered for one in accounts.values())
+    accounts = account_by_type(first)
+    offered = sum(account.offered for account in accounts.values())
     assert offered > 1_000
-    assert sum(one.within_objective for one in accounts.values()) > 0.7 * offered
+    assert sum(account.within_objective for account in accounts.values()) > 0.7 * offered
 
 
-def test_another_seed_is_another_day() -> None:
-    script = short_scenario(length=2)
-    other = msgspec.structs.replace(script, run=msgspec.structs.replace(script.run, seed=8))
-    assert run_virtual(script) != run_virtual(other)
+def test_another_seed_gives_other_rows() -> None:
+    scenario = short_scenario(length=2)
+    other = msgspec.structs.replace(scenario, run=msgspec.structs.replace(scenario.run, seed=8))
+    assert run_virtual(scenario) != run_virtual(other)
 
 
 FAULT_SETTINGS: dict[str, dict[str, Any]] = {
@@ -98,7 +98,7 @@
 }
 
 # What shows in the record that the trouble did strike.
-SHOWS = {
+EVIDENCE = {
     "crash": "lost",
     "hang": "cancel",
     "origin_slow": "no-agent",
@@ -113,25 +113,25 @@
 
 
 @pytest.mark.parametrize("kind", [*FAULT_KINDS, *MEMBERSHIP_FAULT_KINDS])
-def test_each_kind_of_trouble_with_the_rules_kept(kind: str) -> None:
+def test_each_fault_kind_keeps_the_rules(kind: str) -> None:
     rows = run_virtual(short_scenario((kind, FAULT_SETTINGS[kind])))
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
-    struck = [row for row in rows if isinstance(row, traffic_record.FaultRow) and row.kind == kind]
-    words = {row.kind for row in rows if isinstance(row, traffic_record.MessageRow)}
-    words |= {f"{row.kind} {row.detail}" for row in rows if isinstance(row, traffic_record.MessageRow)}
-    words |= {"lost" for row in rows if isinstance(row, traffic_record.ConnectionLostRow)}
-    assert struck, words
-    assert kind not in SHOWS or SHOWS[kind] in words, words
+    faults = [row for row in rows if isinstance(row, traffic_record.FaultRow) and row.kind == kind]
+    kinds = {row.kind for row in rows if isinstance(row, traffic_record.MessageRow)}
+    kinds |= {f"{row.kind} {row.detail}" for row in rows if isinstance(row, traffic_record.MessageRow)}
+    kinds |= {"lost" for row in rows if isinstance(row, traffic_record.ConnectionLostRow)}
+    assert faults, kinds
+    assert kind not in EVIDENCE or EVIDENCE[kind] in kinds, kinds
 
 
-def test_a_cold_server_in_a_burst_and_an_edge_started_again() -> None:
-    troubles = (
+def test_slow_start_during_a_burst_and_an_edge_proxy_restart() -> None:
+    faults = (
         ("burst", {"start": SECOND, "length": 7 * SECOND, "size": 3}),
         ("crash", {"start": SECOND, "length": SECOND, "part": 0.5}),
         ("balancer_crash", {"start": 3 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
-    verdict = audit(run_virtual(short_scenario(*troubles)))
+    verdict = audit(run_virtual(short_scenario(*faults)))
     assert verdict.passed
     assert verdict.check_counts[4] > 20
 
@@ -139,82 +139,90 @@
 # Planted failures: each breaks the edge in one place, and the audit must name the rule.
 
 
-def verdict_of(script: ScenarioConfig, prepare: Any = None) -> Verdict:
-    return audit(run_virtual(script, prepare))
+def audit_scenario(scenario: ScenarioConfig, prepare: Any = None) -> Verdict:
+    return audit(run_virtual(scenario, prepare))
 
 
-def test_a_planted_second_leg_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = AttemptHandler.start
+def test_injected_second_leg_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = AttemptHandler.start
 
-    def twice(self: AttemptHandler, dialog_id: str, action: Any) -> None:
-        sound(self, dialog_id, action)
-        taken = self._entries[dialog_id]
+    def start_twice(self: AttemptHandler, dialog_id: str, action: Any) -> None:
+        original(self, dialog_id, action)
+        entry = self._entries[dialog_id]
         other = next(
-            (link for link in self._links.values() if link is not taken.link and link.is_writable), None
+            (link for link in self._links.values() if link is not entry.link and link.is_writable), None
         )
         if other is not None and dialog_id.endswith("7"):
-            asked = msgspec.structs.replace(taken.setup, leg=60)
-            other.start_attempt((dialog_id, 60), asked)
+            request = msgspec.structs.replace(entry.setup, leg=60)
+            other.start_attempt((dialog_id, 60), request)
 
-    monkeypatch.setattr(AttemptHandler, "start", twice)
-    assert 2 in verdict_of(short_scenario(length=3)).violated_rules()
+    monkeypatch.setattr(AttemptHandler, "start", start_twice)
+    assert 2 in audit_scenario(short_scenario(length=3)).violated_rules()
 
 
-def test_a_planted_late_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = CallerRequests.accept
+def test_injected_late_answer_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = CallerRequests.accept
 
-    def generous(self: CallerRequests, caller: Any, asked: setup.Setup, received_at: int) -> None:
-        sound(self, caller, msgspec.structs.replace(asked, time_left=asked.time_left + 51 * MS), received_at)
+    def accept_with_more_time(
+        self: CallerRequests, caller: Any, request: setup.Setup, received_at: int
+    ) -> None:
+        original(
+            self, caller, msgspec.structs.replace(request, time_left=request.time_left + 51 * MS), received_at
+        )
 
-    monkeypatch.setattr(CallerRequests, "accept", generous)
-    script = short_scenario(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
-    patient = msgspec.structs.replace(script.callers, patience=1.0)
-    assert verdict_of(msgspec.structs.replace(script, callers=patient)).violated_rules() == {1}
+    monkeypatch.setattr(CallerRequests, "accept", accept_with_more_time)
+    scenario = short_scenario(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
+    callers = msgspec.structs.replace(scenario.callers, patience=1.0)
+    assert audit_scenario(msgspec.structs.replace(scenario, callers=callers)).violated_rules() == {1}
 
 
-def test_a_planted_send_to_a_draining_server_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    sound = ServerLinks.on_endpoint_update
+def test_injected_send_to_a_draining_server_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = ServerLinks.on_endpoint_update
 
-    def deaf(self: ServerLinks, update: Any) -> None:
+    def ignore_phases(self: ServerLinks, update: Any) -> None:
         rows = [msgspec.structs.replace(row, phase="in-service") for row in update.rows]
-        sound(self, type(update)(update.kind, rows))
+        original(self, type(update)(update.kind, rows))
 
-    monkeypatch.setattr(ServerLinks, "on_endpoint_update", deaf)
-    assert 3 in verdict_of(short_scenario(("deploy", FAULT_SETTINGS["deploy"]), length=5)).violated_rules()
+    monkeypatch.setattr(ServerLinks, "on_endpoint_update", ignore_phases)
+    assert (
+        3 in audit_scenario(short_scenario(("deploy", FAULT_SETTINGS["deploy"]), length=5)).violated_rules()
+    )
 
 
-@pytest.mark.parametrize(("cut", "broken"), [(0, set()), (1 * MS, {5})])
-def test_a_planted_release_time_cut_by_a_millisecond_is_found(cut: int, broken: set[int]) -> None:
-    def hasty(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+@pytest.mark.parametrize(("reduction", "violated"), [(0, set()), (1 * MS, {5})])
+def test_injected_release_delay_shorter_by_a_millisecond_is_found(reduction: int, violated: set[int]) -> None:
+    def shorten_release_delay(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
         for edge in edges:
             assert edge.proxy is not None
-            terms = edge.proxy.context.driver.policy.deployment
+            deployment = edge.proxy.context.driver.policy.deployment
             edge.proxy.context.driver.policy.deployment = _with(
-                terms, release_delay=terms.release_delay - cut
+                deployment, release_delay=deployment.release_delay - reduction
             )
 
-    verdict = verdict_of(short_scenario(("answer_lost", FAULT_SETTINGS["answer_lost"])), hasty)
+    verdict = audit_scenario(
+        short_scenario(("answer_lost", FAULT_SETTINGS["answer_lost"])), shorten_release_delay
+    )
     assert verdict.check_counts[5] > 3
-    assert verdict.violated_rules() == broken
+    assert verdict.violated_rules() == violated
 
 
-def _with(terms: Any, **more: Any) -> Any:
-    return dataclasses.replace(terms, **more)
+def _with(deployment: Any, **more: Any) -> Any:
+    return dataclasses.replace(deployment, **more)
 
 
-@pytest.mark.parametrize(("times", "broken"), [(1, set()), (2, {4})])
-def test_a_planted_doubled_cold_budget_is_found(
-    monkeypatch: pytest.MonkeyPatch, times: int, broken: set[int]
+@pytest.mark.parametrize(("factor", "violated"), [(1, set()), (2, {4})])
+def test_injected_doubled_slow_start_budget_is_found(
+    monkeypatch: pytest.MonkeyPatch, factor: int, violated: set[int]
 ) -> None:
     # Two of three servers come back cold under far more than they can take, and what tips them is under
     # what they can do: nothing but the budget itself holds the edge proxies back.
-    monkeypatch.setattr(tuning, "SLOW_START_MARGIN", tuning.SLOW_START_MARGIN * times)
-    troubles = (
+    monkeypatch.setattr(tuning, "SLOW_START_MARGIN", tuning.SLOW_START_MARGIN * factor)
+    faults = (
         ("burst", {"start": 0, "length": 20 * SECOND, "size": 3}),
         ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6}),
     )
-    verdict = verdict_of(short_scenario(*troubles, length=10, tip_multiple=0.8))
-    assert verdict.violated_rules() == broken, verdict.slow_start_budget_used
+    verdict = audit_scenario(short_scenario(*faults, length=10, tip_multiple=0.8))
+    assert verdict.violated_rules() == violated, verdict.slow_start_budget_used
 
 
 def test_outcomes_are_all_mapped() -> None:
@@ -272,15 +280,17 @@
     )
 
 
-def test_a_day_on_loopback_and_its_kept_record(tmp_path: Path) -> None:
+def test_loopback_run_and_audit_of_its_stored_rows(tmp_path: Path) -> None:
     (tmp_path / "short.ini").write_text(SHORT)
     records, logs = tmp_path / "rows.jsonl", tmp_path / "logs"
-    ran = valverouter("day", str(tmp_path / "short.ini"), "--records", str(records), "--logs", str(logs))
-    assert ran.returncode == 0, ran.stdout + ran.stderr
-    assert "service weighted by importance" in ran.stdout
-    assert "BROKEN" not in ran.stdout
+    completed = valverouter(
+        "day", str(tmp_path / "short.ini"), "--records", str(records), "--logs", str(logs)
+    )
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert "service weighted by importance" in completed.stdout
+    assert "BROKEN" not in completed.stdout
     rows = traffic_record.read_rows(records)
-    assert sum(one.answers["stands"] for one in account_by_type(rows).values()) > 20
+    assert sum(account.answers["stands"] for account in account_by_type(rows).values()) > 20
     starts = [
         line
         for line in (logs / "e1.log").read_text().splitlines()
@@ -289,12 +299,12 @@
     assert len(starts) == 2, "killed and started again"
     assert json.loads((logs / "e0.log").read_text().splitlines()[-1])["event"] == "edge-stopped"
     assert valverouter("audit", str(records)).returncode == 0
-    cut = next(
+    answer_row = next(
         row
         for row in rows
         if isinstance(row, traffic_record.MessageRow) and row.kind in ("stands", "declined") and not row.sent
     )
-    traffic_record.write_rows(records, [row for row in rows if row is not cut])
+    traffic_record.write_rows(records, [row for row in rows if row is not answer_row])
     broken = valverouter("audit", str(records))
     assert broken.returncode == 1
     assert "BROKEN" in broken.stdout
@@ -318,74 +328,78 @@
     (tmp_path / "good.ini").write_text(SHORT.lstrip())
     (tmp_path / "bad.ini").write_text(SHORT.replace("length = 2s", "lenght = 2s"))
     names = {"good": str(tmp_path / "good.ini"), "bad": str(tmp_path / "bad.ini")}
-    ran = valverouter(*(word.format(**names) for word in words))
-    shown = " ".join((ran.stdout + ran.stderr).split())
-    assert (ran.returncode, said in shown) == (code, True), ran.stdout + ran.stderr
+    completed = valverouter(*(word.format(**names) for word in words))
+    shown = " ".join((completed.stdout + completed.stderr).split())
+    assert (completed.returncode, said in shown) == (code, True), completed.stdout + completed.stderr
     assert "Traceback" not in shown
 
 
-def test_an_edge_that_can_not_listen_says_so(tmp_path: Path) -> None:
+def test_edge_proxy_that_cannot_listen_exits_with_status_3(tmp_path: Path) -> None:
     ini = "[edge]\nname = e\nlisten = 192.0.2.1:1\nlist_service = 127.0.0.1:9\n[fleet]\nedge_proxies = 1\n"
     (tmp_path / "e.ini").write_text(ini + "[traffic plain]\nobjective = 1s\n")
-    ran = valverouter("edge", str(tmp_path / "e.ini"))
-    assert ran.returncode == 3
-    assert "could-not-run" in ran.stderr
-    assert "Traceback" not in ran.stderr
+    completed = valverouter("edge", str(tmp_path / "e.ini"))
+    assert completed.returncode == 3
+    assert "could-not-run" in completed.stderr
+    assert "Traceback" not in completed.stderr
 
 
-def test_the_short_day_runs_in_virtual_time_too() -> None:
+def test_short_scenario_in_virtual_time() -> None:
     assert audit(run_virtual(scenario_config(IniFile(SHORT, "short"), "short"))).passed
 
 
 # Faults that the fakes cause
 
 
-def drops_lines(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+def connections_drop(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """s0 cuts its line under every ninth answer, s1 under every ninth set-up that it hears."""
     count = 0
 
-    def ninth(kind: type, sent: bool) -> Any:
-        def drop(way: bool, message: Any) -> bool:
+    def drop_every_ninth(kind: type, sent: bool) -> Any:
+        def drop(is_sent: bool, message: Any) -> bool:
             nonlocal count
             count += isinstance(message, kind)
-            return way is sent and isinstance(message, kind) and count % 9 == 0
+            return is_sent is sent and isinstance(message, kind) and count % 9 == 0
 
         return drop
 
-    fakes.servers["s0"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Established, True))
-    fakes.servers["s1"].on_connection = lambda wire: setattr(wire, "drop_on", ninth(setup.Setup, False))
-    for wire in (*fakes.servers["s0"].connections, *fakes.servers["s1"].connections):
-        wire.close()
+    fakes.servers["s0"].on_connection = lambda connection: setattr(
+        connection, "drop_on", drop_every_ninth(setup.Established, True)
+    )
+    fakes.servers["s1"].on_connection = lambda connection: setattr(
+        connection, "drop_on", drop_every_ninth(setup.Setup, False)
+    )
+    for connection in (*fakes.servers["s0"].connections, *fakes.servers["s1"].connections):
+        connection.close()
 
 
-def trickles(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-    for wire in fakes.servers["s0"].connections:
-        wire.byte_interval = 0.05
+def server_sends_slowly(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+    for connection in fakes.servers["s0"].connections:
+        connection.byte_interval = 0.05
 
 
-def stops_reading(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+def server_stops_reading(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     """s0 reads nothing for two seconds; what it reads late had left long before."""
     fakes.recorder.record(traffic_record.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
-    for wire in fakes.servers["s0"].connections:
-        wire.reading_allowed = trio.Event()
-        fakes.scheduler.call_at(fakes.now() + 3 * SECOND, wire.reading_allowed.set)
+    for connection in fakes.servers["s0"].connections:
+        connection.reading_allowed = trio.Event()
+        fakes.scheduler.call_at(fakes.now() + 3 * SECOND, connection.reading_allowed.set)
 
 
-def list_loses_words(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+def list_loses_updates(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     fakes.endpoint_list.updates_to_drop = 2
 
 
-def list_contradicts_itself(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-    def again(number: int) -> None:
+def list_sends_conflicting_updates(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+    def announce(number: int) -> None:
         phase: Any = "draining" if number % 2 else "in-service"
         fakes.announce(["s0"], phase)
         fakes.endpoint_list.announce_stale(1, [fakes.endpoint_row("s1", "gone")])  # an old word, come late
 
     for number in range(6):
-        fakes.scheduler.call_at(fakes.now() + (2 + number) * SECOND, lambda number=number: again(number))  # type: ignore[misc]
+        fakes.scheduler.call_at(fakes.now() + (2 + number) * SECOND, lambda number=number: announce(number))  # type: ignore[misc]
 
 
-def list_goes_down(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+def list_restarts(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     assert fakes.nursery is not None
     nursery = fakes.nursery
     fakes.scheduler.call_at(fakes.now() + 2 * SECOND, fakes.endpoint_list.stop_listening)
@@ -396,13 +410,20 @@
 
 @pytest.mark.parametrize(
     "fault",
-    [drops_lines, trickles, stops_reading, list_loses_words, list_contradicts_itself, list_goes_down],
+    [
+        connections_drop,
+        server_sends_slowly,
+        server_stops_reading,
+        list_loses_updates,
+        list_sends_conflicting_updates,
+        list_restarts,
+    ],
     ids=lambda fault: fault.__name__,
 )
-def test_faults_on_request_with_the_rules_kept(fault: Any) -> None:
-    script = short_scenario(("deploy", FAULT_SETTINGS["deploy"]))
-    rows = run_virtual(script, fault)
+def test_peer_faults_keep_the_rules(fault: Any) -> None:
+    scenario = short_scenario(("deploy", FAULT_SETTINGS["deploy"]))
+    rows = run_virtual(scenario, fault)
     verdict = audit(rows)
     assert verdict.passed, verdict.violations[:5]
-    served = sum(one.within_objective for one in account_by_type(rows).values())
-    assert served > 0.4 * sum(one.offered for one in account_by_type(rows).values())
+    served = sum(account.within_objective for account in account_by_type(rows).values())
+    assert served > 0.4 * sum(account.offered for account in account_by_type(rows).values())
--- a/valverouter/cli/scenarios.py
+++ b/valverouter/cli/scenarios.py
@@ -22,7 +22,7 @@
 from valverouter.scenarios.loopback import run_loopback
 from valverouter.scenarios.recorded_calls import recorded_calls
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
-from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.scenario_runner import run_calls_and_faults
 from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling import traffic_record
 
@@ -120,7 +120,7 @@
             console.print(f"list service at {fakes.endpoint_list.address}")
             for server in fakes.servers.values():
                 console.print(f"{server.name} at {server.address}")
-            await play_script(fakes)
+            await run_calls_and_faults(fakes)
 
 
 @click.command()
--- a/valverouter/fakes/connection.py
+++ b/valverouter/fakes/connection.py
@@ -55,13 +55,13 @@
         self._send_queue: list[Any] = []
         self._send_queued = trio.Event()
         # When the last message arrives here and leaves here: a shorter delay doesn't overtake it.
-        self._last_in_at = self._last_out_at = 0
+        self._last_receive_at = self._last_send_at = 0
 
     def send(self, message: Any, delayed: bool = True) -> None:
         """Sends a message to the edge proxy; it passes the socket after the delay, in order."""
         delay = self._delay(self.edge_name) if delayed else 0
-        self._last_out_at = max(self._last_out_at, self._scheduler.now() + delay)
-        self._scheduler.call_at(self._last_out_at, lambda: self._enqueue(message))
+        self._last_send_at = max(self._last_send_at, self._scheduler.now() + delay)
+        self._scheduler.call_at(self._last_send_at, lambda: self._enqueue(message))
 
     def _enqueue(self, message: Any) -> None:
         self._send_queue.append(message)
@@ -111,8 +111,10 @@
         if self.drop_on(False, message):
             self.close()
             return False
-        self._last_in_at = max(self._last_in_at, self._scheduler.now() + self._delay(self.edge_name))
-        self._scheduler.call_at(self._last_in_at, lambda: self._on_message(self, message))
+        self._last_receive_at = max(
+            self._last_receive_at, self._scheduler.now() + self._delay(self.edge_name)
+        )
+        self._scheduler.call_at(self._last_receive_at, lambda: self._on_message(self, message))
         return True
 
     async def _write(self) -> None:
--- a/valverouter/fakes/datagrams.py
+++ b/valverouter/fakes/datagrams.py
@@ -60,7 +60,7 @@
             task_status.started()
             await trio.sleep_forever()
 
-    def open_front(self, name: str) -> str:
+    def open_relay(self, name: str) -> str:
         """The address that an instance is to advertise from now on; an earlier one stays open, and dead."""
         assert self._nursery is not None
         self._relays[name] = relay = self._bind("127.0.0.1:0")
--- a/valverouter/fakes/endpoint_list.py
+++ b/valverouter/fakes/endpoint_list.py
@@ -34,18 +34,18 @@
 class FakeEndpointList:
     """The service. The ages that it sends count from `started_at`, when each server started, ns.
 
-    `updates_to_drop`: so many of the next updates are lost. `on_leave` is called with a server that asks to
-    leave, beside the answer. `watching_by_connection`: the open connections, and whether the peer asked for
+    `updates_to_drop`: so many of the next updates are lost. `on_drain_request` is called with a server that
+    asks to leave. `watching_by_connection`: the open connections, and whether the peer asked for
     updates.
     """
 
     def __init__(self, address: str, environment: Environment, epoch: str = "e1") -> None:
         self.address = address
-        self.register = EndpointRegistry(epoch)
+        self.registry = EndpointRegistry(epoch)
         self.started_at: dict[str, int] = {}
         self.updates_to_drop = 0
         self.permits = DrainPermits()
-        self.on_leave: Callable[[str], None] = lambda server: None
+        self.on_drain_request: Callable[[str], None] = lambda server: None
         self.watching_by_connection: dict[FakePeerConnection, bool] = {}
         self._environment = environment
         self._nursery: trio.Nursery | None = None
@@ -77,20 +77,20 @@
                 connection.send(Welcome(connection.session.version, NAME))
             case Watch():
                 self.watching_by_connection[connection] = True
-                for update in self.register.answer(message):
+                for update in self.registry.answer(message):
                     self._send_update(connection, update)
             case DrainRequest():
-                self._on_leave_request(connection, message)
+                self._handle_drain_request(connection, message)
             case DrainEnded():
                 self.permits.end(message)
                 connection.send(DrainReply(message.server, message.number, True))
 
-    def _on_leave_request(self, connection: FakePeerConnection, request: DrainRequest) -> None:
+    def _handle_drain_request(self, connection: FakePeerConnection, request: DrainRequest) -> None:
         refusal = self.permits.check(request)
-        if not refusal and request.server not in self.register.rows:
+        if not refusal and request.server not in self.registry.rows:
             refusal = f"{request.server} is not on the list"
         if not refusal:
-            self.on_leave(request.server)
+            self.on_drain_request(request.server)
         connection.send(DrainReply(request.server, request.number, not refusal, refusal))
 
     def _send_update(
@@ -112,7 +112,7 @@
 
     def announce(self, rows: list[EndpointRow]) -> None:
         """Sends a change to every edge proxy that watches, unless it is to be dropped."""
-        change: Change = self.register.change(rows)
+        change: Change = self.registry.change(rows)
         if self.updates_to_drop:
             self.updates_to_drop -= 1
             return
@@ -120,7 +120,7 @@
 
     def announce_stale(self, number: int, rows: list[EndpointRow]) -> None:
         """Sends a change under a number that has passed, as if it had been delayed on the way."""
-        self._send_to_watchers(Change(self.register.epoch, number, rows), is_stale=True)
+        self._send_to_watchers(Change(self.registry.epoch, number, rows), is_stale=True)
 
     def _send_to_watchers(self, change: Change, is_stale: bool = False) -> None:
         for connection, is_watching in self.watching_by_connection.items():
--- a/valverouter/fakes/retained_legs.py
+++ b/valverouter/fakes/retained_legs.py
@@ -66,13 +66,13 @@
         connection = self._legs.pop(key).connection
         if connection is None:
             self._undelivered_ends[key] = event
-            self._scheduler.call_at(self._scheduler.now() + RETENTION, partial(self._forget_end, key))
+            self._scheduler.call_at(self._scheduler.now() + RETENTION, partial(self._discard_end, key))
         return connection
 
-    def _forget_end(self, key: LegKey) -> None:
+    def _discard_end(self, key: LegKey) -> None:
         self._undelivered_ends.pop(key, None)
 
-    def take_undelivered_end(self, key: LegKey) -> ServerEvent | None:
+    def pop_undelivered_end(self, key: LegKey) -> ServerEvent | None:
         """The end of a leg that waits to be asked for, which is then forgotten."""
         return self._undelivered_ends.pop(key, None)
 
--- a/valverouter/fakes/server.py
+++ b/valverouter/fakes/server.py
@@ -189,7 +189,7 @@
         now, (_, dialog, leg) = self._scheduler.now(), key
         self.model.on_resume_request(now)
         model_key = self._retained.model_key(key)
-        if (end := self._retained.take_undelivered_end(key)) is not None:
+        if (end := self._retained.pop_undelivered_end(key)) is not None:
             connection.send(setup.Established(dialog, leg, report=self._load(now)))
             self._send_event(connection, end, now)
         elif model_key is None or model_key not in self.model.legs:
@@ -239,10 +239,10 @@
         return by_peer.get(peer)
 
     def _schedule_delivery(self, now: int) -> None:
-        at, scheduled = self.model.next_event_at(), self._next_event_at
-        if at is not None and (scheduled is None or at < scheduled or scheduled <= now):
-            self._next_event_at = at
-            self._scheduler.call_at(at, self.deliver_events)
+        next_at, scheduled = self.model.next_event_at(), self._next_event_at
+        if next_at is not None and (scheduled is None or next_at < scheduled or scheduled <= now):
+            self._next_event_at = next_at
+            self._scheduler.call_at(next_at, self.deliver_events)
 
     def _send_event(self, connection: FakePeerConnection, event: ServerEvent, now: int) -> None:
         _, dialog, leg = event.key
--- a/valverouter/scenarios/loopback.py
+++ b/valverouter/scenarios/loopback.py
@@ -60,9 +60,9 @@
         self._scenario = scenario
         self._fleet_index = fleet_index
         self._list_address = list_address
-        self._cache = str(folder / f"{self.name}.list")
+        self._list_cache = str(folder / f"{self.name}.list")
         self._accounts = str(folder / f"{self.name}.accounts")
-        self._ledger = str(folder / f"{self.name}.ledger") if scenario.ledger else ""
+        self._dialog_store = str(folder / f"{self.name}.ledger") if scenario.ledger else ""
         self._nursery = nursery
         self._membership = membership
         self._process: trio.Process | None = None
@@ -76,9 +76,9 @@
             self._fleet_index,
             self.address,
             self._list_address,
-            self._cache,
+            self._list_cache,
             self._accounts,
-            self._ledger,
+            self._dialog_store,
             gossip,
         )
         self._config_file.write_text(config, "utf-8")
@@ -114,13 +114,13 @@
 
     async def _follow_log(self, output: trio.abc.ReceiveStream, task_status: trio.TaskStatus[str]) -> None:
         with self.log_file.open("ab") as log:
-            rest = b""
+            incomplete = b""
             while data := await output.receive_some(READ_SIZE):
                 log.write(data)
                 log.flush()
                 if self._listening and self._membership is None:
                     continue
-                *lines, rest = (rest + data).split(b"\n")
+                *lines, incomplete = (incomplete + data).split(b"\n")
                 for line in lines:
                     self._handle_log_line(_decode_log_line(line), task_status)
 
--- a/valverouter/scenarios/loopback_membership.py
+++ b/valverouter/scenarios/loopback_membership.py
@@ -33,14 +33,14 @@
         self._draw_paths = self._draw("paths")
         no_faults = NetworkPaths([], self._draw_paths)
         self._network = FakeDatagramNetwork(runtime.bind_datagrams, fakes.now, no_faults)
-        self._fronts: dict[str, str] = {}
+        self._relay_addresses: dict[str, str] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
         """Runs the fake network and polls the views, until cancelled."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self._network.run)
             for fleet_index in range(self.scenario.fleet.edge_proxies):
-                self._fronts[f"e{fleet_index}"] = self._network.open_front(f"e{fleet_index}")
+                self._relay_addresses[f"e{fleet_index}"] = self._network.open_relay(f"e{fleet_index}")
             nursery.start_soon(self._poll, self._fleet_client(self._runtime, "127.0.0.1:0"))
             task_status.started()
 
@@ -52,10 +52,10 @@
     def gossip_section(self, name: str) -> dict[str, str]:
         """The [between] section that this edge proxy is started with."""
         names = [f"e{fleet_index}" for fleet_index in range(self.gossip.seeds)]
-        seeds = [self._fronts[seed] for seed in names if seed in self._fronts]
+        seeds = [self._relay_addresses[seed] for seed in names if seed in self._relay_addresses]
         return {
             "listen": "127.0.0.1:0",
-            "advertise": self._fronts[name],
+            "advertise": self._relay_addresses[name],
             "key": str(self._key_file),
             "seeds": ", ".join(seeds),
         }
--- a/valverouter/scenarios/network_paths.py
+++ b/valverouter/scenarios/network_paths.py
@@ -40,8 +40,8 @@
     regions = scenario.edge_regions if regions is None else regions
 
     def delay(sender: str, receiver: str) -> int:
-        near = regions.get(sender) == regions.get(receiver)
-        base = scenario.delays.same if near else scenario.delays.cross
+        in_same_region = regions.get(sender) == regions.get(receiver)
+        base = scenario.delays.same if in_same_region else scenario.delays.cross
         return int(base * (1 + scenario.delays.jitter * (2 * draw() - 1)))
 
     return NetworkPaths(path_faults(scenario, origin, regions), draw, delay)
--- a/valverouter/scenarios/operation_files.py
+++ b/valverouter/scenarios/operation_files.py
@@ -15,11 +15,11 @@
 # The file by which clients reach the nodes, past the fake of the paths.
 CLIENT = "tool"
 # Seconds after which a version that ends by itself does so.
-DIES_AFTER_S = 4
+LATE_EXIT_DELAY_S = 4
 # The fraction of the edge proxies that may run the version that harms in a crowd before it does.
-CROWD_FRACTION = 0.3
+REJECTION_THRESHOLD_FRACTION = 0.3
 # Edge proxies that the others know from the start.
-SEEDS = 3
+SEED_COUNT = 3
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
     min_capacity_fraction: float
     listen: dict[str, str]
     advertised: dict[str, str]
-    callers: dict[str, str]
+    caller_addresses: dict[str, str]
 
     def write(self, server_control: str, server_regions: dict[str, str]) -> None:
         """Writes all of them. `server_control`: the address at which servers' agents report."""
@@ -60,26 +60,30 @@
         max_unavailable, max_in_region = self.limits
         text = f"[seat]\nname = {own_name}\nlisten = {self.listen[own_name]}\n"
         text += f"advertise = {self.advertised[own_name]}\nkey = fleet.key\nstore = {own_name}.store\n"
-        text += f"council = {_nodes_at(addresses)}\nsilent = 3s\nunsettled = 20s\n\n"
+        text += f"council = {_node_addresses(addresses)}\nsilent = 3s\nunsettled = 20s\n\n"
         text += f"[limits edge proxies]\nmost = {max_unavailable}\nin_region = {max_in_region}\n"
         text += f"least_capacity = {self.min_capacity_fraction}\n"
         if self.servers:
             text += "\n[limits servers]\nmost = 1\nin_region = 1\nleast_capacity = 0.4\n"
         text += "\n[evidence]\nleast = 60\nodds = 4\nwatch = 2s\n"
-        self._put(name, text)
+        self._write_file(name, text)
 
     def _write_edge(self, index: int, name: str) -> None:
-        between = {
+        gossip = {
             "listen": self.listen[name],
             "advertise": self.advertised[name],
             "key": str(self.folder / "fleet.key"),
-            "seeds": ", ".join(self.advertised[seed] for seed in self.edges[:SEEDS]),
+            "seeds": ", ".join(self.advertised[seed] for seed in self.edges[:SEED_COUNT]),
         }
         cache = str(self.folder / f"{name}.list")
-        text = self.scenario.edge_ini(index, self.callers[name], self.list_service, cache, between=between)
-        self._put(name, text)
+        text = self.scenario.edge_ini(
+            index, self.caller_addresses[name], self.list_service, cache, between=gossip
+        )
+        self._write_file(name, text)
         # Rejects every dialog while it has one open.
-        self._put(f"{name}.declines", text.replace("[fleet]", "[links]\nopen_dialogs = 1\n\n[fleet]", 1))
+        self._write_file(
+            f"{name}.declines", text.replace("[fleet]", "[links]\nopen_dialogs = 1\n\n[fleet]", 1)
+        )
 
     def _write_edge_supervisor(self, index: int, name: str) -> None:
         text = f"[keeper]\nname = {name}\n{self._supervisor_settings(name)}version = v1\n"
@@ -87,23 +91,23 @@
         text += f"output = {self.folder / name}.log\n"
         for version, command in self._edge_commands(name).items():
             text += f"\n[version {version}]\ncommand = {command}\n"
-        self._put(supervisor_of(name), text)
+        self._write_file(supervisor_of(name), text)
 
     def _edge_commands(self, name: str) -> dict[str, str]:
         """The command of each version."""
         edge, settings = " ".join((*CLI, "edge")), self.folder / name
-        crowd = max(2, round(CROWD_FRACTION * len(self.edges)))
+        threshold = max(2, round(REJECTION_THRESHOLD_FRACTION * len(self.edges)))
         return {
             "v1": f"{edge} {settings}.ini",
             "v2": f"{edge} {settings}.ini",
             "declines": f"{edge} {settings}.declines.ini",
             "crowds": (
                 f"sh -c 'touch {self.folder}/crowd.{name}; set -- {self.folder}/crowd.*; "
-                f"[ $# -ge {crowd} ] && file=declines.ini || file=ini; "
+                f"[ $# -ge {threshold} ] && file=declines.ini || file=ini; "
                 f"exec {edge} {settings}.$file'"
             ),
             "crashes": f"{sys.executable} -c 'raise SystemExit(7)'",
-            "dies-late": f"timeout -s KILL {DIES_AFTER_S} {edge} {settings}.ini",
+            "dies-late": f"timeout -s KILL {LATE_EXIT_DELAY_S} {edge} {settings}.ini",
         }
 
     def _write_server_supervisor(self, name: str, control: str, region: str) -> None:
@@ -113,17 +117,17 @@
         text += f"drain_within = 2s\nstop_within = 6s\nregion = {region}\n"
         for version in ("v1", "v2"):
             text += f"\n[version {version}]\ncommand = {agent} {self.folder}/fleet.key\n"
-        self._put(supervisor_of(name), text)
+        self._write_file(supervisor_of(name), text)
 
     def _supervisor_settings(self, name: str) -> str:
         supervisor = supervisor_of(name)
         return (
             f"listen = {self.listen[supervisor]}\nadvertise = {self.advertised[supervisor]}\n"
-            f"key = fleet.key\nstore = {supervisor}.store\ncouncil = {_nodes_at(self.advertised)}\n"
+            f"key = fleet.key\nstore = {supervisor}.store\ncouncil = {_node_addresses(self.advertised)}\n"
             f"asks = {self.listen[name]}\n"
         )
 
-    def _put(self, name: str, text: str) -> None:
+    def _write_file(self, name: str, text: str) -> None:
         (self.folder / f"{name}.ini").write_text(text)
 
 
@@ -137,5 +141,5 @@
     return supervisor[1:] if supervisor[1] == "s" else f"e{supervisor[1:]}"
 
 
-def _nodes_at(addresses: dict[str, str]) -> str:
+def _node_addresses(addresses: dict[str, str]) -> str:
     return ", ".join(f"{name} {addresses[name]}" for name in NODES)
--- a/valverouter/scenarios/operation_harness.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -26,7 +26,7 @@
 from valverouter.rollout.status import FleetStatus, OperationStatus
 from valverouter.scenarios.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
-from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.scenario_runner import run_calls_and_faults
 from valverouter.scenarios.server_agents import ServerAgents
 from valverouter.scenarios.supervisor_logs import append_log_rows
 from valverouter.servermodel.paths import NetworkPaths, PathFault
@@ -40,7 +40,7 @@
 FAULT_SLACK = 200_000_000
 # Ports below those that the machine gives out by itself: one of these was given to another socket between its
 # choice and its use.
-PORTS = (10_000, 32_000)
+PORT_RANGE = (10_000, 32_000)
 PR_SET_PDEATHSIG = 1
 
 
@@ -94,7 +94,7 @@
         self._network = FakeDatagramNetwork(
             SocketRuntime().bind_datagrams, fakes.now, NetworkPaths([], self._draw)
         )
-        self._callers: dict[str, str] = {}
+        self._caller_addresses: dict[str, str] = {}
 
     async def open(self, nursery: trio.Nursery) -> None:
         """Opens the network and writes all files; starts nothing."""
@@ -102,7 +102,7 @@
         server_control = await self._open_server_agents(nursery) if self.servers else ""
         listen, advertised = self._open_network()
         for name, port in zip(self.edges, _free_ports(len(self.edges), socket.SOCK_STREAM), strict=True):
-            self._callers[name] = f"127.0.0.1:{port}"
+            self._caller_addresses[name] = f"127.0.0.1:{port}"
         files = OperationFiles(
             scenario=self.scenario,
             folder=self.folder,
@@ -113,7 +113,7 @@
             min_capacity_fraction=self._min_capacity_fraction,
             listen=listen,
             advertised=advertised,
-            callers=self._callers,
+            caller_addresses=self._caller_addresses,
         )
         regions = {
             name: self.scenario.region_of_server(self.fakes.server_numbers[name]) for name in self.servers
@@ -128,8 +128,8 @@
         """The address at which agents report."""
         agents = ServerAgents(self.fakes, self.scenario.fleet.warm_after)
         address: str = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", agents.serve)
-        self.fakes.endpoint_list.on_leave = lambda server: self.fakes.announce([server], "draining")
-        nursery.start_soon(agents.report_warmth)
+        self.fakes.endpoint_list.on_drain_request = lambda server: self.fakes.announce([server], "draining")
+        nursery.start_soon(agents.report_warm_up)
         return address
 
     def _open_network(self) -> tuple[dict[str, str], dict[str, str]]:
@@ -139,14 +139,14 @@
         listen, advertised = {}, {}
         for name, port in zip(names, _free_ports(len(names), socket.SOCK_DGRAM), strict=True):
             listen[name] = f"127.0.0.1:{port}"
-            advertised[name] = self._network.open_front(name)
+            advertised[name] = self._network.open_relay(name)
             self._network.set_process_address(name, listen[name])
         return listen, advertised
 
     def add_callers(self) -> None:
         """Lets the scenario's callers call the edge proxies."""
         for index, name in enumerate(self.edges):
-            self.fakes.add_callers(index, SupervisedEdge(name, self._callers[name]))
+            self.fakes.add_callers(index, SupervisedEdge(name, self._caller_addresses[name]))
 
     # Processes
 
@@ -156,7 +156,7 @@
         command = [*CLI, "fleet", program, str(self.folder / f"{name}.ini"), *options]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                command, stdin=subprocess.DEVNULL, stderr=log, preexec_fn=_end_with_parent
+                command, stdin=subprocess.DEVNULL, stderr=log, preexec_fn=_terminate_with_parent
             )
 
     async def start_all(self) -> None:
@@ -240,8 +240,8 @@
         """
         command = [*CLI, "fleet", arguments[0], str(self.folder / "tool.ini"), *arguments[1:]]
         with trio.move_on_after(timeout_s):
-            done = await trio.run_process(command, capture_stdout=True, capture_stderr=True, check=False)
-            return done.returncode, (done.stdout + done.stderr).decode()
+            completed = await trio.run_process(command, capture_stdout=True, capture_stderr=True, check=False)
+            return completed.returncode, (completed.stdout + completed.stderr).decode()
         return -1, ""
 
     async def status(self) -> FleetStatus | None:
@@ -308,7 +308,7 @@
         )
 
 
-def _end_with_parent() -> None:
+def _terminate_with_parent() -> None:
     """Runs in a child: a harness that is killed must not leave its fleet running, and loading the machine.
 
     A supervisor that is asked to end by this ends its edge proxy first.
@@ -317,20 +317,20 @@
 
 
 def _free_ports(count: int, kind: socket.SocketKind) -> list[int]:
-    draws = random.SystemRandom()
-    held: dict[int, socket.socket] = {}
+    rng = random.SystemRandom()
+    bound: dict[int, socket.socket] = {}
     try:
-        while len(held) < count:
-            candidate, port = socket.socket(socket.AF_INET, kind), draws.randrange(*PORTS)
+        while len(bound) < count:
+            candidate, port = socket.socket(socket.AF_INET, kind), rng.randrange(*PORT_RANGE)
             try:
                 candidate.bind(("127.0.0.1", port))
-                held[port] = candidate
+                bound[port] = candidate
             except OSError:
                 candidate.close()
-        return list(held)
+        return list(bound)
     finally:
-        for held_socket in held.values():
-            held_socket.close()
+        for bound_socket in bound.values():
+            bound_socket.close()
 
 
 def run_operations(
@@ -378,5 +378,5 @@
     harness.add_callers()
     await trio.sleep(scenario.run.settle / NS_PER_S)
     async with trio.open_nursery() as playing:
-        playing.start_soon(play_script, fakes)
+        playing.start_soon(run_calls_and_faults, fakes)
         playing.start_soon(script, harness)
--- a/valverouter/scenarios/planning.py
+++ b/valverouter/scenarios/planning.py
@@ -31,9 +31,15 @@
     duration_s = max(MIN_DURATION_S, (max(times) - min(times)) / NS_PER_S) if times else 1.0
     traffic = scenario.traffic
     return [
-        Demand(kind, region, count / duration_s, traffic[kind].length / NS_PER_S, traffic[kind].importance)
-        for (kind, region), count in sorted(counts.items())
-        if kind in traffic
+        Demand(
+            traffic_type,
+            region,
+            count / duration_s,
+            traffic[traffic_type].length / NS_PER_S,
+            traffic[traffic_type].importance,
+        )
+        for (traffic_type, region), count in sorted(counts.items())
+        if traffic_type in traffic
     ]
 
 
@@ -61,19 +67,19 @@
         if cross_region is None:
             return []
         skew = cross_region.clock_skew
-        for kind in scenario.traffic:
-            policy = cross_region.policies.get(kind)
+        for traffic_type in scenario.traffic:
+            policy = cross_region.policies.get(traffic_type)
             if policy is None or policy.urgent:
                 rate = None if policy else 0.0
             else:
                 rate = max_rate(with_default_burst(policy.budget, skew)) if policy.budget else None
             pairs = (policy.pairs if policy else None) or {}
             for pair, budget in pairs.items():
-                limit = RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair)
+                limit = RateLimit(traffic_type, max_rate(with_default_burst(budget, skew)), pair)
                 if limit not in limits:
                     limits.append(limit)
             if fleet_index == 0 and rate is not None and not pairs:
-                limits.append(RateLimit(kind, rate))
+                limits.append(RateLimit(traffic_type, rate))
     return limits
 
 
--- a/valverouter/scenarios/random_operations.py
+++ b/valverouter/scenarios/random_operations.py
@@ -23,8 +23,8 @@
 FAULT_DURATIONS_S = (0.5, 6.0)
 # How long all may take to come to rest once faults are over: a release awaits its evidence, and operations
 # are queued behind it.
-REST_TIMEOUT_S = 150.0
-LATE_MESSAGES_DELAY = 300_000_000
+SETTLE_TIMEOUT_S = 150.0
+LATE_FAULT_DELAY = 300_000_000
 
 
 class RandomOperations:
@@ -32,7 +32,7 @@
 
     def __init__(self, seed: int, length_s: float) -> None:
         """`length_s`: of the time with operations and faults."""
-        self._draws = random.Random(f"orders/{seed}")
+        self._rng = random.Random(f"orders/{seed}")
         self._length_s = length_s
         self.operations = 0
         self.faults = 0
@@ -44,8 +44,8 @@
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(self._length_s):
                 while True:
-                    await trio.sleep(self._draws.expovariate(1 / MEAN_INTERVAL_S))
-                    if self._draws.random() < 0.5:
+                    await trio.sleep(self._rng.expovariate(1 / MEAN_INTERVAL_S))
+                    if self._rng.random() < 0.5:
                         nursery.start_soon(self._run_client, harness, self._draw_arguments(harness))
                     else:
                         nursery.start_soon(self._cause_fault, harness, started_at)
@@ -53,13 +53,13 @@
         for name in (*NODES, *map(supervisor_of, (*harness.edges, *harness.servers))):
             if harness.processes[name].poll() is not None:
                 harness.start(name)
-        with trio.move_on_after(REST_TIMEOUT_S):
+        with trio.move_on_after(SETTLE_TIMEOUT_S):
             while not self.has_settled:
-                await self._come_to_rest(harness)
+                await self._settle(harness)
 
-    async def _come_to_rest(self, harness: OperationHarness) -> None:
+    async def _settle(self, harness: OperationHarness) -> None:
         """Waits for open operations, and brings drained instances back."""
-        await harness.wait_until_settled(REST_TIMEOUT_S)
+        await harness.wait_until_settled(SETTLE_TIMEOUT_S)
         status = await harness.status()
         if status is None or any(operation.phase != "ended" for operation in status.operations):
             return
@@ -69,8 +69,8 @@
             self.has_settled = True
 
     def _draw_arguments(self, harness: OperationHarness) -> tuple[str, ...]:
-        draws = self._draws
-        kind = draws.choices(("restart", "release", "drain", "undrain", "halt"), (3, 4, 2, 2, 1))[0]
+        rng = self._rng
+        kind = rng.choices(("restart", "release", "drain", "undrain", "halt"), (3, 4, 2, 2, 1))[0]
         self.operations += 1
         id_ = f"o{self.operations}"
         if kind == "halt":
@@ -78,58 +78,58 @@
         if kind == "undrain":
             return ("undrain", "--all", "--id", id_)
         if kind == "drain":
-            return ("drain", draws.choice(harness.edges), "--id", id_)
-        if harness.servers and draws.random() < 0.2:
-            return ("restart", draws.choice(harness.servers), "--servers", "--id", id_)
-        names = sorted(draws.sample(harness.edges, draws.randint(1, len(harness.edges))))
+            return ("drain", rng.choice(harness.edges), "--id", id_)
+        if harness.servers and rng.random() < 0.2:
+            return ("restart", rng.choice(harness.servers), "--servers", "--id", id_)
+        names = sorted(rng.sample(harness.edges, rng.randint(1, len(harness.edges))))
         if kind == "restart":
             return ("restart", *names, "--id", id_)
-        return ("release", *names, "--to", draws.choice(VERSIONS), "--id", id_)
+        return ("release", *names, "--to", rng.choice(VERSIONS), "--id", id_)
 
     async def _run_client(self, harness: OperationHarness, arguments: tuple[str, ...]) -> None:
         """A client that may be killed at any moment, and now and then runs again."""
-        is_repeated = self._draws.random() < 0.3
-        await harness.run_client(*arguments, timeout_s=self._draws.choice(CLIENT_TIMEOUTS_S))
+        is_repeated = self._rng.random() < 0.3
+        await harness.run_client(*arguments, timeout_s=self._rng.choice(CLIENT_TIMEOUTS_S))
         if is_repeated:
             await harness.run_client(*arguments, timeout_s=REPEATED_CLIENT_TIMEOUT_S)
 
     async def _cause_fault(self, harness: OperationHarness, started_at: float) -> None:
-        draws = self._draws
+        rng = self._rng
         remaining_s = self._length_s - (trio.current_time() - started_at)
-        duration_s = min(draws.uniform(*FAULT_DURATIONS_S), max(0.1, remaining_s))
+        duration_s = min(rng.uniform(*FAULT_DURATIONS_S), max(0.1, remaining_s))
         self.faults += 1
-        kind = draws.random()
-        node, edge = draws.choice(NODES), draws.choice(harness.edges)
-        if kind < 0.4:
-            name = node if kind < 0.2 else supervisor_of(edge)
+        selector = rng.random()
+        node, edge = rng.choice(NODES), rng.choice(harness.edges)
+        if selector < 0.4:
+            name = node if selector < 0.2 else supervisor_of(edge)
             if harness.processes[name].poll() is None:
                 harness.kill(name)
                 await trio.sleep(duration_s)
                 harness.start(name)
-        elif kind < 0.55:
+        elif selector < 0.55:
             harness.kill(edge)
-        elif kind < 0.7:
-            name = node if kind < 0.62 else supervisor_of(edge)
+        elif selector < 0.7:
+            name = node if selector < 0.62 else supervisor_of(edge)
             if harness.processes[name].poll() is None:
                 await harness.pause(name, duration_s)
         else:
             self._add_path_fault(harness, duration_s)
 
     def _add_path_fault(self, harness: OperationHarness, duration_s: float) -> None:
-        draws, now = self._draws, harness.fakes.now()
+        rng, now = self._rng, harness.fakes.now()
         names = [*NODES, *harness.edges, *map(supervisor_of, (*harness.edges, *harness.servers))]
-        side = frozenset(draws.sample(names, draws.randint(1, len(names) // 2)))
-        rest = frozenset(names) - side
+        side = frozenset(rng.sample(names, rng.randint(1, len(names) // 2)))
+        others = frozenset(names) - side
         end = now + round(duration_s * NS_PER_S)
-        kind = draws.choice(("split", "cut", "loss", "late"))
+        kind = rng.choice(("split", "cut", "loss", "late"))
         if kind == "split":
-            harness.add_path_fault(PathFault("split", now, end, groups=(side, rest)))
+            harness.add_path_fault(PathFault("split", now, end, groups=(side, others)))
         elif kind == "cut":
-            harness.add_path_fault(PathFault("cut", now, end, senders=side, receivers=rest))
+            harness.add_path_fault(PathFault("cut", now, end, senders=side, receivers=others))
         elif kind == "loss":
-            probability = draws.uniform(0.1, 0.5)
+            probability = rng.uniform(0.1, 0.5)
             harness.add_path_fault(PathFault("loss", now, end, senders=side, probability=probability))
         else:
             harness.add_path_fault(
-                PathFault("late", now, end, senders=side, delay=LATE_MESSAGES_DELAY, jitter=0.5)
+                PathFault("late", now, end, senders=side, delay=LATE_FAULT_DELAY, jitter=0.5)
             )
--- a/valverouter/scenarios/scenario_fakes.py
+++ b/valverouter/scenarios/scenario_fakes.py
@@ -83,7 +83,7 @@
         for server in self.servers.values():
             await self.run_server(server)
         await nursery.start(self.endpoint_list.run)
-        self.endpoint_list.register.change([self.endpoint_row(name, "in-service") for name in self.servers])
+        self.endpoint_list.registry.change([self.endpoint_row(name, "in-service") for name in self.servers])
 
     async def run_server(self, server: FakeServer) -> None:
         """Runs a server for the rest of the scenario; returns once it listens."""
@@ -127,12 +127,14 @@
         region = scenario.region_of_server(number)
 
         def delay(edge: str) -> int:
-            near = edge[1:].isdigit() and scenario.region_of_edge(int(edge[1:])) == region
-            base = scenario.delays.same if near else scenario.delays.cross
+            in_same_region = edge[1:].isdigit() and scenario.region_of_edge(int(edge[1:])) == region
+            base = scenario.delays.same if in_same_region else scenario.delays.cross
             return int(base * (1 + scenario.delays.jitter * (2 * rng.random() - 1)))
 
         options = FakeServerOptions(
-            mean_duration=lambda kind: scenario.traffic[kind].length if kind in scenario.traffic else 0,
+            mean_duration=lambda traffic_type: (
+                scenario.traffic[traffic_type].length if traffic_type in scenario.traffic else 0
+            ),
             delay=delay,
             reports_lines=scenario.servers.tells_lines,
             report_interval=scenario.servers.report_every,
--- a/valverouter/scenarios/scenario_runner.py
+++ b/valverouter/scenarios/scenario_runner.py
@@ -58,7 +58,7 @@
             await trio.sleep(fakes.scenario.run.settle / NS_PER_S)
             if fleet.membership is not None:
                 fleet.membership.start_faults()
-            await play_script(fakes, on_progress)
+            await run_calls_and_faults(fakes, on_progress)
             if fleet.membership is not None:
                 await fleet.membership.settle()
             await fleet.stop()
@@ -66,7 +66,9 @@
     return fakes.recorder.rows
 
 
-async def play_script(fakes: ScenarioFakes, on_progress: ProgressCallback = lambda fraction: None) -> None:
+async def run_calls_and_faults(
+    fakes: ScenarioFakes, on_progress: ProgressCallback = lambda fraction: None
+) -> None:
     """Plays the scenario's calls and faults, then waits until every call has its answer."""
     fakes.recorder.record(CallersStartedRow)
     targets, load = FaultTargets(fakes), CallLoad(fakes)
@@ -107,6 +109,8 @@
         callers.behavior = with_scaled_patience(callers.behavior, 1.0)
     longest = max(mix.no_answer for mix in fakes.scenario.mix.values())
     with trio.move_on_after(longest / NS_PER_S + 1):
-        while any(not made.is_established for callers in fakes.callers for made in callers.attempts.values()):
+        while any(
+            not attempt.is_established for callers in fakes.callers for attempt in callers.attempts.values()
+        ):
             await trio.sleep(ANSWER_POLL_INTERVAL_S)
     await trio.sleep(LATE_ANSWER_WAIT_S)
--- a/valverouter/scenarios/server_agent.py
+++ b/valverouter/scenarios/server_agent.py
@@ -24,7 +24,7 @@
 from valverouter.fleet.queries import CountersQuery, CountersReply
 from valverouter.rollout.reports import InstanceCounters
 
-MESSAGE_BYTES = 64
+MAX_MESSAGE_BYTES = 64
 WARM = b"warm"
 
 
@@ -47,7 +47,7 @@
         await stream.send_all(self._name.encode() + b"\n")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._answer_queries)
-            nursery.start_soon(self._follow_warmth, stream, nursery.cancel_scope)
+            nursery.start_soon(self._follow_warm_up, stream, nursery.cancel_scope)
             nursery.start_soon(_wait_for_signal, nursery.cancel_scope)
         self._socket.close()
         await trio.aclose_forcefully(stream)
@@ -71,9 +71,9 @@
             pid=os.getpid(),
         )
 
-    async def _follow_warmth(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
+    async def _follow_warm_up(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
         """Takes in whether the server is warm; cancels the agent once the scenario's process is gone."""
-        while data := await stream.receive_some(MESSAGE_BYTES):
+        while data := await stream.receive_some(MAX_MESSAGE_BYTES):
             self._is_warm = data.split()[-1] == WARM
         scope.cancel()
 
--- a/valverouter/scenarios/server_agents.py
+++ b/valverouter/scenarios/server_agents.py
@@ -8,9 +8,9 @@
 
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 
-WARMTH_INTERVAL_S = 0.2
+WARM_UP_REPORT_INTERVAL_S = 0.2
 # The longest name that an agent sends.
-NAME_BYTES = 64
+MAX_NAME_BYTES = 64
 
 
 class ServerAgents:
@@ -24,24 +24,24 @@
 
     async def serve(self, stream: trio.abc.Stream) -> None:
         """Serves one agent's connection."""
-        name, fakes = (await stream.receive_some(NAME_BYTES)).decode().strip(), self._fakes
+        name, fakes = (await stream.receive_some(MAX_NAME_BYTES)).decode().strip(), self._fakes
         self._streams[name] = stream
         if not fakes.servers[name].model.is_running:
             fakes.endpoint_list.started_at[name] = fakes.now()
             await fakes.servers[name].start()
             fakes.announce([name], "in-service")
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            while await stream.receive_some(NAME_BYTES):
+            while await stream.receive_some(MAX_NAME_BYTES):
                 pass
         if self._streams.get(name) is stream:
             del self._streams[name]
             fakes.servers[name].crash()
             fakes.announce([name], "gone")
 
-    async def report_warmth(self) -> None:
+    async def report_warm_up(self) -> None:
         """Tells agents again and again whether their servers are warm."""
         while True:
-            await trio.sleep(WARMTH_INTERVAL_S)
+            await trio.sleep(WARM_UP_REPORT_INTERVAL_S)
             for name, stream in list(self._streams.items()):
                 message = b"warm\n" if self._is_warm(name) else b"cold\n"
                 with suppress(trio.BrokenResourceError, trio.ClosedResourceError, trio.BusyResourceError):
--- a/valverouter/scenarios/server_faults.py
+++ b/valverouter/scenarios/server_faults.py
@@ -44,7 +44,7 @@
         for server in servers:
             self._targets.record(fault, server.name)
             server.crash()
-        self._announce_down_after(self._fakes.scenario.endpoint_list.notice, servers)
+        self._announce_gone_after(self._fakes.scenario.endpoint_list.notice, servers)
         await trio.sleep(fault.length / NS_PER_S)
         await self._restart(servers)
 
@@ -53,22 +53,22 @@
         for server in servers:
             self._targets.record(fault, server.name)
             server.vanish()
-        self._announce_down_after(self._fakes.scenario.endpoint_list.silent_notice, servers)
+        self._announce_gone_after(self._fakes.scenario.endpoint_list.silent_notice, servers)
         if fault.length:
             await trio.sleep(fault.length / NS_PER_S)
             await self._restart(servers)
 
-    def _announce_down_after(self, delay: int, servers: Sequence[FakeServer]) -> None:
+    def _announce_gone_after(self, delay: int, servers: Sequence[FakeServer]) -> None:
         def announce() -> None:
-            if down := [server.name for server in servers if not server.model.is_running]:
-                self._fakes.announce(down, "gone")
+            if stopped := [server.name for server in servers if not server.model.is_running]:
+                self._fakes.announce(stopped, "gone")
 
         self._fakes.scheduler.call_at(self._fakes.now() + delay, announce)
 
-    def _announce_up_later(self, servers: Sequence[FakeServer]) -> None:
+    def _announce_in_service_later(self, servers: Sequence[FakeServer]) -> None:
         def announce() -> None:
-            if up := [server.name for server in servers if server.model.is_running]:
-                self._fakes.announce(up, "in-service")
+            if started := [server.name for server in servers if server.model.is_running]:
+                self._fakes.announce(started, "in-service")
 
         self._fakes.scheduler.call_at(self._fakes.now() + self._fakes.scenario.endpoint_list.add, announce)
 
@@ -76,13 +76,13 @@
         for server in servers:
             self._fakes.endpoint_list.started_at[server.name] = self._fakes.now()
             await server.start()
-        self._announce_up_later(servers)
+        self._announce_in_service_later(servers)
 
     async def _deploy(self, fault: FaultConfig, rng: random.Random) -> None:
         """Each target drains and stops, and a new machine under a new name takes its number."""
         servers = self._targets.running_servers(fault, rng)
         batch_size = max(1, round(fault.size))
-        batches = [servers[at : at + batch_size] for at in range(0, len(servers), batch_size)]
+        batches = [servers[first : first + batch_size] for first in range(0, len(servers), batch_size)]
         interval = fault.length / max(1, len(batches)) / NS_PER_S
         for batch in batches:
             started_at = trio.current_time()
@@ -97,7 +97,7 @@
         await trio.sleep(fault.extra / NS_PER_S)
         replacements = [await self._replace(server) for server in servers]
         self._fakes.announce(names, "gone")
-        self._announce_up_later(replacements)
+        self._announce_in_service_later(replacements)
 
     async def _replace(self, server: FakeServer) -> FakeServer:
         fakes = self._fakes
--- a/valverouter/scenarios/supervisor_logs.py
+++ b/valverouter/scenarios/supervisor_logs.py
@@ -13,7 +13,7 @@
 NS_PER_S = 1e9
 
 
-class _LogEvent(msgspec.Struct):
+class _LogEvent(msgspec.Struct, rename={"runs_after": "up"}):
     """An event of a supervisor's log; other fields and events are passed over."""
 
     event: str = ""
@@ -21,7 +21,7 @@
     version: str = ""
     number: int = 0
     step: int = 0
-    up: bool = True
+    runs_after: bool = True
     outcome: str = ""
 
 
@@ -30,16 +30,18 @@
 
     Moments of logs are wall time; the present by both clocks is taken together.
     """
-    epoch = now - round(datetime.now().timestamp() * NS_PER_S)
-    up_by_step: dict[tuple[int, int], bool] = {}
+    clock_offset = now - round(datetime.now().timestamp() * NS_PER_S)
+    runs_after_by_step: dict[tuple[int, int], bool] = {}
     for event in _read_events(file):
-        time = epoch + round(datetime.fromisoformat(event.timestamp).timestamp() * NS_PER_S)
+        time = clock_offset + round(datetime.fromisoformat(event.timestamp).timestamp() * NS_PER_S)
         sequence, step = len(rows), (event.number, event.step)
         if event.event == "step-started":
-            up_by_step[step] = event.up
-            rows.append(StepRow(sequence, time, instance, *step, event.up))
+            runs_after_by_step[step] = event.runs_after
+            rows.append(StepRow(sequence, time, instance, *step, event.runs_after))
         elif event.event == "step-ended":
-            rows.append(StepRow(sequence, time, instance, *step, up_by_step.get(step, True), event.outcome))
+            rows.append(
+                StepRow(sequence, time, instance, *step, runs_after_by_step.get(step, True), event.outcome)
+            )
         elif event.event in ("process-started", "process-adopted"):
             rows.append(ProgramVersionRow(sequence, time, instance, event.version))
         elif event.event == "process-exited":
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -17,7 +17,7 @@
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.scenarios.loopback import ANY_PORT, FAULT_SLACK, LoopbackEdge
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
-from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.scenario_runner import run_calls_and_faults
 from valverouter.signalling.traffic_record import FaultRow, MessageRow
 from valverouter.soak.event_loop_lag import watch_lag
 from valverouter.soak.judge import CourseVerdict, Outcome
@@ -129,7 +129,7 @@
                 for _ in range(self._course.crowd):
                     nursery.start_soon(self._run_crowd_connection, edge)
                 async with trio.open_nursery() as playing:
-                    playing.start_soon(play_script, fakes)
+                    playing.start_soon(run_calls_and_faults, fakes)
                     await self._send_signals(edge, fakes)
                 await edge.stop()
                 self._check_exit(edge)
