--- a/tests/operation_harness.py
+++ b/tests/operation_harness.py
@@ -1,4 +1,4 @@
-"""An operation log that tests feed with commands one by one."""
+"""An operation log to which tests apply commands one by one."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class OperationLogHarness:
-    """An operation log with enrolled edge proxies, and the index of the next command."""
+    """An operation log with enrolled edge proxies. `number`: the index of the last applied command."""
 
     def __init__(self, count: int = 6, limits: DisruptionLimits = LIMITS) -> None:
         self.log = OperationLog()
--- a/tests/test_cross_region_scenarios.py
+++ b/tests/test_cross_region_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios with servers in several regions keep the budgets, the rules and each region's own callers."""
+"""Scenarios with servers in several regions keep the budgets, the audit rules and local service levels."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def reported_attempts(edges: list[VirtualEdge]) -> dict[tuple[str, str, str], int]:
-    """The edges' own accounts: legs that left, less those whose connection broke under them."""
+    """Returns the edge proxies' own counts of cross-region attempts, without those lost with a connection."""
     reported = [
         edge.proxy.cross_region.usage.to_rows(edge.config.name, 0, 0)
         for edge in edges
@@ -147,8 +147,8 @@
         for edge in started_edges
         if edge.proxy is not None and edge.proxy.cross_region is not None
     ]
-    assert [limiter.gate.openings for limiter in limiters[2:]] == [0] * 4, "no evidence, no opening"
+    assert [limiter.gate.openings for limiter in limiters[2:]] == [0] * 4, "a gate opens only on evidence"
     assert all(1 <= limiter.gate.openings <= 2 for limiter in limiters[:2])
     assert all(len(limiter._charged) == limiter.circuits_in_use for limiter in limiters), (
-        "only what stands is held"
+        "only circuits in use are charged"
     )
--- a/tests/test_membership_scenarios.py
+++ b/tests/test_membership_scenarios.py
@@ -1,4 +1,4 @@
-"""Days of faults between edge proxies: in virtual time, as real processes and on the emulator."""
+"""Scenarios of faults between edge proxies: in virtual time, as real processes and on the emulator."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 
 
 def test_faults_between_real_processes(tmp_path: Path) -> None:
-    """Six processes of the program for 22 s: loss, delay, repeats, a region cut off, a one-way cut, a kill, a
-    stop, a late join."""
+    """Runs six edge proxy processes for 22 s: datagram loss, delay and duplication, a partitioned region, a
+    one-way partition, a kill, a stall and a late join."""
     rows = run_loopback(load_scenario(SCENARIO_FILE), tmp_path)
     views = check_views(rows)
     assert views is not None, views
@@ -67,7 +67,7 @@
 
 
 def test_membership_changes_no_message_to_callers_or_servers() -> None:
-    """No delay is drawn here: which message comes first at one instant depends on the order of tasks."""
+    """Delays have no jitter here: the order of simultaneous messages depends on the order of tasks."""
     scenario = modified_scenario(length=6 * SECOND)
     scenario = msgspec.structs.replace(
         scenario, faults={}, delays=msgspec.structs.replace(scenario.delays, jitter=0.0)
@@ -77,7 +77,7 @@
     def messages(variant: ScenarioConfig) -> list[tuple[Any, ...]]:
         rows = run_virtual(variant)
         (started_at,) = [row.at for row in rows if isinstance(row, CallersStartedRow)]
-        # Past that the day with the view goes on for as long as settling may take.
+        # With membership, the run continues after that for the maximum convergence time.
         until = started_at + variant.run.length
         before_end = [row for row in rows if isinstance(row, MessageRow) and row.at < until]
         return sorted(
@@ -92,7 +92,7 @@
 
 def test_without_gossip_section_no_datagram_socket_is_opened(monkeypatch: pytest.MonkeyPatch) -> None:
     def refused(*args: Any) -> Any:
-        raise AssertionError("nobody asked for datagrams")
+        raise AssertionError("a datagram socket was opened")
 
     monkeypatch.setattr(MemoryRuntime, "bind_datagrams", refused)
     scenario = msgspec.structs.replace(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Whole days: the same twice, every kind of trouble with the rules kept, and planted failures found."""
+"""Whole scenarios: reproducible runs, the audit rules under every kind of fault, and injected faults."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 def short_scenario(
     *faults: tuple[str, dict[str, Any]], length: int = 8, rate: float = 25, **fleet: Any
 ) -> ScenarioConfig:
-    """A short day on three edge proxies and three servers."""
+    """Returns a short scenario with three edge proxies and three servers."""
     scenario = load_scenario(BAD_DAY)
     replace = msgspec.structs.replace
     return replace(
@@ -63,7 +63,7 @@
     assert first == second
     verdict = audit(first)
     assert verdict.passed, verdict.violations[:5]
-    assert all(verdict.check_counts.values()), f"every rule was tried: {verdict.check_counts}"
+    assert all(verdict.check_counts.values()), f"a rule was never checked: {verdict.check_counts}"
     assert 0.2 < verdict.slow_start_budget_used < 1
     accounts = account_by_type(first)
     offered = sum(account.offered for account in accounts.values())
@@ -97,7 +97,7 @@
     "balancer_late": {"start": 2 * SECOND, "on": ("e1",)},
 }
 
-# What shows in the record that the trouble did strike.
+# The kind of row that shows that the fault took effect.
 EVIDENCE = {
     "crash": "lost",
     "hang": "cancel",
@@ -136,7 +136,7 @@
     assert verdict.check_counts[4] > 20
 
 
-# Planted failures: each breaks the edge in one place, and the audit must name the rule.
+# Injected faults: each breaks the edge proxy in one place, and the audit must report the violated rule.
 
 
 def audit_scenario(scenario: ScenarioConfig, prepare: Any = None) -> Verdict:
@@ -214,8 +214,9 @@
 def test_injected_doubled_slow_start_budget_is_found(
     monkeypatch: pytest.MonkeyPatch, factor: int, violated: set[int]
 ) -> None:
-    # Two of three servers come back cold under far more than they can take, and what tips them is under
-    # what they can do: nothing but the budget itself holds the edge proxies back.
+    # Two of three servers restart under far more load than they can handle while warming up, and the load
+    # that overloads them (tip_multiple) is below their capacity: only the slow-start budget limits the edge
+    # proxies.
     monkeypatch.setattr(tuning, "SLOW_START_MARGIN", tuning.SLOW_START_MARGIN * factor)
     faults = (
         ("burst", {"start": 0, "length": 20 * SECOND, "size": 3}),
@@ -231,7 +232,7 @@
     assert Outcome.TIMED_OUT not in OUTCOMES.values()
 
 
-# The command line, on loopback sockets with a process for each edge proxy
+# The command line, on loopback sockets with a process per edge proxy
 
 
 SHORT = """
@@ -296,7 +297,7 @@
         for line in (logs / "e1.log").read_text().splitlines()
         if json.loads(line)["event"] == "edge-listening"
     ]
-    assert len(starts) == 2, "killed and started again"
+    assert len(starts) == 2, "expected two starts: it was killed and restarted"
     assert json.loads((logs / "e0.log").read_text().splitlines()[-1])["event"] == "edge-stopped"
     assert valverouter("audit", str(records)).returncode == 0
     answer_row = next(
@@ -347,11 +348,11 @@
     assert audit(run_virtual(scenario_config(IniFile(SHORT, "short"), "short"))).passed
 
 
-# Faults that the fakes cause
+# Faults that the fake peers cause
 
 
 def connections_drop(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-    """s0 cuts its line under every ninth answer, s1 under every ninth set-up that it hears."""
+    """s0 closes its connection before sending every ninth answer, s1 after receiving every ninth set-up."""
     count = 0
 
     def drop_every_ninth(kind: type, sent: bool) -> Any:
@@ -378,7 +379,7 @@
 
 
 def server_stops_reading(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-    """s0 reads nothing for two seconds; what it reads late had left long before."""
+    """s0 stops reading for three seconds; the messages that it reads afterwards were sent earlier."""
     fakes.recorder.record(traffic_record.FaultRow, until=fakes.now() + 4 * SECOND, kind="held", target="s0")
     for connection in fakes.servers["s0"].connections:
         connection.reading_allowed = trio.Event()
@@ -393,7 +394,7 @@
     def announce(number: int) -> None:
         phase: Any = "draining" if number % 2 else "in-service"
         fakes.announce(["s0"], phase)
-        fakes.endpoint_list.announce_stale(1, [fakes.endpoint_row("s1", "gone")])  # an old word, come late
+        fakes.endpoint_list.announce_stale(1, [fakes.endpoint_row("s1", "gone")])  # an outdated update
 
     for number in range(6):
         fakes.scheduler.call_at(fakes.now() + (2 + number) * SECOND, lambda number=number: announce(number))  # type: ignore[misc]
--- a/valverouter/fakes/callers.py
+++ b/valverouter/fakes/callers.py
@@ -1,4 +1,4 @@
-"""Fake callers of an edge proxy: they dial at given times, wait, give up and redial."""
+"""Fake callers of an edge proxy, which dial, wait for an answer, cancel and redial."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from valverouter.signalling.greeting import NEWEST_VERSION, OLDEST_VERSION, Hello, Welcome
 
 RECONNECT_AFTER_S = 0.05
-# The dialog of a set-up that is yet to be dialled.
+# The dialog ID of a set-up that has not been dialled yet.
 NO_DIALOG = "-"
 
 
 @dataclass(frozen=True, slots=True)
 class CallerBehavior:
-    """How callers behave.
+    """The behavior of callers.
 
     They redial at most `redials` times, after `redial_wait` ns times a random factor from 0.5 to 1.5.
     `patience`: the fraction of the no-answer time after which they give up. `retry_after_compliance`: the
@@ -44,7 +44,7 @@
 class DialAttempt:
     """A dialog that is being set up or is established; `attempt_number` counts from 1 within a call.
 
-    `has_hung_up`: its caller gave up. That is sent again on a new connection, as it may have been lost.
+    `has_hung_up`: the caller has cancelled. A new connection repeats the cancel, as it may have been lost.
     """
 
     setup: setup.Setup
@@ -57,9 +57,9 @@
 class FakeCallers:
     """The callers of one edge proxy, on one connection that is reopened when it breaks.
 
-    `address` gives the edge proxy's current address. `attempts` by dialog; an entry is removed with the
-    dialog's end. `can_resume`: the edge proxy keeps dialogs over a lost connection, so that they are asked
-    for on the next one. `unreachable_count`: dial attempts without a connection.
+    `address` returns the edge proxy's current address. `attempts`: the open dialogs, by dialog ID.
+    `can_resume`: the edge proxy retains dialogs when the connection is lost, and the callers resume them on
+    the next one. `unreachable_count`: the number of dial attempts without a connection.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._dialled_count = 0
 
     async def run(self) -> None:
-        """Keeps a connection to the edge proxy, until cancelled."""
+        """Maintains a connection to the edge proxy, until cancelled."""
         while True:
             try:
                 stream = await self._environment.network.connect(self._address())
@@ -109,9 +109,9 @@
             self._end(dialog, may_redial=True)
 
     def dial(self, request: setup.Setup, first_dialog: str = "", attempt_number: int = 1) -> str:
-        """Dials now and returns the new dialog.
+        """Dials immediately and returns the new dialog ID.
 
-        For a redial `first_dialog` is that of the call's first attempt.
+        `first_dialog`: for a redial, the dialog ID of the call's first attempt.
         """
         self._dialled_count += 1
         dialog = f"{first_dialog}.{attempt_number}" if first_dialog else f"{self.name}-{self._dialled_count}"
@@ -134,7 +134,7 @@
         self._scheduler.call_at(now + no_answer, lambda: self._on_no_answer(dialog, attempt))
 
     def hang_up(self, dialog: str) -> None:
-        """The caller leaves: cancels what is being set up, releases what is established."""
+        """Cancels a dialog that is being set up, or releases one that is established."""
         attempt = self.attempts.get(dialog)
         if attempt is None:
             return
@@ -150,7 +150,7 @@
             self.hang_up(dialog)
 
     def _on_no_answer(self, dialog: str, attempt: DialAttempt) -> None:
-        # The leg stays open in the session, so that an answer that comes too late is recorded.
+        # The session keeps the leg open, so that a late answer is recorded.
         if self.attempts.get(dialog) is attempt and not attempt.is_established:
             self._end(dialog, may_redial=True)
 
@@ -181,7 +181,10 @@
                 connection.send(setup.Cancel(dialog), delayed=False)
 
     def _end(self, dialog: str, may_redial: bool, retry_after: int = 0) -> None:
-        """A dialog is over; its caller redials after `retry_after` ns, or 0: after its own wait."""
+        """Removes a dialog that has ended; its caller may redial.
+
+        It redials after `retry_after` ns; 0: after its own redial wait.
+        """
         attempt = self.attempts.pop(dialog)
         if not may_redial or attempt.attempt_number > self.behavior.redials:
             return
--- a/valverouter/fakes/connection.py
+++ b/valverouter/fakes/connection.py
@@ -1,7 +1,7 @@
 """A connection of a fake peer to an edge proxy, with the network delay simulated at the peer's end.
 
-Rows are recorded when bytes pass the socket; the delay lies behind it, so that the record shows the times at
-the edge proxy and not those of a distant region.
+Rows are recorded when bytes pass through the socket. The delay is added between the socket and the peer, so
+that the recorded times are those at the edge proxy and not those in a distant region.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 class FakePeerConnection:
     """One connection; received messages are passed to `on_message` after the delay.
 
-    `peer_name`: the fake's, in the record. `delay` gives the one-way delay in ns by the edge proxy's name.
-    `drop_on` is asked for each message that passes, with whether this end sends it: on true the connection is
-    closed there, before the message leaves or after it arrived. `reading_allowed` and `byte_interval`
-    (seconds) make a peer that stops reading, or that sends slowly. `error`: how the edge proxy broke the
-    protocol.
+    `peer_name`: the fake's name in the record. `delay` returns the one-way delay in ns by the edge proxy's
+    name. `drop_on` is called for each message, with whether this end sends it; if it returns true, the
+    connection is closed before the message is sent or after it was received. While `reading_allowed` is not
+    set, the peer reads nothing; `byte_interval` (seconds between bytes) makes it send slowly. `error`: the
+    edge proxy's protocol error, if any.
     """
 
     def __init__(
@@ -54,11 +54,11 @@
         self._delay = delay
         self._send_queue: list[Any] = []
         self._send_queued = trio.Event()
-        # When the last message arrives here and leaves here: a shorter delay doesn't overtake it.
+        # Times at which the peer receives and sends its last message: a shorter delay does not overtake it.
         self._last_receive_at = self._last_send_at = 0
 
     def send(self, message: Any, delayed: bool = True) -> None:
-        """Sends a message to the edge proxy; it passes the socket after the delay, in order."""
+        """Sends a message to the edge proxy; it is written to the socket after the delay, in order."""
         delay = self._delay(self.edge_name) if delayed else 0
         self._last_send_at = max(self._last_send_at, self._scheduler.now() + delay)
         self._scheduler.call_at(self._last_send_at, lambda: self._enqueue(message))
@@ -68,11 +68,11 @@
         self._send_queued.set()
 
     def close(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Reads and writes until either end closes, or the protocol is broken."""
+        """Reads and writes until either end closes the connection, or violates the protocol."""
         try:
             with self._scope:
                 try:
@@ -80,7 +80,7 @@
                 except* (trio.BrokenResourceError, trio.ClosedResourceError):
                     pass
         finally:
-            # Also when the whole run is cancelled: the edge proxy sees its connection break at once.
+            # Also when the run is cancelled, so that the edge proxy sees the connection close immediately.
             self._recorder.record(ConnectionLostRow, edge=self.edge_name, peer=self._peer_name)
             with trio.CancelScope(shield=True):
                 await trio.aclose_forcefully(self._stream)
@@ -105,7 +105,7 @@
             await self._stream.send_all(self.session.error_frame(error))
 
     def _receive(self, message: Any) -> bool:
-        """Takes a message in; returns whether the connection stays."""
+        """Records and dispatches a received message; returns whether the connection is still open."""
         self.edge_name = self.session.peer or self.edge_name
         self._recorder.record_message(self.edge_name, self._peer_name, False, message)
         if self.drop_on(False, message):
@@ -129,7 +129,7 @@
             try:
                 data = self.session.send(message)
             except ProtocolError:
-                continue  # It crossed a message that closed the leg.
+                continue  # A message that closed the leg arrived in the meantime.
             self._recorder.record_message(self.edge_name, self._peer_name, True, message)
             await self._send_bytes(data)
 
--- a/valverouter/fakes/datagrams.py
+++ b/valverouter/fakes/datagrams.py
@@ -1,9 +1,9 @@
-"""Faulty network paths between real edge proxies on loopback: a relay socket in front of each.
+"""Simulates faulty network paths between real processes on loopback, by a relay socket in front of each.
 
-An edge proxy advertises the address of its relay socket. A datagram that arrives there is attributed to a
-sender by its source address, passes the modelled path of that pair, and is sent to the process from its
-sender's relay socket, so that responses come back the same way. The program itself knows nothing of it: to an
-edge proxy the others are just behind other addresses.
+A process advertises the address of its relay socket. The sender of a datagram that arrives there is
+identified by its source address. The datagram passes the modelled path of that pair and is sent to the
+process from the sender's relay socket, so that responses take the same way. The processes need no change:
+each sees the others at the addresses of their relay sockets.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 
 class DatagramSocket(Protocol):
-    """A datagram socket as the edge proxies have it."""
+    """The interface of a datagram socket, as edge proxies use it."""
 
     address: str
 
     def send(self, data: bytes, address: str) -> bool:
-        """Sends a datagram without waiting; returns whether it was taken."""
+        """Sends a datagram without blocking; returns whether the socket accepted it."""
         ...
 
     def receive(self) -> tuple[bytes, str] | None:
-        """The next datagram that has arrived, with its source; None if there is none."""
+        """Returns the next received datagram and its source address; None if there is none."""
         ...
 
     async def wait_readable(self) -> None:
@@ -39,7 +39,7 @@
 
 
 class FakeDatagramNetwork:
-    """The relay sockets of a fleet. `paths` may be replaced at any time; `now` gives the time in ns."""
+    """The relay sockets of a fleet. `paths` may be replaced at any time; `now` returns the time in ns."""
 
     def __init__(
         self, bind: Callable[[str], DatagramSocket], now: Callable[[], int], paths: NetworkPaths
@@ -49,26 +49,29 @@
         self._now = now
         self._nursery: trio.Nursery | None = None
         self._relays: dict[str, DatagramSocket] = {}
-        # Address by instance, and instance by address.
+        # The processes' addresses by instance name, and the reverse.
         self._process_addresses: dict[str, str] = {}
         self._instances: dict[str, str] = {}
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Relays datagrams until cancelled; reports when relay sockets can be opened."""
+        """Relays datagrams until cancelled; reports as started when relay sockets can be opened."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
             await trio.sleep_forever()
 
     def open_relay(self, name: str) -> str:
-        """The address that an instance is to advertise from now on; an earlier one stays open, and dead."""
+        """Opens a relay socket for an instance; returns the address to advertise.
+
+        An earlier relay socket of the instance remains open, but its datagrams are dropped.
+        """
         assert self._nursery is not None
         self._relays[name] = relay = self._bind("127.0.0.1:0")
         self._nursery.start_soon(self._serve, name, relay)
         return relay.address
 
     def set_process_address(self, name: str, address: str) -> None:
-        """A process of the instance has its socket at that address."""
+        """Sets the address of the socket of an instance's current process."""
         self._instances.pop(self._process_addresses.get(name, ""), None)
         self._process_addresses[name] = address
         self._instances[address] = name
--- a/valverouter/fakes/endpoint_list.py
+++ b/valverouter/fakes/endpoint_list.py
@@ -1,6 +1,6 @@
-"""A fake endpoint-list service.
+"""A fake endpoint list service.
 
-Sends edge proxies what the scenario says of the servers, late or wrong as well.
+It sends edge proxies the updates that the scenario specifies, which may be delayed, lost or stale.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 
 
 class FakeEndpointList:
-    """The service. The ages that it sends count from `started_at`, when each server started, ns.
+    """The service. `started_at`: the start times of servers, ns, from which it computes their ages.
 
-    `updates_to_drop`: so many of the next updates are lost. `on_drain_request` is called with a server that
-    asks to leave. `watching_by_connection`: the open connections, and whether the peer asked for
-    updates.
+    `updates_to_drop`: the number of next updates to lose. `on_drain_request` is called with the name of a
+    server whose request to drain is granted. `watching_by_connection`: the open connections, and whether the
+    peer subscribed to updates.
     """
 
     def __init__(self, address: str, environment: Environment, epoch: str = "e1") -> None:
@@ -52,7 +52,7 @@
         self._listening = trio.CancelScope()
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves edge proxies until cancelled; reports when it listens."""
+        """Serves edge proxies until cancelled; reports as started once it listens."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.address = await nursery.start(self._listen)
@@ -111,7 +111,7 @@
         return msgspec.structs.replace(row, age=now - self.started_at[row.server])
 
     def announce(self, rows: list[EndpointRow]) -> None:
-        """Sends a change to every edge proxy that watches, unless it is to be dropped."""
+        """Sends a change to every subscribed edge proxy, unless `updates_to_drop` says to lose it."""
         change: Change = self.registry.change(rows)
         if self.updates_to_drop:
             self.updates_to_drop -= 1
@@ -119,7 +119,7 @@
         self._send_to_watchers(change)
 
     def announce_stale(self, number: int, rows: list[EndpointRow]) -> None:
-        """Sends a change under a number that has passed, as if it had been delayed on the way."""
+        """Sends a change with an outdated number, as if it had been delayed by the network."""
         self._send_to_watchers(Change(self.registry.epoch, number, rows), is_stale=True)
 
     def _send_to_watchers(self, change: Change, is_stale: bool = False) -> None:
@@ -134,6 +134,6 @@
             connection.close()
 
     async def start_listening(self) -> None:
-        """Opens the port again."""
+        """Listens on the port again."""
         assert self._nursery is not None
         await self._nursery.start(self._listen)
--- a/valverouter/fakes/environment.py
+++ b/valverouter/fakes/environment.py
@@ -1,4 +1,4 @@
-"""What the fakes of one run share: the network, the record, and a scheduler on the run's clock."""
+"""The environment that the fakes of one run share: network, traffic recorder and scheduler."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class Network(Protocol):
-    """Opens streams: over sockets, or in memory in virtual time."""
+    """Opens and serves streams: over sockets, or in memory in virtual time."""
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Opens a stream to an address; raises OSError if nobody listens there."""
+        """Opens a stream to an address; raises OSError if there is no listener."""
         ...
 
     async def serve(self, address: str, handler: StreamHandler, task_status: trio.TaskStatus[str]) -> None:
-        """Runs the handler for each incoming stream; reports the address that it listens at."""
+        """Runs the handler for each incoming stream; reports the address on which it listens."""
         ...
 
 
 class Scheduler:
-    """Calls back at given times, from one task; `now` gives the time in ns. A callback runs once."""
+    """Runs callbacks at given times, each once, from one task. `now` returns the time in ns."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         self.now = now
@@ -36,7 +36,7 @@
         self._changed = trio.Event()
 
     def call_at(self, at: int, callback: Callable[[], None]) -> None:
-        """Schedules a callback; those of one time run in the order in which they were scheduled."""
+        """Schedules a callback; callbacks with equal times run in the order in which they were scheduled."""
         self._count += 1
         heapq.heappush(self._heap, (at, self._count, callback))
         self._changed.set()
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What every fake of one run is given."""
+    """The network, traffic recorder and scheduler that are passed to every fake of a run."""
 
     network: Network
     recorder: TrafficRecorder
--- a/valverouter/fakes/server.py
+++ b/valverouter/fakes/server.py
@@ -1,4 +1,4 @@
-"""A fake signalling server: the server model behind the set-up protocol."""
+"""A fake signalling server: the set-up protocol in front of the server model."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from valverouter.signalling.greeting import Hello, NotUnderstood, Welcome
 from valverouter.signalling.traffic_record import ServerStartedRow
 
-# Builds the message of an event from dialog, leg, load and retry delay.
+# Builds the message of an event from dialog, leg, load report and retry delay.
 MESSAGE_BUILDERS: dict[ServerEventKind, Callable[[str, int, setup.Load, int], Any]] = {
     ServerEventKind.ESTABLISHED: lambda dialog, leg, load, wait: setup.Established(dialog, leg, report=load),
     ServerEventKind.ENDED: lambda dialog, leg, load, wait: setup.Ended(dialog, leg, "over", load),
@@ -34,10 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FakeServerOptions:
-    """Times in ns. `mean_duration` of dialogs, by traffic type; `delay` to an edge proxy, by its name.
+    """Options of a fake server; times are in ns.
 
-    `reports_lines`: load reports say how many lines are free. `report_interval`: the mean interval of reports
-    outside dialogs; 0: there are none.
+    `mean_duration`: the mean duration of dialogs by traffic type. `delay`: the one-way delay to an edge
+    proxy, by its name. `reports_lines`: load reports include the number of free lines. `report_interval`: the
+    mean interval of load reports outside dialogs; 0: none are sent.
     """
 
     mean_duration: Callable[[str], int]
@@ -47,10 +48,11 @@
 
 
 class FakeServer:
-    """A server's name and address, with one process at a time. `connections` holds the open ones.
+    """A server with a fixed name and address, and at most one process at a time.
 
-    `incarnation` counts the processes. Edge proxies in `refused_edges` get no welcome. `is_silent`: the
-    machine is gone, without any message or closed connection.
+    `connections`: the open connections. `incarnation`: the number of the current process. The connections of
+    edge proxies in `refused_edges` are closed instead of welcomed. `is_silent`: the machine was lost without
+    any message or closed connection.
     """
 
     def __init__(
@@ -76,9 +78,9 @@
         self._options = options
         self._connection_numbers: dict[FakePeerConnection, int] = {}
         self._connection_count = 0
-        # Connections that have been sent their welcome.
+        # Connections on which the welcome was sent.
         self._welcomed: set[FakePeerConnection] = set()
-        # The latest start of each edge proxy with a recovery log; there are as many entries as edge proxies.
+        # The latest epoch of each edge proxy with a recovery log; bounded by the number of edge proxies.
         self._epochs: dict[str, int] = {}
         self._retained = RetainedLegs(environment.scheduler, self._abandon)
         self._nursery: trio.Nursery | None = None
@@ -89,7 +91,7 @@
     # Connections
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves edge proxies until cancelled; reports when it listens."""
+        """Serves edge proxies until cancelled; reports as started once it listens."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             self.address = await nursery.start(self._listen)
@@ -104,7 +106,7 @@
             return
         report = setup.LoadReported(self._load(self._scheduler.now()))
         for connection in self.connections:
-            # A report ahead of the welcome would break the protocol.
+            # A report before the welcome would violate the protocol.
             if connection in self._welcomed:
                 connection.send(report)
 
@@ -147,7 +149,7 @@
         self.deliver_events()
 
     def _peer_of(self, connection: FakePeerConnection) -> str:
-        """The peer of a connection's legs in the model: one edge proxy may have several connections."""
+        """Returns the name of a connection's peer in the model; an edge proxy may have several."""
         return f"{connection.edge_name}#{self._connection_numbers[connection]}"
 
     # Messages
@@ -169,8 +171,10 @@
             self.deliver_events()
 
     def _on_hello(self, connection: FakePeerConnection, hello: Hello) -> None:
-        """A later start of an edge proxy fences off earlier ones: their connections are closed and their legs
-        removed before the new one can ask for them."""
+        """Welcomes an edge proxy, and fences off its earlier epochs.
+
+        Their connections are closed and their legs removed before the new epoch can resume them.
+        """
         edge_name = connection.edge_name
         if hello.epoch < self._epochs.get(edge_name, 0):
             connection.close()
@@ -220,7 +224,7 @@
     # Events of the model
 
     def deliver_events(self) -> None:
-        """Sends what has happened in the model, and comes back when it next has something to do."""
+        """Sends the model's pending events, and schedules the next call for the model's next event."""
         now = self._scheduler.now()
         by_peer = {self._peer_of(connection): connection for connection in self.connections}
         for event in self.model.advance(now):
@@ -260,7 +264,7 @@
     # Life cycle
 
     def crash(self) -> None:
-        """The process is gone: its connections break, its port refuses."""
+        """Ends the process: its connections close, and its port refuses new ones."""
         self._retained.clear()
         self.model.crash(self._scheduler.now())
         self._stop_process()
@@ -271,7 +275,7 @@
             connection.close()
 
     def vanish(self) -> None:
-        """The machine is gone without a message: nothing is answered, nothing is closed."""
+        """Simulates the loss of the machine: nothing is answered, and no connection is closed."""
         self._retained.clear()
         self.model.crash(self._scheduler.now())
         self.is_silent = True
--- a/valverouter/scenarios/call_generation.py
+++ b/valverouter/scenarios/call_generation.py
@@ -1,4 +1,4 @@
-"""The calls of a scenario: drawn arrivals, or recorded calls that are dialled again."""
+"""Generates the calls of a scenario: random arrivals, or a replay of recorded calls."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from valverouter.servermodel.arrivals import ArrivalPattern, ArrivalProcess, draw_repetitions
 from valverouter.signalling import setup
 
-# Called numbers that are drawn lie from here on.
+# Random called numbers are drawn from the CALLED_NUMBERS numbers that start here.
 FIRST_CALLED_NUMBER = 100
 CALLED_NUMBERS = 10**6
 
@@ -27,7 +27,7 @@
         self._fakes = fakes
 
     async def run(self, fleet_index: int, callers: FakeCallers) -> None:
-        """Dials for the callers of one edge proxy, until cancelled or its recorded calls are over."""
+        """Dials for the callers of one edge proxy, until cancelled or out of recorded calls."""
         source = _CallSource(self, self._fakes, fleet_index, callers)
         recorded = self._fakes.scenario.recorded
         if recorded is None:
@@ -37,7 +37,7 @@
 
 
 class _CallSource:
-    """The calls of one edge proxy's callers, with their own stream of random numbers."""
+    """Generates the calls of one edge proxy's callers from a random stream of its own."""
 
     def __init__(self, load: CallLoad, fakes: ScenarioFakes, fleet_index: int, callers: FakeCallers) -> None:
         self._load = load
@@ -69,7 +69,10 @@
             self._dial(None)
 
     def _dial(self, recorded: RecordedCall | None) -> None:
-        """Dials once. All is drawn for a recorded call as well; what is on record replaces it."""
+        """Dials one call.
+
+        The random values are drawn for a recorded call as well; its recorded values replace them.
+        """
         traffic_type = self._rng.choices(self._traffic_types, self._shares)[0]
         is_hot = self._rng.random() < self._load.hot_fraction
         first_choice = self._rng.choice(self._first_choices)
@@ -97,7 +100,7 @@
 
 
 def _first_choices(fakes: ScenarioFakes, fleet_index: int) -> list[int]:
-    """The server numbers that an edge proxy's callers prefer: with `local`, those of its own region."""
+    """Returns the preferred servers of an edge proxy's callers: with `local`, those of its own region."""
     scenario = fakes.scenario
     numbers = sorted(set(fakes.server_numbers.values()))
     if not scenario.callers.local:
--- a/valverouter/scenarios/edge_faults.py
+++ b/valverouter/scenarios/edge_faults.py
@@ -1,4 +1,4 @@
-"""Faults of edge proxies and of their callers: restarts, stalls, bursts, hot numbers, impatience."""
+"""Faults of edge proxies and of their callers: restarts, stalls, bursts, mass calling, early abandonment."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EdgeFaults:
-    """The faults that a scenario's file may have at edge proxies and callers."""
+    """The fault kinds of a scenario file that affect edge proxies and callers."""
 
     def __init__(self, fakes: ScenarioFakes, targets: FaultTargets, load: CallLoad) -> None:
         self._fakes = fakes
@@ -23,7 +23,7 @@
         self._load = load
 
     def by_kind(self) -> dict[str, FaultProcess]:
-        """The process of each kind, by its name in a scenario's file."""
+        """Returns the function that causes each kind of fault, by the kind's name in a scenario file."""
         return {
             "balancer_crash": self._crash,
             "balancer_late": self._start_late,
@@ -47,13 +47,13 @@
             await edges[fleet_index].start()
 
     async def _start_late(self, fault: FaultConfig, rng: random.Random) -> None:
-        """Starts those that were not started with the others."""
+        """Starts edge proxies that were excluded from the start of the fleet."""
         for fleet_index in self._targets.edge_indices(fault, rng):
             self._targets.record(fault, f"e{fleet_index}")
             await self._fakes.edges[fleet_index].start()
 
     async def _restart(self, fault: FaultConfig, rng: random.Random) -> None:
-        """Drained, ended and started again."""
+        """Shuts the edge proxies down gracefully, and starts them again after the fault's duration."""
         edges = self._fakes.edges
         indices = self._targets.edge_indices(fault, rng)
         for fleet_index in indices:
--- a/valverouter/scenarios/edge_under_test.py
+++ b/valverouter/scenarios/edge_under_test.py
@@ -1,4 +1,4 @@
-"""How a scenario controls one edge proxy, whatever that edge proxy runs on."""
+"""The interface by which a scenario controls one edge proxy, a process or a task."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class EdgeUnderTest(Protocol):
-    """One edge proxy of the fleet under test; `name` is e0, e1, ..."""
+    """One edge proxy of the fleet under test, named e0, e1, ..."""
 
     name: str
     address: str
 
     async def start(self) -> None:
-        """Starts it for the first time or again; returns once it listens."""
+        """Starts or restarts the edge proxy; returns once it listens."""
         ...
 
     async def kill(self) -> None:
-        """Ends it at once, without a word to its peers; only what it has stored outlives it."""
+        """Terminates it immediately, without a message to its peers; only its stored data survives."""
         ...
 
     async def stall(self, duration: int) -> None:
-        """Stops it from running for `duration` ns, with its connections open; returns afterwards."""
+        """Suspends it for `duration` ns with its connections open; returns when it has resumed."""
         ...
 
     async def stop(self) -> None:
-        """Asks it to shut down gracefully, and waits until it has."""
+        """Shuts it down gracefully; returns once it has ended."""
         ...
--- a/valverouter/scenarios/emulated.py
+++ b/valverouter/scenarios/emulated.py
@@ -1,4 +1,4 @@
-"""Plays a scenario on the emulator: edge proxies with the settings of their own files, in simulated time."""
+"""Plays a scenario on the emulator, in simulated time, with each edge proxy's own settings."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def edge_plans(scenario: ScenarioConfig, build_driver: BuildDriver = Driver) -> list[EdgePlan]:
-    """Each edge proxy's plan, from the same file that it would be started with."""
+    """Returns the plan of each edge proxy, from the same settings that a real one is started with."""
     return [_plan(scenario, fleet_index, build_driver) for fleet_index in range(scenario.fleet.edge_proxies)]
 
 
@@ -46,10 +46,12 @@
 ) -> DayResult:
     """Runs the whole scenario; the same scenario gives the same rows every time.
 
-    `sample_interval`: ns between samples of what the edge proxies know of servers; 0: none. ValueError where
-    the scenario has a fault that is emulated for the view alone.
+    `sample_interval`: ns between samples of the edge proxies' server state; 0: no samples. Raises ValueError
+    for a fault that is emulated only in runs of the fleet's membership.
     """
     for name, fault in scenario.faults.items():
         if fault.kind == "balancer_late":
-            raise ValueError(f"trouble {name}: {fault.kind} is emulated for the view alone: fleet emulate")
+            raise ValueError(
+                f"trouble {name}: {fault.kind} is emulated only in membership runs: use `fleet emulate`"
+            )
     return simulate_day(Fleet(scenario, edge_plans(scenario, build_driver)), sample_interval)
--- a/valverouter/scenarios/emulated_membership.py
+++ b/valverouter/scenarios/emulated_membership.py
@@ -1,7 +1,7 @@
-"""Plays a scenario's faults between edge proxies on the emulator: membership alone, for fleets of thousands.
+"""Emulates only the membership protocol of a scenario and its faults, for fleets of thousands of members.
 
-The same file as on loopback. Its edge proxies keep their names; further members are assigned to its regions
-in turn, so that a fault of a region hits that region's fraction of the fleet.
+The scenario file is the one that loopback runs use. Its edge proxies keep their names; additional members are
+assigned to the regions round-robin, so that a fault of a region affects that region's fraction of the fleet.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 class EmulatedMembership:
     """The result of a run.
 
-    `convergence_time`: ns after the last fault until all views agreed, None where they did not within
-    `max_convergence_time`. `event_counts`: membership events of all members by kind.
-    `messages_per_second`: sent by a member on average.
+    `convergence_time`: ns from the end of the last fault until all views agreed; None if they did not within
+    `max_convergence_time`. `event_counts`: the number of membership events at all members, by kind.
+    `messages_per_second`: the mean rate at which a member sends messages.
     """
 
     members: int
@@ -38,12 +38,12 @@
 
 
 def run_emulated_membership(scenario: ScenarioConfig, members: int = 0) -> EmulatedMembership:
-    """Plays the faults on a fleet of so many members, at least the scenario's own; repeatable exactly.
+    """Plays the faults on a fleet of `members`, but at least the scenario's edge proxies; deterministic.
 
-    Raises ValueError where the scenario has no [between].
+    Raises ValueError if the scenario has no [between] section.
     """
     if scenario.between is None:
-        raise ValueError(f"{scenario.name}: there is no [between], so nobody keeps a view")
+        raise ValueError(f"{scenario.name}: no [between] section, so there are no membership views")
     return _MembershipRun(scenario, scenario.between, members).play()
 
 
@@ -62,7 +62,7 @@
         self._simulation = MembershipSimulation(config, paths, seed, self._count_event)
 
     def play(self) -> EmulatedMembership:
-        """Runs to the end of the last fault, and on until the views agree."""
+        """Runs until the last fault has ended and the views agree, or until their time to agree is over."""
         simulation, scenario = self._simulation, self._scenario
         simulation.start_converged(self._members, self._seeds, lambda index: self._regions[f"e{index}"])
         faults = path_faults(scenario, scenario.run.settle, self._regions)
@@ -86,7 +86,10 @@
         self._event_counts[event.kind.value] += 1
 
     def _schedule_fault(self, fault: FaultConfig, rng: random.Random) -> int:
-        """Schedules a fault; returns when it is over, ns. Faults of servers and callers affect no view."""
+        """Schedules a fault of edge proxies; returns its end, ns.
+
+        Returns 0 for faults of servers and callers, which do not affect membership.
+        """
         start = self._scenario.run.settle + fault.start
         end = start + fault.length
         if not fault.kind.startswith(EDGE_FAULT_PREFIX):
@@ -98,7 +101,7 @@
                 simulation.at(start, simulation.stall, name, fault.length)
                 continue
             stop = simulation.leave if fault.kind == "balancer_leave" else simulation.kill
-            # To the others, one that starts late is one that was not there from the beginning.
+            # A late member is stopped at time 0: to the others it was never there before its start.
             simulation.at(0 if is_late else start, stop, name)
             simulation.at(start if is_late else end, self._start, name)
         return end
--- a/valverouter/scenarios/fault_schedule.py
+++ b/valverouter/scenarios/fault_schedule.py
@@ -1,4 +1,6 @@
-"""Draws a course of faults by a seed: of paths between edge proxies, and of the edge proxies themselves."""
+"""Draws a schedule of random faults from a seed: faults of network paths between edge proxies and of edge
+proxies themselves.
+"""
 
 from __future__ import annotations
 
@@ -6,23 +8,27 @@
 
 from valverouter.servermodel.paths import PATH_FAULT_KINDS
 
-# Fractions of the course's length: faults begin between the first two, and have ended by the last.
+# Fractions of the schedule's length: faults start between the first two, and have ended by the third.
 FIRST_START_FRACTION, LAST_START_FRACTION, LAST_END_FRACTION = 0.08, 0.7, 0.9
+# Range of a fault's duration.
 DURATION_FRACTIONS = (0.08, 0.4)
+# Range of the number of path faults.
 PATH_FAULT_COUNTS = (4, 7)
-# One edge proxy of so many has a fault, and only one: two faults at one process would be a third kind.
+# One in three edge proxies has a fault, and only one: two faults at one process would be a third kind.
 EDGES_PER_FAULT = 3
 EDGE_FAULT_KINDS = ("balancer_crash", "balancer_stall", "balancer_leave", "balancer_late")
-# Of path faults: how likely one hits all senders, the datagrams that it hits, its delays.
+# The probability that a path fault affects all senders.
 ALL_SENDERS_PROBABILITY = 0.4
+# Range of the fraction of datagrams that a path fault affects.
 FAULT_PROBABILITIES = (0.05, 0.4)
+# Delays that a path fault adds, ms.
 DELAYS_MS = (20, 100, 300)
 
 
 def draw_fault_schedule(seed: int, edges: int, regions: tuple[str, ...], length_s: float) -> str:
-    """Sections [path ...] and [trouble ...] for a scenario's file, the same for the same seed.
+    """Returns sections [path ...] and [trouble ...] for a scenario file, the same for the same seed.
 
-    Four to seven faults of paths, and a third of the edge proxies crash, stall, leave or start late.
+    There are four to seven path faults, and a third of the edge proxies crash, stall, leave or start late.
     """
     rng = random.Random(f"course/{seed}")
     sections = [
@@ -35,7 +41,7 @@
 
 
 def _draw_times(rng: random.Random, length_s: float) -> tuple[float, float]:
-    """Start and duration of a fault, s."""
+    """Returns a fault's start and duration, s."""
     start = rng.uniform(FIRST_START_FRACTION, LAST_START_FRACTION) * length_s
     return start, min(rng.uniform(*DURATION_FRACTIONS) * length_s, LAST_END_FRACTION * length_s - start)
 
@@ -59,7 +65,7 @@
 
 
 def _draw_groups(rng: random.Random, edges: int, regions: tuple[str, ...]) -> str:
-    """A partition into one region or some edge proxies, and all others."""
+    """Returns the setting of a partition: one region or some edge proxies, and all others."""
     group = rng.choice(regions) if rng.random() < 0.5 else _draw_edges(rng, edges)
     if group in regions:
         others = [region for region in regions if region != group]
@@ -83,7 +89,7 @@
 
 
 def _draw_edges(rng: random.Random, edges: int) -> str:
-    """The names of up to a third of the edge proxies, as a setting has them."""
+    """Returns the names of up to a third of the edge proxies, in the format of a setting."""
     count = rng.randint(1, max(1, edges // EDGES_PER_FAULT))
     return "+".join(f"e{index}" for index in sorted(rng.sample(range(edges), count)))
 
--- a/valverouter/scenarios/fault_targets.py
+++ b/valverouter/scenarios/fault_targets.py
@@ -1,4 +1,4 @@
-"""Which servers and edge proxies a fault of a scenario affects, and the rows that say so."""
+"""Selects the servers and edge proxies that a fault of a scenario affects, and records its rows."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 
 
 class FaultTargets:
-    """Draws the targets of faults and records them."""
+    """Selects the targets of faults and records faults by target."""
 
     def __init__(self, fakes: ScenarioFakes) -> None:
         self._fakes = fakes
 
     def draw(self, fault: FaultConfig, rng: random.Random, names: Sequence[str]) -> list[str]:
-        """The targets that the fault names, or else its fraction of all, drawn; at least one."""
+        """Returns the named targets, or else a random sample of the fault's fraction, at least one."""
         if fault.on:
             return [name for name in names if name in fault.on]
         count = max(1, round(fault.part * len(names)))
         return sorted(rng.sample(names, min(count, len(names))))
 
     def running_servers(self, fault: FaultConfig, rng: random.Random) -> list[FakeServer]:
-        """Targets among the servers that run, not recorded yet."""
+        """Selects targets among the running servers; records nothing."""
         servers = self._fakes.servers
         running = [name for name, server in servers.items() if server.model.is_running]
         return [servers[name] for name in self.draw(fault, rng, running)]
 
     def edge_indices(self, fault: FaultConfig, rng: random.Random) -> list[int]:
-        """Places of the targets among the edge proxies, not recorded yet."""
+        """Selects targets among the edge proxies and returns their fleet indices; records nothing."""
         names = [f"e{fleet_index}" for fleet_index in range(len(self._fakes.edges))]
         return [int(name[1:]) for name in self.draw(fault, rng, names)]
 
     def record(self, fault: FaultConfig, target: str, duration: int | None = None) -> None:
-        """Records the fault for a target, by default for the fault's duration, ns."""
+        """Records the fault for a target; `duration` in ns, by default the fault's own."""
         self.record_kind(fault.kind, target, fault.length if duration is None else duration)
 
     def record_kind(self, kind: str, target: str, duration: int) -> None:
-        """Records a fault of that kind for a target, for `duration` ns."""
+        """Records a fault of the kind for a target, for `duration` ns from now."""
         until = self._fakes.now() + duration + self._fakes.fault_slack
         self._fakes.recorder.record(FaultRow, until=until, kind=kind, target=target)
--- a/valverouter/scenarios/loopback.py
+++ b/valverouter/scenarios/loopback.py
@@ -1,4 +1,7 @@
-"""Plays a scenario on loopback sockets in real time: each edge proxy is a process, its peers run here."""
+"""Plays a scenario on loopback sockets in real time.
+
+Each edge proxy is a process of its own; the fakes of its peers run in this process.
+"""
 
 from __future__ import annotations
 
@@ -19,18 +22,18 @@
 from valverouter.signalling.traffic_record import Row
 
 START_TIMEOUT_S = 20
-# An edge proxy's own limit for a graceful shutdown, and a margin.
+# The edge proxy's own time limit for a graceful shutdown, plus a margin.
 STOP_TIMEOUT_S = 15
-# At the end of a run, for what the edge proxies sent last.
+# Wait at the end of a run until the last messages of the edge proxies are received and recorded.
 LAST_ROWS_WAIT_S = 0.05
 READ_SIZE = 65_536
-# ns that a fault on real processes may last longer than the scenario says.
+# The time by which a fault of real processes may outlast its configured duration, ns.
 FAULT_SLACK = 200_000_000
 ANY_PORT = "127.0.0.1:0"
 
 
 class EdgeFailedError(RuntimeError):
-    """An edge proxy's process did not come up; its log says why."""
+    """An edge proxy's process did not start listening in time; its log holds the reason."""
 
 
 class _LogLine(msgspec.Struct, rename={"incarnation": "life"}):
@@ -41,7 +44,7 @@
 
 
 class LoopbackEdge:
-    """One edge proxy as a process. Killing it is SIGKILL, stalling it SIGSTOP, as a machine would."""
+    """An edge proxy that runs as a process: `kill` sends SIGKILL, `stall` SIGSTOP and SIGCONT."""
 
     def __init__(
         self,
@@ -70,7 +73,7 @@
         self._listening = False
 
     async def start(self) -> None:
-        """Returns once it listens; EdgeFailedError when it does not."""
+        """Starts the process; returns once it listens. Raises EdgeFailedError if it does not in time."""
         gossip = self._membership.gossip_section(self.name) if self._membership is not None else None
         config = self._scenario.edge_ini(
             self._fleet_index,
@@ -90,8 +93,8 @@
                 self.address = address
                 return
             if self._killed:
-                return  # killed by the scenario while it came up: whoever did starts it again
-        raise EdgeFailedError(f"{self._config_file.name} did not come up: see {self.log_file}")
+                return  # killed by the scenario during its start; the same fault starts it again
+        raise EdgeFailedError(f"{self._config_file.name}: edge proxy does not listen, see {self.log_file}")
 
     async def _run(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
         command = [sys.executable, "-m", "valverouter.cli", "edge", str(self._config_file)]
@@ -135,16 +138,16 @@
 
     @property
     def config_file(self) -> Path:
-        """The file that it is started with, and reads again at SIGHUP."""
+        """The settings file of the process, which it reloads on SIGHUP."""
         return self._config_file
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal to its process, unless that is over."""
+        """Sends a signal to the process if it is running."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     async def wait_until_ended(self, timeout_s: float) -> bool:
-        """Whether its process has ended within so many seconds."""
+        """Waits up to `timeout_s` for the process to end; returns whether it has."""
         if self._process is not None:
             with trio.move_on_after(timeout_s):
                 await self._process.wait()
@@ -152,18 +155,18 @@
 
     @property
     def returncode(self) -> int | None:
-        """The exit status of its last process, None while it runs or before it ran."""
+        """The exit status of the last process; None while it runs or if none was started."""
         return self._process.poll() if self._process is not None else None
 
     async def kill(self) -> None:
-        """Kills the process, and waits for its end."""
+        """Kills the process and waits until it has ended."""
         self._killed = True
         if self._process is not None:
             self._process.kill()
             await self._process.wait()
 
     async def stall(self, duration: int) -> None:
-        """Stops the process for `duration` ns, and lets it continue."""
+        """Suspends the process for `duration` ns, then resumes it."""
         process = self._process
         if process is None or process.poll() is not None:
             return
@@ -175,7 +178,7 @@
                 os.kill(process.pid, signal.SIGCONT)
 
     async def stop(self) -> None:
-        """Asks it to shut down; kills it where it has not within its own limit and a margin."""
+        """Terminates the process gracefully; kills it if it has not ended after STOP_TIMEOUT_S."""
         process = self._process
         if process is None or process.poll() is not None:
             return
@@ -194,7 +197,7 @@
 
 
 class LoopbackFleet:
-    """The scenario's edge proxies as processes, all started at once; their files lie in the folder."""
+    """The scenario's edge proxies as processes, started concurrently; `folder` holds their files."""
 
     def __init__(self, fakes: ScenarioFakes, runtime: SocketRuntime, folder: Path) -> None:
         self.membership: LoopbackMembership | None = None
@@ -222,7 +225,7 @@
             fakes.add_callers(fleet_index, edge)
 
     async def stop(self) -> None:
-        """Shuts all edge proxies down, and waits for what they sent last."""
+        """Shuts all edge proxies down, and waits until their last messages are recorded."""
         async with trio.open_nursery() as stopping:
             for edge in self.edges:
                 stopping.start_soon(edge.stop)
@@ -232,9 +235,9 @@
 def run_loopback(
     scenario: ScenarioConfig, folder: Path, on_progress: ProgressCallback = lambda fraction: None
 ) -> list[Row]:
-    """Plays the scenario; returns the rows of all that happened.
+    """Plays the scenario and returns the rows that were recorded.
 
-    Files and logs of the edge proxies are left in the folder.
+    The files and logs of the edge proxies remain in `folder`.
     """
 
     async def main() -> list[Row]:
--- a/valverouter/scenarios/loopback_membership.py
+++ b/valverouter/scenarios/loopback_membership.py
@@ -1,4 +1,4 @@
-"""Membership of edge proxies that are processes on loopback, with a fake network between them."""
+"""Membership of edge proxies that run as processes on loopback, with a fake network between them."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 from valverouter.servermodel.paths import NetworkPaths
 
-# Log events of an edge proxy that report a change in its membership; the kind follows.
+# Prefixes of the log events by which an edge proxy reports membership events; the event's kind follows.
 MEMBERSHIP_EVENT_PREFIXES = ("member-", "view-")
 
 
 class LoopbackMembership(MembershipRecorder):
-    """Gives each process a front address on the fake network, and reads its reports from its log."""
+    """Opens a relay socket for each process, and reads its membership events from its log."""
 
     def __init__(
         self, fakes: ScenarioFakes, gossip: ScenarioGossipConfig, runtime: SocketRuntime, folder: Path
@@ -45,12 +45,12 @@
             task_status.started()
 
     def start_faults(self) -> None:
-        """From now on, paths have the scenario's delays and faults."""
+        """Applies the scenario's delays and faults to the paths from now on."""
         super().start_faults()
         self._network.paths = network_paths(self.scenario, self._draw_paths, self._fakes.now())
 
     def gossip_section(self, name: str) -> dict[str, str]:
-        """The [between] section that this edge proxy is started with."""
+        """Returns the [between] section of an edge proxy's settings."""
         names = [f"e{fleet_index}" for fleet_index in range(self.gossip.seeds)]
         seeds = [self._relay_addresses[seed] for seed in names if seed in self._relay_addresses]
         return {
@@ -61,7 +61,7 @@
         }
 
     def handle_log_event(self, name: str, event: str, address: str, member: str, incarnation: str) -> None:
-        """Records what a line of an edge proxy's log says of its membership, if anything."""
+        """Records a log event of an edge proxy if it concerns membership."""
         if event == "membership-started":
             self._network.set_process_address(name, address)
             self.record_start(name, incarnation, address)
--- a/valverouter/scenarios/membership_recorder.py
+++ b/valverouter/scenarios/membership_recorder.py
@@ -1,7 +1,7 @@
-"""Asks a scenario's edge proxies for their membership views, and records what they answer as rows.
+"""Polls a scenario's edge proxies for their membership views, and records the replies as rows.
 
-The queries go to the processes themselves, past the faulty paths between them: the rows show what an edge
-proxy believes, not whether it can be reached.
+The queries bypass the faulty paths between the edge proxies: the rows show an edge proxy's view even while
+the other members cannot reach it.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
     MembershipViewRow,
 )
 
-# The fleet's key is made of this; it protects nothing but a run.
+# The fleet's key is derived from this. It need not be secret: it authenticates only the datagrams of a run.
 GOSSIP_KEY_MATERIAL = b"the key of a day's fleet, which protects nothing but a day"
-# Polls that are awaited beyond the time that convergence may take.
+# Additional polls to wait for after the maximum convergence time.
 EXTRA_POLLS = 3
 
 
 class MembershipRecorder:
-    """Records which incarnations run, what they report of each other, and their views once a poll interval.
+    """Records the running incarnations, their membership events, and their views once a poll interval.
 
-    It polls no faster than the gossip's own period: queries are a load on the machine, and on one at its
-    limit the paths between processes get slower than any injected fault makes them.
+    The poll interval is the gossip's own period, no shorter: queries load the machine, and on a saturated
+    machine the paths between processes become slower than any injected fault makes them.
     """
 
     def __init__(self, fakes: ScenarioFakes, gossip: ScenarioGossipConfig) -> None:
@@ -51,23 +51,23 @@
 
     @property
     def max_convergence_time(self) -> int:
-        """How long the views may take to agree after the last fault, ns."""
+        """The time after the last fault within which the views must agree, ns."""
         return self.gossip.settles * self.gossip.period
 
     def record_start(self, name: str, incarnation: str, address: str) -> None:
-        """Records that an edge proxy runs; it is polled at the address from now on."""
+        """Records the start of an edge proxy, which is polled at the address from now on."""
         self._incarnations[name], self._addresses[name] = incarnation, address
         self._fakes.recorder.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=True)
 
     def record_end(self, name: str) -> None:
-        """Records that an edge proxy has ended."""
+        """Records the end of an edge proxy's process."""
         if name in self._incarnations and not self._closed:
             self._addresses.pop(name, None)
             incarnation = self._incarnations.pop(name)
             self._fakes.recorder.record(EdgeProcessRow, edge=name, incarnation=incarnation, is_start=False)
 
     def record_event(self, name: str, kind: str, member: str, member_incarnation: str) -> None:
-        """Records what an edge proxy reports of a member."""
+        """Records a membership event that an edge proxy reports of a member."""
         if name in self._incarnations and not self._closed:
             self._fakes.recorder.record(
                 MembershipEventRow,
@@ -79,19 +79,19 @@
             )
 
     def start_faults(self) -> None:
-        """Marks the time from which the scenario's times count."""
+        """Records the origin of the scenario's times and the convergence deadline."""
         self._fakes.recorder.record(
             ConvergenceDeadlineRow, max_duration=self.max_convergence_time, poll_interval=self.poll_interval
         )
 
     async def settle(self) -> None:
-        """Waits as long as convergence may take, so that the rows show whether the views agreed."""
+        """Waits for the maximum convergence time, so that the rows show whether the views agreed."""
         ends = [fault.until for fault in path_faults(self.scenario)]
         ends += [fault.start + fault.length for fault in self.scenario.faults.values()]
         remaining = max([0, *ends]) - self.scenario.run.length
         wait = max(0, remaining) + self.max_convergence_time + EXTRA_POLLS * self.poll_interval
         await trio.sleep(wait / NS_PER_S)
-        # What follows is the end of the run, and says nothing of the views.
+        # Membership changes from here on are due to the shutdown of the fleet, so they are not recorded.
         self._closed = True
 
     async def _poll(self, client: FleetClient) -> None:
--- a/valverouter/scenarios/memory_network.py
+++ b/valverouter/scenarios/memory_network.py
@@ -1,6 +1,6 @@
-"""A network in memory for runs in virtual time: streams, datagrams, and an edge proxy's runtime on them.
+"""An in-memory network for runs in virtual time: streams, datagrams, and an edge proxy's runtime on them.
 
-Streams hold a limited number of bytes, as sockets do, so that a peer that does not read blocks its writer.
+Streams have a bounded buffer, as sockets do, so that a peer that stops reading blocks the writer.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 NS_PER_S = 10**9
 STREAM_BUFFER_SIZE = 64 * 1024
-# Connecting takes time here too: otherwise no code would ever see a connection that is still being opened.
+# Connecting takes time, as on sockets: otherwise a connection that is still being opened would never occur.
 CONNECT_DELAY_S = 0.002
-# Datagrams that a socket holds before it drops the oldest.
+# Capacity of a datagram socket's receive queue; when it is full, the oldest datagram is dropped.
 MAX_RECEIVED_DATAGRAMS = 4_096
 MAX_DESCRIPTORS = 1_000_000
-# The wall clock's time, ns since 1970, at the virtual time zero.
+# The wall clock at virtual time zero, ns since 1970.
 WALL_CLOCK_START = 1_700_000_000 * NS_PER_S
 
 StreamHandler = Callable[[trio.abc.Stream], Awaitable[object]]
 
 
 class _Pipe:
-    """One direction of a stream. `ended`: nothing more is written; `broken`: nobody reads any more."""
+    """One direction of a stream. `ended`: the writer has closed it; `broken`: the reader has closed it."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
@@ -36,13 +36,13 @@
         self.changed = trio.Event()
 
     def notify(self) -> None:
-        """Wakes all that wait for a change."""
+        """Wakes all tasks that wait for a change."""
         self.changed.set()
         self.changed = trio.Event()
 
 
 class MemoryStream(trio.abc.Stream):
-    """One end of a stream in memory. Closing it ends the other's reading and breaks the other's writing."""
+    """One end of an in-memory stream. Once it is closed, the peer reads end-of-stream and cannot write."""
 
     def __init__(self, inward: _Pipe, outward: _Pipe) -> None:
         self._in = inward
@@ -50,7 +50,7 @@
         self._closed = False
 
     async def send_all(self, data: bytes | bytearray | memoryview) -> None:
-        """Writes all of the data; waits while the peer's buffer is full."""
+        """Writes all data; waits while the peer's buffer is full."""
         await trio.lowlevel.checkpoint()
         rest = bytes(data)
         while rest:
@@ -67,7 +67,7 @@
                 await self._out.changed.wait()
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Waits until the peer's buffer has room."""
+        """Waits until the peer's buffer has free space or the peer has closed."""
         while len(self._out.buffer) >= STREAM_BUFFER_SIZE and not self._out.broken:
             await self._out.changed.wait()
 
@@ -89,11 +89,11 @@
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes have arrived that nobody has read."""
+        """Whether received bytes have not been read yet."""
         return bool(self._in.buffer)
 
     def close_now(self) -> None:
-        """Closes this end without a wait."""
+        """Closes this end without a checkpoint."""
         self._closed = True
         self._out.ended = True
         self._in.broken = True
@@ -109,9 +109,9 @@
 class MemoryNetwork:
     """The listeners, datagram sockets and files of one run, by address or path.
 
-    `paths`: delays and faults of datagrams between nodes, whose names `node_names` gives by address; without
-    paths each datagram arrives at once. Datagrams from or to `fault_free_addresses` always do. `nursery`:
-    where delayed datagrams are delivered from.
+    `paths`: the delays and faults of datagrams between nodes; without it, datagrams arrive immediately, as
+    they always do from or to `fault_free_addresses`. `node_names`: the names of nodes by address. `nursery`
+    runs the tasks that deliver delayed datagrams.
     """
 
     def __init__(self) -> None:
@@ -125,7 +125,7 @@
         self._last_port = 0
 
     def send_datagram(self, source: str, address: str, data: bytes) -> None:
-        """Delivers a datagram along the path between the two nodes: once, late, several times or never."""
+        """Sends a datagram on the path between two nodes, which may delay, duplicate or lose it."""
         if self.paths is None or self.nursery is None or {source, address} & self.fault_free_addresses:
             self._deliver(source, address, data)
             return
@@ -145,11 +145,11 @@
             socket.deliver(data, source)
 
     async def connect(self, address: str) -> trio.abc.Stream:
-        """Opens a stream to a listener; ConnectionRefusedError where there is none."""
+        """Opens a stream to a listener; raises ConnectionRefusedError if there is none."""
         await trio.sleep(CONNECT_DELAY_S)
         accept = self.listeners.get(address)
         if accept is None:
-            raise ConnectionRefusedError(f"nobody serves at {address}")
+            raise ConnectionRefusedError(f"no listener at {address}")
         to_client, to_server = _Pipe(), _Pipe()
         accept(MemoryStream(to_server, to_client))
         return MemoryStream(to_client, to_server)
@@ -160,7 +160,10 @@
         handler: StreamHandler,
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Runs the handler for each incoming stream until cancelled; port 0 becomes a free port."""
+        """Runs the handler for each incoming stream until cancelled; port 0 is replaced by a free port.
+
+        Raises OSError if the address is in use.
+        """
         if address.endswith(":0"):
             self._last_port += 1
             address = f"{address[:-1]}{self._last_port}"
@@ -185,11 +188,11 @@
         self._running.set()
 
     def wall_time(self) -> int:
-        """The wall clock, ns since 1970."""
+        """Returns the wall clock's time, ns since 1970."""
         return WALL_CLOCK_START + round(trio.current_time() * NS_PER_S) - self._wall_clock_setback
 
     def timestamp(self) -> Timestamp:
-        """The time on both clocks; all instances of a run share one boot."""
+        """Returns the time on both clocks; all instances of a run have the same boot ID."""
         return Timestamp(self.wall_time(), round(trio.current_time() * NS_PER_S), "memory")
 
     async def connect(self, address: str) -> trio.abc.Stream:
@@ -203,15 +206,15 @@
         task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED,
         refuse: StreamHandler | None = None,
     ) -> None:
-        """Runs the handler for each incoming stream; there is no limit of descriptors to refuse one for."""
+        """Runs the handler for each incoming stream; never refuses one, as descriptors are unlimited."""
         await self._network.serve(address, handler, task_status)
 
     def bind_datagrams(self, address: str) -> MemoryDatagramSocket:
-        """Opens a datagram socket; OSError where the address is in use."""
+        """Opens a datagram socket; raises OSError if the address is in use."""
         return MemoryDatagramSocket(self._network, address)
 
     def max_descriptors(self) -> int:
-        """How many streams and files may be open at once."""
+        """Returns the maximum number of open streams and files."""
         return MAX_DESCRIPTORS
 
     async def checkpoint(self) -> None:
@@ -220,24 +223,24 @@
         await self._running.wait()
 
     async def read_file(self, path: str) -> bytes | None:
-        """A file's content, None where there is no such file."""
+        """Returns a file's content; None if it does not exist."""
         await trio.lowlevel.checkpoint()
         return self._network.files.get(path)
 
     async def write_file(self, path: str, data: bytes) -> None:
-        """Replaces a file."""
+        """Creates or replaces a file."""
         await trio.lowlevel.checkpoint()
         self._network.files[path] = data
 
     async def stall(self, duration: int) -> None:
-        """Stops the instance at its next checkpoints for `duration` ns, as a stopped process would be."""
+        """Blocks the instance at its next checkpoints for `duration` ns, like a process under SIGSTOP."""
         self._running = trio.Event()
         await trio.sleep(duration / NS_PER_S)
         self._running.set()
 
 
 class MemoryDatagramSocket:
-    """A datagram socket of the network in memory. Datagrams for a stalled instance wait, as in a kernel."""
+    """A socket of the in-memory network. It queues datagrams for a stalled instance, as a kernel does."""
 
     def __init__(self, network: MemoryNetwork, address: str) -> None:
         if address in network.datagram_sockets:
@@ -249,26 +252,26 @@
         network.datagram_sockets[address] = self
 
     def send(self, data: bytes, address: str) -> bool:
-        """Sends a datagram; always true: the socket has no send buffer that could be full."""
+        """Sends a datagram. Always returns true: there is no send buffer that could be full."""
         self._network.send_datagram(self.address, address, data)
         return True
 
     def deliver(self, data: bytes, source: str) -> None:
-        """Takes in a datagram from the network."""
+        """Queues a datagram that has arrived from the network."""
         self.received.append((data, source))
         self._arrived.set()
 
     def receive(self) -> tuple[bytes, str] | None:
-        """The oldest datagram and its sender's address, None where none is waiting."""
+        """Returns the oldest queued datagram and its sender's address; None if the queue is empty."""
         return self.received.popleft() if self.received else None
 
     async def wait_readable(self) -> None:
-        """Waits until a datagram has arrived."""
+        """Waits until a datagram is queued."""
         while not self.received:
             self._arrived = trio.Event()
             await self._arrived.wait()
 
     def close(self) -> None:
-        """Frees the address."""
+        """Closes the socket and frees its address."""
         if self._network.datagram_sockets.get(self.address) is self:
             del self._network.datagram_sockets[self.address]
--- a/valverouter/scenarios/memory_store.py
+++ b/valverouter/scenarios/memory_store.py
@@ -1,4 +1,4 @@
-"""An edge proxy's dialog ledger in memory, for runs in virtual time."""
+"""An edge proxy's dialog store in memory, for runs in virtual time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MemoryDialogStore:
-    """A ledger's store: committed records outlive the edge proxy, pending changes do not.
+    """A dialog store: committed records survive the edge proxy, pending changes do not.
 
     `commit_fails`: commits of changes raise OSError, as on a full disk.
     """
@@ -24,7 +24,7 @@
         return self.epoch
 
     def records(self) -> list[DialogRecord]:
-        """All committed records."""
+        """Returns all committed records."""
         return list(self.committed.values())
 
     def put(self, record: DialogRecord) -> None:
@@ -36,7 +36,10 @@
         self._pending[dialog_id] = None
 
     def commit(self) -> int:
-        """Carries out the pending changes; returns their number. After a failure they are dropped."""
+        """Applies the pending changes and returns their number.
+
+        Raises OSError if `commit_fails` is set; the changes are dropped then.
+        """
         changes, self._pending = self._pending, {}
         if changes and self.commit_fails:
             raise OSError("no space left")
--- a/valverouter/scenarios/network_paths.py
+++ b/valverouter/scenarios/network_paths.py
@@ -1,4 +1,4 @@
-"""The network paths between a scenario's edge proxies, with its delays and faults."""
+"""Builds the network paths between a scenario's edge proxies, with its delays and faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 def path_faults(
     scenario: ScenarioConfig, origin: int = 0, regions: Mapping[str, str] | None = None
 ) -> list[PathFault]:
-    """The scenario's faults, ns from `origin`. `regions`: each member's, for another fleet than its own."""
+    """Returns the scenario's path faults with times relative to `origin`, ns.
+
+    `regions`: the region of each member, if they are not the scenario's own edge proxies.
+    """
     regions = scenario.edge_regions if regions is None else regions
     return [
         PathFault(
@@ -36,7 +39,7 @@
     origin: int = 0,
     regions: Mapping[str, str] | None = None,
 ) -> NetworkPaths:
-    """The path of each pair, with the scenario's faults and its delays within and between regions."""
+    """Returns the paths of all pairs, with the scenario's faults and its intra- and inter-region delays."""
     regions = scenario.edge_regions if regions is None else regions
 
     def delay(sender: str, receiver: str) -> int:
--- a/valverouter/scenarios/operation_files.py
+++ b/valverouter/scenarios/operation_files.py
@@ -1,4 +1,4 @@
-"""Settings files of a scenario of operations: control plane nodes, supervisors and edge proxies."""
+"""Writes the settings files for operations on a fleet: raft servers, supervisors and edge proxies."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 CLI = (sys.executable, "-m", "valverouter.cli")
 NODES = ("c0", "c1", "c2")
-# The file by which clients reach the nodes, past the fake of the paths.
+# Name of the settings file of clients, which reach the raft servers without the fake network.
 CLIENT = "tool"
-# Seconds after which a version that ends by itself does so.
+# Seconds after which the version dies-late is killed.
 LATE_EXIT_DELAY_S = 4
-# The fraction of the edge proxies that may run the version that harms in a crowd before it does.
+# The version crowds rejects dialogs once it has been started on this fraction of the edge proxies.
 REJECTION_THRESHOLD_FRACTION = 0.3
-# Edge proxies that the others know from the start.
+# The number of edge proxies that are gossip seeds.
 SEED_COUNT = 3
 
 
@@ -26,8 +26,9 @@
 class OperationFiles:
     """Writes the files into `folder`.
 
-    Addresses are by name: `listen` is where a process takes datagrams, `advertised` where others send them (a
-    fake of the path to it), `callers` where an edge proxy takes its callers' connections.
+    Addresses are by process name. `listen`: the process's own datagram socket. `advertised`: the relay socket
+    of the fake network, to which others send. `caller_addresses`: where an edge proxy accepts its callers'
+    connections. `limits`: the disruption limits of edge proxies, in all and per region.
     """
 
     scenario: ScenarioConfig
@@ -42,7 +43,7 @@
     caller_addresses: dict[str, str]
 
     def write(self, server_control: str, server_regions: dict[str, str]) -> None:
-        """Writes all of them. `server_control`: the address at which servers' agents report."""
+        """Writes all files. `server_control`: the address to which the servers' agents connect."""
         key = self.folder / "fleet.key"
         with os.fdopen(os.open(key, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
             file.write(GOSSIP_KEY_MATERIAL)
@@ -80,7 +81,7 @@
             index, self.caller_addresses[name], self.list_service, cache, between=gossip
         )
         self._write_file(name, text)
-        # Rejects every dialog while it has one open.
+        # Settings under which an edge proxy rejects every dialog while one is open.
         self._write_file(
             f"{name}.declines", text.replace("[fleet]", "[links]\nopen_dialogs = 1\n\n[fleet]", 1)
         )
@@ -94,7 +95,7 @@
         self._write_file(supervisor_of(name), text)
 
     def _edge_commands(self, name: str) -> dict[str, str]:
-        """The command of each version."""
+        """Returns the command of each version."""
         edge, settings = " ".join((*CLI, "edge")), self.folder / name
         threshold = max(2, round(REJECTION_THRESHOLD_FRACTION * len(self.edges)))
         return {
@@ -132,12 +133,12 @@
 
 
 def supervisor_of(name: str) -> str:
-    """The name of an instance's supervisor: k0 of edge proxy e0, ks0 of server s0."""
+    """Returns the name of an instance's supervisor: k0 for edge proxy e0, ks0 for server s0."""
     return f"k{name[1:]}" if name[0] == "e" else f"k{name}"
 
 
 def supervised_by(supervisor: str) -> str:
-    """The name of the instance that a supervisor supervises."""
+    """Returns the name of the instance that a supervisor manages."""
     return supervisor[1:] if supervisor[1] == "s" else f"e{supervisor[1:]}"
 
 
--- a/valverouter/scenarios/operation_harness.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -1,9 +1,9 @@
-"""Operations on a fleet of real processes on loopback: raft servers, supervisors with their edge proxies,
-clients.
+"""Runs operations on a fleet of real processes on loopback: raft servers, supervisors with their edge
+proxies, and clients.
 
-All datagrams between raft servers, supervisors and edge proxies pass a fake of the network, which faults
-are added to. A client is a process too, and reaches the raft servers past it. What is audited comes from
-the supervisors' own logs.
+All datagrams between raft servers, supervisors and edge proxies pass through a fake network that faults are
+injected into. Clients are processes too, and reach the raft servers directly. The rows for the audit are read
+from the supervisors' logs.
 """
 
 from __future__ import annotations
@@ -36,38 +36,38 @@
 START_TIMEOUT_S = 30
 STOP_TIMEOUT_S = 12
 STATUS_TIMEOUT_S = 15.0
-# A fault counts for so long after its end, ns.
+# The time after its end for which the audit still takes a fault into account, ns.
 FAULT_SLACK = 200_000_000
-# Ports below those that the machine gives out by itself: one of these was given to another socket between its
-# choice and its use.
+# Below the operating system's ephemeral ports: such a port was once assigned to another socket between its
+# selection and its use.
 PORT_RANGE = (10_000, 32_000)
 PR_SET_PDEATHSIG = 1
 
 
 class SupervisedEdge:
-    """An edge proxy as the scenario's callers see it: an address that stays."""
+    """An edge proxy under a supervisor, as its callers see it: a fixed address."""
 
     def __init__(self, name: str, address: str) -> None:
-        """`address`: where it takes callers' connections."""
+        """`address`: where it accepts callers' connections."""
         self.name = name
         self.address = address
 
     async def start(self) -> None:
-        """Left to the supervisor."""
-        raise NotImplementedError("its supervisor starts it")
+        """Not supported: the supervisor starts and stops the process."""
+        raise NotImplementedError("the supervisor starts and stops the edge proxy")
 
     kill = stop = start
 
     async def stall(self, duration: int) -> None:
-        """Left to `OperationHarness.pause`."""
-        raise NotImplementedError("stalled by name")
+        """Not supported: see `OperationHarness.pause`."""
+        raise NotImplementedError("use OperationHarness.pause")
 
 
 class OperationHarness:
     """The processes of one scenario, by name.
 
-    Raft servers are c0 to c2, edge proxies e0..., and their supervisors k0...; of servers with supervisors
-    s0... and ks0....
+    Raft servers are named c0 to c2, edge proxies e0, e1, ... and their supervisors k0, k1, ...; servers with
+    supervisors s0, s1, ... and their supervisors ks0, ks1, ...
     """
 
     def __init__(
@@ -79,12 +79,15 @@
         with_servers: bool,
         min_capacity_fraction: float,
     ) -> None:
-        """`limits`: edge proxies that may be out, in all and in a region. `folder` takes files and logs."""
+        """`limits`: the maximum of unavailable edge proxies, in all and per region.
+
+        `folder` holds the settings files and the logs.
+        """
         self.scenario = scenario
         self.folder = folder.absolute()
         self.fakes = fakes
         self.edges = [f"e{index}" for index in range(scenario.fleet.edge_proxies)]
-        # Those with supervisors.
+        # Servers with supervisors.
         self.servers = list(fakes.servers) if with_servers else []
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.faults: list[PathFault] = []
@@ -97,7 +100,7 @@
         self._caller_addresses: dict[str, str] = {}
 
     async def open(self, nursery: trio.Nursery) -> None:
-        """Opens the network and writes all files; starts nothing."""
+        """Opens the fake network and writes all settings files; starts no process."""
         await nursery.start(self._network.run)
         server_control = await self._open_server_agents(nursery) if self.servers else ""
         listen, advertised = self._open_network()
@@ -125,7 +128,7 @@
         )
 
     async def _open_server_agents(self, nursery: trio.Nursery) -> str:
-        """The address at which agents report."""
+        """Starts listening for server agents; returns the address to which they connect."""
         agents = ServerAgents(self.fakes, self.scenario.fleet.warm_after)
         address: str = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", agents.serve)
         self.fakes.endpoint_list.on_drain_request = lambda server: self.fakes.announce([server], "draining")
@@ -133,7 +136,7 @@
         return address
 
     def _open_network(self) -> tuple[dict[str, str], dict[str, str]]:
-        """Of each process, where it listens for datagrams and where others send them."""
+        """Returns each process's own datagram address and the address of its relay socket."""
         supervisors = map(supervisor_of, (*self.edges, *self.servers))
         names = [*NODES, *supervisors, *self.edges, *self.servers]
         listen, advertised = {}, {}
@@ -144,14 +147,14 @@
         return listen, advertised
 
     def add_callers(self) -> None:
-        """Lets the scenario's callers call the edge proxies."""
+        """Adds the scenario's callers to the edge proxies."""
         for index, name in enumerate(self.edges):
             self.fakes.add_callers(index, SupervisedEdge(name, self._caller_addresses[name]))
 
     # Processes
 
     def start(self, name: str, *options: str) -> None:
-        """Starts a raft server or a supervisor; its log goes on in its file."""
+        """Starts a raft server or a supervisor, which appends to its log file."""
         program = "raft-server" if name in NODES else "supervisor"
         command = [*CLI, "fleet", program, str(self.folder / f"{name}.ini"), *options]
         with (self.folder / f"{name}.log").open("ab") as log:
@@ -160,7 +163,7 @@
             )
 
     async def start_all(self) -> None:
-        """Starts all processes; returns once every instance is in service."""
+        """Starts all processes; returns once every instance is in service. Raises TooSlowError."""
         for name in NODES:
             self.start(name, *(["--bootstrap"] if name == NODES[0] else []))
         for name in (*self.servers, *self.edges):
@@ -183,7 +186,7 @@
         return log.exists() and b'"edge-listening"' in log.read_bytes()
 
     def kill(self, name: str) -> None:
-        """SIGKILL to a raft server, a supervisor, or an edge proxy behind its supervisor."""
+        """Sends SIGKILL to a raft server, a supervisor, or an edge proxy, whose supervisor keeps running."""
         self.record_fault(f"kill-{name}", name)
         if name in self.edges:
             if (pid := self.find_pid(name)) is not None:
@@ -193,7 +196,10 @@
         self.processes[name].wait()
 
     def find_pid(self, edge: str) -> int | None:
-        """An edge proxy's process, by the settings file in its command: its supervisor is not believed."""
+        """Returns the PID of an edge proxy's process; None if there is none.
+
+        Finds it by the settings file in its command line, independently of what its supervisor reports.
+        """
         files = {f"{self.folder / edge}.ini".encode(), f"{self.folder / edge}.declines.ini".encode()}
         for folder in Path("/proc").iterdir():
             if not folder.name.isdigit():
@@ -207,7 +213,7 @@
         return None
 
     async def pause(self, name: str, seconds: float) -> None:
-        """SIGSTOP to a process, and SIGCONT after a while."""
+        """Sends SIGSTOP to a process, and SIGCONT after `seconds`."""
         self.record_fault(f"stall-{name}", name, seconds)
         process = self.processes[name]
         os.kill(process.pid, signal.SIGSTOP)
@@ -218,7 +224,7 @@
                 os.kill(process.pid, signal.SIGCONT)
 
     def add_path_fault(self, fault: PathFault) -> None:
-        """Adds a fault of the network, with times of the scenario's clock."""
+        """Adds a network fault; its times are on the scenario's clock."""
         self.faults = [earlier for earlier in self.faults if earlier.until > self.fakes.now()] + [fault]
         self._network.paths = NetworkPaths(self.faults, self._draw)
         self.fakes.recorder.record(
@@ -234,9 +240,9 @@
     # Clients
 
     async def run_client(self, *arguments: str, timeout_s: float = 60.0) -> tuple[int, str]:
-        """Runs `valverouter fleet ARGUMENT tool.ini ...`: its exit code and what it printed.
+        """Runs `valverouter fleet ARGUMENT tool.ini ...`; returns its exit code and its output.
 
-        The exit code is -1 where the process was killed for taking longer than `timeout_s`.
+        The exit code is -1 if the process was killed after `timeout_s`.
         """
         command = [*CLI, "fleet", arguments[0], str(self.folder / "tool.ini"), *arguments[1:]]
         with trio.move_on_after(timeout_s):
@@ -245,7 +251,7 @@
         return -1, ""
 
     async def status(self) -> FleetStatus | None:
-        """The fleet's status; None where no leader answered."""
+        """Returns the fleet's status; None if no leader answered."""
         code, output = await self.run_client("status", "--json", timeout_s=STATUS_TIMEOUT_S)
         if code != 0 or not output:
             return None
@@ -258,7 +264,10 @@
         return msgspec.json.decode(output.splitlines()[0], type=list[OperationStatus])
 
     async def wait_until_settled(self, timeout_s: float) -> FleetStatus:
-        """Waits until no operation is open and all that are to run are in; raises TooSlowError."""
+        """Waits until every operation has ended and every instance is in service or drained.
+
+        Raises TooSlowError after `timeout_s`.
+        """
         with trio.fail_after(timeout_s):
             while True:
                 status = await self.status()
@@ -270,10 +279,10 @@
                     return status
                 await trio.sleep(0.3)
 
-    # The end
+    # Shutdown
 
     async def stop_all(self) -> None:
-        """Stops all processes, and records what their logs and the operation log hold."""
+        """Stops all processes; records the rows of supervisors' logs and of the operation log."""
         operations = await self._history()
         for process in self.processes.values():
             process.terminate()
@@ -309,9 +318,10 @@
 
 
 def _terminate_with_parent() -> None:
-    """Runs in a child: a harness that is killed must not leave its fleet running, and loading the machine.
+    """Makes the kernel send SIGTERM to a child process when its parent ends; runs in the child before exec.
 
-    A supervisor that is asked to end by this ends its edge proxy first.
+    Otherwise a harness that is killed would leave its fleet running and loading the machine. A supervisor
+    that gets SIGTERM stops its edge proxy first.
     """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
 
@@ -342,9 +352,10 @@
     servers: bool = False,
     min_capacity_fraction: float = 0.0,
 ) -> list[Row]:
-    """Plays the scenario with `script` beside its callers; returns its rows and those of supervisors' logs.
+    """Plays the scenario while `script` runs; returns its rows and those of the supervisors' logs.
 
-    `servers`: they have supervisors too. `min_capacity_fraction`: of a region's edge proxies, that must stay.
+    `servers`: whether servers have supervisors too. `min_capacity_fraction`: the fraction of a region's edge
+    proxy capacity that must remain in service.
     """
 
     async def main() -> list[Row]:
--- a/valverouter/scenarios/planning.py
+++ b/valverouter/scenarios/planning.py
@@ -1,6 +1,4 @@
-"""Plans cross-region traffic for a scenario: demand as its rows show it, capacities and budgets as its file
-sets them.
-"""
+"""Plans cross-region traffic for a scenario: demand from its rows, capacities and budgets from its file."""
 
 from __future__ import annotations
 
@@ -18,7 +16,7 @@
 
 
 def measured_demands(scenario: ScenarioConfig, rows: Iterable[Row]) -> list[Demand]:
-    """First tries a second by type and region, over the time in which they were dialled."""
+    """Returns the first attempts per second by traffic type and region, while calls were dialled."""
     regions: dict[str, str] = {}
     counts: Counter[tuple[str, str]] = Counter()
     times: list[int] = []
@@ -46,7 +44,10 @@
 def region_capacities(
     scenario: ScenarioConfig, line_fractions: dict[str, float] | None = None
 ) -> list[RegionCapacity]:
-    """Each region's servers together; `line_fractions`: of its lines that a region has left, 1 by default."""
+    """Returns the total capacity of each region's servers.
+
+    `line_fractions`: the fraction of a region's lines that remains, 1 by default.
+    """
     profile = server_profile(scenario)
     work_s = (profile.setup_work + profile.answer_work + profile.release_work) / NS_PER_S
     fractions = line_fractions or {}
@@ -60,7 +61,10 @@
 
 
 def cross_region_limits(scenario: ScenarioConfig) -> list[RateLimit]:
-    """The budgets as steady rates, as time slices pace them; a type without a section has the rate 0."""
+    """Returns the budgets as the steady rates that time-sliced quotas allow.
+
+    A traffic type without a section has the rate 0.
+    """
     limits: list[RateLimit] = []
     for fleet_index in range(scenario.fleet.edge_proxies):
         cross_region = scenario.edge_config(fleet_index, "127.0.0.1:1", "127.0.0.1:2").crossing
@@ -86,7 +90,7 @@
 def plan_scenario(
     scenario: ScenarioConfig, rows: Iterable[Row], line_fractions: dict[str, float] | None = None
 ) -> Plan:
-    """The least cross-region traffic that carries the measured demand."""
+    """Returns the plan with the least cross-region traffic that serves the measured demand."""
     demands = measured_demands(scenario, rows)
     capacities = region_capacities(scenario, line_fractions)
     return plan(demands, capacities, cross_region_limits(scenario))
--- a/valverouter/scenarios/random_operations.py
+++ b/valverouter/scenarios/random_operations.py
@@ -1,8 +1,7 @@
-"""Random operations and faults between real processes, drawn by a seed.
+"""Generates random operations and faults for a fleet of real processes from a seed.
 
-Clients are killed, raft servers and supervisors killed and paused, edge proxies killed, and messages cut,
-lost and delayed between them. Then nothing is disturbed any more, and every instance is to be back in
-service.
+Clients and edge proxies are killed, raft servers and supervisors are killed and paused, and datagrams between
+them are blocked, lost and delayed. After the last fault every instance must return to service.
 """
 
 from __future__ import annotations
@@ -21,17 +20,21 @@
 CLIENT_TIMEOUTS_S = (1.0, 2.0, 4.0, 8.0)
 REPEATED_CLIENT_TIMEOUT_S = 4.0
 FAULT_DURATIONS_S = (0.5, 6.0)
-# How long all may take to come to rest once faults are over: a release awaits its evidence, and operations
-# are queued behind it.
+# The time after the last fault within which all operations must end: a release waits for its evidence, and
+# other operations are queued until it ends.
 SETTLE_TIMEOUT_S = 150.0
 LATE_FAULT_DELAY = 300_000_000
 
 
 class RandomOperations:
-    """One course; `play` is a script for `run_operations`. `operations` and `faults` count what was drawn."""
+    """One random sequence; `play` is a script for `run_operations`.
+
+    `operations` and `faults`: the numbers drawn. `has_settled`: afterwards all operations ended, and
+    no instance remained drained.
+    """
 
     def __init__(self, seed: int, length_s: float) -> None:
-        """`length_s`: of the time with operations and faults."""
+        """`length_s`: the duration of the phase with operations and faults."""
         self._rng = random.Random(f"orders/{seed}")
         self._length_s = length_s
         self.operations = 0
@@ -39,7 +42,7 @@
         self.has_settled = False
 
     async def play(self, harness: OperationHarness) -> None:
-        """Draws operations and faults, then waits until all is at rest."""
+        """Starts random operations and faults, then waits until all operations have ended."""
         started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(self._length_s):
@@ -49,7 +52,7 @@
                         nursery.start_soon(self._run_client, harness, self._draw_arguments(harness))
                     else:
                         nursery.start_soon(self._cause_fault, harness, started_at)
-            # Each fault ends by itself within its duration.
+            # Leaving the nursery waits until each fault has ended, which it does after its duration.
         for name in (*NODES, *map(supervisor_of, (*harness.edges, *harness.servers))):
             if harness.processes[name].poll() is not None:
                 harness.start(name)
@@ -58,7 +61,7 @@
                 await self._settle(harness)
 
     async def _settle(self, harness: OperationHarness) -> None:
-        """Waits for open operations, and brings drained instances back."""
+        """Waits until open operations have ended, and returns drained instances to service."""
         await harness.wait_until_settled(SETTLE_TIMEOUT_S)
         status = await harness.status()
         if status is None or any(operation.phase != "ended" for operation in status.operations):
@@ -87,7 +90,7 @@
         return ("release", *names, "--to", rng.choice(VERSIONS), "--id", id_)
 
     async def _run_client(self, harness: OperationHarness, arguments: tuple[str, ...]) -> None:
-        """A client that may be killed at any moment, and now and then runs again."""
+        """Runs a client, which is killed at a random timeout, and sometimes runs the same command again."""
         is_repeated = self._rng.random() < 0.3
         await harness.run_client(*arguments, timeout_s=self._rng.choice(CLIENT_TIMEOUTS_S))
         if is_repeated:
--- a/valverouter/scenarios/recorded_calls.py
+++ b/valverouter/scenarios/recorded_calls.py
@@ -1,4 +1,4 @@
-"""Takes the calls out of a run's rows, as a record that another scenario replays."""
+"""Extracts the calls from a run's rows, as a record that another scenario can replay."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def recorded_calls(rows: Iterable[Row]) -> Iterator[RecordedCall]:
-    """First tries as they were dialled, with times since the run's callers started.
+    """Yields the first attempt of each call, with times since the run's callers started.
 
-    Redials are left out: callers of the scenario that replays the record redial by what they meet there.
+    Redials are omitted: in the scenario that replays them, callers redial by the responses they get there.
     """
     started_at: int | None = None
     for row in rows:
@@ -20,6 +20,6 @@
         elif isinstance(row, MessageRow) and row.sent and row.kind == "setup" and row.peer.startswith("c"):
             if "." in row.dialog or not row.edge[1:].isdigit():
                 continue
-            # Rows of earlier versions do not hold when their callers started: the first call stands in.
+            # Earlier versions did not record the start of the callers: the first call's time is used instead.
             started_at = row.at if started_at is None else started_at
             yield RecordedCall(row.at - started_at, row.detail, int(row.edge[1:]), row.duration)
--- a/valverouter/scenarios/scenario_fakes.py
+++ b/valverouter/scenarios/scenario_fakes.py
@@ -1,7 +1,8 @@
-"""The fake peers of a scenario's fleet: setup servers, the endpoint list's service and callers.
+"""The fake peers of a scenario's fleet: setup servers, the endpoint list service and callers.
 
-They are the same on sockets in real time and on streams in memory in virtual time: the network is passed in.
-Random numbers come from one stream for each source, so that one source's draws do not shift another's.
+The same fakes run on sockets in real time and on in-memory streams in virtual time: the network is a
+parameter. Each source of random numbers has its own stream, so that a draw of one source does not change
+those of another.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 from valverouter.signalling.traffic_record import AuditConfigRow, PlacementRow, TrafficRecorder
 
 NS_PER_S = 10**9
-# The clock of the record begins a day before the run, so that no time in it is negative.
+# The record's clock starts at one day, so that no recorded time is negative.
 CLOCK_START = 86_400 * NS_PER_S
 
 
 class ScenarioFakes:
-    """All peers of the edge proxies under test, and the record of the run in `recorder`.
+    """All peers of the edge proxies under test; `recorder` records the run.
 
-    `slack`, `fault_slack`: ns that the audit and the rows of faults allow for the machine's own delays.
-    `addresses` gives the address at which the fake of a name listens. `servers` and `server_numbers` are by
-    name, and a server that was replaced stays in them; `callers` and `edges` are by fleet index.
+    `slack`, `fault_slack`: the tolerance for the machine's own delays, ns, in the audit and in the rows of
+    faults. `addresses` returns the address at which a fake listens, by its name. `servers` and
+    `server_numbers` are by name and keep replaced servers; `callers` and `edges` are by fleet index.
     """
 
     def __init__(
@@ -69,15 +70,15 @@
             self.add_server(f"s{number}", number)
 
     def now(self) -> int:
-        """The time of the record, ns."""
+        """Returns the time on the record's clock, ns."""
         return CLOCK_START + round((trio.current_time() - self.started_at) * NS_PER_S)
 
     def random_stream(self, source: str) -> random.Random:
-        """The random numbers of one source, the same for the same seed of the scenario."""
+        """Returns the random stream of one source, the same for the same seed of the scenario."""
         return random.Random(f"{self.scenario.run.seed}/{source}")
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Starts servers and the list's service; edge proxies may be started afterwards."""
+        """Starts the servers and the endpoint list service; edge proxies may be started afterwards."""
         self.nursery = nursery
         nursery.start_soon(self.scheduler.run)
         for server in self.servers.values():
@@ -86,12 +87,12 @@
         self.endpoint_list.registry.change([self.endpoint_row(name, "in-service") for name in self.servers])
 
     async def run_server(self, server: FakeServer) -> None:
-        """Runs a server for the rest of the scenario; returns once it listens."""
+        """Starts a server, which runs until the end of the scenario; returns once it listens."""
         assert self.nursery is not None
         await self.nursery.start(server.run)
 
     def endpoint_row(self, name: str, phase: ServerPhase) -> EndpointRow:
-        """A server's row of the endpoint list."""
+        """Returns a server's row of the endpoint list."""
         server = self.servers[name]
         number = self.server_numbers[name]
         age = 0 if name in self.endpoint_list.started_at else None
@@ -99,11 +100,11 @@
         return EndpointRow(name, number, phase, server.address, region, server.incarnation, age)
 
     def announce(self, names: list[str], phase: ServerPhase) -> None:
-        """Lets the list's service tell its subscribers of servers' new phase."""
+        """Sends an update with the servers' new phase to the endpoint list's subscribers."""
         self.endpoint_list.announce([self.endpoint_row(name, phase) for name in names])
 
     def add_callers(self, fleet_index: int, edge: EdgeUnderTest) -> None:
-        """Starts the callers of an edge proxy; they dial once the scenario's calls are generated."""
+        """Starts the callers of an edge proxy, which dial once the scenario's calls are generated."""
         assert self.nursery is not None
         region = self.scenario.region_of_edge(fleet_index)
         self.recorder.record(PlacementRow, name=f"e{fleet_index}", region=region)
@@ -120,7 +121,7 @@
         self.nursery.start_soon(caller.run)
 
     def add_server(self, name: str, number: int) -> FakeServer:
-        """Adds a server under a number that callers know; it doesn't run yet."""
+        """Adds a server with the number by which callers prefer it; does not start it."""
         scenario = self.scenario
         rng = self.random_stream(f"server {name}")
         model = SetupServer(server_profile(scenario), rng.random, self.called_numbers)
--- a/valverouter/scenarios/scenario_runner.py
+++ b/valverouter/scenarios/scenario_runner.py
@@ -1,6 +1,6 @@
-"""Plays a scenario against a fleet under test: start, calls and faults, end.
+"""Plays a scenario against a fleet under test: start, calls and faults, shutdown.
 
-What a fleet runs on, processes on loopback or tasks in virtual time, is behind FleetUnderTest.
+FleetUnderTest abstracts from how the fleet runs: as processes on loopback or as tasks in virtual time.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from valverouter.scenarios.server_faults import ServerFaults
 from valverouter.signalling.traffic_record import CallersStartedRow, Row
 
-# So long after the last answer was due the record goes on, so that a late answer is in it.
+# Recording continues for this time after the last answer was due, so that late answers are recorded too.
 LATE_ANSWER_WAIT_S = 0.3
 PROGRESS_INTERVAL_S = 0.25
 ANSWER_POLL_INTERVAL_S = 0.05
 PATHS_TARGET = "paths"
 
-# Called from time to time with the fraction of the scenario that has passed.
+# Called periodically with the fraction of the scenario's length that has passed.
 ProgressCallback = Callable[[float], None]
 
 
@@ -35,7 +35,7 @@
 
     @property
     def membership(self) -> MembershipRecorder | None:
-        """The recorder of the fleet's views once it has started; None where its members keep none."""
+        """The recorder of the fleet's membership views; None before the start or without membership."""
         ...
 
     async def start(self, nursery: trio.Nursery) -> None:
@@ -43,14 +43,14 @@
         ...
 
     async def stop(self) -> None:
-        """Ends the edge proxies after the scenario."""
+        """Stops the edge proxies after the scenario."""
         ...
 
 
 async def run_scenario(
     fakes: ScenarioFakes, fleet: FleetUnderTest, on_progress: ProgressCallback = lambda fraction: None
 ) -> list[Row]:
-    """Plays the whole scenario; returns the rows of all that happened."""
+    """Plays the whole scenario and returns the rows that were recorded."""
     with trio.CancelScope() as scope:
         async with trio.open_nursery() as nursery:
             await fakes.start(nursery)
@@ -69,7 +69,7 @@
 async def run_calls_and_faults(
     fakes: ScenarioFakes, on_progress: ProgressCallback = lambda fraction: None
 ) -> None:
-    """Plays the scenario's calls and faults, then waits until every call has its answer."""
+    """Runs the scenario's calls and faults, then waits until every call is answered."""
     fakes.recorder.record(CallersStartedRow)
     targets, load = FaultTargets(fakes), CallLoad(fakes)
     faults = ServerFaults(fakes, targets).by_kind() | EdgeFaults(fakes, targets, load).by_kind()
@@ -88,7 +88,7 @@
 
 
 async def _record_path_fault(targets: FaultTargets, path: PathFaultConfig) -> None:
-    """Records a fault of the paths, which itself takes effect in the model of the paths."""
+    """Records a path fault at its start; the model of the network paths causes the fault itself."""
     await trio.sleep(path.start / NS_PER_S)
     targets.record_kind(f"path-{path.kind}", PATHS_TARGET, path.length)
 
--- a/valverouter/scenarios/server_agent.py
+++ b/valverouter/scenarios/server_agent.py
@@ -1,8 +1,8 @@
-"""The process that stands for one of a scenario's servers, for its supervisor to start and stop.
+"""A process that represents one of a scenario's servers, so that a supervisor can start and stop it.
 
-The server itself is a fake in the scenario's own process. This one tells it, over a connection, that the
-server is to run for as long as the connection lasts; and it answers its supervisor's queries as an instance
-does: serving, and ready once the server is warm.
+The server itself is a fake in the scenario's process. The agent connects to that process, and the fake server
+runs for as long as the connection is open. The agent answers its supervisor's queries as an instance does:
+serving, and ready once the server has warmed up.
 
 python -m valverouter.scenarios.server_agent NAME CONTROL_ADDRESS QUERY_ADDRESS KEY_FILE
 """
@@ -29,10 +29,10 @@
 
 
 class ServerAgent:
-    """One agent."""
+    """The agent of one server."""
 
     def __init__(self, name: str, query_address: str, key: bytes) -> None:
-        """`query_address`: where the supervisor's queries arrive, which are signed by `key`."""
+        """`query_address`: the socket for the supervisor's queries, which are signed with `key`."""
         self._name = name
         self._incarnation = secrets.randbits(63)
         self._is_warm = False
@@ -41,7 +41,7 @@
         self._socket = UdpSocket(query_address)
 
     async def run(self, control_address: str) -> None:
-        """Runs until SIGTERM, or until the scenario's process is gone."""
+        """Runs until SIGTERM or SIGINT, or until the scenario's process closes the connection."""
         host, port = split_address(control_address)
         stream = await trio.open_tcp_stream(host, port)
         await stream.send_all(self._name.encode() + b"\n")
@@ -72,7 +72,7 @@
         )
 
     async def _follow_warm_up(self, stream: trio.SocketStream, scope: trio.CancelScope) -> None:
-        """Takes in whether the server is warm; cancels the agent once the scenario's process is gone."""
+        """Receives the server's warm-up state; cancels the agent at the end of the stream."""
         while data := await stream.receive_some(MAX_MESSAGE_BYTES):
             self._is_warm = data.split()[-1] == WARM
         scope.cancel()
@@ -85,7 +85,7 @@
 
 
 def main() -> None:
-    """Runs the agent that the command line names."""
+    """Runs the agent with the arguments of the command line."""
     name, control_address, query_address, key_file = sys.argv[1:5]
     agent = ServerAgent(name, query_address, derive_key(Path(key_file).read_bytes().strip()))
     trio.run(agent.run, control_address)
--- a/valverouter/scenarios/server_agents.py
+++ b/valverouter/scenarios/server_agents.py
@@ -1,4 +1,4 @@
-"""Servers of a scenario that supervisors start and stop, by agents: see `server_agent.py`."""
+"""Servers of a scenario that supervisors start and stop through agents: see `server_agent.py`."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
 
 WARM_UP_REPORT_INTERVAL_S = 0.2
-# The longest name that an agent sends.
+# The maximum length of the name that an agent sends.
 MAX_NAME_BYTES = 64
 
 
 class ServerAgents:
-    """The agents that are connected. A fake server runs for as long as its agent does."""
+    """The connected agents. A fake server runs for as long as its agent is connected."""
 
     def __init__(self, fakes: ScenarioFakes, warm_after: int) -> None:
-        """`warm_after`: ns from a server's start until it counts as warm."""
+        """`warm_after`: ns from a server's start until it has warmed up."""
         self._fakes = fakes
         self._warm_after = warm_after
         self._streams: dict[str, trio.abc.Stream] = {}
@@ -39,7 +39,7 @@
             fakes.announce([name], "gone")
 
     async def report_warm_up(self) -> None:
-        """Tells agents again and again whether their servers are warm."""
+        """Sends each agent periodically whether its server has warmed up."""
         while True:
             await trio.sleep(WARM_UP_REPORT_INTERVAL_S)
             for name, stream in list(self._streams.items()):
--- a/valverouter/scenarios/server_faults.py
+++ b/valverouter/scenarios/server_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a scenario's servers: crashes, lost machines, deployments, slowness, hangs, lost answers."""
+"""Faults of a scenario's servers: crashes, lost machines, deployments, slowdowns, hangs, lost answers."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class ServerFaults:
-    """The faults that a scenario's file may have at servers."""
+    """The fault kinds of a scenario file that affect servers."""
 
     def __init__(self, fakes: ScenarioFakes, targets: FaultTargets) -> None:
         self._fakes = fakes
         self._targets = targets
 
     def by_kind(self) -> dict[str, FaultProcess]:
-        """The process of each kind, by its name in a scenario's file."""
+        """Returns the function that causes each kind of fault, by the kind's name in a scenario file."""
         return {
             "crash": self._crash,
             "vanish": self._vanish,
@@ -37,7 +37,7 @@
             "peer_down": self._partition,
         }
 
-    # Processes that end
+    # Faults that end the process
 
     async def _crash(self, fault: FaultConfig, rng: random.Random) -> None:
         servers = self._targets.running_servers(fault, rng)
@@ -79,7 +79,7 @@
         self._announce_in_service_later(servers)
 
     async def _deploy(self, fault: FaultConfig, rng: random.Random) -> None:
-        """Each target drains and stops, and a new machine under a new name takes its number."""
+        """Drains and stops the targets in batches; a new server takes over each target's number."""
         servers = self._targets.running_servers(fault, rng)
         batch_size = max(1, round(fault.size))
         batches = [servers[first : first + batch_size] for first in range(0, len(servers), batch_size)]
@@ -109,7 +109,7 @@
         replacement.record_start()
         return replacement
 
-    # Processes that go on
+    # Faults of a running process
 
     async def _slow(self, fault: FaultConfig, rng: random.Random) -> None:
         await self._for_duration(
@@ -120,7 +120,7 @@
         )
 
     async def _degrade(self, fault: FaultConfig, rng: random.Random) -> None:
-        """Servers get slower and slower, until the fault's size is reached at its end."""
+        """Slows the servers down progressively, up to the fault's size at its end."""
         now = self._fakes.now
         await self._for_duration(
             fault,
@@ -144,7 +144,7 @@
         )
 
     async def _limit_lines(self, fault: FaultConfig, rng: random.Random) -> None:
-        """The servers of one region keep only a fraction of their lines."""
+        """Reduces the lines of one region's servers to a fraction."""
         fakes, scenario = self._fakes, self._fakes.scenario
         regions = [name for name, region in scenario.regions.items() if region.servers]
         region = fault.on[0] if fault.on else rng.choice(regions)
@@ -186,14 +186,14 @@
     # Connections and dialogs
 
     async def _cut_established(self, fault: FaultConfig, rng: random.Random) -> None:
-        """A fraction of all established dialogs ends at every server."""
+        """Ends a fraction of the established dialogs at every server."""
         for server in self._fakes.servers.values():
             self._targets.record(fault, server.name)
             server.model.cut_established(self._fakes.now(), fault.size)
             server.deliver_events()
 
     async def _partition(self, fault: FaultConfig, rng: random.Random) -> None:
-        """Some edge proxies can't reach some servers; all others can."""
+        """Disconnects some edge proxies from some servers; all other connections remain."""
         targets, servers = self._targets, self._fakes.servers
         edge_names = {f"e{fleet_index}" for fleet_index in targets.edge_indices(fault, rng)}
         partitioned = [servers[name] for name in targets.draw(fault, rng, list(servers))]
--- a/valverouter/scenarios/supervisor_logs.py
+++ b/valverouter/scenarios/supervisor_logs.py
@@ -1,4 +1,4 @@
-"""What supervisors did in a scenario, read from their own logs."""
+"""Reads the actions of supervisors in a scenario from their logs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class _LogEvent(msgspec.Struct, rename={"runs_after": "up"}):
-    """An event of a supervisor's log; other fields and events are passed over."""
+    """An event of a supervisor's log; other fields are ignored."""
 
     event: str = ""
     timestamp: str = ""
@@ -26,9 +26,9 @@
 
 
 def append_log_rows(rows: list[Row], file: Path, instance: str, now: int) -> None:
-    """Appends the rows of one supervisor's log. `now`: the present moment of the rows' clock, ns.
+    """Appends the rows of one supervisor's log. `now`: the current time on the rows' clock, ns.
 
-    Moments of logs are wall time; the present by both clocks is taken together.
+    Log timestamps are wall-clock times; the offset of the two clocks is computed from their current times.
     """
     clock_offset = now - round(datetime.now().timestamp() * NS_PER_S)
     runs_after_by_step: dict[tuple[int, int], bool] = {}
@@ -54,6 +54,6 @@
         try:
             event = decoder.decode(line)
         except msgspec.DecodeError:
-            continue  # the output of a program, or a line that a kill cut off
+            continue  # output of the supervised program, or a line that was truncated by a kill
         if event.timestamp:
             yield event
--- a/valverouter/scenarios/virtual.py
+++ b/valverouter/scenarios/virtual.py
@@ -1,6 +1,6 @@
-"""Plays a scenario in virtual time: edge proxies are tasks on streams in memory, under trio's MockClock.
+"""Plays a scenario in virtual time: edge proxies are tasks on in-memory streams, under trio's MockClock.
 
-A run takes seconds and gives the same rows every time.
+A run takes seconds, and gives the same rows every time.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from valverouter.scenarios.virtual_membership import VirtualMembership
 from valverouter.signalling.traffic_record import Row
 
-# After an edge proxy has ended, so that its peers see its connections close.
+# Wait after the end of an edge proxy, in which its peers notice that its connections have closed.
 STOP_WAIT_S = 0.01
 
 
 class VirtualEdge:
-    """An edge proxy as a task; killing it drops all that it holds, as an ended process does."""
+    """An edge proxy that runs as a task; killing it discards its memory, as the end of a process does."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
             fleet_index, self.address, list_address, f"list-{fleet_index}", f"accounts-{fleet_index}"
         )
         self.proxy: EdgeProxy | None = None
-        # ns by which the wall clock of its next start is behind.
+        # The time by which the wall clock is set back at the next start, ns.
         self.wall_clock_setback = 0
         self._network = network
         self._nursery = nursery
@@ -53,7 +53,7 @@
         self._membership = membership
 
     async def start(self) -> None:
-        """Starts it with an empty memory and what its store holds; returns once it listens."""
+        """Starts it with only the state in its store; returns once it listens."""
         await self._nursery.start(self._run)
 
     async def _run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
@@ -84,29 +84,29 @@
             membership.record_end(self.name)
 
     async def kill(self) -> None:
-        """Ends it at once; its connections close."""
+        """Terminates it immediately; its connections close."""
         self._scope.cancel()
         await trio.lowlevel.checkpoint()
 
     async def stall(self, duration: int) -> None:
-        """Stops it at its checkpoints for `duration` ns."""
+        """Blocks it at its checkpoints for `duration` ns."""
         if self._runtime is not None:
             await self._runtime.stall(duration)
 
     async def stop(self) -> None:
-        """Asks it to shut down gracefully, and waits until it has."""
+        """Shuts it down gracefully; returns once it has ended."""
         if self.proxy is not None:
             self.proxy.stop()
             await self.proxy.ended.wait()
             await trio.sleep(STOP_WAIT_S)
 
 
-# What a caller of run_virtual may add to the run before its settling time.
+# Called after the start of the fleet, before the settling time, with the fakes and the edge proxies.
 PrepareCallback = Callable[[ScenarioFakes, list[VirtualEdge]], None]
 
 
 class VirtualFleet:
-    """The scenario's edge proxies as tasks, started one after the other."""
+    """The scenario's edge proxies as tasks, started sequentially."""
 
     def __init__(
         self, fakes: ScenarioFakes, network: MemoryNetwork, prepare: PrepareCallback | None = None
@@ -140,12 +140,12 @@
 
 @contextmanager
 def deterministic_scheduling(seed: int) -> Iterator[None]:
-    """Makes trio run its tasks in the same order every time.
+    """Makes trio schedule its tasks in the same order every time.
 
-    trio shuffles them so that nobody relies on their order; a run that must give the same rows twice has to
-    fix it. These are the two variables that hypothesis and pytest-trio set for the same purpose.
+    trio shuffles runnable tasks so that programs do not rely on their order; a reproducible run has to fix
+    it. hypothesis and pytest-trio set the same two variables for this purpose.
     """
-    import trio._core._run as run  # no public name for it
+    import trio._core._run as run  # no public API
 
     before = run._ALLOW_DETERMINISTIC_SCHEDULING
     run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
@@ -159,7 +159,7 @@
 
 
 def run_virtual(scenario: ScenarioConfig, prepare: PrepareCallback | None = None) -> list[Row]:
-    """Plays the scenario; returns the rows of all that happened. `prepare` is called before it settles."""
+    """Plays the scenario and returns the rows that were recorded; see PrepareCallback for `prepare`."""
 
     async def main() -> list[Row]:
         network = MemoryNetwork()
--- a/valverouter/scenarios/virtual_membership.py
+++ b/valverouter/scenarios/virtual_membership.py
@@ -1,4 +1,4 @@
-"""Membership of edge proxies that are tasks in virtual time."""
+"""Membership of edge proxies that run as tasks in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from valverouter.scenarios.network_paths import network_paths
 from valverouter.scenarios.scenario_fakes import NS_PER_S, ScenarioFakes
 
-# Where the recorder's own queries come from: a node in no group, which no fault names.
+# Source address of the recorder's queries. It belongs to no group and no fault names it.
 CLIENT_ADDRESS = "asker:1"
 VERSION_LABEL = "virtual"
 
@@ -30,7 +30,7 @@
 
 
 class VirtualMembership(MembershipRecorder):
-    """Makes the membership services of the edge proxies, and takes their events directly."""
+    """Creates the edge proxies' membership services, and records their events through a callback."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
             task_status.started()
 
     def start_faults(self) -> None:
-        """From now on, paths have the scenario's delays and faults, but for the recorder's own queries."""
+        """Applies the scenario's delays and faults to all paths but those of the recorder's own queries."""
         super().start_faults()
         now = round(trio.current_time() * NS_PER_S)
         self._network.paths = network_paths(self.scenario, self._draw_paths, now)
@@ -65,7 +65,7 @@
     def make_service(
         self, name: str, config: EdgeConfig, runtime: Runtime, proxy: EdgeProxy
     ) -> MembershipService:
-        """The membership service of an edge proxy's next incarnation."""
+        """Creates the membership service of an edge proxy's next incarnation."""
         self._start_count += 1
         source = f"{self.scenario.run.seed}/life/{name}/{self._start_count}"
         incarnation = random.Random(source).getrandbits(64)
@@ -89,7 +89,7 @@
         return service
 
     def record_service_start(self, name: str) -> None:
-        """Records the incarnation and address of a service that has started."""
+        """Records the incarnation and address of a service after its start."""
         membership = self._services[name].membership
         assert membership is not None
         own_record = membership.own_record
