--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -172,8 +172,8 @@
 
     monkeypatch.setattr(CallerRequests, "accept", accept_with_more_time)
     scenario = short_scenario(("hang", {"length": 60 * SECOND, "part": 1.0, "start": 0}), length=2)
-    callers = msgspec.structs.replace(scenario.callers, patience=1.0)
-    assert audit_scenario(msgspec.structs.replace(scenario, callers=callers)).violated_rules() == {1}
+    patient_callers = msgspec.structs.replace(scenario.callers, patience=1.0)
+    assert audit_scenario(msgspec.structs.replace(scenario, callers=patient_callers)).violated_rules() == {1}
 
 
 def test_injected_send_to_a_draining_server_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -391,16 +391,16 @@
 
 
 def list_sends_conflicting_updates(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
-    def announce(number: int) -> None:
+    def update(number: int) -> None:
         phase: Any = "draining" if number % 2 else "in-service"
         fakes.announce(["s0"], phase)
         fakes.endpoint_list.announce_stale(1, [fakes.endpoint_row("s1", "gone")])  # an outdated update
 
     for number in range(6):
-        fakes.scheduler.call_at(fakes.now() + (2 + number) * SECOND, lambda number=number: announce(number))  # type: ignore[misc]
+        fakes.scheduler.call_at(fakes.now() + (2 + number) * SECOND, lambda number=number: update(number))  # type: ignore[misc]
 
 
-def list_restarts(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
+def list_service_restarts(fakes: ScenarioFakes, edges: list[VirtualEdge]) -> None:
     assert fakes.nursery is not None
     nursery = fakes.nursery
     fakes.scheduler.call_at(fakes.now() + 2 * SECOND, fakes.endpoint_list.stop_listening)
@@ -417,7 +417,7 @@
         server_stops_reading,
         list_loses_updates,
         list_sends_conflicting_updates,
-        list_restarts,
+        list_service_restarts,
     ],
     ids=lambda fault: fault.__name__,
 )
