--- a/tests/test_reference_model.py
+++ b/tests/test_reference_model.py
@@ -16,7 +16,7 @@
 
 from tests.helpers import MS, SECOND, TYPE
 from tests.reference_model import RuleModel, Step
-from tests.test_scenarios import HOW, small
+from tests.test_scenarios import FAULT_SETTINGS, short_scenario
 from valverouter import interface
 from valverouter.audit.rules import audit
 from valverouter.config.attempts import AttemptConfig, AttemptKeys, AttemptSection
@@ -575,7 +575,7 @@
 @pytest.mark.parametrize("seed", [3, 4])
 @pytest.mark.parametrize("kinds", FAULT_COMBINATIONS, ids="-".join)
 def test_edge_proxies_and_model_agree_at_every_row(kinds: tuple[str, ...], seed: int) -> None:
-    scenario = small(*((kind, HOW[kind]) for kind in kinds), length=6)
+    scenario = short_scenario(*((kind, FAULT_SETTINGS[kind]) for kind in kinds), length=6)
     scenario = msgspec.structs.replace(scenario, run=msgspec.structs.replace(scenario.run, seed=seed))
     checker, violated_rules = run_with_model(scenario, reload_attempt_policies)
     assert not checker.rules.violations, (
@@ -648,11 +648,13 @@
     monkeypatch: pytest.MonkeyPatch, rule: int
 ) -> None:
     prepare = inject_defect(monkeypatch, rule)
-    scenario = small(("deploy", HOW["deploy"]), ("answer_lost", HOW["answer_lost"]), length=4)
+    scenario = short_scenario(
+        ("deploy", FAULT_SETTINGS["deploy"]), ("answer_lost", FAULT_SETTINGS["answer_lost"]), length=4
+    )
     if rule == 4:
         burst = ("burst", {"start": 0, "length": 20 * SECOND, "size": 3})
         crash = ("crash", {"start": 4 * SECOND, "length": 500 * MS, "part": 0.6})
-        scenario = small(burst, crash, length=8, tip_multiple=0.8)
+        scenario = short_scenario(burst, crash, length=8, tip_multiple=0.8)
     checker, violated_rules = run_with_model(scenario, prepare)
     assert rule in violated_rules
     assert {found for found, _, _ in checker.rules.violations} == violated_rules
--- a/valverouter/scenarios/operation_harness.py
+++ b/valverouter/scenarios/operation_harness.py
@@ -1,9 +1,9 @@
-"""Operations on a fleet of real processes on loopback: raft servers, supervisors with their edge proxies,
-clients.
+"""Runs operations on a fleet of real processes on loopback: raft servers, supervisors with their edge
+proxies, and clients.
 
-All datagrams between raft servers, supervisors and edge proxies pass a fake of the network, which faults
-are added to. A client is a process too, and reaches the raft servers past it. What is audited comes from
-the supervisors' own logs.
+All datagrams between raft servers, supervisors and edge proxies pass through a fake network that faults are
+injected into. Clients are processes too, and reach the raft servers directly. The rows for the audit are read
+from the supervisors' logs.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from valverouter.rollout.status import FleetStatus, OperationStatus
 from valverouter.scenarios.operation_files import CLI, NODES, OperationFiles, supervised_by, supervisor_of
 from valverouter.scenarios.scenario_fakes import ScenarioFakes
-from valverouter.scenarios.scenario_runner import play_script
+from valverouter.scenarios.scenario_runner import run_calls_and_faults
 from valverouter.scenarios.server_agents import ServerAgents
 from valverouter.scenarios.supervisor_logs import append_log_rows
 from valverouter.servermodel.paths import NetworkPaths, PathFault
@@ -36,38 +36,38 @@
 START_TIMEOUT_S = 30
 STOP_TIMEOUT_S = 12
 STATUS_TIMEOUT_S = 15.0
-# A fault counts for so long after its end, ns.
+# The time after its end for which the audit still takes a fault into account, ns.
 FAULT_SLACK = 200_000_000
-# Ports below those that the machine gives out by itself: one of these was given to another socket between its
-# choice and its use.
-PORTS = (10_000, 32_000)
+# Below the operating system's ephemeral ports: such a port was once assigned to another socket between its
+# selection and its use.
+PORT_RANGE = (10_000, 32_000)
 PR_SET_PDEATHSIG = 1
 
 
 class SupervisedEdge:
-    """An edge proxy as the scenario's callers see it: an address that stays."""
+    """An edge proxy under a supervisor, as its callers see it: a fixed address."""
 
     def __init__(self, name: str, address: str) -> None:
-        """`address`: where it takes callers' connections."""
+        """`address`: where it accepts callers' connections."""
         self.name = name
         self.address = address
 
     async def start(self) -> None:
-        """Left to the supervisor."""
-        raise NotImplementedError("its supervisor starts it")
+        """Not supported: the supervisor starts and stops the process."""
+        raise NotImplementedError("the supervisor starts and stops the edge proxy")
 
     kill = stop = start
 
     async def stall(self, duration: int) -> None:
-        """Left to `OperationRig.pause`."""
-        raise NotImplementedError("stalled by name")
+        """Not supported: see `OperationHarness.pause`."""
+        raise NotImplementedError("use OperationHarness.pause")
 
 
-class OperationRig:
+class OperationHarness:
     """The processes of one scenario, by name.
 
-    Raft servers are c0 to c2, edge proxies e0..., and their supervisors k0...; of servers with supervisors
-    s0... and ks0....
+    Raft servers are named c0 to c2, edge proxies e0, e1, ... and their supervisors k0, k1, ...; servers with
+    supervisors s0, s1, ... and their supervisors ks0, ks1, ...
     """
 
     def __init__(
@@ -79,12 +79,15 @@
         with_servers: bool,
         min_capacity_fraction: float,
     ) -> None:
-        """`limits`: edge proxies that may be out, in all and in a region. `folder` takes files and logs."""
+        """`limits`: the maximum of unavailable edge proxies, in all and per region.
+
+        `folder` holds the settings files and the logs.
+        """
         self.scenario = scenario
         self.folder = folder.absolute()
         self.fakes = fakes
         self.edges = [f"e{index}" for index in range(scenario.fleet.edge_proxies)]
-        # Those with supervisors.
+        # Servers with supervisors.
         self.servers = list(fakes.servers) if with_servers else []
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.faults: list[PathFault] = []
@@ -94,15 +97,15 @@
         self._network = FakeDatagramNetwork(
             SocketRuntime().bind_datagrams, fakes.now, NetworkPaths([], self._draw)
         )
-        self._callers: dict[str, str] = {}
+        self._caller_addresses: dict[str, str] = {}
 
     async def open(self, nursery: trio.Nursery) -> None:
-        """Opens the network and writes all files; starts nothing."""
+        """Opens the fake network and writes all settings files; starts no process."""
         await nursery.start(self._network.run)
         server_control = await self._open_server_agents(nursery) if self.servers else ""
         listen, advertised = self._open_network()
         for name, port in zip(self.edges, _free_ports(len(self.edges), socket.SOCK_STREAM), strict=True):
-            self._callers[name] = f"127.0.0.1:{port}"
+            self._caller_addresses[name] = f"127.0.0.1:{port}"
         files = OperationFiles(
             scenario=self.scenario,
             folder=self.folder,
@@ -113,7 +116,7 @@
             min_capacity_fraction=self._min_capacity_fraction,
             listen=listen,
             advertised=advertised,
-            callers=self._callers,
+            caller_addresses=self._caller_addresses,
         )
         regions = {
             name: self.scenario.region_of_server(self.fakes.server_numbers[name]) for name in self.servers
@@ -125,42 +128,42 @@
         )
 
     async def _open_server_agents(self, nursery: trio.Nursery) -> str:
-        """The address at which agents report."""
+        """Starts listening for server agents; returns the address to which they connect."""
         agents = ServerAgents(self.fakes, self.scenario.fleet.warm_after)
         address: str = await nursery.start(SocketRuntime().serve, "127.0.0.1:0", agents.serve)
-        self.fakes.endpoint_list.on_leave = lambda server: self.fakes.announce([server], "draining")
-        nursery.start_soon(agents.report_warmth)
+        self.fakes.endpoint_list.on_drain_request = lambda server: self.fakes.announce([server], "draining")
+        nursery.start_soon(agents.report_warm_up)
         return address
 
     def _open_network(self) -> tuple[dict[str, str], dict[str, str]]:
-        """Of each process, where it listens for datagrams and where others send them."""
+        """Returns each process's own datagram address and the address of its relay socket."""
         supervisors = map(supervisor_of, (*self.edges, *self.servers))
         names = [*NODES, *supervisors, *self.edges, *self.servers]
         listen, advertised = {}, {}
         for name, port in zip(names, _free_ports(len(names), socket.SOCK_DGRAM), strict=True):
             listen[name] = f"127.0.0.1:{port}"
-            advertised[name] = self._network.open_front(name)
+            advertised[name] = self._network.open_relay(name)
             self._network.set_process_address(name, listen[name])
         return listen, advertised
 
     def add_callers(self) -> None:
-        """Lets the scenario's callers call the edge proxies."""
+        """Adds the scenario's callers to the edge proxies."""
         for index, name in enumerate(self.edges):
-            self.fakes.add_callers(index, SupervisedEdge(name, self._callers[name]))
+            self.fakes.add_callers(index, SupervisedEdge(name, self._caller_addresses[name]))
 
     # Processes
 
     def start(self, name: str, *options: str) -> None:
-        """Starts a raft server or a supervisor; its log goes on in its file."""
+        """Starts a raft server or a supervisor, which appends to its log file."""
         program = "raft-server" if name in NODES else "supervisor"
         command = [*CLI, "fleet", program, str(self.folder / f"{name}.ini"), *options]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
-                command, stdin=subprocess.DEVNULL, stderr=log, preexec_fn=_end_with_parent
+                command, stdin=subprocess.DEVNULL, stderr=log, preexec_fn=_terminate_with_parent
             )
 
     async def start_all(self) -> None:
-        """Starts all processes; returns once every instance is in service."""
+        """Starts all processes; returns once every instance is in service. Raises TooSlowError."""
         for name in NODES:
             self.start(name, *(["--bootstrap"] if name == NODES[0] else []))
         for name in (*self.servers, *self.edges):
@@ -183,7 +186,7 @@
         return log.exists() and b'"edge-listening"' in log.read_bytes()
 
     def kill(self, name: str) -> None:
-        """SIGKILL to a raft server, a supervisor, or an edge proxy behind its supervisor."""
+        """Sends SIGKILL to a raft server, a supervisor, or an edge proxy, whose supervisor keeps running."""
         self.record_fault(f"kill-{name}", name)
         if name in self.edges:
             if (pid := self.find_pid(name)) is not None:
@@ -193,7 +196,10 @@
         self.processes[name].wait()
 
     def find_pid(self, edge: str) -> int | None:
-        """An edge proxy's process, by the settings file in its command: its supervisor is not believed."""
+        """Returns the PID of an edge proxy's process; None if there is none.
+
+        Finds it by the settings file in its command line, independently of what its supervisor reports.
+        """
         files = {f"{self.folder / edge}.ini".encode(), f"{self.folder / edge}.declines.ini".encode()}
         for folder in Path("/proc").iterdir():
             if not folder.name.isdigit():
@@ -207,7 +213,7 @@
         return None
 
     async def pause(self, name: str, seconds: float) -> None:
-        """SIGSTOP to a process, and SIGCONT after a while."""
+        """Sends SIGSTOP to a process, and SIGCONT after `seconds`."""
         self.record_fault(f"stall-{name}", name, seconds)
         process = self.processes[name]
         os.kill(process.pid, signal.SIGSTOP)
@@ -218,7 +224,7 @@
                 os.kill(process.pid, signal.SIGCONT)
 
     def add_path_fault(self, fault: PathFault) -> None:
-        """Adds a fault of the network, with times of the scenario's clock."""
+        """Adds a network fault; its times are on the scenario's clock."""
         self.faults = [earlier for earlier in self.faults if earlier.until > self.fakes.now()] + [fault]
         self._network.paths = NetworkPaths(self.faults, self._draw)
         self.fakes.recorder.record(
@@ -234,18 +240,18 @@
     # Clients
 
     async def run_client(self, *arguments: str, timeout_s: float = 60.0) -> tuple[int, str]:
-        """Runs `valverouter fleet ARGUMENT tool.ini ...`: its exit code and what it printed.
+        """Runs `valverouter fleet ARGUMENT tool.ini ...`; returns its exit code and its output.
 
-        The exit code is -1 where the process was killed for taking longer than `timeout_s`.
+        The exit code is -1 if the process was killed after `timeout_s`.
         """
         command = [*CLI, "fleet", arguments[0], str(self.folder / "tool.ini"), *arguments[1:]]
         with trio.move_on_after(timeout_s):
-            done = await trio.run_process(command, capture_stdout=True, capture_stderr=True, check=False)
-            return done.returncode, (done.stdout + done.stderr).decode()
+            completed = await trio.run_process(command, capture_stdout=True, capture_stderr=True, check=False)
+            return completed.returncode, (completed.stdout + completed.stderr).decode()
         return -1, ""
 
     async def status(self) -> FleetStatus | None:
-        """The fleet's status; None where no leader answered."""
+        """Returns the fleet's status; None if no leader answered."""
         code, output = await self.run_client("status", "--json", timeout_s=STATUS_TIMEOUT_S)
         if code != 0 or not output:
             return None
@@ -258,7 +264,10 @@
         return msgspec.json.decode(output.splitlines()[0], type=list[OperationStatus])
 
     async def wait_until_settled(self, timeout_s: float) -> FleetStatus:
-        """Waits until no operation is open and all that are to run are in; raises TooSlowError."""
+        """Waits until every operation has ended and every instance is in service or drained.
+
+        Raises TooSlowError after `timeout_s`.
+        """
         with trio.fail_after(timeout_s):
             while True:
                 status = await self.status()
@@ -270,10 +279,10 @@
                     return status
                 await trio.sleep(0.3)
 
-    # The end
+    # Shutdown
 
     async def stop_all(self) -> None:
-        """Stops all processes, and records what their logs and the operation log hold."""
+        """Stops all processes; records the rows of supervisors' logs and of the operation log."""
         operations = await self._history()
         for process in self.processes.values():
             process.terminate()
@@ -308,43 +317,45 @@
         )
 
 
-def _end_with_parent() -> None:
-    """Runs in a child: a rig that is killed must not leave its fleet running, and loading the machine.
+def _terminate_with_parent() -> None:
+    """Makes the kernel send SIGTERM to a child process when its parent ends; runs in the child before exec.
 
-    A supervisor that is asked to end by this ends its edge proxy first.
+    Otherwise a harness that is killed would leave its fleet running and loading the machine. A supervisor
+    that gets SIGTERM stops its edge proxy first.
     """
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
 
 
 def _free_ports(count: int, kind: socket.SocketKind) -> list[int]:
-    draws = random.SystemRandom()
-    held: dict[int, socket.socket] = {}
+    rng = random.SystemRandom()
+    bound: dict[int, socket.socket] = {}
     try:
-        while len(held) < count:
-            candidate, port = socket.socket(socket.AF_INET, kind), draws.randrange(*PORTS)
+        while len(bound) < count:
+            candidate, port = socket.socket(socket.AF_INET, kind), rng.randrange(*PORT_RANGE)
             try:
                 candidate.bind(("127.0.0.1", port))
-                held[port] = candidate
+                bound[port] = candidate
             except OSError:
                 candidate.close()
-        return list(held)
+        return list(bound)
     finally:
-        for held_socket in held.values():
-            held_socket.close()
+        for bound_socket in bound.values():
+            bound_socket.close()
 
 
 def run_operations(
     scenario: ScenarioConfig,
     folder: Path,
-    script: Callable[[OperationRig], Awaitable[None]],
+    script: Callable[[OperationHarness], Awaitable[None]],
     max_unavailable: int = 2,
     max_per_region: int = 1,
     servers: bool = False,
     min_capacity_fraction: float = 0.0,
 ) -> list[Row]:
-    """Plays the scenario with `script` beside its callers; returns its rows and those of supervisors' logs.
+    """Plays the scenario while `script` runs; returns its rows and those of the supervisors' logs.
 
-    `servers`: they have supervisors too. `min_capacity_fraction`: of a region's edge proxies, that must stay.
+    `servers`: whether servers have supervisors too. `min_capacity_fraction`: the fraction of a region's edge
+    proxy capacity that must remain in service.
     """
 
     async def main() -> list[Row]:
@@ -355,13 +366,13 @@
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 await fakes.start(nursery)
-                rig = OperationRig(scenario, folder, fakes, limits, servers, min_capacity_fraction)
-                await rig.open(nursery)
+                harness = OperationHarness(scenario, folder, fakes, limits, servers, min_capacity_fraction)
+                await harness.open(nursery)
                 try:
-                    await _play(scenario, fakes, rig, script)
+                    await _play(scenario, fakes, harness, script)
                 finally:
                     with trio.CancelScope(shield=True):
-                        await rig.stop_all()
+                        await harness.stop_all()
                 scope.cancel()
         return fakes.recorder.rows
 
@@ -371,12 +382,12 @@
 async def _play(
     scenario: ScenarioConfig,
     fakes: ScenarioFakes,
-    rig: OperationRig,
-    script: Callable[[OperationRig], Awaitable[None]],
+    harness: OperationHarness,
+    script: Callable[[OperationHarness], Awaitable[None]],
 ) -> None:
-    await rig.start_all()
-    rig.add_callers()
+    await harness.start_all()
+    harness.add_callers()
     await trio.sleep(scenario.run.settle / NS_PER_S)
     async with trio.open_nursery() as playing:
-        playing.start_soon(play_script, fakes)
-        playing.start_soon(script, rig)
+        playing.start_soon(run_calls_and_faults, fakes)
+        playing.start_soon(script, harness)
--- a/valverouter/scenarios/planning.py
+++ b/valverouter/scenarios/planning.py
@@ -1,6 +1,4 @@
-"""Plans cross-region traffic for a scenario: demand as its rows show it, capacities and budgets as its file
-sets them.
-"""
+"""Plans cross-region traffic for a scenario: demand from its rows, capacities and budgets from its file."""
 
 from __future__ import annotations
 
@@ -18,7 +16,7 @@
 
 
 def measured_demands(scenario: ScenarioConfig, rows: Iterable[Row]) -> list[Demand]:
-    """First tries a second by type and region, over the time in which they were dialled."""
+    """Returns the first attempts per second by traffic type and region, while calls were dialled."""
     regions: dict[str, str] = {}
     counts: Counter[tuple[str, str]] = Counter()
     times: list[int] = []
@@ -31,16 +29,25 @@
     duration_s = max(MIN_DURATION_S, (max(times) - min(times)) / NS_PER_S) if times else 1.0
     traffic = scenario.traffic
     return [
-        Demand(kind, region, count / duration_s, traffic[kind].length / NS_PER_S, traffic[kind].importance)
-        for (kind, region), count in sorted(counts.items())
-        if kind in traffic
+        Demand(
+            traffic_type,
+            region,
+            count / duration_s,
+            traffic[traffic_type].length / NS_PER_S,
+            traffic[traffic_type].importance,
+        )
+        for (traffic_type, region), count in sorted(counts.items())
+        if traffic_type in traffic
     ]
 
 
 def region_capacities(
     scenario: ScenarioConfig, line_fractions: dict[str, float] | None = None
 ) -> list[RegionCapacity]:
-    """Each region's servers together; `line_fractions`: of its lines that a region has left, 1 by default."""
+    """Returns the total capacity of each region's servers.
+
+    `line_fractions`: the fraction of a region's lines that remains, 1 by default.
+    """
     profile = server_profile(scenario)
     work_s = (profile.setup_work + profile.answer_work + profile.release_work) / NS_PER_S
     fractions = line_fractions or {}
@@ -54,33 +61,36 @@
 
 
 def cross_region_limits(scenario: ScenarioConfig) -> list[RateLimit]:
-    """The budgets as steady rates, as time slices pace them; a type without a section has the rate 0."""
+    """Returns the budgets as the steady rates that time-sliced quotas allow.
+
+    A traffic type without a section has the rate 0.
+    """
     limits: list[RateLimit] = []
     for fleet_index in range(scenario.fleet.edge_proxies):
         cross_region = scenario.edge_config(fleet_index, "127.0.0.1:1", "127.0.0.1:2").crossing
         if cross_region is None:
             return []
         skew = cross_region.clock_skew
-        for kind in scenario.traffic:
-            policy = cross_region.policies.get(kind)
+        for traffic_type in scenario.traffic:
+            policy = cross_region.policies.get(traffic_type)
             if policy is None or policy.urgent:
                 rate = None if policy else 0.0
             else:
                 rate = max_rate(with_default_burst(policy.budget, skew)) if policy.budget else None
             pairs = (policy.pairs if policy else None) or {}
             for pair, budget in pairs.items():
-                limit = RateLimit(kind, max_rate(with_default_burst(budget, skew)), pair)
+                limit = RateLimit(traffic_type, max_rate(with_default_burst(budget, skew)), pair)
                 if limit not in limits:
                     limits.append(limit)
             if fleet_index == 0 and rate is not None and not pairs:
-                limits.append(RateLimit(kind, rate))
+                limits.append(RateLimit(traffic_type, rate))
     return limits
 
 
 def plan_scenario(
     scenario: ScenarioConfig, rows: Iterable[Row], line_fractions: dict[str, float] | None = None
 ) -> Plan:
-    """The least cross-region traffic that carries the measured demand."""
+    """Returns the plan with the least cross-region traffic that serves the measured demand."""
     demands = measured_demands(scenario, rows)
     capacities = region_capacities(scenario, line_fractions)
     return plan(demands, capacities, cross_region_limits(scenario))
--- a/valverouter/scenarios/supervisor_logs.py
+++ b/valverouter/scenarios/supervisor_logs.py
@@ -1,4 +1,4 @@
-"""What supervisors did in a scenario, read from their own logs."""
+"""Reads the actions of supervisors in a scenario from their logs."""
 
 from __future__ import annotations
 
@@ -13,33 +13,35 @@
 NS_PER_S = 1e9
 
 
-class _LogEvent(msgspec.Struct):
-    """An event of a supervisor's log; other fields and events are passed over."""
+class _LogEvent(msgspec.Struct, rename={"runs_after": "up"}):
+    """An event of a supervisor's log; other fields are ignored."""
 
     event: str = ""
     timestamp: str = ""
     version: str = ""
     number: int = 0
     step: int = 0
-    up: bool = True
+    runs_after: bool = True
     outcome: str = ""
 
 
 def append_log_rows(rows: list[Row], file: Path, instance: str, now: int) -> None:
-    """Appends the rows of one supervisor's log. `now`: the present moment of the rows' clock, ns.
+    """Appends the rows of one supervisor's log. `now`: the current time on the rows' clock, ns.
 
-    Moments of logs are wall time; the present by both clocks is taken together.
+    Log timestamps are wall-clock times; the offset of the two clocks is computed from their current times.
     """
-    epoch = now - round(datetime.now().timestamp() * NS_PER_S)
-    up_by_step: dict[tuple[int, int], bool] = {}
+    clock_offset = now - round(datetime.now().timestamp() * NS_PER_S)
+    runs_after_by_step: dict[tuple[int, int], bool] = {}
     for event in _read_events(file):
-        time = epoch + round(datetime.fromisoformat(event.timestamp).timestamp() * NS_PER_S)
+        time = clock_offset + round(datetime.fromisoformat(event.timestamp).timestamp() * NS_PER_S)
         sequence, step = len(rows), (event.number, event.step)
         if event.event == "step-started":
-            up_by_step[step] = event.up
-            rows.append(StepRow(sequence, time, instance, *step, event.up))
+            runs_after_by_step[step] = event.runs_after
+            rows.append(StepRow(sequence, time, instance, *step, event.runs_after))
         elif event.event == "step-ended":
-            rows.append(StepRow(sequence, time, instance, *step, up_by_step.get(step, True), event.outcome))
+            rows.append(
+                StepRow(sequence, time, instance, *step, runs_after_by_step.get(step, True), event.outcome)
+            )
         elif event.event in ("process-started", "process-adopted"):
             rows.append(ProgramVersionRow(sequence, time, instance, event.version))
         elif event.event == "process-exited":
@@ -52,6 +54,6 @@
         try:
             event = decoder.decode(line)
         except msgspec.DecodeError:
-            continue  # the output of a program, or a line that a kill cut off
+            continue  # output of the supervised program, or a line that was truncated by a kill
         if event.timestamp:
             yield event
