--- a/tests/test_cross_region_limiter.py
+++ b/tests/test_cross_region_limiter.py
@@ -132,9 +132,9 @@
     limiter = limiter_with(urgent=URGENT)
     limiter.on_attempt_started(NOW, "urgent", "varna", ("d", 0))
     limiter.on_attempt_result(NOW + SECOND, AttemptResult("d", 0, "s", Outcome.ESTABLISHED))
-    assert limiter.circuits_in_use == 1
+    assert limiter.established_count == 1
     limiter.on_attempt_result(NOW + 6 * SECOND, AttemptResult("d", 0, "s", Outcome.ENDED))
-    assert limiter.circuits_in_use == 0
+    assert limiter.established_count == 0
     assert limiter.usage.totals[UsageKey("urgent", "sofia", "varna")] == UsageCounters(
         attempts=1, established=1, circuit_ns=5 * SECOND
     )
--- a/tests/test_cross_region_scenarios.py
+++ b/tests/test_cross_region_scenarios.py
@@ -147,4 +147,4 @@
     ]
     assert [rule.gate.openings for rule in rules[2:]] == [0] * 4, "no evidence, no opening"
     assert all(1 <= rule.gate.openings <= 2 for rule in rules[:2])
-    assert all(len(rule._charged) == rule.circuits_in_use for rule in rules), "only what stands is held"
+    assert all(len(rule._charged) == rule.established_count for rule in rules), "only what stands is held"
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -680,7 +680,7 @@
         await rig.servers["s0"].link.next(Setup)
         # The link has gone down and the instance has not heard so yet, when the decisions cancel its leg.
         rig.edge.links.by_server["s0"]._on_down("reset")
-        rig.edge.context.run_decision("d1", rig.edge._execute, DialogAction("d1", CancelAttempt(0)))
+        rig.edge.context.run_isolated("d1", rig.edge._execute, DialogAction("d1", CancelAttempt(0)))
         await trio.sleep(3)
         assert len(caller.all(Established | Rejected | Failed)) == 1
         assert not rig.edge.dialogs.entries
--- a/tests/test_resumable_proxy.py
+++ b/tests/test_resumable_proxy.py
@@ -602,9 +602,9 @@
         proxies[self.attempts] = self
 
     def without_release_delay(
-        self: ResumableAttempts, entry: Any, status: Any, is_same_process: bool
+        self: ResumableAttempts, entry: Any, status: Any, same_incarnation: bool
     ) -> None:
-        original_on_peer_status(self, entry, status, is_same_process)
+        original_on_peer_status(self, entry, status, same_incarnation)
         if not entry.is_established and entry.setup.dialog in self._pending:
             proxies[self].requests.continue_dialog(entry)
 
--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -62,10 +62,10 @@
             raise InvalidConfigError(sorted(problems, key=lambda problem: problem.line))
 
     def policy_for(
-        self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
+        self, traffic_type: str, called_number: int, caller: str = "", preferred_server_number: int = -1
     ) -> AttemptPolicy | None:
         """Returns a dialog's policy; None if the default applies: no rule matches or the type is unknown."""
-        attributes = self.attributes_of(traffic_type, number, peer, first_choice)
+        attributes = self.attributes_of(traffic_type, called_number, caller, preferred_server_number)
         if traffic_type not in self._deployment.traffic_types:
             return None
         key = traffic_type, tuple(rule.condition.matches(attributes) for rule in self._rules)
@@ -75,19 +75,19 @@
         return self._resolved[key]
 
     def attributes_of(
-        self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
+        self, traffic_type: str, called_number: int, caller: str = "", preferred_server_number: int = -1
     ) -> DialogAttributes:
         """Returns the attributes that a dialog's rules are matched against.
 
-        The trunk group is found by the caller's name (`peer`), the server set by the preferred server's
-        number (`first_choice`).
+        The trunk group is found by the caller's name (`caller`), the server set by the preferred server's
+        number (`preferred_server_number`).
         """
         return DialogAttributes(
             traffic_type,
-            str(number),
+            str(called_number),
             self._region,
-            self._trunk_group(peer),
-            self._server_sets.get(first_choice, ""),
+            self._trunk_group(caller),
+            self._server_sets.get(preferred_server_number, ""),
         )
 
     def retry_budgets(self) -> dict[int, RetryBudgetConfig]:
@@ -106,10 +106,10 @@
         return _retry_budget(resolve(self._budget_rules, DialogAttributes("")))
 
     def explain(
-        self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
+        self, traffic_type: str, called_number: int, caller: str = "", preferred_server_number: int = -1
     ) -> dict[str, EffectiveSetting]:
         """Returns the effective value of each key for a dialog, with the section and line that set it."""
-        attributes = self.attributes_of(traffic_type, number, peer, first_choice)
+        attributes = self.attributes_of(traffic_type, called_number, caller, preferred_server_number)
         found = resolve(self._rules, attributes)
         policy = self._build_policy(traffic_type, found)
         budget = resolve(self._budget_rules, DialogAttributes("", "", "", "", attributes.server_set))
@@ -127,17 +127,22 @@
         return explained
 
     def worst_case_policy(
-        self, traffic_type: str, number: int, no_answer: int, peer: str = "", first_choice: int = -1
+        self,
+        traffic_type: str,
+        called_number: int,
+        no_answer_timeout: int,
+        caller: str = "",
+        preferred_server_number: int = -1,
     ) -> AttemptPolicy:
         """Returns a dialog's policy with every limit filled in, for computing its worst case.
 
-        `no_answer`: the caller's no-answer time in ns. A server may ask for any retry-after up to the
+        `no_answer_timeout`: the caller's no-answer time in ns. A server may ask for any retry-after up to the
         resulting no-answer timeout.
         """
-        policy = self.policy_for(traffic_type, number, peer, first_choice) or self._build_policy(
-            traffic_type, {}
-        )
-        timeout = min(no_answer, policy.no_answer_timeout or no_answer)
+        policy = self.policy_for(
+            traffic_type, called_number, caller, preferred_server_number
+        ) or self._build_policy(traffic_type, {})
+        timeout = min(no_answer_timeout, policy.no_answer_timeout or no_answer_timeout)
         allowed = self._deployment.max_attempts
         total = min(policy.max_total_attempts or allowed, allowed)
         return replace(
@@ -156,12 +161,12 @@
                 found[f"[attempts {section.name}]"] = int(prefix or 0), peer, first
         return found
 
-    def _trunk_group(self, peer: str) -> str:
+    def _trunk_group(self, caller: str) -> str:
         patterns = [
             (len(pattern), name)
             for name, group in self._groups.items()
             for pattern in group.peers
-            if matches_peer(pattern, peer)
+            if matches_peer(pattern, caller)
         ]
         return max(patterns, default=(0, ""))[1]
 
--- a/valverouter/edge/attempts.py
+++ b/valverouter/edge/attempts.py
@@ -190,7 +190,7 @@
     def report_result(self, dialog_id: str, attempt: int, server: str, outcome: Outcome) -> None:
         """Reports the outcome of an attempt that no open dialog waits for to the driver."""
         result = AttemptResult(dialog_id, self.driver_attempt_number(dialog_id, attempt), server, outcome)
-        self._context.run_decision("", self._driver.on_attempt_result, result)
+        self._context.run_isolated("", self._driver.on_attempt_result, result)
 
     def _end(
         self,
@@ -216,7 +216,7 @@
         result = AttemptResult(
             request.dialog, number, server, outcome, retry_after=retry_after, load_report=load_report
         )
-        is_handled = self._context.run_decision(request.dialog, self._driver.on_attempt_result, result)
+        is_handled = self._context.run_isolated(request.dialog, self._driver.on_attempt_result, result)
         if is_handled and answer is not None:
             answer = msgspec.structs.replace(answer, leg=request.leg, server=server, report=None)
             self._dialogs.answer(entry, answer)
@@ -228,7 +228,7 @@
         link, message = event.link, event.message
         if isinstance(message, setup.LoadReported):
             load_report = load_report_of(message.report) or LoadReport()
-            self._context.run_decision("", self._driver.update_load, link.server, load_report)
+            self._context.run_isolated("", self._driver.update_load, link.server, load_report)
         else:
             self._on_answer(link, message)
 
@@ -246,7 +246,7 @@
             result = AttemptResult(
                 *key, link.server, Outcome.ENDED, dialog_closed=True, load_report=load_report
             )
-            self._context.run_decision("", self._driver.on_attempt_result, result)
+            self._context.run_isolated("", self._driver.on_attempt_result, result)
             self._dialogs.end(entry, message.reason)
         elif isinstance(message, setup.Established):
             self._end(entry, Outcome.ESTABLISHED, 0, load_report, message)
@@ -266,7 +266,7 @@
         if closes and not link.attempts.pop((message.dialog, message.leg)):
             self.report_result(message.dialog, message.leg, link.server, OUTCOMES[type(message)])
         if load_report is not None:
-            self._context.run_decision("", self._driver.update_load, link.server, load_report)
+            self._context.run_isolated("", self._driver.update_load, link.server, load_report)
 
     # Lost links
 
--- a/valverouter/edge/caller_requests.py
+++ b/valverouter/edge/caller_requests.py
@@ -30,14 +30,14 @@
         else:
             self.on_cancel_or_release(event.caller, message)
 
-    def _received_at(self, event: CallerMessage, no_answer: int) -> int:
+    def _received_at(self, event: CallerMessage, time_left: int) -> int:
         """When a set-up arrived; if it was read after a stall, this may be long before it was read."""
         context = self._context
         read_at = event.received_at or context.now
-        unread = context.unread_since and self._received_during_stall(no_answer)
+        unread = context.unread_since and self._received_during_stall(time_left)
         return min(read_at, unread) if unread else read_at
 
-    def _received_during_stall(self, no_answer: int) -> int:
+    def _received_during_stall(self, time_left: int) -> int:
         """The assumed arrival time of a set-up read after a stall; 0 if none can be assumed.
 
         Its real arrival time is unknown, so it counts as received when the stall began. Counted from the end
@@ -46,7 +46,7 @@
         """
         context = self._context
         since = context.unread_since
-        return since if since + no_answer - context.config.answer_margin > context.now else 0
+        return since if since + time_left - context.config.answer_margin > context.now else 0
 
     def on_caller_disconnected(self, event: CallerDisconnected) -> None:
         """Ends the dialogs of a caller whose connection was lost."""
@@ -122,7 +122,7 @@
             attempt_policy=policy,
         )
         context = self._context
-        context.run_decision(request.dialog, context.driver.start_dialog, dialog)
+        context.run_isolated(request.dialog, context.driver.start_dialog, dialog)
 
     def on_cancel_or_release(self, caller: CallerConnection, message: setup.LegMessage) -> None:
         """Cancels an open dialog or releases an established one.
--- a/valverouter/edge/context.py
+++ b/valverouter/edge/context.py
@@ -69,12 +69,12 @@
         self.shutdown = GracefulShutdown()
         self.unread_since = 0
         # Ends an open dialog for which the driver has raised an exception. Set by the EdgeProxy.
-        self.on_decision_failed: Callable[[str], None] = lambda dialog_id: None
+        self.on_dialog_failed: Callable[[str], None] = lambda dialog_id: None
         self._jitter_draws = 0
         self._last_failure = ""
         self._repeated_failures = 0
 
-    def run_decision(self, dialog_id: str, action: Callable[..., None], *args: Any) -> bool:
+    def run_isolated(self, dialog_id: str, action: Callable[..., None], *args: Any) -> bool:
         """Calls into the Driver; returns False if it raised an exception.
 
         The exception ends the dialog `dialog_id` with an answer; other dialogs are not affected.
@@ -83,7 +83,7 @@
             action(*args)
         except Exception as error:  # no exception of the driver may affect other dialogs
             self._log_failure(dialog_id, error)
-            self.on_decision_failed(dialog_id)
+            self.on_dialog_failed(dialog_id)
             return False
         return True
 
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -94,7 +94,7 @@
         self._log = context.log
         self._max_timers = MIN_TIMERS_PRUNED
         self._last_turn_at = context.now
-        context.on_decision_failed = self._on_decision_failed
+        context.on_dialog_failed = self._on_dialog_failed
         self._handlers: dict[type, Callable[[Any], None]] = {
             Timer: self._on_timer,
             CallerMessage: self.requests.on_caller_message,
@@ -191,9 +191,9 @@
         """Builds the attempt policies of a new configuration; raises InvalidConfigError."""
         return self.reloader.build_attempt_policies(config)
 
-    def reject_reload(self, file: str, why: str, **details: Any) -> None:
+    def reject_reload(self, file: str, reason: str, **details: Any) -> None:
         """Logs that a configuration could not be read; the active one stays in effect."""
-        self.reloader.reject(file, why, **details)
+        self.reloader.reject(file, reason, **details)
 
     async def run(self, task_status: trio.TaskStatus[EdgeProxy] = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until stopped or cancelled.
@@ -261,7 +261,7 @@
             # measured too short.
             context.now = now = context.clock.now()
             send_batch.begin()
-            context.run_decision("", driver.tick, now)
+            context.run_isolated("", driver.tick, now)
             self._handle_events()
             self._fire_timers(now)
             if self.links.removed:
@@ -339,7 +339,7 @@
     # Events that concern several components
 
     def _on_timer(self, timer: Timer) -> None:
-        self.context.run_decision("", self.context.driver.on_timer, timer.timer_id)
+        self.context.run_isolated("", self.context.driver.on_timer, timer.timer_id)
 
     def _on_endpoint_update(self, update: EndpointUpdate) -> None:
         self.links.on_endpoint_update(update)
@@ -355,14 +355,14 @@
         """The first request starts draining; later ones only wake the event loop."""
         context = self.context
         if not context.shutdown.is_draining:
-            moments = context.shutdown.begin(
+            wakeup_times = context.shutdown.begin(
                 context.now, context.config.links.stop_within, self.closing_period
             )
-            for moment in moments:
-                context.timers.schedule(moment, event)
+            for at in wakeup_times:
+                context.timers.schedule(at, event)
             self._log.info("edge-draining", open=self.open_dialogs)
 
-    def _on_decision_failed(self, dialog_id: str) -> None:
+    def _on_dialog_failed(self, dialog_id: str) -> None:
         if dialog_id in self.dialogs.entries:
             self.attempts.abort_dialog(dialog_id, "internal")
 
@@ -374,7 +374,7 @@
         while driver.commands:
             for command in driver.take_commands():
                 dialog_id = command.dialog_id if isinstance(command, DialogAction) else ""
-                context.run_decision(dialog_id, self._execute, command)
+                context.run_isolated(dialog_id, self._execute, command)
 
     def _execute(self, command: Command) -> None:
         if isinstance(command, Timer):
--- a/valverouter/edge/queues.py
+++ b/valverouter/edge/queues.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, capacity: int = 4_096) -> None:
-        self._urgent: deque[Any] = deque()
+        self._endpoint_updates: deque[Any] = deque()
         self._cancellations: deque[Any] = deque()
         self._regular: deque[Any] = deque()
         self._capacity = capacity
@@ -32,7 +32,7 @@
 
     def __len__(self) -> int:
         """The number of queued events of all priorities."""
-        return len(self._urgent) + len(self._cancellations) + len(self._regular)
+        return len(self._endpoint_updates) + len(self._cancellations) + len(self._regular)
 
     def put(self, event: Any) -> None:
         """Adds an event of the lowest priority."""
@@ -40,7 +40,7 @@
 
     def put_endpoint_update(self, event: Any) -> None:
         """Adds an endpoint list update, ahead of all events but earlier updates."""
-        self._append(self._urgent, event)
+        self._append(self._endpoint_updates, event)
 
     def put_cancellation(self, event: Any) -> None:
         """Adds a caller's cancel or the loss of its connection, ahead of regular events."""
@@ -53,8 +53,8 @@
 
     def pop_next(self) -> Any | None:
         """Removes and returns the next event; None if the queue is empty."""
-        if self._urgent:
-            return self._urgent.popleft()
+        if self._endpoint_updates:
+            return self._endpoint_updates.popleft()
         if self._cancellations:
             return self._cancellations.popleft()
         if not self._regular:
--- a/valverouter/edge/reload.py
+++ b/valverouter/edge/reload.py
@@ -36,10 +36,10 @@
         """Applies a new configuration."""
         self._apply(event, is_rollback=False)
 
-    def reject(self, file: str, why: str, **details: Any) -> None:
+    def reject(self, file: str, reason: str, **details: Any) -> None:
         """Logs that a configuration is rejected, and which generation stays in effect."""
         self._context.log.error(
-            "configuration-rejected", generation=self._context.generation, file=file, why=why, **details
+            "configuration-rejected", generation=self._context.generation, file=file, why=reason, **details
         )
 
     def apply_retry_budgets(self) -> None:
@@ -47,10 +47,10 @@
         context, policies = self._context, self._context.attempt_policies
         set_retry_budgets = context.driver.set_retry_budgets
         if policies is None:
-            context.run_decision("", set_retry_budgets, {}, DEFAULT_RETRY_BUDGET)
+            context.run_isolated("", set_retry_budgets, {}, DEFAULT_RETRY_BUDGET)
         else:
             budgets, default = policies.retry_budgets(), policies.default_retry_budget()
-            context.run_decision("", set_retry_budgets, budgets, default)
+            context.run_isolated("", set_retry_budgets, budgets, default)
 
     def on_final_answer(self, traffic_type: str, is_rejected: bool, attempts: int) -> None:
         """Counts a final answer; logs a regression after a change, and rolls back if that is configured."""
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -91,11 +91,11 @@
             entry, record = self._entries[dialog_id], self._state.log.record(dialog_id)
             if record is None or record.server != link.server:
                 continue
-            is_same_process = record.server_incarnation in (0, incarnation)
-            if not is_same_process or not link.can_resume:
+            same_incarnation = record.server_incarnation in (0, incarnation)
+            if not same_incarnation or not link.can_resume:
                 # Another process never had the attempt; one with an older protocol version dropped it with
                 # the connection.
-                self.on_peer_status(entry, PeerStatus.UNKNOWN, is_same_process)
+                self.on_peer_status(entry, PeerStatus.UNKNOWN, same_incarnation)
                 continue
             entry.link = link
             traffic_type = self._context.config.deployment.traffic_types.get(record.traffic_type)
@@ -146,10 +146,10 @@
         self.on_peer_status(entry, PeerStatus.ESTABLISHED if is_established else PeerStatus.UNKNOWN, True)
         self._send_due_queries()
 
-    def on_peer_status(self, entry: DialogEntry, status: PeerStatus, is_same_process: bool) -> None:
+    def on_peer_status(self, entry: DialogEntry, status: PeerStatus, same_incarnation: bool) -> None:
         """Resolves an attempt by its server's status or NO_RESPONSE, and carries out the resulting plan.
 
-        `is_same_process`: the status is of the server process that the attempt was sent to.
+        `same_incarnation`: the status is of the server process that the attempt was sent to.
         """
         dialog_id, link = entry.setup.dialog, entry.link
         record = self._state.log.record(dialog_id)
@@ -159,7 +159,7 @@
         del self._pending[dialog_id]
         time_left = max(0, entry.deadline - self._context.now)
         release_delay = self._context.config.deployment.release_delay
-        plan = plan_on_status(record, status, is_same_process, time_left, release_delay)
+        plan = plan_on_status(record, status, same_incarnation, time_left, release_delay)
         self._log.debug(
             "attempt-resolved", dialog=dialog_id, word=status.name.lower(), need=plan.action.name.lower()
         )
--- a/valverouter/edge/server_links.py
+++ b/valverouter/edge/server_links.py
@@ -58,7 +58,7 @@
             self.incarnations.retain(listed)
         is_cached = update.kind is EndpointUpdateKind.CACHED
         endpoints = [self.incarnations.endpoint(row, context.now, is_cached) for row in update.rows]
-        context.run_decision("", context.driver.update_endpoints, update.kind, endpoints)
+        context.run_isolated("", context.driver.update_endpoints, update.kind, endpoints)
         for row in update.rows:
             self._apply_row(row, update.kind)
         if is_complete:
@@ -117,7 +117,7 @@
             context.log.info("server-restarted", server=link.server, age_ms=welcome.age // MS)
             endpoint = Endpoint(link.server, row.number, row.phase == "in-service", started_at, row.region)
             update = [endpoint]
-            context.run_decision("", context.driver.update_endpoints, EndpointUpdateKind.INCREMENTAL, update)
+            context.run_isolated("", context.driver.update_endpoints, EndpointUpdateKind.INCREMENTAL, update)
             self._withdraw_all(link)
         link.send_early_attempts()
 
--- a/valverouter/emulator/edge_model.py
+++ b/valverouter/emulator/edge_model.py
@@ -20,7 +20,7 @@
     """The attempt policies that an edge proxy is configured with."""
 
     def policy_for(
-        self, traffic_type: str, number: int, peer: str = "", first_choice: int = -1
+        self, traffic_type: str, called_number: int, caller: str = "", preferred_server_number: int = -1
     ) -> AttemptPolicy | None:
         """Returns the attempt policy of a dialog; None: the routing policy's default."""
 
--- a/valverouter/platform_edge/bus_client.py
+++ b/valverouter/platform_edge/bus_client.py
@@ -35,7 +35,7 @@
         self._known = known
         self._runtime = runtime
         self._events = events
-        self._attempt = trio.CancelScope()
+        self._poll_scope = trio.CancelScope()
 
     def request_list(self) -> None:
         """Does nothing: the bus is polled continuously."""
@@ -54,7 +54,7 @@
         """Changes the address of the event bus; offsets continue across addresses."""
         if address != self._address:
             self._address = address
-            self._attempt.cancel()
+            self._poll_scope.cancel()
 
     async def persist(self) -> None:
         """Does nothing: on the platform no disk outlives this process."""
@@ -64,7 +64,7 @@
         previous_reason = ""
         while True:
             reason, address = ADDRESS_CHANGED, self._address
-            with isolate_failure("bus", lambda: self._address), trio.CancelScope() as self._attempt:
+            with isolate_failure("bus", lambda: self._address), trio.CancelScope() as self._poll_scope:
                 reason = await self._poll(address)
             self.is_up = False
             self.tries += 1
--- a/valverouter/platform_edge/dialogs.py
+++ b/valverouter/platform_edge/dialogs.py
@@ -143,10 +143,10 @@
         if request.dialog in self._entries:
             return
         link = self._links.get(server)
-        was_cut = self._unknown_releases.pop(request.dialog)
-        if was_cut is not None or not isinstance(link, PlatformLink) or link.has_ended:
+        was_interrupted = self._unknown_releases.pop(request.dialog)
+        if was_interrupted is not None or not isinstance(link, PlatformLink) or link.has_ended:
             # The server released it while no edge proxy ran, or is not listed any more and has cut it.
-            reason = "over" if was_cut is False else "cut"
+            reason = "over" if was_interrupted is False else "cut"
             event.caller.send(setup.Ended(request.dialog, 0, reason))
             return
         if len(self._entries) >= self._context.config.links.open_dialogs:
--- a/valverouter/platform_edge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -101,16 +101,18 @@
         `started_at`: the Unix time of the restart in nanoseconds. Later dialogs belong to the new process,
         which may accept set-ups before the list shows it.
         """
-        cut = [self._established[id_] for id_, since in self._established_at.items() if since < started_at]
-        if cut:
-            self._cut_dialogs(frozenset(cut), "server restarted")
-
-    def _cut_dialogs(self, cut: frozenset[tuple[str, int]], reason: str) -> None:
-        for key in cut:
+        interrupted = [
+            self._established[id_] for id_, since in self._established_at.items() if since < started_at
+        ]
+        if interrupted:
+            self._end_interrupted(frozenset(interrupted), "server restarted")
+
+    def _end_interrupted(self, interrupted: frozenset[tuple[str, int]], reason: str) -> None:
+        for key in interrupted:
             self._remove_established(key[0])
             self.attempts.pop(key, None)
-        log.info("server-lost", server=self.server, standing=len(cut), why=reason)
-        self._events.put(LinkDown(self, reason, cut, frozenset()))
+        log.info("server-lost", server=self.server, standing=len(interrupted), why=reason)
+        self._events.put(LinkDown(self, reason, interrupted, frozenset()))
 
     def start_attempt(self, key: tuple[str, int], message: Any) -> None:
         """Queues a set-up on the connection with the fewest open ones; without a connection, for the next."""
@@ -294,7 +296,7 @@
             log.info("connection-lost", server=self.server, why=reason, legs=len(connection.open_setups))
         if connection.open_setups:
             self._events.put(LinkDown(self, reason, sent, unsent))
-        self._cut_if_unreachable(reason)
+        self._end_if_unreachable(reason)
 
     def _on_connect_failed(self, error: BaseException) -> None:
         """Ends the attempts that were queued for a connection as unsent, if none is up or being made.
@@ -313,9 +315,9 @@
             for key in unsent:
                 self.attempts.pop(key, None)
             self._events.put(LinkDown(self, reason, frozenset(), unsent))
-        self._cut_if_unreachable(reason)
+        self._end_if_unreachable(reason)
 
-    def _cut_if_unreachable(self, reason: str) -> None:
+    def _end_if_unreachable(self, reason: str) -> None:
         """Ends the established dialogs as cut if the server must have cut them and no connection is left."""
         is_unreachable = self._refused_connect_count >= 2 * CONNECTIONS_PER_SERVER
         is_unreachable = (
@@ -325,7 +327,7 @@
         if is_unreachable and self._established and not self._connections:
             # If the server was only unreachable, its dialogs are released once it is connected again.
             self._pending_releases |= dict.fromkeys(self._established, translation.CAUSE_ENDED)
-            self._cut_dialogs(
+            self._end_interrupted(
                 frozenset(self._established.values()),
                 f"{reason}, {self._refused_connect_count} connects refused",
             )
--- a/valverouter/platform_edge/unknown_releases.py
+++ b/valverouter/platform_edge/unknown_releases.py
@@ -18,10 +18,10 @@
     def __init__(self) -> None:
         self._releases: dict[str, tuple[float, bool]] = {}
 
-    def add(self, id_: str, was_cut: bool) -> None:
-        """Stores the release of an unknown dialog; `was_cut`: the server cut it."""
+    def add(self, id_: str, was_interrupted: bool) -> None:
+        """Stores the release of an unknown dialog; `was_interrupted`: the server cut it."""
         now = trio.current_time()
-        self._releases[id_] = now, was_cut
+        self._releases[id_] = now, was_interrupted
         while self._releases:
             first = next(iter(self._releases))
             if (
--- a/valverouter/policy/server_table.py
+++ b/valverouter/policy/server_table.py
@@ -27,7 +27,7 @@
         self._budgets: Mapping[int, BudgetConfig] = {}
         self._default_budget = DEFAULT_RETRY_BUDGET
         self._no_agent_duration = tuning.NO_AGENT_DURATION * (self.capacity.mean_duration or DEFAULT_DURATION)
-        shortest = min(kind.latency_objective for kind in deployment.traffic_types.values())
+        shortest = min(item.latency_objective for item in deployment.traffic_types.values())
         self._prompt_latency = int(tuning.PROMPT_FRACTION * shortest)
         self._max_prompt_latency = int(tuning.PROMPT_MAX_FRACTION * shortest)
 
--- a/valverouter/regions/cross_region_limiter.py
+++ b/valverouter/regions/cross_region_limiter.py
@@ -153,7 +153,7 @@
             self.usage.record(now, attempt.usage_key, UsageCounters(reset=1))
 
     @property
-    def circuits_in_use(self) -> int:
+    def established_count(self) -> int:
         """The number of established cross-region dialogs."""
         return sum(bool(attempt.established_at) for attempt in self._charged.values())
 
