--- a/valverouter/config/platform.py
+++ b/valverouter/config/platform.py
@@ -66,7 +66,7 @@
 class PlatformConfig(Struct, frozen=True):
     """The configuration of an edge proxy on the platform.
 
-    `known`: the event bus's events up to the start, as JSON. `widths`: the number of circuits that a dialog
+    `known`: the event bus's events up to the start, as JSON. `widths`: the number of lines that a dialog
     occupies, by traffic type; set-ups of a type without an entry may request any number.
     """
 
--- a/valverouter/edge/attempt_policies.py
+++ b/valverouter/edge/attempt_policies.py
@@ -136,7 +136,7 @@
     ) -> AttemptPolicy:
         """Returns a dialog's policy with every limit filled in, for computing its worst case.
 
-        `no_answer_timeout`: the caller's no-answer time in ns. A server may ask for any retry-after up to the
+        `no_answer_timeout`: the caller's no-answer time in ns. A server may send any retry-after up to the
         resulting no-answer timeout.
         """
         policy = self.policy_for(
--- a/valverouter/edge/context.py
+++ b/valverouter/edge/context.py
@@ -29,8 +29,8 @@
     """Counters since the start of the process.
 
     `answers` and `attempts` count by kind; the set of kinds is fixed, so their memory is bounded. `failures`
-    counts exceptions in event handling and the driver, `withheld` answers not sent because the
-    caller's deadline had passed, `stalls` periods in which this process did not run.
+    counts exceptions in event handling and the driver, `withheld` answers not sent because the caller's
+    deadline had passed, `stalls` periods in which this process did not run.
     """
 
     answers: Counter[str] = field(default_factory=Counter)
@@ -75,7 +75,7 @@
         self._repeated_failures = 0
 
     def run_isolated(self, dialog_id: str, action: Callable[..., None], *args: Any) -> bool:
-        """Calls into the Driver; returns False if it raised an exception.
+        """Calls the Driver or executes one of its commands; returns False if that raised an exception.
 
         The exception ends the dialog `dialog_id` with an answer; other dialogs are not affected.
         """
--- a/valverouter/edge/lifecycle.py
+++ b/valverouter/edge/lifecycle.py
@@ -43,7 +43,7 @@
     def may_end(self, now: int, is_quiet: bool) -> bool:
         """Whether the proxy may end after this turn; called once per turn after no dialog is open.
 
-        `is_quiet` tells whether nothing remained to be handled, read or written in this turn.
+        `is_quiet`: whether nothing remained to be handled, read or written in this turn.
         """
         self._quiet_turns = self._quiet_turns + 1 if is_quiet else 0
         return self._quiet_turns >= QUIET_TURNS or now >= self._deadline + FINAL_READ_LIMIT
--- a/valverouter/edge/proxy.py
+++ b/valverouter/edge/proxy.py
@@ -60,9 +60,9 @@
 READ_DELAY = round(READ_DELAY_S * 1e9)
 # Events handled per turn before timers are checked and streams are written.
 MAX_BATCH = 16
-# Time-outs of ended attempts are pruned once more timers than this are queued: a caller may ask for a
-# no-answer time of an hour and be answered at once. The next limit is twice the number of timers that remain,
-# but never lower than this.
+# Time-outs of ended attempts are pruned once more timers than this are queued: an attempt with a no-answer
+# time of an hour may be answered at once, and its time-out would stay queued for that hour. The next limit is
+# twice the number of timers that remain, but never lower than this.
 MIN_TIMERS_PRUNED = 1_024
 
 MS = 1_000_000
--- a/valverouter/edge/resumable_attempts.py
+++ b/valverouter/edge/resumable_attempts.py
@@ -39,7 +39,7 @@
         self._state.log.on_attempt_sent(entry.setup.dialog, entry.attempt, server, incarnation)
 
     def driver_attempt_number(self, dialog_id: str, attempt: int) -> int:
-        """Returns an attempt's number without those of the previous incarnation, unknown to the driver."""
+        """Returns an attempt's number minus the previous incarnation's attempts, unknown to the driver."""
         return attempt - self._state.attempt_offsets.get(dialog_id, 0)
 
     def cancel(self, entry: DialogEntry, outcome: Outcome) -> None:
@@ -55,7 +55,7 @@
             self._state.log.on_attempt_ended(entry.setup.dialog, outcome)
 
     def _send_persisted(self, entry: DialogEntry) -> None:
-        """Notifies the server that the dialog is on record, so it keeps it if this connection is lost."""
+        """Notifies the server that the dialog is on record, so that a lost connection does not end it."""
         link = entry.link
         if link is None or entry.attempt is None or not link.can_resume:
             return
@@ -194,8 +194,8 @@
     def on_link_down(self, event: LinkDown) -> None:
         """Makes recorded established dialogs unresolved, to be queried on the next connection, not ended.
 
-        If no connection can be made, they end at once without a query: a server that died has cut them, and
-        the sooner their callers are notified, the sooner they can dial again.
+        If no connection can be made, they end at once without a query: a server that died has interrupted
+        them, and the sooner their callers are notified, the sooner they can dial again.
         """
         link = event.link
         if link.is_final or not event.sent:
--- a/valverouter/edge/resumable_proxy.py
+++ b/valverouter/edge/resumable_proxy.py
@@ -3,7 +3,7 @@
 It keeps a record of each dialog (`recovery_log`) and commits the changes at the end of each turn, before the
 messages queued in the turn are sent. At its start it takes over the records of the previous incarnation.
 `valverouter.recovery` decides what each dialog needs and how fast servers are queried. The routing of a
-dialog continues once its caller has resumed it; before, nobody would receive the answer.
+dialog continues once its caller has resumed it; until then, no answer could be delivered.
 """
 
 from __future__ import annotations
--- a/valverouter/edge/resumable_requests.py
+++ b/valverouter/edge/resumable_requests.py
@@ -91,7 +91,7 @@
     def continue_dialog(self, entry: DialogEntry) -> None:
         """Passes a dialog to the driver, once no earlier attempt of it may still be running.
 
-        While its caller is disconnected the dialog waits, since nobody would receive the answer.
+        While its caller is disconnected the dialog waits, since no answer could be delivered.
         """
         request = entry.setup
         if isinstance(entry.caller, DetachedCaller):
--- a/valverouter/interface.py
+++ b/valverouter/interface.py
@@ -251,7 +251,7 @@
     """The conditions on which attempts of one traffic type may cross regions.
 
     `budget` None: no limit. `pairs`: budgets by home and remote region. `urgent`: the type crosses as soon as
-    the home region lacks capacity, may use the reserve, and is overdrawn beyond that.
+    the home region lacks capacity; beyond its budget it is charged to the reserve, then as an overdraft.
     """
 
     budget: CrossRegionBudget | None = None
--- a/valverouter/membership/membership.py
+++ b/valverouter/membership/membership.py
@@ -221,7 +221,7 @@
             self._anti_entropy.on_digest_mismatch(current.address)
 
     def _correct_sender(self, address: str, current: MemberRecord | None) -> None:
-        """Sends the view's record to a sender that differs from it, so that the sender answers with its own.
+        """Sends a sender the view's record of it, which it contradicts, so that it answers with its own.
 
         `current`: the view's record of the sender; None starts an exchange instead.
         """
--- a/valverouter/platform_edge/caller_listener.py
+++ b/valverouter/platform_edge/caller_listener.py
@@ -26,7 +26,7 @@
         notifier: ReleaseNotifier,
         answered_ids: AnsweredIds,
     ) -> None:
-        """`widths`: the circuits that a dialog occupies, by traffic type; set-ups must state the same."""
+        """`widths`: the lines that a dialog occupies, by traffic type; set-ups must state the same number."""
         super().__init__(context, links, incarnation)
         self._widths = widths
         self._connected = connected
@@ -35,7 +35,7 @@
         self._rejection_log = RateLimitedLog()
 
     async def run_connection(self, stream: trio.abc.Stream) -> None:
-        """Serves an admitted connection; first sends it the releases that had no connection to be sent on."""
+        """Serves an admitted connection; first sends it the releases that waited for a connection."""
         context = self._context
         caller = PlatformCaller(
             stream,
--- a/valverouter/platform_edge/dialogs.py
+++ b/valverouter/platform_edge/dialogs.py
@@ -145,7 +145,7 @@
         link = self._links.get(server)
         was_interrupted = self._unknown_releases.pop(request.dialog)
         if was_interrupted is not None or not isinstance(link, PlatformLink) or link.has_ended:
-            # The server released it while no edge proxy ran, or is not listed any more and has cut it.
+            # The server released it while no edge proxy ran, or has interrupted it and is no longer listed.
             reason = "over" if was_interrupted is False else "cut"
             event.caller.send(setup.Ended(request.dialog, 0, reason))
             return
--- a/valverouter/platform_edge/link.py
+++ b/valverouter/platform_edge/link.py
@@ -32,8 +32,9 @@
     """One server's link on the platform.
 
     A set-up belongs to the connection that it was sent on; if that connection is lost, the attempt is reset.
-    An established dialog ends only if the server releases it or has cut it. A server has cut its dialogs if
-    it refuses connections, was unreachable for UNREACHABLE_TIMEOUT, has restarted or is listed as gone.
+    An established dialog ends only if the server releases it or has interrupted it. A server is taken to have
+    interrupted its dialogs if it refuses connections, was unreachable for UNREACHABLE_TIMEOUT, has restarted
+    or is listed as gone.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         return self._established.pop(dialog_id, None)
 
     def on_server_restarted(self, started_at: int) -> None:
-        """Cuts the dialogs established before the restart that the endpoint list reports.
+        """Ends as interrupted the dialogs established before the restart that the endpoint list reports.
 
         `started_at`: the Unix time of the restart in nanoseconds. Later dialogs belong to the new process,
         which may accept set-ups before the list shows it.
@@ -200,7 +201,7 @@
         """Does nothing: the platform's protocol has no welcome to wait for."""
 
     def close(self, reason: str) -> None:
-        """Closes all connections to a server that is gone; `run` then ends its dialogs as cut."""
+        """Closes all connections to a server that is gone; `run` then ends its dialogs as interrupted."""
         self._close_reason = self._close_reason or reason
         self._scope.cancel()
 
@@ -301,8 +302,8 @@
     def _on_connect_failed(self, error: BaseException) -> None:
         """Ends the attempts that were queued for a connection as unsent, if none is up or being made.
 
-        A server that refuses every connection twice, or is unreachable for UNREACHABLE_TIMEOUT, has cut its
-        established dialogs.
+        A server that refuses every connection twice, or is unreachable for UNREACHABLE_TIMEOUT, is taken to
+        have interrupted its established dialogs.
         """
         if self._connections:
             return
@@ -318,7 +319,7 @@
         self._end_if_unreachable(reason)
 
     def _end_if_unreachable(self, reason: str) -> None:
-        """Ends the established dialogs as cut if the server must have cut them and no connection is left."""
+        """Ends the established dialogs as interrupted if the server is unreachable on every connection."""
         is_unreachable = self._refused_connect_count >= 2 * CONNECTIONS_PER_SERVER
         is_unreachable = (
             is_unreachable
--- a/valverouter/platform_edge/server_links.py
+++ b/valverouter/platform_edge/server_links.py
@@ -15,7 +15,7 @@
 
 
 class PlatformLinks(ServerLinks):
-    """Links on the platform; a server that is gone or restarted has cut its established dialogs."""
+    """Links on the platform; a server that is gone or restarted has interrupted its established dialogs."""
 
     def __init__(
         self, context: ProxyContext, source: EndpointSource, unknown_releases: UnknownReleases
--- a/valverouter/platform_edge/unknown_releases.py
+++ b/valverouter/platform_edge/unknown_releases.py
@@ -19,7 +19,7 @@
         self._releases: dict[str, tuple[float, bool]] = {}
 
     def add(self, id_: str, was_interrupted: bool) -> None:
-        """Stores the release of an unknown dialog; `was_interrupted`: the server cut it."""
+        """Stores the release of an unknown dialog; `was_interrupted`: the dialog did not end normally."""
         now = trio.current_time()
         self._releases[id_] = now, was_interrupted
         while self._releases:
@@ -32,6 +32,6 @@
             del self._releases[first]
 
     def pop(self, id_: str) -> bool | None:
-        """Removes a dialog's release and returns whether the dialog was cut; None if no release is stored."""
+        """Removes a dialog's release and returns whether it was an interruption; None if none is stored."""
         known = self._releases.pop(id_, None)
         return known[1] if known else None
--- a/valverouter/policy/routing.py
+++ b/valverouter/policy/routing.py
@@ -38,7 +38,7 @@
         self._busy_numbers: dict[int, int] = {}
 
     def tick(self, now: int) -> None:
-        """Sets the clock. Missed heartbeats show a stall of this process, which no age may include."""
+        """Sets the clock. Missed heartbeats show a stall of this process, which is excluded from all ages."""
         stall = now - self.now - tuning.HEARTBEAT_INTERVAL
         if stall > tuning.HEARTBEAT_INTERVAL:
             self.table.exclude_stall(stall)
--- a/valverouter/policy/tuning.py
+++ b/valverouter/policy/tuning.py
@@ -32,7 +32,7 @@
 
 # The ejection of a server after a failure; it doubles with each consecutive failure.
 EJECTION_BASE = 500 * MS
-# This ejection in quota intervals; the longer of the two applies.
+# The same in quota intervals; the longer of the two applies.
 EJECTION_BASE_INTERVALS = 2
 # The longest ejection after any number of failures.
 EJECTION_CAP = 4 * SECOND
@@ -66,7 +66,7 @@
 
 # How long a server counts as having no free agent, as a fraction of the mean dialog duration.
 NO_AGENT_DURATION = 0.1
-# How long after an attempt with that answer, in quota intervals; the longer of the two applies.
+# The same after a NO_AGENT answer, in quota intervals; the longer of the two applies.
 NO_AGENT_INTERVALS = 4
 # A server counts as having free agents again once its free lines last for this fraction of the mean dialog
 # duration at the fleet's rate of attempts.
@@ -75,7 +75,7 @@
 # How long a called number whose lines were all busy is assumed to stay busy.
 BUSY_NUMBER_DURATION = 5 * SECOND
 
-# The fraction of the load that overloads a server in slow start which the fleet may send to it.
+# The load that the fleet may send to a server in slow start, as a fraction of the load that overloads it.
 SLOW_START_MARGIN = 0.9
 # The fraction of a peak of busy lines that remains after a second.
 CAPACITY_DECAY_PER_SECOND = 0.98
--- a/valverouter/regions/cross_region_limiter.py
+++ b/valverouter/regions/cross_region_limiter.py
@@ -127,7 +127,7 @@
         self._charged[key] = attempt
 
     def on_rejected(self, now: int, traffic_type: str) -> None:
-        """Counts a dialog that was rejected although a remote server would have accepted it."""
+        """Counts a dialog that was rejected although a remote server would have admitted it."""
         self.usage.record(now, self._usage_key(traffic_type, UNKNOWN_REGION), UsageCounters(rejected=1))
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
--- a/valverouter/regions/usage.py
+++ b/valverouter/regions/usage.py
@@ -34,8 +34,8 @@
 
     `attempts` counts charged attempts, of which `reserve` were charged to the reserve and `overdraft`
     exceeded every budget. `not_sent` attempts were refunded because they were never sent; `reset` ones lost
-    their connection. `established` attempts used circuits for `circuit_ns` nanoseconds in total. `rejected`
-    counts dialogs that were rejected although a remote server would have accepted them.
+    their connection. `established` attempts occupied lines for `circuit_ns` nanoseconds in total. `rejected`
+    counts dialogs that were rejected although a remote server would have admitted them.
     """
 
     attempts: int = 0
--- a/valverouter/rollout/permit_model.py
+++ b/valverouter/rollout/permit_model.py
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitModel:
-    """The bounds of the exploration, and a planted fault.
+    """The bounds of the exploration, and an injected fault.
 
     `depth_first` explores the newest state first, which finds a violation many steps away sooner.
     """
--- a/valverouter/rollout/raft.py
+++ b/valverouter/rollout/raft.py
@@ -268,7 +268,7 @@
         self._respond_to_vote(request, granted)
 
     def _has_live_leader(self, request: RequestVote) -> bool:
-        """Whether there is an active leader: the candidate was itself cut off, and must not depose it."""
+        """Whether a leader is active: the candidate has lost contact with it and must not depose it."""
         if self.role is Role.LEADER and request.pre_vote:
             return True
         return bool(self.leader_id) and self._now - self._leader_contact_at < ELECTION_TIMEOUT
--- a/valverouter/rollout/readiness.py
+++ b/valverouter/rollout/readiness.py
@@ -92,7 +92,7 @@
     ) -> bool:
         """Whether an instance's latest report shows that it is in service and in its desired state.
 
-        Peers for which `is_unavailable` returns true are not compared with.
+        Peers for which `is_unavailable` returns true are excluded from the comparison.
         """
         observation = self.observations.get(name)
         if observation is None or not observation.is_fresh(now):
