--- a/valverouter/edge/recovery_log.py
+++ b/valverouter/edge/recovery_log.py
@@ -47,7 +47,7 @@
     def put(self, record: DialogRecord) -> None:
         """Adds or replaces a record with the next commit."""
 
-    def delete(self, dialog: str) -> None:
+    def delete(self, dialog_id: str) -> None:
         """Removes a record with the next commit."""
 
     def commit(self) -> int:
@@ -86,9 +86,9 @@
         """The number of records."""
         return len(self._records)
 
-    def record(self, dialog: str) -> DialogRecord | None:
+    def record(self, dialog_id: str) -> DialogRecord | None:
         """Returns the record of a dialog, or None."""
-        return self._records.get(dialog)
+        return self._records.get(dialog_id)
 
     # Start
 
@@ -136,23 +136,23 @@
             )
         )
 
-    def on_attempt_sent(self, dialog: str, attempt: int, server: str, incarnation: int) -> None:
+    def on_attempt_sent(self, dialog_id: str, attempt: int, server: str, incarnation: int) -> None:
         """Records an attempt that this turn sends to the current incarnation of a server."""
-        if (record := self._records.get(dialog)) is not None:
+        if (record := self._records.get(dialog_id)) is not None:
             now = self._current_timestamp()
             if record.phase is Phase.CANCELLED:
                 record = lifecycle.end_attempt(record, now)  # the release delay has passed
             self._put(lifecycle.start_attempt(record, attempt, server, incarnation, now))
 
-    def on_attempt_cancelled(self, dialog: str) -> None:
+    def on_attempt_cancelled(self, dialog_id: str) -> None:
         """Records that the attempt in flight is cancelled; its release delay starts now."""
-        record = self._records.get(dialog)
+        record = self._records.get(dialog_id)
         if record is not None and record.phase in (Phase.IN_FLIGHT, Phase.CANCELLED):
             self._put(lifecycle.cancel_attempt(record, self._current_timestamp()))
 
-    def on_attempt_ended(self, dialog: str, outcome: Outcome) -> None:
+    def on_attempt_ended(self, dialog_id: str, outcome: Outcome) -> None:
         """Records that an attempt has ended; unless its server closed it, its release delay starts now."""
-        record = self._records.get(dialog)
+        record = self._records.get(dialog_id)
         if record is None or record.phase not in (Phase.IN_FLIGHT, Phase.CANCELLED):
             return
         if outcome in CLOSED_OUTCOMES:
@@ -160,34 +160,34 @@
         elif record.phase is Phase.IN_FLIGHT:
             self._put(lifecycle.cancel_attempt(record, self._current_timestamp()))
 
-    def on_established(self, dialog: str) -> None:
+    def on_established(self, dialog_id: str) -> None:
         """Records that the attempt in flight is established."""
-        if (record := self._records.get(dialog)) is not None and record.phase is Phase.IN_FLIGHT:
+        if (record := self._records.get(dialog_id)) is not None and record.phase is Phase.IN_FLIGHT:
             self._put(lifecycle.establish(record, self._current_timestamp()))
 
-    def on_answered(self, dialog: str, answer: str, retry_after: int, deadline: int) -> None:
+    def on_answered(self, dialog_id: str, answer: str, retry_after: int, deadline: int) -> None:
         """Records the answer of a rejected or failed dialog, to be kept until the caller's deadline."""
-        if (record := self._records.get(dialog)) is None:
+        if (record := self._records.get(dialog_id)) is None:
             return
         now = self._current_timestamp()
         if record.phase is Phase.IN_FLIGHT:
             record = lifecycle.cancel_attempt(record, now)
         self._put(lifecycle.conclude(record, answer, retry_after, now))
-        self._answered.append((deadline, dialog))
+        self._answered.append((deadline, dialog_id))
 
-    def keep_answer_until(self, dialog: str, deadline: int) -> None:
+    def keep_answer_until(self, dialog_id: str, deadline: int) -> None:
         """Keeps an answer that the previous incarnation recorded until its caller's deadline."""
-        self._answered.append((deadline, dialog))
+        self._answered.append((deadline, dialog_id))
 
-    def on_dialog_closed(self, dialog: str) -> None:
+    def on_dialog_closed(self, dialog_id: str) -> None:
         """Removes the record of a dialog that the proxy has removed, unless it holds an answer."""
-        if (record := self._records.get(dialog)) is not None and record.phase is not Phase.CONCLUDED:
-            self.remove(dialog)
+        if (record := self._records.get(dialog_id)) is not None and record.phase is not Phase.CONCLUDED:
+            self.remove(dialog_id)
 
-    def remove(self, dialog: str) -> None:
+    def remove(self, dialog_id: str) -> None:
         """Removes a record, if there is one."""
-        if self._records.pop(dialog, None) is not None:
-            self._store.delete(dialog)
+        if self._records.pop(dialog_id, None) is not None:
+            self._store.delete(dialog_id)
 
     def _put(self, record: DialogRecord) -> None:
         self._records[record.dialog_id] = record
@@ -212,10 +212,10 @@
     def _sweep(self, now: int) -> None:
         # The deadlines are nearly sorted. One that is out of order is removed later, after those before it.
         while self._answered and self._answered[0][0] <= now:
-            dialog = self._answered.popleft()[1]
-            record = self._records.get(dialog)
+            dialog_id = self._answered.popleft()[1]
+            record = self._records.get(dialog_id)
             if record is not None and record.phase is Phase.CONCLUDED:
-                self.remove(dialog)
+                self.remove(dialog_id)
 
     def _on_store_failed(self, now: int, error: Exception) -> None:
         self._suspended_until = now + STORE_RETRY_INTERVAL
