--- a/valverouter/edge/recovery_log.py
+++ b/valverouter/edge/recovery_log.py
@@ -119,7 +119,7 @@
     # Transitions
 
     def on_accepted(self, request: setup.Setup, caller: str, time_left: int, now: int) -> None:
-        """Records an accepted dialog, to which an answer is owed; does nothing while the store is failing."""
+        """Records an accepted dialog, whose caller is owed an answer; does nothing while the store fails."""
         if now < self._suspended_until:
             return
         self._put(
--- a/valverouter/edge/recovery_state.py
+++ b/valverouter/edge/recovery_state.py
@@ -13,10 +13,11 @@
 class RecoveryState:
     """The recovery log, and the state of dialogs whose recovery is not complete; the dicts are by dialog id.
 
-    `pending`: the action that a dialog waits for before its routing continues. `unreported_ends`: why an
-    established dialog ended while its caller was disconnected. Entries of both are removed with the dialog.
-    `attempt_offsets`: how many attempts of a dialog the previous incarnation numbered; a timer removes an
-    entry some time after the dialog's deadline. `pacing`: the queries to servers that wait or are unanswered.
+    `pending`: the action that a dialog waits for before its routing continues. `unreported_ends`: the reason
+    for which an established dialog ended while its caller was disconnected. Entries of both are removed with
+    the dialog. `attempt_offsets`: how many attempts of a dialog the previous incarnation numbered; a timer
+    removes an entry some time after the dialog's deadline. `pacing`: the queries to servers that wait or are
+    unanswered.
     """
 
     log: RecoveryLog
--- a/valverouter/edge/resumable_dialogs.py
+++ b/valverouter/edge/resumable_dialogs.py
@@ -20,7 +20,7 @@
         self._state = state
 
     def accept(self, entry: DialogEntry) -> None:
-        """Accepts a dialog and records that an answer is owed to it."""
+        """Accepts a dialog and records that its caller is owed an answer."""
         super().accept(entry)
         now = self._context.now
         self._state.log.on_accepted(entry.setup, entry.caller.name, entry.deadline - now, now)
@@ -46,7 +46,7 @@
         super().end(entry, reason)
 
     def remove(self, entry: DialogEntry) -> None:
-        """Removes a dialog to which nothing more is owed, together with its recovery state."""
+        """Removes a dialog that needs no further message, together with its recovery state."""
         super().remove(entry)
         dialog_id = entry.setup.dialog
         self._state.log.on_dialog_closed(dialog_id)
--- a/valverouter/rollout/operation_planning.py
+++ b/valverouter/rollout/operation_planning.py
@@ -23,7 +23,7 @@
 
 
 def plan_operation(log: OperationLog, submit: Submit) -> SubmitResult:
-    """Returns the waves of an operation if it were submitted now, or why it would be rejected as a whole."""
+    """Returns the waves of an operation if it were submitted now, or the reason to reject it as a whole."""
     rejection = _find_rejection(log, submit)
     if rejection:
         return SubmitResult(submit.id, rejection=rejection)
