--- a/tests/test_cross_region_scenarios.py
+++ b/tests/test_cross_region_scenarios.py
@@ -151,6 +151,6 @@
     ]
     assert [limiter.gate.openings for limiter in limiters[2:]] == [0] * 4, "a gate opens only on evidence"
     assert all(1 <= limiter.gate.openings <= 2 for limiter in limiters[:2])
-    assert all(len(limiter._charged) == limiter.circuits_in_use for limiter in limiters), (
+    assert all(len(limiter._charged) == limiter.established_count for limiter in limiters), (
         "only circuits in use are charged"
     )
--- a/valverouter/edge/context.py
+++ b/valverouter/edge/context.py
@@ -29,8 +29,8 @@
     """Counters since the start of the process.
 
     `answers` and `attempts` count by kind; the set of kinds is fixed, so their memory is bounded. `failures`
-    counts exceptions in event handling and the driver, `withheld` answers not sent because the
-    caller's deadline had passed, `stalls` periods in which this process did not run.
+    counts exceptions in event handling and the driver, `withheld` answers not sent because the caller's
+    deadline had passed, `stalls` periods in which this process did not run.
     """
 
     answers: Counter[str] = field(default_factory=Counter)
@@ -69,13 +69,13 @@
         self.shutdown = GracefulShutdown()
         self.unread_since = 0
         # Ends an open dialog for which the driver has raised an exception. Set by the EdgeProxy.
-        self.on_decision_failed: Callable[[str], None] = lambda dialog_id: None
+        self.on_dialog_failed: Callable[[str], None] = lambda dialog_id: None
         self._jitter_draws = 0
         self._last_failure = ""
         self._repeated_failures = 0
 
-    def run_decision(self, dialog_id: str, action: Callable[..., None], *args: Any) -> bool:
-        """Calls into the Driver; returns False if it raised an exception.
+    def run_isolated(self, dialog_id: str, action: Callable[..., None], *args: Any) -> bool:
+        """Calls the Driver or executes one of its commands; returns False if that raised an exception.
 
         The exception ends the dialog `dialog_id` with an answer; other dialogs are not affected.
         """
@@ -83,7 +83,7 @@
             action(*args)
         except Exception as error:  # no exception of the driver may affect other dialogs
             self._log_failure(dialog_id, error)
-            self.on_decision_failed(dialog_id)
+            self.on_dialog_failed(dialog_id)
             return False
         return True
 
--- a/valverouter/regions/cross_region_limiter.py
+++ b/valverouter/regions/cross_region_limiter.py
@@ -127,7 +127,7 @@
         self._charged[key] = attempt
 
     def on_rejected(self, now: int, traffic_type: str) -> None:
-        """Counts a dialog that was rejected although a remote server would have accepted it."""
+        """Counts a dialog that was rejected although a remote server would have admitted it."""
         self.usage.record(now, self._usage_key(traffic_type, UNKNOWN_REGION), UsageCounters(rejected=1))
 
     def on_attempt_result(self, now: int, result: AttemptResult) -> None:
@@ -153,7 +153,7 @@
             self.usage.record(now, attempt.usage_key, UsageCounters(reset=1))
 
     @property
-    def circuits_in_use(self) -> int:
+    def established_count(self) -> int:
         """The number of established cross-region dialogs."""
         return sum(bool(attempt.established_at) for attempt in self._charged.values())
 
