--- a/tests/test_platform_edge_races.py
+++ b/tests/test_platform_edge_races.py
@@ -36,7 +36,7 @@
     release_line,
     running_platform_edge,
 )
-from tests.process_harness import Drill, drill
+from tests.process_harness import ProcessHarness, running_process
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
 from valverouter.platform_edge import dialogs as platform_dialogs
@@ -277,7 +277,7 @@
 
 async def test_callers_that_use_all_descriptors_do_not_block_the_bus_or_servers(tmp_path: Path) -> None:
     sockets, servers = 96, 20
-    async with drill(tmp_path, servers=0) as harness:
+    async with running_process(tmp_path, servers=0) as harness:
         peers = PlatformPeers(harness.nursery)
         bus_at = free_port()
         config = configuration([], free_port(), bus_at)
@@ -286,8 +286,8 @@
             "extra": SETTINGS["extra"] | {"classCells": [list(range(servers))] * 2}
         }
         await harness.start_platform_edge(config)
-        harness.limit(resource.RLIMIT_NOFILE, sockets)
-        await harness.event("bus-down")
+        harness.set_limit(resource.RLIMIT_NOFILE, sockets)
+        await harness.wait_for_event("bus-down")
         idle = []
         for _ in range(2 * sockets):
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError, AssertionError):
@@ -311,7 +311,7 @@
         with trio.fail_after(20):
             (answer,) = isup.MessageReader().feed(await good.receive_some())
         assert (answer.type, answer.id) == (isup.ANM, B)
-        assert harness.holds()["descriptors"] < sockets
+        assert harness.resource_usage()["descriptors"] < sockets
 
 
 async def open_pipe_and_write(path: Path, data: bytes) -> int:
@@ -331,7 +331,7 @@
 
 async def test_sighup_while_the_configuration_is_read_is_not_lost(tmp_path: Path) -> None:
     # The file is a pipe, so that the test can end the read after the signal.
-    async with drill(tmp_path, servers=0) as harness:
+    async with running_process(tmp_path, servers=0) as harness:
         path = tmp_path / "config.json"
         os.mkfifo(path)
         listen = free_port()
@@ -342,11 +342,11 @@
         harness.process.send_signal(signal.SIGHUP)
         os.close(descriptor)
         # The first read has ended by now; a second writer before that would have appended to its input.
-        await harness.event("edge-listening")
+        await harness.wait_for_event("edge-listening")
         os.close(
             await open_pipe_and_write(path, msgspec.json.encode(configuration([], listen, "127.0.0.1:2")))
         )
-        assert (await harness.event("configuration-reloaded"))["bus"] == "127.0.0.1:2"
+        assert (await harness.wait_for_event("configuration-reloaded"))["bus"] == "127.0.0.1:2"
 
 
 INVALID_EVENTS: list[tuple[str, dict[str, Any]]] = [
@@ -359,29 +359,29 @@
 async def test_invalid_events_end_the_start_with_one_line(
     tmp_path: Path, named: str, change: dict[str, Any]
 ) -> None:
-    async with drill(tmp_path, servers=0) as harness:
+    async with running_process(tmp_path, servers=0) as harness:
         path = tmp_path / "config.json"
         path.write_bytes(msgspec.json.encode(configuration([], free_port()) | change))
         harness.spawn(["valverouter.platform_edge"], {"RELAY_CONFIG": str(path)})
-        assert await harness.ended() == 2
+        assert await harness.wait_for_exit() == 2
         with trio.fail_after(20):
-            while not harness.other_lines:
+            while not harness.unparsed_lines:
                 await trio.sleep(0.01)
-        assert len(harness.other_lines) == 1
-        assert f"{path}: {named}:" in harness.other_lines[0].decode()
+        assert len(harness.unparsed_lines) == 1
+        assert f"{path}: {named}:" in harness.unparsed_lines[0].decode()
 
 
-async def reload_rejected(harness: Drill, contents: list[bytes]) -> None:
+async def reload_rejected(harness: ProcessHarness, contents: list[bytes]) -> None:
     """Checks that each content is rejected at SIGHUP and that the process continues to serve."""
     for count, content in enumerate(contents, start=1):
-        harness.file.write_bytes(content)
+        harness.config_file.write_bytes(content)
         harness.process.send_signal(signal.SIGHUP)
-        await harness.event("configuration-rejected", many=count)
+        await harness.wait_for_event("configuration-rejected", count=count)
         await (await connect_and_test(harness.address)).aclose()
 
 
 async def test_an_unusable_configuration_changes_nothing_at_sighup(tmp_path: Path) -> None:
-    async with drill(tmp_path, servers=0) as harness:
+    async with running_process(tmp_path, servers=0) as harness:
         config = configuration([], free_port(), "127.0.0.1:1")
         await harness.start_platform_edge(config)
         complete = msgspec.json.encode(config | {"bus": "127.0.0.1:2"})
@@ -391,13 +391,13 @@
         other_edge = msgspec.json.encode(config | {"bus": "127.0.0.1:2", "name": "n1"})
         await reload_rejected(harness, [complete[: len(complete) // 2], *invalid, other_edge])
         assert not harness.events("configuration-reloaded")
-        harness.file.write_bytes(complete)
+        harness.config_file.write_bytes(complete)
         harness.process.send_signal(signal.SIGHUP)
-        await harness.event("configuration-reloaded")
+        await harness.wait_for_event("configuration-reloaded")
         harness.process.send_signal(signal.SIGTERM)
         harness.process.send_signal(signal.SIGTERM)
         harness.process.send_signal(signal.SIGHUP)
-        assert await harness.ended() == 0
+        assert await harness.wait_for_exit() == 0
 
 
 # Start-up
@@ -422,7 +422,7 @@
     durations = []
     for at in range(10):
         (folder := tmp_path / str(at)).mkdir()
-        async with drill(folder, servers=0) as harness:
+        async with running_process(folder, servers=0) as harness:
             config = configuration([whole], free_port(), "127.0.0.1:1")
             config["settings"] = SETTINGS | {
                 "extra": SETTINGS["extra"] | {"classCells": [list(range(len(rows)))] * 2}
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -11,7 +11,7 @@
 import trio
 
 from tests.platform_harness import configuration, encode_setup
-from tests.process_harness import Drill, drill
+from tests.process_harness import ProcessHarness, running_process
 from tests.test_platform_edge_races import PlatformPeers, connect_and_test, free_port
 from valverouter.config import platform
 from valverouter.edge.sockets import SocketRuntime
@@ -25,9 +25,9 @@
 
 
 @asynccontextmanager
-async def platform_process(folder: Path, answers: bool = True) -> AsyncIterator[Drill]:
+async def platform_process(folder: Path, answers: bool = True) -> AsyncIterator[ProcessHarness]:
     """Starts the platform's edge proxy with two core servers and all connections up."""
-    async with drill(folder, servers=0) as harness:
+    async with running_process(folder, servers=0) as harness:
         peers = PlatformPeers(harness.nursery)
         bus_at = await harness.nursery.start(peers.network.serve, "127.0.0.1:0", peers.bus.serve)
         servers = [await peers.server(name) for name in ("s0", "s1")]
@@ -44,7 +44,7 @@
 
 
 @asynccontextmanager
-async def stopped(harness: Drill, duration_s: float) -> AsyncIterator[None]:
+async def stopped(harness: ProcessHarness, duration_s: float) -> AsyncIterator[None]:
     """Stops the process for `duration_s` seconds; what is sent in the block stays unread until then."""
     harness.process.send_signal(signal.SIGSTOP)
     started_at = trio.current_time()
@@ -72,7 +72,7 @@
 
 
 async def test_a_hello_unread_during_a_stop_is_answered(tmp_path: Path) -> None:
-    async with drill(tmp_path) as harness:
+    async with running_process(tmp_path) as harness:
         await harness.start(harness.ini())
         stream = await SocketRuntime().connect(harness.address)
         await trio.sleep(0.1)
@@ -124,7 +124,7 @@
     """
     for at in range(3):
         (folder := tmp_path / str(at)).mkdir()
-        async with drill(folder) as harness:
+        async with running_process(folder) as harness:
             await harness.start(harness.ini())
             while harness.process.poll() is None:
                 harness.process.send_signal(number)
