--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -16,17 +16,17 @@
 from functools import partial
 
 from valverouter.soak.injected_faults import FAULTS
-from valverouter.soak.report import CourseReport, play_course, summary
+from valverouter.soak.report import RunReport, play_run, summary
 
 
-def spin() -> None:
+def keep_core_busy() -> None:
     """Keeps a core busy until the soak has gone."""
     parent = os.getppid()
     while os.getppid() == parent:
         sum(range(100_000))
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """The seeds of `1-50` or `7`."""
     first, _, last = text.partition("-")
     return list(range(int(first), int(last or first) + 1))
@@ -37,17 +37,17 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seeds", type=seeds_of, default=seeds_of("1-50"))
+    parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1-50"))
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--busy", type=int, default=0)
     parser.add_argument("--planted", choices=list(FAULTS), default="")
     options = parser.parse_args()
-    busy = [mp.Process(target=spin, daemon=True) for _ in range(options.busy)]
+    busy = [mp.Process(target=keep_core_busy, daemon=True) for _ in range(options.busy)]
     for process in busy:
         process.start()
-    reports: list[CourseReport] = []
+    reports: list[RunReport] = []
     with mp.Pool(options.jobs, maxtasksperchild=1) as pool:
-        for report in pool.imap(partial(play_course, planted_fault=options.planted), options.seeds):
+        for report in pool.imap(partial(play_run, injected_fault=options.planted), options.seeds):
             reports.append(report)
             print(report.line, *report.verdict.violations[:10], sep="\n    ", flush=True)
     for process in busy:
--- a/valverouter/soak/core_servers.py
+++ b/valverouter/soak/core_servers.py
@@ -19,7 +19,7 @@
 
 ANY_PORT = "127.0.0.1:0"
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0\r\n"
-CAUSE_OVER, CAUSE_NO_CIRCUIT = 16, 34
+CAUSE_NORMAL_CLEARING, CAUSE_NO_CIRCUIT = 16, 34
 PROMPT_DELAY_S = (0.002, 0.03)
 # A late server answers within these fractions of the time that it is given, a few after it.
 LATE_FRACTIONS = (0.3, 1.1)
@@ -58,7 +58,7 @@
         async with stream, trio.open_nursery() as nursery:
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError, ProtocolError):
                 await connection.read(nursery)
-            connection.give_up_all()
+            connection.end_all_attempts()
             nursery.cancel_scope.cancel()
 
     def begin_attempt(self, dialog: str) -> int:
@@ -73,7 +73,7 @@
             MessageRow, edge=self._edge, peer=self.name, sent=sent, kind=kind, dialog=dialog, leg=attempt
         )
 
-    def answer_delay_s(self, time_left_ms: int) -> float:
+    def draw_answer_delay_s(self, time_left_ms: int) -> float:
         """How long it takes to answer a set-up; infinite: it never answers."""
         if self.behavior is ServerBehavior.NEVER or self.is_hanging:
             return float("inf")
@@ -81,11 +81,11 @@
             return time_left_ms / 1e3 * self._rng.uniform(*LATE_FRACTIONS)
         return self._rng.uniform(*PROMPT_DELAY_S)
 
-    def draws(self, probability: float) -> bool:
+    def draw_event(self, probability: float) -> bool:
         """Whether something of that probability happens."""
         return self._rng.random() < probability
 
-    def call_length_s(self) -> float:
+    def draw_call_length_s(self) -> float:
         """How long an established call lasts unless its caller ends it."""
         return self._rng.expovariate(1 / MEAN_CALL_S)
 
@@ -104,9 +104,9 @@
         await self._send("state", "0" * 16, {"load": FULL_LOAD})
         closes_idle = self._server.behavior is ServerBehavior.CLOSES_IDLE
         while True:
-            with trio.move_on_after(IDLE_CLOSE_S if closes_idle else float("inf")) as patience:
+            with trio.move_on_after(IDLE_CLOSE_S if closes_idle else float("inf")) as timeout:
                 data = await self._stream.receive_some(65_536)
-            if patience.cancelled_caught:
+            if timeout.cancelled_caught:
                 if not self._attempts:
                     return
                 continue
@@ -124,15 +124,15 @@
             self._server.record("setup", line.id, attempt, sent=False)
             nursery.start_soon(self._run_attempt, line.id, int(line.fields["left"]))
         elif line.type == "release":
-            self._end(line.id)
+            self._release(line.id)
 
-    def _end(self, dialog: str) -> None:
+    def _release(self, dialog: str) -> None:
         """The edge proxy gives an attempt up, or releases what stands."""
         if (found := self._attempts.pop(dialog, None)) is not None:
             attempt, is_established = found
             self._server.record("release" if is_established else "cancel", dialog, attempt, sent=False)
 
-    def give_up_all(self) -> None:
+    def end_all_attempts(self) -> None:
         """The connection ended: the set-ups open on it are given up.
 
         An answer may be lost with it. The attempt's end is written then, by the platform's page, so that the
@@ -144,14 +144,14 @@
 
     async def _run_attempt(self, dialog: str, time_left_ms: int) -> None:
         server = self._server
-        if server.behavior is ServerBehavior.RESETS and server.draws(RESET_PROBABILITY):
+        if server.behavior is ServerBehavior.RESETS and server.draw_event(RESET_PROBABILITY):
             await trio.aclose_forcefully(self._stream)
             return
-        await trio.sleep(server.answer_delay_s(time_left_ms))
+        await trio.sleep(server.draw_answer_delay_s(time_left_ms))
         if dialog not in self._attempts or server.is_hanging:
             return
         attempt, _ = self._attempts[dialog]
-        if server.draws(REFUSAL_PROBABILITY):
+        if server.draw_event(REFUSAL_PROBABILITY):
             del self._attempts[dialog]
             server.record(REFUSAL_KIND, dialog, attempt, sent=True)
             await self._send("release", dialog, {"note": "no_path"}, cause=CAUSE_NO_CIRCUIT)
@@ -159,10 +159,10 @@
         self._attempts[dialog] = attempt, True
         server.record(ANSWER_KIND, dialog, attempt, sent=True)
         await self._send("answer", dialog, {"load": FULL_LOAD}, sdp=DESCRIPTION + dialog)
-        await trio.sleep(server.call_length_s())
+        await trio.sleep(server.draw_call_length_s())
         if self._attempts.pop(dialog, None) is not None and not server.is_hanging:
             server.record(END_KIND, dialog, attempt, sent=True)
-            await self._send("release", dialog, {}, cause=CAUSE_OVER)
+            await self._send("release", dialog, {}, cause=CAUSE_NORMAL_CLEARING)
 
     async def _send(self, kind: str, id_: str, fields: dict[str, str], **more: Any) -> None:
         line = {"type": kind, "id": id_, "fields": fields, **more}
@@ -175,14 +175,14 @@
 class EventBus:
     """The event bus, which may listen at several addresses; `asked` calls back with the address asked."""
 
-    def __init__(self, recorder: TrafficRecorder, edge: str, on_asked: Callable[[str], None]) -> None:
+    def __init__(self, recorder: TrafficRecorder, edge: str, on_poll: Callable[[str], None]) -> None:
         self.events: list[dict[str, Any]] = []
         self._recorder = recorder
         self._edge = edge
-        self._on_asked = on_asked
+        self._on_poll = on_poll
         self._changed = trio.Event()
 
-    def announce(self, hosts: list[dict[str, Any]], whole: bool = False) -> None:
+    def publish(self, hosts: list[dict[str, Any]], whole: bool = False) -> None:
         """Adds an event with the present state of core servers."""
         number = len(self.events) + 1
         self.events.append({"offset": number, "topology": {"seq": number, "whole": whole, "hosts": hosts}})
@@ -214,7 +214,7 @@
                 if not isinstance(request, h11.Request):
                     return
                 connection.next_event()
-                self._on_asked(address)
+                self._on_poll(address)
                 body = await self._answer(request.target.decode())
                 head = h11.Response(status_code=200, headers=[("Content-Length", str(len(body)))])
                 parts = [connection.send(event) for event in (head, h11.Data(data=body), h11.EndOfMessage())]
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -20,14 +20,14 @@
 from valverouter.scenarios.scenario_runner import play_script
 from valverouter.signalling.traffic_record import FaultRow, MessageRow
 from valverouter.soak.event_loop_lag import watch_lag
-from valverouter.soak.judge import CourseVerdict, Outcome
-from valverouter.soak.plan import Course, FileChange, ScheduledSignal, ServerBehavior
+from valverouter.soak.judge import Outcome, RunVerdict
+from valverouter.soak.plan import FileChange, RunPlan, ScheduledSignal, ServerBehavior
 from valverouter.soak.process import log_problem
-from valverouter.soak.record import CourseRecord
+from valverouter.soak.record import RunRecord
 
 # After the restart, for callers that come back.
-LAST_CALLS_S = 2.0
-HALF_FILE_S = 0.05
+TIME_AFTER_RESTART_S = 2.0
+TRUNCATED_FILE_S = 0.05
 READ_SIZE = 4_096
 # The fault of a scenario that stands for a server's behavior.
 FAULT_KINDS = {
@@ -80,41 +80,41 @@
 """
 
 
-def scenario_of(course: Course) -> ScenarioConfig:
+def build_scenario(plan: RunPlan) -> ScenarioConfig:
     """The scenario of a course: its servers' faults, and its calls for as long as it takes."""
-    length_s = course.stop_s + course.kill_after_s + LAST_CALLS_S
+    length_s = plan.stop_s + plan.kill_after_s + TIME_AFTER_RESTART_S
     text = SCENARIO.format(
         length_ms=round(length_s * 1e3),
-        seed=course.seed,
-        no_answer_ms=round(course.longest_deadline_s * 1e3),
-        rate=round(course.setups_per_s),
+        seed=plan.seed,
+        no_answer_ms=round(plan.longest_deadline_s * 1e3),
+        rate=round(plan.setups_per_s),
     )
-    for number, behavior in enumerate(course.servers):
+    for number, behavior in enumerate(plan.servers):
         if (fault := FAULT_KINDS.get(behavior)) is None:
             continue
-        start_s = course.stop_s if behavior is ServerBehavior.HANGS_AT_SHUTDOWN else 0.2
+        start_s = plan.stop_s if behavior is ServerBehavior.HANGS_AT_SHUTDOWN else 0.2
         length_ms = round((length_s - start_s) * 500)
         text += f"\n[trouble t{number}]\n{fault}\nstart = {round(start_s * 1e3)}ms\n"
         text += f"length = {length_ms}ms\non = s{number}\n"
-    servers = f"[region north]\nedges = 1\nservers = {len(course.servers)}\n"
-    return scenario_config(IniFile(text + "\n" + servers, f"soak {course.seed}"), "soak")
+    servers = f"[region north]\nedges = 1\nservers = {len(plan.servers)}\n"
+    return scenario_config(IniFile(text + "\n" + servers, f"soak {plan.seed}"), "soak")
 
 
 class EdgeRun:
     """One course with one edge proxy of our own protocol."""
 
-    def __init__(self, course: Course, folder: Path) -> None:
+    def __init__(self, plan: RunPlan, folder: Path) -> None:
         """Logs and files go into `folder`."""
-        self.record = CourseRecord()
-        self._course = course
+        self.record = RunRecord()
+        self._plan = plan
         self._folder = folder
-        self._rng = random.Random(f"soak/{course.seed}/run")
+        self._rng = random.Random(f"soak/{plan.seed}/run")
         self._violations: list[str] = []
         self._margins: list[int] = []
 
-    async def play(self) -> CourseVerdict:
+    async def play(self) -> RunVerdict:
         """Plays the course and judges it."""
-        scenario = scenario_of(self._course)
+        scenario = build_scenario(self._plan)
         runtime = SocketRuntime()
         fakes = ScenarioFakes(scenario, runtime, scenario.run.slack, lambda name: ANY_PORT, FAULT_SLACK)
         with trio.CancelScope() as scope:
@@ -126,8 +126,8 @@
                 await edge.start()
                 fakes.add_callers(0, edge)
                 await trio.sleep(scenario.run.settle / NS_PER_S)
-                for _ in range(self._course.crowd):
-                    nursery.start_soon(self._run_crowd_connection, edge)
+                for _ in range(self._plan.idle_connections):
+                    nursery.start_soon(self._keep_idle_connection, edge)
                 async with trio.open_nursery() as playing:
                     playing.start_soon(play_script, fakes)
                     await self._send_signals(edge, fakes)
@@ -140,15 +140,15 @@
         """The course's signals; the process that they end is followed by another."""
         began = trio.current_time()
         stopped_at = None
-        for item in self._course.signals:
+        for item in self._plan.signals:
             await trio.sleep_until(began + item.at_s)
             await self._change_file(edge, item)
             if item.number != signal.SIGHUP and stopped_at is None:
                 stopped_at = trio.current_time()
-                self._record_fault(fakes, "balancer_leave", self._course.kill_after_s)
+                self._record_fault(fakes, "balancer_leave", self._plan.kill_after_s)
             edge.send_signal(item.number)
         assert stopped_at is not None
-        kill_at = stopped_at + self._course.kill_after_s
+        kill_at = stopped_at + self._plan.kill_after_s
         if await edge.wait_until_ended(kill_at - trio.current_time()):
             self._margins.append(round((kill_at - trio.current_time()) * NS_PER_S))
             self._check_exit(edge)
@@ -158,20 +158,20 @@
             await edge.kill()
         await edge.start()
 
-    async def _run_crowd_connection(self, edge: LoopbackEdge) -> None:
+    async def _keep_idle_connection(self, edge: LoopbackEdge) -> None:
         """A connection that says nothing, for as long as it may."""
-        await trio.sleep(self._rng.random() * self._course.stop_s)
+        await trio.sleep(self._rng.random() * self._plan.stop_s)
         with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             async with await SocketRuntime().connect(edge.address) as stream:
                 while await stream.receive_some(READ_SIZE):
                     pass
 
     async def _change_file(self, edge: LoopbackEdge, item: ScheduledSignal) -> None:
-        if item.file is FileChange.HALF_WRITTEN:
+        if item.file is FileChange.TRUNCATED:
             text = edge.config_file.read_text("utf-8")
             edge.config_file.write_text(text[: len(text) // 2], "utf-8")
             edge.send_signal(item.number)
-            await trio.sleep(HALF_FILE_S)
+            await trio.sleep(TRUNCATED_FILE_S)
             edge.config_file.write_text(text, "utf-8")
 
     def _record_fault(self, fakes: ScenarioFakes, kind: str, length_s: float) -> None:
@@ -182,11 +182,11 @@
         if edge.returncode != 0:
             self._violations.append(f"a process ended with {edge.returncode}")
 
-    def _judge(self, fakes: ScenarioFakes, edge: LoopbackEdge) -> CourseVerdict:
+    def _judge(self, fakes: ScenarioFakes, edge: LoopbackEdge) -> RunVerdict:
         rows = fakes.recorder.rows
         found = [f"rule {item.rule}: {item.subject} {item.text}" for item in audit(rows).violations]
         lines = edge.log_file.read_bytes().splitlines()
         found += [problem for line in lines if (problem := log_problem(line))]
         kinds = Counter(row.kind for row in rows if isinstance(row, MessageRow) and row.peer == "c0")
         answers = sum(kinds[kind] for kind in FINAL_ANSWERS)
-        return CourseVerdict(Counter({Outcome.ANSWERED: answers}), found + self._violations, self._margins)
+        return RunVerdict(Counter({Outcome.ANSWERED: answers}), found + self._violations, self._margins)
--- a/valverouter/soak/event_loop_lag.py
+++ b/valverouter/soak/event_loop_lag.py
@@ -6,14 +6,14 @@
 
 import trio
 
-from valverouter.soak.record import CourseRecord
+from valverouter.soak.record import RunRecord
 
 INTERVAL_S = 0.005
 
 
-async def watch_lag(record: CourseRecord) -> None:
+async def watch_lag(record: RunRecord) -> None:
     """Keeps the longest lag in `record`, until cancelled."""
     while True:
         due = time.monotonic_ns() + round(INTERVAL_S * 1e9)
         await trio.sleep(INTERVAL_S)
-        record.driver_lag = max(record.driver_lag, time.monotonic_ns() - due)
+        record.loop_lag = max(record.loop_lag, time.monotonic_ns() - due)
--- a/valverouter/soak/injected_faults.py
+++ b/valverouter/soak/injected_faults.py
@@ -43,14 +43,14 @@
     send = PlatformCaller.send
     counter = itertools.count(1)
 
-    def send_most(self: PlatformCaller, message: Any) -> None:
+    def send_with_losses(self: PlatformCaller, message: Any) -> None:
         if next(counter) % DROP_EVERY:
             send(self, message)
 
-    PlatformCaller.send = send_most  # type: ignore[method-assign]
+    PlatformCaller.send = send_with_losses  # type: ignore[method-assign]
 
 
-def _cut_short_by_second_stop() -> None:
+def _exit_at_second_stop_signal() -> None:
     """Ends at once at a second signal to stop."""
     stop = program.stop_after_accept_period
     counter = itertools.count(1)
@@ -63,7 +63,7 @@
     program.stop_after_accept_period = stop_once
 
 
-def _lose_hangups() -> None:
+def _ignore_sighup() -> None:
     """Reads no new configuration."""
 
     async def ignore(proxy: PlatformProxy, path: Path) -> None:
@@ -75,8 +75,8 @@
 FAULTS = {
     "early-exit": _exit_early,
     "dropped-answer": _drop_answers,
-    "second-stop": _cut_short_by_second_stop,
-    "lost-hangup": _lose_hangups,
+    "second-stop": _exit_at_second_stop_signal,
+    "lost-hangup": _ignore_sighup,
 }
 
 if __name__ == "__main__":
--- a/valverouter/soak/plan.py
+++ b/valverouter/soak/plan.py
@@ -9,19 +9,19 @@
 
 # The platform's times (its page): what SIGKILL waits for, and until when callers open connections.
 KILL_DELAY_S = 0.7
-MAX_KILL_BASE_S = 3.0
-LAST_CONNECTION_S = (0.2, 0.4)
+MAX_DEADLINE_BEFORE_KILL_S = 3.0
+LAST_CONNECT_RANGE_S = (0.2, 0.4)
 # SIGHUP comes no sooner than this after the start; what the event bus tells counts as told so long after it.
-FIRST_HANGUP_S = 1.0
-HANGUP_TOLD_S = 4.0
+FIRST_SIGHUP_S = 1.0
+RELOAD_LIMIT_S = 4.0
 # Every third course has a crowd of callers' connections, most of them idle.
-CROWD_EVERY = 3
-CROWD_SIZE = (200, 300)
+IDLE_CONNECTIONS_EVERY = 3
+IDLE_CONNECTION_RANGE = (200, 300)
 # Of the crowd's connections, how many leave a message incomplete.
-CROWD_HALF_MESSAGES = 0.2
+INCOMPLETE_MESSAGE_FRACTION = 0.2
 
 
-class Front(Enum):
+class EdgeKind(Enum):
     """Which program a course runs: the platform's edge proxy, or the one with our own protocol."""
 
     PLATFORM = "platform"
@@ -44,7 +44,7 @@
 
     NONE = "none"
     REPLACED = "replaced"
-    HALF_WRITTEN = "half written"
+    TRUNCATED = "half written"
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
+class RunPlan:
     """One course. `stop_s`: when the first SIGTERM or SIGINT comes after the callers' start.
 
     `drain_s`: when the first server is announced to drain. `crowd`: connections beside the callers'.
@@ -65,12 +65,12 @@
     """
 
     seed: int
-    front: Front
+    edge_kind: EdgeKind
     longest_deadline_s: float
     servers: tuple[ServerBehavior, ...]
     callers: int
     setups_per_s: float
-    crowd: int
+    idle_connections: int
     stop_s: float
     drain_s: float
     signals: tuple[ScheduledSignal, ...]
@@ -79,34 +79,36 @@
     @property
     def kill_after_s(self) -> float:
         """The earliest SIGKILL, after the first signal to stop."""
-        return min(self.longest_deadline_s, MAX_KILL_BASE_S) + KILL_DELAY_S
+        return min(self.longest_deadline_s, MAX_DEADLINE_BEFORE_KILL_S) + KILL_DELAY_S
 
     @property
-    def hangups(self) -> list[ScheduledSignal]:
+    def sighups(self) -> list[ScheduledSignal]:
         """The hangups, in their order."""
         return [item for item in self.signals if item.number == signal.SIGHUP]
 
 
-def draw_course(seed: int) -> Course:
+def draw_plan(seed: int) -> RunPlan:
     """The course of a seed: odd seeds run the platform's edge proxy, even ones the own protocol's."""
     rng = random.Random(f"soak/{seed}")
-    front = Front.PLATFORM if seed % 2 else Front.EDGE
+    edge_kind = EdgeKind.PLATFORM if seed % 2 else EdgeKind.EDGE
     stop_s = rng.uniform(1.5, 3.0)
     # Two of five courses are long enough to see that a hangup before the stop has acted.
-    with_early_hangups = rng.random() < 0.4
-    if with_early_hangups:
-        stop_s += HANGUP_TOLD_S + FIRST_HANGUP_S
-    signals = _draw_hangups(rng, stop_s) if with_early_hangups else []
+    with_early_sighups = rng.random() < 0.4
+    if with_early_sighups:
+        stop_s += RELOAD_LIMIT_S + FIRST_SIGHUP_S
+    signals = _draw_sighups(rng, stop_s) if with_early_sighups else []
     signals += _draw_stop_signals(rng, stop_s)
     behaviors = [ServerBehavior.PROMPT, *rng.choices(list(ServerBehavior), k=rng.randint(2, 4))]
-    return Course(
+    return RunPlan(
         seed=seed,
-        front=front,
+        edge_kind=edge_kind,
         longest_deadline_s=rng.choice((1.0, 2.0, 2.0, 4.0)),
         servers=tuple(behaviors),
         callers=rng.randint(4, 10),
         setups_per_s=rng.choice((100, 200, 300)),
-        crowd=rng.randint(*CROWD_SIZE) if seed // 2 % CROWD_EVERY == 0 else 0,
+        idle_connections=rng.randint(*IDLE_CONNECTION_RANGE)
+        if seed // 2 % IDLE_CONNECTIONS_EVERY == 0
+        else 0,
         stop_s=stop_s,
         drain_s=rng.uniform(0.3, 0.8) * stop_s,
         signals=tuple(sorted(signals, key=lambda item: item.at_s)),
@@ -114,16 +116,16 @@
     )
 
 
-def _draw_hangups(rng: random.Random, stop_s: float) -> list[ScheduledSignal]:
+def _draw_sighups(rng: random.Random, stop_s: float) -> list[ScheduledSignal]:
     """A few, some close together; the last one, with a whole file, leaves time to see it act."""
-    last = stop_s - HANGUP_TOLD_S - 0.2
-    hangups = [ScheduledSignal(last, signal.SIGHUP, FileChange.REPLACED)]
+    last = stop_s - RELOAD_LIMIT_S - 0.2
+    sighups = [ScheduledSignal(last, signal.SIGHUP, FileChange.REPLACED)]
     at = last
     for _ in range(rng.randint(0, 3)):
-        at = max(FIRST_HANGUP_S, at - rng.choice((0.002, 0.02, 0.2)))
-        file = rng.choice((FileChange.REPLACED, FileChange.HALF_WRITTEN, FileChange.NONE))
-        hangups.append(ScheduledSignal(at, signal.SIGHUP, file))
-    return hangups
+        at = max(FIRST_SIGHUP_S, at - rng.choice((0.002, 0.02, 0.2)))
+        file = rng.choice((FileChange.REPLACED, FileChange.TRUNCATED, FileChange.NONE))
+        sighups.append(ScheduledSignal(at, signal.SIGHUP, file))
+    return sighups
 
 
 def _draw_stop_signals(rng: random.Random, stop_s: float) -> list[ScheduledSignal]:
@@ -132,8 +134,8 @@
     signals = [ScheduledSignal(stop_s, rng.choice(kinds))]
     for _ in range(rng.randint(0, 3)):
         signals.append(ScheduledSignal(stop_s + rng.choice((0.001, 0.05, 0.4, 1.0)), rng.choice(kinds)))
-    if stop_s > FIRST_HANGUP_S and rng.random() < 0.5:
-        file = rng.choice((FileChange.REPLACED, FileChange.HALF_WRITTEN))
+    if stop_s > FIRST_SIGHUP_S and rng.random() < 0.5:
+        file = rng.choice((FileChange.REPLACED, FileChange.TRUNCATED))
         offset = rng.choice((-0.001, 0.001, 0.1))
         signals.append(ScheduledSignal(stop_s + offset, signal.SIGHUP, file))
     return signals
--- a/valverouter/soak/platform_callers.py
+++ b/valverouter/soak/platform_callers.py
@@ -12,11 +12,11 @@
 from valverouter.platform_protocol import isup
 from valverouter.signalling.framing import ProtocolError
 from valverouter.soak.core_servers import DESCRIPTION
-from valverouter.soak.record import RequestRecord
+from valverouter.soak.record import SetupRecord
 
-CAUSE_GIVEN_UP = 16
+CAUSE_NORMAL_CLEARING = 16
 CALLED_NUMBER = b"7f3a9c21e0b4d655"
-GIVING_UP_PROBABILITY = 0.05
+CANCEL_PROBABILITY = 0.05
 CALL_RELEASE_PROBABILITY = 0.5
 RECONNECT_DELAY_S = 0.02
 MS = 10**6
@@ -36,7 +36,7 @@
         server_count: int,
         may_connect: Callable[[], bool],
     ) -> None:
-        self.requests: list[RequestRecord] = []
+        self.setups: list[SetupRecord] = []
         self.process = 0
         self._address = address
         self._rng = rng
@@ -44,7 +44,7 @@
         self._server_count = server_count
         self._may_connect = may_connect
         self._count = 0
-        self._open: dict[str, RequestRecord] = {}
+        self._open: dict[str, SetupRecord] = {}
 
     async def run_caller(self, setups_per_s: float) -> None:
         """One caller: asks at random moments on its connection, and opens another when that has ended."""
@@ -58,36 +58,36 @@
             await trio.sleep(RECONNECT_DELAY_S)
 
     async def _run_connection(self, stream: trio.abc.Stream, setups_per_s: float) -> None:
-        mine: list[RequestRecord] = []
+        own_setups: list[SetupRecord] = []
         async with stream, trio.open_nursery() as nursery:
-            nursery.start_soon(self._send_setups, stream, setups_per_s, mine)
+            nursery.start_soon(self._send_setups, stream, setups_per_s, own_setups)
             await self._read(stream)
             ended_at = time.monotonic_ns()
             nursery.cancel_scope.cancel()
-        for request in mine:
-            if not request.answers:
-                request.connection_ended_at = ended_at
-            self._open.pop(request.id, None)
+        for setup in own_setups:
+            if not setup.answers:
+                setup.connection_ended_at = ended_at
+            self._open.pop(setup.id, None)
 
     async def _send_setups(
-        self, stream: trio.abc.Stream, setups_per_s: float, mine: list[RequestRecord]
+        self, stream: trio.abc.Stream, setups_per_s: float, own_setups: list[SetupRecord]
     ) -> None:
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self._rng.expovariate(setups_per_s))
-                request, data = self._next_setup()
+                setup, data = self._next_setup()
                 try:
                     await stream.send_all(data)
                 except (trio.BrokenResourceError, trio.ClosedResourceError):
                     return
-                request.sent_at = time.monotonic_ns()
-                self.requests.append(request)
-                mine.append(request)
-                if self._rng.random() < GIVING_UP_PROBABILITY:
-                    after_s = self._rng.random() * request.time_left / 1e9
-                    nursery.start_soon(self._give_up, stream, request, after_s)
-
-    def _next_setup(self) -> tuple[RequestRecord, bytes]:
+                setup.sent_at = time.monotonic_ns()
+                self.setups.append(setup)
+                own_setups.append(setup)
+                if self._rng.random() < CANCEL_PROBABILITY:
+                    after_s = self._rng.random() * setup.time_left / 1e9
+                    nursery.start_soon(self._cancel_after, stream, setup, after_s)
+
+    def _next_setup(self) -> tuple[SetupRecord, bytes]:
         """The next set-up and its bytes. It is entered before it leaves: its answer may come at once."""
         self._count += 1
         id_ = f"{self._count:016x}"
@@ -101,15 +101,15 @@
             isup.ROUTING_FIELDS: b"dest:%d;width:1;via:-1" % server,
             isup.DESCRIPTION: DESCRIPTION.encode(),
         }
-        request = RequestRecord(id_, self.process, time.monotonic_ns(), time_left_ms * MS)
-        self._open[id_] = request
-        return request, isup.encode(isup.IAM, id_, parameters)
+        setup = SetupRecord(id_, self.process, time.monotonic_ns(), time_left_ms * MS)
+        self._open[id_] = setup
+        return setup, isup.encode(isup.IAM, id_, parameters)
 
-    async def _give_up(self, stream: trio.abc.Stream, request: RequestRecord, after_s: float) -> None:
+    async def _cancel_after(self, stream: trio.abc.Stream, setup: SetupRecord, after_s: float) -> None:
         await trio.sleep(after_s)
-        if not request.answers:
-            request.given_up_at = time.monotonic_ns()
-            await self._send(stream, isup.encode_release(request.id, CAUSE_GIVEN_UP))
+        if not setup.answers:
+            setup.cancelled_at = time.monotonic_ns()
+            await self._send(stream, isup.encode_release(setup.id, CAUSE_NORMAL_CLEARING))
 
     async def _read(self, stream: trio.abc.Stream) -> None:
         reader = isup.MessageReader()
@@ -122,15 +122,15 @@
             return
 
     async def _handle(self, stream: trio.abc.Stream, message: isup.Message, now: int) -> None:
-        request = self._open.get(message.id)
-        if request is None or message.type not in (isup.ANM, isup.REL):
+        setup = self._open.get(message.id)
+        if setup is None or message.type not in (isup.ANM, isup.REL):
             return
-        is_end = message.type == isup.REL and bool(request.answers) and request.answers[0][1] == -1
+        is_end = message.type == isup.REL and bool(setup.answers) and setup.answers[0][1] == -1
         if is_end:
             return  # the call that stood is over
-        request.answers.append((now, message.cause))
+        setup.answers.append((now, message.cause))
         if message.type == isup.ANM and self._rng.random() < CALL_RELEASE_PROBABILITY:
-            await self._send(stream, isup.encode_release(message.id, CAUSE_GIVEN_UP))
+            await self._send(stream, isup.encode_release(message.id, CAUSE_NORMAL_CLEARING))
 
     async def _send(self, stream: trio.abc.Stream, data: bytes) -> None:
         try:
--- a/valverouter/soak/platform_run.py
+++ b/valverouter/soak/platform_run.py
@@ -20,21 +20,21 @@
 from valverouter.signalling.traffic_record import AuditConfigRow, TrafficRecorder
 from valverouter.soak.core_servers import CoreServer, EventBus
 from valverouter.soak.event_loop_lag import watch_lag
-from valverouter.soak.judge import SLACK, CourseVerdict, judge_course
+from valverouter.soak.judge import TIME_LIMIT_SLACK, RunVerdict, judge_run
 from valverouter.soak.plan import (
-    CROWD_HALF_MESSAGES,
-    LAST_CONNECTION_S,
-    Course,
+    INCOMPLETE_MESSAGE_FRACTION,
+    LAST_CONNECT_RANGE_S,
     FileChange,
+    RunPlan,
     ScheduledSignal,
     ServerBehavior,
 )
 from valverouter.soak.platform_callers import PlatformCallers
 from valverouter.soak.process import EdgeProcess
-from valverouter.soak.record import CourseRecord, ProcessRecord
+from valverouter.soak.record import ProcessRecord, RunRecord
 
 EDGE = "n0"
-RELAY = ["-m", "valverouter.platform_edge"]
+PLATFORM_EDGE_COMMAND = ["-m", "valverouter.platform_edge"]
 SECOND = 10**9
 RELEASE_GUARD_US = 200_000
 # The platform's rule on draining servers: nothing new from so long after they are told.
@@ -45,35 +45,35 @@
 class PlatformRun:
     """One course, its peers and its processes."""
 
-    def __init__(self, course: Course, folder: Path, command: list[str]) -> None:
+    def __init__(self, plan: RunPlan, folder: Path, command: list[str]) -> None:
         """`command`: the arguments of python that start the edge proxy; logs and files go into `folder`."""
-        self.record = CourseRecord()
-        self._course = course
+        self.record = RunRecord()
+        self._plan = plan
         self._folder = folder
         self._command = command
-        self._rng = random.Random(f"soak/{course.seed}/run")
+        self._rng = random.Random(f"soak/{plan.seed}/run")
         self._recorder = TrafficRecorder(time.monotonic_ns)
         self._recorder.record(
             AuditConfigRow,
             release_wait=RELEASE_GUARD_US * 1_000,
-            slack=SLACK,
+            slack=TIME_LIMIT_SLACK,
             latency_objectives={},
             priority_weights={},
         )
-        self._bus = EventBus(self._recorder, EDGE, self._on_bus_asked)
+        self._bus = EventBus(self._recorder, EDGE, self._on_bus_poll)
         self._servers = [
             CoreServer(
-                f"s{number}", behavior, EDGE, random.Random(f"soak/{course.seed}/s{number}"), self._recorder
+                f"s{number}", behavior, EDGE, random.Random(f"soak/{plan.seed}/s{number}"), self._recorder
             )
-            for number, behavior in enumerate(course.servers)
+            for number, behavior in enumerate(plan.servers)
         ]
         self._config_file = folder / "config.json"
         self._listen = _free_address()
         self._bus_address = ""
-        self._hangup_bus_address = ""
+        self._reloaded_bus_address = ""
         self._last_connection_at = float("inf")
 
-    async def play(self) -> CourseVerdict:
+    async def play(self) -> RunVerdict:
         """Plays the course and judges it."""
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
@@ -82,24 +82,24 @@
                     await nursery.start(server.run)
                 self._bus_address = await nursery.start(self._bus.listen)
                 hosts = [self._host(number) for number in range(len(self._servers))]
-                self._bus.announce(hosts, whole=True)
+                self._bus.publish(hosts, whole=True)
                 await self._play_processes(nursery)
                 scope.cancel()
-        verdict = judge_course(self.record, round(self._course.kill_after_s * SECOND))
+        verdict = judge_run(self.record, round(self._plan.kill_after_s * SECOND))
         verdict.violations += self._audit_servers()
         return verdict
 
     async def _play_processes(self, nursery: trio.Nursery) -> None:
-        course = self._course
+        plan = self._plan
         callers = PlatformCallers(
             self._listen,
-            random.Random(f"soak/{course.seed}/callers"),
-            [round(course.longest_deadline_s * 1e3), round(course.longest_deadline_s * 500)],
+            random.Random(f"soak/{plan.seed}/callers"),
+            [round(plan.longest_deadline_s * 1e3), round(plan.longest_deadline_s * 500)],
             len(self._servers),
             lambda: trio.current_time() < self._last_connection_at,
         )
-        self.record.requests = callers.requests
-        for number in range(1 + course.restarts):
+        self.record.setups = callers.setups
+        for number in range(1 + plan.restarts):
             callers.process = number
             self._last_connection_at = float("inf")
             await self._play_process(number, callers, nursery)
@@ -114,28 +114,28 @@
             environment = {"RELAY_CONFIG": str(self._config_file)}
             await nursery.start(process.run, self._command, environment)
             await trio.sleep(SETTLE_S)
-            for _ in range(self._course.callers):
-                nursery.start_soon(callers.run_caller, self._course.setups_per_s / self._course.callers)
+            for _ in range(self._plan.callers):
+                nursery.start_soon(callers.run_caller, self._plan.setups_per_s / self._plan.callers)
             if number == 0:
-                for _ in range(self._course.crowd):
-                    nursery.start_soon(self._run_crowd_connection)
+                for _ in range(self._plan.idle_connections):
+                    nursery.start_soon(self._keep_idle_connection)
                 nursery.start_soon(self._drain_server)
                 await self._send_signals(process, servers)
             else:
                 await trio.sleep(self._rng.uniform(0.5, 1.5))
                 self._stop(process, signal.SIGTERM)
-            await process.wait_or_kill(record.stopped_at + round(self._course.kill_after_s * SECOND))
+            await process.wait_or_kill(record.stopped_at + round(self._plan.kill_after_s * SECOND))
             await trio.sleep(SETTLE_S)
             nursery.cancel_scope.cancel()
-        for request in callers.requests:
-            if request.process == number and not request.answers and not request.connection_ended_at:
-                request.connection_ended_at = record.ended_at
+        for setup in callers.setups:
+            if setup.process == number and not setup.answers and not setup.connection_ended_at:
+                setup.connection_ended_at = record.ended_at
 
     # Signals and the file
 
     async def _send_signals(self, process: EdgeProcess, servers: trio.Nursery) -> None:
         began = trio.current_time()
-        for item in self._course.signals:
+        for item in self._plan.signals:
             await trio.sleep_until(began + item.at_s)
             if item.file is not FileChange.NONE:
                 await self._change_file(item, servers)
@@ -146,9 +146,9 @@
 
     def _stop(self, process: EdgeProcess, number: signal.Signals) -> None:
         if not process.record.stopped_at:
-            process.note_holdings()
+            process.record_resource_usage()
             process.record.stopped_at = time.monotonic_ns()
-            self._last_connection_at = trio.current_time() + self._rng.uniform(*LAST_CONNECTION_S)
+            self._last_connection_at = trio.current_time() + self._rng.uniform(*LAST_CONNECT_RANGE_S)
             for server in self._servers:
                 server.is_hanging = server.behavior is ServerBehavior.HANGS_AT_SHUTDOWN
         process.send_signal(number)
@@ -158,26 +158,26 @@
         if item.file is FileChange.REPLACED:
             self._bus_address = await servers.start(self._bus.listen)
         self._write_config(item.file)
-        early = [signal_ for signal_ in self._course.hangups if signal_.at_s < self._course.stop_s - 1]
+        early = [signal_ for signal_ in self._plan.sighups if signal_.at_s < self._plan.stop_s - 1]
         if early and item is early[-1] and item.file is FileChange.REPLACED:
-            self.record.hangup_at = time.monotonic_ns()
-            self._hangup_bus_address = self._bus_address
+            self.record.sighup_at = time.monotonic_ns()
+            self._reloaded_bus_address = self._bus_address
 
     def _write_config(self, change: FileChange) -> None:
         data = msgspec.json.encode(self._config())
-        if change is FileChange.HALF_WRITTEN:
+        if change is FileChange.TRUNCATED:
             self._config_file.write_bytes(data[: len(data) // 2])
             return
         temporary = self._config_file.with_suffix(".new")
         temporary.write_bytes(data)
         temporary.replace(self._config_file)
 
-    def _on_bus_asked(self, address: str) -> None:
-        if address == self._hangup_bus_address and not self.record.hangup_acted_at:
-            self.record.hangup_acted_at = time.monotonic_ns()
+    def _on_bus_poll(self, address: str) -> None:
+        if address == self._reloaded_bus_address and not self.record.sighup_applied_at:
+            self.record.sighup_applied_at = time.monotonic_ns()
 
     def _config(self) -> dict[str, Any]:
-        longest_us = round(self._course.longest_deadline_s * 1e6)
+        longest_us = round(self._plan.longest_deadline_s * 1e6)
         deadlines_us = [longest_us, longest_us // 2]
         servers = list(range(len(self._servers)))
         settings = {
@@ -204,7 +204,7 @@
         return {
             "name": EDGE,
             "listen": self._listen,
-            "seed": f"{self._course.seed:016x}",
+            "seed": f"{self._plan.seed:016x}",
             "bus": self._bus_address,
             "known": {"offset": 1, "batch": self._bus.events[:1]},
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1_024},
@@ -219,18 +219,18 @@
 
     async def _drain_server(self) -> None:
         """Announces that the last server drains; it counts as told once the edge proxy has to heed it."""
-        await trio.sleep(self._course.drain_s)
-        self._bus.announce([self._host(len(self._servers) - 1, "Terminating")])
+        await trio.sleep(self._plan.drain_s)
+        self._bus.publish([self._host(len(self._servers) - 1, "Terminating")])
         await trio.sleep(STOP_SENDING_S)
         self._bus.record_draining(self._servers[-1].name)
 
-    async def _run_crowd_connection(self) -> None:
+    async def _keep_idle_connection(self) -> None:
         """A connection that says nothing, or leaves a message incomplete, for as long as it may."""
-        await trio.sleep(self._rng.random() * self._course.stop_s)
+        await trio.sleep(self._rng.random() * self._plan.stop_s)
         try:
             stream = await SocketRuntime().connect(self._listen)
             async with stream:
-                if self._rng.random() < CROWD_HALF_MESSAGES:
+                if self._rng.random() < INCOMPLETE_MESSAGE_FRACTION:
                     await stream.send_all(b"\x00\x40\x01half")
                 while await stream.receive_some(4_096):
                     pass
--- a/valverouter/soak/process.py
+++ b/valverouter/soak/process.py
@@ -105,7 +105,7 @@
         if self._process.poll() is None:
             self._process.send_signal(number)
 
-    def note_holdings(self) -> None:
+    def record_resource_usage(self) -> None:
         """Records how many descriptors and how much memory the process holds."""
         assert self._process is not None
         folder = Path(f"/proc/{self._process.pid}")
--- a/valverouter/soak/record.py
+++ b/valverouter/soak/record.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class RequestRecord:
+class SetupRecord:
     """One set-up of a caller.
 
     `sent_at`: its last byte was written. `answers`: the moments and causes of what closed or established it;
@@ -17,7 +17,7 @@
     process: int
     sent_at: int
     time_left: int
-    given_up_at: int = 0
+    cancelled_at: int = 0
     answers: list[tuple[int, int]] = field(default_factory=list)
     connection_ended_at: int = 0
 
@@ -41,12 +41,12 @@
 
 
 @dataclass(slots=True)
-class CourseRecord:
+class RunRecord:
     """All of one course. `driver_lag`: the longest that the soak's own loop stood still."""
 
-    requests: list[RequestRecord] = field(default_factory=list)
+    setups: list[SetupRecord] = field(default_factory=list)
     processes: list[ProcessRecord] = field(default_factory=list)
     # The last hangup with a whole file before the stop, and when the address that it names was asked.
-    hangup_at: int = 0
-    hangup_acted_at: int = 0
-    driver_lag: int = 0
+    sighup_at: int = 0
+    sighup_applied_at: int = 0
+    loop_lag: int = 0
--- a/valverouter/soak/report.py
+++ b/valverouter/soak/report.py
@@ -10,26 +10,26 @@
 import trio
 
 from valverouter.soak.edge_run import EdgeRun
-from valverouter.soak.judge import CourseVerdict, Outcome
-from valverouter.soak.plan import Front, draw_course
-from valverouter.soak.platform_run import RELAY, PlatformRun
+from valverouter.soak.judge import Outcome, RunVerdict
+from valverouter.soak.plan import EdgeKind, draw_plan
+from valverouter.soak.platform_run import PLATFORM_EDGE_COMMAND, PlatformRun
 
 MS = 10**6
-PLANTED = ["-m", "valverouter.soak.injected_faults"]
+INJECTED_FAULTS_COMMAND = ["-m", "valverouter.soak.injected_faults"]
 
 
 @dataclass(frozen=True, slots=True)
-class CourseReport:
+class RunReport:
     """One course. `driver_lag`: ns that the soak's own loop stood still at most.
 
     `descriptors`, `memory_kib`: of each process, just before its first signal to stop; the platform's only.
     """
 
     seed: int
-    front: Front
+    edge_kind: EdgeKind
     duration_s: float
-    verdict: CourseVerdict
-    driver_lag: int
+    verdict: RunVerdict
+    loop_lag: int
     descriptors: list[int] = field(default_factory=list)
     memory_kib: list[int] = field(default_factory=list)
 
@@ -40,37 +40,37 @@
         margins = ", ".join(f"{margin / MS:.0f}" for margin in self.verdict.margins)
         found = f"{len(self.verdict.violations)} violations" if self.verdict.violations else "passed"
         return (
-            f"seed {self.seed} {self.front.value} {self.duration_s:.0f} s: {found}; {outcomes}; "
-            f"ms before SIGKILL: {margins}; driver lag {self.driver_lag / MS:.0f} ms; "
+            f"seed {self.seed} {self.edge_kind.value} {self.duration_s:.0f} s: {found}; {outcomes}; "
+            f"ms before SIGKILL: {margins}; driver lag {self.loop_lag / MS:.0f} ms; "
             f"descriptors {self.descriptors}; KiB {self.memory_kib}"
         )
 
 
-def play_course(seed: int, planted_fault: str = "") -> CourseReport:
+def play_run(seed: int, injected_fault: str = "") -> RunReport:
     """Plays the course of a seed; a planted fault runs in the platform's edge proxy alone."""
-    course = draw_course(seed)
+    plan = draw_plan(seed)
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix=f"soak-{seed}-") as folder:
         run: PlatformRun | EdgeRun
-        if course.front is Front.PLATFORM:
-            command = [*PLANTED, planted_fault] if planted_fault else RELAY
-            run = PlatformRun(course, Path(folder), command)
+        if plan.edge_kind is EdgeKind.PLATFORM:
+            command = [*INJECTED_FAULTS_COMMAND, injected_fault] if injected_fault else PLATFORM_EDGE_COMMAND
+            run = PlatformRun(plan, Path(folder), command)
         else:
-            run = EdgeRun(course, Path(folder))
+            run = EdgeRun(plan, Path(folder))
         verdict = trio.run(run.play)
     processes = run.record.processes
-    return CourseReport(
+    return RunReport(
         seed,
-        course.front,
+        plan.edge_kind,
         time.monotonic() - began,
         verdict,
-        run.record.driver_lag,
+        run.record.loop_lag,
         [process.descriptors for process in processes],
         [process.memory_kib for process in processes],
     )
 
 
-def summary(reports: list[CourseReport]) -> str:
+def summary(reports: list[RunReport]) -> str:
     """All courses together."""
     failed = [report.seed for report in reports if report.verdict.violations]
     margins = [margin for report in reports for margin in report.verdict.margins]
