--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -31,8 +31,8 @@
 from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling.traffic_record import Row
 
-DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
-TROUBLES = {
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
+FAULTS = {
     "none": "",
     "burst": "kind = burst\nsize = 2",
     "crash": "kind = crash",
@@ -45,53 +45,53 @@
 }
 
 
-def calls(played: ScenarioConfig) -> list[RecordedCall]:
+def draw_calls(scenario: ScenarioConfig) -> list[RecordedCall]:
     """The day's load as a record: Poisson arrivals, the first choice and the number with each."""
-    chance, at, made = random.Random(f"{played.run.seed}/calls"), 0.0, list[RecordedCall]()
-    kinds = list(played.mix)
-    shares = [played.mix[kind].share for kind in kinds]
-    while (at := at + chance.expovariate(played.callers.rate)) < played.run.length / 1e9:
-        made.append(
+    rng, at_s, calls = random.Random(f"{scenario.run.seed}/calls"), 0.0, list[RecordedCall]()
+    traffic_types = list(scenario.mix)
+    shares = [scenario.mix[kind].share for kind in traffic_types]
+    while (at_s := at_s + rng.expovariate(scenario.callers.rate)) < scenario.run.length / 1e9:
+        calls.append(
             RecordedCall(
-                int(at * 1e9),
-                chance.choices(kinds, shares)[0],
-                edge=chance.randrange(played.fleet.edge_proxies),
-                first_choice=chance.randrange(played.server_count),
-                number=100 + chance.randrange(10**6),
+                int(at_s * 1e9),
+                rng.choices(traffic_types, shares)[0],
+                edge=rng.randrange(scenario.fleet.edge_proxies),
+                first_choice=rng.randrange(scenario.server_count),
+                number=100 + rng.randrange(10**6),
             )
         )
-    return made
+    return calls
 
 
-def script(trouble: str, seed: int) -> ScenarioConfig:
-    text = DAY.read_text()
+def build_scenario(fault: str, seed: int) -> ScenarioConfig:
+    text = SCENARIO_FILE.read_text()
     text = text[: text.index("[trouble ")].replace("length = 30s\nseed = 7", f"length = 14s\nseed = {seed}")
-    if TROUBLES[trouble]:
-        span = "800ms" if trouble == "edge stalls" else "5s"
-        struck = "" if "edge" in trouble else "on = s0, s3\n"
-        text += f"[trouble one]\n{TROUBLES[trouble]}\nstart = 4s\nlength = {span}\n{struck}"
-    by_rate = scenario_config(IniFile(text, trouble), trouble)
+    if FAULTS[fault]:
+        span = "800ms" if fault == "edge stalls" else "5s"
+        targets = "" if "edge" in fault else "on = s0, s3\n"
+        text += f"[trouble one]\n{FAULTS[fault]}\nstart = 4s\nlength = {span}\n{targets}"
+    unrecorded = scenario_config(IniFile(text, fault), fault)
     with tempfile.TemporaryDirectory() as folder:
-        write_calls(Path(folder) / "calls.csv", calls(by_rate))
-        text = text.replace(f"rate = {by_rate.callers.rate:g}\n", "record = calls.csv\n")
-        return scenario_config(IniFile(text, trouble, Path(folder)), trouble)
+        write_calls(Path(folder) / "calls.csv", draw_calls(unrecorded))
+        text = text.replace(f"rate = {unrecorded.callers.rate:g}\n", "record = calls.csv\n")
+        return scenario_config(IniFile(text, fault, Path(folder)), fault)
 
 
-def judged(played: ScenarioConfig, rows: list[Row]) -> tuple[float, bool]:
-    return weighted_service_level(account_by_type(rows), played.importance), audit(rows).passed
+def evaluate(scenario: ScenarioConfig, rows: list[Row]) -> tuple[float, bool]:
+    return weighted_service_level(account_by_type(rows), scenario.importance), audit(rows).passed
 
 
-def one(job: tuple[str, int, bool]) -> tuple[str, tuple[float, bool], tuple[float, bool]]:
+def run_pair(job: tuple[str, int, bool]) -> tuple[str, tuple[float, bool], tuple[float, bool]]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    trouble, seed, loopback = job
-    played = script(trouble, seed)
-    emulated = judged(played, run_emulated(played).rows)
+    fault, seed, loopback = job
+    scenario = build_scenario(fault, seed)
+    emulated = evaluate(scenario, run_emulated(scenario).rows)
     if loopback:
         with tempfile.TemporaryDirectory() as folder:
-            far = judged(played, run_loopback(played, Path(folder), lambda share: None))
+            proxy = evaluate(scenario, run_loopback(scenario, Path(folder), lambda share: None))
     else:
-        far = judged(played, run_virtual(played))
-    return trouble, emulated, far
+        proxy = evaluate(scenario, run_virtual(scenario))
+    return fault, emulated, proxy
 
 
 def main() -> None:
@@ -99,23 +99,27 @@
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--loopback", action="store_true")
-    parser.add_argument("--only", choices=TROUBLES, action="append")
+    parser.add_argument("--only", choices=FAULTS, action="append")
     options = parser.parse_args()
     jobs = [
         (name, seed, options.loopback)
-        for name in options.only or TROUBLES
+        for name in options.only or FAULTS
         for seed in range(1, options.seeds + 1)
     ]
     with multiprocessing.Pool(1 if options.loopback else options.jobs) as pool:
-        results = pool.map(one, jobs, chunksize=1)
-    for name in options.only or TROUBLES:
-        pairs = [(emulated, far) for trouble, emulated, far in results if trouble == name]
-        gaps = [emulated[0] - far[0] for emulated, far in pairs]
-        error = statistics.stdev(gaps) / math.sqrt(len(gaps)) if len(gaps) > 1 else float("nan")
+        results = pool.map(run_pair, jobs, chunksize=1)
+    for name in options.only or FAULTS:
+        pairs = [(emulated, proxy) for fault, emulated, proxy in results if fault == name]
+        differences = [emulated[0] - proxy[0] for emulated, proxy in pairs]
+        error = (
+            statistics.stdev(differences) / math.sqrt(len(differences))
+            if len(differences) > 1
+            else float("nan")
+        )
         print(
             f"{name:13} emulated {statistics.mean(e[0] for e, _ in pairs):.3f}  "
             f"far side {statistics.mean(f[0] for _, f in pairs):.3f}  "
-            f"difference {statistics.mean(gaps):+.3f} (error {error:.3f})  "
+            f"difference {statistics.mean(differences):+.3f} (error {error:.3f})  "
             f"rules kept {sum(e[1] for e, _ in pairs)} and {sum(f[1] for _, f in pairs)} of {len(pairs)}"
         )
 
--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -30,11 +30,11 @@
 from valverouter.scenarios.virtual import run_virtual
 from valverouter.signalling.traffic_record import AuditConfigRow, MembershipEventRow, Row
 
-FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
 
-def scripted(seed: int, edges: int, length_s: float) -> ScenarioConfig:
-    text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
+def build_scenario(seed: int, edges: int, length_s: float) -> ScenarioConfig:
+    text = SCENARIO_FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("seed = 1\n", f"seed = {seed}\n")
     text = text.replace("length = 18s", f"length = {length_s:g}s")
     return scenario_config(
@@ -45,16 +45,16 @@
     )
 
 
-def played(script: ScenarioConfig, virtual: bool, folder: Path | None) -> list[Row]:
+def run_scenario(scenario: ScenarioConfig, virtual: bool, folder: Path | None) -> list[Row]:
     if virtual:
-        return run_virtual(script)
-    with tempfile.TemporaryDirectory() as passing:
-        return run_loopback(script, folder or Path(passing))
+        return run_virtual(scenario)
+    with tempfile.TemporaryDirectory() as scratch:
+        return run_loopback(scenario, folder or Path(scratch))
 
 
-def worth(rows: list[Row]) -> float:
-    terms = next(row for row in rows if isinstance(row, AuditConfigRow))
-    return weighted_service_level(account_by_type(rows), terms.priority_weights)
+def service_level(rows: list[Row]) -> float:
+    config = next(row for row in rows if isinstance(row, AuditConfigRow))
+    return weighted_service_level(account_by_type(rows), config.priority_weights)
 
 
 def main() -> None:
@@ -66,35 +66,41 @@
     parser.add_argument("--virtual", action="store_true")
     parser.add_argument("--alone", action="store_true", help="not beside a run without the view")
     parser.add_argument("--logs", type=Path, help="keep the edge proxies' files here")
-    told = parser.parse_args()
+    options = parser.parse_args()
     logs.configure_logging(LogConfig(level="error"))
-    after, differences, bad = [], [], 0
-    for seed in range(told.first, told.first + told.seeds):
-        script = scripted(seed, told.edges, told.length)
-        assert script.between is not None
-        folder = told.logs / str(seed) if told.logs else None
+    convergence_periods, differences, failed = [], [], 0
+    for seed in range(options.first, options.first + options.seeds):
+        scenario = build_scenario(seed, options.edges, options.length)
+        assert scenario.between is not None
+        folder = options.logs / str(seed) if options.logs else None
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
-        rows = played(script, told.virtual, folder)
+        rows = run_scenario(scenario, options.virtual, folder)
         views, verdict = check_views(rows), audit(rows)
         assert views is not None
-        bad += not (views.passed and verdict.passed)
+        failed += not (views.passed and verdict.passed)
         periods = (
-            float("inf") if views.converged_after is None else views.converged_after / script.between.period
+            float("inf") if views.converged_after is None else views.converged_after / scenario.between.period
         )
-        after.append(periods)
+        convergence_periods.append(periods)
         line = f"seed {seed}: one view after {periods:.1f} periods, rules kept: {verdict.passed}"
         line += f", false deaths: {len(views.false_failures)}"
         line += f", gone: {sum(isinstance(row, MembershipEventRow) and row.kind == 'gone' for row in rows)}"
-        if not told.alone:
-            without = msgspec.structs.replace(script, between=None, paths={})
-            with_view, plain = worth(rows), worth(played(without, told.virtual, None))
-            differences.append(with_view - plain)
-            line += f", service {with_view:.3f} and {plain:.3f} without"
+        if not options.alone:
+            scenario_without_view = msgspec.structs.replace(scenario, between=None, paths={})
+            with_view, without_view = (
+                service_level(rows),
+                service_level(run_scenario(scenario_without_view, options.virtual, None)),
+            )
+            differences.append(with_view - without_view)
+            line += f", service {with_view:.3f} and {without_view:.3f} without"
         print(line if views.passed else f"{line}; {views.reason or views.regressions}", flush=True)
-    after.sort()
-    middle = statistics.median(after)
-    print(f"{len(after)} courses, {bad} bad; periods: median {middle:.1f}, most {after[-1]:.1f}")
+    convergence_periods.sort()
+    median_periods = statistics.median(convergence_periods)
+    print(
+        f"{len(convergence_periods)} courses, {failed} bad; periods: median {median_periods:.1f}, "
+        f"most {convergence_periods[-1]:.1f}"
+    )
     if len(differences) > 1:
         mean, spread = statistics.mean(differences), statistics.stdev(differences)
         print(f"service with less without the view: mean {mean:+.4f}, spread of the pairs {spread:.4f}")
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -69,17 +69,17 @@
 """
 
 
-def listening() -> socket.socket:
+def listen() -> socket.socket:
     sock = socket.create_server(("127.0.0.1", 0), backlog=64)
     return sock
 
 
-def no_delay(sock: socket.socket) -> socket.socket:
+def set_no_delay(sock: socket.socket) -> socket.socket:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def received(conn: socket.socket) -> bytes:
+def receive_or_end(conn: socket.socket) -> bytes:
     with suppress(ConnectionResetError):
         return conn.recv(65_536)
     return b""
@@ -88,9 +88,9 @@
 def serve(sock: socket.socket, name: str) -> None:
     """A server that answers at once; each connection on a thread."""
 
-    def one(conn: socket.socket) -> None:
+    def serve_connection(conn: socket.socket) -> None:
         session = SetupSession(max_open_legs=10**6)
-        while data := received(conn):
+        while data := receive_or_end(conn):
             out = []
             for message in session.receive(data):
                 if isinstance(message, Hello):
@@ -104,17 +104,22 @@
 
     while True:
         conn, _ = sock.accept()
-        threading.Thread(target=one, args=(no_delay(conn),), daemon=True).start()
+        threading.Thread(target=serve_connection, args=(set_no_delay(conn),), daemon=True).start()
 
 
-def call(
-    address: tuple[str, int], number: int, seconds: float, rate: float, results: Any, keeps: bool = False
+def run_caller(
+    address: tuple[str, int],
+    number: int,
+    seconds: float,
+    rate: float,
+    results: Any,
+    keep_dialogs: bool = False,
 ) -> None:
     """Callers on one connection: closed loop where rate is 0, else open loop. Puts counts and a histogram.
 
     `keeps`: what stands is not released before the end, so that dialogs pile up.
     """
-    conn = no_delay(socket.create_connection(address))
+    conn = set_no_delay(socket.create_connection(address))
     session = SetupSession(Hello((1, 1), "caller", f"c{number}"), max_open_legs=10**6)
     conn.sendall(session.hello_frame())
     while not session.version:
@@ -122,11 +127,11 @@
     time.sleep(0.2)
     histogram = HdrHistogram(1, 60_000_000, 3)
     due: dict[str, float] = {}
-    stood = declined = sent = 0
+    established = rejected = sent = 0
     began = time.perf_counter()
     gap = 1 / rate if rate else 0.0
 
-    def dial(at: float) -> bytes:
+    def encode_setup(at: float) -> bytes:
         nonlocal sent
         dialog = f"{number}-{sent}-{began}"
         due[dialog] = at
@@ -140,12 +145,12 @@
         return session.send(message)
 
     if not rate:
-        conn.sendall(b"".join(dial(began) for _ in range(OUTSTANDING)))
+        conn.sendall(b"".join(encode_setup(began) for _ in range(OUTSTANDING)))
     while (now := time.perf_counter()) < began + seconds:
         out = []
         if rate:
             while began + sent * gap <= now:
-                out.append(dial(began + sent * gap))
+                out.append(encode_setup(began + sent * gap))
             if out:
                 conn.sendall(b"".join(out))
                 out = []
@@ -157,88 +162,92 @@
         now = time.perf_counter()
         for message in session.receive(data):
             if isinstance(message, Established):
-                stood += 1
+                established += 1
                 histogram.record_value(max(1, int((now - due.pop(message.dialog)) * 1e6)))
-                if not keeps:
+                if not keep_dialogs:
                     out.append(session.send(Release(message.dialog)))
             elif isinstance(message, setup.Rejected | setup.Failed):
-                declined += 1
+                rejected += 1
                 due.pop(message.dialog)
             if not rate and isinstance(message, Established | setup.Rejected | setup.Failed):
-                out.append(dial(now))
+                out.append(encode_setup(now))
         if out:
             conn.settimeout(None)
             conn.sendall(b"".join(out))
-    results.put((stood, declined, histogram.encode()))
-    if keeps:
+    results.put((established, rejected, histogram.encode()))
+    if keep_dialogs:
         time.sleep(3)  # for whoever reads the memory
     conn.close()
 
 
 def list_service(sock: socket.socket, rows: list[EndpointRow]) -> None:
-    register = EndpointRegistry("bench")
-    register.change(rows)
+    registry = EndpointRegistry("bench")
+    registry.change(rows)
 
-    def one(conn: socket.socket) -> None:
+    def serve_connection(conn: socket.socket) -> None:
         session = ListSession()
         while data := conn.recv(65_536):
             for message in session.receive(data):
                 if isinstance(message, Hello):
                     conn.sendall(session.send(Welcome(1, "list")))
                 elif isinstance(message, Watch):
-                    conn.sendall(b"".join(session.send(answer) for answer in register.answer(message)))
+                    conn.sendall(b"".join(session.send(answer) for answer in registry.answer(message)))
 
     while True:
         conn, _ = sock.accept()
-        threading.Thread(target=one, args=(conn,), daemon=True).start()
+        threading.Thread(target=serve_connection, args=(conn,), daemon=True).start()
 
 
 KEY = derive_key(b"what benchmarks are keyed with, and nothing else")
 
 
-def member(name: str, seeds: tuple[str, ...], port: int) -> MembershipService:
-    terms = edge_config(IniFile(INI.format(port=port).replace("name = e0", f"name = {name}"), "bench"))
-    between = GossipConfig("127.0.0.1:0", (KEY,), seeds)
+def make_member(name: str, seeds: tuple[str, ...], port: int) -> MembershipService:
+    config = edge_config(IniFile(INI.format(port=port).replace("name = e0", f"name = {name}"), "bench"))
+    gossip_config = GossipConfig("127.0.0.1:0", (KEY,), seeds)
     return MembershipService(
-        terms, between, SocketRuntime(), random.getrandbits(64), lambda: (Phase.SERVING, terms.digest)
+        config, gossip_config, SocketRuntime(), random.getrandbits(64), lambda: (Phase.SERVING, config.digest)
     )
 
 
-def crowd(count: int, told: Any) -> None:
+def run_members(count: int, outputs: Any) -> None:
     """So many members of a view, and nothing else of an edge proxy; tells one's address, and when it is
     settled."""
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            first = member("m0", (), 1)
+            first = make_member("m0", (), 1)
             await nursery.start(first.run)
             assert first.membership is not None
-            others = [member(f"m{at}", (first.membership.own_record.address,), 1) for at in range(1, count)]
+            others = [
+                make_member(f"m{at}", (first.membership.own_record.address,), 1) for at in range(1, count)
+            ]
             for one in others:
                 await nursery.start(one.run)
-            told.put(first.membership.own_record.address)
+            outputs.put(first.membership.own_record.address)
             membership = first.membership
             while membership.view.live_count < count + 1 or membership.view_health.value != "settled":
                 await trio.sleep(0.2)
-            told.put(f"{membership.view.live_count} members, {membership.view_health.value}")
+            outputs.put(f"{membership.view.live_count} members, {membership.view_health.value}")
             await trio.sleep_forever()
 
     configure_logging(edge_config(IniFile(INI.format(port=1), "bench")).log)
     trio.run(main)
 
 
-def edge(port: int, told: Any, profile: str, folder: str = "", sync: str = "none", seed: str = "") -> None:
-    terms = edge_config(IniFile(INI.format(port=port), "bench"))
-    configure_logging(terms.log)
+def run_edge(
+    port: int, outputs: Any, profile: str, folder: str = "", sync: str = "none", seed: str = ""
+) -> None:
+    config = edge_config(IniFile(INI.format(port=port), "bench"))
+    configure_logging(config.log)
     store = DialogStore(Path(folder), sync=sync) if folder else None
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            proxy: EdgeProxy = await nursery.start(make_edge_proxy(terms, SocketRuntime(), store).run)
+            proxy: EdgeProxy = await nursery.start(make_edge_proxy(config, SocketRuntime(), store).run)
             if seed:
-                await nursery.start(member("e0", (seed,), port).run)
+                await nursery.start(make_member("e0", (seed,), port).run)
             tune_garbage_collector()
-            told.put(proxy.address)
+            outputs.put(proxy.address)
             with trio.open_signal_receiver(15) as signals:
                 async for _ in signals:
                     nursery.cancel_scope.cancel()
@@ -258,7 +267,7 @@
     pstats.Stats(profiler).dump_stats(profile)
 
 
-def relay(addresses: list[tuple[str, int]], told: Any) -> None:
+def run_relay(addresses: list[tuple[str, int]], outputs: Any) -> None:
     """Passes frames on, nothing more: callers' to the server of the first choice, answers back by dialog."""
 
     async def main() -> None:
@@ -270,7 +279,7 @@
         decoder = msgspec.msgpack.Decoder()
         locks: dict[int, trio.Lock] = {}
 
-        async def back(link: trio.SocketStream) -> None:
+        async def forward_answers(link: trio.SocketStream) -> None:
             reader = FrameReader()
             while data := await link.receive_some(65_536):
                 out: dict[int, list[bytes]] = {}
@@ -285,16 +294,16 @@
                             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                                 await caller.send_all(b"".join(out[id(caller)]))
 
-        async def forth(stream: trio.SocketStream) -> None:
+        async def serve_caller(stream: trio.SocketStream) -> None:
             try:
-                await passing(stream)
+                await forward_setups(stream)
             except (trio.BrokenResourceError, trio.ClosedResourceError):
                 pass
             finally:
-                for who in [who for who, one in callers.items() if one is stream]:
-                    del callers[who]
+                for caller_name in [caller_name for caller_name, one in callers.items() if one is stream]:
+                    del callers[caller_name]
 
-        async def passing(stream: trio.SocketStream) -> None:
+        async def forward_setups(stream: trio.SocketStream) -> None:
             reader = FrameReader()
             locks[id(stream)] = trio.Lock()
             while data := await stream.receive_some(65_536):
@@ -304,9 +313,9 @@
                     if message["t"] == "hello":
                         await stream.send_all(encode_frame(Welcome(1, "relay")))
                         continue
-                    who, serial, _ = message["dialog"].split("-")
-                    callers[who] = stream
-                    at = (int(who) + int(serial)) % len(links)
+                    caller_name, serial, _ = message["dialog"].split("-")
+                    callers[caller_name] = stream
+                    at = (int(caller_name) + int(serial)) % len(links)
                     out.setdefault(at, []).append(len(body).to_bytes(4, "big") + body)
                 for at, frames in out.items():
                     async with link_locks[at]:
@@ -314,69 +323,73 @@
 
         async with trio.open_nursery() as nursery:
             for link in links:
-                nursery.start_soon(back, link)
+                nursery.start_soon(forward_answers, link)
             listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            told.put(f"127.0.0.1:{listeners[0].socket.getsockname()[1]}")
-            await trio.serve_listeners(forth, listeners)
+            outputs.put(f"127.0.0.1:{listeners[0].socket.getsockname()[1]}")
+            await trio.serve_listeners(serve_caller, listeners)
 
     trio.run(main)
 
 
-def load(address: str, seconds: float, rate: float = 0.0, pid: int = 0) -> tuple[float, float, HdrHistogram]:
+def measure_load(
+    address: str, seconds: float, rate: float = 0.0, pid: int = 0
+) -> tuple[float, float, HdrHistogram]:
     """Stands a second, the share declined, and the delays in microseconds; with a pid, what it holds per
     stand."""
     host, _, port = address.rpartition(":")
     results: Any = mp.Queue()
     processes = [
-        mp.Process(target=call, args=((host, int(port)), number, seconds, rate / CALLERS, results, pid > 0))
+        mp.Process(
+            target=run_caller, args=((host, int(port)), number, seconds, rate / CALLERS, results, pid > 0)
+        )
         for number in range(CALLERS)
     ]
     for process in processes:
         process.start()
-    whole = HdrHistogram(1, 60_000_000, 3)
-    stood = declined = 0
+    merged = HdrHistogram(1, 60_000_000, 3)
+    established = rejected = 0
     for _ in processes:
-        one, away, encoded = results.get()
-        stood += one
-        declined += away
-        whole.decode_and_add(encoded)
+        caller_established, caller_rejected, encoded = results.get()
+        established += caller_established
+        rejected += caller_rejected
+        merged.decode_and_add(encoded)
     if pid:
-        print(f"{stood} dialogs stand, {resident(pid)} KiB resident", flush=True)
+        print(f"{established} dialogs stand, {resident_kib(pid)} KiB resident", flush=True)
     for process in processes:
         process.join()
-    return stood / seconds, declined / max(1, stood + declined), whole
+    return established / seconds, rejected / max(1, established + rejected), merged
 
 
-def resident(pid: int) -> int:
+def resident_kib(pid: int) -> int:
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1])
     return 0
 
 
-def shown(histogram: HdrHistogram) -> str:
+def format_percentiles(histogram: HdrHistogram) -> str:
     return "  ".join(f"p{p:g} {histogram.get_value_at_percentile(p) / 1000:.2f} ms" for p in (50, 99, 99.9))
 
 
-def ledgers(list_port: int, seconds: float, rounds: int) -> None:
+def compare_dialog_stores(list_port: int, seconds: float, rounds: int) -> None:
     """Rates, and delays at half of the rate without a ledger, of edge proxies with and without one."""
-    told: Any = mp.Queue()
+    outputs: Any = mp.Queue()
     with tempfile.TemporaryDirectory() as folder:
         started: dict[str, tuple[str, mp.Process]] = {}
         for name in ("without", "none", "each"):
             at = "" if name == "without" else f"{folder}/{name}"
             process = mp.Process(
-                target=edge, args=(list_port, told, "", at, "each" if name == "each" else "none")
+                target=run_edge, args=(list_port, outputs, "", at, "each" if name == "each" else "none")
             )
             process.start()
-            started[name] = told.get(), process
+            started[name] = outputs.get(), process
         time.sleep(0.5)
         for address, _ in started.values():
-            load(address, 1)
+            measure_load(address, 1)
         rates: dict[str, list[float]] = {name: [] for name in started}
         for _ in range(rounds):
             for name, (address, _) in started.items():
-                rates[name].append(load(address, seconds)[0])
+                rates[name].append(measure_load(address, seconds)[0])
             print(
                 "closed loop: " + ", ".join(f"{name} {rate[-1]:.0f}/s" for name, rate in rates.items()),
                 flush=True,
@@ -387,53 +400,57 @@
         half = statistics.median(rates["without"]) / 2
         for _ in range(rounds):
             for name, (address, _) in started.items():
-                _, away, histogram = load(address, seconds, half)
+                _, rejected, histogram = measure_load(address, seconds, half)
                 size = sum(file.stat().st_blocks * 512 for file in Path(folder, name).glob("*.mdb")) // 1024
                 print(
-                    f"open loop at {half:.0f}/s, {name}: {shown(histogram)}, {away:.1%} away, {size} KiB kept"
+                    f"open loop at {half:.0f}/s, {name}: {format_percentiles(histogram)}, "
+                    f"{rejected:.1%} away, {size} KiB kept"
                 )
         for _, process in started.values():
             process.terminate()
             process.join()
 
 
-def views(list_port: int, seconds: float, rounds: int, members: int) -> None:
+def compare_with_view(list_port: int, seconds: float, rounds: int, members: int) -> None:
     """Rates, and delays at half of the rate, of two edge proxies of which one keeps a view."""
-    told: Any = mp.Queue()
-    others = mp.Process(target=crowd, args=(members - 1, told), daemon=True)
+    outputs: Any = mp.Queue()
+    others = mp.Process(target=run_members, args=(members - 1, outputs), daemon=True)
     others.start()
-    seed = told.get()
+    seed = outputs.get()
     at: dict[str, str] = {}
     started = []
     for name, first in (("without", ""), ("with", seed)):
-        process = mp.Process(target=edge, args=(list_port, told, "", "", "none", first))
+        process = mp.Process(target=run_edge, args=(list_port, outputs, "", "", "none", first))
         process.start()
         started.append(process)
-        answers = [told.get(), told.get()] if first else [told.get()]
+        answers = [outputs.get(), outputs.get()] if first else [outputs.get()]
         at[name] = next(answer for answer in answers if ":" in answer)
     print(next(answer for answer in answers if ":" not in answer), flush=True)
     for address in at.values():
-        load(address, 1)
+        measure_load(address, 1)
     rates: dict[str, list[float]] = {name: [] for name in at}
     for number in range(rounds):
         # Which comes first changes: the second of a pair finds the machine warmer.
         for name in list(at) if number % 2 else list(reversed(at)):
-            rates[name].append(load(at[name], seconds)[0])
+            rates[name].append(measure_load(at[name], seconds)[0])
     ratios = sorted(a / b for a, b in zip(rates["with"], rates["without"], strict=True))
-    middle = {name: statistics.median(rate) for name, rate in rates.items()}
-    print(f"closed loop: without {middle['without']:.0f}/s, with {middle['with']:.0f}/s in the median")
+    median_rates = {name: statistics.median(rate) for name, rate in rates.items()}
+    print(
+        f"closed loop: without {median_rates['without']:.0f}/s, "
+        f"with {median_rates['with']:.0f}/s in the median"
+    )
     print(
         f"with against without: {ratios[0]:.3f} to {ratios[-1]:.3f}, median {statistics.median(ratios):.3f}"
     )
-    half = middle["without"] / 2
+    half = median_rates["without"] / 2
     p99: dict[str, list[float]] = {name: [] for name in at}
     for number in range(rounds):
         for name in list(at) if number % 2 else list(reversed(at)):
-            histogram = load(at[name], seconds, half)[2]
+            histogram = measure_load(at[name], seconds, half)[2]
             p99[name].append(histogram.get_value_at_percentile(99) / 1000)
-    for name, spans in p99.items():
-        low, high = min(spans), max(spans)
-        median = statistics.median(spans)
+    for name, p99_ms in p99.items():
+        low, high = min(p99_ms), max(p99_ms)
+        median = statistics.median(p99_ms)
         print(f"open loop at {half:.0f}/s, {name}: p99 {median:.2f} ms, {low:.2f} to {high:.2f}")
     for process in (*started, others):
         process.terminate()
@@ -450,7 +467,7 @@
     parser.add_argument("--ledgers", action="store_true")
     options = parser.parse_args()
     mp.set_start_method("fork")
-    sockets = [listening() for _ in range(SERVERS)]
+    sockets = [listen() for _ in range(SERVERS)]
     addresses: list[tuple[str, int]] = [sock.getsockname() for sock in sockets]
     servers = [mp.Process(target=serve, args=(sock, f"s{n}"), daemon=True) for n, sock in enumerate(sockets)]
     for server in servers:
@@ -459,61 +476,68 @@
         EndpointRow(f"s{n}", n, "in-service", f"127.0.0.1:{port}", "", 1)
         for n, (_, port) in enumerate(addresses)
     ]
-    lists = listening()
-    service = mp.Process(target=list_service, args=(lists, rows), daemon=True)
-    service.start()
+    list_socket = listen()
+    list_process = mp.Process(target=list_service, args=(list_socket, rows), daemon=True)
+    list_process.start()
     if options.ledgers:
-        ledgers(lists.getsockname()[1], options.seconds, options.rounds)
+        compare_dialog_stores(list_socket.getsockname()[1], options.seconds, options.rounds)
         return
     if options.views:
-        views(lists.getsockname()[1], options.seconds, options.rounds, options.views)
+        compare_with_view(list_socket.getsockname()[1], options.seconds, options.rounds, options.views)
         return
-    told: Any = mp.Queue()
+    outputs: Any = mp.Queue()
     with tempfile.TemporaryDirectory() as folder:
         profile = str(Path(folder) / "edge.prof") if options.profile else ""
-        proxy = mp.Process(target=edge, args=(lists.getsockname()[1], told, profile))
-        proxy.start()
-        edge_at = told.get()
-        relayed = mp.Process(target=relay, args=(addresses, told), daemon=True)
-        relayed.start()
-        relay_at = told.get()
+        edge_process = mp.Process(target=run_edge, args=(list_socket.getsockname()[1], outputs, profile))
+        edge_process.start()
+        edge_address = outputs.get()
+        relay_process = mp.Process(target=run_relay, args=(addresses, outputs), daemon=True)
+        relay_process.start()
+        relay_address = outputs.get()
         time.sleep(0.5)
-        load(edge_at, 1), load(relay_at, 1)
+        measure_load(edge_address, 1), measure_load(relay_address, 1)
         rates: dict[str, list[float]] = {"edge": [], "relay": []}
         for _ in range(options.rounds):
-            for name, at in (("edge", edge_at), ("relay", relay_at)):
-                rate, away, _ = load(at, options.seconds)
+            for name, at in (("edge", edge_address), ("relay", relay_address)):
+                rate, rejected, _ = measure_load(at, options.seconds)
                 rates[name].append(rate)
-                print(f"closed loop, {name}: {rate:.0f} dialogs/s, {away:.1%} turned away", flush=True)
+                print(f"closed loop, {name}: {rate:.0f} dialogs/s, {rejected:.1%} turned away", flush=True)
         ratios = [a / b for a, b in zip(rates["edge"], rates["relay"], strict=True)]
         half = statistics.median(rates["edge"]) / 2
         print(f"edge against relay: {min(ratios):.2f} to {max(ratios):.2f}, {len(ratios)} rounds")
         added: list[float] = []
         for _ in range(options.rounds):
             p99 = {}
-            for name, at in (("edge", edge_at), ("relay", relay_at)):
-                rate, away, histogram = load(at, options.seconds, half)
+            for name, at in (("edge", edge_address), ("relay", relay_address)):
+                rate, rejected, histogram = measure_load(at, options.seconds, half)
                 p99[name] = histogram.get_value_at_percentile(99)
                 print(
-                    f"open loop at {half:.0f}/s, {name}: {shown(histogram)}, {away:.1%} turned away",
+                    f"open loop at {half:.0f}/s, {name}: {format_percentiles(histogram)}, "
+                    f"{rejected:.1%} turned away",
                     flush=True,
                 )
             added.append(p99["edge"] / p99["relay"])
         print(f"p99 of a set-up against the relay's: {', '.join(f'{one:.2f}' for one in sorted(added))}")
-        print(f"before dialogs pile up: {resident(proxy.pid or 0)} KiB resident")
-        load(edge_at, 6, half, proxy.pid or 0)
+        print(f"before dialogs pile up: {resident_kib(edge_process.pid or 0)} KiB resident")
+        measure_load(edge_address, 6, half, edge_process.pid or 0)
         if options.long:
             began, first = time.monotonic(), 0
             while time.monotonic() - began < options.long:
-                load(edge_at, min(30.0, options.long), half / 2)
-                first = first or resident(proxy.pid or 0)
-                print(f"{time.monotonic() - began:5.0f} s: {resident(proxy.pid or 0)} KiB", flush=True)
-            print(f"memory after the first span {first} KiB, at the end {resident(proxy.pid or 0)} KiB")
-        proxy.terminate()
-        proxy.join()
+                measure_load(edge_address, min(30.0, options.long), half / 2)
+                first = first or resident_kib(edge_process.pid or 0)
+                print(
+                    f"{time.monotonic() - began:5.0f} s: {resident_kib(edge_process.pid or 0)} KiB",
+                    flush=True,
+                )
+            print(
+                f"memory after the first span {first} KiB, "
+                f"at the end {resident_kib(edge_process.pid or 0)} KiB"
+            )
+        edge_process.terminate()
+        edge_process.join()
         if profile and os.path.exists(profile):
             pstats.Stats(profile, stream=sys.stdout).sort_stats("tottime").print_stats(25)
-    relayed.terminate()
+    relay_process.terminate()
 
 
 if __name__ == "__main__":
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -71,7 +71,7 @@
 """
 
 
-def script(edges: int, rate: int) -> ScenarioConfig:
+def build_scenario(edges: int, rate: int) -> ScenarioConfig:
     return scenario_config(IniFile(INI.format(edges=edges, rate=rate), "full size"), "full size")
 
 
@@ -81,20 +81,20 @@
     options = parser.parse_args()
     if options.profile:
         profiler = cProfile.Profile()
-        profiler.runcall(run_emulated, script(220, 620))
+        profiler.runcall(run_emulated, build_scenario(220, 620))
         pstats.Stats(profiler, stream=sys.stdout).sort_stats("tottime").print_stats(20)
         return
     for edges, rate in ((220, 620), (220, 310), (55, 620), (440, 620)):
-        played = script(edges, rate)
-        began = time.process_time()
-        emulated = run_emulated(played)
-        took = time.process_time() - began
+        scenario = build_scenario(edges, rate)
+        started_at = time.process_time()
+        emulated = run_emulated(scenario)
+        cpu_s = time.process_time() - started_at
         rows = emulated.rows
         verdict = audit(rows)
         service = weighted_service_level(account_by_type(rows), {"plain": 1.0})
         print(
-            f"{edges} edge proxies, {rate} dialogs/s: {took:.1f} s for {emulated.dialled} dialogs, "
-            f"{took / emulated.dialled * 1e6:.0f} us each; service "
+            f"{edges} edge proxies, {rate} dialogs/s: {cpu_s:.1f} s for {emulated.dialled} dialogs, "
+            f"{cpu_s / emulated.dialled * 1e6:.0f} us each; service "
             f"{service:.3f}, rules kept: {verdict.passed}; "
             f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024} MiB at most",
             flush=True,
--- a/benchmarks/leg_time_out.py
+++ b/benchmarks/leg_time_out.py
@@ -23,9 +23,9 @@
 from valverouter.config.scenario import ScenarioConfig, scenario_config
 from valverouter.scenarios.virtual import run_virtual
 
-DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
-SPANS = ("", "750ms", "1500ms", "3s")
-TROUBLES = {
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
+TIME_OUTS = ("", "750ms", "1500ms", "3s")
+FAULTS = {
     "silent": "kind = hang\nsize = 1",
     "slow": "kind = slow\nsize = 4",
     "ageing": "kind = ageing\nsize = 8",
@@ -36,25 +36,25 @@
 }
 
 
-def script(trouble: str, span: str, edges: int, seed: int) -> ScenarioConfig:
-    text = DAY.read_text()
+def build_scenario(fault: str, time_out: str, edges: int, seed: int) -> ScenarioConfig:
+    text = SCENARIO_FILE.read_text()
     text = text[: text.index("[trouble ")].replace("length = 30s\nseed = 7", f"length = 14s\nseed = {seed}")
     text = text.replace("edge_proxies = 3", f"edge_proxies = {edges}")
     text = text.replace("edges = 2\n", f"edges = {edges - edges // 3}\n").replace(
         "edges = 1\n", f"edges = {edges // 3}\n"
     )
     text = text.replace("rate = 40", "rate = 36")
-    text += f"[trouble one]\n{TROUBLES[trouble]}\nstart = 3s\nlength = 8s\non = s0, s3\n"
-    if span:
-        text += f"[attempts all]\nleg_time_out = {span}\n"
-    return scenario_config(IniFile(text, trouble), trouble)
+    text += f"[trouble one]\n{FAULTS[fault]}\nstart = 3s\nlength = 8s\non = s0, s3\n"
+    if time_out:
+        text += f"[attempts all]\nleg_time_out = {time_out}\n"
+    return scenario_config(IniFile(text, fault), fault)
 
 
-def one(job: tuple[str, str, int, int]) -> tuple[tuple[str, str, int, int], float, bool]:
+def run_job(job: tuple[str, str, int, int]) -> tuple[tuple[str, str, int, int], float, bool]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    played = script(*job)
-    rows = run_virtual(played)
-    return job, weighted_service_level(account_by_type(rows), played.importance), audit(rows).passed
+    scenario = build_scenario(*job)
+    rows = run_virtual(scenario)
+    return job, weighted_service_level(account_by_type(rows), scenario.importance), audit(rows).passed
 
 
 def main() -> None:
@@ -63,23 +63,28 @@
     parser.add_argument("--jobs", type=int, default=7)
     options = parser.parse_args()
     jobs = [
-        (trouble, span, edges, seed)
+        (fault, time_out, edges, seed)
         for edges in (3, 30)
-        for trouble in TROUBLES
-        for span in SPANS
+        for fault in FAULTS
+        for time_out in TIME_OUTS
         for seed in range(1, options.seeds + 1)
     ]
     with multiprocessing.Pool(options.jobs) as pool:
-        results = list(pool.imap_unordered(one, jobs))
-    print(f"{options.seeds} seeds; rules kept in {sum(kept for _, _, kept in results)} of {len(results)}")
+        results = list(pool.imap_unordered(run_job, jobs))
+    print(f"{options.seeds} seeds; rules kept in {sum(passed for _, _, passed in results)} of {len(results)}")
     for edges in (3, 30):
-        for trouble in TROUBLES:
-            by_span = {
-                span: statistics.mean(got for job, got, _ in results if job[:3] == (trouble, span, edges))
-                for span in SPANS
+        for fault in FAULTS:
+            service_by_time_out = {
+                time_out: statistics.mean(
+                    service for job, service, _ in results if job[:3] == (fault, time_out, edges)
+                )
+                for time_out in TIME_OUTS
             }
-            rest = "  ".join(f"{span} {by_span[span] - by_span['']:+.3f}" for span in SPANS[1:])
-            print(f"{edges:3} edge proxies, {trouble:13} none {by_span['']:.3f}  {rest}")
+            rest = "  ".join(
+                f"{time_out} {service_by_time_out[time_out] - service_by_time_out['']:+.3f}"
+                for time_out in TIME_OUTS[1:]
+            )
+            print(f"{edges:3} edge proxies, {fault:13} none {service_by_time_out['']:.3f}  {rest}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -40,68 +40,75 @@
 from valverouter.scenarios.operation_course import OperationCourse
 from valverouter.scenarios.operation_harness import OperationRig, run_operations
 
-FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "fleet-course.ini"
 
 
-def scripted(seed: int, edges: int, length_s: float) -> ScenarioConfig:
-    text = FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
+def build_scenario(seed: int, edges: int, length_s: float) -> ScenarioConfig:
+    text = SCENARIO_FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("seed = 1\n", f"seed = {seed}\n")
     # Dialogs go on while the operations come to rest: a release awaits its evidence.
     text = text.replace("length = 18s", f"length = {length_s:g}s")
     return scenario_config(IniFile(text, f"orders {seed}"), "orders")
 
 
-def loopback(options: argparse.Namespace) -> None:
-    failed = resting = 0
+def measure_loopback(options: argparse.Namespace) -> None:
+    failed = at_rest = 0
     results_by_kind: Counter[str] = Counter()
-    turns = 0
-    most, here = max(2, options.edges // 6), max(1, options.edges // 12)
+    steps = 0
+    max_unavailable, max_unavailable_per_region = max(2, options.edges // 6), max(1, options.edges // 12)
     for seed in range(options.first, options.first + options.seeds):
         course, began = OperationCourse(seed, options.length), time.monotonic()
-        script = scripted(seed, options.edges, options.length * 2)
+        scenario = build_scenario(seed, options.edges, options.length * 2)
         with tempfile.TemporaryDirectory() as scratch:
             folder = options.logs / str(seed) if options.logs else Path(scratch)
             folder.mkdir(parents=True, exist_ok=True)
-            rows = run_operations(script, folder, course.play, most, here, servers=options.servers)
-        orders, rules = check_operations(rows), audit(rows)
-        assert orders is not None
-        passed = orders.passed and rules.passed
+            rows = run_operations(
+                scenario,
+                folder,
+                course.play,
+                max_unavailable,
+                max_unavailable_per_region,
+                servers=options.servers,
+            )
+        operations, verdict = check_operations(rows), audit(rows)
+        assert operations is not None
+        passed = operations.passed and verdict.passed
         failed += not passed
-        resting += course.is_at_rest
-        results_by_kind.update(orders.outcomes)
-        turns += orders.steps_started
+        at_rest += course.is_at_rest
+        results_by_kind.update(operations.outcomes)
+        steps += operations.steps_started
         line = f"seed {seed}: {course.operations} told, {course.faults} faults, "
-        line += f"{orders.steps_started} turns, "
-        line += f"most out {orders.max_unavailable} of {most}, rules kept: {rules.passed}, "
+        line += f"{operations.steps_started} turns, "
+        line += f"most out {operations.max_unavailable} of {max_unavailable}, rules kept: {verdict.passed}, "
         line += f"at rest: {course.is_at_rest}, "
         line += f"{time.monotonic() - began:.0f} s"
-        print(line if passed else f"{line}; {orders.violations} {rules.violations}", flush=True)
-    print(f"{options.seeds} courses, {failed} bad, {resting} at rest, {turns} turns; {dict(results_by_kind)}")
+        print(line if passed else f"{line}; {operations.violations} {verdict.violations}", flush=True)
+    print(f"{options.seeds} courses, {failed} bad, {at_rest} at rest, {steps} turns; {dict(results_by_kind)}")
 
 
-def pairs(options: argparse.Namespace) -> None:
+def measure_pairs(options: argparse.Namespace) -> None:
     differences = []
     for seed in range(options.first, options.first + options.seeds):
-        script = scripted(seed, options.edges, options.length)
-        served = []
+        scenario = build_scenario(seed, options.edges, options.length)
+        service_levels = []
         for with_operations in (True, False):
             with tempfile.TemporaryDirectory() as scratch:
                 if with_operations:
-                    rows = run_operations(script, Path(scratch), nothing)
+                    rows = run_operations(scenario, Path(scratch), run_no_operation)
                 else:
-                    rows = run_loopback(script, Path(scratch))
-            served.append(weighted_service_level(account_by_type(rows), {"booking": 1.0}))
-        differences.append(served[0] - served[1])
-        print(f"seed {seed}: {served[0]:.4f} with, {served[1]:.4f} without", flush=True)
+                    rows = run_loopback(scenario, Path(scratch))
+            service_levels.append(weighted_service_level(account_by_type(rows), {"booking": 1.0}))
+        differences.append(service_levels[0] - service_levels[1])
+        print(f"seed {seed}: {service_levels[0]:.4f} with, {service_levels[1]:.4f} without", flush=True)
     mean, spread = statistics.mean(differences), statistics.stdev(differences)
     print(f"mean {mean:+.4f}, spread of the pairs {spread:.4f}")
 
 
-async def nothing(rig: OperationRig) -> None:
+async def run_no_operation(rig: OperationRig) -> None:
     pass
 
 
-def one_simulated(case: tuple[int, int, float]) -> tuple[str, dict[str, int], dict[str, int]]:
+def run_simulated(case: tuple[int, int, float]) -> tuple[str, dict[str, int], dict[str, int]]:
     seed, instances, seconds = case
     simulation = RolloutSimulation(seed, instances)
     try:
@@ -111,7 +118,7 @@
         return f"seed {seed}: {violation}", {}, dict(simulation.counts)
 
 
-def simulated(options: argparse.Namespace) -> None:
+def measure_simulated(options: argparse.Namespace) -> None:
     results_by_kind: Counter[str] = Counter()
     causes: Counter[str] = Counter()
     failed = 0
@@ -120,7 +127,7 @@
         for seed in range(options.first, options.first + options.seeds)
     ]
     with Pool(options.jobs) as pool:
-        for violation, results, counts in pool.imap_unordered(one_simulated, cases, chunksize=4):
+        for violation, results, counts in pool.imap_unordered(run_simulated, cases, chunksize=4):
             results_by_kind.update(results)
             causes.update(counts)
             if violation:
@@ -134,7 +141,7 @@
 RULES = ("program", "threshold", "timer")
 
 
-def one_release(case: tuple[int, int, str, str]) -> tuple[bool, float, float]:
+def run_release(case: tuple[int, int, str, str]) -> tuple[bool, float, float]:
     """Whether it was halted, the fraction of dialogs that were rejected, and how long it took, s."""
     seed, instances, version, rule = case
     limits = DisruptionLimits(
@@ -149,17 +156,17 @@
         leader = simulation.leader
         release = leader.operation_log.operations.get("r") if leader is not None else None
         if release is not None and release.has_ended:
-            took = events.now / SECOND - 10
-            return release.result == "halted", fleet.rejected / max(1, fleet.served), took
+            duration_s = events.now / SECOND - 10
+            return release.result == "halted", fleet.rejected / max(1, fleet.served), duration_s
     return False, fleet.rejected / max(1, fleet.served), 1_190.0
 
 
-def releases(options: argparse.Namespace) -> None:
+def measure_releases(options: argparse.Namespace) -> None:
     with Pool(options.jobs) as pool:
         for version, seeds in (("v2", options.seeds), ("declines", max(1, options.seeds // 5))):
             for rule in RULES:
                 cases = [(seed, options.instances, version, rule) for seed in range(seeds)]
-                results = pool.map(one_release, cases, chunksize=4)
+                results = pool.map(run_release, cases, chunksize=4)
                 halted = sum(result[0] for result in results)
                 rejected = sum(result[1] for result in results) / len(results)
                 median_s = sorted(result[2] for result in results)[len(results) // 2]
@@ -183,8 +190,13 @@
     parser.add_argument("--logs", type=Path, help="keep the processes' files here")
     options = parser.parse_args()
     logs.configure_logging(LogConfig(level="error"))
-    runs = {"loopback": loopback, "simulated": simulated, "releases": releases, "pairs": pairs}
-    runs[options.what](options)
+    measurements = {
+        "loopback": measure_loopback,
+        "simulated": measure_simulated,
+        "releases": measure_releases,
+        "pairs": measure_pairs,
+    }
+    measurements[options.what](options)
 
 
 if __name__ == "__main__":
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -26,16 +26,16 @@
 from valverouter.scenarios.planning import plan_scenario
 from valverouter.scenarios.virtual import run_virtual
 
-DAY = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
 # Routine legs and the window in seconds: a large fleet's slots need a longer one to be used.
 BUDGETS = {6: (24, 2)}
-LARGE = (120, 10)
+LARGE_FLEET_BUDGET = (120, 10)
 VARIANTS = ("budget", "unlimited", "forbidden", "earlier")
 
 
-def script(variant: str, seed: int, edges: int) -> ScenarioConfig:
+def build_scenario(variant: str, seed: int, edges: int) -> ScenarioConfig:
     """The day at a fleet size, load and servers unchanged."""
-    text = DAY.read_text().replace("seed = 3", f"seed = {seed}")
+    text = SCENARIO_FILE.read_text().replace("seed = 3", f"seed = {seed}")
     if edges != 6:
         quarter = edges // 4
         text = text.replace("edge_proxies = 6", f"edge_proxies = {4 * quarter}")
@@ -54,32 +54,34 @@
     return scenario_config(IniFile(text, variant), variant)
 
 
-def one(job: tuple[str, int, int]) -> tuple[str, int, float, float, int, bool, float]:
+def run_job(job: tuple[str, int, int]) -> tuple[str, int, float, float, int, bool, float]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     variant, seed, edges = job
-    played = script(variant, seed, edges)
-    rows = run_virtual(played)
+    scenario = build_scenario(variant, seed, edges)
+    rows = run_virtual(scenario)
     accounts = account_by_type(rows)
-    routine = [
-        one.at for one in cross_region_setups(rows) if one.traffic_type == "booking" and one.home == "sofia"
+    routine_setups = [
+        setup.at
+        for setup in cross_region_setups(rows)
+        if setup.traffic_type == "booking" and setup.home == "sofia"
     ]
-    can = 0.0
+    planned = 0.0
     if variant == "budget":
         # The lines are short for half of the day.
-        can = (
-            plan_scenario(played, rows).served_fraction
-            + plan_scenario(played, rows, {"sofia": 40**-0.5}).served_fraction
+        planned = (
+            plan_scenario(scenario, rows).served_fraction
+            + plan_scenario(scenario, rows, {"sofia": 40**-0.5}).served_fraction
         ) / 2
     urgent = accounts["urgent-referral"].service_level
-    whole = weighted_service_level(accounts, {kind: 1.0 for kind in accounts})
+    total = weighted_service_level(accounts, {kind: 1.0 for kind in accounts})
     return (
         variant,
         seed,
         urgent,
-        whole,
-        max_in_window(routine, BUDGETS.get(edges, LARGE)[1] * 10**9),
+        total,
+        max_in_window(routine_setups, BUDGETS.get(edges, LARGE_FLEET_BUDGET)[1] * 10**9),
         audit(rows).passed,
-        can,
+        planned,
     )
 
 
@@ -91,17 +93,17 @@
     options = parser.parse_args()
     jobs = [(variant, seed, options.edges) for seed in range(1, options.seeds + 1) for variant in VARIANTS]
     with multiprocessing.Pool(options.jobs) as pool:
-        results = list(pool.imap_unordered(one, jobs))
-    legs, window = BUDGETS.get(options.edges, LARGE)
+        results = list(pool.imap_unordered(run_job, jobs))
+    legs, window = BUDGETS.get(options.edges, LARGE_FLEET_BUDGET)
     print(
         f"{options.edges} edge proxies, {options.seeds} seeds, {legs} routine legs in {window} s from sofia"
     )
     for variant in VARIANTS:
-        found = [result for result in results if result[0] == variant]
+        rows = [result for result in results if result[0] == variant]
         print(
-            f"{variant:10} urgent {statistics.mean(r[2] for r in found):.3f}  all "
-            f"{statistics.mean(r[3] for r in found):.3f}  most in a window {max(r[4] for r in found)}  "
-            f"rules kept in {sum(r[5] for r in found)} of {len(found)}"
+            f"{variant:10} urgent {statistics.mean(r[2] for r in rows):.3f}  all "
+            f"{statistics.mean(r[3] for r in rows):.3f}  most in a window {max(r[4] for r in rows)}  "
+            f"rules kept in {sum(r[5] for r in rows)} of {len(rows)}"
         )
     planned = statistics.mean(result[6] for result in results if result[0] == "budget")
     print(f"the planner: {planned:.3f} of all dialogs can be had within the budget, none cut")
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -32,54 +32,56 @@
 from valverouter.scenarios.loopback import run_loopback
 from valverouter.scenarios.virtual import run_virtual
 
-DAY = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
-FLEET = Path(__file__).parent.parent / "deploy" / "experiments" / "size-day.ini"
-TROUBLES = (
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "bad-day.ini"
+FLEET_SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "experiments" / "size-day.ini"
+FAULTS = (
     "",
     "[trouble s]\nkind = slow\nstart = 1s\nlength = 3s\nsize = 4\non = s0, s1\n",
     "[trouble m]\nkind = answer_lost\nstart = 1s\nlength = 3s\nsize = 0.5\non = s0, s1\n",
     "[trouble d]\nkind = crash\nstart = 2s\nlength = 1s\non = s0, s1\n",
 )
 # What a process takes to come up on a machine that does other things as well.
-COMES_UP = 2_000
+START_TIME_MS = 2_000
 
 
-def script(seed: int, seconds: int, kills: int, ledger: bool, apart: int) -> ScenarioConfig:
+def build_scenario(
+    seed: int, seconds: int, kills: int, dialog_store: bool, min_gap_ms: int
+) -> ScenarioConfig:
     """A day with kills of its edge proxies, each `apart` ms or more from its last, and one other trouble."""
-    chance = random.Random(f"{seed}/kills")
-    text = DAY.read_text()
+    rng = random.Random(f"{seed}/kills")
+    text = SCENARIO_FILE.read_text()
     text = text[: text.index("[trouble ")].replace(
         "length = 30s\nseed = 7", f"length = {seconds}s\nseed = {seed}"
     )
-    text += TROUBLES[seed % len(TROUBLES)]
+    text += FAULTS[seed % len(FAULTS)]
     slot = (seconds * 1_000 - 500) // max(1, -(-kills // 3))
     for at in range(kills):
-        start = at // 3 * slot + chance.randrange(100, max(101, slot - apart))
+        start = at // 3 * slot + rng.randrange(100, max(101, slot - min_gap_ms))
         text += f"[trouble k{at}]\nkind = balancer_crash\nstart = {start}ms\nlength = 50ms\non = e{at % 3}\n"
-    return scenario_config(IniFile(text + ("[ledger]\n" if ledger else ""), "kills"), "kills")
+    return scenario_config(IniFile(text + ("[ledger]\n" if dialog_store else ""), "kills"), "kills")
 
 
-def one(seed: int) -> list[tuple[int, int, int, float]]:
+def run_seed(seed: int) -> list[tuple[int, int, int, float]]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     found = []
-    for ledger in (True, False):
-        played = script(seed, 4, 6, ledger, 300)
-        rows = run_virtual(played)
+    for dialog_store in (True, False):
+        scenario = build_scenario(seed, 4, 6, dialog_store, 300)
+        rows = run_virtual(scenario)
         verdict = audit(rows)
         found.append(
             (
                 len(verdict.violations),
                 verdict.resumptions,
                 verdict.forgotten_dialogs,
-                weighted_service_level(account_by_type(rows), played.importance),
+                weighted_service_level(account_by_type(rows), scenario.importance),
             )
         )
     return found
 
 
-def virtual(days: int, jobs: int) -> None:
+def measure_virtual(days: int, jobs: int) -> None:
     with multiprocessing.Pool(jobs) as pool:
-        results = pool.map(one, range(1, days + 1), chunksize=5)
+        results = pool.map(run_seed, range(1, days + 1), chunksize=5)
     for name, column in (("ledger", 0), ("without", 1)):
         rows = [result[column] for result in results]
         print(
@@ -89,25 +91,25 @@
         )
 
 
-def loopback(kills: int) -> None:
-    seconds = 3 + COMES_UP * -(-kills // 3) // 1_000
-    for ledger in (True, False):
-        played = script(4, seconds, kills, ledger, COMES_UP - 300)
+def measure_loopback(kills: int) -> None:
+    seconds = 3 + START_TIME_MS * -(-kills // 3) // 1_000
+    for dialog_store in (True, False):
+        scenario = build_scenario(4, seconds, kills, dialog_store, START_TIME_MS - 300)
         with tempfile.TemporaryDirectory() as folder:
-            rows = run_loopback(played, Path(folder))
+            rows = run_loopback(scenario, Path(folder))
         verdict = audit(rows)
-        service = weighted_service_level(account_by_type(rows), played.importance)
+        service = weighted_service_level(account_by_type(rows), scenario.importance)
         print(
-            f"loopback, {'ledger' if ledger else 'without'}: {seconds} s, {kills} SIGKILL, "
+            f"loopback, {'ledger' if dialog_store else 'without'}: {seconds} s, {kills} SIGKILL, "
             f"{verdict.check_counts[1]} dialogs, {verdict.resumptions} resumed, "
             f"{verdict.forgotten_dialogs} forgotten, "
             f"{len(verdict.violations)} breaches, service {service:.4f}"
         )
-        for breach in verdict.violations[:10]:
-            print(" ", breach)
+        for violation in verdict.violations[:10]:
+            print(" ", violation)
 
 
-class AtOnce(QueryPacer):
+class UnpacedQueries(QueryPacer):
     """Asks for everything as soon as it may."""
 
     def take_due(self, now: int) -> list[tuple[str, str]]:
@@ -120,38 +122,42 @@
         return due
 
 
-def fleet_day(seed: int, size: int, share: float, ledger: bool) -> ScenarioConfig:
-    text = FLEET.read_text().replace("seed = 1\n", f"seed = {seed}\n").replace("= 64", f"= {size}")
+def build_fleet_scenario(seed: int, size: int, fraction: float, dialog_store: bool) -> ScenarioConfig:
+    text = (
+        FLEET_SCENARIO_FILE.read_text().replace("seed = 1\n", f"seed = {seed}\n").replace("= 64", f"= {size}")
+    )
     text = text[: text.index("[trouble ")] if "[trouble " in text else text
-    text += f"[trouble k]\nkind = balancer_crash\nstart = 10s\nlength = 1s\npart = {share}\n"
-    return scenario_config(IniFile(text + ("[ledger]\n" if ledger else ""), "fleet"), "fleet")
+    text += f"[trouble k]\nkind = balancer_crash\nstart = 10s\nlength = 1s\npart = {fraction}\n"
+    return scenario_config(IniFile(text + ("[ledger]\n" if dialog_store else ""), "fleet"), "fleet")
 
 
-def fleet_one(job: tuple[int, int, float]) -> list[tuple[float, float, int]]:
-    seed, size, share = job
+def run_fleet_job(job: tuple[int, int, float]) -> list[tuple[float, float, int]]:
+    seed, size, fraction = job
     found = []
     for mode in ("without", "paced", "at once"):
-        edge_recovery.QueryPacer = AtOnce if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
-        played = fleet_day(seed, size, share, mode != "without")
-        rows = run_emulated(played).rows
-        seen = compute_figures(rows)
-        found.append((seen["service"], seen["worst-10s"], len(audit(rows).violations)))
+        edge_recovery.QueryPacer = UnpacedQueries if mode == "at once" else QueryPacer  # type: ignore[attr-defined]
+        scenario = build_fleet_scenario(seed, size, fraction, mode != "without")
+        rows = run_emulated(scenario).rows
+        metrics = compute_figures(rows)
+        found.append((metrics["service"], metrics["worst-10s"], len(audit(rows).violations)))
     return found
 
 
-def fleet(seeds: int, jobs: int) -> None:
-    for size, share in ((200, 0.1), (200, 0.4), (200, 0.7), (4, 0.5)):
+def measure_fleet(seeds: int, jobs: int) -> None:
+    for size, fraction in ((200, 0.1), (200, 0.4), (200, 0.7), (4, 0.5)):
         with multiprocessing.Pool(jobs) as pool:
-            results = pool.map(fleet_one, [(seed, size, share) for seed in range(1, seeds + 1)], chunksize=1)
+            results = pool.map(
+                run_fleet_job, [(seed, size, fraction) for seed in range(1, seeds + 1)], chunksize=1
+            )
         for at, mode in enumerate(("without", "paced", "at once")):
             rows = [result[at] for result in results]
-            said = f"service {statistics.mean(row[0] for row in rows):.4f}, worst 10 s "
-            said += f"{statistics.mean(row[1] for row in rows):.4f}, {sum(row[2] for row in rows)} breaches"
+            line = f"service {statistics.mean(row[0] for row in rows):.4f}, worst 10 s "
+            line += f"{statistics.mean(row[1] for row in rows):.4f}, {sum(row[2] for row in rows)} breaches"
             if at:
-                gaps = [result[at][0] - result[0][0] for result in results]
-                error = statistics.stdev(gaps) / len(gaps) ** 0.5
-                said += f", {statistics.mean(gaps):+.4f} ({error:.4f}) to without"
-            print(f"{share:.0%} of {size} killed, {mode}: {said}", flush=True)
+                differences = [result[at][0] - result[0][0] for result in results]
+                error = statistics.stdev(differences) / len(differences) ** 0.5
+                line += f", {statistics.mean(differences):+.4f} ({error:.4f}) to without"
+            print(f"{fraction:.0%} of {size} killed, {mode}: {line}", flush=True)
 
 
 def main() -> None:
@@ -162,11 +168,11 @@
     parser.add_argument("--fleet", type=int, default=0)
     options = parser.parse_args()
     if options.fleet:
-        fleet(options.fleet, options.jobs)
+        measure_fleet(options.fleet, options.jobs)
     if options.virtual:
-        virtual(options.virtual, options.jobs)
+        measure_virtual(options.virtual, options.jobs)
     if options.loopback:
-        loopback(options.loopback)
+        measure_loopback(options.loopback)
 
 
 if __name__ == "__main__":
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -64,16 +64,16 @@
 redials = 2
 """
 CRASH = "[trouble crash]\nkind = crash\nstart = {at}s\nlength = 8s\non = s3, s11\n"
-DAYS = ("calm", "crowded", "crashing")
-RULES = ("waves", "one", "tenth", "all")
+CONDITIONS = ("calm", "crowded", "crashing")
+POLICIES = ("waves", "one", "tenth", "all")
 # Between two waves of edge proxies: the start, and that it serves.
-START, WAVE = 2, 4
-FIRST, REST = 5, 25
+START_S, WAVE_INTERVAL_S = 2, 4
+FIRST_WAVE_S, TIME_AFTER_S = 5, 25
 
 
-def edge_waves(rule: str, edges: int) -> list[list[str]]:
+def edge_waves(policy: str, edges: int) -> list[list[str]]:
     names = [f"e{at}" for at in range(edges)]
-    if rule == "waves":
+    if policy == "waves":
         third = edges // 3
         bounds = (edges - 2 * third, edges - third, edges)
         units = [
@@ -83,31 +83,32 @@
         return plan_waves(
             DisruptionLimits(edges // 6, edges // 8, min_capacity_fraction=0.6), units, (), names
         )
-    size = {"one": 1, "tenth": max(1, edges // 10), "all": edges}[rule]
+    size = {"one": 1, "tenth": max(1, edges // 10), "all": edges}[policy]
     return [names[at : at + size] for at in range(0, edges, size)]
 
 
-def scripted(
-    what: str, kind: str, rule: str, edges: int, rate: float, seed: int, with_it: bool
+def build_scenario(
+    target: str, condition: str, policy: str, edges: int, rate: float, seed: int, with_restart: bool
 ) -> tuple[ScenarioConfig, float]:
     """The day, and how long the rolling takes, s."""
-    troubles = []
-    if what == "edges":
-        made = edge_waves(rule, edges)
-        took = float(len(made) * WAVE)
-        for at, wave in enumerate(made):
-            start, on = FIRST + at * WAVE, ", ".join(wave)
-            troubles.append(
-                f"[trouble w{at}]\nkind = balancer_leave\nstart = {start}s\nlength = {START}s\non = {on}\n"
+    faults = []
+    if target == "edges":
+        waves = edge_waves(policy, edges)
+        duration_s = float(len(waves) * WAVE_INTERVAL_S)
+        for at, wave in enumerate(waves):
+            start, on = FIRST_WAVE_S + at * WAVE_INTERVAL_S, ", ".join(wave)
+            faults.append(
+                f"[trouble w{at}]\nkind = balancer_leave\nstart = {start}s\nlength = {START_S}s\non = {on}\n"
             )
     else:
-        size, pace = {"waves": (2, 20), "one": (1, 5), "tenth": (2, 5), "all": (24, 5)}[rule]
-        took = 24 / size * pace
-        troubles.append(
-            f"[trouble roll]\nkind = deploy\nstart = {FIRST}s\nlength = {took:g}s\nsize = {size}\n"
+        size, pace = {"waves": (2, 20), "one": (1, 5), "tenth": (2, 5), "all": (24, 5)}[policy]
+        duration_s = 24 / size * pace
+        faults.append(
+            f"[trouble roll]\nkind = deploy\nstart = {FIRST_WAVE_S}s\nlength = {duration_s:g}s\n"
+            f"size = {size}\n"
             "extra = 2s\npart = 1\n"
         )
-    length = FIRST + took + REST
+    length = FIRST_WAVE_S + duration_s + TIME_AFTER_S
     third = edges // 3
     text = INI.format(
         length=round(length),
@@ -115,24 +116,24 @@
         edges=edges,
         third=third,
         north=edges - 2 * third,
-        rate=rate * (1.3 if kind == "crowded" else 1.0),
+        rate=rate * (1.3 if condition == "crowded" else 1.0),
     )
-    if kind == "crashing":
-        text += CRASH.format(at=round(FIRST + took / 2))
-    text += "".join(troubles) if with_it else ""
-    return scenario_config(IniFile(text, kind), kind), took
-
-
-def one(case: tuple[str, str, str, int, float, int]) -> tuple[float, int, float, bool]:
-    what, kind, rule, edges, rate, seed = case
-    served, dialled, took, kept = [], 0, 0.0, True
-    for with_it in (False, True):
-        script, took = scripted(what, kind, rule, edges, rate, seed, with_it)
-        emulated = run_emulated(script)
-        served.append(weighted_service_level(account_by_type(emulated.rows), {"plain": 1.0}))
+    if condition == "crashing":
+        text += CRASH.format(at=round(FIRST_WAVE_S + duration_s / 2))
+    text += "".join(faults) if with_restart else ""
+    return scenario_config(IniFile(text, condition), condition), duration_s
+
+
+def run_case(case: tuple[str, str, str, int, float, int]) -> tuple[float, int, float, bool]:
+    target, condition, policy, edges, rate, seed = case
+    service_levels, dialled, duration_s, passed = [], 0, 0.0, True
+    for with_restart in (False, True):
+        scenario, duration_s = build_scenario(target, condition, policy, edges, rate, seed, with_restart)
+        emulated = run_emulated(scenario)
+        service_levels.append(weighted_service_level(account_by_type(emulated.rows), {"plain": 1.0}))
         dialled = emulated.dialled
-        kept = kept and audit(emulated.rows).passed
-    return served[0] - served[1], dialled, took, kept
+        passed = passed and audit(emulated.rows).passed
+    return service_levels[0] - service_levels[1], dialled, duration_s, passed
 
 
 def main() -> None:
@@ -142,21 +143,22 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--what", choices=("edges", "servers", "both"), default="both")
-    parser.add_argument("--rules", default=",".join(RULES))
-    told = parser.parse_args()
-    with Pool(told.jobs) as pool:
-        for what in ("servers", "edges") if told.what == "both" else (told.what,):
-            for kind in DAYS:
-                for rule in told.rules.split(","):
+    parser.add_argument("--rules", default=",".join(POLICIES))
+    options = parser.parse_args()
+    with Pool(options.jobs) as pool:
+        for target in ("servers", "edges") if options.what == "both" else (options.what,):
+            for condition in CONDITIONS:
+                for policy in options.rules.split(","):
                     cases = [
-                        (what, kind, rule, told.edges, told.rate, seed) for seed in range(1, told.seeds + 1)
+                        (target, condition, policy, options.edges, options.rate, seed)
+                        for seed in range(1, options.seeds + 1)
                     ]
-                    results = pool.map(one, cases, chunksize=1)
-                    shares = [result[0] for result in results]
-                    lost = statistics.mean(share * dialled for share, dialled, _, _ in results)
+                    results = pool.map(run_case, cases, chunksize=1)
+                    losses = [result[0] for result in results]
+                    lost = statistics.mean(loss * dialled for loss, dialled, _, _ in results)
                     print(
-                        f"{what} {kind} {rule}: {statistics.mean(shares):+.4f} of the day "
-                        f"({min(shares):+.4f} to {max(shares):+.4f}), {lost:.0f} dialogs, "
+                        f"{target} {condition} {policy}: {statistics.mean(losses):+.4f} of the day "
+                        f"({min(losses):+.4f} to {max(losses):+.4f}), {lost:.0f} dialogs, "
                         f"{results[0][2]:.0f} s, rules kept: {all(result[3] for result in results)}",
                         flush=True,
                     )
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -34,7 +34,7 @@
 BASELINES = ("program", "heartbeats", "unsuspecting", "trusting")
 SEEDS = ("e0:1", "e1:1", "e2:1")
 # Baseline of heartbeats: silent for so many periods is gone, about as long as the program takes to a death.
-SILENT_PERIODS = 5
+MAX_SILENT_PERIODS = 5
 
 
 class Heartbeats:
@@ -54,7 +54,7 @@
         self.outbox: list[tuple[str, Message]] = []
         self.events: list[MembershipEvent] = []
         self.next_timer = now + int(draw() * config.probe_period)
-        self._last_heard: dict[str, int] = {}
+        self._last_received_at: dict[str, int] = {}
 
     def take_outbox(self) -> list[tuple[str, Message]]:
         """Empties the outbox and returns what was in it."""
@@ -68,10 +68,10 @@
 
     def receive(self, now: int, address: str, message: Message) -> None:
         """Handles a heartbeat: its sender runs."""
-        self._last_heard[message.name] = now
-        held = self.view.records.get(message.name)
-        if held is not None and not held.is_live:
-            self.view.set_record(next_own_record(held), now)
+        self._last_received_at[message.name] = now
+        record = self.view.records.get(message.name)
+        if record is not None and not record.is_live:
+            self.view.set_record(next_own_record(record), now)
 
     def tick(self, now: int) -> None:
         """Sends heartbeats, and declares silent members gone, unless this process itself was late."""
@@ -80,14 +80,14 @@
         self.next_timer = now + period
         own_name = self.own_record.name
         heartbeat = Gossip(own_name, self.own_record.incarnation, 0)
-        for name, held in list(self.view.records.items()):
-            if name == own_name or not held.is_live:
+        for name, record in list(self.view.records.items()):
+            if name == own_name or not record.is_live:
                 continue
-            self.outbox.append((held.address, heartbeat))
+            self.outbox.append((record.address, heartbeat))
             if late:
-                self._last_heard[name] = now
-            elif now - self._last_heard.setdefault(name, now) > SILENT_PERIODS * period:
-                gone = as_reported(held, MemberState.GONE, own_name)
+                self._last_received_at[name] = now
+            elif now - self._last_received_at.setdefault(name, now) > MAX_SILENT_PERIODS * period:
+                gone = as_reported(record, MemberState.GONE, own_name)
                 self.view.set_record(gone, now)
                 self.events.append(MembershipEvent(now, EventKind.GONE, gone, own_name))
 
@@ -105,30 +105,30 @@
     seconds: float
 
 
-def config_of(baseline: str) -> MembershipConfig:
+def build_config(baseline: str) -> MembershipConfig:
     """The configuration of a baseline."""
     return MembershipConfig(
         suspicion_enabled=baseline != "unsuspecting", local_health_enabled=baseline != "trusting"
     )
 
 
-def fleet(
+def start_fleet(
     case: Case,
-    watch: Callable[[SimulatedNode, MembershipEvent], None],
+    on_event: Callable[[SimulatedNode, MembershipEvent], None],
     faults: list[PathFault] | None = None,
-    sized: bool = False,
+    count_bytes: bool = False,
 ) -> MembershipSimulation:
     """A fleet whose members know each other already; `sized`: bytes are counted."""
-    chance = random.Random(f"paths/{case.seed}")
+    rng = random.Random(f"paths/{case.seed}")
     make = Heartbeats if case.baseline == "heartbeats" else Membership
     simulation = MembershipSimulation(
-        config_of(case.baseline),
+        build_config(case.baseline),
         NetworkPaths(
-            faults or [], chance.random, lambda a, b: 500_000 + int(chance.random() * 1_500_000), case.loss
+            faults or [], rng.random, lambda a, b: 500_000 + int(rng.random() * 1_500_000), case.loss
         ),
         case.seed,
-        watch,
-        datagram_size if sized else None,
+        on_event,
+        datagram_size if count_bytes else None,
         make,  # type: ignore[arg-type]
     )
     simulation.start_converged(case.members, SEEDS)
@@ -139,37 +139,37 @@
     return simulation
 
 
-def _schedule_stalls(simulation: MembershipSimulation, name: str, chance: random.Random) -> None:
+def _schedule_stalls(simulation: MembershipSimulation, name: str, rng: random.Random) -> None:
     """The member stalls for 2 s at a time, every 20 s on average."""
 
     def stall() -> None:
         simulation.stall(name, 2 * SECOND)
-        simulation.at(simulation.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
+        simulation.at(simulation.now + 2 * SECOND + int(rng.expovariate(1 / 18) * SECOND), stall)
 
-    simulation.at(int(chance.random() * 20 * SECOND), stall)
+    simulation.at(int(rng.random() * 20 * SECOND), stall)
 
 
-def deaths(case: Case) -> dict[str, list[float]]:
+def measure_detection(case: Case) -> dict[str, list[float]]:
     """Kills one member after the other; how long until all others know, and how many deaths some missed."""
-    unaware: set[str] = set()
+    uninformed: set[str] = set()
     killed: dict[str, int] = {}
-    spans: list[float] = []
+    detection_times_s: list[float] = []
 
-    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
+    def on_event(node: SimulatedNode, event: MembershipEvent) -> None:
         if event.kind is EventKind.GONE and event.record.name in killed:
-            unaware.discard(node.name)
-            if not unaware:
-                spans.append((simulation.now - killed.pop(event.record.name)) / SECOND)
+            uninformed.discard(node.name)
+            if not uninformed:
+                detection_times_s.append((simulation.now - killed.pop(event.record.name)) / SECOND)
 
-    simulation = fleet(case, watch)
-    chance = random.Random(f"deaths/{case.seed}")
+    simulation = start_fleet(case, on_event)
+    rng = random.Random(f"deaths/{case.seed}")
     simulation.run_until(3 * SECOND)
     missed = 0
     while simulation.now < case.seconds * SECOND:
-        name = chance.choice(sorted(simulation.nodes))
-        simulation.run_until(simulation.now + int(chance.random() * SECOND))
+        name = rng.choice(sorted(simulation.nodes))
+        simulation.run_until(simulation.now + int(rng.random() * SECOND))
         simulation.kill(name)
-        unaware = {node.name for node in simulation.running_nodes()}
+        uninformed = {node.name for node in simulation.running_nodes()}
         killed[name] = simulation.now
         simulation.run_until(simulation.now + 30 * SECOND)
         missed += len(killed)
@@ -178,27 +178,27 @@
             name, SEEDS, known_records=[node.membership.own_record for node in simulation.running_nodes()]
         )
         simulation.run_until(simulation.now + 5 * SECOND)
-    return {"spans": spans, "missed": [float(missed)]}
+    return {"spans": detection_times_s, "missed": [float(missed)]}
 
 
-def false_deaths(case: Case) -> dict[str, list[float]]:
+def measure_false_positives(case: Case) -> dict[str, list[float]]:
     """Nobody dies: counts false deaths, once for each member and record, and accusations received."""
-    wrong: set[tuple[str, int, int]] = set()
+    false_positives: set[tuple[str, int, int]] = set()
     counts: Counter[EventKind] = Counter()
 
-    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
+    def on_event(node: SimulatedNode, event: MembershipEvent) -> None:
         counts[event.kind] += 1
         if event.kind is EventKind.GONE:
-            wrong.add((event.record.name, event.record.incarnation, event.record.sequence))
+            false_positives.add((event.record.name, event.record.incarnation, event.record.sequence))
 
-    simulation = fleet(case, watch)
+    simulation = start_fleet(case, on_event)
     simulation.run_until(int(case.seconds * SECOND))
-    return {"wrong": [float(len(wrong))], "suspects": [float(counts[EventKind.ACCUSED])]}
+    return {"wrong": [float(len(false_positives))], "suspects": [float(counts[EventKind.ACCUSED])]}
 
 
-def cost(case: Case) -> dict[str, list[float]]:
+def measure_cost(case: Case) -> dict[str, list[float]]:
     """Messages and bytes a second of each member."""
-    simulation = fleet(case, lambda node, event: None, sized=True)
+    simulation = start_fleet(case, lambda node, event: None, count_bytes=True)
     simulation.run_until(int(case.seconds * SECOND))
     nodes = list(simulation.nodes.values())
     return {
@@ -207,26 +207,31 @@
     }
 
 
-def cut(case: Case) -> dict[str, list[float]]:
+def measure_partition(case: Case) -> dict[str, list[float]]:
     """A partition into halves for 60 s, from 5 s on; how long until all have one digest."""
     half = frozenset(f"e{at}" for at in range(case.members // 2))
     # Only the members of one group are named: all others are in the other one.
     fault = PathFault("split", 5 * SECOND, 65 * SECOND, groups=(half,))
-    simulation = fleet(case, lambda node, event: None, [fault])
+    simulation = start_fleet(case, lambda node, event: None, [fault])
     simulation.run_until(65 * SECOND)
-    settled = simulation.run_until_converged(185 * SECOND, SECOND // 10)
-    return {"settled": [float("inf") if settled is None else (settled - 65 * SECOND) / SECOND]}
+    converged_at = simulation.run_until_converged(185 * SECOND, SECOND // 10)
+    return {"settled": [float("inf") if converged_at is None else (converged_at - 65 * SECOND) / SECOND]}
 
 
-MEASUREMENTS = {"deaths": deaths, "false": false_deaths, "cost": cost, "cut": cut}
+MEASUREMENTS = {
+    "deaths": measure_detection,
+    "false": measure_false_positives,
+    "cost": measure_cost,
+    "cut": measure_partition,
+}
 
 
-def run(case: Case) -> dict[str, list[float]]:
+def run_case(case: Case) -> dict[str, list[float]]:
     """The values of one round, by name."""
     return MEASUREMENTS[case.measurement](case)
 
 
-def arguments() -> argparse.Namespace:
+def parse_arguments() -> argparse.Namespace:
     """The arguments of the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("measurement", choices=sorted(MEASUREMENTS))
@@ -242,7 +247,7 @@
     return parser.parse_args()
 
 
-def cases_of(options: argparse.Namespace) -> list[Case]:
+def make_cases(options: argparse.Namespace) -> list[Case]:
     """The rounds to simulate, with seeds counted up."""
     rounds, seconds = options.rounds, options.seconds
     if options.hours:
@@ -266,8 +271,10 @@
 def report(cases: list[Case], results: list[dict[str, list[float]]]) -> None:
     """Prints the values of all rounds together."""
     first, last = cases[0], cases[-1]
-    head = f"{first.measurement} {first.baseline} members={first.members} loss={first.loss}"
-    print(f"{head} stalls={first.stalls} seeds={first.seed}..{last.seed} of {first.seconds:g} s", flush=True)
+    heading = f"{first.measurement} {first.baseline} members={first.members} loss={first.loss}"
+    print(
+        f"{heading} stalls={first.stalls} seeds={first.seed}..{last.seed} of {first.seconds:g} s", flush=True
+    )
     merged: dict[str, list[float]] = {}
     for result in results:
         for name, values in result.items():
@@ -284,10 +291,10 @@
 
 def main() -> None:
     """Simulates the rounds in parallel and prints what they measured."""
-    options = arguments()
-    cases = cases_of(options)
+    options = parse_arguments()
+    cases = make_cases(options)
     with Pool(options.jobs) as pool:
-        results = pool.map(run, cases, chunksize=1)
+        results = pool.map(run_case, cases, chunksize=1)
     report(cases, results)
 
 
