--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,10 +1,10 @@
-"""A soak of real edge proxy processes: one course a seed, judged from the sockets.
+"""Soak of edge proxy processes on loopback: one run per seed, judged from the recorded traffic.
 
     python benchmarks/soak.py --seeds 1-50 [--jobs 3] [--busy 24] [--planted early-exit]
 
-Odd seeds play the platform's edge proxy, even ones `valverouter edge` with its dialog store. `--busy` keeps
-so many other processes busy meanwhile. Ends with 1 if a course failed. A seed draws the same course each
-time; what the machine's clock decides (which set-up a signal meets) is not the same to the millisecond.
+Odd seeds run the platform's edge proxy, even seeds `valverouter edge` with its dialog store. `--busy` runs
+that many processes that keep a core busy meanwhile; `--planted` injects a fault. Exits with 1 if a run fails.
+A seed always draws the same plan; timing (which set-up a signal meets) varies by milliseconds between runs.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 
 def keep_core_busy() -> None:
-    """Keeps a core busy until the soak has gone."""
+    """Keeps a core busy until the parent process exits."""
     parent = os.getppid()
     while os.getppid() == parent:
         sum(range(100_000))
 
 
 def parse_seeds(text: str) -> list[int]:
-    """The seeds of `1-50` or `7`."""
+    """Parses a range of seeds such as `1-50`, or one seed such as `7`."""
     first, _, last = text.partition("-")
     return list(range(int(first), int(last or first) + 1))
 
 
 def main() -> int:
-    """Plays the courses; returns the exit code."""
+    """Runs the plans; returns the exit code."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/tests/process_harness.py
+++ b/tests/process_harness.py
@@ -1,6 +1,6 @@
-"""`valverouter edge` as a process on loopback, with scripted peers, for fault injection.
+"""Runs `valverouter edge` as a process on loopback, with scripted peers, for fault injection.
 
-Shortages are small limits on the child alone (resource.prlimit on its pid); the machine is left as it is.
+Resource exhaustion is caused by limits on the child process only (resource.prlimit on its pid).
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class ScriptedServer:
-    """A stand-in server on a real socket: welcomes, and says `answer` to each set-up."""
+    """A fake server on a real socket: sends Welcome, and answers each set-up with the result of `answer`."""
 
     def __init__(self, name: str, number: int) -> None:
         self.name, self.number, self.address = name, number, "127.0.0.1:0"
@@ -74,7 +74,10 @@
 
 
 class ProcessHarness:
-    """The process, its list service and servers s0, s1 ...; `lines` are its log events so far."""
+    """The process, its list service and servers s0, s1 ...
+
+    `log_events`: the log events so far; `unparsed_lines`: lines of its log that are not JSON.
+    """
 
     def __init__(self, nursery: trio.Nursery, folder: Path) -> None:
         self.nursery, self.folder = nursery, folder
@@ -114,7 +117,7 @@
         await self.list_connections[-1].send(self.registry.change(list(rows)))
 
     async def start(self, text: str, stderr: int | None = None) -> None:
-        """Starts it and waits until it listens; with `stderr` of its own, until its port is known to us."""
+        """Starts the process; unless `stderr` is given, waits until it is connected to all servers."""
         self.config_file.write_text(text, "utf-8")
         self.spawn(["valverouter.cli", "edge", str(self.config_file)], stderr=stderr)
         if stderr is None:
@@ -122,7 +125,7 @@
             await self.wait_for_event("link-up", count=len(self.servers))
 
     async def start_platform_edge(self, config: dict[str, Any]) -> None:
-        """Starts the edge proxy behind the platform's protocol, told so; waits until it listens."""
+        """Starts the platform's edge proxy with a configuration and waits until it listens."""
         self.config_file = self.folder / "config.json"
         self.config_file.write_bytes(msgspec.json.encode(config))
         self.spawn(["valverouter.platform_edge"], {"RELAY_CONFIG": str(self.config_file)})
@@ -157,7 +160,7 @@
         return [line for line in self.log_events if line.get("event") == name]
 
     async def wait_for_event(self, name: str, count: int = 1, timeout_s: float = 20.0) -> dict[str, Any]:
-        """The `many`-th event of that name, waited for; fails where it does not come."""
+        """Returns the `count`-th event of that name; raises TooSlowError after `timeout_s`."""
         with trio.fail_after(timeout_s):
             while len(found := self.events(name)) < count:
                 await self._log_grew.wait()
@@ -172,10 +175,10 @@
         return peer
 
     async def establish_dialog(self, dialog: str, caller: Peer | None = None) -> None:
-        """Proves that a dialog still goes through, from dialling to its answer.
+        """Sends set-ups until one is established; fails after 20 s.
 
-        One that is declined comes again: a machine that is held up for a moment looks like a slow server, and
-        this must not be judged by luck.
+        A declined set-up is sent again under a new name, because a short stall of the machine looks like a
+        slow server to the edge proxy, and the result of a test must not depend on it.
         """
         caller = caller or await self.caller(f"of-{dialog}")
         with trio.fail_after(20):
@@ -191,12 +194,12 @@
         raise AssertionError(f"{dialog} was declined 100 times")
 
     def set_limit(self, resource_number: int, soft_limit: int) -> None:
-        """A limit on the child alone; its hard limit stays, so that it can be raised again."""
+        """Sets a soft limit on the child process; keeps the hard limit, so that it can be raised again."""
         hard_limit = resource.prlimit(self.process.pid, resource_number)[1]
         resource.prlimit(self.process.pid, resource_number, (soft_limit, hard_limit))
 
     def resource_usage(self) -> dict[str, int]:
-        """What the process holds: descriptors, threads, and resident memory in KiB."""
+        """Returns the process's number of descriptors and threads, and its resident memory in KiB."""
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         fields = dict(line.split(":", 1) for line in status.splitlines() if ":" in line)
         return {
@@ -206,7 +209,7 @@
         }
 
     async def stable_resource_usage(self) -> dict[str, int]:
-        """`holds` once it stays the same: a file may be open for a moment."""
+        """Returns the resource usage once the number of descriptors is stable: a file may be open briefly."""
         previous: dict[str, int] = {}
         while (now := self.resource_usage())["descriptors"] != previous.get("descriptors"):
             previous = now
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,7 +1,7 @@
-"""Fault injection: each dependency's worst failures, caused on purpose; docs/failures.md lists them.
+"""Fault injection: the worst failures of each dependency, listed in docs/failures.md.
 
-One alone: `python -m pytest tests/test_fault_injection.py -k NAME`. Those with `drill` run `valverouter edge`
-as a process on loopback; those with `rigged` run the same edge proxy in virtual time.
+To run one: `python -m pytest tests/test_fault_injection.py -k NAME`. Tests with `running_process` run
+`valverouter edge` as a process on loopback; those with `running_edge` run the edge proxy in virtual time.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
     SetupSession,
 )
 
-# Troubled connections
+# Failing connections
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,9 @@
         harness.servers["s0"].stop_reading()
         outbox = harness.edge.links.by_server["s0"]._send_queue
         assert outbox is not None
-        outbox.put(bytes(3 * STREAM_BUFFER_SIZE))  # more than the stream takes: what follows waits behind it
+        outbox.put(
+            bytes(3 * STREAM_BUFFER_SIZE)
+        )  # more than the stream buffers, so later messages stay queued
         answer = await caller.next(Failed | Rejected)
         assert trio.current_time() - began <= 3
         assert answer.dialog == "d1"
@@ -222,7 +224,7 @@
         ]
         for at, data in enumerate(invalid_files, 1):
             harness.config_file.unlink() if data is None else harness.config_file.write_bytes(data)
-            for _ in range(5):  # repeated quickly it is read once more at most
+            for _ in range(5):  # signals in quick succession cause at most one more read
                 harness.process.send_signal(signal.SIGHUP)
             event = await harness.wait_for_event(
                 "configuration-rejected", count=len(harness.events("configuration-rejected")) + 1
@@ -238,7 +240,7 @@
         harness.process.send_signal(signal.SIGHUP)
         assert (await harness.wait_for_event("configuration-reloaded"))["generation"] == 2
         await harness.establish_dialog("d-after", caller)
-        assert await waiting.next(Rejected | Failed)  # whose leg was out all the while
+        assert await waiting.next(Rejected | Failed)  # its attempt was in flight during all reloads
         after = await harness.stable_resource_usage()
         assert after["descriptors"] <= before["descriptors"]
         assert not harness.unparsed_lines
@@ -278,7 +280,7 @@
                 harness.edge.reload(other)
                 await trio.sleep(0.1)
                 if created < at:
-                    break  # nothing was short any more: it was taken
+                    break  # no constructor failed any more, so the configuration was applied
                 now = (
                     limiter.config,
                     dict(limiter._quotas),
@@ -296,11 +298,14 @@
     assert event_names == ["configuration-rejected"] * (at - 1) + ["configuration-reloaded"]
 
 
-# Running out
+# Exhausted resources
 
 
 async def rejection_code(harness: ProcessHarness) -> str:
-    """What a new caller hears, told apart from silence; the moment it hears it is at most a second."""
+    """Returns the code of the Error message that a new caller receives; empty if none.
+
+    The connection must be closed within a second.
+    """
     stream = await SocketRuntime().connect(harness.address)
     peer = Peer(stream, SetupSession(Hello((1, 1), "caller", "more")))
     await stream.send_all(peer.session.hello_frame())
@@ -318,10 +323,10 @@
         before = await harness.stable_resource_usage()
         harness.set_limit(resource.RLIMIT_NOFILE, before["descriptors"])
         assert [await rejection_code(harness) for _ in range(5)] == ["peer:too-many"] * 5
-        await harness.establish_dialog("d1", caller)  # whoever is here is served
+        await harness.establish_dialog("d1", caller)  # connected callers are still served
         harness.set_limit(resource.RLIMIT_NOFILE, 4)
         for link in (*harness.servers["s0"].links, *harness.list_connections):
-            await link.close()  # no descriptor for a new connection to either
+            await link.close()  # no descriptor is free to reconnect to either
         await harness.wait_for_event("discovery-down")
         await harness.wait_for_event("link-down", count=2)
         harness.set_limit(resource.RLIMIT_NOFILE, 1_000)
@@ -432,7 +437,7 @@
         for at in range(300):  # the log of 300 dialogs is more than a pipe holds
             await harness.establish_dialog(f"d{at}", caller)
         bad = await harness.caller("bad")
-        await bad.stream.send_all(b"\x00\x00\x00\x01\xc1")  # told as a warning, from a handler of last resort
+        await bad.stream.send_all(b"\x00\x00\x00\x01\xc1")  # logged as a warning by the catch-all handler
         await harness.establish_dialog("d-last", caller)
         if sink == "stopped-reader":
             log = b""
@@ -446,7 +451,7 @@
 def test_log_lines_over_the_limit_are_dropped_and_counted_in_order() -> None:
     read, write = os.pipe()
     lines = LogWriter(write, max_bytes=500_000)
-    for at in range(100_000):  # nobody reads yet, so that most of them find no room
+    for at in range(100_000):  # nothing reads yet, so most lines exceed the limit
         lines.msg(f"{at:060}")
     with open(read, "rb") as log, ThreadPoolExecutor() as threads:
         rest = threads.submit(log.read)
@@ -477,7 +482,7 @@
         harness.runtime.wall_time = lambda: WALL_CLOCK_START + 3_600 * SECOND  # type: ignore[method-assign]
         if cache_loaded == "before":
             rows = {row.server: row for row in await client.load_cached()}
-        await harness.publish(harness.servers["s0"].row())  # kept once more, by the wrong clock
+        await harness.publish(harness.servers["s0"].row())  # caches the list again, by the wrong clock
         if cache_loaded == "after":
             rows = {row.server: row for row in await client.load_cached()}
         assert rows["s1"].age is not None
@@ -552,7 +557,7 @@
         assert harness.list is not None
         await harness.list.close()
         await trio.sleep(60)
-        assert 20 <= connections <= 90  # about one a second, each at a moment of its own
+        assert 20 <= connections <= 90  # about one a second, with jitter
 
 
 async def test_a_cached_start_time_is_corrected_by_the_endpoint_list(autojump_clock: MockClock) -> None:
@@ -570,7 +575,7 @@
         assert harness.edge.context.clock.now() - server.endpoint.started_at > 99 * SECOND
 
 
-# Links that look up and are not
+# Links that seem to be up but are not
 
 
 async def test_a_silent_link_is_closed_and_reconnected(autojump_clock: MockClock) -> None:
@@ -606,7 +611,7 @@
             fresh = await harness.server(f"s{number}", 1)
             await harness.publish(fresh.row())
             await trio.sleep(1)
-            await harness.publish(fresh.row("gone"))  # and its machine closes nothing
+            await harness.publish(fresh.row("gone"))  # the server does not close its connections
         await trio.sleep(5)
         assert list(harness.edge.links.by_server) == ["s0"]
         assert not harness.edge.links.removed
@@ -673,7 +678,10 @@
         )
         assert caller.all(Established)
         assert connections <= 60  # in 33 s; the wait doubles up to 2 s, drawn in full
-        if failure in ("resets-at-legs", "half-a-frame"):  # may have run: the release time lies between
+        if failure in (
+            "resets-at-legs",
+            "half-a-frame",
+        ):  # the attempt may have run: the retry waits for the release delay
             retry_delays = [
                 at - reset_at[m.dialog]
                 for at, m in other.received
@@ -688,7 +696,7 @@
         caller = await harness.caller()
         await caller.send(dial(no_answer=2 * SECOND))
         await harness.servers["s0"].link.next(Setup)
-        # The link has gone down and the instance has not heard so yet, when the decisions cancel its leg.
+        # The link has failed, but that event is not yet handled when the driver cancels the attempt.
         harness.edge.links.by_server["s0"]._on_down("reset")
         harness.edge.context.run_decision("d1", harness.edge._execute, DialogAction("d1", CancelAttempt(0)))
         await trio.sleep(3)
@@ -732,7 +740,7 @@
         await trio.sleep(1)
         edge = harness.edge
         assert len(caller.all(Established | Rejected)) == 3_000
-        assert len(edge.context.timers) <= 1_100  # an hour's time-outs of legs long ended
+        assert len(edge.context.timers) <= 1_100  # timers of ended attempts, due in an hour, are pruned
         assert len(edge.reloader.guard.baseline) <= 3
         assert len(edge.counters.answers) <= 6
         assert not edge.dialogs.entries
@@ -781,7 +789,7 @@
                 harness.nursery.start_soon(caller.send, *messages)
             await trio.sleep(30)
         assert sum(len(caller.all(Rejected)) for caller in callers) == 20 * 700
-        assert 4_096 <= longest <= 4_096 + 2 * 1_400  # the bound and what one read brings beyond it, twice
+        assert 4_096 <= longest <= 4_096 + 2 * 1_400  # the limit, plus twice what one read may add
 
 
 def test_a_failure_at_low_load_does_not_exclude_a_server_later() -> None:
@@ -809,9 +817,9 @@
     late = tracker.endpoint(
         EndpointRow("s0", 0, "in-service", "s0:1", "", 900, 13_600 * SECOND), 20_001 * SECOND
     )
-    assert late.started_at == 20_000 * SECOND, "late word of the former self does not make it warm"
+    assert late.started_at == 20_000 * SECOND, "a late update with the old incarnation does not make it warm"
     assert tracker.started_at("s0", 950, 0, 30_000 * SECOND) == 30_000 * SECOND, (
-        "the next start counts as ever"
+        "a later start is recognised as before"
     )
 
 
@@ -832,4 +840,4 @@
         assert harness.edge.source.is_up
         assert harness.list is first
         watched_at = [at for at, message in first.received if isinstance(message, Watch)]
-        assert 10 <= len(watched_at) <= 21, "once for each half minute in which nothing was told"
+        assert 10 <= len(watched_at) <= 21, "one Watch for each half minute without an update"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short: its courses by seed, its judge, real processes for a few seeds, planted faults found."""
+"""Short soak: plans by seed, the judge, runs of a few seeds, and detection of injected faults."""
 
 from __future__ import annotations
 
--- a/valverouter/soak/__init__.py
+++ b/valverouter/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of real edge proxy processes on loopback: courses drawn by seed, judged from the sockets."""
+"""Soak runs of edge proxy processes on loopback: plans drawn from seeds, judged by the recorded traffic."""
--- a/valverouter/soak/core_servers.py
+++ b/valverouter/soak/core_servers.py
@@ -1,4 +1,4 @@
-"""Core servers and the event bus of the operators' platform on loopback, for a course of the soak."""
+"""Simulated core servers and event bus of the operators' platform, on loopback sockets, for a soak run."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 DESCRIPTION = "9d41c07a5be2f318\r\nm=audio 31000 RTP/AVP 0\r\n"
 CAUSE_NORMAL_CLEARING, CAUSE_NO_CIRCUIT = 16, 34
 PROMPT_DELAY_S = (0.002, 0.03)
-# A late server answers within these fractions of the time that it is given, a few after it.
+# Range of a late server's answer time, as a fraction of the set-up's time left; some answers miss it.
 LATE_FRACTIONS = (0.3, 1.1)
 MEAN_CALL_S = 0.5
 IDLE_CLOSE_S = 0.3
 RESET_PROBABILITY = 0.05
 REFUSAL_PROBABILITY = 0.05
 FULL_LOAD = "x0:90;x1:100"
-# The kinds of a message to the audit, by what a core server sends.
+# The message kinds under which the audit knows a core server's answer, refusal and release.
 ANSWER_KIND, REFUSAL_KIND, END_KIND = "stands", "no-agent", "ended"
 
 
 class CoreServer:
-    """One core server, which records what passes its sockets in `recorder` under `name`."""
+    """One core server; records the messages on its sockets in `recorder` under `name`."""
 
     def __init__(
         self, name: str, behavior: ServerBehavior, edge: str, rng: random.Random, recorder: TrafficRecorder
@@ -62,7 +62,7 @@
             nursery.cancel_scope.cancel()
 
     def begin_attempt(self, dialog: str) -> int:
-        """The number of the next attempt of a dialog here."""
+        """Returns the number of the next attempt of a dialog at this server, starting at 0."""
         number = self._attempt_counts.get(dialog, 0)
         self._attempt_counts[dialog] = number + 1
         return number
@@ -74,7 +74,7 @@
         )
 
     def draw_answer_delay_s(self, time_left_ms: int) -> float:
-        """How long it takes to answer a set-up; infinite: it never answers."""
+        """Draws the delay before a set-up is answered; infinite if it never is."""
         if self.behavior is ServerBehavior.NEVER or self.is_hanging:
             return float("inf")
         if self.behavior is ServerBehavior.LATE:
@@ -82,16 +82,19 @@
         return self._rng.uniform(*PROMPT_DELAY_S)
 
     def draw_event(self, probability: float) -> bool:
-        """Whether something of that probability happens."""
+        """Draws whether an event of the given probability occurs."""
         return self._rng.random() < probability
 
     def draw_call_length_s(self) -> float:
-        """How long an established call lasts unless its caller ends it."""
+        """Draws how long an established call lasts unless its caller releases it."""
         return self._rng.expovariate(1 / MEAN_CALL_S)
 
 
 class _ServerConnection:
-    """One connection of an edge proxy; `_attempts` by dialog: its number, and whether it is established."""
+    """One connection of an edge proxy.
+
+    `_attempts`: by dialog, the attempt's number and whether it is established.
+    """
 
     def __init__(self, server: CoreServer, stream: trio.abc.Stream) -> None:
         self._server = server
@@ -99,7 +102,7 @@
         self._attempts: dict[str, tuple[int, bool]] = {}
 
     async def read(self, nursery: trio.Nursery) -> None:
-        """Handles what comes until the connection ends."""
+        """Handles received messages until the connection is closed."""
         reader = LineReader()
         await self._send("state", "0" * 16, {"load": FULL_LOAD})
         closes_idle = self._server.behavior is ServerBehavior.CLOSES_IDLE
@@ -127,16 +130,17 @@
             self._release(line.id)
 
     def _release(self, dialog: str) -> None:
-        """The edge proxy gives an attempt up, or releases what stands."""
+        """Records that the edge proxy cancelled an attempt or released an established call."""
         if (found := self._attempts.pop(dialog, None)) is not None:
             attempt, is_established = found
             self._server.record("release" if is_established else "cancel", dialog, attempt, sent=False)
 
     def end_all_attempts(self) -> None:
-        """The connection ended: the set-ups open on it are given up.
+        """Ends every attempt of a closed connection and records its cancel or release.
 
-        An answer may be lost with it. The attempt's end is written then, by the platform's page, so that the
-        dialog may be sent elsewhere after the release time; the edge proxy releases it on another connection.
+        An answer may have been lost with the connection. The platform's specification ends the attempt when
+        its connection ends, so the dialog may be sent to another server after the release delay; the edge
+        proxy releases the attempt over another connection.
         """
         for dialog, (attempt, is_established) in self._attempts.items():
             self._server.record("release" if is_established else "cancel", dialog, attempt, sent=False)
@@ -173,7 +177,7 @@
 
 
 class EventBus:
-    """The event bus, which may listen at several addresses; `asked` calls back with the address asked."""
+    """The event bus, which may listen at several addresses; calls `on_poll` with the address of each poll."""
 
     def __init__(self, recorder: TrafficRecorder, edge: str, on_poll: Callable[[str], None]) -> None:
         self.events: list[dict[str, Any]] = []
@@ -183,18 +187,18 @@
         self._changed = trio.Event()
 
     def publish(self, hosts: list[dict[str, Any]], whole: bool = False) -> None:
-        """Adds an event with the present state of core servers."""
+        """Publishes an event with the current state of core servers."""
         number = len(self.events) + 1
         self.events.append({"offset": number, "topology": {"seq": number, "whole": whole, "hosts": hosts}})
         self._changed.set()
         self._changed = trio.Event()
 
     def record_draining(self, server: str) -> None:
-        """Records that the edge proxy has been told that a server drains."""
+        """Records that the edge proxy has received the announcement that a server is draining."""
         self._recorder.record(EndpointUpdateRow, edge=self._edge, server=server, phase="draining")
 
     async def listen(self, task_status: trio.TaskStatus[str] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves one more address until cancelled."""
+        """Serves polls at one more address until cancelled."""
         address = ""
 
         async def serve(stream: trio.abc.Stream) -> None:
--- a/valverouter/soak/edge_run.py
+++ b/valverouter/soak/edge_run.py
@@ -1,4 +1,4 @@
-"""Plays a course of the soak with `valverouter edge` and its dialog store; the audit judges the rules."""
+"""Soak run of `valverouter edge` with its dialog store; the audit checks the rules."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from valverouter.soak.process import log_problem
 from valverouter.soak.record import RunRecord
 
-# After the restart, for callers that come back.
+# Time after the restart in which callers that reconnect are observed.
 TIME_AFTER_RESTART_S = 2.0
 TRUNCATED_FILE_S = 0.05
 READ_SIZE = 4_096
-# The fault of a scenario that stands for a server's behavior.
+# The scenario fault that reproduces each server behavior.
 FAULT_KINDS = {
     ServerBehavior.LATE: "kind = slow\nsize = 3",
     ServerBehavior.NEVER: "kind = hang",
@@ -81,7 +81,7 @@
 
 
 def build_scenario(plan: RunPlan) -> ScenarioConfig:
-    """The scenario of a course: its servers' faults, and its calls for as long as it takes."""
+    """Builds the scenario of a plan: the servers' faults, and calls until after the restart."""
     length_s = plan.stop_s + plan.kill_after_s + TIME_AFTER_RESTART_S
     text = SCENARIO.format(
         length_ms=round(length_s * 1e3),
@@ -101,10 +101,10 @@
 
 
 class EdgeRun:
-    """One course with one edge proxy of our own protocol."""
+    """One run of an edge proxy that speaks this project's own protocol."""
 
     def __init__(self, plan: RunPlan, folder: Path) -> None:
-        """Logs and files go into `folder`."""
+        """Prepares a run whose logs and files are written to `folder`."""
         self.record = RunRecord()
         self._plan = plan
         self._folder = folder
@@ -113,7 +113,7 @@
         self._margins: list[int] = []
 
     async def play(self) -> RunVerdict:
-        """Plays the course and judges it."""
+        """Runs the plan and returns its verdict."""
         scenario = build_scenario(self._plan)
         runtime = SocketRuntime()
         fakes = ScenarioFakes(scenario, runtime, scenario.run.slack, lambda name: ANY_PORT, FAULT_SLACK)
@@ -137,7 +137,7 @@
         return self._judge(fakes, edge)
 
     async def _send_signals(self, edge: LoopbackEdge, fakes: ScenarioFakes) -> None:
-        """The course's signals; the process that they end is followed by another."""
+        """Sends the plan's signals, waits for the process to end, and starts another one."""
         began = trio.current_time()
         stopped_at = None
         for item in self._plan.signals:
@@ -159,7 +159,7 @@
         await edge.start()
 
     async def _keep_idle_connection(self, edge: LoopbackEdge) -> None:
-        """A connection that says nothing, for as long as it may."""
+        """Keeps a connection open without sending anything, until the edge proxy closes it."""
         await trio.sleep(self._rng.random() * self._plan.stop_s)
         with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             async with await SocketRuntime().connect(edge.address) as stream:
--- a/valverouter/soak/event_loop_lag.py
+++ b/valverouter/soak/event_loop_lag.py
@@ -1,4 +1,4 @@
-"""How long the soak's own loop stood still: what it measured then is no better than that."""
+"""Measures the longest delay of the soak's own event loop, which bounds the accuracy of its timestamps."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def watch_lag(record: RunRecord) -> None:
-    """Keeps the longest lag in `record`, until cancelled."""
+    """Records the longest lag in `record` until cancelled."""
     while True:
         due = time.monotonic_ns() + round(INTERVAL_S * 1e9)
         await trio.sleep(INTERVAL_S)
--- a/valverouter/soak/injected_faults.py
+++ b/valverouter/soak/injected_faults.py
@@ -1,4 +1,4 @@
-"""The platform's edge proxy with a planted fault, to show that the soak finds it.
+"""Runs the platform's edge proxy with an injected fault, to show that the soak detects it.
 
 python -m valverouter.soak.injected_faults NAME
 """
@@ -13,7 +13,7 @@
 from typing import Any
 
 if __name__ == "__main__":
-    # Before the other imports, as in the program itself: without a handler SIGHUP ends the process.
+    # Installed before the other imports, as in the program itself: without a handler SIGHUP ends the process.
     EARLY_SIGNALS: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, frame: EARLY_SIGNALS.append(number))
 
@@ -29,7 +29,7 @@
 
 
 def _exit_early() -> None:
-    """Ends before the time in which set-ups are served is over."""
+    """Exits before the end of the accept period, in which set-ups must still be served."""
 
     async def stop(proxy: PlatformProxy) -> None:
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9 - EARLY_BY_S)
@@ -39,7 +39,7 @@
 
 
 def _drop_answers() -> None:
-    """Loses some messages to callers."""
+    """Drops every `DROP_EVERY`th message to callers."""
     send = PlatformCaller.send
     counter = itertools.count(1)
 
@@ -51,7 +51,7 @@
 
 
 def _exit_at_second_stop_signal() -> None:
-    """Ends at once at a second signal to stop."""
+    """Exits immediately at a second stop signal."""
     stop = program.stop_after_accept_period
     counter = itertools.count(1)
 
@@ -64,7 +64,7 @@
 
 
 def _ignore_sighup() -> None:
-    """Reads no new configuration."""
+    """Ignores new configurations."""
 
     async def ignore(proxy: PlatformProxy, path: Path) -> None:
         """Does nothing."""
--- a/valverouter/soak/judge.py
+++ b/valverouter/soak/judge.py
@@ -1,4 +1,4 @@
-"""The verdict on a course of the platform's edge proxy, by the times and the slack of the platform's page."""
+"""Judges a run of the platform's edge proxy by the platform's time limits and slack."""
 
 from __future__ import annotations
 
@@ -10,19 +10,25 @@
 from valverouter.soak.record import ProcessRecord, RunRecord, SetupRecord
 
 SECOND = 10**9
-# Every time limit is so much longer; and a set-up that crosses the end of its connection is sent again.
+# Added to every time limit, ns.
 TIME_LIMIT_SLACK = 50_000_000
+# A set-up sent at most this long before its connection ended crossed the close; its caller sends it again
+# (ns).
 CROSSING_LIMIT = 50_000_000
-# An answer that comes up to so long after its time only earns nothing; later it is lost.
+# An answer up to this long after its deadline and slack is late, which only earns nothing; a later one counts
+# as lost, ns.
 LATE_LIMIT = SECOND // 2
-# A set-up that came later than this after the signal to stop has to be answered before SIGKILL.
+# A set-up that arrives later than this after the stop signal must be answered before SIGKILL, ns.
 ANSWER_REQUIRED_AFTER = round(KILL_DELAY_S * SECOND)
-# The memory limit that the edge proxies are given.
+# The memory limit of an edge proxy.
 MEMORY_LIMIT_KIB = 64 * 1024
 
 
 class Outcome(Enum):
-    """What became of a set-up. LOST alone breaks a rule."""
+    """The outcome of a set-up. Only LOST violates a rule.
+
+    CROSSED: sent while the edge proxy closed the connection. OPEN_AT_KILL: within its deadline at SIGKILL.
+    """
 
     ANSWERED = "answered"
     LATE = "late"
@@ -34,9 +40,9 @@
 
 @dataclass(slots=True)
 class RunVerdict:
-    """What a course found: set-ups by outcome, the rules broken, and the time left before SIGKILL.
+    """The verdict on a run: set-ups by outcome, rule violations, and the time left before SIGKILL.
 
-    `margins`: of each process, ns from its end to the moment when SIGKILL was due.
+    `margins`: for each process, the time from its end to the moment when SIGKILL was due, ns.
     """
 
     outcomes: Counter[Outcome] = field(default_factory=Counter)
@@ -45,7 +51,7 @@
 
 
 def judge_run(record: RunRecord, kill_after: int) -> RunVerdict:
-    """Judges a whole course; `kill_after`: from the signal to stop to SIGKILL, ns."""
+    """Judges a run; `kill_after`: time from the first stop signal to SIGKILL, ns."""
     verdict = RunVerdict()
     processes = {process.number: process for process in record.processes}
     for setup in record.setups:
@@ -59,12 +65,12 @@
         verdict.margins.append(process.stopped_at + kill_after - process.ended_at)
         verdict.violations += _process_violations(process)
     if record.sighup_at and not _reload_was_timely(record):
-        verdict.violations.append("a hangup with a new file did not act in time")
+        verdict.violations.append("a new configuration did not take effect in time after SIGHUP")
     return verdict
 
 
 def classify(setup: SetupRecord, process: ProcessRecord) -> Outcome:
-    """What became of a set-up, by what its caller saw."""
+    """Returns the outcome of a set-up, from what its caller observed."""
     due = setup.sent_at + setup.time_left
     if setup.answers:
         answered_at = setup.answers[0][0]
@@ -91,7 +97,7 @@
         return f"{(at - process.stopped_at) / SECOND:.3f}" if at else "-"
 
     return (
-        f"{setup.id} is lost: sent {seconds(setup.sent_at)} s after the signal, "
+        f"{setup.id} was lost: sent {seconds(setup.sent_at)} s after the stop signal, "
         f"connection ended {seconds(setup.connection_ended_at)}, "
         f"answered {seconds(setup.answers[0][0] if setup.answers else 0)}, "
         f"process ended {seconds(process.ended_at)}"
@@ -101,9 +107,9 @@
 def _process_violations(process: ProcessRecord) -> list[str]:
     found = list(process.log_problems)
     if not process.killed_at and process.exit_code != 0:
-        found.append(f"process {process.number} ended with {process.exit_code}")
+        found.append(f"process {process.number} exited with status {process.exit_code}")
     if process.memory_kib > MEMORY_LIMIT_KIB:
-        found.append(f"process {process.number} holds {process.memory_kib} KiB")
+        found.append(f"process {process.number} uses {process.memory_kib} KiB of memory")
     return found
 
 
--- a/valverouter/soak/plan.py
+++ b/valverouter/soak/plan.py
@@ -1,4 +1,4 @@
-"""What one course of the soak does, drawn from its seed. Times are in seconds."""
+"""The plan of a soak run, drawn from its seed. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -7,29 +7,32 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# The platform's times (its page): what SIGKILL waits for, and until when callers open connections.
+# The platform's specification: SIGKILL follows the first stop signal after the longest deadline, capped at
+# MAX_DEADLINE_BEFORE_KILL_S, plus KILL_DELAY_S.
 KILL_DELAY_S = 0.7
 MAX_DEADLINE_BEFORE_KILL_S = 3.0
+# Callers stop opening connections this long after the first stop signal (range of the draw).
 LAST_CONNECT_RANGE_S = (0.2, 0.4)
-# SIGHUP comes no sooner than this after the start; what the event bus tells counts as told so long after it.
+# The earliest SIGHUP after the callers' start.
 FIRST_SIGHUP_S = 1.0
+# A new configuration must take effect, shown by a poll of its event bus, within this time after SIGHUP.
 RELOAD_LIMIT_S = 4.0
-# Every third course has a crowd of callers' connections, most of them idle.
+# Every third plan of a kind of edge proxy has many additional caller connections, most of them idle.
 IDLE_CONNECTIONS_EVERY = 3
 IDLE_CONNECTION_RANGE = (200, 300)
-# Of the crowd's connections, how many leave a message incomplete.
+# The fraction of the idle connections that send an incomplete message.
 INCOMPLETE_MESSAGE_FRACTION = 0.2
 
 
 class EdgeKind(Enum):
-    """Which program a course runs: the platform's edge proxy, or the one with our own protocol."""
+    """Which edge proxy a run starts: the platform's, or the one with this project's own protocol."""
 
     PLATFORM = "platform"
     EDGE = "edge"
 
 
 class ServerBehavior(Enum):
-    """How a core server treats set-ups."""
+    """How a core server responds to set-ups."""
 
     PROMPT = "prompt"
     LATE = "late"
@@ -40,7 +43,7 @@
 
 
 class FileChange(Enum):
-    """What happens to the configuration file beside a signal."""
+    """How the configuration file is changed before a signal."""
 
     NONE = "none"
     REPLACED = "replaced"
@@ -49,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledSignal:
-    """A signal, so many seconds after the callers' start, and what happens to the file just before it."""
+    """A signal at `at_s` seconds after the callers' start, and the file change just before it."""
 
     at_s: float
     number: signal.Signals
@@ -58,10 +61,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """One course. `stop_s`: when the first SIGTERM or SIGINT comes after the callers' start.
+    """The plan of one run.
 
-    `drain_s`: when the first server is announced to drain. `crowd`: connections beside the callers'.
-    `restarts`: whether another process follows at the same address, with the callers' second attempts.
+    `stop_s`: time of the first SIGTERM or SIGINT after the callers' start. `drain_s`: when a server is
+    announced as draining. `idle_connections`: number of connections besides the callers'. `restarts`: whether
+    another process is started at the same address and serves the callers that reconnect.
     """
 
     seed: int
@@ -78,21 +82,21 @@
 
     @property
     def kill_after_s(self) -> float:
-        """The earliest SIGKILL, after the first signal to stop."""
+        """The time from the first stop signal to the earliest SIGKILL."""
         return min(self.longest_deadline_s, MAX_DEADLINE_BEFORE_KILL_S) + KILL_DELAY_S
 
     @property
     def sighups(self) -> list[ScheduledSignal]:
-        """The hangups, in their order."""
+        """The scheduled SIGHUPs, in order."""
         return [item for item in self.signals if item.number == signal.SIGHUP]
 
 
 def draw_plan(seed: int) -> RunPlan:
-    """The course of a seed: odd seeds run the platform's edge proxy, even ones the own protocol's."""
+    """Draws the plan of a seed: odd seeds run the platform's edge proxy, even seeds the project's own."""
     rng = random.Random(f"soak/{seed}")
     edge_kind = EdgeKind.PLATFORM if seed % 2 else EdgeKind.EDGE
     stop_s = rng.uniform(1.5, 3.0)
-    # Two of five courses are long enough to see that a hangup before the stop has acted.
+    # Two of five runs are long enough to observe the effect of a SIGHUP before the stop signal.
     with_early_sighups = rng.random() < 0.4
     if with_early_sighups:
         stop_s += RELOAD_LIMIT_S + FIRST_SIGHUP_S
@@ -117,7 +121,10 @@
 
 
 def _draw_sighups(rng: random.Random, stop_s: float) -> list[ScheduledSignal]:
-    """A few, some close together; the last one, with a whole file, leaves time to see it act."""
+    """Draws SIGHUPs, some close together.
+
+    The last one, with a complete file, leaves enough time to observe its effect.
+    """
     last = stop_s - RELOAD_LIMIT_S - 0.2
     sighups = [ScheduledSignal(last, signal.SIGHUP, FileChange.REPLACED)]
     at = last
@@ -129,7 +136,7 @@
 
 
 def _draw_stop_signals(rng: random.Random, stop_s: float) -> list[ScheduledSignal]:
-    """The signal to stop, more of its kind behind it, and hangups beside it."""
+    """Draws the first stop signal, further ones after it, and a SIGHUP close to it."""
     kinds = (signal.SIGTERM, signal.SIGTERM, signal.SIGINT)
     signals = [ScheduledSignal(stop_s, rng.choice(kinds))]
     for _ in range(rng.randint(0, 3)):
--- a/valverouter/soak/planted.py
+++ b/valverouter/soak/planted.py
@@ -9,7 +9,7 @@
 import sys
 
 if __name__ == "__main__":
-    # Before the other imports: without a handler SIGHUP ends the process.
+    # Installed before the other imports: without a handler SIGHUP ends the process.
     EARLY_SIGNALS: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, frame: EARLY_SIGNALS.append(number))
 
--- a/valverouter/soak/platform_callers.py
+++ b/valverouter/soak/platform_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the platform's edge proxy for a course of the soak: they go on until their connection ends."""
+"""Simulated callers of the platform's edge proxy, for a soak run."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
 
 class PlatformCallers:
-    """All callers of one course. `requests` grows with each set-up sent; `process` numbers the one they ask.
+    """All callers of one run.
 
-    `may_connect` says whether a connection that ended is opened again.
+    `setups`: every set-up sent so far. `process`: number of the edge proxy process that they connect to.
+    `may_connect` returns whether a caller may open another connection after its last one ended.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self._open: dict[str, SetupRecord] = {}
 
     async def run_caller(self, setups_per_s: float) -> None:
-        """One caller: asks at random moments on its connection, and opens another when that has ended."""
+        """Runs one caller: sends set-ups as a Poisson process; reconnects when the connection ends."""
         while self._may_connect():
             try:
                 stream = await SocketRuntime().connect(self._address)
@@ -88,7 +89,10 @@
                     nursery.start_soon(self._cancel_after, stream, setup, after_s)
 
     def _next_setup(self) -> tuple[SetupRecord, bytes]:
-        """The next set-up and its bytes. It is entered before it leaves: its answer may come at once."""
+        """Returns the next set-up and its encoded message.
+
+        It is registered before it is sent, because its answer may arrive immediately.
+        """
         self._count += 1
         id_ = f"{self._count:016x}"
         traffic_type = self._rng.randrange(len(self._deadlines_ms))
@@ -127,7 +131,7 @@
             return
         is_end = message.type == isup.REL and bool(setup.answers) and setup.answers[0][1] == -1
         if is_end:
-            return  # the call that stood is over
+            return  # the established call was released
         setup.answers.append((now, message.cause))
         if message.type == isup.ANM and self._rng.random() < CALL_RELEASE_PROBABILITY:
             await self._send(stream, isup.encode_release(message.id, CAUSE_NORMAL_CLEARING))
--- a/valverouter/soak/platform_run.py
+++ b/valverouter/soak/platform_run.py
@@ -1,4 +1,4 @@
-"""Plays a course of the soak with the platform's edge proxy as a process."""
+"""Soak run of the platform's edge proxy as a process."""
 
 from __future__ import annotations
 
@@ -37,16 +37,19 @@
 PLATFORM_EDGE_COMMAND = ["-m", "valverouter.platform_edge"]
 SECOND = 10**9
 RELEASE_GUARD_US = 200_000
-# The platform's rule on draining servers: nothing new from so long after they are told.
+# The platform's rule on draining servers: no new set-up from this long after the announcement.
 STOP_SENDING_S = 1.0
 SETTLE_S = 0.2
 
 
 class PlatformRun:
-    """One course, its peers and its processes."""
+    """One run, its peers and its processes."""
 
     def __init__(self, plan: RunPlan, folder: Path, command: list[str]) -> None:
-        """`command`: the arguments of python that start the edge proxy; logs and files go into `folder`."""
+        """Prepares a run.
+
+        `command`: the arguments of python that start the edge proxy. Logs and files are written to `folder`.
+        """
         self.record = RunRecord()
         self._plan = plan
         self._folder = folder
@@ -74,7 +77,7 @@
         self._last_connection_at = float("inf")
 
     async def play(self) -> RunVerdict:
-        """Plays the course and judges it."""
+        """Runs the plan and returns its verdict."""
         with trio.CancelScope() as scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(watch_lag, self.record)
@@ -105,7 +108,7 @@
             await self._play_process(number, callers, nursery)
 
     async def _play_process(self, number: int, callers: PlatformCallers, servers: trio.Nursery) -> None:
-        """Starts a process, lets callers ask it, and ends it by the course's signals."""
+        """Runs one process: starts it and its callers, and ends it by the plan's signals."""
         self._write_config(FileChange.REPLACED)
         record = ProcessRecord(number)
         self.record.processes.append(record)
@@ -131,7 +134,7 @@
             if setup.process == number and not setup.answers and not setup.connection_ended_at:
                 setup.connection_ended_at = record.ended_at
 
-    # Signals and the file
+    # Signals and the configuration file
 
     async def _send_signals(self, process: EdgeProcess, servers: trio.Nursery) -> None:
         began = trio.current_time()
@@ -154,7 +157,7 @@
         process.send_signal(number)
 
     async def _change_file(self, item: ScheduledSignal, servers: trio.Nursery) -> None:
-        """Replaces the file by one with another address of the event bus, or leaves half of it."""
+        """Replaces the file by one with another event bus address, or truncates it."""
         if item.file is FileChange.REPLACED:
             self._bus_address = await servers.start(self._bus.listen)
         self._write_config(item.file)
@@ -218,14 +221,17 @@
         return {"host": server.name, "dial": server.address, "block": number, "health": health, "born_ms": 0}
 
     async def _drain_server(self) -> None:
-        """Announces that the last server drains; it counts as told once the edge proxy has to heed it."""
+        """Announces that the last server is draining.
+
+        Records it only once the edge proxy must have stopped sending set-ups to it.
+        """
         await trio.sleep(self._plan.drain_s)
         self._bus.publish([self._host(len(self._servers) - 1, "Terminating")])
         await trio.sleep(STOP_SENDING_S)
         self._bus.record_draining(self._servers[-1].name)
 
     async def _keep_idle_connection(self) -> None:
-        """A connection that says nothing, or leaves a message incomplete, for as long as it may."""
+        """Keeps a connection open until the edge proxy closes it; some send an incomplete message."""
         await trio.sleep(self._rng.random() * self._plan.stop_s)
         try:
             stream = await SocketRuntime().connect(self._listen)
@@ -238,7 +244,7 @@
             return
 
     def _audit_servers(self) -> list[str]:
-        """Rules 2, 3 and 5, from what passed the core servers' sockets."""
+        """Checks rules 2, 3 and 5 on the messages recorded at the core servers' sockets."""
         rows = in_order(self._recorder.rows)
         config = next(row for row in rows if isinstance(row, AuditConfigRow))
         verdict = Verdict()
--- a/valverouter/soak/process.py
+++ b/valverouter/soak/process.py
@@ -1,4 +1,4 @@
-"""A process of the edge proxy under soak: its start, its signals, its log and its end."""
+"""An edge proxy process of a soak run: its start, signals, log and exit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from valverouter.soak.record import ProcessRecord
 
 READ_SIZE = 65_536
-# Events that no course may bring about, whatever its peers do.
+# Log events that must not occur in any run, whatever the peers do.
 FORBIDDEN_EVENTS = frozenset(("event-handling-failed", "decision-failed", "connection-failed"))
 
 
@@ -26,7 +26,7 @@
 
 
 def log_problem(line: bytes) -> str:
-    """What a line of an edge proxy's log says that no course may bring about; empty: nothing."""
+    """Returns the problem that a line of an edge proxy's log shows; empty if none."""
     try:
         parsed = msgspec.json.decode(line, type=_LogLine)
     except msgspec.DecodeError:
@@ -37,11 +37,11 @@
 
 
 class StartFailedError(RuntimeError):
-    """The process ended before it listened; its log says why."""
+    """The process exited before it listened; its log shows why."""
 
 
 class EdgeProcess:
-    """One process. `address` is known once it listens."""
+    """One edge proxy process. `address` is set once it listens."""
 
     def __init__(self, record: ProcessRecord, log_file: Path) -> None:
         self.record = record
@@ -56,7 +56,10 @@
         environment: dict[str, str],
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Runs `python` with these arguments to its end; started once it listens."""
+        """Runs `python` with these arguments until it exits; reports as started once it listens.
+
+        Raises StartFailedError if it exits before.
+        """
         self._process = process = await trio.lowlevel.open_process(
             [sys.executable, *command], env=os.environ | environment, stderr=subprocess.PIPE
         )
@@ -66,7 +69,7 @@
                 nursery.start_soon(self._wait_for_end)
                 await self._listening.wait()
                 if not self.address:
-                    raise StartFailedError(f"see {self._log_file}")
+                    raise StartFailedError(f"the process exited before it listened; see {self._log_file}")
                 task_status.started()
         finally:
             with trio.CancelScope(shield=True):
@@ -100,13 +103,13 @@
             self._listening.set()
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal, unless the process is over."""
+        """Sends a signal, unless the process has exited."""
         assert self._process is not None
         if self._process.poll() is None:
             self._process.send_signal(number)
 
     def record_resource_usage(self) -> None:
-        """Records how many descriptors and how much memory the process holds."""
+        """Records the number of open descriptors and the resident memory of the process."""
         assert self._process is not None
         folder = Path(f"/proc/{self._process.pid}")
         self.record.descriptors = len(os.listdir(folder / "fd"))
@@ -115,7 +118,7 @@
         self.record.memory_kib = int(line.split()[1])
 
     async def wait_or_kill(self, deadline: int) -> None:
-        """Waits for the end; from `deadline` on, in ns of the record's clock, kills the process."""
+        """Waits for the process to exit; kills it at `deadline`, in ns of the monotonic clock."""
         assert self._process is not None
         with trio.move_on_after(max(0.0, (deadline - time.monotonic_ns()) / 1e9)):
             await self._process.wait()
--- a/valverouter/soak/record.py
+++ b/valverouter/soak/record.py
@@ -1,4 +1,4 @@
-"""What a course saw at its own ends of the sockets. Times are whole nanoseconds of one monotonic clock."""
+"""What a soak run observed at its ends of the sockets. Times are in ns of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 class SetupRecord:
     """One set-up of a caller.
 
-    `sent_at`: its last byte was written. `answers`: the moments and causes of what closed or established it;
-    cause -1 is an answer. `connection_ended_at`: when the connection that it came on ended, 0: it did not.
+    `process`: number of the edge proxy process. `sent_at`: when its last byte was written. `answers`: time
+    and cause of each message that established or ended it; cause -1 for an answer. `connection_ended_at`:
+    when its connection ended; 0 if it did not.
     """
 
     id: str
@@ -24,10 +25,10 @@
 
 @dataclass(slots=True)
 class ProcessRecord:
-    """One process of the edge proxy: its signals, its end, and what it held.
+    """One edge proxy process: its stop signal, its exit, and its resource usage.
 
-    `killed_at` 0: it ended by itself, with `exit_code`, at `ended_at`. `descriptors` and `memory_kib` are
-    read just before the first signal to stop.
+    `killed_at`: 0 if it exited by itself, with `exit_code`, at `ended_at`. `descriptors` and `memory_kib` are
+    read just before the first stop signal.
     """
 
     number: int
@@ -42,11 +43,11 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """All of one course. `driver_lag`: the longest that the soak's own loop stood still."""
+    """The record of one run. `loop_lag`: the longest delay of the soak's own event loop, ns."""
 
     setups: list[SetupRecord] = field(default_factory=list)
     processes: list[ProcessRecord] = field(default_factory=list)
-    # The last hangup with a whole file before the stop, and when the address that it names was asked.
+    # The last SIGHUP with a complete file before the stop signal; the first poll of that file's event bus.
     sighup_at: int = 0
     sighup_applied_at: int = 0
     loop_lag: int = 0
--- a/valverouter/soak/report.py
+++ b/valverouter/soak/report.py
@@ -1,4 +1,4 @@
-"""Plays courses by seed and tells what became of each."""
+"""Runs soak plans by seed and reports their results."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunReport:
-    """One course. `driver_lag`: ns that the soak's own loop stood still at most.
+    """The result of one run. `loop_lag`: the longest delay of the soak's own event loop, ns.
 
-    `descriptors`, `memory_kib`: of each process, just before its first signal to stop; the platform's only.
+    `descriptors`, `memory_kib`: of each process, just before its first stop signal; empty unless `edge_kind`
+    is PLATFORM.
     """
 
     seed: int
@@ -35,19 +36,19 @@
 
     @property
     def line(self) -> str:
-        """The course in one line, violations not included."""
+        """The result in one line, without the violations."""
         outcomes = ", ".join(f"{outcome.value} {count}" for outcome, count in self.verdict.outcomes.items())
         margins = ", ".join(f"{margin / MS:.0f}" for margin in self.verdict.margins)
         found = f"{len(self.verdict.violations)} violations" if self.verdict.violations else "passed"
         return (
             f"seed {self.seed} {self.edge_kind.value} {self.duration_s:.0f} s: {found}; {outcomes}; "
-            f"ms before SIGKILL: {margins}; driver lag {self.loop_lag / MS:.0f} ms; "
+            f"ms before SIGKILL: {margins}; event loop lag {self.loop_lag / MS:.0f} ms; "
             f"descriptors {self.descriptors}; KiB {self.memory_kib}"
         )
 
 
 def play_run(seed: int, injected_fault: str = "") -> RunReport:
-    """Plays the course of a seed; a planted fault runs in the platform's edge proxy alone."""
+    """Runs the plan of a seed; a fault is injected only into the platform's edge proxy."""
     plan = draw_plan(seed)
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix=f"soak-{seed}-") as folder:
@@ -71,12 +72,12 @@
 
 
 def summary(reports: list[RunReport]) -> str:
-    """All courses together."""
+    """Summarises all runs."""
     failed = [report.seed for report in reports if report.verdict.violations]
     margins = [margin for report in reports for margin in report.verdict.margins]
     totals = {outcome: sum(report.verdict.outcomes[outcome] for report in reports) for outcome in Outcome}
     counts = ", ".join(f"{outcome.value} {count}" for outcome, count in totals.items())
     return (
-        f"{len(reports)} courses, {len(failed)} failed {failed}; set-ups: {counts}; {len(margins)} processes "
+        f"{len(reports)} runs, {len(failed)} failed {failed}; set-ups: {counts}; {len(margins)} processes "
         f"ended {min(margins) / MS:.0f} to {max(margins) / MS:.0f} ms before SIGKILL was due"
     )
