--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -1,11 +1,11 @@
-"""Whether the emulator agrees with the edge proxy and the fakes: the same days on both, by trouble.
+"""Compares the emulator with the edge proxy and its fake peers: the same scenarios on both, one per fault.
 
     python benchmarks/agreement.py [--seeds 8] [--jobs 8] [--loopback] [--only crash]
 
-The far side is the edge proxy's own code with the fakes, in virtual time; with --loopback on real
-sockets, one day after the other. Each day is the bad day's fleet and load with one trouble; both sides dial
-one record of calls, so that they do not differ by who called when. Printed: the mean service on both, the
-difference with its standard error, and the audits' verdicts.
+The comparison runs the edge proxy's own code with fake peers in virtual time; with --loopback on real
+sockets, one scenario at a time. Each scenario is the fleet and load of bad-day.ini with one fault. Both sides
+play the same recorded calls, so that differences do not come from the drawn calls. Prints the mean service
+level of both, the difference with its standard error, and how many audits passed.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 def draw_calls(scenario: ScenarioConfig) -> list[RecordedCall]:
-    """The day's load as a record: Poisson arrivals, the first choice and the number with each."""
+    """Draws the scenario's calls: Poisson arrivals, each with a preferred server and a called number."""
     rng, at_s, calls = random.Random(f"{scenario.run.seed}/calls"), 0.0, list[RecordedCall]()
     traffic_types = list(scenario.mix)
     shares = [scenario.mix[kind].share for kind in traffic_types]
@@ -118,9 +118,9 @@
         )
         print(
             f"{name:13} emulated {statistics.mean(e[0] for e, _ in pairs):.3f}  "
-            f"far side {statistics.mean(f[0] for _, f in pairs):.3f}  "
+            f"edge proxy {statistics.mean(f[0] for _, f in pairs):.3f}  "
             f"difference {statistics.mean(differences):+.3f} (error {error:.3f})  "
-            f"rules kept {sum(e[1] for e, _ in pairs)} and {sum(f[1] for _, f in pairs)} of {len(pairs)}"
+            f"audits passed {sum(e[1] for e, _ in pairs)} and {sum(f[1] for _, f in pairs)} of {len(pairs)}"
         )
 
 
--- a/benchmarks/courses.py
+++ b/benchmarks/courses.py
@@ -1,12 +1,12 @@
-"""Courses of faults between real edge proxies on loopback, one a seed: do their views settle, are the
-rules kept?
+"""Random faults among edge proxies on loopback, one run per seed: do the membership views converge, and does
+the audit pass?
 
     python benchmarks/courses.py --edges 24 --seeds 20
     python benchmarks/courses.py --edges 24 --seeds 20 --virtual
 
-Each course is played twice in turn: with the view, and without it and the faults of its paths, which touch
-nothing else. Told are how long after the last fault all views were one, in probe periods, against the bound
-of the file (30), broken rules, and the pairs' difference of service.
+Each seed is run twice in turn: with the membership view, and without it and without the network path faults,
+which affect nothing else. Prints how long after the last fault all views had converged, in probe periods (the
+scenario file allows 30), rule violations, and the difference in service level within each pair.
 """
 
 from __future__ import annotations
@@ -64,8 +64,8 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--length", type=float, default=18.0, help="seconds")
     parser.add_argument("--virtual", action="store_true")
-    parser.add_argument("--alone", action="store_true", help="not beside a run without the view")
-    parser.add_argument("--logs", type=Path, help="keep the edge proxies' files here")
+    parser.add_argument("--alone", action="store_true", help="skip the runs without the view")
+    parser.add_argument("--logs", type=Path, help="keep the edge proxies' files in this folder")
     options = parser.parse_args()
     logs.configure_logging(LogConfig(level="error"))
     convergence_periods, differences, failed = [], [], 0
@@ -83,7 +83,7 @@
             float("inf") if views.converged_after is None else views.converged_after / scenario.between.period
         )
         convergence_periods.append(periods)
-        line = f"seed {seed}: one view after {periods:.1f} periods, rules kept: {verdict.passed}"
+        line = f"seed {seed}: views converged after {periods:.1f} periods, audit passed: {verdict.passed}"
         line += f", false deaths: {len(views.false_failures)}"
         line += f", gone: {sum(isinstance(row, MembershipEventRow) and row.kind == 'gone' for row in rows)}"
         if not options.alone:
@@ -98,12 +98,15 @@
     convergence_periods.sort()
     median_periods = statistics.median(convergence_periods)
     print(
-        f"{len(convergence_periods)} courses, {failed} bad; periods: median {median_periods:.1f}, "
-        f"most {convergence_periods[-1]:.1f}"
+        f"{len(convergence_periods)} runs, {failed} failed; periods: median {median_periods:.1f}, "
+        f"longest {convergence_periods[-1]:.1f}"
     )
     if len(differences) > 1:
         mean, spread = statistics.mean(differences), statistics.stdev(differences)
-        print(f"service with less without the view: mean {mean:+.4f}, spread of the pairs {spread:.4f}")
+        print(
+            f"service with minus without the view: mean {mean:+.4f}, "
+            f"standard deviation of the pairs {spread:.4f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/edge.py
+++ b/benchmarks/edge.py
@@ -1,13 +1,14 @@
-"""How many dialogs a second one edge proxy on one core sets up on loopback, and what it adds to each.
+"""Measures the set-up rate of one edge proxy on one core on loopback, and the delay that it adds.
 
     python benchmarks/edge.py [--seconds 5] [--rounds 3] [--profile] [--long 600] [--ledgers] [--views 220]
 
-Beside the edge proxy, in the same run and alternating with it, a bare trio relay of the same messages is
-measured. Callers and servers are processes of their own on blocking sockets, so that neither is what limits.
-Closed loop for the rate; open loop at half the edge's rate for the delays, from the moment when each dialog
-was due to be sent, so that a slow answer does not hide those behind it. With --ledgers no relay: edge proxies
-without a ledger, with one, and with one that waits for the disk, alternating in one run. With --views two
-edge proxies, one of them in a view of so many members, whose others run in a process of their own.
+A minimal trio relay of the same messages is measured in the same run, alternating with the edge proxy.
+Callers and servers are separate processes on blocking sockets, so that they are not the bottleneck. The
+rate is measured in a closed loop, the delays in an open loop at half the edge proxy's rate, from the time
+at which each set-up was due to be sent, so that a slow answer does not hide the delay of later ones.
+--ledgers compares, without the relay, edge proxies without a dialog store, with one, and with one that
+waits for the disk, alternating in one run. --views compares two edge proxies, one of which is in a
+membership view of that many members; the other members run in a separate process.
 """
 
 from __future__ import annotations
@@ -86,7 +87,7 @@
 
 
 def serve(sock: socket.socket, name: str) -> None:
-    """A server that answers at once; each connection on a thread."""
+    """Runs a server that answers immediately, with one thread per connection."""
 
     def serve_connection(conn: socket.socket) -> None:
         session = SetupSession(max_open_legs=10**6)
@@ -115,9 +116,10 @@
     results: Any,
     keep_dialogs: bool = False,
 ) -> None:
-    """Callers on one connection: closed loop where rate is 0, else open loop. Puts counts and a histogram.
+    """Runs callers on one connection: in a closed loop if `rate` is 0, else in an open loop.
 
-    `keeps`: what stands is not released before the end, so that dialogs pile up.
+    Puts the counts and an encoded histogram of the delays into `results`. `keep_dialogs`: established dialogs
+    are not released before the end, so that they accumulate.
     """
     conn = set_no_delay(socket.create_connection(address))
     session = SetupSession(Hello((1, 1), "caller", f"c{number}"), max_open_legs=10**6)
@@ -176,7 +178,7 @@
             conn.sendall(b"".join(out))
     results.put((established, rejected, histogram.encode()))
     if keep_dialogs:
-        time.sleep(3)  # for whoever reads the memory
+        time.sleep(3)  # until the parent has read the edge proxy's memory usage
     conn.close()
 
 
@@ -210,8 +212,10 @@
 
 
 def run_members(count: int, outputs: Any) -> None:
-    """So many members of a view, and nothing else of an edge proxy; tells one's address, and when it is
-    settled."""
+    """Runs `count` members of a view without edge proxies.
+
+    Puts the address of one member into `outputs`, and a line once its view has converged.
+    """
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
@@ -268,7 +272,7 @@
 
 
 def run_relay(addresses: list[tuple[str, int]], outputs: Any) -> None:
-    """Passes frames on, nothing more: callers' to the server of the first choice, answers back by dialog."""
+    """Only forwards frames: callers' to the preferred server, answers to the caller of their dialog."""
 
     async def main() -> None:
         links = [await trio.open_tcp_stream(*address) for address in addresses]
@@ -334,8 +338,10 @@
 def measure_load(
     address: str, seconds: float, rate: float = 0.0, pid: int = 0
 ) -> tuple[float, float, HdrHistogram]:
-    """Stands a second, the share declined, and the delays in microseconds; with a pid, what it holds per
-    stand."""
+    """Returns dialogs established per second, the fraction rejected, and the delays in microseconds.
+
+    With a pid, keeps the dialogs open and prints the resident memory of that process.
+    """
     host, _, port = address.rpartition(":")
     results: Any = mp.Queue()
     processes = [
@@ -354,7 +360,7 @@
         rejected += caller_rejected
         merged.decode_and_add(encoded)
     if pid:
-        print(f"{established} dialogs stand, {resident_kib(pid)} KiB resident", flush=True)
+        print(f"{established} dialogs established, {resident_kib(pid)} KiB resident", flush=True)
     for process in processes:
         process.join()
     return established / seconds, rejected / max(1, established + rejected), merged
@@ -372,7 +378,7 @@
 
 
 def compare_dialog_stores(list_port: int, seconds: float, rounds: int) -> None:
-    """Rates, and delays at half of the rate without a ledger, of edge proxies with and without one."""
+    """Compares rates, and delays at half the rate without a store, with and without a dialog store."""
     outputs: Any = mp.Queue()
     with tempfile.TemporaryDirectory() as folder:
         started: dict[str, tuple[str, mp.Process]] = {}
@@ -404,7 +410,7 @@
                 size = sum(file.stat().st_blocks * 512 for file in Path(folder, name).glob("*.mdb")) // 1024
                 print(
                     f"open loop at {half:.0f}/s, {name}: {format_percentiles(histogram)}, "
-                    f"{rejected:.1%} away, {size} KiB kept"
+                    f"{rejected:.1%} rejected, {size} KiB stored"
                 )
         for _, process in started.values():
             process.terminate()
@@ -412,7 +418,7 @@
 
 
 def compare_with_view(list_port: int, seconds: float, rounds: int, members: int) -> None:
-    """Rates, and delays at half of the rate, of two edge proxies of which one keeps a view."""
+    """Compares rates, and delays at half the rate, of edge proxies with and without a membership view."""
     outputs: Any = mp.Queue()
     others = mp.Process(target=run_members, args=(members - 1, outputs), daemon=True)
     others.start()
@@ -430,7 +436,7 @@
         measure_load(address, 1)
     rates: dict[str, list[float]] = {name: [] for name in at}
     for number in range(rounds):
-        # Which comes first changes: the second of a pair finds the machine warmer.
+        # The order alternates, because the second of a pair finds a warmer machine.
         for name in list(at) if number % 2 else list(reversed(at)):
             rates[name].append(measure_load(at[name], seconds)[0])
     ratios = sorted(a / b for a, b in zip(rates["with"], rates["without"], strict=True))
@@ -459,11 +465,11 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser()
-    parser.add_argument("--views", type=int, default=0, help="members of a view; 0: none")
+    parser.add_argument("--views", type=int, default=0, help="members of the view; 0: skip this comparison")
     parser.add_argument("--seconds", type=float, default=5)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--profile", action="store_true")
-    parser.add_argument("--long", type=float, default=0, help="seconds of the memory run; 0: none")
+    parser.add_argument("--long", type=float, default=0, help="seconds of the memory run; 0: skip it")
     parser.add_argument("--ledgers", action="store_true")
     options = parser.parse_args()
     mp.set_start_method("fork")
@@ -501,7 +507,7 @@
             for name, at in (("edge", edge_address), ("relay", relay_address)):
                 rate, rejected, _ = measure_load(at, options.seconds)
                 rates[name].append(rate)
-                print(f"closed loop, {name}: {rate:.0f} dialogs/s, {rejected:.1%} turned away", flush=True)
+                print(f"closed loop, {name}: {rate:.0f} dialogs/s, {rejected:.1%} rejected", flush=True)
         ratios = [a / b for a, b in zip(rates["edge"], rates["relay"], strict=True)]
         half = statistics.median(rates["edge"]) / 2
         print(f"edge against relay: {min(ratios):.2f} to {max(ratios):.2f}, {len(ratios)} rounds")
@@ -513,12 +519,12 @@
                 p99[name] = histogram.get_value_at_percentile(99)
                 print(
                     f"open loop at {half:.0f}/s, {name}: {format_percentiles(histogram)}, "
-                    f"{rejected:.1%} turned away",
+                    f"{rejected:.1%} rejected",
                     flush=True,
                 )
             added.append(p99["edge"] / p99["relay"])
         print(f"p99 of a set-up against the relay's: {', '.join(f'{one:.2f}' for one in sorted(added))}")
-        print(f"before dialogs pile up: {resident_kib(edge_process.pid or 0)} KiB resident")
+        print(f"before dialogs accumulate: {resident_kib(edge_process.pid or 0)} KiB resident")
         measure_load(edge_address, 6, half, edge_process.pid or 0)
         if options.long:
             began, first = time.monotonic(), 0
@@ -530,7 +536,7 @@
                     flush=True,
                 )
             print(
-                f"memory after the first span {first} KiB, "
+                f"memory after the first load {first} KiB, "
                 f"at the end {resident_kib(edge_process.pid or 0)} KiB"
             )
         edge_process.terminate()
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -1,9 +1,9 @@
-"""What a full-size day costs on one core, and how the cost grows with dialogs and with edge proxies.
+"""Measures the CPU time of a full-size emulated scenario on one core, by number of dialogs and edge proxies.
 
     python benchmarks/emulator.py [--profile]
 
-12 servers, a crash, a slow server and a burst; 220 edge proxies at 620 dialogs a second for 60 s, then half
-the dialogs, and a quarter and twice the edge proxies at the same dialogs.
+12 servers, with a crash, slow servers and a burst of calls; 220 edge proxies at 620 dialogs per second for
+60 s, then half the dialogs, then a quarter and twice the edge proxies at the full rate.
 """
 
 from __future__ import annotations
@@ -95,7 +95,7 @@
         print(
             f"{edges} edge proxies, {rate} dialogs/s: {cpu_s:.1f} s for {emulated.dialled} dialogs, "
             f"{cpu_s / emulated.dialled * 1e6:.0f} us each; service "
-            f"{service:.3f}, rules kept: {verdict.passed}; "
+            f"{service:.3f}, audit passed: {verdict.passed}; "
             f"{resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024} MiB at most",
             flush=True,
         )
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,4 +1,4 @@
-"""What a commit to the dialog store costs by sync policy, and how long a restart takes to read and plan.
+"""Measures commits to the dialog store by sync policy, and reading and planning its records at a restart.
 
 python benchmarks/ledger.py
 """
@@ -31,7 +31,7 @@
 
 
 def commit_times(store: DialogStore, commits: int, puts: int) -> list[float]:
-    """The time of each commit of `puts` records put and as many deleted, s."""
+    """Returns the duration of each commit in seconds; a commit puts and deletes `puts` records each."""
     times = []
     for index in range(commits):
         for number in range(puts):
@@ -57,7 +57,7 @@
 
 
 def measure_restart(records: int) -> None:
-    """Prints how long it takes to read, plan and put in order so many records."""
+    """Prints how long it takes to read, plan and queue this many records."""
     with tempfile.TemporaryDirectory() as folder, DialogStore(Path(folder), max_bytes=256 * MIB) as store:
         for number in range(records):
             store.put(record(number))
@@ -69,14 +69,14 @@
             pacer.enqueue(entry.dialog_id, entry.server, plan.time_left, 1.0)
         elapsed = time.perf_counter() - began
         print(
-            f"{records} records: {elapsed * 1e3:.0f} ms to read, decide on and put in order, "
+            f"{records} records: {elapsed * 1e3:.0f} ms to read, plan and queue, "
             f"{store.live_bytes() // 1024} KiB live",
             flush=True,
         )
 
 
 def main() -> None:
-    """Commits by policy and size, then restarts by number of records."""
+    """Measures commits by policy and size, then restarts by number of records."""
     for sync in ("none", "each"):
         for puts in (1, 4, 16):
             measure_commits(sync, puts)
--- a/benchmarks/leg_time_out.py
+++ b/benchmarks/leg_time_out.py
@@ -1,10 +1,9 @@
-"""What a leg's own time-out is worth, by kind of trouble, against none: days in virtual time.
+"""Measures the effect of a time-out per attempt on the service level, by fault, in virtual time.
 
     python benchmarks/leg_time_out.py [--seeds 5] [--jobs 7]
 
-Each kind strikes two of four servers for 8 of 14 s, at two fleet sizes with the load per server unchanged.
-Printed: service weighted by importance without a time-out, and the difference that time-outs of 0.75, 1.5 and
-3 s make.
+Each fault affects two of four servers for 8 of 14 s, at two fleet sizes with the same load per server. Prints
+the service level weighted by importance without a time-out, and the change by time-outs of 0.75, 1.5 and 3 s.
 """
 
 from __future__ import annotations
@@ -71,7 +70,7 @@
     ]
     with multiprocessing.Pool(options.jobs) as pool:
         results = list(pool.imap_unordered(run_job, jobs))
-    print(f"{options.seeds} seeds; rules kept in {sum(passed for _, _, passed in results)} of {len(results)}")
+    print(f"{options.seeds} seeds; audits passed {sum(passed for _, _, passed in results)} of {len(results)}")
     for edges in (3, 30):
         for fault in FAULTS:
             service_by_time_out = {
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,5 +1,5 @@
-"""Operations under faults: real processes on loopback, one course a seed, or the same program's nodes and
-supervisors in simulated time.
+"""Operations under random faults, one run per seed: as processes on loopback, or the same orchestrator nodes
+and supervisors in simulated time.
 
     python benchmarks/orders.py loopback --edges 24 --seeds 30
     python benchmarks/orders.py simulated --instances 12 --seeds 10000 --jobs 8
@@ -7,11 +7,11 @@
     python benchmarks/orders.py releases --instances 24 --seeds 1000 --jobs 8
     python benchmarks/orders.py pairs --edges 12 --seeds 5
 
-Printed are violations (limits, once, told, back, and on loopback the five rules), how operations ended, and
-courses that did not come to rest. `releases`: harmless and harmful ones without faults, against a fixed
-threshold and a timer alone: how many were halted, and what fraction of all dialogs was rejected. `pairs`: the
-service level with raft servers and supervisors beside the edge proxies, and no operation, less that without
-them.
+Prints rule violations (the operation rules limits, once, told and back, and on loopback the audit's five
+rules), the results of operations, and the runs that did not come to rest. `releases`: harmless and harmful
+releases without faults, compared with a fixed threshold and with a timer alone: how many were halted, and
+what fraction of all dialogs was rejected. `pairs`: the service level with raft servers and supervisors
+beside the edge proxies but no operation, minus that without them.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 def build_scenario(seed: int, edges: int, length_s: float) -> ScenarioConfig:
     text = SCENARIO_FILE.read_text().replace("edge_proxies = 24", f"edge_proxies = {edges}")
     text = text.replace("edges = 8", f"edges = {edges // 3}").replace("seed = 1\n", f"seed = {seed}\n")
-    # Dialogs go on while the operations come to rest: a release awaits its evidence.
+    # Calls continue until the operations come to rest, because a release waits for traffic as its evidence.
     text = text.replace("length = 18s", f"length = {length_s:g}s")
     return scenario_config(IniFile(text, f"orders {seed}"), "orders")
 
@@ -77,13 +77,16 @@
         at_rest += course.is_at_rest
         results_by_kind.update(operations.outcomes)
         steps += operations.steps_started
-        line = f"seed {seed}: {course.operations} told, {course.faults} faults, "
-        line += f"{operations.steps_started} turns, "
-        line += f"most out {operations.max_unavailable} of {max_unavailable}, rules kept: {verdict.passed}, "
+        line = f"seed {seed}: {course.operations} operations, {course.faults} faults, "
+        line += f"{operations.steps_started} steps, "
+        line += (
+            f"unavailable at most {operations.max_unavailable} of {max_unavailable}, "
+            f"audit passed: {verdict.passed}, "
+        )
         line += f"at rest: {course.is_at_rest}, "
         line += f"{time.monotonic() - began:.0f} s"
         print(line if passed else f"{line}; {operations.violations} {verdict.violations}", flush=True)
-    print(f"{options.seeds} courses, {failed} bad, {at_rest} at rest, {steps} turns; {dict(results_by_kind)}")
+    print(f"{options.seeds} runs, {failed} failed, {at_rest} at rest, {steps} steps; {dict(results_by_kind)}")
 
 
 def measure_pairs(options: argparse.Namespace) -> None:
@@ -101,7 +104,7 @@
         differences.append(service_levels[0] - service_levels[1])
         print(f"seed {seed}: {service_levels[0]:.4f} with, {service_levels[1]:.4f} without", flush=True)
     mean, spread = statistics.mean(differences), statistics.stdev(differences)
-    print(f"mean {mean:+.4f}, spread of the pairs {spread:.4f}")
+    print(f"mean {mean:+.4f}, standard deviation of the pairs {spread:.4f}")
 
 
 async def run_no_operation(rig: OperationRig) -> None:
@@ -133,16 +136,16 @@
             if violation:
                 failed += 1
                 print(violation, flush=True)
-    print(f"{options.seeds} courses of {options.length:g} s at {options.instances}: {failed} broken")
-    print(f"  orders: {dict(results_by_kind)}")
-    print(f"  caused: {dict(causes)}")
+    print(f"{options.seeds} runs of {options.length:g} s with {options.instances} instances: {failed} failed")
+    print(f"  operations: {dict(results_by_kind)}")
+    print(f"  faults and submitted operations: {dict(causes)}")
 
 
 RULES = ("program", "threshold", "timer")
 
 
 def run_release(case: tuple[int, int, str, str]) -> tuple[bool, float, float]:
-    """Whether it was halted, the fraction of dialogs that were rejected, and how long it took, s."""
+    """Returns whether the release was halted, the fraction of rejected dialogs, and the duration in s."""
     seed, instances, version, rule = case
     limits = DisruptionLimits(
         max_unavailable=max(2, instances // 6), max_unavailable_per_region=max(1, instances // 8)
@@ -172,7 +175,7 @@
                 median_s = sorted(result[2] for result in results)[len(results) // 2]
                 print(
                     f"{version} by {rule}: {halted} of {len(results)} halted, "
-                    f"{rejected:.4f} of dialogs declined, median {median_s:.0f} s",
+                    f"{rejected:.4f} of dialogs rejected, median {median_s:.0f} s",
                     flush=True,
                 )
 
@@ -184,10 +187,12 @@
     parser.add_argument("--instances", type=int, default=12)
     parser.add_argument("--seeds", type=int, default=30)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--length", type=float, default=30.0, help="seconds of operations and faults")
-    parser.add_argument("--servers", action="store_true", help="servers have supervisors too")
+    parser.add_argument(
+        "--length", type=float, default=30.0, help="seconds in which operations and faults are started"
+    )
+    parser.add_argument("--servers", action="store_true", help="run supervisors for the core servers too")
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--logs", type=Path, help="keep the processes' files here")
+    parser.add_argument("--logs", type=Path, help="keep the processes' files in this folder")
     options = parser.parse_args()
     logs.configure_logging(LogConfig(level="error"))
     measurements = {
--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -1,11 +1,11 @@
-"""What a crossing budget costs and keeps: four regions, one short of lines, in virtual time.
+"""Measures the effect of a cross-region quota: four regions, one short of lines, in virtual time.
 
     python benchmarks/regions.py [--seeds 20] [--edges 6] [--jobs 7]
 
-For each seed the same day is played with the budget, with no budget, with crossing forbidden, and with no
-regions in the terms (the earlier version). Printed: service of urgent and of all dialogs, the most routine
-crossings in any window at the servers' end against the budget, and what the planner says can be had within
-it.
+For each seed the same scenario is run with the quota, without one, with cross-region set-ups forbidden, and
+with no regions in the configuration (the earlier version). Prints the service levels of urgent and of all
+dialogs, the most routine cross-region set-ups that servers received in any window, to compare with the quota,
+and the fraction of dialogs that the planner can serve within it.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 from valverouter.scenarios.virtual import run_virtual
 
 SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
-# Routine legs and the window in seconds: a large fleet's slots need a longer one to be used.
+# By fleet size, routine set-ups per window and the window in seconds. A large fleet divides the quota into
+# more slots, which are used only with a longer window.
 BUDGETS = {6: (24, 2)}
 LARGE_FLEET_BUDGET = (120, 10)
 VARIANTS = ("budget", "unlimited", "forbidden", "earlier")
 
 
 def build_scenario(variant: str, seed: int, edges: int) -> ScenarioConfig:
-    """The day at a fleet size, load and servers unchanged."""
+    """Builds a scenario for a fleet size, with the same load and servers."""
     text = SCENARIO_FILE.read_text().replace("seed = 3", f"seed = {seed}")
     if edges != 6:
         quarter = edges // 4
@@ -67,7 +68,7 @@
     ]
     planned = 0.0
     if variant == "budget":
-        # The lines are short for half of the day.
+        # Lines are short during half of the scenario.
         planned = (
             plan_scenario(scenario, rows).served_fraction
             + plan_scenario(scenario, rows, {"sofia": 40**-0.5}).served_fraction
@@ -96,17 +97,18 @@
         results = list(pool.imap_unordered(run_job, jobs))
     legs, window = BUDGETS.get(options.edges, LARGE_FLEET_BUDGET)
     print(
-        f"{options.edges} edge proxies, {options.seeds} seeds, {legs} routine legs in {window} s from sofia"
+        f"{options.edges} edge proxies, {options.seeds} seeds, "
+        f"{legs} routine set-ups in {window} s from sofia"
     )
     for variant in VARIANTS:
         rows = [result for result in results if result[0] == variant]
         print(
             f"{variant:10} urgent {statistics.mean(r[2] for r in rows):.3f}  all "
-            f"{statistics.mean(r[3] for r in rows):.3f}  most in a window {max(r[4] for r in rows)}  "
-            f"rules kept in {sum(r[5] for r in rows)} of {len(rows)}"
+            f"{statistics.mean(r[3] for r in rows):.3f}  maximum per window {max(r[4] for r in rows)}  "
+            f"audits passed {sum(r[5] for r in rows)} of {len(rows)}"
         )
     planned = statistics.mean(result[6] for result in results if result[0] == "budget")
-    print(f"the planner: {planned:.3f} of all dialogs can be had within the budget, none cut")
+    print(f"the planner: {planned:.3f} of all dialogs can be served within the quota, with none interrupted")
 
 
 if __name__ == "__main__":
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,12 +1,12 @@
-"""Kills of edge proxies under load, and whether the audit accounts for every dialog.
+"""Kills edge proxies under load and checks that the audit accounts for every dialog.
 
     python benchmarks/restarts.py [--virtual 1000] [--loopback 60] [--fleet 8] [--jobs 6]
 
-`--virtual N`: N days of 4 s in virtual time, six kills each, with a ledger and without. `--loopback N`: one
-day on sockets in which edge proxies get SIGKILL N times at drawn moments. Printed: kills, how often callers
-came back for a dialog, broken rules, service. `--fleet N`: N seeds of 200 and of 4 edge proxies on the
-emulator, a part of them killed at once: without a ledger, with one, and with one that asks servers for all
-that stood at once.
+`--virtual N`: N scenarios of 4 s in virtual time, with six kills each, with a dialog store and without.
+`--loopback N`: one scenario on sockets with N SIGKILLs of edge proxies at random times. Both print kills,
+dialogs resumed by their callers, rule violations and the service level. `--fleet N`: N seeds of 200 and of 4
+edge proxies on the emulator, with a fraction of them killed simultaneously: without a dialog store, with one,
+and with one whose queries to servers are all sent at once.
 """
 
 from __future__ import annotations
@@ -40,14 +40,17 @@
     "[trouble m]\nkind = answer_lost\nstart = 1s\nlength = 3s\nsize = 0.5\non = s0, s1\n",
     "[trouble d]\nkind = crash\nstart = 2s\nlength = 1s\non = s0, s1\n",
 )
-# What a process takes to come up on a machine that does other things as well.
+# The time within which a process starts on a machine under other load.
 START_TIME_MS = 2_000
 
 
 def build_scenario(
     seed: int, seconds: int, kills: int, dialog_store: bool, min_gap_ms: int
 ) -> ScenarioConfig:
-    """A day with kills of its edge proxies, each `apart` ms or more from its last, and one other trouble."""
+    """Builds a scenario with kills of edge proxies and one other fault.
+
+    Kills of the same edge proxy are at least `min_gap_ms` apart.
+    """
     rng = random.Random(f"{seed}/kills")
     text = SCENARIO_FILE.read_text()
     text = text[: text.index("[trouble ")].replace(
@@ -85,9 +88,9 @@
     for name, column in (("ledger", 0), ("without", 1)):
         rows = [result[column] for result in results]
         print(
-            f"virtual, {name}: {days} days, {6 * days} kills, {sum(row[1] for row in rows)} resumed, "
-            f"{sum(row[2] for row in rows)} forgotten, {sum(row[0] > 0 for row in rows)} days with a broken "
-            f"rule, service {statistics.mean(row[3] for row in rows):.4f}"
+            f"virtual, {name}: {days} runs, {6 * days} kills, {sum(row[1] for row in rows)} resumed, "
+            f"{sum(row[2] for row in rows)} forgotten, {sum(row[0] > 0 for row in rows)} runs with a rule "
+            f"violation, service {statistics.mean(row[3] for row in rows):.4f}"
         )
 
 
@@ -103,17 +106,17 @@
             f"loopback, {'ledger' if dialog_store else 'without'}: {seconds} s, {kills} SIGKILL, "
             f"{verdict.check_counts[1]} dialogs, {verdict.resumptions} resumed, "
             f"{verdict.forgotten_dialogs} forgotten, "
-            f"{len(verdict.violations)} breaches, service {service:.4f}"
+            f"{len(verdict.violations)} violations, service {service:.4f}"
         )
         for violation in verdict.violations[:10]:
             print(" ", violation)
 
 
 class UnpacedQueries(QueryPacer):
-    """Asks for everything as soon as it may."""
+    """Sends every query as soon as it is queued, without pacing."""
 
     def take_due(self, now: int) -> list[tuple[str, str]]:
-        """Every query that waits, whatever the servers' windows say."""
+        """Returns every waiting query, regardless of the servers' windows."""
         due = []
         for server, queue in self._servers.items():
             due += [(query.dialog_id, server) for query in sorted(queue.waiting)]
@@ -152,11 +155,11 @@
         for at, mode in enumerate(("without", "paced", "at once")):
             rows = [result[at] for result in results]
             line = f"service {statistics.mean(row[0] for row in rows):.4f}, worst 10 s "
-            line += f"{statistics.mean(row[1] for row in rows):.4f}, {sum(row[2] for row in rows)} breaches"
+            line += f"{statistics.mean(row[1] for row in rows):.4f}, {sum(row[2] for row in rows)} violations"
             if at:
                 differences = [result[at][0] - result[0][0] for result in results]
                 error = statistics.stdev(differences) / len(differences) ** 0.5
-                line += f", {statistics.mean(differences):+.4f} ({error:.4f}) to without"
+                line += f", {statistics.mean(differences):+.4f} ({error:.4f}) compared with without"
             print(f"{fraction:.0%} of {size} killed, {mode}: {line}", flush=True)
 
 
--- a/benchmarks/rolling.py
+++ b/benchmarks/rolling.py
@@ -1,13 +1,14 @@
-"""What a full rolling restart of the edge proxies, and a rolling release of the servers, costs a day on the
-emulator: the waves of docs/rollout.md against one at a time, a fixed tenth, and all at once.
+"""Measures the dialogs lost by a full rolling restart of the edge proxies, and by a rolling release of the
+servers, on the emulator: the waves of docs/rollout.md, one at a time, a fixed tenth, and all at once.
 
     python benchmarks/rolling.py --edges 220 --seeds 3 --jobs 4
 
-Each day is played with and without it, the same seeds: on a calm day, at 1.3 of the load, and with two
-servers that crash in the midst. Told are dialogs lost by it (not served, or too late), as a share of
-the day's and in all, and how long it took. Edge proxies are asked to end, as SIGTERM does, and
-take 2 s to start; a wave goes once the one before is back (a second of evidence). Servers drain for 2 s, are
-back cold, and warm after 15 s: the waves wait for that, the others go on after 3 s.
+Each scenario is run with and without the restart, with the same seeds: under normal load, at 1.3 times the
+load, and with two servers that crash halfway. Prints the dialogs lost by the restart (not served, or too
+late), as a fraction of the run's and as a number, and its duration. Edge proxies are stopped as by SIGTERM
+and take 2 s to start; a wave starts once the one before is back (with one second of evidence). Servers
+drain for 2 s, return cold, and are warm after 15 s: the waves wait for that, the other policies continue
+after 3 s.
 """
 
 from __future__ import annotations
@@ -66,7 +67,7 @@
 CRASH = "[trouble crash]\nkind = crash\nstart = {at}s\nlength = 8s\non = s3, s11\n"
 CONDITIONS = ("calm", "crowded", "crashing")
 POLICIES = ("waves", "one", "tenth", "all")
-# Between two waves of edge proxies: the start, and that it serves.
+# The start of an edge proxy; the interval between waves, which includes the start and the evidence.
 START_S, WAVE_INTERVAL_S = 2, 4
 FIRST_WAVE_S, TIME_AFTER_S = 5, 25
 
@@ -90,7 +91,7 @@
 def build_scenario(
     target: str, condition: str, policy: str, edges: int, rate: float, seed: int, with_restart: bool
 ) -> tuple[ScenarioConfig, float]:
-    """The day, and how long the rolling takes, s."""
+    """Returns the scenario and the duration of the rolling restart in seconds."""
     faults = []
     if target == "edges":
         waves = edge_waves(policy, edges)
@@ -157,9 +158,9 @@
                     losses = [result[0] for result in results]
                     lost = statistics.mean(loss * dialled for loss, dialled, _, _ in results)
                     print(
-                        f"{target} {condition} {policy}: {statistics.mean(losses):+.4f} of the day "
+                        f"{target} {condition} {policy}: {statistics.mean(losses):+.4f} of the dialogs "
                         f"({min(losses):+.4f} to {max(losses):+.4f}), {lost:.0f} dialogs, "
-                        f"{results[0][2]:.0f} s, rules kept: {all(result[3] for result in results)}",
+                        f"{results[0][2]:.0f} s, audits passed: {all(result[3] for result in results)}",
                         flush=True,
                     )
 
--- a/benchmarks/variant_on_the_wire.py
+++ b/benchmarks/variant_on_the_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter with a variant of the decisions, to order variants there as on the emulator.
+"""Runs the simulator's adapter with a variant of the driver, to rank variants there as on the emulator.
 
 python benchmarks/variant_on_the_wire.py NAME [KEY=VALUE ...]
 """
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -1,14 +1,14 @@
-"""Membership of large fleets, simulated: how soon deaths are detected, how many are false, what it costs.
+"""Simulated membership of large fleets: detection time of failures, false positives, and cost.
 
     python benchmarks/views.py deaths --members 220 --hours 1 --loss 0.05 --stalls
     python benchmarks/views.py false --members 220 --hours 24 --loss 0.05 --jobs 8
     python benchmarks/views.py cost --members 1000
     python benchmarks/views.py cut --members 220 --rounds 20
 
-`--as` takes a baseline in place of the program's protocol: `heartbeats` (all send to all each period; silent
-for five is gone), `unsuspecting` (a failed probe is a death), `trusting` (no local health). One in twenty
-members stalls for 2 s at a time, every 20 s on average, where `--stalls` is given. Seeds are counted up
-from `--seed`; the same command gives the same figures.
+`--as` replaces the program's protocol by a baseline: `heartbeats` (every member sends to all others each
+period; one silent for five periods is gone), `unsuspecting` (a failed probe declares a member gone),
+`trusting` (no local health). With `--stalls` one in twenty members stalls for 2 s at a time, every 20 s on
+average. Seeds count up from `--seed`; the same command prints the same figures.
 """
 
 from __future__ import annotations
@@ -33,12 +33,13 @@
 
 BASELINES = ("program", "heartbeats", "unsuspecting", "trusting")
 SEEDS = ("e0:1", "e1:1", "e2:1")
-# Baseline of heartbeats: silent for so many periods is gone, about as long as the program takes to a death.
+# In the baseline `heartbeats`, a member silent for this many periods is gone: about the program's own
+# detection time.
 MAX_SILENT_PERIODS = 5
 
 
 class Heartbeats:
-    """All send to all each period; the same interface as `Membership`."""
+    """A baseline: every member sends to all others each period. Has the interface of `Membership`."""
 
     def __init__(
         self,
@@ -67,14 +68,14 @@
         return events
 
     def receive(self, now: int, address: str, message: Message) -> None:
-        """Handles a heartbeat: its sender runs."""
+        """Handles a heartbeat, which shows that its sender is live."""
         self._last_received_at[message.name] = now
         record = self.view.records.get(message.name)
         if record is not None and not record.is_live:
             self.view.set_record(next_own_record(record), now)
 
     def tick(self, now: int) -> None:
-        """Sends heartbeats, and declares silent members gone, unless this process itself was late."""
+        """Sends heartbeats, and declares silent members gone unless this process itself was delayed."""
         period = self.config.probe_period
         late = now - self.next_timer > period // 2
         self.next_timer = now + period
@@ -106,7 +107,7 @@
 
 
 def build_config(baseline: str) -> MembershipConfig:
-    """The configuration of a baseline."""
+    """Returns the configuration of a baseline."""
     return MembershipConfig(
         suspicion_enabled=baseline != "unsuspecting", local_health_enabled=baseline != "trusting"
     )
@@ -118,7 +119,7 @@
     faults: list[PathFault] | None = None,
     count_bytes: bool = False,
 ) -> MembershipSimulation:
-    """A fleet whose members know each other already; `sized`: bytes are counted."""
+    """Starts a fleet whose views have converged; `count_bytes`: sent bytes are counted."""
     rng = random.Random(f"paths/{case.seed}")
     make = Heartbeats if case.baseline == "heartbeats" else Membership
     simulation = MembershipSimulation(
@@ -140,7 +141,7 @@
 
 
 def _schedule_stalls(simulation: MembershipSimulation, name: str, rng: random.Random) -> None:
-    """The member stalls for 2 s at a time, every 20 s on average."""
+    """Schedules stalls of a member: 2 s at a time, every 20 s on average."""
 
     def stall() -> None:
         simulation.stall(name, 2 * SECOND)
@@ -150,7 +151,7 @@
 
 
 def measure_detection(case: Case) -> dict[str, list[float]]:
-    """Kills one member after the other; how long until all others know, and how many deaths some missed."""
+    """Kills members one by one; returns detection times by all others, and failures that some missed."""
     uninformed: set[str] = set()
     killed: dict[str, int] = {}
     detection_times_s: list[float] = []
@@ -182,7 +183,7 @@
 
 
 def measure_false_positives(case: Case) -> dict[str, list[float]]:
-    """Nobody dies: counts false deaths, once for each member and record, and accusations received."""
+    """Counts false positives without failures, once per member and record, and accusations received."""
     false_positives: set[tuple[str, int, int]] = set()
     counts: Counter[EventKind] = Counter()
 
@@ -197,7 +198,7 @@
 
 
 def measure_cost(case: Case) -> dict[str, list[float]]:
-    """Messages and bytes a second of each member."""
+    """Returns the messages and bytes per second of each member."""
     simulation = start_fleet(case, lambda node, event: None, count_bytes=True)
     simulation.run_until(int(case.seconds * SECOND))
     nodes = list(simulation.nodes.values())
@@ -208,9 +209,9 @@
 
 
 def measure_partition(case: Case) -> dict[str, list[float]]:
-    """A partition into halves for 60 s, from 5 s on; how long until all have one digest."""
+    """Partitions the fleet into halves from 5 s to 65 s; returns the time until all digests are equal."""
     half = frozenset(f"e{at}" for at in range(case.members // 2))
-    # Only the members of one group are named: all others are in the other one.
+    # Only one group is listed; all other members form the second one.
     fault = PathFault("split", 5 * SECOND, 65 * SECOND, groups=(half,))
     simulation = start_fleet(case, lambda node, event: None, [fault])
     simulation.run_until(65 * SECOND)
@@ -227,12 +228,12 @@
 
 
 def run_case(case: Case) -> dict[str, list[float]]:
-    """The values of one round, by name."""
+    """Returns the values of one round, by name."""
     return MEASUREMENTS[case.measurement](case)
 
 
 def parse_arguments() -> argparse.Namespace:
-    """The arguments of the command line."""
+    """Parses the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("measurement", choices=sorted(MEASUREMENTS))
     parser.add_argument("--members", type=int, default=220)
@@ -248,10 +249,10 @@
 
 
 def make_cases(options: argparse.Namespace) -> list[Case]:
-    """The rounds to simulate, with seeds counted up."""
+    """Returns the rounds to simulate, with consecutive seeds."""
     rounds, seconds = options.rounds, options.seconds
     if options.hours:
-        # Rounds of a quarter of an hour, so that the jobs are busy to the end.
+        # Rounds of a quarter of an hour, so that all jobs stay busy until the end.
         rounds = max(1, round(options.hours * 4))
         seconds = options.hours * 3_600 / rounds
     return [
@@ -269,7 +270,7 @@
 
 
 def report(cases: list[Case], results: list[dict[str, list[float]]]) -> None:
-    """Prints the values of all rounds together."""
+    """Prints the merged values of all rounds."""
     first, last = cases[0], cases[-1]
     heading = f"{first.measurement} {first.baseline} members={first.members} loss={first.loss}"
     print(
@@ -290,7 +291,7 @@
 
 
 def main() -> None:
-    """Simulates the rounds in parallel and prints what they measured."""
+    """Simulates the rounds in parallel and prints the results."""
     options = parse_arguments()
     cases = make_cases(options)
     with Pool(options.jobs) as pool:
