--- a/benchmarks/regions.py
+++ b/benchmarks/regions.py
@@ -1,11 +1,11 @@
-"""What a crossing budget costs and keeps: four regions, one short of lines, in virtual time.
+"""Measures the effect of a cross-region quota: four regions, one short of lines, in virtual time.
 
     python benchmarks/regions.py [--seeds 20] [--edges 6] [--jobs 7]
 
-For each seed the same day is played with the budget, with no budget, with crossing forbidden, and with no
-regions in the terms (the earlier version). Printed: service of urgent and of all dialogs, the most routine
-crossings in any window at the servers' end against the budget, and what the planner says can be had within
-it.
+For each seed the same scenario is run with the quota, without one, with cross-region set-ups forbidden, and
+with no regions in the configuration (the earlier version). Prints the service levels of urgent and of all
+dialogs, the most routine cross-region set-ups that servers received in any window, to compare with the quota,
+and the fraction of dialogs that the planner can serve within it.
 """
 
 from __future__ import annotations
@@ -26,16 +26,17 @@
 from valverouter.scenarios.planning import plan_scenario
 from valverouter.scenarios.virtual import run_virtual
 
-DAY = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
-# Routine legs and the window in seconds: a large fleet's slots need a longer one to be used.
+SCENARIO_FILE = Path(__file__).parent.parent / "deploy" / "days" / "four-regions.ini"
+# By fleet size, routine set-ups per window and the window in seconds. A large fleet divides the quota into
+# more slots, which are used only with a longer window.
 BUDGETS = {6: (24, 2)}
-LARGE = (120, 10)
+LARGE_FLEET_BUDGET = (120, 10)
 VARIANTS = ("budget", "unlimited", "forbidden", "earlier")
 
 
-def script(variant: str, seed: int, edges: int) -> ScenarioConfig:
-    """The day at a fleet size, load and servers unchanged."""
-    text = DAY.read_text().replace("seed = 3", f"seed = {seed}")
+def build_scenario(variant: str, seed: int, edges: int) -> ScenarioConfig:
+    """Builds a scenario for a fleet size, with the same load and servers."""
+    text = SCENARIO_FILE.read_text().replace("seed = 3", f"seed = {seed}")
     if edges != 6:
         quarter = edges // 4
         text = text.replace("edge_proxies = 6", f"edge_proxies = {4 * quarter}")
@@ -54,34 +55,34 @@
     return scenario_config(IniFile(text, variant), variant)
 
 
-def one(job: tuple[str, int, int]) -> tuple[str, int, float, float, int, bool, float]:
+def run_job(job: tuple[str, int, int]) -> tuple[str, int, float, float, int, bool, float]:
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     variant, seed, edges = job
-    played = script(variant, seed, edges)
-    rows = run_virtual(played)
+    scenario = build_scenario(variant, seed, edges)
+    rows = run_virtual(scenario)
     accounts = account_by_type(rows)
-    routine = [
-        one.at
-        for one in cross_region_setups(rows)
-        if one.traffic_type == "booking" and one.home_region == "sofia"
+    routine_setups = [
+        setup.at
+        for setup in cross_region_setups(rows)
+        if setup.traffic_type == "booking" and setup.home_region == "sofia"
     ]
-    can = 0.0
+    planned = 0.0
     if variant == "budget":
-        # The lines are short for half of the day.
-        can = (
-            plan_scenario(played, rows).served_fraction
-            + plan_scenario(played, rows, {"sofia": 40**-0.5}).served_fraction
+        # Lines are short during half of the scenario.
+        planned = (
+            plan_scenario(scenario, rows).served_fraction
+            + plan_scenario(scenario, rows, {"sofia": 40**-0.5}).served_fraction
         ) / 2
     urgent = accounts["urgent-referral"].service_level
-    whole = weighted_service_level(accounts, {kind: 1.0 for kind in accounts})
+    total = weighted_service_level(accounts, {kind: 1.0 for kind in accounts})
     return (
         variant,
         seed,
         urgent,
-        whole,
-        max_in_window(routine, BUDGETS.get(edges, LARGE)[1] * 10**9),
+        total,
+        max_in_window(routine_setups, BUDGETS.get(edges, LARGE_FLEET_BUDGET)[1] * 10**9),
         audit(rows).passed,
-        can,
+        planned,
     )
 
 
@@ -93,20 +94,21 @@
     options = parser.parse_args()
     jobs = [(variant, seed, options.edges) for seed in range(1, options.seeds + 1) for variant in VARIANTS]
     with multiprocessing.Pool(options.jobs) as pool:
-        results = list(pool.imap_unordered(one, jobs))
-    legs, window = BUDGETS.get(options.edges, LARGE)
+        results = list(pool.imap_unordered(run_job, jobs))
+    legs, window = BUDGETS.get(options.edges, LARGE_FLEET_BUDGET)
     print(
-        f"{options.edges} edge proxies, {options.seeds} seeds, {legs} routine legs in {window} s from sofia"
+        f"{options.edges} edge proxies, {options.seeds} seeds, "
+        f"{legs} routine set-ups in {window} s from sofia"
     )
     for variant in VARIANTS:
-        found = [result for result in results if result[0] == variant]
+        rows = [result for result in results if result[0] == variant]
         print(
-            f"{variant:10} urgent {statistics.mean(r[2] for r in found):.3f}  all "
-            f"{statistics.mean(r[3] for r in found):.3f}  most in a window {max(r[4] for r in found)}  "
-            f"rules kept in {sum(r[5] for r in found)} of {len(found)}"
+            f"{variant:10} urgent {statistics.mean(r[2] for r in rows):.3f}  all "
+            f"{statistics.mean(r[3] for r in rows):.3f}  maximum per window {max(r[4] for r in rows)}  "
+            f"audits passed {sum(r[5] for r in rows)} of {len(rows)}"
         )
     planned = statistics.mean(result[6] for result in results if result[0] == "budget")
-    print(f"the planner: {planned:.3f} of all dialogs can be had within the budget, none cut")
+    print(f"the planner: {planned:.3f} of all dialogs can be served within the quota, with none interrupted")
 
 
 if __name__ == "__main__":
--- a/benchmarks/views.py
+++ b/benchmarks/views.py
@@ -1,14 +1,14 @@
-"""Membership of large fleets, simulated: how soon deaths are detected, how many are false, what it costs.
+"""Simulated membership of large fleets: detection time of failures, false positives, and cost.
 
     python benchmarks/views.py deaths --members 220 --hours 1 --loss 0.05 --stalls
     python benchmarks/views.py false --members 220 --hours 24 --loss 0.05 --jobs 8
     python benchmarks/views.py cost --members 1000
     python benchmarks/views.py cut --members 220 --rounds 20
 
-`--as` takes a baseline in place of the program's protocol: `heartbeats` (all send to all each period; silent
-for five is gone), `unsuspecting` (a failed probe is a death), `trusting` (no local health). One in twenty
-members stalls for 2 s at a time, every 20 s on average, where `--stalls` is given. Seeds are counted up
-from `--seed`; the same command gives the same figures.
+`--as` replaces the program's protocol by a baseline: `heartbeats` (every member sends to all others each
+period; one silent for five periods is gone), `unsuspecting` (a failed probe declares a member gone),
+`trusting` (no local health). With `--stalls` one in twenty members stalls for 2 s at a time, every 20 s on
+average. Seeds count up from `--seed`; the same command prints the same figures.
 """
 
 from __future__ import annotations
@@ -33,12 +33,13 @@
 
 BASELINES = ("program", "heartbeats", "unsuspecting", "trusting")
 SEEDS = ("e0:1", "e1:1", "e2:1")
-# Baseline of heartbeats: silent for so many periods is gone, about as long as the program takes to a death.
-SILENT_PERIODS = 5
+# In the baseline `heartbeats`, a member silent for this many periods is gone: about the program's own
+# detection time.
+MAX_SILENT_PERIODS = 5
 
 
 class Heartbeats:
-    """All send to all each period; the same interface as `Membership`."""
+    """A baseline: every member sends to all others each period. Has the interface of `Membership`."""
 
     def __init__(
         self,
@@ -54,7 +55,7 @@
         self.outbox: list[tuple[str, Message]] = []
         self.events: list[MembershipEvent] = []
         self.next_timer = now + int(draw() * config.probe_period)
-        self._last_heard: dict[str, int] = {}
+        self._last_received_at: dict[str, int] = {}
 
     def take_outbox(self) -> list[tuple[str, Message]]:
         """Empties the outbox and returns what was in it."""
@@ -67,27 +68,27 @@
         return events
 
     def receive(self, now: int, address: str, message: Message) -> None:
-        """Handles a heartbeat: its sender runs."""
-        self._last_heard[message.name] = now
-        held = self.view.records.get(message.name)
-        if held is not None and not held.is_live:
-            self.view.set_record(next_own_record(held), now)
+        """Handles a heartbeat, which shows that its sender is live."""
+        self._last_received_at[message.name] = now
+        record = self.view.records.get(message.name)
+        if record is not None and not record.is_live:
+            self.view.set_record(next_own_record(record), now)
 
     def tick(self, now: int) -> None:
-        """Sends heartbeats, and declares silent members gone, unless this process itself was late."""
+        """Sends heartbeats, and declares silent members gone unless this process itself was delayed."""
         period = self.config.probe_period
         late = now - self.next_timer > period // 2
         self.next_timer = now + period
         own_name = self.own_record.name
         heartbeat = Gossip(own_name, self.own_record.incarnation, 0)
-        for name, held in list(self.view.records.items()):
-            if name == own_name or not held.is_live:
+        for name, record in list(self.view.records.items()):
+            if name == own_name or not record.is_live:
                 continue
-            self.outbox.append((held.address, heartbeat))
+            self.outbox.append((record.address, heartbeat))
             if late:
-                self._last_heard[name] = now
-            elif now - self._last_heard.setdefault(name, now) > SILENT_PERIODS * period:
-                gone = as_reported(held, MemberState.GONE, own_name)
+                self._last_received_at[name] = now
+            elif now - self._last_received_at.setdefault(name, now) > MAX_SILENT_PERIODS * period:
+                gone = as_reported(record, MemberState.GONE, own_name)
                 self.view.set_record(gone, now)
                 self.events.append(MembershipEvent(now, EventKind.GONE, gone, own_name))
 
@@ -105,30 +106,30 @@
     seconds: float
 
 
-def config_of(baseline: str) -> MembershipConfig:
-    """The configuration of a baseline."""
+def build_config(baseline: str) -> MembershipConfig:
+    """Returns the configuration of a baseline."""
     return MembershipConfig(
         suspicion_enabled=baseline != "unsuspecting", local_health_enabled=baseline != "trusting"
     )
 
 
-def fleet(
+def start_fleet(
     case: Case,
-    watch: Callable[[SimulatedNode, MembershipEvent], None],
+    on_event: Callable[[SimulatedNode, MembershipEvent], None],
     faults: list[PathFault] | None = None,
-    sized: bool = False,
+    count_bytes: bool = False,
 ) -> MembershipSimulation:
-    """A fleet whose members know each other already; `sized`: bytes are counted."""
-    chance = random.Random(f"paths/{case.seed}")
+    """Starts a fleet whose views have converged; `count_bytes`: sent bytes are counted."""
+    rng = random.Random(f"paths/{case.seed}")
     make = Heartbeats if case.baseline == "heartbeats" else Membership
     simulation = MembershipSimulation(
-        config_of(case.baseline),
+        build_config(case.baseline),
         NetworkPaths(
-            faults or [], chance.random, lambda a, b: 500_000 + int(chance.random() * 1_500_000), case.loss
+            faults or [], rng.random, lambda a, b: 500_000 + int(rng.random() * 1_500_000), case.loss
         ),
         case.seed,
-        watch,
-        datagram_size if sized else None,
+        on_event,
+        datagram_size if count_bytes else None,
         make,  # type: ignore[arg-type]
     )
     simulation.start_converged(case.members, SEEDS)
@@ -139,37 +140,37 @@
     return simulation
 
 
-def _schedule_stalls(simulation: MembershipSimulation, name: str, chance: random.Random) -> None:
-    """The member stalls for 2 s at a time, every 20 s on average."""
+def _schedule_stalls(simulation: MembershipSimulation, name: str, rng: random.Random) -> None:
+    """Schedules stalls of a member: 2 s at a time, every 20 s on average."""
 
     def stall() -> None:
         simulation.stall(name, 2 * SECOND)
-        simulation.call_at(simulation.now + 2 * SECOND + int(chance.expovariate(1 / 18) * SECOND), stall)
+        simulation.call_at(simulation.now + 2 * SECOND + int(rng.expovariate(1 / 18) * SECOND), stall)
 
-    simulation.call_at(int(chance.random() * 20 * SECOND), stall)
+    simulation.call_at(int(rng.random() * 20 * SECOND), stall)
 
 
-def deaths(case: Case) -> dict[str, list[float]]:
-    """Kills one member after the other; how long until all others know, and how many deaths some missed."""
-    unaware: set[str] = set()
+def measure_detection(case: Case) -> dict[str, list[float]]:
+    """Kills members one by one; returns detection times by all others, and failures that some missed."""
+    uninformed: set[str] = set()
     killed: dict[str, int] = {}
-    spans: list[float] = []
+    detection_times_s: list[float] = []
 
-    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
+    def on_event(node: SimulatedNode, event: MembershipEvent) -> None:
         if event.kind is EventKind.GONE and event.record.name in killed:
-            unaware.discard(node.name)
-            if not unaware:
-                spans.append((simulation.now - killed.pop(event.record.name)) / SECOND)
+            uninformed.discard(node.name)
+            if not uninformed:
+                detection_times_s.append((simulation.now - killed.pop(event.record.name)) / SECOND)
 
-    simulation = fleet(case, watch)
-    chance = random.Random(f"deaths/{case.seed}")
+    simulation = start_fleet(case, on_event)
+    rng = random.Random(f"deaths/{case.seed}")
     simulation.run_until(3 * SECOND)
     missed = 0
     while simulation.now < case.seconds * SECOND:
-        name = chance.choice(sorted(simulation.nodes))
-        simulation.run_until(simulation.now + int(chance.random() * SECOND))
+        name = rng.choice(sorted(simulation.nodes))
+        simulation.run_until(simulation.now + int(rng.random() * SECOND))
         simulation.kill(name)
-        unaware = {node.name for node in simulation.running_nodes()}
+        uninformed = {node.name for node in simulation.running_nodes()}
         killed[name] = simulation.now
         simulation.run_until(simulation.now + 30 * SECOND)
         missed += len(killed)
@@ -178,27 +179,27 @@
             name, SEEDS, known_records=[node.membership.own_record for node in simulation.running_nodes()]
         )
         simulation.run_until(simulation.now + 5 * SECOND)
-    return {"spans": spans, "missed": [float(missed)]}
+    return {"spans": detection_times_s, "missed": [float(missed)]}
 
 
-def false_deaths(case: Case) -> dict[str, list[float]]:
-    """Nobody dies: counts false deaths, once for each member and record, and accusations received."""
-    wrong: set[tuple[str, int, int]] = set()
+def measure_false_positives(case: Case) -> dict[str, list[float]]:
+    """Counts false positives without failures, once per member and record, and accusations received."""
+    false_positives: set[tuple[str, int, int]] = set()
     counts: Counter[EventKind] = Counter()
 
-    def watch(node: SimulatedNode, event: MembershipEvent) -> None:
+    def on_event(node: SimulatedNode, event: MembershipEvent) -> None:
         counts[event.kind] += 1
         if event.kind is EventKind.GONE:
-            wrong.add((event.record.name, event.record.incarnation, event.record.sequence))
+            false_positives.add((event.record.name, event.record.incarnation, event.record.sequence))
 
-    simulation = fleet(case, watch)
+    simulation = start_fleet(case, on_event)
     simulation.run_until(int(case.seconds * SECOND))
-    return {"wrong": [float(len(wrong))], "suspects": [float(counts[EventKind.ACCUSED])]}
+    return {"wrong": [float(len(false_positives))], "suspects": [float(counts[EventKind.ACCUSED])]}
 
 
-def cost(case: Case) -> dict[str, list[float]]:
-    """Messages and bytes a second of each member."""
-    simulation = fleet(case, lambda node, event: None, sized=True)
+def measure_cost(case: Case) -> dict[str, list[float]]:
+    """Returns the messages and bytes per second of each member."""
+    simulation = start_fleet(case, lambda node, event: None, count_bytes=True)
     simulation.run_until(int(case.seconds * SECOND))
     nodes = list(simulation.nodes.values())
     return {
@@ -207,27 +208,32 @@
     }
 
 
-def cut(case: Case) -> dict[str, list[float]]:
-    """A partition into halves for 60 s, from 5 s on; how long until all have one digest."""
+def measure_partition(case: Case) -> dict[str, list[float]]:
+    """Partitions the fleet into halves from 5 s to 65 s; returns the time until all digests are equal."""
     half = frozenset(f"e{at}" for at in range(case.members // 2))
-    # Only the members of one group are named: all others are in the other one.
+    # Only one group is listed; all other members form the second one.
     fault = PathFault("split", 5 * SECOND, 65 * SECOND, groups=(half,))
-    simulation = fleet(case, lambda node, event: None, [fault])
+    simulation = start_fleet(case, lambda node, event: None, [fault])
     simulation.run_until(65 * SECOND)
-    settled = simulation.run_until_converged(185 * SECOND, SECOND // 10)
-    return {"settled": [float("inf") if settled is None else (settled - 65 * SECOND) / SECOND]}
+    converged_at = simulation.run_until_converged(185 * SECOND, SECOND // 10)
+    return {"settled": [float("inf") if converged_at is None else (converged_at - 65 * SECOND) / SECOND]}
 
 
-MEASUREMENTS = {"deaths": deaths, "false": false_deaths, "cost": cost, "cut": cut}
+MEASUREMENTS = {
+    "deaths": measure_detection,
+    "false": measure_false_positives,
+    "cost": measure_cost,
+    "cut": measure_partition,
+}
 
 
-def run(case: Case) -> dict[str, list[float]]:
-    """The values of one round, by name."""
+def run_case(case: Case) -> dict[str, list[float]]:
+    """Returns the values of one round, by name."""
     return MEASUREMENTS[case.measurement](case)
 
 
-def arguments() -> argparse.Namespace:
-    """The arguments of the command line."""
+def parse_arguments() -> argparse.Namespace:
+    """Parses the command line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("measurement", choices=sorted(MEASUREMENTS))
     parser.add_argument("--members", type=int, default=220)
@@ -242,11 +248,11 @@
     return parser.parse_args()
 
 
-def cases_of(options: argparse.Namespace) -> list[Case]:
-    """The rounds to simulate, with seeds counted up."""
+def make_cases(options: argparse.Namespace) -> list[Case]:
+    """Returns the rounds to simulate, with consecutive seeds."""
     rounds, seconds = options.rounds, options.seconds
     if options.hours:
-        # Rounds of a quarter of an hour, so that the jobs are busy to the end.
+        # Rounds of a quarter of an hour, so that all jobs stay busy until the end.
         rounds = max(1, round(options.hours * 4))
         seconds = options.hours * 3_600 / rounds
     return [
@@ -264,10 +270,12 @@
 
 
 def report(cases: list[Case], results: list[dict[str, list[float]]]) -> None:
-    """Prints the values of all rounds together."""
+    """Prints the merged values of all rounds."""
     first, last = cases[0], cases[-1]
-    head = f"{first.measurement} {first.baseline} members={first.members} loss={first.loss}"
-    print(f"{head} stalls={first.stalls} seeds={first.seed}..{last.seed} of {first.seconds:g} s", flush=True)
+    heading = f"{first.measurement} {first.baseline} members={first.members} loss={first.loss}"
+    print(
+        f"{heading} stalls={first.stalls} seeds={first.seed}..{last.seed} of {first.seconds:g} s", flush=True
+    )
     merged: dict[str, list[float]] = {}
     for result in results:
         for name, values in result.items():
@@ -283,11 +291,11 @@
 
 
 def main() -> None:
-    """Simulates the rounds in parallel and prints what they measured."""
-    options = arguments()
-    cases = cases_of(options)
+    """Simulates the rounds in parallel and prints the results."""
+    options = parse_arguments()
+    cases = make_cases(options)
     with Pool(options.jobs) as pool:
-        results = pool.map(run, cases, chunksize=1)
+        results = pool.map(run_case, cases, chunksize=1)
     report(cases, results)
 
 
--- a/valverouter/soak/injected_faults.py
+++ b/valverouter/soak/injected_faults.py
@@ -1,4 +1,4 @@
-"""The platform's edge proxy with a planted fault, to show that the soak finds it.
+"""Runs the platform's edge proxy with an injected fault, to show that the soak detects it.
 
 python -m valverouter.soak.injected_faults NAME
 """
@@ -13,7 +13,7 @@
 from typing import Any
 
 if __name__ == "__main__":
-    # Before the other imports, as in the program itself: without a handler SIGHUP ends the process.
+    # Installed before the other imports, as in the program itself: without a handler SIGHUP ends the process.
     EARLY_SIGNALS: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, frame: EARLY_SIGNALS.append(number))
 
@@ -29,7 +29,7 @@
 
 
 def _exit_early() -> None:
-    """Ends before the time in which set-ups are served is over."""
+    """Exits before the end of the accept period, in which set-ups must still be served."""
 
     async def stop(proxy: PlatformProxy) -> None:
         await trio.sleep(platform.ACCEPT_PERIOD / 1e9 - EARLY_BY_S)
@@ -39,19 +39,19 @@
 
 
 def _drop_answers() -> None:
-    """Loses some messages to callers."""
+    """Drops every `DROP_EVERY`th message to callers."""
     send = PlatformCaller.send
     counter = itertools.count(1)
 
-    def send_most(self: PlatformCaller, message: Any) -> None:
+    def send_with_losses(self: PlatformCaller, message: Any) -> None:
         if next(counter) % DROP_EVERY:
             send(self, message)
 
-    PlatformCaller.send = send_most  # type: ignore[method-assign]
+    PlatformCaller.send = send_with_losses  # type: ignore[method-assign]
 
 
-def _cut_short_by_second_stop() -> None:
-    """Ends at once at a second signal to stop."""
+def _exit_at_second_stop_signal() -> None:
+    """Exits immediately at a second stop signal."""
     stop = program.stop_after_accept_period
     counter = itertools.count(1)
 
@@ -63,8 +63,8 @@
     program.stop_after_accept_period = stop_once
 
 
-def _lose_hangups() -> None:
-    """Reads no new configuration."""
+def _ignore_sighup() -> None:
+    """Ignores new configurations."""
 
     async def ignore(proxy: PlatformProxy, path: Path) -> None:
         """Does nothing."""
@@ -75,8 +75,8 @@
 FAULTS = {
     "early-exit": _exit_early,
     "dropped-answer": _drop_answers,
-    "second-stop": _cut_short_by_second_stop,
-    "lost-hangup": _lose_hangups,
+    "second-stop": _exit_at_second_stop_signal,
+    "lost-hangup": _ignore_sighup,
 }
 
 if __name__ == "__main__":
