--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -1,14 +1,14 @@
-"""Writes two variants of the operators' deployment beside this file, for the bench to play.
+"""Writes two variants of the operators' deployment to the folder of this file, to run the bench against.
 
     python deploy/sites/variants.py [FOLDER]
 
-FOLDER holds the site at hand with `real.json`, `wire.json` and `unlock.txt`; without it the one laid beside
-the project is taken. What is written here is the operators' own matter changed, so git ignores it. Exit code
-2, with one line, where there is no site to change.
+FOLDER contains the original site with `real.json`, `wire.json` and `unlock.txt`; the default is the one
+beside the project. The output is derived from the operators' files, so git ignores it. Exits with code 2 and
+a one-line message if there is no site to change.
 
-Nothing in the program knows a name or a figure from here: what a variant shows is that none is needed. The
-operators' form has no place for tenants, nor for limits of memory and descriptors; `lbreal` draws or is told
-those (`--memory-mb`, `--sockets`).
+The program contains no name or number from this file: the variants show that it needs none. The format of a
+site has no settings for tenants or for memory and descriptor limits; `lbreal` draws those or takes them from
+`--memory-mb` and `--sockets`.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
     return [{"width": 1, "hold": factor, "skilled": 1} for factor in hold_factors]
 
 
-# Each key of a table is replaced, tables that are not named stay; a list of tables is replaced whole.
+# The given keys of a table are replaced and its others kept; a list of tables is replaced as a whole.
 VARIANTS: dict[str, dict[str, Any]] = {
-    # One class fewer, very uneven shares, short deadlines, many small places, steep prices for late answers.
+    # One class fewer, very uneven shares, short deadlines, many small places, high costs of late answers.
     "short-deadlines": {
         "net": {"zones": ["quay", "mole"], "cross_ms": [5, 14]},
         "clients": {"backoff_ms": [150, 500], "max_retry_after_ms": 700, "honour": [0.2, 0.5]},
@@ -54,7 +54,7 @@
         ],
         "fam.class": circuits(1, 0.5),
     },
-    # Two classes more, long deadlines, other costs, more attempts, slower and colder starts.
+    # Two more classes, long deadlines, other prices, more attempts, slower and colder starts.
     "long-deadlines": {
         "net": {"zones": ["hill", "dale", "ford", "weir", "moor"], "same_ms": [2, 5]},
         "clients": {"retries": [1, 2.99], "max_retry_after_ms": 5_000, "marks_retry": False},
@@ -79,7 +79,7 @@
 
 
 def apply_variant(site: dict[str, Any], name: str) -> dict[str, Any]:
-    """The site with a variant's changes."""
+    """Returns a copy of the site with the changes of a variant."""
     result: dict[str, Any] = json.loads(json.dumps(site)) | {"name": name}
     for path, change in VARIANTS[name].items():
         *parents, key = path.split(".")
@@ -91,7 +91,7 @@
 
 
 def to_toml(table: dict[str, Any], path: str = "") -> str:
-    """TOML of what TOML gave: a table's own keys first, then its tables, then its lists of tables."""
+    """Formats a parsed TOML table: first its plain keys, then its tables and lists of tables in order."""
     plain = {key: value for key, value in table.items() if not _is_table(value)}
     lines = [f"{key} = {json.dumps(value)}" for key, value in plain.items()]
     for key, value in table.items():
@@ -113,7 +113,7 @@
         site = tomllib.loads((folder / SITE).read_text("utf-8"))
         target.mkdir(exist_ok=True)
         for name in COMPANION_FILES:
-            # Their owner may have taken the right to write: a copy is written anew each time.
+            # Its owner may have made an earlier copy read-only, so it is replaced instead of overwritten.
             (target / name).unlink(missing_ok=True)
             shutil.copyfile(folder / name, target / name)
     except (OSError, ValueError) as error:
