--- a/deploy/sites/variants.py
+++ b/deploy/sites/variants.py
@@ -1,14 +1,14 @@
-"""Writes two variants of the operators' deployment beside this file, for the bench to play.
+"""Writes two variants of the operators' deployment to the folder of this file, to run the bench against.
 
     python deploy/sites/variants.py [FOLDER]
 
-FOLDER holds the site at hand with `real.json`, `wire.json` and `unlock.txt`; without it the one laid beside
-the project is taken. What is written here is the operators' own matter changed, so git ignores it. Exit code
-2, with one line, where there is no site to change.
+FOLDER contains the original site with `real.json`, `wire.json` and `unlock.txt`; the default is the one
+beside the project. The output is derived from the operators' files, so git ignores it. Exits with code 2 and
+a one-line message if there is no site to change.
 
-Nothing in the program knows a name or a figure from here: what a variant shows is that none is needed. The
-operators' form has no place for tenants, nor for limits of memory and descriptors; `lbreal` draws or is told
-those (`--memory-mb`, `--sockets`).
+The program contains no name or number from this file: the variants show that it needs none. The format of a
+site has no settings for tenants or for memory and descriptor limits; `lbreal` draws those or takes them from
+`--memory-mb` and `--sockets`.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 from typing import Any
 
 HERE = Path(__file__).resolve().parent
-AT_HAND = HERE.parent.parent.parent / "given" / "kit" / "more" / "node" / "sites"
+DEFAULT_SITE_FOLDER = HERE.parent.parent.parent / "given" / "kit" / "more" / "node" / "sites"
 SITE = "booking-line-bg.toml"
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+COMPANION_FILES = ("real.json", "wire.json", "unlock.txt")
 
 
 def traffic(
-    name: str, share: list[float], aim: int, deadline: int, worth: float, late: float
+    name: str, share: list[float], objective_ms: int, deadline_ms: int, value: float, late_value: float
 ) -> dict[str, Any]:
-    asked = {"name": name, "share": share, "aim_ms": aim, "deadline_ms": deadline}
-    paid = {"worth": worth, "late_worth": late, "effect": "safe", "stream": True}
-    return asked | {"work_ms": 2, "dist": "fixed"} | paid
+    limits = {"name": name, "share": share, "aim_ms": objective_ms, "deadline_ms": deadline_ms}
+    value_fields = {"worth": value, "late_worth": late_value, "effect": "safe", "stream": True}
+    return limits | {"work_ms": 2, "dist": "fixed"} | value_fields
 
 
-def circuits(*lengths: float) -> list[dict[str, Any]]:
-    return [{"width": 1, "hold": length, "skilled": 1} for length in lengths]
+def circuits(*hold_factors: float) -> list[dict[str, Any]]:
+    return [{"width": 1, "hold": factor, "skilled": 1} for factor in hold_factors]
 
 
-# Each key of a table is replaced, tables that are not named stay; a list of tables is replaced whole.
+# The given keys of a table are replaced and its others kept; a list of tables is replaced as a whole.
 VARIANTS: dict[str, dict[str, Any]] = {
-    # One class fewer, very uneven shares, short deadlines, many small places, steep prices for late answers.
+    # One class fewer, very uneven shares, short deadlines, many small places, high costs of late answers.
     "short-deadlines": {
         "net": {"zones": ["quay", "mole"], "cross_ms": [5, 14]},
         "clients": {"backoff_ms": [150, 500], "max_retry_after_ms": 700, "honour": [0.2, 0.5]},
@@ -54,7 +54,7 @@
         ],
         "fam.class": circuits(1, 0.5),
     },
-    # Two classes more, long deadlines, other costs, more attempts, slower and colder starts.
+    # Two more classes, long deadlines, other prices, more attempts, slower and colder starts.
     "long-deadlines": {
         "net": {"zones": ["hill", "dale", "ford", "weir", "moor"], "same_ms": [2, 5]},
         "clients": {"retries": [1, 2.99], "max_retry_after_ms": 5_000, "marks_retry": False},
@@ -78,29 +78,29 @@
 }  # fmt: skip
 
 
-def changed(site: dict[str, Any], name: str) -> dict[str, Any]:
-    """The site with a variant's changes."""
-    found: dict[str, Any] = json.loads(json.dumps(site)) | {"name": name}
+def apply_variant(site: dict[str, Any], name: str) -> dict[str, Any]:
+    """Returns a copy of the site with the changes of a variant."""
+    result: dict[str, Any] = json.loads(json.dumps(site)) | {"name": name}
     for path, change in VARIANTS[name].items():
-        *way, last = path.split(".")
-        at = found
-        for step in way:
-            at = at[step][0] if isinstance(at[step], list) else at[step]
-        at[last] = at[last] | change if isinstance(change, dict) else change
-    return found
+        *parents, key = path.split(".")
+        table = result
+        for parent in parents:
+            table = table[parent][0] if isinstance(table[parent], list) else table[parent]
+        table[key] = table[key] | change if isinstance(change, dict) else change
+    return result
 
 
-def toml(table: dict[str, Any], path: str = "") -> str:
-    """TOML of what TOML gave: a table's own keys first, then its tables, then its lists of tables."""
+def to_toml(table: dict[str, Any], path: str = "") -> str:
+    """Formats a parsed TOML table: first its plain keys, then its tables and lists of tables in order."""
     plain = {key: value for key, value in table.items() if not _is_table(value)}
     lines = [f"{key} = {json.dumps(value)}" for key, value in plain.items()]
     for key, value in table.items():
         name = f"{path}{key}"
         if isinstance(value, dict):
-            lines += [f"\n[{name}]", toml(value, f"{name}.")]
+            lines += [f"\n[{name}]", to_toml(value, f"{name}.")]
         elif _is_table(value):
-            for one in value:
-                lines += [f"\n[[{name}]]", toml(one, f"{name}.")]
+            for item in value:
+                lines += [f"\n[[{name}]]", to_toml(item, f"{name}.")]
     return "\n".join(lines)
 
 
@@ -108,21 +108,21 @@
     return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
 
 
-def main(folder: Path, to: Path) -> int:
+def main(folder: Path, target: Path) -> int:
     try:
         site = tomllib.loads((folder / SITE).read_text("utf-8"))
-        to.mkdir(exist_ok=True)
-        for name in BESIDE:
-            # Their owner may have taken the right to write: a copy is written anew each time.
-            (to / name).unlink(missing_ok=True)
-            shutil.copyfile(folder / name, to / name)
+        target.mkdir(exist_ok=True)
+        for name in COMPANION_FILES:
+            # Its owner may have made an earlier copy read-only, so it is replaced instead of overwritten.
+            (target / name).unlink(missing_ok=True)
+            shutil.copyfile(folder / name, target / name)
     except (OSError, ValueError) as error:
         print(f"variants: no site to change in {folder}: {error}", file=sys.stderr)
         return 2
     for name in VARIANTS:
-        (to / f"{name}.toml").write_text(toml(changed(site, name)) + "\n", "utf-8")
+        (target / f"{name}.toml").write_text(to_toml(apply_variant(site, name)) + "\n", "utf-8")
     return 0
 
 
 if __name__ == "__main__":
-    sys.exit(main(Path(sys.argv[1]) if len(sys.argv) > 1 else AT_HAND, HERE))
+    sys.exit(main(Path(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_SITE_FOLDER, HERE))
